--- /dev/null
+++ b/system/jobs/tests/golden_disk.rs
@@ -0,0 +1,343 @@
+//! A later version reads the disk of a backend that an earlier one wrote, and writes it on in the same form.
+//!
+//! The recorded disks are written by hand: `GOLDEN_WRITE=1 cargo test -p gingerledge-jobs --test golden_disk -- the_code_of_the_day`,
+//! twice, since the rewritten disk comes from a recorded one.
+
+use std::net::SocketAddr;
+use std::path::{Path, PathBuf};
+use std::sync::Arc;
+use std::time::Duration;
+
+use gingerledge_chain::{LogRecord, MemberId, View};
+use gingerledge_golden::disk_image::DiskImage;
+use gingerledge_jobs::backend::{Backend, BackendEvent, DiskContent, DiskRecord};
+use gingerledge_jobs::store::{Asker, Command, EdgeProcess, Proposal, Store};
+use gingerledge_jobs::JobsSettings;
+use gingerledge_protocol::Settings;
+use gingerledge_storage::{FileDisk, Ring, RingSettings};
+use gingerledge_wire::{ItemRecord, JobRecord, PartialText, PartitionRecord, ResultRecord, ScoringRecord};
+
+/// A ring much smaller than that of a backend, which has the same form.
+const RING: RingSettings = RingSettings { files: 4, file_bytes: 64 * 1024 };
+const ME: u64 = 0x1111_2222_3333_4444;
+const SECOND: u64 = u64::MAX;
+const SEED: u64 = 7;
+/// The partition with the batch jobs.
+const PARTITION: u16 = 3;
+/// A partition with votes and no entry.
+const EMPTY_PARTITION: u16 = 30;
+/// The last entry in the snapshot on the disk.
+const SNAPSHOT_ENTRY: u64 = 4;
+/// The last entry on the disk. The member is the tail, so that all entries on its disk are committed.
+const LAST_ENTRY: u64 = 11;
+
+fn fixture(name: &str) -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden_disk").join(name)
+}
+
+fn folder(name: &str) -> PathBuf {
+    Path::new(env!("CARGO_TARGET_TMPDIR")).join("golden-disk-jobs").join(name)
+}
+
+fn settings() -> JobsSettings {
+    let text = r#"{"nodeName":"n","role":"r","machineClass":"c","ip":"10.0.0.1","zone":"z","internalPorts":[1,2],
+        "seeds":["10.0.0.2:1"],"faultTolerance":{"machines":1},"bounds":{"statusS":100},
+        "limits":{"memoryMb":16,"diskMb":128}}"#;
+    JobsSettings::new(&Settings::parse(text.as_bytes()).unwrap())
+}
+
+fn edge(incarnation: u64) -> EdgeProcess {
+    EdgeProcess { incarnation, address: SocketAddr::from(([10, 1, 0, 1], 7000)) }
+}
+
+fn item(number: u32) -> ItemRecord {
+    let scoring = ScoringRecord {
+        id: format!("score-{number}"),
+        host: "scores.example".to_owned(),
+        path: "/score".to_owned(),
+        body: vec![9, 8, 7],
+    };
+    ItemRecord {
+        id: format!("item-{number}"),
+        path: "/complete".to_owned(),
+        headers: vec![("accept".to_owned(), "text/event-stream".to_owned())],
+        body: format!("body of item {number}").into_bytes(),
+        tokens: 100 + u64::from(number),
+        group: "group".to_owned(),
+        scoring: (number == 1).then_some(scoring),
+    }
+}
+
+fn job(id: &str, items: u32) -> JobRecord {
+    JobRecord {
+        id: id.to_owned(),
+        host: "host.example".to_owned(),
+        path: "/jobs".to_owned(),
+        step: 12,
+        model: "model-a".to_owned(),
+        min_version: 3,
+        desired: 2,
+        items: (0..items).map(item).collect(),
+    }
+}
+
+fn result(item: u32, completed: bool) -> ResultRecord {
+    ResultRecord {
+        item,
+        completed,
+        text: format!("result of item {item}").into_bytes(),
+        versions: vec![3, 4],
+        score: "0.5".to_owned(),
+    }
+}
+
+fn part(item: u32, after: Option<u64>, last_id: u64, data: &str) -> PartialText {
+    let data = data.as_bytes().to_vec();
+    PartialText { item, origin: 31, after, last_id, data, versions: vec![3], whole: after.is_some() }
+}
+
+/// One command of each kind, in the order of the log; the first entry has the number 1.
+fn commands() -> Vec<Command> {
+    let open = || "open".to_owned();
+    vec![
+        Command::Create { job: Arc::new(job("open", 4)), edge: edge(71) },
+        Command::Create { job: Arc::new(job("ended", 2)), edge: edge(72) },
+        Command::Append { job: open(), term: 1, results: vec![result(2, true)] },
+        Command::Save { job: open(), term: 1, texts: vec![part(0, None, 5, "first ")] },
+        Command::Drive { job: open(), term: 2, edge: edge(73) },
+        Command::Save {
+            job: open(),
+            term: 2,
+            texts: vec![part(0, Some(5), 9, "second"), part(1, None, 2, "third")],
+        },
+        Command::Append { job: "ended".to_owned(), term: 1, results: vec![result(0, false)] },
+        Command::End { job: "ended".to_owned() },
+        Command::KeepAges { ages: vec![("ended".to_owned(), Duration::new(90, 5))] },
+        Command::Create { job: Arc::new(job("second", 1)), edge: edge(71) },
+        Command::End { job: "second".to_owned() },
+        Command::Forget { job: "second".to_owned() },
+    ]
+}
+
+fn proposal(number: u64) -> Proposal {
+    let command = commands().swap_remove(usize::try_from(number).unwrap() - 1);
+    let asker = Asker { request: number + 1000, reply_to: edge(71).address, edge: 71 };
+    let age = Duration::from_millis(number * 10);
+    Proposal { asker: command.job().is_some().then_some(asker), age, command }
+}
+
+fn entry(epoch: u64, seq: u64, committed: u64) -> LogRecord {
+    LogRecord::Entry { epoch, seq, committed, command: proposal(seq).encode().unwrap() }
+}
+
+/// The state after the first entries.
+fn store_after(last: u64) -> Store {
+    let mut store = Store::default();
+    for number in 1..=last {
+        let Proposal { age, command, .. } = proposal(number);
+        let id = command.job().cloned();
+        store.apply(command);
+        if let Some(id) = id {
+            store.reach_age(&id, age);
+        }
+    }
+    store
+}
+
+fn view(epoch: u64, chain: &[u64]) -> View {
+    View { epoch, chain: chain.iter().copied().map(MemberId).collect() }
+}
+
+/// Records of the partition in the snapshot on the disk.
+fn records_in_snapshot() -> Vec<LogRecord> {
+    vec![
+        LogRecord::Snapshot { seq: SNAPSHOT_ENTRY, bytes: store_after(SNAPSHOT_ENTRY).encode().unwrap() },
+        LogRecord::View { view: view(1, &[ME, SECOND]), full: true },
+        LogRecord::Barriers { epoch: 1, reserved: 1024 },
+        LogRecord::Sealed { epoch: 1 },
+    ]
+}
+
+/// Records of the partition after the snapshot.
+fn records_after_snapshot() -> Vec<LogRecord> {
+    let mut records = vec![
+        entry(1, 5, 4),
+        entry(1, 6, 5),
+        LogRecord::Rejoined { view: view(2, &[SECOND, ME]), after: 5 },
+        LogRecord::Full { epoch: 2 },
+        LogRecord::Barriers { epoch: 2, reserved: 2048 },
+    ];
+    records.extend((6..=LAST_ENTRY).map(|number| entry(2, number, number - 1)));
+    records
+}
+
+/// Records of the partition without entries.
+fn records_of_empty_partition() -> Vec<LogRecord> {
+    vec![LogRecord::View { view: view(7, &[SECOND, ME]), full: false }, LogRecord::Sealed { epoch: 7 }]
+}
+
+/// What the write in the middle of which the power goes would have added.
+fn last_records() -> Vec<DiskRecord> {
+    let large = LogRecord::Entry { epoch: 2, seq: 12, committed: 11, command: vec![0x5a; 3000] };
+    vec![
+        DiskRecord::Partition(PARTITION, large),
+        DiskRecord::Partition(EMPTY_PARTITION, LogRecord::Sealed { epoch: 8 }),
+    ]
+}
+
+fn of_partition(partition: u16, records: Vec<LogRecord>) -> Vec<DiskRecord> {
+    records.into_iter().map(|record| DiskRecord::Partition(partition, record)).collect()
+}
+
+fn encoded(records: &[DiskRecord]) -> Vec<Vec<u8>> {
+    records.iter().map(|record| record.encode().unwrap()).collect()
+}
+
+/// Opens the ring and reads it as a backend does.
+fn open(folder: &Path) -> (Ring<FileDisk>, DiskContent) {
+    let (ring, recovered) = Ring::open(FileDisk::open(folder).unwrap(), RING).unwrap();
+    let content = DiskContent::read(recovered.snapshot.into_iter().chain(recovered.records)).unwrap();
+    (ring, content)
+}
+
+/// A log of a first life; then a snapshot, and what came after it.
+fn write_disk(folder: &Path) -> Ring<FileDisk> {
+    DiskImage::default().lay_out(folder);
+    let (mut ring, content) = open(folder);
+    assert!(content.member.is_none() && content.partitions.is_empty());
+    ring.append(&encoded(&[DiskRecord::Identity(ME)])).unwrap();
+    let first = LogRecord::View { view: view(1, &[ME, SECOND]), full: true };
+    ring.append(&encoded(&[DiskRecord::Partition(PARTITION, first)])).unwrap();
+    for number in 1..=SNAPSHOT_ENTRY {
+        let entry = DiskRecord::Partition(PARTITION, entry(1, number, number - 1));
+        ring.append(&encoded(&[entry])).unwrap();
+    }
+    let mut snapshot = vec![DiskRecord::Identity(ME)];
+    snapshot.extend(of_partition(PARTITION, records_in_snapshot()));
+    ring.snapshot(&encoded(&snapshot)).unwrap();
+    ring.append(&encoded(&of_partition(EMPTY_PARTITION, records_of_empty_partition()))).unwrap();
+    for records in of_partition(PARTITION, records_after_snapshot()).chunks(3) {
+        ring.append(&encoded(records)).unwrap();
+    }
+    ring
+}
+
+/// The recorded disk in a folder of its own.
+fn laid_out(recorded: &str, test: &str) -> PathBuf {
+    let folder = folder(test);
+    DiskImage::read(&fixture(recorded)).lay_out(&folder);
+    folder
+}
+
+fn assert_is_the_recorded_content(content: &DiskContent) {
+    assert_eq!(content.member, Some(ME));
+    assert_eq!(content.partitions.keys().copied().collect::<Vec<_>>(), [PARTITION, EMPTY_PARTITION]);
+    let expected = [records_in_snapshot(), records_after_snapshot()].concat();
+    for (number, (found, expected)) in content.partitions[&PARTITION].iter().zip(&expected).enumerate() {
+        assert!(found == expected, "record {number} of the partition");
+    }
+    assert_eq!(content.partitions[&PARTITION].len(), expected.len());
+    assert!(content.partitions[&EMPTY_PARTITION] == records_of_empty_partition(), "the empty partition");
+}
+
+/// A backend that has started with what its disk holds.
+fn start(content: DiskContent) -> Backend {
+    let member = MemberId(content.member.unwrap());
+    let mut backend = Backend::new(member, content, settings(), SEED);
+    backend.handle(Duration::ZERO, BackendEvent::Started, &mut Vec::new());
+    backend
+}
+
+#[test]
+fn the_code_of_the_day_writes_the_recorded_disk() {
+    let folder = folder("writes");
+    drop(write_disk(&folder));
+    DiskImage::of_folder(&folder).compare(&fixture("backend.txt"));
+}
+
+#[test]
+fn the_code_of_the_day_writes_the_recorded_disk_with_a_torn_tail() {
+    let folder = folder("writes-torn");
+    let mut ring = write_disk(&folder);
+    let before = DiskImage::of_folder(&folder);
+    ring.append(&encoded(&last_records())).unwrap();
+    before.torn(&DiskImage::of_folder(&folder)).compare(&fixture("backend_torn.txt"));
+}
+
+#[test]
+fn a_recorded_disk_is_recovered() {
+    let (_, content) = open(&laid_out("backend.txt", "recovered"));
+    assert_is_the_recorded_content(&content);
+}
+
+#[test]
+fn a_recorded_disk_with_a_torn_tail_is_recovered_without_the_unfinished_write() {
+    let folder = laid_out("backend_torn.txt", "recovered-torn");
+    let (mut ring, content) = open(&folder);
+    assert_is_the_recorded_content(&content);
+    ring.append(&encoded(&last_records())).unwrap();
+    drop(ring);
+    let (_, content) = open(&folder);
+    assert!(content.partitions[&EMPTY_PARTITION].last() == Some(&LogRecord::Sealed { epoch: 8 }), "the vote");
+}
+
+#[test]
+fn recorded_entries_carry_the_commands() {
+    let (_, content) = open(&laid_out("backend.txt", "entries"));
+    let mut numbers = Vec::new();
+    for record in &content.partitions[&PARTITION] {
+        if let LogRecord::Entry { seq, command, .. } = record {
+            assert!(Proposal::decode(command).unwrap() == proposal(*seq), "entry {seq}");
+            numbers.push(*seq);
+        }
+    }
+    assert_eq!(numbers, [5, 6, 6, 7, 8, 9, 10, 11]);
+}
+
+#[test]
+fn recorded_batch_jobs_are_there_after_a_start() {
+    let (_, content) = open(&laid_out("backend.txt", "jobs"));
+    let backend = start(content);
+    let partition = backend.partition(PARTITION).unwrap();
+    assert!(partition.view() == Some(&view(2, &[SECOND, ME])), "the view");
+    assert_eq!(partition.full_epoch(), Some(2));
+    let empty = backend.partition(EMPTY_PARTITION).unwrap();
+    assert!(empty.view() == Some(&view(7, &[SECOND, ME])), "the view of the empty partition");
+    assert_eq!(empty.full_epoch(), None);
+
+    let store = partition.store();
+    assert!(*store == store_after(LAST_ENTRY), "the state");
+    let open = store.job("open").unwrap();
+    assert!(open.driver() == edge(73) && open.term() == 2 && !open.is_ended());
+    assert!(open.results() == [result(2, true)], "the results");
+    assert_eq!(open.listed_items(), [2]);
+    assert_eq!(open.body("item-0"), Some(&b"body of item 0"[..]));
+    let joined = PartialText { after: None, ..part(0, Some(5), 9, "first second") };
+    assert!(open.texts() == [joined, part(1, None, 2, "third")], "the texts");
+    let ended = store.job("ended").unwrap();
+    assert!(ended.is_ended() && ended.results() == [result(0, false)]);
+    assert_eq!(ended.age(), Duration::new(90, 5));
+    assert_eq!(store.jobs().count(), 3);
+}
+
+#[test]
+fn a_recorded_vote_keeps_its_epoch_sealed() {
+    let (_, content) = open(&laid_out("backend.txt", "sealed"));
+    let mut backend = start(content);
+    let old = PartitionRecord { epoch: 6, chain: vec![ME, SECOND], full: vec![ME, SECOND] };
+    let event = BackendEvent::Chain { partition: EMPTY_PARTITION, record: old };
+    backend.handle(Duration::ZERO, event, &mut Vec::new());
+    assert!(backend.partition(EMPTY_PARTITION).unwrap().view() == Some(&view(7, &[SECOND, ME])));
+    let records = DiskContent::read(backend.checkpoint().unwrap().unwrap()).unwrap();
+    assert!(records.partitions[&EMPTY_PARTITION].contains(&LogRecord::Sealed { epoch: 7 }), "the vote");
+}
+
+#[test]
+fn the_code_of_the_day_rewrites_the_recorded_disk_as_recorded() {
+    let folder = laid_out("backend.txt", "rewritten");
+    let (mut ring, content) = open(&folder);
+    let checkpoint = start(content).checkpoint().unwrap().unwrap();
+    ring.snapshot(&checkpoint).unwrap();
+    drop(ring);
+    DiskImage::of_folder(&folder).compare(&fixture("backend_rewritten.txt"));
+}
