--- a/crates/blocks/tests/golden.rs
+++ b/crates/blocks/tests/golden.rs
@@ -21,11 +21,14 @@
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name)
 }
 
-/// Values of one type with their names. Compares what they are packed to with the file, then reads the file's bytes back.
+/// Reads recorded bytes of one value, compares it, and packs it again.
+type Check = Box<dyn Fn(&[u8])>;
+
+/// Values with their names. Compares what they are packed to with the file, then reads the file's bytes back.
 struct Packed {
     file: PathBuf,
     samples: Vec<Sample>,
-    checks: Vec<Box<dyn Fn(&[u8])>>,
+    checks: Vec<Check>,
 }
 
 impl Packed {
