--- a/system/control/tests/nodes/coordination.rs
+++ b/system/control/tests/nodes/coordination.rs
@@ -152,6 +152,36 @@
     });
 }
 
+#[test]
+fn the_operator_is_told_how_far_the_emptying_of_a_backend_is() {
+    run(async {
+        let world = World::start(24);
+        let all = backends(&world, 3).await;
+        world.status_until(0, all_founded).await;
+        let begin = Call::post("/retire/backend-0/begin", "", "{\"deadlineS\":10}");
+        let read = Call::get("/retire/backend-0/read");
+        let transcript = crate::common::transcript();
+        world.until(0, &begin, 200).await;
+        world.call(1, &begin, Some(&transcript)).await;
+        let joined = |status: &Value| {
+            partitions(status)
+                .iter()
+                .filter(|(_, _, chain, _)| chain.contains(&all[0].name()))
+                .all(|(_, epoch, chain, _)| *epoch == 2 && chain.len() == 3)
+        };
+        let status = world.status_until(0, joined).await;
+        world.call(2, &read, Some(&transcript)).await;
+        all.iter().for_each(|backend| backend.fill(&status));
+        while world.until(2, &read, 200).await.body() != r#"{"state":"completed"}"# {}
+        world.call(2, &read, Some(&transcript)).await;
+        world.call(0, &begin, Some(&transcript)).await;
+        let second = Call::post("/retire/backend-1/begin", "", "{\"deadlineS\":10}");
+        world.until(0, &second, 409).await;
+        world.call(0, &second, Some(&transcript)).await;
+        transcript.check("retire");
+    });
+}
+
 fn engine() -> String {
     r#"{"version":3,"routes":[{"name":"r","host":"h","pathPrefix":"/g/","routeKind":"deployment","service":"s","singleVersion":true}],
         "services":[{"name":"s","healthPath":"/healthz","engine":{"slots":4,"models":[{"name":"a"},{"name":"b"}]}}]}"#
--- a/system/control/tests/nodes/exchanges.rs
+++ b/system/control/tests/nodes/exchanges.rs
@@ -221,6 +221,33 @@
     });
 }
 
+#[test]
+fn without_a_majority_no_other_call_is_acknowledged() {
+    run(async {
+        let mut world = World::start(13);
+        ready(&world).await;
+        world.kill(1).await;
+        world.kill(2).await;
+        let (alive, leaving) = (heartbeat(4, "ready"), heartbeat(5, "draining"));
+        world.until(0, &Call::post(HEARTBEAT, "", &alive), 503).await;
+        let update = r#"{"version":9,"upsert":{"services":[{"name":"s"}]}}"#;
+        let calls = [
+            Call::post(HEARTBEAT, "", &alive),
+            Call::post(HEARTBEAT, "", &leaving),
+            Call::post("/instances/i-1/deregister", "", ""),
+            Call::post("/configuration/update", "Base-Version: 5\r\n", update),
+            Call::post("/version-put", "", r#"{"model":"m","version":2}"#),
+            Call::post("/retire/nobody/begin", "", "{\"deadlineS\":10}"),
+            Call::get("/retire/nobody/read"),
+        ];
+        let transcript = crate::common::transcript();
+        for call in &calls {
+            world.call(0, call, Some(&transcript)).await;
+        }
+        transcript.check("no-majority-others");
+    });
+}
+
 /// The node does not know yet that it is alone: its last tick is only a moment old.
 #[parameterized(draining = { HEARTBEAT, 40 }, deregistered = { "/instances/i-1/deregister", 41 })]
 fn the_end_of_a_store_is_never_acknowledged_by_a_node_that_is_alone(path: &str, number: u8) {
--- a/system/control/tests/nodes/main.rs
+++ b/system/control/tests/nodes/main.rs
@@ -3,4 +3,5 @@
 mod common;
 mod coordination;
 mod exchanges;
+mod orders;
 mod updates;
