--- a/system/data/tests/edge_node.rs
+++ b/system/data/tests/edge_node.rs
@@ -43,6 +43,12 @@
     client.ask("GET", "/readiness", "r", "").await.status() == 200
 }
 
+/// Asks as the platform does, and writes it down.
+async fn note_readiness(transcript: &gingerledge_system_standin::Transcript) {
+    let mut client = Client::connect(address(1, 8141), Some(transcript)).await;
+    client.ask("GET", "/readiness", "r", "").await;
+}
+
 async fn until_ready(expected: bool) {
     let began = Instant::now();
     while is_ready().await != expected {
@@ -71,9 +77,12 @@
         until("heartbeat", || !control.heartbeats.borrow().is_empty()).await;
         let incarnation = control.heartbeats.borrow()[0].incarnation;
         assert!(!is_ready().await);
+        let transcript = edge_common::transcript();
+        note_readiness(&transcript).await;
         control.learn(vec![configuration_entry(1, &configuration(1))]);
         control.learn(vec![store_entry(&store, 1, StoreState::Ready)]);
         until_ready(true).await;
+        note_readiness(&transcript).await;
         let mut client = Client::connect(address(1, 8149), None).await;
         assert_eq!(client.ask("POST", "/once/x", "n1", "b").await.body(), "a");
 
@@ -85,11 +94,13 @@
         let told = Instant::now();
         signal("TERM");
         until_ready(false).await;
+        note_readiness(&transcript).await;
         let reply = client.ask("POST", "/once/x", "n3", "b").await;
         assert_eq!((reply.body(), reply.header("connection").as_deref()), ("a", Some("close")));
         assert_eq!(client.read_some().await, None);
         edge.await.expect("no panic").expect("a good end");
         assert!(told.elapsed() < GRACE, "ended after {:?}", told.elapsed());
+        transcript.check("readiness");
         until("farewell", || *control.farewells.borrow() == [incarnation]).await;
     })
     .await;
--- a/system/data/tests/edge_transcripts.rs
+++ b/system/data/tests/edge_transcripts.rs
@@ -127,3 +127,24 @@
     })
     .await;
 }
+
+#[tokio::test]
+async fn requests_that_reach_no_store() {
+    local(async {
+        let transcript = transcript();
+        let edge = Edge::with(&[]).await;
+        let without_id = request("POST", "/once/x", "aa10", "", "b").replace("Attempt-Id: aa10\r\n", "");
+        // The configuration allows a million bytes.
+        let too_long = request("POST", "/once/x", "aa11", "Content-Length: 1000001\r\n", "");
+        for text in [without_id, too_long] {
+            let mut client = Client::connect(edge.address, Some(&transcript)).await;
+            client.send(&text).await;
+            client.read().await;
+        }
+        let unaware = Edge::start().await;
+        let mut client = Client::connect(unaware.address, Some(&transcript)).await;
+        client.ask("GET", "/idem/x", "aa12", "").await;
+        transcript.check("no-store");
+    })
+    .await;
+}
