--- /dev/null
+++ b/system/chain/tests/golden.rs
@@ -0,0 +1,170 @@
+//! The encoded form of every message and of every durable record of a chain: equal to what was recorded once, byte for byte. A control
+//! node and a backend both write them with the standard configuration of bincode, as frames do.
+
+use std::collections::BTreeMap;
+use std::path::{Path, PathBuf};
+
+use gingerledge_chain::{
+    AgreementMessage, Ballot, ChainMessage, Heartbeat, LogRecord, MemberId, Members, ReplicaMessage, View,
+};
+use gingerledge_golden::{compare, read, Sample};
+use serde::de::DeserializeOwned;
+use serde::Serialize;
+
+/// The samples of one golden file.
+struct Golden {
+    path: PathBuf,
+    recorded: BTreeMap<String, Vec<u8>>,
+    samples: Vec<Sample>,
+}
+
+impl Golden {
+    fn new(file: &str) -> Self {
+        let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(file);
+        let recorded = if path.exists() { read(&path) } else { BTreeMap::new() };
+        Self { path, recorded, samples: Vec::new() }
+    }
+
+    /// Adds a value, and compares it with what is recorded under its name.
+    fn add_equal<T: Serialize + DeserializeOwned + PartialEq>(&mut self, name: &str, value: &T) {
+        self.samples.push(Sample::new(name, encode(value)));
+        if let Some(decoded) = self.decode_recorded::<T>(name) {
+            assert!(decoded == *value, "{name}: the recorded bytes decode to another value");
+        }
+    }
+
+    fn decode_recorded<T: Serialize + DeserializeOwned>(&self, name: &str) -> Option<T> {
+        let bytes = self.recorded.get(name)?;
+        let (decoded, read): (T, usize) =
+            bincode::serde::decode_from_slice(bytes, bincode::config::standard())
+                .unwrap_or_else(|error| panic!("{name}: {error}"));
+        assert_eq!(read, bytes.len(), "{name}: bytes are left over");
+        assert_eq!(&encode(&decoded), bytes, "{name}: decoded and encoded again");
+        Some(decoded)
+    }
+
+    fn check(&self) {
+        compare(&self.path, &self.samples);
+    }
+}
+
+/// The bytes of a value in a frame and in the records on disks.
+fn encode<T: Serialize>(value: &T) -> Vec<u8> {
+    bincode::serde::encode_to_vec(value, bincode::config::standard()).expect("encodes")
+}
+
+fn ballot() -> Ballot {
+    Ballot { counter: 21, proposer: 70_000 }
+}
+
+fn members() -> Members {
+    Members {
+        epoch: 31,
+        voters: vec![MemberId(1), MemberId(300), MemberId(u64::MAX)],
+        chain: vec![MemberId(300), MemberId(1)],
+        fault_tolerance: 2,
+    }
+}
+
+fn bare_members() -> Members {
+    Members { epoch: 0, voters: Vec::new(), chain: Vec::new(), fault_tolerance: 0 }
+}
+
+fn view() -> View {
+    View { epoch: 41, chain: vec![MemberId(5), MemberId(6)] }
+}
+
+fn heartbeat() -> Heartbeat {
+    Heartbeat { epoch: 51, ready: true, sealed: false, hears: vec![MemberId(7)] }
+}
+
+fn replica_messages() -> Vec<(&'static str, ReplicaMessage)> {
+    let commands = vec![vec![1, 2], Vec::new()];
+    vec![
+        ("resume", ReplicaMessage::Resume { epoch: 1, last: 2, full: true, learner: false }),
+        ("resume of a learner", ReplicaMessage::Resume { epoch: 1, last: 2, full: false, learner: true }),
+        ("ask resume", ReplicaMessage::AskResume { epoch: 3 }),
+        ("append", ReplicaMessage::Append { epoch: 4, first: 5, commands, committed: 6, full_at: Some(7) }),
+        (
+            "append bare",
+            ReplicaMessage::Append { epoch: 4, first: 5, commands: Vec::new(), committed: 6, full_at: None },
+        ),
+        ("chunk", ReplicaMessage::Chunk { epoch: 8, seq: 9, total: 10, offset: 11, bytes: vec![12, 13] }),
+        ("chunk ack", ReplicaMessage::ChunkAck { epoch: 14, seq: 15, received: 16 }),
+        ("ack", ReplicaMessage::Ack { epoch: 17, durable: 18, committed: 19 }),
+        ("probe", ReplicaMessage::Probe { epoch: 20, round: 21 }),
+        ("confirm", ReplicaMessage::Confirm { epoch: 22, round: 23, committed: Some(24) }),
+        ("confirm bare", ReplicaMessage::Confirm { epoch: 22, round: 23, committed: None }),
+        ("barrier", ReplicaMessage::Barrier { epoch: 25, number: 26 }),
+        ("barrier done", ReplicaMessage::BarrierDone { epoch: 27, number: 28, committed: 29 }),
+        ("newer", ReplicaMessage::Newer { epoch: 30 }),
+    ]
+}
+
+fn agreement_messages() -> Vec<(&'static str, AgreementMessage)> {
+    let accepted = Some((ballot(), members()));
+    vec![
+        ("heartbeat", AgreementMessage::Heartbeat(heartbeat())),
+        ("ask view", AgreementMessage::AskView { epoch: 2 }),
+        ("view is", AgreementMessage::ViewIs { members: members() }),
+        ("prepare", AgreementMessage::Prepare { epoch: 3, ballot: ballot() }),
+        ("promise", AgreementMessage::Promise { epoch: 4, ballot: ballot(), accepted, full: true }),
+        (
+            "promise bare",
+            AgreementMessage::Promise { epoch: 4, ballot: ballot(), accepted: None, full: false },
+        ),
+        ("accept", AgreementMessage::Accept { ballot: ballot(), members: members() }),
+        ("accepted", AgreementMessage::Accepted { epoch: 5, ballot: ballot() }),
+        ("rejected", AgreementMessage::Rejected { epoch: 6, promised: ballot() }),
+    ]
+}
+
+fn records() -> Vec<(&'static str, LogRecord)> {
+    vec![
+        ("view", LogRecord::View { view: view(), full: true }),
+        ("rejoined", LogRecord::Rejoined { view: view(), after: 1 }),
+        ("full", LogRecord::Full { epoch: 2 }),
+        ("sealed", LogRecord::Sealed { epoch: 3 }),
+        ("entry", LogRecord::Entry { epoch: 4, seq: 5, committed: 6, command: vec![7, 8] }),
+        ("snapshot", LogRecord::Snapshot { seq: 9, bytes: vec![10, 11] }),
+        ("barriers", LogRecord::Barriers { epoch: 12, reserved: 13 }),
+        ("members", LogRecord::Members { members: members() }),
+        ("promise", LogRecord::Promise { epoch: 14, ballot: ballot() }),
+        ("accepted", LogRecord::Accepted { ballot: ballot(), members: members() }),
+    ]
+}
+
+#[test]
+fn members_and_views_are_written_as_before() {
+    let mut golden = Golden::new("members.txt");
+    golden.add_equal("member", &MemberId(77_000));
+    golden.add_equal("ballot", &ballot());
+    golden.add_equal("members", &members());
+    golden.add_equal("members bare", &bare_members());
+    golden.add_equal("view", &view());
+    golden.add_equal("heartbeat", &heartbeat());
+    golden.check();
+}
+
+#[test]
+fn messages_are_written_as_before() {
+    let mut golden = Golden::new("messages.txt");
+    for (name, message) in replica_messages() {
+        golden.add_equal(&format!("replica message {name}"), &message);
+        golden.add_equal(&format!("chain message of replica {name}"), &ChainMessage::Replica(message));
+    }
+    for (name, message) in agreement_messages() {
+        golden.add_equal(&format!("agreement message {name}"), &message);
+        golden.add_equal(&format!("chain message of agreement {name}"), &ChainMessage::Agreement(message));
+    }
+    golden.check();
+}
+
+#[test]
+fn durable_records_are_written_as_before() {
+    let mut golden = Golden::new("records.txt");
+    for (name, record) in records() {
+        golden.add_equal(&format!("record {name}"), &record);
+    }
+    golden.check();
+}
