--- a/system/chain/src/agreement/liveness.rs
+++ b/system/chain/src/agreement/liveness.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use crate::{Heartbeat, MemberId, Members};
+use crate::{Heartbeat, MemberId, Membership};
 
 #[derive(Clone, Debug, Default)]
 struct Peer {
@@ -38,14 +38,14 @@
         }
     }
 
-    pub fn announce(&mut self, member: MemberId, members: Option<&Members>) {
+    pub fn announce(&mut self, member: MemberId, members: Option<&Membership>) {
         if self.has_room(member, members) {
             self.peers.entry(member).or_default();
         }
     }
 
     /// Voters always have room; of the others, the one silent the longest makes room.
-    fn has_room(&mut self, member: MemberId, members: Option<&Members>) -> bool {
+    fn has_room(&mut self, member: MemberId, members: Option<&Membership>) -> bool {
         let is_voter = |member: &MemberId| members.is_some_and(|members| members.is_voter(*member));
         if self.peers.contains_key(&member) || is_voter(&member) {
             return true;
@@ -68,7 +68,13 @@
         }
     }
 
-    pub fn heard(&mut self, now: Duration, from: MemberId, heartbeat: Heartbeat, members: Option<&Members>) {
+    pub fn heard(
+        &mut self,
+        now: Duration,
+        from: MemberId,
+        heartbeat: Heartbeat,
+        members: Option<&Membership>,
+    ) {
         if !self.has_room(from, members) {
             return;
         }
@@ -125,7 +131,7 @@
         &self,
         now: Duration,
         me: MemberId,
-        members: Option<&Members>,
+        members: Option<&Membership>,
         within: Duration,
     ) -> Vec<MemberId> {
         let mut receivers: BTreeSet<MemberId> =
--- a/system/chain/src/agreement/mod.rs
+++ b/system/chain/src/agreement/mod.rs
@@ -11,7 +11,9 @@
 
 use std::time::Duration;
 
-use crate::{AgreementMessage, Ballot, Heartbeat, LogRecord, MemberId, Members, Settings};
+use crate::{
+    AgreementMessage, ControlChainSettings, Heartbeat, LogRecord, MemberId, Membership, ProposalNumber,
+};
 use liveness::Liveness;
 use proposer::Proposer;
 
@@ -19,7 +21,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Status {
     /// Whether the replica counts in the chain of the present epoch.
-    pub full: bool,
+    pub in_sync: bool,
     /// Whether it counts and has not sealed the epoch.
     pub serving: bool,
     /// Whether the disk answers.
@@ -32,9 +34,9 @@
     /// A membership was learned.
     Learned,
     /// A ballot was promised.
-    Promised { to: MemberId, epoch: u64, ballot: Ballot },
+    Promised { to: MemberId, epoch: u64, proposal: ProposalNumber },
     /// A value was accepted.
-    Accepted { to: MemberId, epoch: u64, ballot: Ballot },
+    Accepted { to: MemberId, epoch: u64, proposal: ProposalNumber },
 }
 
 /// What the votes lead to.
@@ -43,20 +45,20 @@
     Send { to: MemberId, message: AgreementMessage },
     Persist { record: LogRecord, vote: Vote },
     Seal { epoch: u64 },
-    Install { members: Members },
+    Install { members: Membership },
 }
 
 /// One member's part in the votes.
 #[derive(Clone, Debug)]
 pub(crate) struct Agreement {
     me: MemberId,
-    settings: Settings,
+    settings: ControlChainSettings,
     rng: fastrand::Rng,
-    members: Option<Members>,
+    members: Option<Membership>,
     /// The highest ballot promised for the next epoch.
-    promised: Option<Ballot>,
+    promised: Option<ProposalNumber>,
     /// The value accepted for the next epoch.
-    accepted: Option<(Ballot, Members)>,
+    accepted: Option<(ProposalNumber, Membership)>,
     liveness: Liveness,
     proposer: Proposer,
     heartbeat_at: Duration,
@@ -66,7 +68,7 @@
 }
 
 impl Agreement {
-    pub fn new(me: MemberId, settings: Settings, seed: u64) -> Self {
+    pub fn new(me: MemberId, settings: ControlChainSettings, seed: u64) -> Self {
         Self {
             me,
             rng: fastrand::Rng::with_seed(seed),
@@ -86,7 +88,7 @@
         self.me
     }
 
-    pub fn members(&self) -> Option<&Members> {
+    pub fn members(&self) -> Option<&Membership> {
         self.members.as_ref()
     }
 
@@ -102,13 +104,13 @@
     /// Takes up a record found on the disk.
     pub fn restore(&mut self, record: &LogRecord) {
         match record {
-            LogRecord::Members { members } if members.epoch > self.epoch() => self.adopt(members.clone()),
-            LogRecord::Promise { epoch, ballot } if *epoch == self.epoch() + 1 => {
-                self.promised = self.promised.max(Some(*ballot));
+            LogRecord::Membership { members } if members.epoch > self.epoch() => self.adopt(members.clone()),
+            LogRecord::Promise { epoch, proposal } if *epoch == self.epoch() + 1 => {
+                self.promised = self.promised.max(Some(*proposal));
             }
-            LogRecord::Accepted { ballot, members } if members.epoch == self.epoch() + 1 => {
-                self.promised = self.promised.max(Some(*ballot));
-                self.accepted = Some((*ballot, members.clone()));
+            LogRecord::Accepted { proposal, members } if members.epoch == self.epoch() + 1 => {
+                self.promised = self.promised.max(Some(*proposal));
+                self.accepted = Some((*proposal, members.clone()));
             }
             _ => {}
         }
@@ -119,12 +121,12 @@
         let mut records = Vec::new();
         let Some(members) = self.members.clone() else { return records };
         let epoch = members.epoch + 1;
-        records.push(LogRecord::Members { members });
-        if let Some((ballot, members)) = self.accepted.clone() {
-            records.push(LogRecord::Accepted { ballot, members });
+        records.push(LogRecord::Membership { members });
+        if let Some((proposal, members)) = self.accepted.clone() {
+            records.push(LogRecord::Accepted { proposal, members });
         }
-        if let Some(ballot) = self.promised {
-            records.push(LogRecord::Promise { epoch, ballot });
+        if let Some(proposal) = self.promised {
+            records.push(LogRecord::Promise { epoch, proposal });
         }
         records
     }
@@ -138,7 +140,7 @@
         }
     }
 
-    fn expect_voters(&mut self, now: Duration, members: &Members) {
+    fn expect_voters(&mut self, now: Duration, members: &Membership) {
         for voter in members.voters.iter().filter(|voter| **voter != self.me) {
             self.liveness.expect(*voter, now.max(self.grace_until));
         }
@@ -155,20 +157,20 @@
     }
 
     /// Learns a decided membership.
-    pub fn learn(&mut self, now: Duration, members: Members, out: &mut Vec<AgreementAction>) {
+    pub fn learn(&mut self, now: Duration, members: Membership, out: &mut Vec<AgreementAction>) {
         if members.epoch <= self.epoch() {
             return;
         }
         self.expect_voters(now, &members);
         out.push(AgreementAction::Persist {
-            record: LogRecord::Members { members: members.clone() },
+            record: LogRecord::Membership { members: members.clone() },
             vote: Vote::Learned,
         });
         self.adopt(members.clone());
         out.push(AgreementAction::Install { members });
     }
 
-    fn adopt(&mut self, members: Members) {
+    fn adopt(&mut self, members: Membership) {
         self.members = Some(members);
         self.promised = None;
         self.accepted = None;
@@ -201,16 +203,22 @@
                     self.tell_view(from, out);
                 }
             }
-            AgreementMessage::AskView { epoch } if epoch < self.epoch() => self.tell_view(from, out),
-            AgreementMessage::AskView { .. } => {}
-            AgreementMessage::ViewIs { members } => self.learn(now, members, out),
-            AgreementMessage::Prepare { epoch, ballot } => self.on_prepare(now, from, epoch, ballot, out),
-            AgreementMessage::Accept { ballot, members } => self.on_accept(now, from, ballot, members, out),
-            AgreementMessage::Promise { epoch, ballot, accepted, full } => {
-                let promise = value::Promise { accepted, full };
-                self.on_promise(now, from, epoch, ballot, promise, status, out)
+            AgreementMessage::RequestMembership { epoch } if epoch < self.epoch() => {
+                self.tell_view(from, out)
+            }
+            AgreementMessage::RequestMembership { .. } => {}
+            AgreementMessage::MembershipDecided { members } => self.learn(now, members, out),
+            AgreementMessage::Prepare { epoch, proposal } => self.on_prepare(now, from, epoch, proposal, out),
+            AgreementMessage::Accept { proposal, members } => {
+                self.on_accept(now, from, proposal, members, out)
+            }
+            AgreementMessage::Promise { epoch, proposal, accepted, in_sync } => {
+                let promise = value::Promise { accepted, in_sync };
+                self.on_promise(now, from, epoch, proposal, promise, status, out)
+            }
+            AgreementMessage::Accepted { epoch, proposal } => {
+                self.on_accepted(now, from, epoch, proposal, out)
             }
-            AgreementMessage::Accepted { epoch, ballot } => self.on_accepted(now, from, epoch, ballot, out),
             AgreementMessage::Rejected { epoch, promised } => self.on_rejected(now, epoch, promised),
         }
     }
@@ -223,12 +231,15 @@
     }
 
     fn ask_view(&self, to: MemberId, out: &mut Vec<AgreementAction>) {
-        out.push(AgreementAction::Send { to, message: AgreementMessage::AskView { epoch: self.epoch() } });
+        out.push(AgreementAction::Send {
+            to,
+            message: AgreementMessage::RequestMembership { epoch: self.epoch() },
+        });
     }
 
     fn tell_view(&self, to: MemberId, out: &mut Vec<AgreementAction>) {
         if let Some(members) = self.members.clone() {
-            out.push(AgreementAction::Send { to, message: AgreementMessage::ViewIs { members } });
+            out.push(AgreementAction::Send { to, message: AgreementMessage::MembershipDecided { members } });
         }
     }
 
--- a/system/chain/src/agreement/proposer.rs
+++ b/system/chain/src/agreement/proposer.rs
@@ -5,17 +5,17 @@
 
 use super::value::{next_members, Addition, Promise};
 use super::{Agreement, AgreementAction, Status};
-use crate::{AgreementMessage, Ballot, MemberId, Members, Settings};
+use crate::{AgreementMessage, ControlChainSettings, MemberId, Membership, ProposalNumber};
 
 #[derive(Clone, Debug)]
 enum Phase {
     Preparing { promises: BTreeMap<MemberId, Promise>, majority_at: Option<Duration> },
-    Accepting { value: Members, accepts: BTreeSet<MemberId> },
+    Accepting { value: Membership, accepts: BTreeSet<MemberId> },
 }
 
 #[derive(Clone, Debug)]
 struct Attempt {
-    ballot: Ballot,
+    proposal: ProposalNumber,
     phase: Phase,
     addition: Option<Addition>,
     started_at: Duration,
@@ -43,11 +43,11 @@
         *self = Self::default();
     }
 
-    fn attempt_span(&self, settings: &Settings) -> Duration {
+    fn attempt_span(&self, settings: &ControlChainSettings) -> Duration {
         settings.attempt * (1 << self.failures.min(MOST_DOUBLINGS))
     }
 
-    pub fn next_timer(&self, settings: &Settings) -> Option<Duration> {
+    pub fn next_timer(&self, settings: &ControlChainSettings) -> Option<Duration> {
         let attempt = self.attempt.as_ref()?;
         let given_up_at = attempt.started_at + self.attempt_span(settings);
         let mut at = (attempt.sent_at + settings.heartbeat).min(given_up_at);
@@ -85,7 +85,7 @@
         member != self.me && !self.liveness.is_live(now, member, self.settings.suspect)
     }
 
-    fn hears_majority(&self, now: Duration, members: &Members) -> bool {
+    fn hears_majority(&self, now: Duration, members: &Membership) -> bool {
         let live = members.voters.iter().filter(|voter| !self.is_suspect(now, **voter));
         live.count() >= members.majority()
     }
@@ -114,7 +114,7 @@
     }
 
     /// Whether a member and all members of the chain hear each other.
-    fn is_well_connected(&self, now: Duration, member: MemberId, members: &Members) -> bool {
+    fn is_well_connected(&self, now: Duration, member: MemberId, members: &Membership) -> bool {
         let others = members.chain.iter().filter(|other| **other != self.me);
         let mut chain = members.chain.iter();
         !self.is_suspect(now, member)
@@ -124,7 +124,7 @@
             && chain.all(|other| self.liveness.hears_other(member, *other))
     }
 
-    fn place_for(&self, now: Duration, member: MemberId, members: &Members) -> Option<Addition> {
+    fn place_for(&self, now: Duration, member: MemberId, members: &Membership) -> Option<Addition> {
         if members.is_voter(member) || members.voters.len() < self.settings.target_voters {
             return Some(Addition { member, replaces: None });
         }
@@ -134,7 +134,7 @@
     }
 
     /// Whether a voter is gone for good, or nobody in the chain has heard of it for long.
-    fn is_lost(&self, now: Duration, voter: MemberId, members: &Members) -> bool {
+    fn is_lost(&self, now: Duration, voter: MemberId, members: &Membership) -> bool {
         let mut others = members.chain.iter().filter(|other| **other != self.me);
         let unheard = voter != self.me
             && !self.liveness.is_heard(now, voter, self.settings.replace_after)
@@ -143,25 +143,25 @@
     }
 
     fn start_attempt(&mut self, now: Duration, addition: Option<Addition>, out: &mut Vec<AgreementAction>) {
-        let seen = self.promised.map_or(0, |ballot| ballot.counter).max(self.proposer.highest_counter);
-        let ballot = Ballot { counter: seen + 1, proposer: self.me.0 };
-        self.proposer.highest_counter = ballot.counter;
+        let seen = self.promised.map_or(0, |proposal| proposal.counter).max(self.proposer.highest_counter);
+        let proposal = ProposalNumber { counter: seen + 1, proposer: self.me.0 };
+        self.proposer.highest_counter = proposal.counter;
         let phase = Phase::Preparing { promises: BTreeMap::new(), majority_at: None };
-        self.proposer.attempt = Some(Attempt { ballot, phase, addition, started_at: now, sent_at: now });
+        self.proposer.attempt = Some(Attempt { proposal, phase, addition, started_at: now, sent_at: now });
         self.send_round(out);
     }
 
     /// Sends the round's message to the voters that haven't answered.
     fn send_round(&self, out: &mut Vec<AgreementAction>) {
         let (Some(members), Some(attempt)) = (&self.members, &self.proposer.attempt) else { return };
-        let ballot = attempt.ballot;
+        let proposal = attempt.proposal;
         for voter in &members.voters {
             let message = match &attempt.phase {
                 Phase::Preparing { promises, .. } if !promises.contains_key(voter) => {
-                    AgreementMessage::Prepare { epoch: members.epoch + 1, ballot }
+                    AgreementMessage::Prepare { epoch: members.epoch + 1, proposal }
                 }
                 Phase::Accepting { value, accepts } if !accepts.contains(voter) => {
-                    AgreementMessage::Accept { ballot, members: value.clone() }
+                    AgreementMessage::Accept { proposal, members: value.clone() }
                 }
                 _ => continue,
             };
@@ -175,7 +175,7 @@
         now: Duration,
         from: MemberId,
         epoch: u64,
-        ballot: Ballot,
+        proposal: ProposalNumber,
         promise: Promise,
         status: Status,
         out: &mut Vec<AgreementAction>,
@@ -185,7 +185,8 @@
         if epoch != members.epoch + 1 || !is_voter {
             return;
         }
-        let Some(attempt) = self.proposer.attempt.as_mut().filter(|attempt| attempt.ballot == ballot) else {
+        let Some(attempt) = self.proposer.attempt.as_mut().filter(|attempt| attempt.proposal == proposal)
+        else {
             return;
         };
         if let Phase::Preparing { promises, majority_at } = &mut attempt.phase {
@@ -209,7 +210,7 @@
         let left_out =
             |member: MemberId| self.is_suspect(now, member) || (member == self.me && !status.disk_ready);
         let accepted = promises.values().filter_map(|promise| promise.accepted.clone());
-        let value = match accepted.max_by_key(|(ballot, _)| *ballot) {
+        let value = match accepted.max_by_key(|(proposal, _)| *proposal) {
             Some((_, value)) => Some(value),
             None => next_members(members, promises, left_out, attempt.addition),
         };
@@ -226,14 +227,15 @@
         now: Duration,
         from: MemberId,
         epoch: u64,
-        ballot: Ballot,
+        proposal: ProposalNumber,
         out: &mut Vec<AgreementAction>,
     ) {
         let Some(members) = self.members.clone() else { return };
         if epoch != members.epoch + 1 || !members.is_voter(from) {
             return;
         }
-        let Some(attempt) = self.proposer.attempt.as_mut().filter(|attempt| attempt.ballot == ballot) else {
+        let Some(attempt) = self.proposer.attempt.as_mut().filter(|attempt| attempt.proposal == proposal)
+        else {
             return;
         };
         let Phase::Accepting { value, accepts } = &mut attempt.phase else { return };
@@ -245,22 +247,22 @@
         }
     }
 
-    fn broadcast(&self, before: Members, after: Members, out: &mut Vec<AgreementAction>) {
+    fn broadcast(&self, before: Membership, after: Membership, out: &mut Vec<AgreementAction>) {
         let mut receivers: BTreeSet<MemberId> = before.voters.into_iter().collect();
         receivers.extend(after.voters.iter().copied());
         receivers.remove(&self.me);
         for to in receivers {
-            let message = AgreementMessage::ViewIs { members: after.clone() };
+            let message = AgreementMessage::MembershipDecided { members: after.clone() };
             out.push(AgreementAction::Send { to, message });
         }
     }
 
-    pub(super) fn on_rejected(&mut self, now: Duration, epoch: u64, promised: Ballot) {
+    pub(super) fn on_rejected(&mut self, now: Duration, epoch: u64, promised: ProposalNumber) {
         if epoch != self.epoch() + 1 {
             return;
         }
         self.proposer.highest_counter = self.proposer.highest_counter.max(promised.counter);
-        if self.proposer.attempt.as_ref().is_some_and(|attempt| attempt.ballot < promised) {
+        if self.proposer.attempt.as_ref().is_some_and(|attempt| attempt.proposal < promised) {
             self.give_up(now);
         }
     }
--- a/system/chain/src/agreement/value.rs
+++ b/system/chain/src/agreement/value.rs
@@ -2,14 +2,14 @@
 
 use std::collections::BTreeMap;
 
-use crate::{Ballot, MemberId, Members};
+use crate::{MemberId, Membership, ProposalNumber};
 
 /// What a voter said with its promise.
 #[derive(Clone, Debug)]
 pub(super) struct Promise {
-    pub accepted: Option<(Ballot, Members)>,
+    pub accepted: Option<(ProposalNumber, Membership)>,
     /// Whether it counted in the chain of the present membership.
-    pub full: bool,
+    pub in_sync: bool,
 }
 
 /// A member to take into the chain.
@@ -25,12 +25,12 @@
 ///
 /// Members of the chain keep their order, those that count first, so that each log begins with the next one's.
 pub(super) fn next_members(
-    present: &Members,
+    present: &Membership,
     promises: &BTreeMap<MemberId, Promise>,
     is_left_out: impl Fn(MemberId) -> bool,
     addition: Option<Addition>,
-) -> Option<Members> {
-    let counts = |member: &MemberId| promises.get(member).is_some_and(|promise| promise.full);
+) -> Option<Membership> {
+    let counts = |member: &MemberId| promises.get(member).is_some_and(|promise| promise.in_sync);
     let stays = |member: &MemberId| promises.contains_key(member) && !is_left_out(*member);
     let staying = || present.chain.iter().copied().filter(stays);
     let mut chain: Vec<MemberId> = staying().filter(counts).collect();
@@ -47,7 +47,7 @@
         }
     }
     fill_up(&mut chain, present, &stays, &voters);
-    Some(Members { epoch: present.epoch + 1, voters, chain, fault_tolerance: present.fault_tolerance })
+    Some(Membership { epoch: present.epoch + 1, voters, chain, fault_tolerance: present.fault_tolerance })
 }
 
 fn add_voter(voters: &mut Vec<MemberId>, member: MemberId, replaces: Option<MemberId>) {
@@ -63,7 +63,7 @@
 /// A chain too short to commit takes in other voters at once: nothing is lost by having it wait for them.
 fn fill_up(
     chain: &mut Vec<MemberId>,
-    present: &Members,
+    present: &Membership,
     stays: &impl Fn(&MemberId) -> bool,
     voters: &[MemberId],
 ) {
--- a/system/chain/src/agreement/voter.rs
+++ b/system/chain/src/agreement/voter.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use super::{Agreement, AgreementAction, Status, Vote};
-use crate::{AgreementMessage, Ballot, LogRecord, MemberId, Members};
+use crate::{AgreementMessage, LogRecord, MemberId, Membership, ProposalNumber};
 
 impl Agreement {
     /// Whether this member may vote for an epoch now; if not, the asker is told why where that helps.
@@ -25,19 +25,19 @@
         now: Duration,
         from: MemberId,
         epoch: u64,
-        ballot: Ballot,
+        proposal: ProposalNumber,
         out: &mut Vec<AgreementAction>,
     ) -> bool {
         if !self.may_vote(from, epoch, out) {
             return false;
         }
-        if let Some(promised) = self.promised.filter(|promised| *promised > ballot) {
+        if let Some(promised) = self.promised.filter(|promised| *promised > proposal) {
             let message = AgreementMessage::Rejected { epoch, promised };
             out.push(AgreementAction::Send { to: from, message });
             return false;
         }
         self.make_way(now, from);
-        self.promised = Some(ballot);
+        self.promised = Some(proposal);
         out.push(AgreementAction::Seal { epoch: epoch - 1 });
         true
     }
@@ -47,15 +47,15 @@
         now: Duration,
         from: MemberId,
         epoch: u64,
-        ballot: Ballot,
+        proposal: ProposalNumber,
         out: &mut Vec<AgreementAction>,
     ) {
-        if !self.take_ballot(now, from, epoch, ballot, out) {
+        if !self.take_ballot(now, from, epoch, proposal, out) {
             return;
         }
         out.push(AgreementAction::Persist {
-            record: LogRecord::Promise { epoch, ballot },
-            vote: Vote::Promised { to: from, epoch, ballot },
+            record: LogRecord::Promise { epoch, proposal },
+            vote: Vote::Promised { to: from, epoch, proposal },
         });
     }
 
@@ -63,18 +63,18 @@
         &mut self,
         now: Duration,
         from: MemberId,
-        ballot: Ballot,
-        members: Members,
+        proposal: ProposalNumber,
+        members: Membership,
         out: &mut Vec<AgreementAction>,
     ) {
         let epoch = members.epoch;
-        if !self.take_ballot(now, from, epoch, ballot, out) {
+        if !self.take_ballot(now, from, epoch, proposal, out) {
             return;
         }
-        self.accepted = Some((ballot, members.clone()));
+        self.accepted = Some((proposal, members.clone()));
         out.push(AgreementAction::Persist {
-            record: LogRecord::Accepted { ballot, members },
-            vote: Vote::Accepted { to: from, epoch, ballot },
+            record: LogRecord::Accepted { proposal, members },
+            vote: Vote::Accepted { to: from, epoch, proposal },
         });
     }
 
@@ -82,19 +82,19 @@
     pub fn durable(&mut self, vote: Vote, status: Status, out: &mut Vec<AgreementAction>) {
         match vote {
             Vote::Learned => {}
-            Vote::Promised { to, epoch, ballot } => {
-                if epoch == self.epoch() + 1 && self.promised == Some(ballot) {
+            Vote::Promised { to, epoch, proposal } => {
+                if epoch == self.epoch() + 1 && self.promised == Some(proposal) {
                     let accepted = self.accepted.clone();
-                    let full = status.full;
-                    let message = AgreementMessage::Promise { epoch, ballot, accepted, full };
+                    let in_sync = status.in_sync;
+                    let message = AgreementMessage::Promise { epoch, proposal, accepted, in_sync };
                     out.push(AgreementAction::Send { to, message });
                 }
             }
-            Vote::Accepted { to, epoch, ballot } => {
-                if epoch == self.epoch() + 1 && self.promised == Some(ballot) {
+            Vote::Accepted { to, epoch, proposal } => {
+                if epoch == self.epoch() + 1 && self.promised == Some(proposal) {
                     out.push(AgreementAction::Send {
                         to,
-                        message: AgreementMessage::Accepted { epoch, ballot },
+                        message: AgreementMessage::Accepted { epoch, proposal },
                     });
                 }
             }
--- a/system/chain/src/control_chain.rs
+++ b/system/chain/src/control_chain.rs
@@ -6,7 +6,7 @@
 //!   only when they and all records before them are synced. One event may stand for all the tokens up to its own, so
 //!   the host writes what has queued up with one sync.
 //! - A member's identity is on its disk before anybody hears of it, and a disk that has lost anything gets another.
-//! - [`ChainEvent::Tick`] is given at [`ControlChain::next_timer`] or soon after it.
+//! - [`ChainEvent::TimerExpired`] is given at [`ControlChain::next_timer`] or soon after it.
 //!
 //! Messages may be lost, repeated and out of order. Each member that the host hears of is told by
 //! [`ChainEvent::MemberAnnounced`]; the host can then reach it under its [`MemberId`].
@@ -15,7 +15,9 @@
 
 use crate::agreement::Agreement;
 use crate::turn::{Disk, Machines, Turn};
-use crate::{ChainAction, ChainEvent, LogRecord, MemberId, Members, Replica, ReplicaSettings, Settings};
+use crate::{
+    ChainAction, ChainEvent, ControlChainSettings, LogRecord, MemberId, Membership, Replica, ReplicaSettings,
+};
 
 /// One member of the control group.
 #[derive(Clone, Debug)]
@@ -25,22 +27,22 @@
 
 impl ControlChain {
     /// A founder with an empty disk. All founders are given the same founders in the same order.
-    pub fn found(me: MemberId, founders: Vec<MemberId>, settings: Settings, seed: u64) -> Self {
+    pub fn found(me: MemberId, founders: Vec<MemberId>, settings: ControlChainSettings, seed: u64) -> Self {
         let fault_tolerance = settings.fault_tolerance;
-        let members = Members { epoch: 1, voters: founders.clone(), chain: founders, fault_tolerance };
+        let members = Membership { epoch: 1, voters: founders.clone(), chain: founders, fault_tolerance };
         let mut chain = Self::recover(me, Vec::new(), settings, seed);
         chain.machines.founding = Some(members);
         chain
     }
 
     /// A member with an empty disk that asks the members announced to it to be taken in.
-    pub fn join(me: MemberId, settings: Settings, seed: u64) -> Self {
+    pub fn join(me: MemberId, settings: ControlChainSettings, seed: u64) -> Self {
         Self::recover(me, Vec::new(), settings, seed)
     }
 
     /// A member that starts again with what its disk holds. No record at all is the same as [`ControlChain::join`].
     /// The seed must differ from life to life.
-    pub fn recover(me: MemberId, records: Vec<LogRecord>, settings: Settings, seed: u64) -> Self {
+    pub fn recover(me: MemberId, records: Vec<LogRecord>, settings: ControlChainSettings, seed: u64) -> Self {
         let bounds = ReplicaSettings { min_chain: settings.fault_tolerance + 1, ..settings.replica.clone() };
         let replica = Replica::recover(me, &records, bounds, seed);
         let disk_suspect = settings.disk_suspect;
@@ -58,7 +60,7 @@
         Turn::new(&mut self.machines, now, out).run(event);
     }
 
-    /// When [`ChainEvent::Tick`] is wanted next.
+    /// When [`ChainEvent::TimerExpired`] is wanted next.
     pub fn next_timer(&self) -> Option<Duration> {
         let agreement = self.machines.agreement.next_timer();
         Some(self.machines.replica.next_timer().map_or(agreement, |at| at.min(agreement)))
@@ -70,7 +72,7 @@
     }
 
     /// The membership in force as far as known here.
-    pub fn members(&self) -> Option<&Members> {
+    pub fn members(&self) -> Option<&Membership> {
         self.machines.agreement.members()
     }
 
--- a/system/chain/src/interface.rs
+++ b/system/chain/src/interface.rs
@@ -1,6 +1,6 @@
 //! What a member of the control group is told, and what it wants done.
 
-use crate::{ChainMessage, LogRecord, MemberId, Members};
+use crate::{ChainMessage, LogRecord, MemberId, Membership};
 
 /// What happens to a member of the control group.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -41,12 +41,12 @@
     /// The answer to [`ChainAction::TakeSnapshot`].
     SnapshotReady {
         /// The last entry applied to the state.
-        seq: u64,
+        index: u64,
         /// The state.
         bytes: Vec<u8>,
     },
     /// The time of [`ControlChain::next_timer`](crate::ControlChain::next_timer) has come.
-    Tick,
+    TimerExpired,
 }
 
 /// What the host is to do.
@@ -70,7 +70,7 @@
     /// after that of the last [`ChainAction::InstallSnapshot`].
     Apply {
         /// Number of the entry.
-        seq: u64,
+        index: u64,
         /// The command.
         command: Vec<u8>,
         /// Whether this member committed it as the tail, so that it answers whoever asked.
@@ -83,7 +83,7 @@
     /// Replace the state. Given after a start from a disk that holds a snapshot, and in catching up.
     InstallSnapshot {
         /// The last entry in the state.
-        seq: u64,
+        index: u64,
         /// The state.
         bytes: Vec<u8>,
     },
@@ -92,7 +92,7 @@
         /// The token of the read.
         token: u64,
         /// The last entry applied.
-        seq: u64,
+        index: u64,
     },
     /// A read couldn't be confirmed in time.
     ReadFailed {
@@ -114,7 +114,7 @@
     /// A membership is in force here.
     ViewInstalled {
         /// The membership.
-        members: Members,
+        members: Membership,
     },
     /// This member takes part in nothing more of an epoch: the next membership is being voted on. A voter of a lease
     /// must grant nothing more in this epoch. Given again after a restart.
@@ -123,19 +123,19 @@
         epoch: u64,
     },
     /// This member holds everything committed, and counts in the chain of this epoch.
-    BecameFull {
+    BecameInSync {
         /// The epoch.
         epoch: u64,
     },
     /// The tail has confirmed a barrier of the head: what is applied up to `committed_seq` was current after it was
     /// sent. Given at members of the chain only; numbers rise within an epoch, and are
     /// used by its head once, over restarts as well.
-    Tick {
+    BarrierCommitted {
         /// The epoch.
         epoch: u64,
         /// Number of the barrier.
         number: u64,
         /// Up to where the tail had committed. It may not be applied here yet.
-        committed_seq: u64,
+        commit_index: u64,
     },
 }
--- a/system/chain/src/lib.rs
+++ b/system/chain/src/lib.rs
@@ -16,8 +16,8 @@
 
 pub use control_chain::ControlChain;
 pub use interface::{ChainAction, ChainEvent};
-pub use members::{MemberId, Members, View};
-pub use message::{AgreementMessage, Ballot, ChainMessage, Heartbeat, ReplicaMessage};
+pub use members::{MemberId, Membership, View};
+pub use message::{AgreementMessage, ChainMessage, Heartbeat, ProposalNumber, ReplicaMessage};
 pub use record::LogRecord;
 pub use replica::{Replica, ReplicaAction, ReplicaEvent};
-pub use settings::{ReplicaSettings, Settings};
+pub use settings::{ControlChainSettings, ReplicaSettings};
--- a/system/chain/src/members.rs
+++ b/system/chain/src/members.rs
@@ -47,7 +47,7 @@
 
 /// The membership of the control group in one epoch: who votes on the next one, and who keeps the state in this one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Members {
+pub struct Membership {
     /// Number of this membership.
     pub epoch: u64,
     /// The members whose majority decides the next membership.
@@ -58,7 +58,7 @@
     pub fault_tolerance: usize,
 }
 
-impl Members {
+impl Membership {
     /// The chain as a view of a [`Replica`](crate::Replica).
     pub fn view(&self) -> View {
         View { epoch: self.epoch, chain: self.chain.clone() }
--- a/system/chain/src/message.rs
+++ b/system/chain/src/message.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::{MemberId, Members};
+use crate::{MemberId, Membership};
 
 /// A message between replicas of one group. Each carries the epoch of the view it belongs to.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -14,12 +14,12 @@
         /// The sender's last entry.
         last: u64,
         /// Whether the sender counts in this view already.
-        full: bool,
+        in_sync: bool,
         /// Whether the sender is outside the chain.
         learner: bool,
     },
     /// From a predecessor that has restarted: tell me where to go on.
-    AskResume {
+    RequestResume {
         /// Epoch of the view.
         epoch: u64,
     },
@@ -34,14 +34,14 @@
         /// Up to where the sender knows the log to be committed.
         committed: u64,
         /// Set once the sender counts in this view: a receiver that holds all up to here counts as well.
-        full_at: Option<u64>,
+        in_sync_at: Option<u64>,
     },
     /// A part of a snapshot.
-    Chunk {
+    SnapshotChunk {
         /// Epoch of the view.
         epoch: u64,
         /// The last entry in the snapshot.
-        seq: u64,
+        index: u64,
         /// Length of the whole snapshot.
         total: u64,
         /// Where this part starts.
@@ -50,11 +50,11 @@
         bytes: Vec<u8>,
     },
     /// How far a snapshot has arrived.
-    ChunkAck {
+    SnapshotChunkAck {
         /// Epoch of the view.
         epoch: u64,
         /// The last entry in the snapshot.
-        seq: u64,
+        index: u64,
         /// Bytes received so far without a gap.
         received: u64,
     },
@@ -68,14 +68,14 @@
         committed: u64,
     },
     /// Is this view still in force for you?
-    Probe {
+    ConfirmView {
         /// Epoch of the view.
         epoch: u64,
         /// Chosen by the asker.
         round: u64,
     },
     /// It is.
-    Confirm {
+    ViewConfirmed {
         /// Epoch of the view.
         epoch: u64,
         /// The probe's round.
@@ -91,7 +91,7 @@
         number: u64,
     },
     /// The tail has seen a barrier; passed back to the head.
-    BarrierDone {
+    BarrierCommitted {
         /// Epoch of the view.
         epoch: u64,
         /// Number of the barrier.
@@ -100,7 +100,7 @@
         committed: u64,
     },
     /// The message was of an old view.
-    Newer {
+    StaleEpoch {
         /// The sender's epoch.
         epoch: u64,
     },
@@ -108,7 +108,7 @@
 
 /// A ballot of the vote on the next membership: the higher counter wins, then the higher member.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Ballot {
+pub struct ProposalNumber {
     /// Counts the attempts.
     pub counter: u64,
     /// Identity of the proposer's disk.
@@ -134,53 +134,53 @@
     /// I am here.
     Heartbeat(Heartbeat),
     /// Which membership is in force? I know of this epoch.
-    AskView {
+    RequestMembership {
         /// The epoch known to the sender.
         epoch: u64,
     },
     /// This membership has been decided.
-    ViewIs {
+    MembershipDecided {
         /// The membership.
-        members: Members,
+        members: Membership,
     },
     /// Promise to take part in nothing lower, and seal the epoch before.
     Prepare {
         /// The epoch that is to be decided.
         epoch: u64,
         /// The ballot.
-        ballot: Ballot,
+        proposal: ProposalNumber,
     },
     /// Promised, sealed and durable.
     Promise {
         /// The epoch that is to be decided.
         epoch: u64,
         /// The ballot.
-        ballot: Ballot,
+        proposal: ProposalNumber,
         /// What the sender has accepted before.
-        accepted: Option<(Ballot, Members)>,
+        accepted: Option<(ProposalNumber, Membership)>,
         /// Whether the sender counted in the chain of the epoch before, so that it holds all that was committed.
-        full: bool,
+        in_sync: bool,
     },
     /// Accept this value.
     Accept {
         /// The ballot.
-        ballot: Ballot,
+        proposal: ProposalNumber,
         /// The value.
-        members: Members,
+        members: Membership,
     },
     /// Accepted and durable.
     Accepted {
         /// The epoch that is to be decided.
         epoch: u64,
         /// The ballot.
-        ballot: Ballot,
+        proposal: ProposalNumber,
     },
     /// A higher ballot has been promised.
     Rejected {
         /// The epoch that is to be decided.
         epoch: u64,
         /// The promised ballot.
-        promised: Ballot,
+        promised: ProposalNumber,
     },
 }
 
@@ -198,16 +198,16 @@
     pub fn epoch(&self) -> u64 {
         match self {
             Self::Resume { epoch, .. }
-            | Self::AskResume { epoch }
+            | Self::RequestResume { epoch }
             | Self::Append { epoch, .. }
-            | Self::Chunk { epoch, .. }
-            | Self::ChunkAck { epoch, .. }
+            | Self::SnapshotChunk { epoch, .. }
+            | Self::SnapshotChunkAck { epoch, .. }
             | Self::Ack { epoch, .. }
-            | Self::Probe { epoch, .. }
-            | Self::Confirm { epoch, .. }
+            | Self::ConfirmView { epoch, .. }
+            | Self::ViewConfirmed { epoch, .. }
             | Self::Barrier { epoch, .. }
-            | Self::BarrierDone { epoch, .. }
-            | Self::Newer { epoch } => *epoch,
+            | Self::BarrierCommitted { epoch, .. }
+            | Self::StaleEpoch { epoch } => *epoch,
         }
     }
 }
--- a/system/chain/src/record.rs
+++ b/system/chain/src/record.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::{Ballot, Members, View};
+use crate::{Membership, ProposalNumber, View};
 
 /// One durable record. The host encodes records in the order given, and feeds them back in that order after a restart.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -12,7 +12,7 @@
         /// The view.
         view: View,
         /// Whether this member holds everything that was committed before.
-        full: bool,
+        in_sync: bool,
     },
     /// A view has been installed in which this member doesn't count, and entries it doesn't know to be committed are void.
     /// Both in one record, so that no loss of power comes between.
@@ -23,7 +23,7 @@
         after: u64,
     },
     /// This member has caught up in a view, and counts in it from here on.
-    Full {
+    InSync {
         /// The view's epoch.
         epoch: u64,
     },
@@ -37,7 +37,7 @@
         /// The epoch in which it was written here.
         epoch: u64,
         /// Its number.
-        seq: u64,
+        index: u64,
         /// Up to where the log was known to be committed when this was written.
         committed: u64,
         /// The command.
@@ -46,34 +46,34 @@
     /// The state after an entry; everything before is void.
     Snapshot {
         /// The last entry in the state.
-        seq: u64,
+        index: u64,
         /// The state, as the host encoded it.
         bytes: Vec<u8>,
     },
     /// The head of an epoch may number barriers up to here; after a restart it goes on behind.
-    Barriers {
+    BarrierReservation {
         /// The epoch.
         epoch: u64,
         /// The last number that may have been used.
         reserved: u64,
     },
     /// A membership of the control group has been learned.
-    Members {
+    Membership {
         /// The membership.
-        members: Members,
+        members: Membership,
     },
     /// A ballot for the next membership has been promised. It also seals the epoch before.
     Promise {
         /// The epoch that is to be decided.
         epoch: u64,
         /// The ballot.
-        ballot: Ballot,
+        proposal: ProposalNumber,
     },
     /// A value for the next membership has been accepted. It also seals the epoch before.
     Accepted {
         /// The ballot.
-        ballot: Ballot,
+        proposal: ProposalNumber,
         /// The value; its epoch is the one that is to be decided.
-        members: Members,
+        members: Membership,
     },
 }
--- a/system/chain/src/replica/barrier.rs
+++ b/system/chain/src/replica/barrier.rs
@@ -48,7 +48,7 @@
     /// The highest number that may have been used, with what is being reserved.
     pub fn record(&self, epoch: u64) -> LogRecord {
         let coming = if self.reserving { BLOCK } else { 0 };
-        LogRecord::Barriers { epoch, reserved: self.reserved + coming }
+        LogRecord::BarrierReservation { epoch, reserved: self.reserved + coming }
     }
 }
 
@@ -73,7 +73,7 @@
         let epoch = self.epoch();
         let reserved = self.barriers.reserved + BLOCK;
         self.persist(
-            vec![LogRecord::Barriers { epoch, reserved }],
+            vec![LogRecord::BarrierReservation { epoch, reserved }],
             Pending::Barriers { epoch, reserved },
             out,
         );
@@ -105,9 +105,9 @@
         self.log.commit(committed);
         self.apply(out);
         let epoch = self.epoch();
-        out.push(ReplicaAction::Barrier { epoch, number, committed });
+        out.push(ReplicaAction::BarrierCommitted { epoch, number, committed });
         if let Some(to) = self.view.as_ref().and_then(|view| view.predecessor(self.me)) {
-            let message = ReplicaMessage::BarrierDone { epoch, number, committed };
+            let message = ReplicaMessage::BarrierCommitted { epoch, number, committed };
             out.push(ReplicaAction::Send { to, message });
         }
     }
--- a/system/chain/src/replica/feed.rs
+++ b/system/chain/src/replica/feed.rs
@@ -12,7 +12,7 @@
 /// A state that the host has encoded, shared by all that need it.
 #[derive(Clone, Debug)]
 pub(super) struct HostSnapshot {
-    seq: u64,
+    index: u64,
     bytes: Arc<Vec<u8>>,
 }
 
@@ -23,7 +23,7 @@
     /// Entries are sent from `next` on.
     Entries,
     /// A snapshot is sent; none until the host has encoded one.
-    Snapshot { seq: Option<u64>, received: u64, sent: Option<u64> },
+    Snapshot { index: Option<u64>, received: u64, sent: Option<u64> },
 }
 
 /// One member that gets its entries from here.
@@ -34,7 +34,7 @@
     state: FeedState,
     next: u64,
     acked: u64,
-    full_at: Option<u64>,
+    in_sync_at: Option<u64>,
     /// When the member last moved on, or was last reminded.
     progress_at: Duration,
     /// When the member was last heard of.
@@ -44,7 +44,7 @@
 impl Feed {
     pub fn new(member: MemberId, learner: bool, now: Duration) -> Self {
         let state = FeedState::Waiting;
-        Self { member, learner, state, next: 0, acked: 0, full_at: None, progress_at: now, heard_at: now }
+        Self { member, learner, state, next: 0, acked: 0, in_sync_at: None, progress_at: now, heard_at: now }
     }
 
     pub fn ask_at_once(&mut self) {
@@ -63,7 +63,10 @@
         let epoch = self.epoch();
         for feed in self.feeds.iter_mut().filter(|feed| feed.state == FeedState::Waiting && !feed.learner) {
             feed.progress_at = now;
-            out.push(ReplicaAction::Send { to: feed.member, message: ReplicaMessage::AskResume { epoch } });
+            out.push(ReplicaAction::Send {
+                to: feed.member,
+                message: ReplicaMessage::RequestResume { epoch },
+            });
         }
     }
 
@@ -72,7 +75,7 @@
         now: Duration,
         from: MemberId,
         last: u64,
-        full: bool,
+        in_sync: bool,
         learner: bool,
         out: &mut Vec<ReplicaAction>,
     ) {
@@ -84,17 +87,17 @@
             self.log.commit(last);
         }
         let offset = self.log.offset();
-        let full_at = (!full && !learner).then(|| self.log.durable());
+        let in_sync_at = (!in_sync && !learner).then(|| self.log.durable());
         let Some(feed) = self.feeds.iter_mut().find(|feed| feed.member == from && feed.learner == learner)
         else {
             return;
         };
         feed.heard_at = now;
         feed.progress_at = now;
-        feed.full_at = full_at;
+        feed.in_sync_at = in_sync_at;
         if last < offset {
-            let seq = self.snapshot.as_ref().map(|snapshot| snapshot.seq);
-            feed.state = FeedState::Snapshot { seq, received: 0, sent: None };
+            let index = self.snapshot.as_ref().map(|snapshot| snapshot.index);
+            feed.state = FeedState::Snapshot { index, received: 0, sent: None };
             return;
         }
         feed.state = FeedState::Entries;
@@ -135,8 +138,8 @@
     ) {
         let Some(feed) = self.feeds.iter_mut().find(|feed| feed.member == from) else { return };
         feed.heard_at = now;
-        if let FeedState::Snapshot { seq: Some(seq), .. } = feed.state {
-            if durable >= seq {
+        if let FeedState::Snapshot { index: Some(index), .. } = feed.state {
+            if durable >= index {
                 feed.state = FeedState::Entries;
                 feed.acked = durable;
                 feed.next = durable + 1;
@@ -166,8 +169,8 @@
     pub(super) fn on_chunk_ack(&mut self, now: Duration, from: MemberId, of: u64, up_to: u64) {
         let Some(feed) = self.feeds.iter_mut().find(|feed| feed.member == from) else { return };
         feed.heard_at = now;
-        if let FeedState::Snapshot { seq: Some(seq), received, sent } = &mut feed.state {
-            if *seq == of && up_to > *received {
+        if let FeedState::Snapshot { index: Some(index), received, sent } = &mut feed.state {
+            if *index == of && up_to > *received {
                 *received = up_to;
                 *sent = (*sent).max(Some(up_to));
                 feed.progress_at = now;
@@ -178,18 +181,18 @@
     pub(super) fn on_snapshot_ready(
         &mut self,
         now: Duration,
-        seq: u64,
+        index: u64,
         bytes: Vec<u8>,
         _out: &mut Vec<ReplicaAction>,
     ) {
         self.snapshot_asked = false;
-        if seq < self.log.offset() || seq > self.log.applied() {
+        if index < self.log.offset() || index > self.log.applied() {
             return;
         }
-        self.snapshot = Some(HostSnapshot { seq, bytes: Arc::new(bytes) });
+        self.snapshot = Some(HostSnapshot { index, bytes: Arc::new(bytes) });
         for feed in &mut self.feeds {
             if let FeedState::Snapshot { .. } = feed.state {
-                feed.state = FeedState::Snapshot { seq: Some(seq), received: 0, sent: None };
+                feed.state = FeedState::Snapshot { index: Some(index), received: 0, sent: None };
                 feed.progress_at = now;
             }
         }
@@ -227,11 +230,11 @@
 
     /// Sends the next entries, or none at all as a reminder. Tells whether there were any.
     fn send_batch(&mut self, member: MemberId, out: &mut Vec<ReplicaAction>) -> bool {
-        let Some(index) = self.feeds.iter().position(|feed| feed.member == member) else { return false };
-        let feed = &self.feeds[index];
+        let Some(position) = self.feeds.iter().position(|feed| feed.member == member) else { return false };
+        let feed = &self.feeds[position];
         if feed.next <= self.log.offset() {
-            let seq = self.snapshot.as_ref().map(|snapshot| snapshot.seq);
-            self.feeds[index].state = FeedState::Snapshot { seq, received: 0, sent: None };
+            let index = self.snapshot.as_ref().map(|snapshot| snapshot.index);
+            self.feeds[position].state = FeedState::Snapshot { index, received: 0, sent: None };
             return false;
         }
         let commands = self.batch(feed.next, self.limit_for(feed));
@@ -241,18 +244,18 @@
             first: feed.next,
             commands,
             committed: self.log.committed(),
-            full_at: feed.full_at,
+            in_sync_at: feed.in_sync_at,
         };
         out.push(ReplicaAction::Send { to: member, message });
-        self.feeds[index].next += sent;
+        self.feeds[position].next += sent;
         sent > 0
     }
 
     fn batch(&self, first: u64, limit: u64) -> Vec<Vec<u8>> {
         let mut commands = Vec::new();
         let mut bytes = 0;
-        for seq in first..=limit {
-            let Some(entry) = self.log.get(seq) else { break };
+        for index in first..=limit {
+            let Some(entry) = self.log.get(index) else { break };
             bytes += entry.command.len();
             let over = commands.len() >= self.settings.batch_entries || bytes > self.settings.batch_bytes;
             if over && !commands.is_empty() {
@@ -269,7 +272,7 @@
             self.snapshot = None;
             return;
         }
-        let stale = self.snapshot.as_ref().is_some_and(|snapshot| snapshot.seq < self.log.offset());
+        let stale = self.snapshot.as_ref().is_some_and(|snapshot| snapshot.index < self.log.offset());
         if stale {
             self.snapshot = None;
         }
@@ -330,7 +333,7 @@
     fn is_outstanding(&self, uncommitted: bool) -> bool {
         match self.state {
             FeedState::Waiting => !self.learner,
-            FeedState::Snapshot { seq, .. } => seq.is_some(),
+            FeedState::Snapshot { index, .. } => index.is_some(),
             FeedState::Entries => self.acked + 1 < self.next || (uncommitted && !self.learner),
         }
     }
@@ -343,9 +346,9 @@
         chunk_bytes: u64,
         out: &mut Vec<ReplicaAction>,
     ) {
-        let FeedState::Snapshot { seq, received, sent } = &mut self.state else { return };
-        if *seq != Some(snapshot.seq) {
-            (*seq, *received, *sent) = (Some(snapshot.seq), 0, None);
+        let FeedState::Snapshot { index, received, sent } = &mut self.state else { return };
+        if *index != Some(snapshot.index) {
+            (*index, *received, *sent) = (Some(snapshot.index), 0, None);
             self.progress_at = now;
         }
         let total = snapshot.bytes.len() as u64;
@@ -354,7 +357,8 @@
             let offset = sent.unwrap_or(0);
             let end = (offset + chunk_bytes).min(total);
             let bytes = snapshot.bytes.get(offset as usize..end as usize).unwrap_or_default().to_vec();
-            let message = ReplicaMessage::Chunk { epoch, seq: snapshot.seq, total, offset, bytes };
+            let message =
+                ReplicaMessage::SnapshotChunk { epoch, index: snapshot.index, total, offset, bytes };
             out.push(ReplicaAction::Send { to: self.member, message });
             *sent = Some(end);
         }
--- a/system/chain/src/replica/install.rs
+++ b/system/chain/src/replica/install.rs
@@ -9,7 +9,7 @@
 impl Replica {
     pub(super) fn on_started(&mut self, now: Duration, out: &mut Vec<ReplicaAction>) {
         if let Some(bytes) = self.stored_state.take() {
-            out.push(ReplicaAction::InstallSnapshot { seq: self.log.applied(), bytes });
+            out.push(ReplicaAction::InstallSnapshot { index: self.log.applied(), bytes });
         }
         if self.view.is_some() {
             self.in_force(now, out);
@@ -21,9 +21,9 @@
         if view.epoch <= self.epoch() {
             return;
         }
-        let full = self.counts_in(&view);
-        let record = if full {
-            LogRecord::View { view: view.clone(), full }
+        let in_sync = self.counts_in(&view);
+        let record = if in_sync {
+            LogRecord::View { view: view.clone(), in_sync }
         } else {
             self.log.truncate(self.log.committed());
             LogRecord::Rejoined { view: view.clone(), after: self.log.committed() }
@@ -31,8 +31,8 @@
         let epoch = view.epoch;
         self.view = Some(view);
         self.installed = false;
-        self.full = full;
-        self.becoming_full = false;
+        self.in_sync = in_sync;
+        self.becoming_in_sync = false;
         self.intake.reset(None);
         self.feeds.clear();
         self.snapshot = None;
@@ -51,7 +51,7 @@
             view.chain.iter().copied().take_while(|member| *member != self.me).collect()
         };
         let stood_before = before(view);
-        self.full
+        self.in_sync
             && next.epoch == view.epoch + 1
             && view.contains(self.me)
             && next.contains(self.me)
@@ -65,8 +65,8 @@
         self.barriers.start(now);
         let epoch = self.epoch();
         out.push(ReplicaAction::Installed { epoch });
-        if self.is_full() {
-            out.push(ReplicaAction::BecameFull { epoch });
+        if self.is_in_sync() {
+            out.push(ReplicaAction::BecameInSync { epoch });
         }
         if self.is_active() {
             self.connect(now, out);
@@ -117,19 +117,19 @@
 
     /// Becomes full once all that the predecessor held when it was asked is durable here.
     pub(super) fn check_full(&mut self, out: &mut Vec<ReplicaAction>) {
-        let complete = self.intake.full_at.is_some_and(|seq| seq <= self.log.durable());
-        if !complete || self.full || self.becoming_full || !self.is_active() || !self.in_chain() {
+        let complete = self.intake.in_sync_at.is_some_and(|index| index <= self.log.durable());
+        if !complete || self.in_sync || self.becoming_in_sync || !self.is_active() || !self.in_chain() {
             return;
         }
-        self.becoming_full = true;
+        self.becoming_in_sync = true;
         let epoch = self.epoch();
-        self.persist(vec![LogRecord::Full { epoch }], Pending::Full { epoch }, out);
+        self.persist(vec![LogRecord::InSync { epoch }], Pending::Full { epoch }, out);
     }
 
     pub(super) fn now_full(&mut self, epoch: u64, out: &mut Vec<ReplicaAction>) {
-        self.full = true;
-        self.becoming_full = false;
-        out.push(ReplicaAction::BecameFull { epoch });
+        self.in_sync = true;
+        self.becoming_in_sync = false;
+        out.push(ReplicaAction::BecameInSync { epoch });
         for feed in &mut self.feeds {
             feed.ask_at_once();
         }
--- a/system/chain/src/replica/intake.rs
+++ b/system/chain/src/replica/intake.rs
@@ -19,7 +19,7 @@
     /// Up to where the source knows the log to be committed.
     committed: u64,
     /// What must be durable here to count in the view.
-    pub full_at: Option<u64>,
+    pub in_sync_at: Option<u64>,
     assembly: Option<Assembly>,
     /// Whether a snapshot is being written.
     installing: bool,
@@ -35,7 +35,7 @@
 
 /// A part of a snapshot.
 pub(super) struct Chunk {
-    pub seq: u64,
+    pub index: u64,
     pub total: u64,
     pub offset: u64,
     pub bytes: Vec<u8>,
@@ -44,7 +44,7 @@
 /// A snapshot on its way in.
 #[derive(Clone, Debug)]
 struct Assembly {
-    seq: u64,
+    index: u64,
     total: u64,
     bytes: Vec<u8>,
 }
@@ -61,7 +61,7 @@
         let message = ReplicaMessage::Resume {
             epoch: self.epoch(),
             last: self.log.last(),
-            full: self.is_full(),
+            in_sync: self.is_in_sync(),
             learner,
         };
         out.push(ReplicaAction::Send { to: source, message });
@@ -82,7 +82,7 @@
         first: u64,
         commands: Vec<Vec<u8>>,
         committed: u64,
-        full_at: Option<u64>,
+        in_sync_at: Option<u64>,
         out: &mut Vec<ReplicaAction>,
     ) {
         if self.intake.source != Some(from) || self.intake.installing || first == 0 {
@@ -98,7 +98,7 @@
         self.intake.heard_at = now;
         self.intake.assembly = None;
         self.intake.committed = self.intake.committed.max(committed);
-        self.intake.full_at = self.intake.full_at.or(full_at);
+        self.intake.in_sync_at = self.intake.in_sync_at.or(in_sync_at);
         let held = (self.log.last() + 1 - first) as usize;
         let epoch = self.epoch();
         let records: Vec<_> =
@@ -127,7 +127,7 @@
             return;
         }
         // A late `Resume` of this member may have asked for it: the acknowledgement ends that.
-        if chunk.seq <= self.log.committed() || self.is_full() {
+        if chunk.index <= self.log.committed() || self.is_in_sync() {
             let (durable, committed) = (self.log.durable(), self.log.committed());
             let message = ReplicaMessage::Ack { epoch: self.epoch(), durable, committed };
             out.push(ReplicaAction::Send { to: from, message });
@@ -137,7 +137,7 @@
         // The source has answered: once the snapshot is on the disk it is acknowledged at once.
         self.intake.awaiting = false;
         let Some(received) = self.assemble(&chunk) else { return };
-        let message = ReplicaMessage::ChunkAck { epoch: self.epoch(), seq: chunk.seq, received };
+        let message = ReplicaMessage::SnapshotChunkAck { epoch: self.epoch(), index: chunk.index, received };
         out.push(ReplicaAction::Send { to: from, message });
         if received == chunk.total {
             self.persist_snapshot(out);
@@ -149,12 +149,13 @@
         if chunk.total > self.settings.snapshot_bytes as u64 {
             return None;
         }
-        let same = |assembly: &Assembly| assembly.seq == chunk.seq && assembly.total == chunk.total;
+        let same = |assembly: &Assembly| assembly.index == chunk.index && assembly.total == chunk.total;
         if !self.intake.assembly.as_ref().is_some_and(same) {
             if chunk.offset != 0 {
                 return Some(0);
             }
-            self.intake.assembly = Some(Assembly { seq: chunk.seq, total: chunk.total, bytes: Vec::new() });
+            self.intake.assembly =
+                Some(Assembly { index: chunk.index, total: chunk.total, bytes: Vec::new() });
         }
         let assembly = self.intake.assembly.as_mut()?;
         let fits = assembly.bytes.len() + chunk.bytes.len() <= chunk.total as usize;
@@ -165,19 +166,19 @@
     }
 
     fn persist_snapshot(&mut self, out: &mut Vec<ReplicaAction>) {
-        let Some(Assembly { seq, bytes, .. }) = self.intake.assembly.take() else { return };
+        let Some(Assembly { index, bytes, .. }) = self.intake.assembly.take() else { return };
         self.intake.installing = true;
-        let record = LogRecord::Snapshot { seq, bytes: bytes.clone() };
-        self.persist(vec![record], Pending::Snapshot { seq, bytes }, out);
+        let record = LogRecord::Snapshot { index, bytes: bytes.clone() };
+        self.persist(vec![record], Pending::Snapshot { index, bytes }, out);
     }
 
-    pub(super) fn snapshot_durable(&mut self, seq: u64, bytes: Vec<u8>, out: &mut Vec<ReplicaAction>) {
+    pub(super) fn snapshot_durable(&mut self, index: u64, bytes: Vec<u8>, out: &mut Vec<ReplicaAction>) {
         self.intake.installing = false;
         self.intake.acknowledged = None;
-        if seq > self.log.committed() {
-            self.log.reset(seq);
-            self.recovered = self.recovered.max(seq);
-            out.push(ReplicaAction::InstallSnapshot { seq, bytes });
+        if index > self.log.committed() {
+            self.log.reset(index);
+            self.recovered = self.recovered.max(index);
+            out.push(ReplicaAction::InstallSnapshot { index, bytes });
         }
     }
 
@@ -204,7 +205,7 @@
         if self.intake.installing || !self.is_active() {
             return None;
         }
-        if self.intake.awaiting || (self.in_chain() && !self.full) {
+        if self.intake.awaiting || (self.in_chain() && !self.in_sync) {
             return Some(self.intake.heard_at + self.settings.resend);
         }
         let learner = !self.in_chain();
--- a/system/chain/src/replica/interface.rs
+++ b/system/chain/src/replica/interface.rs
@@ -18,7 +18,7 @@
         epoch: u64,
     },
     /// While outside the chain, follow its tail.
-    Learn,
+    FollowAsLearner,
     /// A message has arrived.
     Message {
         /// The sender.
@@ -44,12 +44,12 @@
     /// The answer to [`ReplicaAction::TakeSnapshot`].
     SnapshotReady {
         /// The last entry applied to the state.
-        seq: u64,
+        index: u64,
         /// The state.
         bytes: Vec<u8>,
     },
     /// The time of [`Replica::next_timer`](crate::Replica::next_timer) has come.
-    Tick,
+    TimerExpired,
 }
 
 /// What the host of a replica is to do.
@@ -72,7 +72,7 @@
     /// Apply a committed command to the state.
     Apply {
         /// Number of the entry.
-        seq: u64,
+        index: u64,
         /// The command.
         command: Vec<u8>,
         /// Whether this member committed it as the tail.
@@ -83,7 +83,7 @@
     /// Replace the state.
     InstallSnapshot {
         /// The last entry in the state.
-        seq: u64,
+        index: u64,
         /// The state.
         bytes: Vec<u8>,
     },
@@ -92,7 +92,7 @@
         /// The token of the read.
         token: u64,
         /// The last entry applied.
-        seq: u64,
+        index: u64,
     },
     /// A read couldn't be confirmed in time.
     ReadFailed {
@@ -121,12 +121,12 @@
         /// The sealed epoch.
         epoch: u64,
         /// Whether the member counted in it.
-        full: bool,
+        in_sync: bool,
         /// The last entry.
         last: u64,
     },
     /// This member holds everything committed before this epoch, and counts in its chain. Given in each view.
-    BecameFull {
+    BecameInSync {
         /// The epoch.
         epoch: u64,
     },
@@ -138,7 +138,7 @@
         behind: u64,
     },
     /// The tail has confirmed a barrier of the head.
-    Barrier {
+    BarrierCommitted {
         /// The epoch.
         epoch: u64,
         /// Number of the barrier; rises within an epoch, also over restarts.
@@ -147,7 +147,7 @@
         committed: u64,
     },
     /// A member knows a newer view than this one.
-    Behind {
+    OwnViewStale {
         /// The member.
         member: MemberId,
         /// Its epoch.
--- a/system/chain/src/replica/log.rs
+++ b/system/chain/src/replica/log.rs
@@ -61,7 +61,7 @@
     pub fn append(&mut self, epoch: u64, command: Vec<u8>) -> LogRecord {
         let record = LogRecord::Entry {
             epoch,
-            seq: self.last() + 1,
+            index: self.last() + 1,
             committed: self.committed,
             command: command.clone(),
         };
@@ -76,9 +76,9 @@
     }
 
     /// An entry that is still held.
-    pub fn get(&self, seq: u64) -> Option<&Entry> {
-        let index = seq.checked_sub(self.offset + 1)?;
-        self.entries.get(usize::try_from(index).ok()?)
+    pub fn get(&self, index: u64) -> Option<&Entry> {
+        let position = index.checked_sub(self.offset + 1)?;
+        self.entries.get(usize::try_from(position).ok()?)
     }
 
     /// The entries up to here are synced. Entries that have become void since are no matter: no others are appended before
@@ -100,11 +100,11 @@
         if self.applied >= self.committed {
             return None;
         }
-        let seq = self.applied + 1;
-        let command = self.get(seq)?.command.clone();
-        self.applied = seq;
+        let index = self.applied + 1;
+        let command = self.get(index)?.command.clone();
+        self.applied = index;
         self.unapplied_bytes -= command.len();
-        Some((seq, command))
+        Some((index, command))
     }
 
     /// Drops the entries after a number.
@@ -120,14 +120,14 @@
     }
 
     /// Starts again from a state.
-    pub fn reset(&mut self, seq: u64) {
+    pub fn reset(&mut self, index: u64) {
         self.entries.clear();
         self.bytes = 0;
         self.unapplied_bytes = 0;
-        self.offset = seq;
-        self.durable = seq;
-        self.committed = seq;
-        self.applied = seq;
+        self.offset = index;
+        self.durable = index;
+        self.committed = index;
+        self.applied = index;
     }
 
     /// Drops applied entries beyond the bounds, the oldest first.
@@ -142,23 +142,23 @@
     }
 
     /// Records of all the entries after a number.
-    pub fn records_after(&self, seq: u64) -> Vec<LogRecord> {
-        (seq + 1..=self.last())
-            .filter_map(|seq| {
-                let entry = self.get(seq)?;
+    pub fn records_after(&self, index: u64) -> Vec<LogRecord> {
+        (index + 1..=self.last())
+            .filter_map(|index| {
+                let entry = self.get(index)?;
                 let command = entry.command.clone();
-                Some(LogRecord::Entry { epoch: entry.epoch, seq, committed: self.committed, command })
+                Some(LogRecord::Entry { epoch: entry.epoch, index, committed: self.committed, command })
             })
             .collect()
     }
 
     /// Takes back an entry from the disk. An entry out of order is left out.
-    pub fn restore(&mut self, epoch: u64, seq: u64, committed: u64, command: Vec<u8>) {
-        if seq != self.last() + 1 {
+    pub fn restore(&mut self, epoch: u64, index: u64, committed: u64, command: Vec<u8>) {
+        if index != self.last() + 1 {
             return;
         }
         self.push(Entry { epoch, command });
-        self.durable = seq;
+        self.durable = index;
         self.commit(committed);
     }
 }
--- a/system/chain/src/replica/mod.rs
+++ b/system/chain/src/replica/mod.rs
@@ -4,7 +4,7 @@
 //! So the durable log of a member always begins with that of its successor, and every member of a chain holds all that
 //! the chain has committed. The view comes from outside ([`ReplicaEvent::Install`]): whoever decides views must decide
 //! each epoch once, and may keep a member as the first of the next chain only if it reported
-//! [`ReplicaAction::BecameFull`] in the epoch before. A member counts (it is *full*) in a view if it counted in the view
+//! [`ReplicaAction::BecameInSync`] in the epoch before. A member counts (it is *full*) in a view if it counted in the view
 //! just before and all that stand before it in the chain stood before it then; so members that stay keep their order
 //! and come first. Any other member drops what it doesn't know to be committed, and catches up from its predecessor
 //! before it counts.
@@ -38,7 +38,7 @@
     View { epoch: u64 },
     Full { epoch: u64 },
     Sealed { epoch: u64 },
-    Snapshot { seq: u64, bytes: Vec<u8> },
+    Snapshot { index: u64, bytes: Vec<u8> },
     Barriers { epoch: u64, reserved: u64 },
 }
 
@@ -57,9 +57,9 @@
     /// Whether the view's record is on the disk.
     installed: bool,
     /// Whether this member counts in the view.
-    full: bool,
+    in_sync: bool,
     /// Whether the record of that is being written.
-    becoming_full: bool,
+    becoming_in_sync: bool,
     /// The highest sealed epoch.
     sealed: u64,
     learning: bool,
@@ -87,8 +87,8 @@
             settings,
             view: None,
             installed: false,
-            full: false,
-            becoming_full: false,
+            in_sync: false,
+            becoming_in_sync: false,
             sealed: 0,
             learning: false,
             recovered: 0,
@@ -112,18 +112,18 @@
             ReplicaEvent::Started => self.on_started(now, out),
             ReplicaEvent::Install { view } => self.install(view, out),
             ReplicaEvent::Seal { epoch } => self.on_seal(epoch, out),
-            ReplicaEvent::Learn => self.on_learn(now, out),
+            ReplicaEvent::FollowAsLearner => self.on_learn(now, out),
             ReplicaEvent::Message { from, message } => self.on_message(now, from, message, out),
             ReplicaEvent::Durable { token } => self.on_durable(now, token, out),
             ReplicaEvent::Submit { command } => self.on_submit(command, out),
             ReplicaEvent::Read { token } => self.on_read(now, token, out),
-            ReplicaEvent::SnapshotReady { seq, bytes } => self.on_snapshot_ready(now, seq, bytes, out),
-            ReplicaEvent::Tick => self.on_tick(now, out),
+            ReplicaEvent::SnapshotReady { index, bytes } => self.on_snapshot_ready(now, index, bytes, out),
+            ReplicaEvent::TimerExpired => self.on_tick(now, out),
         }
         self.advance(now, out);
     }
 
-    /// When [`ReplicaEvent::Tick`] is wanted next.
+    /// When [`ReplicaEvent::TimerExpired`] is wanted next.
     pub fn next_timer(&self) -> Option<Duration> {
         let timers = [self.feed_timer(), self.intake_timer(), self.reads_timer(), self.barrier_timer()];
         timers.into_iter().flatten().min()
@@ -145,13 +145,13 @@
     }
 
     /// Whether this member counts in its view's chain.
-    pub fn is_full(&self) -> bool {
-        self.full && self.in_chain()
+    pub fn is_in_sync(&self) -> bool {
+        self.in_sync && self.in_chain()
     }
 
     /// Whether this member takes part in its view's chain now, with all that is committed.
     pub fn is_serving(&self) -> bool {
-        self.is_active() && self.is_full()
+        self.is_active() && self.is_in_sync()
     }
 
     /// The last entry given to the host.
@@ -227,19 +227,19 @@
         out: &mut Vec<ReplicaAction>,
     ) {
         let epoch = message.epoch();
-        if let ReplicaMessage::Newer { epoch } = message {
+        if let ReplicaMessage::StaleEpoch { epoch } = message {
             if epoch > self.epoch() {
-                out.push(ReplicaAction::Behind { member: from, epoch });
+                out.push(ReplicaAction::OwnViewStale { member: from, epoch });
             }
             return;
         }
         if epoch < self.epoch() {
-            let message = ReplicaMessage::Newer { epoch: self.epoch() };
+            let message = ReplicaMessage::StaleEpoch { epoch: self.epoch() };
             out.push(ReplicaAction::Send { to: from, message });
             return;
         }
         if epoch > self.epoch() {
-            out.push(ReplicaAction::Behind { member: from, epoch });
+            out.push(ReplicaAction::OwnViewStale { member: from, epoch });
         }
         if epoch > self.epoch() || !self.installed {
             self.keep_early(from, message);
@@ -263,25 +263,27 @@
         out: &mut Vec<ReplicaAction>,
     ) {
         match message {
-            ReplicaMessage::Resume { last, full, learner, .. } => {
-                self.on_resume(now, from, last, full, learner, out)
+            ReplicaMessage::Resume { last, in_sync, learner, .. } => {
+                self.on_resume(now, from, last, in_sync, learner, out)
             }
-            ReplicaMessage::AskResume { .. } => self.on_ask_resume(now, from, out),
-            ReplicaMessage::Append { first, commands, committed, full_at, .. } => {
-                self.on_append(now, from, first, commands, committed, full_at, out)
+            ReplicaMessage::RequestResume { .. } => self.on_ask_resume(now, from, out),
+            ReplicaMessage::Append { first, commands, committed, in_sync_at, .. } => {
+                self.on_append(now, from, first, commands, committed, in_sync_at, out)
             }
-            ReplicaMessage::Chunk { seq, total, offset, bytes, .. } => {
-                self.on_chunk(now, from, intake::Chunk { seq, total, offset, bytes }, out)
+            ReplicaMessage::SnapshotChunk { index, total, offset, bytes, .. } => {
+                self.on_chunk(now, from, intake::Chunk { index, total, offset, bytes }, out)
+            }
+            ReplicaMessage::SnapshotChunkAck { index, received, .. } => {
+                self.on_chunk_ack(now, from, index, received)
             }
-            ReplicaMessage::ChunkAck { seq, received, .. } => self.on_chunk_ack(now, from, seq, received),
             ReplicaMessage::Ack { durable, committed, .. } => self.on_ack(now, from, durable, committed, out),
-            ReplicaMessage::Probe { round, .. } => self.on_probe(from, round, out),
-            ReplicaMessage::Confirm { round, committed, .. } => self.on_confirm(from, round, committed),
+            ReplicaMessage::ConfirmView { round, .. } => self.on_probe(from, round, out),
+            ReplicaMessage::ViewConfirmed { round, committed, .. } => self.on_confirm(from, round, committed),
             ReplicaMessage::Barrier { number, .. } => self.on_barrier(from, number, out),
-            ReplicaMessage::BarrierDone { number, committed, .. } => {
+            ReplicaMessage::BarrierCommitted { number, committed, .. } => {
                 self.on_barrier_done(from, number, committed, out)
             }
-            ReplicaMessage::Newer { .. } => {}
+            ReplicaMessage::StaleEpoch { .. } => {}
         }
     }
 
@@ -299,10 +301,10 @@
             Pending::View { epoch } if epoch == self.epoch() => self.in_force(now, out),
             Pending::Full { epoch } if epoch == self.epoch() => self.now_full(epoch, out),
             Pending::Sealed { epoch } => {
-                let full = self.is_full() && epoch == self.epoch();
-                out.push(ReplicaAction::Sealed { epoch, full, last: self.log.last() })
+                let in_sync = self.is_in_sync() && epoch == self.epoch();
+                out.push(ReplicaAction::Sealed { epoch, in_sync, last: self.log.last() })
             }
-            Pending::Snapshot { seq, bytes } => self.snapshot_durable(seq, bytes, out),
+            Pending::Snapshot { index, bytes } => self.snapshot_durable(index, bytes, out),
             Pending::Barriers { epoch, reserved } => self.barriers.reserved(epoch == self.epoch(), reserved),
             Pending::View { .. } | Pending::Full { .. } => {}
         }
@@ -332,9 +334,9 @@
 
     fn apply(&mut self, out: &mut Vec<ReplicaAction>) {
         let tail = self.is_tail() && self.is_serving();
-        while let Some((seq, command)) = self.log.take_next() {
-            let reply = tail && seq > self.recovered;
-            out.push(ReplicaAction::Apply { seq, command, reply });
+        while let Some((index, command)) = self.log.take_next() {
+            let reply = tail && index > self.recovered;
+            out.push(ReplicaAction::Apply { index, command, reply });
         }
     }
 }
--- a/system/chain/src/replica/reads.rs
+++ b/system/chain/src/replica/reads.rs
@@ -99,7 +99,7 @@
             return;
         }
         let committed = self.certain_commit();
-        let message = ReplicaMessage::Confirm { epoch: self.epoch(), round, committed };
+        let message = ReplicaMessage::ViewConfirmed { epoch: self.epoch(), round, committed };
         out.push(ReplicaAction::Send { to: from, message });
     }
 
@@ -122,7 +122,7 @@
         }
         let applied = self.log.applied();
         for (_, read) in take_where(&mut self.reads.confirmed, |(required, _)| *required <= applied) {
-            out.push(ReplicaAction::ReadReady { token: read.token, seq: applied });
+            out.push(ReplicaAction::ReadReady { token: read.token, index: applied });
         }
         for token in self.reads.expire(now) {
             out.push(ReplicaAction::ReadFailed { token });
@@ -151,7 +151,7 @@
 
     fn send_probes(&mut self, out: &mut Vec<ReplicaAction>) {
         let Some(round) = &self.reads.round else { return };
-        let message = ReplicaMessage::Probe { epoch: self.epoch(), round: round.number };
+        let message = ReplicaMessage::ConfirmView { epoch: self.epoch(), round: round.number };
         for member in round.missing.iter().filter(|member| **member != self.me) {
             out.push(ReplicaAction::Send { to: *member, message: message.clone() });
         }
--- a/system/chain/src/replica/recovery.rs
+++ b/system/chain/src/replica/recovery.rs
@@ -19,35 +19,37 @@
 
     fn restore(&mut self, record: &LogRecord) {
         match record {
-            LogRecord::View { view, full } => self.restore_view(view, *full),
+            LogRecord::View { view, in_sync } => self.restore_view(view, *in_sync),
             LogRecord::Rejoined { view, after } => {
                 self.restore_view(view, false);
                 self.log.truncate(*after);
             }
-            LogRecord::Full { epoch } if *epoch == self.epoch() => self.full = true,
+            LogRecord::InSync { epoch } if *epoch == self.epoch() => self.in_sync = true,
             LogRecord::Sealed { epoch } => self.seal_in_memory(*epoch),
-            LogRecord::Entry { epoch, seq, committed, command } => {
-                self.log.restore(*epoch, *seq, *committed, command.clone())
+            LogRecord::Entry { epoch, index, committed, command } => {
+                self.log.restore(*epoch, *index, *committed, command.clone())
             }
-            LogRecord::Snapshot { seq, bytes } => {
-                self.log.reset(*seq);
+            LogRecord::Snapshot { index, bytes } => {
+                self.log.reset(*index);
                 self.stored_state = Some(bytes.clone());
             }
-            LogRecord::Barriers { epoch, reserved } if *epoch == self.epoch() => {
+            LogRecord::BarrierReservation { epoch, reserved } if *epoch == self.epoch() => {
                 self.barriers.restore(*reserved)
             }
             LogRecord::Promise { epoch, .. } => self.seal_in_memory(epoch.saturating_sub(1)),
             LogRecord::Accepted { members, .. } => self.seal_in_memory(members.epoch.saturating_sub(1)),
-            LogRecord::Full { .. } | LogRecord::Barriers { .. } | LogRecord::Members { .. } => {}
+            LogRecord::InSync { .. }
+            | LogRecord::BarrierReservation { .. }
+            | LogRecord::Membership { .. } => {}
         }
     }
 
-    fn restore_view(&mut self, view: &View, full: bool) {
+    fn restore_view(&mut self, view: &View, in_sync: bool) {
         if view.epoch != self.epoch() {
             self.barriers.reset();
         }
         self.view = Some(view.clone());
-        self.full = full;
+        self.in_sync = in_sync;
     }
 
     /// Everything that must stay on the disk once the state after [`Replica::applied`] is encoded as `state`. The host
@@ -57,11 +59,11 @@
         if self.intake.is_installing() {
             return None;
         }
-        let mut records = vec![LogRecord::Snapshot { seq: self.log.applied(), bytes: state }];
+        let mut records = vec![LogRecord::Snapshot { index: self.log.applied(), bytes: state }];
         if let Some(view) = &self.view {
             // What is being written counts: it is on the disk before these records are.
-            let full = self.full || self.becoming_full;
-            records.push(LogRecord::View { view: view.clone(), full });
+            let in_sync = self.in_sync || self.becoming_in_sync;
+            records.push(LogRecord::View { view: view.clone(), in_sync });
             records.push(self.barriers.record(view.epoch));
         }
         if self.sealed > 0 {
--- a/system/chain/src/settings.rs
+++ b/system/chain/src/settings.rs
@@ -61,7 +61,7 @@
 
 /// Bounds and time spans of the control group. `fault_tolerance` is `faultTolerance.machines` of the deployment.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Settings {
+pub struct ControlChainSettings {
     /// How many disks may be lost at once.
     pub fault_tolerance: usize,
     /// How many voters to strive for; at least `2 * fault_tolerance + 1`.
@@ -91,7 +91,7 @@
     pub replica: ReplicaSettings,
 }
 
-impl Settings {
+impl ControlChainSettings {
     /// The usual settings for a fault tolerance.
     pub fn new(fault_tolerance: usize) -> Self {
         let replica = ReplicaSettings {
--- a/system/chain/src/turn.rs
+++ b/system/chain/src/turn.rs
@@ -5,7 +5,7 @@
 
 use crate::agreement::{Agreement, AgreementAction, Status, Vote};
 use crate::{
-    AgreementMessage, ChainAction, ChainEvent, ChainMessage, LogRecord, MemberId, Members, Replica,
+    AgreementMessage, ChainAction, ChainEvent, ChainMessage, LogRecord, MemberId, Membership, Replica,
     ReplicaAction, ReplicaEvent,
 };
 
@@ -18,7 +18,7 @@
     /// A disk that takes longer than this does not answer.
     pub disk_suspect: Duration,
     /// The first membership, where this member founds the group.
-    pub founding: Option<Members>,
+    pub founding: Option<Membership>,
 }
 
 /// On whose behalf records are being written.
@@ -87,7 +87,7 @@
 
     fn status(&self) -> Status {
         Status {
-            full: self.machines.replica.is_full(),
+            in_sync: self.machines.replica.is_in_sync(),
             serving: self.machines.replica.is_serving(),
             disk_ready: self.machines.disk.is_ready(self.now, self.machines.disk_suspect),
         }
@@ -108,13 +108,13 @@
             ChainEvent::MemberAnnounced { member, replaces } => {
                 self.machines.agreement.announced(member, replaces)
             }
-            ChainEvent::SnapshotReady { seq, bytes } => {
-                self.replica(ReplicaEvent::SnapshotReady { seq, bytes })
+            ChainEvent::SnapshotReady { index, bytes } => {
+                self.replica(ReplicaEvent::SnapshotReady { index, bytes })
             }
-            ChainEvent::Tick => {
+            ChainEvent::TimerExpired => {
                 let status = self.status();
                 self.machines.agreement.on_tick(self.now, status, &mut self.from_agreement);
-                self.replica(ReplicaEvent::Tick);
+                self.replica(ReplicaEvent::TimerExpired);
             }
         }
     }
@@ -128,7 +128,7 @@
         if let Some(epoch) = self.machines.agreement.sealed_epoch() {
             self.out.push(ChainAction::Sealed { epoch });
         }
-        self.replica(ReplicaEvent::Learn);
+        self.replica(ReplicaEvent::FollowAsLearner);
         // A crash may have come between the records of a membership and of its view.
         if let Some(members) =
             self.machines.agreement.members().filter(|members| members.epoch > self.machines.replica.epoch())
@@ -214,7 +214,7 @@
                 let out = &mut self.from_agreement;
                 self.machines.agreement.caught_up(self.now, member, behind, status, out);
             }
-            ReplicaAction::Behind { member, epoch } => {
+            ReplicaAction::OwnViewStale { member, epoch } => {
                 self.machines.agreement.behind(member, epoch, &mut self.from_agreement)
             }
             ReplicaAction::Sealed { .. } => {}
@@ -226,16 +226,16 @@
 /// The actions that mean the same to the host of a replica and of a control chain.
 fn for_host(action: ReplicaAction) -> Option<ChainAction> {
     Some(match action {
-        ReplicaAction::Apply { seq, command, reply } => ChainAction::Apply { seq, command, reply },
+        ReplicaAction::Apply { index, command, reply } => ChainAction::Apply { index, command, reply },
         ReplicaAction::TakeSnapshot => ChainAction::TakeSnapshot,
-        ReplicaAction::InstallSnapshot { seq, bytes } => ChainAction::InstallSnapshot { seq, bytes },
-        ReplicaAction::ReadReady { token, seq } => ChainAction::ReadReady { token, seq },
+        ReplicaAction::InstallSnapshot { index, bytes } => ChainAction::InstallSnapshot { index, bytes },
+        ReplicaAction::ReadReady { token, index } => ChainAction::ReadReady { token, index },
         ReplicaAction::ReadFailed { token } => ChainAction::ReadFailed { token },
         ReplicaAction::NotHead { command, head } => ChainAction::NotHead { command, head },
         ReplicaAction::Busy { command } => ChainAction::Busy { command },
-        ReplicaAction::BecameFull { epoch } => ChainAction::BecameFull { epoch },
-        ReplicaAction::Barrier { epoch, number, committed } => {
-            ChainAction::Tick { epoch, number, committed_seq: committed }
+        ReplicaAction::BecameInSync { epoch } => ChainAction::BecameInSync { epoch },
+        ReplicaAction::BarrierCommitted { epoch, number, committed } => {
+            ChainAction::BarrierCommitted { epoch, number, commit_index: committed }
         }
         _ => return None,
     })
--- a/system/chain/tests/golden.rs
+++ b/system/chain/tests/golden.rs
@@ -5,7 +5,8 @@
 use std::path::{Path, PathBuf};
 
 use gingerledge_chain::{
-    AgreementMessage, Ballot, ChainMessage, Heartbeat, LogRecord, MemberId, Members, ReplicaMessage, View,
+    AgreementMessage, ChainMessage, Heartbeat, LogRecord, MemberId, Membership, ProposalNumber,
+    ReplicaMessage, View,
 };
 use gingerledge_golden::{compare, read, Sample};
 use serde::de::DeserializeOwned;
@@ -53,12 +54,12 @@
     bincode::serde::encode_to_vec(value, bincode::config::standard()).expect("encodes")
 }
 
-fn ballot() -> Ballot {
-    Ballot { counter: 21, proposer: 70_000 }
+fn proposal() -> ProposalNumber {
+    ProposalNumber { counter: 21, proposer: 70_000 }
 }
 
-fn members() -> Members {
-    Members {
+fn members() -> Membership {
+    Membership {
         epoch: 31,
         voters: vec![MemberId(1), MemberId(300), MemberId(u64::MAX)],
         chain: vec![MemberId(300), MemberId(1)],
@@ -66,8 +67,8 @@
     }
 }
 
-fn bare_members() -> Members {
-    Members { epoch: 0, voters: Vec::new(), chain: Vec::new(), fault_tolerance: 0 }
+fn bare_members() -> Membership {
+    Membership { epoch: 0, voters: Vec::new(), chain: Vec::new(), fault_tolerance: 0 }
 }
 
 fn view() -> View {
@@ -81,56 +82,68 @@
 fn replica_messages() -> Vec<(&'static str, ReplicaMessage)> {
     let commands = vec![vec![1, 2], Vec::new()];
     vec![
-        ("resume", ReplicaMessage::Resume { epoch: 1, last: 2, full: true, learner: false }),
-        ("resume of a learner", ReplicaMessage::Resume { epoch: 1, last: 2, full: false, learner: true }),
-        ("ask resume", ReplicaMessage::AskResume { epoch: 3 }),
-        ("append", ReplicaMessage::Append { epoch: 4, first: 5, commands, committed: 6, full_at: Some(7) }),
+        ("resume", ReplicaMessage::Resume { epoch: 1, last: 2, in_sync: true, learner: false }),
+        ("resume of a learner", ReplicaMessage::Resume { epoch: 1, last: 2, in_sync: false, learner: true }),
+        ("ask resume", ReplicaMessage::RequestResume { epoch: 3 }),
+        (
+            "append",
+            ReplicaMessage::Append { epoch: 4, first: 5, commands, committed: 6, in_sync_at: Some(7) },
+        ),
         (
             "append bare",
-            ReplicaMessage::Append { epoch: 4, first: 5, commands: Vec::new(), committed: 6, full_at: None },
+            ReplicaMessage::Append {
+                epoch: 4,
+                first: 5,
+                commands: Vec::new(),
+                committed: 6,
+                in_sync_at: None,
+            },
+        ),
+        (
+            "chunk",
+            ReplicaMessage::SnapshotChunk { epoch: 8, index: 9, total: 10, offset: 11, bytes: vec![12, 13] },
         ),
-        ("chunk", ReplicaMessage::Chunk { epoch: 8, seq: 9, total: 10, offset: 11, bytes: vec![12, 13] }),
-        ("chunk ack", ReplicaMessage::ChunkAck { epoch: 14, seq: 15, received: 16 }),
+        ("chunk ack", ReplicaMessage::SnapshotChunkAck { epoch: 14, index: 15, received: 16 }),
         ("ack", ReplicaMessage::Ack { epoch: 17, durable: 18, committed: 19 }),
-        ("probe", ReplicaMessage::Probe { epoch: 20, round: 21 }),
-        ("confirm", ReplicaMessage::Confirm { epoch: 22, round: 23, committed: Some(24) }),
-        ("confirm bare", ReplicaMessage::Confirm { epoch: 22, round: 23, committed: None }),
+        ("probe", ReplicaMessage::ConfirmView { epoch: 20, round: 21 }),
+        ("confirm", ReplicaMessage::ViewConfirmed { epoch: 22, round: 23, committed: Some(24) }),
+        ("confirm bare", ReplicaMessage::ViewConfirmed { epoch: 22, round: 23, committed: None }),
         ("barrier", ReplicaMessage::Barrier { epoch: 25, number: 26 }),
-        ("barrier done", ReplicaMessage::BarrierDone { epoch: 27, number: 28, committed: 29 }),
-        ("newer", ReplicaMessage::Newer { epoch: 30 }),
+        ("barrier done", ReplicaMessage::BarrierCommitted { epoch: 27, number: 28, committed: 29 }),
+        ("newer", ReplicaMessage::StaleEpoch { epoch: 30 }),
     ]
 }
 
 fn agreement_messages() -> Vec<(&'static str, AgreementMessage)> {
-    let accepted = Some((ballot(), members()));
+    let accepted = Some((proposal(), members()));
     vec![
         ("heartbeat", AgreementMessage::Heartbeat(heartbeat())),
-        ("ask view", AgreementMessage::AskView { epoch: 2 }),
-        ("view is", AgreementMessage::ViewIs { members: members() }),
-        ("prepare", AgreementMessage::Prepare { epoch: 3, ballot: ballot() }),
-        ("promise", AgreementMessage::Promise { epoch: 4, ballot: ballot(), accepted, full: true }),
+        ("ask view", AgreementMessage::RequestMembership { epoch: 2 }),
+        ("view is", AgreementMessage::MembershipDecided { members: members() }),
+        ("prepare", AgreementMessage::Prepare { epoch: 3, proposal: proposal() }),
+        ("promise", AgreementMessage::Promise { epoch: 4, proposal: proposal(), accepted, in_sync: true }),
         (
             "promise bare",
-            AgreementMessage::Promise { epoch: 4, ballot: ballot(), accepted: None, full: false },
+            AgreementMessage::Promise { epoch: 4, proposal: proposal(), accepted: None, in_sync: false },
         ),
-        ("accept", AgreementMessage::Accept { ballot: ballot(), members: members() }),
-        ("accepted", AgreementMessage::Accepted { epoch: 5, ballot: ballot() }),
-        ("rejected", AgreementMessage::Rejected { epoch: 6, promised: ballot() }),
+        ("accept", AgreementMessage::Accept { proposal: proposal(), members: members() }),
+        ("accepted", AgreementMessage::Accepted { epoch: 5, proposal: proposal() }),
+        ("rejected", AgreementMessage::Rejected { epoch: 6, promised: proposal() }),
     ]
 }
 
 fn records() -> Vec<(&'static str, LogRecord)> {
     vec![
-        ("view", LogRecord::View { view: view(), full: true }),
+        ("view", LogRecord::View { view: view(), in_sync: true }),
         ("rejoined", LogRecord::Rejoined { view: view(), after: 1 }),
-        ("full", LogRecord::Full { epoch: 2 }),
+        ("full", LogRecord::InSync { epoch: 2 }),
         ("sealed", LogRecord::Sealed { epoch: 3 }),
-        ("entry", LogRecord::Entry { epoch: 4, seq: 5, committed: 6, command: vec![7, 8] }),
-        ("snapshot", LogRecord::Snapshot { seq: 9, bytes: vec![10, 11] }),
-        ("barriers", LogRecord::Barriers { epoch: 12, reserved: 13 }),
-        ("members", LogRecord::Members { members: members() }),
-        ("promise", LogRecord::Promise { epoch: 14, ballot: ballot() }),
-        ("accepted", LogRecord::Accepted { ballot: ballot(), members: members() }),
+        ("entry", LogRecord::Entry { epoch: 4, index: 5, committed: 6, command: vec![7, 8] }),
+        ("snapshot", LogRecord::Snapshot { index: 9, bytes: vec![10, 11] }),
+        ("barriers", LogRecord::BarrierReservation { epoch: 12, reserved: 13 }),
+        ("members", LogRecord::Membership { members: members() }),
+        ("promise", LogRecord::Promise { epoch: 14, proposal: proposal() }),
+        ("accepted", LogRecord::Accepted { proposal: proposal(), members: members() }),
     ]
 }
 
@@ -138,7 +151,7 @@
 fn members_and_views_are_written_as_before() {
     let mut golden = Golden::new("members.txt");
     golden.add_equal("member", &MemberId(77_000));
-    golden.add_equal("ballot", &ballot());
+    golden.add_equal("ballot", &proposal());
     golden.add_equal("members", &members());
     golden.add_equal("members bare", &bare_members());
     golden.add_equal("view", &view());
--- a/system/chain/tests/model/group.rs
+++ b/system/chain/tests/model/group.rs
@@ -3,7 +3,9 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::time::Duration;
 
-use gingerledge_chain::{AgreementMessage, ChainEvent, ChainMessage, Heartbeat, MemberId, Settings};
+use gingerledge_chain::{
+    AgreementMessage, ChainEvent, ChainMessage, ControlChainSettings, Heartbeat, MemberId,
+};
 
 use super::ledger::Ledger;
 use super::node::{Loss, Node, Sent};
@@ -53,7 +55,7 @@
     pub network: Vec<Sent>,
     pub ledger: Ledger,
     pub budget: Budget,
-    settings: Settings,
+    settings: ControlChainSettings,
     next_command: u8,
     next_read: u64,
     next_identity: u64,
@@ -62,7 +64,7 @@
 impl Group {
     /// Founders that have started and know each other.
     pub fn founded(fault_tolerance: usize) -> Self {
-        let mut settings = Settings::new(fault_tolerance);
+        let mut settings = ControlChainSettings::new(fault_tolerance);
         settings.replica.tick_every = None;
         settings.replica.retain_entries = 2;
         let founders: Vec<MemberId> = (1..=2 * fault_tolerance as u64 + 1).map(MemberId).collect();
@@ -114,7 +116,7 @@
             for other in 0..self.nodes.len() {
                 self.hear(place, other);
             }
-            self.event(place, ChainEvent::Tick);
+            self.event(place, ChainEvent::TimerExpired);
         }
     }
 
@@ -189,7 +191,7 @@
                 self.hear(place, other);
             }
             let before = self.network.len();
-            self.event(place, ChainEvent::Tick);
+            self.event(place, ChainEvent::TimerExpired);
             if self.network[before..].iter().any(is_proposal) {
                 return;
             }
@@ -312,14 +314,14 @@
                 && node.chain.head() == Some(node.identity)
                 && node.chain.is_serving()
         });
-        heads.into_iter().all(|head| (1..=self.ledger.acknowledged).all(|seq| head.holds(seq)))
+        heads.into_iter().all(|head| (1..=self.ledger.acknowledged).all(|index| head.holds(index)))
     }
 
     /// Acknowledged only once f + 1 disks have synced it.
     pub fn acknowledged_is_on_enough_disks(&self) -> bool {
         let enough = self.settings.fault_tolerance + 1;
         (1..=self.ledger.acknowledged)
-            .all(|seq| self.ledger.synced.get(&seq).is_some_and(|disks| disks.len() >= enough))
+            .all(|index| self.ledger.synced.get(&index).is_some_and(|disks| disks.len() >= enough))
     }
 
     /// Calm comes: whether a write is then taken, and nothing that was acknowledged before is lost.
--- a/system/chain/tests/model/ledger.rs
+++ b/system/chain/tests/model/ledger.rs
@@ -2,13 +2,13 @@
 
 use std::collections::BTreeMap;
 
-use gingerledge_chain::{MemberId, Members};
+use gingerledge_chain::{MemberId, Membership};
 
 /// What all members have said so far.
 #[derive(Clone, Debug, Default)]
 pub struct Ledger {
     /// Memberships by epoch.
-    pub views: BTreeMap<u64, Members>,
+    pub views: BTreeMap<u64, Membership>,
     /// Commands by number, as any member applied them.
     pub applied: BTreeMap<u64, Vec<u8>>,
     /// The last acknowledged number.
@@ -24,20 +24,20 @@
 }
 
 impl Ledger {
-    pub fn view(&mut self, members: &Members) {
+    pub fn view(&mut self, members: &Membership) {
         let known = self.views.entry(members.epoch).or_insert_with(|| members.clone());
         if known != members {
             self.contradiction = Some(format!("{known:?} and {members:?}"));
         }
     }
 
-    pub fn apply(&mut self, seq: u64, command: &[u8], acknowledges: bool) {
-        let known = self.applied.entry(seq).or_insert_with(|| command.to_vec());
+    pub fn apply(&mut self, index: u64, command: &[u8], acknowledges: bool) {
+        let known = self.applied.entry(index).or_insert_with(|| command.to_vec());
         if known != command {
-            self.contradiction = Some(format!("{known:?} and {command:?} are both number {seq}"));
+            self.contradiction = Some(format!("{known:?} and {command:?} are both number {index}"));
         }
         if acknowledges {
-            self.acknowledged = self.acknowledged.max(seq);
+            self.acknowledged = self.acknowledged.max(index);
         }
     }
 
@@ -45,13 +45,13 @@
         self.reads.insert(token, self.acknowledged);
     }
 
-    pub fn read_ready(&mut self, token: u64, seq: u64) {
+    pub fn read_ready(&mut self, token: u64, index: u64) {
         let floor = self.reads.remove(&token).unwrap_or(0);
-        self.read_too_old |= seq < floor;
+        self.read_too_old |= index < floor;
     }
 
-    pub fn on_disk(&mut self, member: MemberId, seq: u64) {
-        let disks = self.synced.entry(seq).or_default();
+    pub fn on_disk(&mut self, member: MemberId, index: u64) {
+        let disks = self.synced.entry(index).or_default();
         if !disks.contains(&member) {
             disks.push(member);
         }
--- a/system/chain/tests/model/node.rs
+++ b/system/chain/tests/model/node.rs
@@ -3,7 +3,8 @@
 use std::time::Duration;
 
 use gingerledge_chain::{
-    AgreementMessage, ChainAction, ChainEvent, ChainMessage, ControlChain, LogRecord, MemberId, Settings,
+    AgreementMessage, ChainAction, ChainEvent, ChainMessage, ControlChain, ControlChainSettings, LogRecord,
+    MemberId,
 };
 
 use super::ledger::Ledger;
@@ -49,7 +50,7 @@
 }
 
 impl Node {
-    pub fn founder(identity: MemberId, founders: &[MemberId], settings: &Settings) -> Self {
+    pub fn founder(identity: MemberId, founders: &[MemberId], settings: &ControlChainSettings) -> Self {
         let chain = ControlChain::found(identity, founders.to_vec(), settings.clone(), identity.0);
         Self {
             identity,
@@ -64,7 +65,13 @@
     }
 
     /// Ends the process, and makes it ready to start again.
-    pub fn end(&mut self, loss: Loss, new_identity: MemberId, settings: &Settings, ledger: &mut Ledger) {
+    pub fn end(
+        &mut self,
+        loss: Loss,
+        new_identity: MemberId,
+        settings: &ControlChainSettings,
+        ledger: &mut Ledger,
+    ) {
         let unsynced = std::mem::take(&mut self.unsynced);
         match loss {
             // The storage syncs what it finds before anybody reads it.
@@ -88,11 +95,11 @@
     }
 
     /// Whether the disk holds an entry, by itself or in a state.
-    pub fn holds(&self, seq: u64) -> bool {
+    pub fn holds(&self, index: u64) -> bool {
         let records = self.disk.iter().chain(self.unsynced.iter().flat_map(|write| &write.records));
         records.into_iter().any(|record| match record {
-            LogRecord::Entry { seq: entry, .. } => *entry == seq,
-            LogRecord::Snapshot { seq: state, .. } => *state >= seq,
+            LogRecord::Entry { index: entry, .. } => *entry == index,
+            LogRecord::Snapshot { index: state, .. } => *state >= index,
             _ => false,
         })
     }
@@ -117,9 +124,9 @@
     fn keep(&mut self, writes: Vec<Write>, ledger: &mut Ledger) {
         for record in writes.into_iter().flat_map(|write| write.records) {
             match &record {
-                LogRecord::Entry { seq, .. } => ledger.on_disk(self.identity, *seq),
-                LogRecord::Snapshot { seq, .. } => {
-                    (1..=*seq).for_each(|entry| ledger.on_disk(self.identity, entry));
+                LogRecord::Entry { index, .. } => ledger.on_disk(self.identity, *index),
+                LogRecord::Snapshot { index, .. } => {
+                    (1..=*index).for_each(|entry| ledger.on_disk(self.identity, entry));
                 }
                 _ => {}
             }
@@ -137,24 +144,24 @@
                 }
             }
             ChainAction::Persist { token, records } => self.unsynced.push(Write { token, records }),
-            ChainAction::Apply { seq, command, reply } => {
-                ledger.apply(seq, &command, reply);
-                self.state.push((seq, command));
+            ChainAction::Apply { index, command, reply } => {
+                ledger.apply(index, &command, reply);
+                self.state.push((index, command));
             }
             ChainAction::TakeSnapshot => {
-                let seq = self.state.last().map_or(0, |(seq, _)| *seq);
+                let index = self.state.last().map_or(0, |(index, _)| *index);
                 let bytes = encode(&self.state);
-                self.event(ChainEvent::SnapshotReady { seq, bytes }, ledger, network);
+                self.event(ChainEvent::SnapshotReady { index, bytes }, ledger, network);
             }
             ChainAction::InstallSnapshot { bytes, .. } => self.state = decode(&bytes),
-            ChainAction::ReadReady { token, seq } => ledger.read_ready(token, seq),
+            ChainAction::ReadReady { token, index } => ledger.read_ready(token, index),
             ChainAction::ViewInstalled { members } => ledger.view(&members),
             ChainAction::Sealed { epoch } => self.sealed = self.sealed.max(epoch),
             ChainAction::ReadFailed { .. }
             | ChainAction::NotHead { .. }
             | ChainAction::Busy { .. }
-            | ChainAction::BecameFull { .. }
-            | ChainAction::Tick { .. } => {}
+            | ChainAction::BecameInSync { .. }
+            | ChainAction::BarrierCommitted { .. } => {}
         }
     }
 }
@@ -164,7 +171,7 @@
 }
 
 fn encode(state: &[(u64, Vec<u8>)]) -> Vec<u8> {
-    state.iter().flat_map(|(seq, command)| [*seq as u8, command.first().copied().unwrap_or(0)]).collect()
+    state.iter().flat_map(|(index, command)| [*index as u8, command.first().copied().unwrap_or(0)]).collect()
 }
 
 fn decode(bytes: &[u8]) -> Vec<(u64, Vec<u8>)> {
--- a/system/chain/tests/not_full.rs
+++ b/system/chain/tests/not_full.rs
@@ -53,22 +53,22 @@
 
     /// Entries up to `last`, of which the newcomer has to hold those up to 5.
     fn entries(&mut self, first: u64, last: u64) {
-        let commands = (first..=last).map(|seq| vec![seq as u8]).collect();
+        let commands = (first..=last).map(|index| vec![index as u8]).collect();
         self.message(ReplicaMessage::Append {
             epoch: EPOCH,
             first,
             commands,
             committed: 0,
-            full_at: Some(5),
+            in_sync_at: Some(5),
         });
     }
 
     fn applied(&self) -> Vec<u64> {
-        let seq = |action: &ReplicaAction| match action {
-            ReplicaAction::Apply { seq, .. } => Some(*seq),
+        let index = |action: &ReplicaAction| match action {
+            ReplicaAction::Apply { index, .. } => Some(*index),
             _ => None,
         };
-        self.actions.iter().filter_map(seq).collect()
+        self.actions.iter().filter_map(index).collect()
     }
 }
 
@@ -77,12 +77,12 @@
     let mut member = Member::newcomer();
     member.entries(1, 3);
     member.sync();
-    assert!(!member.replica.is_full());
+    assert!(!member.replica.is_in_sync());
     assert_eq!(member.applied(), [] as [u64; 0]);
     member.entries(4, 5);
     assert_eq!(member.applied(), [] as [u64; 0], "nothing counts before it is on the disk");
     member.sync();
-    assert!(member.replica.is_full());
+    assert!(member.replica.is_in_sync());
     assert_eq!(member.applied(), [1, 2, 3, 4, 5]);
 }
 
@@ -90,9 +90,9 @@
 fn a_snapshot_counts_once_it_is_on_the_disk() {
     let mut member = Member::newcomer();
     let bytes = vec![9; 10];
-    member.message(ReplicaMessage::Chunk {
+    member.message(ReplicaMessage::SnapshotChunk {
         epoch: EPOCH,
-        seq: 4,
+        index: 4,
         total: 10,
         offset: 0,
         bytes: bytes.clone(),
@@ -101,7 +101,7 @@
         let acknowledged = |action: &ReplicaAction| {
             matches!(action, ReplicaAction::Send { message: ReplicaMessage::Ack { durable: 4.., .. }, .. })
         };
-        let installed = ReplicaAction::InstallSnapshot { seq: 4, bytes: bytes.clone() };
+        let installed = ReplicaAction::InstallSnapshot { index: 4, bytes: bytes.clone() };
         (member.actions.iter().any(acknowledged), member.actions.contains(&installed))
     };
     assert_eq!(counts(&member), (false, false));
--- a/system/chain/tests/partition/main.rs
+++ b/system/chain/tests/partition/main.rs
@@ -37,12 +37,12 @@
 fn records_of_a_log_are_read_back_as_they_were() {
     let view = |epoch| View { epoch, chain: vec![MemberId(1)] };
     let records = vec![
-        LogRecord::View { view: view(1), full: true },
-        LogRecord::Entry { epoch: 1, seq: 1, committed: 0, command: vec![1] },
-        LogRecord::Entry { epoch: 1, seq: 2, committed: 1, command: vec![2] },
+        LogRecord::View { view: view(1), in_sync: true },
+        LogRecord::Entry { epoch: 1, index: 1, committed: 0, command: vec![1] },
+        LogRecord::Entry { epoch: 1, index: 2, committed: 1, command: vec![2] },
         LogRecord::Rejoined { view: view(3), after: 1 },
-        LogRecord::Entry { epoch: 3, seq: 2, committed: 1, command: vec![3] },
-        LogRecord::Full { epoch: 3 },
+        LogRecord::Entry { epoch: 3, index: 2, committed: 1, command: vec![3] },
+        LogRecord::InSync { epoch: 3 },
     ];
     let settings = ReplicaSettings { min_chain: 1, ..ReplicaSettings::default() };
     let mut replica = Replica::recover(MemberId(1), &records, settings, 1);
@@ -51,7 +51,7 @@
     let applied: Vec<_> = out
         .into_iter()
         .filter_map(|action| match action {
-            ReplicaAction::Apply { seq, command, .. } => Some((seq, command)),
+            ReplicaAction::Apply { index, command, .. } => Some((index, command)),
             _ => None,
         })
         .collect();
--- a/system/chain/tests/partition/trouble.rs
+++ b/system/chain/tests/partition/trouble.rs
@@ -20,7 +20,7 @@
     pub fn decide(&mut self) {
         let members = self.view.chain.clone();
         let well: Vec<_> = members.iter().copied().filter(|member| self.seems_well(*member)).collect();
-        let keep: Vec<_> = well.iter().copied().filter(|member| self.full.contains(member)).collect();
+        let keep: Vec<_> = well.iter().copied().filter(|member| self.in_sync.contains(member)).collect();
         let changes = well.len() < members.len() || members.len() < CHAIN;
         if changes && !keep.is_empty() {
             let mut chain = keep;
@@ -33,7 +33,7 @@
                 }
             }
             self.view = View { epoch: self.view.epoch + 1, chain };
-            self.full.clear();
+            self.in_sync.clear();
         }
         for place in 0..self.places.len() {
             if self.rng.u8(0..4) > 0 {
@@ -91,7 +91,7 @@
 
     /// Prints all there is to know, for a run of one seed.
     pub fn dump(&self) {
-        println!("{:?}: {:?} with {:?}", self.now, self.view, self.full);
+        println!("{:?}: {:?} with {:?}", self.now, self.view, self.in_sync);
         for host in &self.places {
             println!("{:?}: {:?}", host.identity, host.replica);
         }
@@ -107,7 +107,7 @@
 
     /// A disk is lost, where all others are well and the chain is whole.
     pub fn wipe(&mut self, place: usize) {
-        let whole = self.view.chain.len() == CHAIN && self.full.len() == CHAIN;
+        let whole = self.view.chain.len() == CHAIN && self.in_sync.len() == CHAIN;
         if !whole || self.places.iter().any(|host| host.lost_until > self.now) || self.now < CATCH_UP {
             return;
         }
--- a/system/chain/tests/partition/world.rs
+++ b/system/chain/tests/partition/world.rs
@@ -71,7 +71,7 @@
     pub number: u64,
     /// The decider's state: the view, and who counts in it.
     pub view: View,
-    pub full: BTreeSet<MemberId>,
+    pub in_sync: BTreeSet<MemberId>,
     pub troubled: bool,
     pub commands: u64,
     pub reads: u64,
@@ -121,7 +121,7 @@
             what: BTreeMap::new(),
             number: 0,
             view,
-            full: BTreeSet::new(),
+            in_sync: BTreeSet::new(),
             troubled: true,
             commands: 0,
             reads: 0,
@@ -182,11 +182,11 @@
             }
             Happens::Timer { place, life } if self.places[place].life == life => {
                 self.places[place].timer = None;
-                self.event(place, ReplicaEvent::Tick);
+                self.event(place, ReplicaEvent::TimerExpired);
             }
             Happens::Told { place, view } => self.event(place, ReplicaEvent::Install { view }),
             Happens::Reported { member, epoch } if epoch == self.view.epoch => {
-                self.full.insert(member);
+                self.in_sync.insert(member);
             }
             Happens::Starts { place } => self.start(place),
             Happens::Client => self.client(),
@@ -210,7 +210,7 @@
         host.timer = None;
         host.disk.restart();
         self.event(place, ReplicaEvent::Started);
-        self.event(place, ReplicaEvent::Learn);
+        self.event(place, ReplicaEvent::FollowAsLearner);
     }
 
     pub fn event(&mut self, place: usize, event: ReplicaEvent) {
@@ -225,8 +225,8 @@
         }
         if snapshot {
             let host = &self.places[place];
-            let (seq, bytes) = (host.applied, encode(host));
-            self.event(place, ReplicaEvent::SnapshotReady { seq, bytes });
+            let (index, bytes) = (host.applied, encode(host));
+            self.event(place, ReplicaEvent::SnapshotReady { index, bytes });
         }
         if self.rng.u8(..) == 0 {
             self.checkpoint(place);
@@ -255,28 +255,28 @@
                 self.places[place].disk.unsynced.push(Write::Append { token, records });
                 self.sync(place);
             }
-            ReplicaAction::Apply { seq, command, reply } => {
-                self.ledger.applied(me, seq, &command, reply);
+            ReplicaAction::Apply { index, command, reply } => {
+                self.ledger.applied(me, index, &command, reply);
                 if reply {
                     let disks = self.places.iter().map(|host| &host.disk).chain(&self.lost_disks);
-                    let synced = disks.filter(|disk| disk.has_synced(seq, &command));
-                    self.ledger.synced_by(seq, synced.count());
+                    let synced = disks.filter(|disk| disk.has_synced(index, &command));
+                    self.ledger.synced_by(index, synced.count());
                 }
                 let host = &mut self.places[place];
-                assert_eq!(seq, host.applied + 1, "seed {}: {me:?} applied out of order", self.seed);
-                host.applied = seq;
+                assert_eq!(index, host.applied + 1, "seed {}: {me:?} applied out of order", self.seed);
+                host.applied = index;
                 host.hash = mix(host.hash, &command);
             }
-            ReplicaAction::InstallSnapshot { seq, bytes } => {
+            ReplicaAction::InstallSnapshot { index, bytes } => {
                 let hash: [u8; 8] = bytes[..8].try_into().expect("a state holds its hash");
                 let host = &mut self.places[place];
-                host.applied = seq;
+                host.applied = index;
                 host.hash = u64::from_le_bytes(hash);
-                self.ledger.state(me, seq, host.hash);
+                self.ledger.state(me, index, host.hash);
             }
-            ReplicaAction::ReadReady { token, seq } => self.ledger.read_ready(token, seq),
+            ReplicaAction::ReadReady { token, index } => self.ledger.read_ready(token, index),
             ReplicaAction::ReadFailed { token } => self.ledger.read_failed(token),
-            ReplicaAction::BecameFull { epoch } => {
+            ReplicaAction::BecameInSync { epoch } => {
                 let delay = millis(self.rng.u64(1..400));
                 self.after(delay, Happens::Reported { member: me, epoch });
             }
--- a/system/chain/tests/world/carry.rs
+++ b/system/chain/tests/world/carry.rs
@@ -15,7 +15,10 @@
 fn matters(message: &ChainMessage) -> bool {
     use gingerledge_chain::AgreementMessage as Vote;
     let ChainMessage::Agreement(vote) = message else { return false };
-    matches!(vote, Vote::Promise { .. } | Vote::Accept { .. } | Vote::Accepted { .. } | Vote::ViewIs { .. })
+    matches!(
+        vote,
+        Vote::Promise { .. } | Vote::Accept { .. } | Vote::Accepted { .. } | Vote::MembershipDecided { .. }
+    )
 }
 
 impl World {
@@ -24,51 +27,51 @@
         match action {
             ChainAction::Send { to, message } => self.send(place, to, message),
             ChainAction::Persist { token, records } => self.write(place, token, records),
-            ChainAction::Apply { seq, command, reply } => {
-                self.ledger.applied(me, seq, &command, reply);
+            ChainAction::Apply { index, command, reply } => {
+                self.ledger.applied(me, index, &command, reply);
                 if reply {
-                    self.acknowledges(place, seq, &command);
+                    self.acknowledges(place, index, &command);
                 }
-                self.hosts[place].apply(seq, &command);
+                self.hosts[place].apply(index, &command);
             }
             ChainAction::TakeSnapshot => self.snapshot(place),
-            ChainAction::InstallSnapshot { seq, bytes } => {
-                self.hosts[place].install(seq, &bytes);
-                self.ledger.state(me, seq, self.hosts[place].hash());
+            ChainAction::InstallSnapshot { index, bytes } => {
+                self.hosts[place].install(index, &bytes);
+                self.ledger.state(me, index, self.hosts[place].hash());
             }
-            ChainAction::ReadReady { token, seq } => {
+            ChainAction::ReadReady { token, index } => {
                 assert!(
-                    self.hosts[place].applied() >= seq,
+                    self.hosts[place].applied() >= index,
                     "seed {}: read at a state not applied",
                     self.seed
                 );
-                self.ledger.read_ready(token, seq);
+                self.ledger.read_ready(token, index);
             }
             ChainAction::ReadFailed { token } => self.ledger.read_failed(token),
             ChainAction::ViewInstalled { members } => {
                 self.note(place, &format!("installs {members:?}"));
                 self.ledger.view(members);
             }
-            ChainAction::Tick { epoch, number, committed_seq } => {
-                self.ledger.tick((me, self.hosts[place].life, epoch), number, committed_seq)
+            ChainAction::BarrierCommitted { epoch, number, commit_index } => {
+                self.ledger.tick((me, self.hosts[place].life, epoch), number, commit_index)
             }
             ChainAction::Sealed { epoch } => self.hosts[place].sealed = self.hosts[place].sealed.max(epoch),
-            ChainAction::NotHead { .. } | ChainAction::Busy { .. } | ChainAction::BecameFull { .. } => {}
+            ChainAction::NotHead { .. } | ChainAction::Busy { .. } | ChainAction::BecameInSync { .. } => {}
         }
     }
 
     /// A tail replies: enough disks have synced the entry, and the tail hasn't sealed its view.
-    fn acknowledges(&self, place: usize, seq: u64, command: &[u8]) {
+    fn acknowledges(&self, place: usize, index: u64, command: &[u8]) {
         // A disk that was lost in the moment between its sync and the tail's has counted.
         let disks = self.hosts.iter().map(|host| &host.disk).chain(&self.lost_disks);
-        let synced = disks.filter(|disk| disk.has_synced(seq, command));
-        self.ledger.synced_by(seq, synced.count());
+        let synced = disks.filter(|disk| disk.has_synced(index, command));
+        self.ledger.synced_by(index, synced.count());
         let host = &self.hosts[place];
         let epoch =
             host.process.as_ref().and_then(|process| process.chain.members()).map(|members| members.epoch);
         assert!(
             epoch > Some(host.sealed),
-            "seed {}: {seq} acknowledged in a sealed view {epoch:?}",
+            "seed {}: {index} acknowledged in a sealed view {epoch:?}",
             self.seed
         );
     }
@@ -99,9 +102,9 @@
     fn snapshot(&mut self, place: usize) {
         let delay = if self.rng.bool() { millis(0) } else { millis(self.rng.u64(0..50)) };
         let host = &self.hosts[place];
-        let (life, seq) = (host.life, host.applied());
+        let (life, index) = (host.life, host.applied());
         let bytes = host.encode();
-        self.after(delay, Happens::Snapshot { place, life, seq, bytes });
+        self.after(delay, Happens::Snapshot { place, life, index, bytes });
     }
 
     pub(super) fn maybe_checkpoint(&mut self, place: usize) {
--- a/system/chain/tests/world/disk.rs
+++ b/system/chain/tests/world/disk.rs
@@ -51,18 +51,18 @@
 
     fn keep(&mut self, record: LogRecord) {
         match &record {
-            LogRecord::Entry { seq, command, .. } => {
-                self.commands.insert((*seq, command.clone()));
+            LogRecord::Entry { index, command, .. } => {
+                self.commands.insert((*index, command.clone()));
             }
-            LogRecord::Snapshot { seq, .. } => self.snapshot = self.snapshot.max(*seq),
+            LogRecord::Snapshot { index, .. } => self.snapshot = self.snapshot.max(*index),
             _ => {}
         }
         self.records.push(record);
     }
 
     /// Whether the disk has synced an entry, by itself or in a state.
-    pub fn has_synced(&self, seq: u64, command: &[u8]) -> bool {
-        seq <= self.snapshot || self.commands.contains(&(seq, command.to_vec()))
+    pub fn has_synced(&self, index: u64, command: &[u8]) -> bool {
+        index <= self.snapshot || self.commands.contains(&(index, command.to_vec()))
     }
 
     /// The newest epoch that a vote on the disk has sealed.
--- a/system/chain/tests/world/host.rs
+++ b/system/chain/tests/world/host.rs
@@ -68,15 +68,15 @@
         self.hash
     }
 
-    pub fn apply(&mut self, seq: u64, command: &[u8]) {
-        assert_eq!(seq, self.applied + 1, "applied out of order at {:?}", self.identity);
-        self.applied = seq;
+    pub fn apply(&mut self, index: u64, command: &[u8]) {
+        assert_eq!(index, self.applied + 1, "applied out of order at {:?}", self.identity);
+        self.applied = index;
         self.hash = mix(self.hash, command);
     }
 
-    pub fn install(&mut self, seq: u64, bytes: &[u8]) {
+    pub fn install(&mut self, index: u64, bytes: &[u8]) {
         let hash: [u8; 8] = bytes[..8].try_into().expect("a state holds its hash");
-        self.applied = seq;
+        self.applied = index;
         self.hash = u64::from_le_bytes(hash);
     }
 
--- a/system/chain/tests/world/ledger.rs
+++ b/system/chain/tests/world/ledger.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use gingerledge_chain::{ChainMessage, MemberId, Members, ReplicaMessage};
+use gingerledge_chain::{ChainMessage, MemberId, Membership, ReplicaMessage};
 
 /// The hash of a state after one more command.
 pub fn mix(hash: u64, command: &[u8]) -> u64 {
@@ -29,7 +29,7 @@
     pub reads_done: u64,
     pub reads_failed: u64,
     pub ticks: u64,
-    views: BTreeMap<u64, Members>,
+    views: BTreeMap<u64, Membership>,
     /// What was acknowledged when the head sent a barrier.
     barriers: HashMap<(u64, u64), u64>,
     /// The last barrier that the head of an epoch sent.
@@ -61,48 +61,48 @@
     }
 
     /// Each number has one command, everywhere and for good, and each command one number.
-    pub fn applied(&mut self, member: MemberId, seq: u64, command: &[u8], reply: bool) {
-        let index = seq as usize - 1;
-        assert!(index <= self.commands.len(), "seed {}: {member:?} applied {seq} with a gap", self.seed);
-        if index == self.commands.len() {
-            let before = self.seen.insert(command.to_vec(), seq);
-            assert_eq!(before, None, "seed {}: {member:?} applied {command:?} twice, at {seq}", self.seed);
-            self.hashes.push(mix(self.hashes[index], command));
+    pub fn applied(&mut self, member: MemberId, index: u64, command: &[u8], reply: bool) {
+        let position = index as usize - 1;
+        assert!(position <= self.commands.len(), "seed {}: {member:?} applied {index} with a gap", self.seed);
+        if position == self.commands.len() {
+            let before = self.seen.insert(command.to_vec(), index);
+            assert_eq!(before, None, "seed {}: {member:?} applied {command:?} twice, at {index}", self.seed);
+            self.hashes.push(mix(self.hashes[position], command));
             self.commands.push(command.to_vec());
         }
         assert_eq!(
-            self.commands[index], command,
-            "seed {}: {member:?} applied another command at {seq}",
+            self.commands[position], command,
+            "seed {}: {member:?} applied another command at {index}",
             self.seed
         );
         if reply {
-            self.acknowledged = self.acknowledged.max(seq);
+            self.acknowledged = self.acknowledged.max(index);
             self.acknowledgements += 1;
         }
     }
 
     /// What is acknowledged has been synced by one more disk than may be lost.
-    pub fn synced_by(&self, seq: u64, disks: usize) {
+    pub fn synced_by(&self, index: u64, disks: usize) {
         let needed = self.fault_tolerance + 1;
         assert!(
             disks >= needed,
-            "seed {}: {seq} was acknowledged after {disks} disks had synced it",
+            "seed {}: {index} was acknowledged after {disks} disks had synced it",
             self.seed
         );
     }
 
-    pub fn state(&self, member: MemberId, seq: u64, hash: u64) {
-        let expected = self.hashes.get(seq as usize).copied();
-        assert_eq!(expected, Some(hash), "seed {}: {member:?} took another state at {seq}", self.seed);
+    pub fn state(&self, member: MemberId, index: u64, hash: u64) {
+        let expected = self.hashes.get(index as usize).copied();
+        assert_eq!(expected, Some(hash), "seed {}: {member:?} took another state at {index}", self.seed);
     }
 
     pub fn read_asked(&mut self, token: u64) {
         self.reads.insert(token, self.acknowledged);
     }
 
-    pub fn read_ready(&mut self, token: u64, seq: u64) {
+    pub fn read_ready(&mut self, token: u64, index: u64) {
         let floor = self.reads.remove(&token).expect("each read ends once");
-        assert!(seq >= floor, "seed {}: a read at {seq} after {floor} was acknowledged", self.seed);
+        assert!(index >= floor, "seed {}: a read at {index} after {floor} was acknowledged", self.seed);
         self.reads_done += 1;
     }
 
@@ -112,7 +112,7 @@
     }
 
     /// One membership for each epoch, and voters that change one at a time and don't become fewer.
-    pub fn view(&mut self, members: Members) {
+    pub fn view(&mut self, members: Membership) {
         let seed = self.seed;
         let known = self.views.entry(members.epoch).or_insert_with(|| members.clone());
         assert_eq!(*known, members, "seed {seed}: two memberships for one epoch");
--- a/system/chain/tests/world/mod.rs
+++ b/system/chain/tests/world/mod.rs
@@ -12,7 +12,7 @@
 use std::collections::{BinaryHeap, HashSet};
 use std::time::Duration;
 
-use gingerledge_chain::{ChainEvent, ChainMessage, ControlChain, MemberId, Settings};
+use gingerledge_chain::{ChainEvent, ChainMessage, ControlChain, ControlChainSettings, MemberId};
 use host::{Host, Process};
 use ledger::Ledger;
 
@@ -26,7 +26,7 @@
     /// A timer of a process.
     Timer { place: usize, life: u64 },
     /// The host hands over a snapshot it was asked for.
-    Snapshot { place: usize, life: u64, seq: u64, bytes: Vec<u8> },
+    Snapshot { place: usize, life: u64, index: u64, bytes: Vec<u8> },
     /// A process starts.
     Starts { place: usize },
     /// A client submits or reads somewhere.
@@ -76,7 +76,7 @@
     pub rng: fastrand::Rng,
     pub now: Duration,
     pub shape: Shape,
-    pub settings: Settings,
+    pub settings: ControlChainSettings,
     pub hosts: Vec<Host>,
     pub lost_disks: Vec<disk::Disk>,
     pub ledger: Ledger,
@@ -106,7 +106,7 @@
 
 impl World {
     pub fn new(seed: u64, shape: Shape) -> Self {
-        let mut settings = Settings::new(shape.fault_tolerance);
+        let mut settings = ControlChainSettings::new(shape.fault_tolerance);
         settings.replica.batch_entries = 4;
         settings.replica.window_entries = 16;
         settings.replica.retain_entries = 20;
@@ -182,9 +182,9 @@
             }
             Happens::Synced { place, life } => self.synced(place, life),
             Happens::Timer { place, life } => self.timer(place, life),
-            Happens::Snapshot { place, life, seq, bytes } => {
+            Happens::Snapshot { place, life, index, bytes } => {
                 if self.hosts[place].life == life {
-                    self.event(place, ChainEvent::SnapshotReady { seq, bytes });
+                    self.event(place, ChainEvent::SnapshotReady { index, bytes });
                 }
             }
             Happens::Starts { place } => self.start(place),
@@ -245,7 +245,7 @@
         }
         if let Some(process) = &mut host.process {
             process.timer = None;
-            self.event(place, ChainEvent::Tick);
+            self.event(place, ChainEvent::TimerExpired);
         }
     }
 
@@ -317,7 +317,7 @@
     }
 
     /// The newest view that any running process knows.
-    pub fn newest_view(&self) -> Option<&gingerledge_chain::Members> {
+    pub fn newest_view(&self) -> Option<&gingerledge_chain::Membership> {
         let processes = self.hosts.iter().filter_map(|host| host.process.as_ref());
         processes.filter_map(|process| process.chain.members()).max_by_key(|members| members.epoch)
     }
--- a/system/control/src/coordinator/backends.rs
+++ b/system/control/src/coordinator/backends.rs
@@ -147,9 +147,9 @@
     pub fn newly_full<'a>(&self, current: impl Fn(u16) -> Option<&'a PartitionRecord>) -> Vec<Fullness> {
         let mut full = Vec::new();
         for (&member, backend) in &self.backends {
-            for &(partition, epoch) in &backend.report.full {
+            for &(partition, epoch) in &backend.report.in_sync {
                 let news = current(partition).is_some_and(|record| {
-                    record.epoch == epoch && record.chain.get(record.full.len()) == Some(&member)
+                    record.epoch == epoch && record.chain.get(record.in_sync.len()) == Some(&member)
                 });
                 if news {
                     full.push(Fullness { partition, epoch, member });
--- a/system/control/src/coordinator/partitions.rs
+++ b/system/control/src/coordinator/partitions.rs
@@ -6,7 +6,7 @@
 
 use std::collections::BTreeMap;
 
-use gingerledge_wire::{PartitionRecord, PARTITIONS};
+use gingerledge_wire::{PartitionRecord, PARTITION_COUNT};
 
 use super::rendezvous;
 
@@ -83,11 +83,11 @@
     /// The chains that should change. `current` gives the chain of a partition, if it has one.
     pub fn plan<'a>(&self, current: impl Fn(u16) -> Option<&'a PartitionRecord>) -> Vec<Change> {
         let mut load = Load::default();
-        for record in (0..PARTITIONS).filter_map(&current) {
+        for record in (0..PARTITION_COUNT).filter_map(&current) {
             load.add_all(&record.chain);
         }
         let mut changes = Vec::new();
-        for partition in 0..PARTITIONS {
+        for partition in 0..PARTITION_COUNT {
             let next = match current(partition) {
                 Some(record) => self.repair(partition, record, &mut load),
                 None => self.found(partition, &mut load),
@@ -103,7 +103,7 @@
         if chain.len() < self.chain_length {
             return None;
         }
-        Some(PartitionRecord { epoch: 1, full: chain.clone(), chain })
+        Some(PartitionRecord { epoch: 1, in_sync: chain.clone(), chain })
     }
 
     fn repair(&self, partition: u16, record: &PartitionRecord, load: &mut Load) -> Option<PartitionRecord> {
@@ -113,20 +113,20 @@
             .copied()
             .filter(|&member| self.condition(member) != Condition::Lost)
             .collect();
-        let is_full = |member: &u64| record.full.contains(member);
-        let (full, filling): (Vec<u64>, Vec<u64>) = kept.into_iter().partition(is_full);
-        if full.is_empty() {
+        let is_full = |member: &u64| record.in_sync.contains(member);
+        let (in_sync, filling): (Vec<u64>, Vec<u64>) = kept.into_iter().partition(is_full);
+        if in_sync.is_empty() {
             return None;
         }
         let staying = |member: &u64| self.condition(*member) != Condition::Retiring;
-        let mut keep: Vec<u64> = full.iter().chain(&filling).copied().filter(staying).collect();
+        let mut keep: Vec<u64> = in_sync.iter().chain(&filling).copied().filter(staying).collect();
         let replaced = self.extend(partition, &keep, self.chain_length, load);
-        let full_staying = full.iter().copied().filter(staying).count();
-        if full_staying < self.chain_length {
+        let in_sync_staying = in_sync.iter().copied().filter(staying).count();
+        if in_sync_staying < self.chain_length {
             // Those that leave on purpose serve until enough of the others have everything. Full members keep their
             // order: each holds all that the next one does, and would not after it.
-            keep = full.clone();
-            keep.extend(replaced.iter().copied().filter(|member| !full.contains(member)));
+            keep = in_sync.clone();
+            keep.extend(replaced.iter().copied().filter(|member| !in_sync.contains(member)));
         } else {
             keep = replaced;
             keep.truncate(self.chain_length);
@@ -135,8 +135,8 @@
         if keep.len() < self.chain_length || keep == record.chain {
             return None;
         }
-        let full = keep.iter().copied().filter(is_full).collect();
-        Some(PartitionRecord { epoch: record.epoch + 1, chain: keep, full })
+        let in_sync = keep.iter().copied().filter(is_full).collect();
+        Some(PartitionRecord { epoch: record.epoch + 1, chain: keep, in_sync })
     }
 
     /// Members that leave on purpose come on top of the usual length.
--- a/system/control/src/http/mod.rs
+++ b/system/control/src/http/mod.rs
@@ -8,7 +8,7 @@
 mod server;
 mod versions;
 
-use gingerledge_wire::{Command, Outcome};
+use gingerledge_wire::{Command, CommandOutcome};
 use salvo::http::StatusCode;
 use salvo::writing::Text;
 use salvo::{Response, Router};
@@ -38,7 +38,7 @@
     }
 
     /// Passes a command through the chain; none if its outcome is not known.
-    async fn submit(&self, command: Command) -> Option<Outcome> {
+    async fn submit(&self, command: Command) -> Option<CommandOutcome> {
         self.ask(|reply| Request::Submit { command, reply }).await.flatten()
     }
 }
@@ -88,16 +88,16 @@
 }
 
 /// Answers with the outcome of a command.
-fn answer(response: &mut Response, outcome: Option<Outcome>) {
+fn answer(response: &mut Response, outcome: Option<CommandOutcome>) {
     match outcome {
-        Some(Outcome::Taken | Outcome::Fence(_)) => {
+        Some(CommandOutcome::Applied | CommandOutcome::FencingToken(_)) => {
             response.status_code(StatusCode::OK);
         }
-        Some(Outcome::Conflict { current }) => {
+        Some(CommandOutcome::Conflict { current }) => {
             let reason = format!("version {current} is current");
             refuse(response, StatusCode::PRECONDITION_FAILED, reason);
         }
-        Some(Outcome::Invalid { reason }) => refuse(response, StatusCode::BAD_REQUEST, reason),
-        Some(Outcome::Unknown) | None => unavailable(response),
+        Some(CommandOutcome::Invalid { reason }) => refuse(response, StatusCode::BAD_REQUEST, reason),
+        Some(CommandOutcome::Indeterminate) | None => unavailable(response),
     }
 }
--- a/system/control/src/http/retire.rs
+++ b/system/control/src/http/retire.rs
@@ -1,6 +1,6 @@
 //! Backends that the operator wants emptied.
 
-use gingerledge_wire::RetireState;
+use gingerledge_wire::RetirementState;
 use salvo::http::StatusCode;
 use salvo::writing::Text;
 use salvo::{Request, Response};
@@ -32,7 +32,7 @@
             Some(BeginRetire::TooFew) => {
                 refuse(response, StatusCode::CONFLICT, "too few backends would be left".to_owned());
             }
-            Some(BeginRetire::NotNow) | None => unavailable(response),
+            Some(BeginRetire::Unavailable) | None => unavailable(response),
         }
     }
 }
@@ -49,8 +49,8 @@
         match self.node.ask(|reply| node::Request::ReadRetire { name, reply }).await.flatten() {
             Some(Some(state)) => {
                 let word = match state {
-                    RetireState::Active => "active",
-                    RetireState::Completed => "completed",
+                    RetirementState::Active => "active",
+                    RetirementState::Completed => "completed",
                 };
                 response.render(Text::Json(json!({ "state": word }).to_string()));
             }
--- a/system/control/src/node/chain.rs
+++ b/system/control/src/node/chain.rs
@@ -4,7 +4,7 @@
 
 use gingerledge_chain::{ChainAction, ChainEvent, ChainMessage, MemberId};
 use gingerledge_storage::WriterEvent;
-use gingerledge_wire::{Command, Envelope, Tick};
+use gingerledge_wire::{Command, Envelope, FreshnessTick};
 
 use super::disk::{DiskNews, DiskRecord};
 use super::submit::{decode_submission, Submission};
@@ -45,9 +45,9 @@
                 let records: Vec<DiskRecord> = records.into_iter().map(DiskRecord::Chain).collect();
                 self.disk.append(&records, Some(token));
             }
-            ChainAction::Apply { seq, command, reply } => self.apply(seq, &command, reply),
+            ChainAction::Apply { index, command, reply } => self.apply(index, &command, reply),
             ChainAction::TakeSnapshot => self.take_snapshot(),
-            ChainAction::InstallSnapshot { seq, bytes } => self.install(seq, &bytes),
+            ChainAction::InstallSnapshot { index, bytes } => self.install(index, &bytes),
             ChainAction::ReadReady { token, .. } => self.finish_read(token, true),
             ChainAction::ReadFailed { token } => self.finish_read(token, false),
             ChainAction::NotHead { command, .. } | ChainAction::Busy { command } => self.not_taken(&command),
@@ -58,9 +58,9 @@
                 self.view_installed(&members);
             }
             ChainAction::Sealed { epoch } => self.lease_sealed(epoch),
-            ChainAction::BecameFull { epoch } => log::info!("holds all that is committed, view {epoch}"),
-            ChainAction::Tick { epoch, number, committed_seq } => {
-                self.confirmed_tick(Tick { epoch, number }, committed_seq);
+            ChainAction::BecameInSync { epoch } => log::info!("holds all that is committed, view {epoch}"),
+            ChainAction::BarrierCommitted { epoch, number, commit_index } => {
+                self.confirmed_tick(FreshnessTick { epoch, number }, commit_index);
             }
         }
     }
@@ -81,11 +81,11 @@
         if let Command::NameVersion { model, version } = &command {
             log::info!("version {version} of {model} is named");
         }
-        if !matches!(command, Command::Nothing) {
+        if !matches!(command, Command::Noop) {
             let entries = self.state.changed_entries(&command);
             self.learn(entries);
         }
-        if matches!(command, Command::TakeFence { .. }) {
+        if matches!(command, Command::AllocateFencingToken { .. }) {
             self.lease_candidates();
         }
         self.pass_ticks_on();
@@ -98,7 +98,7 @@
 
     fn take_snapshot(&mut self) {
         match self.state.snapshot() {
-            Ok(bytes) => self.chain_event(ChainEvent::SnapshotReady { seq: self.applied, bytes }),
+            Ok(bytes) => self.chain_event(ChainEvent::SnapshotReady { index: self.applied, bytes }),
             Err(source) => self.fail(NodeError::Snapshot { source }),
         }
     }
@@ -116,7 +116,7 @@
     }
 
     /// A tick says that what was committed up to a number is what counts now; it goes down the tree once that is applied here.
-    fn confirmed_tick(&mut self, tick: Tick, committed: u64) {
+    fn confirmed_tick(&mut self, tick: FreshnessTick, committed: u64) {
         if self.unapplied_ticks.len() >= MAX_UNAPPLIED_TICKS {
             self.unapplied_ticks.pop_front();
         }
@@ -134,7 +134,7 @@
             self.unapplied_ticks.pop_front();
         }
         if let Some(tick) = newest {
-            self.relay_event(gingerledge_relay::Event::Tick(tick));
+            self.relay_event(gingerledge_relay::RelayEvent::Tick(tick));
         }
     }
 
--- a/system/control/src/node/coordinate.rs
+++ b/system/control/src/node/coordinate.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use gingerledge_wire::{BackendReport, Command, Coordinator, NodeRecord, Outcome};
+use gingerledge_wire::{BackendReport, Command, CommandOutcome, Coordinator, NodeRecord};
 use tokio::sync::mpsc::UnboundedSender;
 
 use super::orders::{OrderGate, OrderNews};
@@ -156,14 +156,15 @@
 
     fn take_fence(&mut self, now: Duration) {
         self.coordination.leadership = Leadership::TakingFence { held_since: now };
-        let command = Command::TakeFence { incarnation: self.me.incarnation, address: self.me.address };
+        let command =
+            Command::AllocateFencingToken { incarnation: self.me.incarnation, address: self.me.address };
         self.submit_own(command, Waiter::Fence);
     }
 
-    pub(super) fn fence_taken(&mut self, outcome: Option<Outcome>) {
+    pub(super) fn fence_taken(&mut self, outcome: Option<CommandOutcome>) {
         let Leadership::TakingFence { held_since } = self.coordination.leadership else { return };
         self.coordination.leadership = match outcome {
-            Some(Outcome::Fence(token)) => Leadership::Fenced { token, held_since },
+            Some(CommandOutcome::FencingToken(token)) => Leadership::Fenced { token, held_since },
             _ => Leadership::None,
         };
     }
@@ -174,7 +175,7 @@
             self.state.fence().is_some_and(|fence| fence.token == token && fence.previous.is_some());
         if unsettled && !self.coordination.settlement_under_way {
             self.coordination.settlement_under_way = true;
-            self.submit_own(Command::SettleFence { token }, Waiter::Settlement);
+            self.submit_own(Command::CompleteHandover { token }, Waiter::Settlement);
         }
     }
 
--- a/system/control/src/node/coordinate/partitions.rs
+++ b/system/control/src/node/coordinate/partitions.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use gingerledge_wire::{Command, Outcome, RetireState};
+use gingerledge_wire::{Command, CommandOutcome, RetirementState};
 
 use super::super::submit::Waiter;
 use super::super::Node;
@@ -14,7 +14,7 @@
         self.note_backends();
         for Change { partition, record } in self.partition_changes(now, since) {
             if self.coordination.partitions_under_way.insert(partition) {
-                let command = Command::SetPartition { partition, record, fence };
+                let command = Command::SetPartition { partition, record, fencing_token: fence };
                 self.submit_own(command, Waiter::Partition(partition));
             }
         }
@@ -39,7 +39,7 @@
         for full in self.coordination.backends.newly_full(|partition| partitions.get(partition)) {
             if self.coordination.partitions_under_way.insert(full.partition) {
                 let (partition, epoch, member) = (full.partition, full.epoch, full.member);
-                let command = Command::PartitionFull { partition, epoch, member };
+                let command = Command::ReplicaInSync { partition, epoch, member };
                 self.submit_own(command, Waiter::Partition(partition));
             }
         }
@@ -51,7 +51,7 @@
             self.coordination.backends.to_note(|member| self.state.backends().get(member))
         {
             if self.coordination.backends_under_way.insert(member) {
-                self.submit_own(Command::NoteBackend { member, address }, Waiter::Backend(member));
+                self.submit_own(Command::RegisterBackend { member, address }, Waiter::Backend(member));
             }
         }
     }
@@ -60,10 +60,10 @@
         self.coordination.backends_under_way.remove(&member);
     }
 
-    pub(in crate::node) fn partition_submitted(&mut self, partition: u16, outcome: Option<&Outcome>) {
+    pub(in crate::node) fn partition_submitted(&mut self, partition: u16, outcome: Option<&CommandOutcome>) {
         self.coordination.partitions_under_way.remove(&partition);
         match outcome {
-            Some(Outcome::Taken) => {}
+            Some(CommandOutcome::Applied) => {}
             other => log::info!("the change of partition {partition} was not taken: {other:?}"),
         }
     }
@@ -76,13 +76,13 @@
             return;
         }
         let empty = self.state.retiring().all().find(|(_, retiring)| {
-            retiring.state == RetireState::Active && !self.state.partitions().is_used(retiring.member)
+            retiring.state == RetirementState::Active && !self.state.partitions().is_used(retiring.member)
         });
         let Some((name, member)) = empty.map(|(name, retiring)| (name.to_owned(), retiring.member)) else {
             return;
         };
         self.coordination.completion_under_way = true;
-        self.submit_own(Command::CompleteRetire { name, member, copies }, Waiter::Completion);
+        self.submit_own(Command::CompleteRetirement { name, member, replicas: copies }, Waiter::Completion);
     }
 
     pub(in crate::node) fn completion_submitted(&mut self) {
--- a/system/control/src/node/introductions.rs
+++ b/system/control/src/node/introductions.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use gingerledge_chain::{ChainEvent, MemberId, Members};
+use gingerledge_chain::{ChainEvent, MemberId, Membership};
 use gingerledge_wire::{ControlMessage, Entry, Envelope, Key, NodeRecord, Role, Value};
 
 use super::disk::DiskRecord;
@@ -33,11 +33,12 @@
             self.introduce_to(to, known.clone(), answer);
         }
         let control = self.control_addresses();
-        self.relay_event(gingerledge_relay::Event::ControlKnown(control));
+        self.relay_event(gingerledge_relay::RelayEvent::ControlNodesKnown(control));
     }
 
     fn introduce_to(&mut self, to: SocketAddr, known: Vec<NodeRecord>, answer: bool) {
-        let message = ControlMessage::Introduce { node: self.me.clone(), known, answer };
+        let message =
+            ControlMessage::Hello { node: self.me.clone(), known_peers: known, wants_reply: answer };
         self.send(to, Envelope::Control(message));
     }
 
@@ -131,7 +132,7 @@
         self.sharing.changed(&key);
     }
 
-    pub(super) fn view_installed(&mut self, members: &Members) {
+    pub(super) fn view_installed(&mut self, members: &Membership) {
         self.announcements.look_again();
         self.lease_voters(members);
     }
--- a/system/control/src/node/lease.rs
+++ b/system/control/src/node/lease.rs
@@ -4,8 +4,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use gingerledge_chain::Members;
-use gingerledge_lease::{Action, Event, Lease, Settings, Voter};
+use gingerledge_chain::Membership;
+use gingerledge_lease::{Lease, LeaseAction, LeaseEvent, LeaseSettings, VoterId};
 use gingerledge_wire::{Envelope, LeaseMessage};
 
 use super::Node;
@@ -18,17 +18,17 @@
 pub(super) struct LeaseDriver {
     lease: Lease,
     /// The members of the chain, head first.
-    members: Vec<Voter>,
-    actions: Vec<Action>,
+    members: Vec<VoterId>,
+    actions: Vec<LeaseAction>,
 }
 
 impl LeaseDriver {
     /// The driver of a process that has just started; `founding` says that no process of the system has run before.
     pub(super) fn start(member: u64, lease_time: Duration, founding: bool, seed: u64) -> Self {
-        let settings = Settings::new(lease_time / TERM_DIVISOR);
-        let lease = Lease::new(Voter(member), settings, seed);
+        let settings = LeaseSettings::new(lease_time / TERM_DIVISOR);
+        let lease = Lease::new(VoterId(member), settings, seed);
         let mut driver = Self { lease, members: Vec::new(), actions: Vec::new() };
-        driver.lease.handle(Duration::ZERO, Event::Started { founding }, &mut driver.actions);
+        driver.lease.handle(Duration::ZERO, LeaseEvent::Started { founding }, &mut driver.actions);
         driver
     }
 
@@ -43,7 +43,7 @@
 }
 
 impl Node {
-    fn lease_event(&mut self, event: Event) {
+    fn lease_event(&mut self, event: LeaseEvent) {
         let now = self.now();
         self.lease.lease.handle(now, event, &mut self.lease.actions);
         self.carry_out_lease_actions();
@@ -52,18 +52,18 @@
     fn carry_out_lease_actions(&mut self) {
         for action in std::mem::take(&mut self.lease.actions) {
             match action {
-                Action::Send { to, message } => {
+                LeaseAction::Send { to, message } => {
                     if let Some(address) = self.book.address(to.0) {
                         self.send(address, Envelope::Lease { from: self.me.member, message });
                     }
                 }
-                Action::Acquired { round, until } => {
-                    log::info!("holds the coordinator's lease, round {round}");
+                LeaseAction::Acquired { generation, until } => {
+                    log::info!("holds the coordinator's lease, generation {generation}");
                     self.lease_held(until);
                 }
-                Action::Renewed { until, .. } => self.lease_held(until),
-                Action::Lost { round } => {
-                    log::info!("lost the coordinator's lease, round {round}");
+                LeaseAction::Renewed { until, .. } => self.lease_held(until),
+                LeaseAction::Lost { generation } => {
+                    log::info!("lost the coordinator's lease, generation {generation}");
                     self.lease_lost();
                 }
             }
@@ -71,29 +71,29 @@
     }
 
     pub(super) fn take_lease_message(&mut self, from: u64, message: LeaseMessage) {
-        self.lease_event(Event::Message { from: Voter(from), message });
+        self.lease_event(LeaseEvent::Message { from: VoterId(from), message });
     }
 
     pub(super) fn run_lease_timer(&mut self, now: Duration) {
         if self.lease.next_timer().is_some_and(|due| due <= now) {
-            self.lease_event(Event::Tick);
+            self.lease_event(LeaseEvent::TimerExpired);
         }
     }
 
     /// This node has sealed a view, so it grants nothing in it any more.
     pub(super) fn lease_sealed(&mut self, epoch: u64) {
-        self.lease_event(Event::Sealed { epoch });
+        self.lease_event(LeaseEvent::Sealed { epoch });
     }
 
     pub(super) fn release_lease(&mut self) {
-        self.lease_event(Event::Candidates { order: Vec::new() });
+        self.lease_event(LeaseEvent::Candidates { order: Vec::new() });
     }
 
     /// The voters of a new view grant, and its chain's members may hold.
-    pub(super) fn lease_voters(&mut self, members: &Members) {
-        let voters = members.voters.iter().map(|member| Voter(member.0)).collect();
-        self.lease_event(Event::Voters { epoch: members.epoch, voters });
-        self.lease.members = members.chain.iter().map(|member| Voter(member.0)).collect();
+    pub(super) fn lease_voters(&mut self, members: &Membership) {
+        let voters = members.voters.iter().map(|member| VoterId(member.0)).collect();
+        self.lease_event(LeaseEvent::Voters { epoch: members.epoch, voters });
+        self.lease.members = members.chain.iter().map(|member| VoterId(member.0)).collect();
         self.lease_candidates();
     }
 
@@ -106,13 +106,13 @@
         let last = self.state.fence().and_then(|fence| self.address_member(fence.holder.address));
         let mut order = self.lease.members.clone();
         order.sort_by_key(|member| Some(*member) != last);
-        self.lease_event(Event::Candidates { order });
+        self.lease_event(LeaseEvent::Candidates { order });
     }
 
     /// The control node's member at an address.
-    fn address_member(&self, address: SocketAddr) -> Option<Voter> {
+    fn address_member(&self, address: SocketAddr) -> Option<VoterId> {
         let member =
             if address == self.me.address { Some(self.me.member) } else { self.book.member_at(address) };
-        member.map(Voter)
+        member.map(VoterId)
     }
 }
--- a/system/control/src/node/messages.rs
+++ b/system/control/src/node/messages.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use gingerledge_relay::{Action, Event};
+use gingerledge_relay::{RelayAction, RelayEvent};
 use gingerledge_transport::{Inbox, Incoming};
 use gingerledge_wire::{ControlMessage, Entry, Envelope, Key};
 
@@ -23,7 +23,7 @@
         match event {
             Incoming::Message { from, message } => self.take_message(from, message),
             Incoming::Lost { peer, refused } => {
-                self.relay_event(Event::Lost { peer });
+                self.relay_event(RelayEvent::PeerDisconnected { peer });
                 if refused {
                     self.peer_refused(peer);
                 }
@@ -37,7 +37,7 @@
             Envelope::Chain { from, message } => self.take_chain_message(from, message),
             Envelope::Lease { from, message } => self.take_lease_message(from, message),
             Envelope::Control(message) => self.take_control_message(from, message),
-            Envelope::Relay(message) => self.relay_event(Event::Message { from, message }),
+            Envelope::Relay(message) => self.relay_event(RelayEvent::Message { from, message }),
             Envelope::Jobs(_) | Envelope::Partition { .. } => {
                 log::debug!("a message for another plane came from {from}");
             }
@@ -49,34 +49,36 @@
             ControlMessage::Heartbeat { node, sequence, report } => {
                 self.take_node_heartbeat(from, node, sequence, report);
             }
-            ControlMessage::Farewell { incarnation } => self.take_farewell(incarnation),
-            ControlMessage::Introduce { node, known, answer } => {
-                self.take_introduction(from, node, known, answer);
+            ControlMessage::Goodbye { incarnation } => self.take_farewell(incarnation),
+            ControlMessage::Hello { node, known_peers, wants_reply } => {
+                self.take_introduction(from, node, known_peers, wants_reply);
             }
             ControlMessage::Submit { request, reply_to, command } => {
                 self.take_submission(request, reply_to, command);
             }
-            ControlMessage::Submitted { request, outcome } => self.finish_submission(request, outcome),
-            ControlMessage::Share { number, entries } => self.take_share(from, number, entries),
-            ControlMessage::Shared { number } => {
-                self.sharing.acknowledged(from, number);
+            ControlMessage::SubmitResponse { request, outcome } => self.finish_submission(request, outcome),
+            ControlMessage::ReplicateSessions { sequence, entries } => {
+                self.take_share(from, sequence, entries)
+            }
+            ControlMessage::ReplicateSessionsAck { sequence } => {
+                self.sharing.acknowledged(from, sequence);
                 self.announcements.look_again();
             }
             ControlMessage::ModelUsed { model, host, path, min_version } => {
                 self.model_used(&model, &host, &path, min_version);
             }
-            ControlMessage::HeartbeatTaken { .. } => {}
+            ControlMessage::HeartbeatAck { .. } => {}
         }
     }
 
-    pub(super) fn relay_event(&mut self, event: Event) {
+    pub(super) fn relay_event(&mut self, event: RelayEvent) {
         let now = self.now();
         let mut actions = Vec::new();
         self.relay.handle(now, event, &mut actions);
         for action in actions {
             match action {
-                Action::Send { to, message } => self.send(to, Envelope::Relay(message)),
-                Action::Changed(entries) => {
+                RelayAction::Send { to, message } => self.send(to, Envelope::Relay(message)),
+                RelayAction::EntriesChanged(entries) => {
                     if entries.iter().any(|entry| moves_weights(&entry.key)) {
                         self.coordination.weights_changed();
                     }
@@ -88,7 +90,7 @@
     /// Entries that are new here go down the tree.
     pub(super) fn learn(&mut self, entries: Vec<Entry>) {
         if !entries.is_empty() {
-            self.relay_event(Event::Learned(entries));
+            self.relay_event(RelayEvent::EntriesLearned(entries));
         }
     }
 }
--- a/system/control/src/node/mod.rs
+++ b/system/control/src/node/mod.rs
@@ -29,7 +29,7 @@
 use gingerledge_relay::Relay;
 use gingerledge_storage::WriterEvent;
 use gingerledge_transport::{Inbox, Network};
-use gingerledge_wire::{ControlMessage, Envelope, NodeRecord, Tick};
+use gingerledge_wire::{ControlMessage, Envelope, FreshnessTick, NodeRecord};
 use snafu::Snafu;
 use tokio::sync::mpsc::{Receiver, UnboundedReceiver};
 use tokio::time::Instant;
@@ -82,7 +82,7 @@
     network: Network<Envelope>,
     chain: ControlChain,
     chain_actions: Vec<ChainAction>,
-    unapplied_ticks: VecDeque<(Tick, u64)>,
+    unapplied_ticks: VecDeque<(FreshnessTick, u64)>,
     /// The last entry of the chain in `state`; the chain itself may have given out more by now.
     applied: u64,
     state: ControlState,
@@ -190,10 +190,10 @@
 
     fn run_timers(&mut self, now: Duration) {
         if self.chain.next_timer().is_some_and(|due| due <= now) {
-            self.chain_event(gingerledge_chain::ChainEvent::Tick);
+            self.chain_event(gingerledge_chain::ChainEvent::TimerExpired);
         }
         if self.relay.next_timer().is_some_and(|due| due <= now) {
-            self.relay_event(gingerledge_relay::Event::Timer);
+            self.relay_event(gingerledge_relay::RelayEvent::TimerExpired);
         }
         self.run_lease_timer(now);
         if now >= self.last_housekeeping + HOUSEKEEPING {
@@ -243,7 +243,7 @@
     }
 
     fn say_farewell(&mut self) {
-        let farewell = ControlMessage::Farewell { incarnation: self.me.incarnation };
+        let farewell = ControlMessage::Goodbye { incarnation: self.me.incarnation };
         for record in self.book.records() {
             self.send(record.address, Envelope::Control(farewell.clone()));
         }
--- a/system/control/src/node/request.rs
+++ b/system/control/src/node/request.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use gingerledge_protocol::Heartbeat;
-use gingerledge_wire::{Command, Outcome, RetireState};
+use gingerledge_wire::{Command, CommandOutcome, RetirementState};
 use tokio::sync::oneshot::Sender;
 
 /// The answer to a read that passed the chain; `None` if it could not be confirmed.
@@ -19,7 +19,7 @@
     /// Too few would be left.
     TooFew,
     /// It can't be said now.
-    NotNow,
+    Unavailable,
 }
 
 /// What a store says is taken, and may be acknowledged.
@@ -37,7 +37,7 @@
         /// The command.
         command: Command,
         /// The outcome.
-        reply: Sender<Option<Outcome>>,
+        reply: Sender<Option<CommandOutcome>>,
     },
     /// The newest configuration's bytes.
     ReadConfiguration {
@@ -49,7 +49,7 @@
         /// The machine.
         name: String,
         /// The state, if it was ever asked for.
-        reply: Sender<Confirmed<Option<RetireState>>>,
+        reply: Sender<Confirmed<Option<RetirementState>>>,
     },
     /// Empty a backend.
     BeginRetire {
--- a/system/control/src/node/requests.rs
+++ b/system/control/src/node/requests.rs
@@ -7,7 +7,7 @@
 
 use gingerledge_chain::ChainEvent;
 use gingerledge_protocol::{ConfigurationDocument, Heartbeat, StoreState};
-use gingerledge_wire::{Command, Key, NodeRecord, RetireState, Role, StoreRecord, Value};
+use gingerledge_wire::{Command, Key, NodeRecord, RetirementState, Role, StoreRecord, Value};
 use tokio::sync::oneshot::Sender;
 
 use super::request::{Accepted, BeginRetire, Confirmed, Request};
@@ -24,7 +24,7 @@
 #[derive(Debug)]
 pub(super) enum Read {
     Configuration(Sender<Confirmed<Option<Arc<Vec<u8>>>>>),
-    Retire(String, Sender<Confirmed<Option<RetireState>>>),
+    Retire(String, Sender<Confirmed<Option<RetirementState>>>),
     /// Whether a backend is unknown, or too few are left, is judged only by a node in touch with the chain.
     BeginRetire(String, Sender<BeginRetire>),
     /// The chain is to confirm its membership for the announcements that wait for this token.
@@ -80,7 +80,7 @@
             }
             Read::BeginRetire(name, reply) if confirmed => self.begin_retire(name, reply),
             Read::BeginRetire(_, reply) => {
-                let _ = reply.send(BeginRetire::NotNow);
+                let _ = reply.send(BeginRetire::Unavailable);
             }
             Read::Announcements => self.finish_announcements(token, confirmed),
         }
@@ -104,7 +104,7 @@
             // What a later heartbeat said is shared by whoever heard that one, so nothing is known of who holds it.
             true if newest => self.announce(key, reply),
             false if !self.is_cut_off() => {
-                let _ = reply.send(Accepted { chain_is_fresh: self.relay.fresh(self.now()) });
+                let _ = reply.send(Accepted { chain_is_fresh: self.relay.is_fresh(self.now()) });
             }
             // Dropping it answers that another control node should be called.
             _ => {}
@@ -138,11 +138,11 @@
         let here = self.backend_named(&name).map(|backend| backend.member);
         let before = self.state.retiring().get(&name).map(|retiring| retiring.member);
         if let Some(member) = before.filter(|member| here.is_none_or(|here| here == *member)) {
-            self.submit_retire(Command::BeginRetire { name, member }, reply);
+            self.submit_retire(Command::BeginRetirement { name, member }, reply);
             return;
         }
         match self.judge_retire(&name) {
-            Ok(member) => self.submit_retire(Command::BeginRetire { name, member }, reply),
+            Ok(member) => self.submit_retire(Command::BeginRetirement { name, member }, reply),
             Err(refusal) => {
                 let _ = reply.send(refusal);
             }
@@ -152,7 +152,7 @@
     /// The identity of the disk that would be emptied, or why not.
     fn judge_retire(&self, name: &str) -> Result<u64, BeginRetire> {
         let settled = self.now() >= SESSIONS_SETTLED;
-        let unless_unsettled = |refusal| if settled { refusal } else { BeginRetire::NotNow };
+        let unless_unsettled = |refusal| if settled { refusal } else { BeginRetire::Unavailable };
         let Some(backend) = self.backend_named(name) else {
             return Err(unless_unsettled(BeginRetire::Unknown));
         };
@@ -165,7 +165,7 @@
         };
         // A member of a chain that is silent now may be back at once.
         let all_there = self.state.partitions().all().all(|(_, record)| kept(record));
-        Err(if all_there { unless_unsettled(BeginRetire::TooFew) } else { BeginRetire::NotNow })
+        Err(if all_there { unless_unsettled(BeginRetire::TooFew) } else { BeginRetire::Unavailable })
     }
 
     fn backend_named(&self, name: &str) -> Option<NodeRecord> {
--- a/system/control/src/node/sharing.rs
+++ b/system/control/src/node/sharing.rs
@@ -54,7 +54,7 @@
             self.end_former_lives(&node);
         }
         let control = self.control_addresses();
-        self.send(from, Envelope::Control(ControlMessage::HeartbeatTaken { sequence, control }));
+        self.send(from, Envelope::Control(ControlMessage::HeartbeatAck { sequence, control_nodes: control }));
     }
 
     /// One process runs at an address: those before it are gone.
@@ -89,12 +89,13 @@
             news.push(entry);
         }
         self.learn(news);
-        self.send(from, Envelope::Control(ControlMessage::Shared { number }));
+        self.send(from, Envelope::Control(ControlMessage::ReplicateSessionsAck { sequence: number }));
     }
 
     pub(super) fn send_shares(&mut self, now: Duration) {
         for share in self.sharing.poll(now, self.relay.registry()) {
-            let message = ControlMessage::Share { number: share.number, entries: share.entries };
+            let message =
+                ControlMessage::ReplicateSessions { sequence: share.number, entries: share.entries };
             self.send(share.to, Envelope::Control(message));
         }
     }
@@ -102,7 +103,7 @@
     /// A member that is cut off from the chain hears nobody, and lets no session end: it is the sources' silence only to itself.
     pub(super) fn expire_sessions(&mut self, now: Duration) {
         self.announce_self();
-        if self.is_member() && !self.relay.fresh(now) {
+        if self.is_member() && !self.relay.is_fresh(now) {
             self.sessions.resumed(now);
             return;
         }
--- a/system/control/src/node/start.rs
+++ b/system/control/src/node/start.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use gingerledge_chain::{ChainEvent, ControlChain, MemberId, Settings as ChainSettings};
+use gingerledge_chain::{ChainEvent, ControlChain, ControlChainSettings, MemberId};
 use gingerledge_protocol::Settings;
 use gingerledge_relay::{Relay, RelaySettings};
 use gingerledge_transport::{identity, Network, NetworkSettings, TransportError};
@@ -148,7 +148,7 @@
 impl Node {
     fn begin(&mut self) {
         log::info!("control node {:x} at {}", self.me.member, self.me.address);
-        self.relay_event(gingerledge_relay::Event::Started);
+        self.relay_event(gingerledge_relay::RelayEvent::Started);
         self.chain_event(ChainEvent::Started);
         if let Some(members) = self.chain.members().cloned() {
             self.view_installed(&members);
@@ -198,7 +198,7 @@
 
 fn make_chain(settings: &Settings, identity: &Identity, kept: &mut Kept, seed: u64) -> ControlChain {
     let me = MemberId(identity.member);
-    let chain_settings = ChainSettings::new(settings.fault_tolerance.machines);
+    let chain_settings = ControlChainSettings::new(settings.fault_tolerance.machines);
     let records = std::mem::take(&mut kept.chain);
     if records.is_empty() && !identity.founders.is_empty() {
         let founders = identity.founders.iter().copied().map(MemberId).collect();
--- a/system/control/src/node/status.rs
+++ b/system/control/src/node/status.rs
@@ -31,7 +31,7 @@
                     "partition": partition,
                     "epoch": record.epoch,
                     "chain": record.chain.iter().map(|member| format!("{member:x}")).collect::<Vec<_>>(),
-                    "full": record.full.len(),
+                    "full": record.in_sync.len(),
                 })
             })
             .collect();
--- a/system/control/src/node/submissions.rs
+++ b/system/control/src/node/submissions.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use gingerledge_wire::{Command, Outcome};
+use gingerledge_wire::{Command, CommandOutcome};
 
 /// Bounds and times of submissions.
 #[derive(Clone, Copy, Debug)]
@@ -114,4 +114,4 @@
 }
 
 /// What an outcome means to whoever waits: none is an outcome that is not known.
-pub type KnownOutcome = Option<Outcome>;
+pub type KnownOutcome = Option<CommandOutcome>;
--- a/system/control/src/node/submit.rs
+++ b/system/control/src/node/submit.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use gingerledge_chain::ChainEvent;
-use gingerledge_wire::{Command, ControlMessage, Envelope, Outcome};
+use gingerledge_wire::{Command, CommandOutcome, ControlMessage, Envelope};
 use serde::{Deserialize, Serialize};
 use tokio::sync::oneshot::Sender;
 
@@ -38,7 +38,7 @@
 #[derive(Debug)]
 pub(super) enum Waiter {
     /// A call of the operator or a trainer.
-    Call(Sender<Option<Outcome>>),
+    Call(Sender<Option<CommandOutcome>>),
     /// The wish to empty a backend.
     Retire(Sender<BeginRetire>),
     /// The coordinator takes a fencing token.
@@ -54,7 +54,7 @@
 }
 
 impl Node {
-    pub(super) fn submit_call(&mut self, command: Command, reply: Sender<Option<Outcome>>) {
+    pub(super) fn submit_call(&mut self, command: Command, reply: Sender<Option<CommandOutcome>>) {
         self.submit(command, CALL_PATIENCE, Waiter::Call(reply));
     }
 
@@ -116,16 +116,16 @@
         }
     }
 
-    pub(super) fn reply_outcome(&mut self, to: SocketAddr, request: u64, outcome: Outcome) {
+    pub(super) fn reply_outcome(&mut self, to: SocketAddr, request: u64, outcome: CommandOutcome) {
         self.reply(to, request, Some(outcome));
     }
 
-    fn reply(&mut self, to: SocketAddr, request: u64, outcome: Option<Outcome>) {
-        self.send(to, Envelope::Control(ControlMessage::Submitted { request, outcome }));
+    fn reply(&mut self, to: SocketAddr, request: u64, outcome: Option<CommandOutcome>) {
+        self.send(to, Envelope::Control(ControlMessage::SubmitResponse { request, outcome }));
     }
 
     /// An outcome has come, or the news that a command was not taken.
-    pub(super) fn finish_submission(&mut self, request: u64, outcome: Option<Outcome>) {
+    pub(super) fn finish_submission(&mut self, request: u64, outcome: Option<CommandOutcome>) {
         match outcome {
             Some(outcome) => {
                 if let Some(waiter) = self.submissions.complete(request) {
@@ -145,15 +145,15 @@
         }
     }
 
-    fn tell_waiter(&mut self, waiter: Waiter, outcome: Option<Outcome>) {
+    fn tell_waiter(&mut self, waiter: Waiter, outcome: Option<CommandOutcome>) {
         match waiter {
             // Whoever asked may have gone away.
             Waiter::Call(reply) => {
                 let _ = reply.send(outcome);
             }
             Waiter::Retire(reply) => {
-                let taken = outcome == Some(Outcome::Taken);
-                let _ = reply.send(if taken { BeginRetire::Taken } else { BeginRetire::NotNow });
+                let taken = outcome == Some(CommandOutcome::Applied);
+                let _ = reply.send(if taken { BeginRetire::Taken } else { BeginRetire::Unavailable });
             }
             Waiter::Fence => self.fence_taken(outcome),
             Waiter::Settlement => self.fence_settled(),
--- a/system/control/src/sessions/mod.rs
+++ b/system/control/src/sessions/mod.rs
@@ -12,7 +12,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use gingerledge_wire::{Entry, Key, Value, ENDED_VERSION, MAX_ENTRIES};
+use gingerledge_wire::{Entry, Key, Value, FINAL_VERSION, MAX_ENTRIES};
 
 pub use announcements::{Announcements, Confirmation, MAX_ANNOUNCEMENTS};
 pub use sharing::{Share, Sharing, SharingSettings};
@@ -100,13 +100,13 @@
     /// A source has said itself that it ends.
     pub fn ended(&mut self, key: Key) -> Entry {
         self.sessions.remove(&key);
-        Entry { key, version: ENDED_VERSION, value: Value::Gone }
+        Entry { key, version: FINAL_VERSION, value: Value::Tombstone }
     }
 
     /// Another source has taken the place of this one. If it lives all the same, it is back with its next heartbeat.
     pub fn superseded(&mut self, key: Key) -> Option<Entry> {
         let session = self.sessions.remove(&key)?;
-        Some(Entry { key, version: session.sequence, value: Value::Gone })
+        Some(Entry { key, version: session.sequence, value: Value::Tombstone })
     }
 
     /// Another control node shares an entry that is new here.
@@ -114,7 +114,7 @@
         if !is_session(&entry.key) {
             return;
         }
-        if matches!(entry.value, Value::Gone) {
+        if matches!(entry.value, Value::Tombstone) {
             self.sessions.remove(&entry.key);
             return;
         }
@@ -156,7 +156,7 @@
         for (key, _) in &gone {
             self.sessions.remove(key);
         }
-        gone.into_iter().map(|(key, version)| Entry { key, version, value: Value::Gone }).collect()
+        gone.into_iter().map(|(key, version)| Entry { key, version, value: Value::Tombstone }).collect()
     }
 
     fn grace(&self, key: &Key) -> Duration {
@@ -181,7 +181,7 @@
 
 /// Whether a heartbeat of that sequence can't change the entry any more.
 fn is_over(entry: &Entry, sequence: u64) -> bool {
-    let gone = matches!(entry.value, Value::Gone);
+    let gone = matches!(entry.value, Value::Tombstone);
     entry.version > sequence || (gone && entry.version >= sequence)
 }
 
--- a/system/control/src/state/backends.rs
+++ b/system/control/src/state/backends.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use gingerledge_wire::Outcome;
+use gingerledge_wire::CommandOutcome;
 use serde::{Deserialize, Serialize};
 
 /// Most backends that are remembered.
@@ -27,14 +27,14 @@
         member: u64,
         address: SocketAddr,
         keeps_partitions: impl Fn(u64) -> bool,
-    ) -> Outcome {
+    ) -> CommandOutcome {
         if self.addresses.len() >= MAX_BACKENDS {
             self.addresses.retain(|member, _| keeps_partitions(*member));
         }
         if self.addresses.len() >= MAX_BACKENDS && !self.addresses.contains_key(&member) {
-            return Outcome::Invalid { reason: "too many backends".to_owned() };
+            return CommandOutcome::Invalid { reason: "too many backends".to_owned() };
         }
         self.addresses.insert(member, address);
-        Outcome::Taken
+        CommandOutcome::Applied
     }
 }
--- a/system/control/src/state/configuration.rs
+++ b/system/control/src/state/configuration.rs
@@ -13,7 +13,7 @@
 use std::sync::Arc;
 
 use gingerledge_protocol::{AppliedUpdate, ConfigurationDocument};
-use gingerledge_wire::{Entry, Key, Outcome, Value};
+use gingerledge_wire::{CommandOutcome, Entry, Key, Value};
 use serde::{Deserialize, Serialize};
 use sha2::{Digest as _, Sha256};
 
@@ -71,35 +71,47 @@
         self.sequence
     }
 
-    pub(super) fn replace(&mut self, sequence: u64, base: u64, version: u64, json: &Arc<Vec<u8>>) -> Outcome {
+    pub(super) fn replace(
+        &mut self,
+        sequence: u64,
+        base: u64,
+        version: u64,
+        json: &Arc<Vec<u8>>,
+    ) -> CommandOutcome {
         let change = Change { kind: ChangeKind::Replacement, version, digest: digest(json) };
         if let Some(outcome) = self.outcome_without_a_look_inside(base, change) {
             return outcome;
         }
         self.take(sequence, base, change, ConfigurationDocument::from_text(Arc::clone(json)));
-        Outcome::Taken
+        CommandOutcome::Applied
     }
 
-    pub(super) fn update(&mut self, sequence: u64, base: u64, version: u64, json: &Arc<Vec<u8>>) -> Outcome {
+    pub(super) fn update(
+        &mut self,
+        sequence: u64,
+        base: u64,
+        version: u64,
+        json: &Arc<Vec<u8>>,
+    ) -> CommandOutcome {
         let change = Change { kind: ChangeKind::Update, version, digest: digest(json) };
         if let Some(outcome) = self.outcome_without_a_look_inside(base, change) {
             return outcome;
         }
         let Some(mut document) = self.document.clone() else {
-            return Outcome::Invalid { reason: "there is no configuration yet to update".to_owned() };
+            return CommandOutcome::Invalid { reason: "there is no configuration yet to update".to_owned() };
         };
         // The configuration of a base never changes, so what is invalid on it now is invalid for good.
         match document.apply(AppliedUpdate { base: self.sequence, sequence, json: Arc::clone(json) }) {
             Ok(()) => {
                 self.take(sequence, base, change, document);
-                Outcome::Taken
+                CommandOutcome::Applied
             }
-            Err(error) => Outcome::Invalid { reason: error.to_string() },
+            Err(error) => CommandOutcome::Invalid { reason: error.to_string() },
         }
     }
 
     /// What becomes of a change, as far as its base and version decide it.
-    fn outcome_without_a_look_inside(&mut self, base: u64, change: Change) -> Option<Outcome> {
+    fn outcome_without_a_look_inside(&mut self, base: u64, change: Change) -> Option<CommandOutcome> {
         if base < self.version {
             return Some(self.outcome_on_older(base, change));
         }
@@ -112,7 +124,7 @@
         if change.version <= self.version {
             let reason =
                 format!("version: {} is not above the current one, {}", change.version, self.version);
-            return Some(Outcome::Invalid { reason });
+            return Some(CommandOutcome::Invalid { reason });
         }
         None
     }
@@ -131,11 +143,11 @@
     }
 
     /// What became of a change on a version that is not current any more.
-    fn outcome_on_older(&self, base: u64, change: Change) -> Outcome {
+    fn outcome_on_older(&self, base: u64, change: Change) -> CommandOutcome {
         match self.taken.get(&base) {
-            Some(taken) if *taken == change => Outcome::Taken,
+            Some(taken) if *taken == change => CommandOutcome::Applied,
             Some(_) => self.conflict(),
-            None if self.is_forgotten(base) => Outcome::Unknown,
+            None if self.is_forgotten(base) => CommandOutcome::Indeterminate,
             None => self.conflict(),
         }
     }
@@ -145,17 +157,17 @@
         self.forgets && oldest.is_some_and(|oldest| base < oldest)
     }
 
-    fn refuse(&mut self, base: u64, change: Change) -> Outcome {
+    fn refuse(&mut self, base: u64, change: Change) -> CommandOutcome {
         let refused = (base, change);
         if !self.refused.contains(&refused) && self.refused.len() >= REFUSED_HISTORY {
-            return Outcome::Unknown;
+            return CommandOutcome::Indeterminate;
         }
         self.refused.insert(refused);
         self.conflict()
     }
 
-    fn conflict(&self) -> Outcome {
-        Outcome::Conflict { current: self.version }
+    fn conflict(&self) -> CommandOutcome {
+        CommandOutcome::Conflict { current: self.version }
     }
 
     pub(super) fn entry(&self) -> Option<Entry> {
--- a/system/control/src/state/mod.rs
+++ b/system/control/src/state/mod.rs
@@ -2,7 +2,7 @@
 //! order. It holds the operator's configuration, the named versions of weights, the coordinator's fencing token, the chains of
 //! the partitions of batch jobs, and the backends that are being emptied.
 //!
-//! It promises: a command that was taken is answered [`Outcome::Taken`] whenever it comes again; of two configurations on one
+//! It promises: a command that was taken is answered [`CommandOutcome::Taken`] whenever it comes again; of two configurations on one
 //! base one is taken at most; versions, epochs and fencing tokens only rise. It does no I/O and knows no time.
 
 mod backends;
@@ -12,7 +12,7 @@
 
 use std::collections::BTreeMap;
 
-use gingerledge_wire::{Command, Coordinator, Entry, Key, Outcome, PartitionRecord, Value};
+use gingerledge_wire::{Command, CommandOutcome, Coordinator, Entry, Key, PartitionRecord, Value};
 use serde::{Deserialize, Serialize};
 use snafu::{ensure, ResultExt, Snafu};
 
@@ -71,9 +71,9 @@
 
 impl ControlState {
     /// Applies the command that the chain numbered `sequence`; numbers rise.
-    pub fn apply(&mut self, sequence: u64, command: &Command) -> Outcome {
+    pub fn apply(&mut self, sequence: u64, command: &Command) -> CommandOutcome {
         match command {
-            Command::Nothing => Outcome::Taken,
+            Command::Noop => CommandOutcome::Applied,
             Command::ReplaceConfiguration { base, version, json } => {
                 self.configuration.replace(sequence, *base, *version, json)
             }
@@ -81,57 +81,57 @@
                 self.configuration.update(sequence, *base, *version, json)
             }
             Command::NameVersion { model, version } => self.name_version(model, *version),
-            Command::TakeFence { incarnation, address } => {
+            Command::AllocateFencingToken { incarnation, address } => {
                 self.take_fence(Coordinator { incarnation: *incarnation, address: *address })
             }
-            Command::SettleFence { token } => self.settle_fence(*token),
-            Command::SetPartition { partition, record, fence } => {
+            Command::CompleteHandover { token } => self.settle_fence(*token),
+            Command::SetPartition { partition, record, fencing_token } => {
                 let newest = self.fence_token();
-                self.partitions.set(*partition, record, *fence, newest)
+                self.partitions.set(*partition, record, *fencing_token, newest)
             }
-            Command::PartitionFull { partition, epoch, member } => {
+            Command::ReplicaInSync { partition, epoch, member } => {
                 self.partitions.mark_full(*partition, *epoch, *member)
             }
-            Command::NoteBackend { member, address } => {
+            Command::RegisterBackend { member, address } => {
                 let partitions = &self.partitions;
                 self.backends.note(*member, *address, |member| partitions.is_used(member))
             }
-            Command::BeginRetire { name, member } => self.retiring.begin(name, *member),
-            Command::CompleteRetire { name, member, copies } => {
-                let needed = self.partitions.is_used(*member) || !self.partitions.have_copies(*copies);
+            Command::BeginRetirement { name, member } => self.retiring.begin(name, *member),
+            Command::CompleteRetirement { name, member, replicas } => {
+                let needed = self.partitions.is_used(*member) || !self.partitions.have_copies(*replicas);
                 self.retiring.complete(name, *member, needed)
             }
         }
     }
 
-    fn name_version(&mut self, model: &str, version: u64) -> Outcome {
+    fn name_version(&mut self, model: &str, version: u64) -> CommandOutcome {
         let known = self.versions.get(model).copied();
         if known.is_none() && self.versions.len() >= MAX_MODELS {
-            return Outcome::Invalid { reason: "too many models have named versions".to_owned() };
+            return CommandOutcome::Invalid { reason: "too many models have named versions".to_owned() };
         }
         if version > known.unwrap_or(1) {
             self.versions.insert(model.to_owned(), version);
         }
-        Outcome::Taken
+        CommandOutcome::Applied
     }
 
-    fn take_fence(&mut self, holder: Coordinator) -> Outcome {
+    fn take_fence(&mut self, holder: Coordinator) -> CommandOutcome {
         let token = self.fence_token() + 1;
         let previous = match &self.fence {
             Some(fence) if fence.holder.address == holder.address => fence.previous.clone(),
             other => other.as_ref().map(|fence| fence.holder.clone()),
         };
         self.fence = Some(Fence { token, holder, previous });
-        Outcome::Fence(token)
+        CommandOutcome::FencingToken(token)
     }
 
-    fn settle_fence(&mut self, token: u64) -> Outcome {
+    fn settle_fence(&mut self, token: u64) -> CommandOutcome {
         match &mut self.fence {
             Some(fence) if fence.token == token => {
                 fence.previous = None;
-                Outcome::Taken
+                CommandOutcome::Applied
             }
-            _ => Outcome::Conflict { current: self.fence_token() },
+            _ => CommandOutcome::Conflict { current: self.fence_token() },
         }
     }
 
@@ -189,15 +189,15 @@
             Command::NameVersion { model, .. } => {
                 self.versions.get(model).map(|version| version_entry(model, *version))
             }
-            Command::TakeFence { .. } => self.fence.as_ref().map(coordinator_entry),
-            Command::SetPartition { partition, .. } | Command::PartitionFull { partition, .. } => {
+            Command::AllocateFencingToken { .. } => self.fence.as_ref().map(coordinator_entry),
+            Command::SetPartition { partition, .. } | Command::ReplicaInSync { partition, .. } => {
                 self.partitions.get(*partition).map(|record| partition_entry(*partition, record))
             }
-            Command::Nothing
-            | Command::SettleFence { .. }
-            | Command::NoteBackend { .. }
-            | Command::BeginRetire { .. }
-            | Command::CompleteRetire { .. } => None,
+            Command::Noop
+            | Command::CompleteHandover { .. }
+            | Command::RegisterBackend { .. }
+            | Command::BeginRetirement { .. }
+            | Command::CompleteRetirement { .. } => None,
         };
         entry.into_iter().collect()
     }
@@ -227,10 +227,10 @@
 const FULL_MEMBERS_PER_EPOCH: u64 = 256;
 
 fn partition_entry(partition: u16, record: &PartitionRecord) -> Entry {
-    let full = (record.full.len() as u64).min(FULL_MEMBERS_PER_EPOCH - 1);
+    let in_sync = (record.in_sync.len() as u64).min(FULL_MEMBERS_PER_EPOCH - 1);
     Entry {
         key: Key::Partition(partition),
-        version: record.epoch * FULL_MEMBERS_PER_EPOCH + full,
+        version: record.epoch * FULL_MEMBERS_PER_EPOCH + in_sync,
         value: Value::Partition(record.clone()),
     }
 }
--- a/system/control/src/state/partitions.rs
+++ b/system/control/src/state/partitions.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use gingerledge_wire::{Outcome, PartitionRecord, PARTITIONS};
+use gingerledge_wire::{CommandOutcome, PartitionRecord, PARTITION_COUNT};
 use serde::{Deserialize, Serialize};
 
 /// Longest chain of a partition.
@@ -32,63 +32,69 @@
 
     /// Whether every partition has so many members that hold everything.
     pub fn have_copies(&self, copies: u64) -> bool {
-        self.records.values().all(|record| record.full.len() as u64 >= copies)
+        self.records.values().all(|record| record.in_sync.len() as u64 >= copies)
     }
 
-    pub(super) fn set(&mut self, partition: u16, next: &PartitionRecord, fence: u64, newest: u64) -> Outcome {
+    pub(super) fn set(
+        &mut self,
+        partition: u16,
+        next: &PartitionRecord,
+        fence: u64,
+        newest: u64,
+    ) -> CommandOutcome {
         let current = self.records.get(&partition);
         if current.is_some_and(|current| current.epoch == next.epoch && current.chain == next.chain) {
-            return Outcome::Taken;
+            return CommandOutcome::Applied;
         }
         if fence != newest {
-            return Outcome::Conflict { current: newest };
+            return CommandOutcome::Conflict { current: newest };
         }
         let epoch = current.map_or(0, |record| record.epoch);
         if next.epoch != epoch + 1 {
-            return Outcome::Conflict { current: epoch };
+            return CommandOutcome::Conflict { current: epoch };
         }
         if let Some(reason) = flaw(partition, current, next) {
-            return Outcome::Invalid { reason: reason.to_owned() };
+            return CommandOutcome::Invalid { reason: reason.to_owned() };
         }
         self.records.insert(partition, next.clone());
-        Outcome::Taken
+        CommandOutcome::Applied
     }
 
-    pub(super) fn mark_full(&mut self, partition: u16, epoch: u64, member: u64) -> Outcome {
+    pub(super) fn mark_full(&mut self, partition: u16, epoch: u64, member: u64) -> CommandOutcome {
         let Some(record) = self.records.get_mut(&partition) else {
-            return Outcome::Invalid { reason: "the partition has no chain".to_owned() };
+            return CommandOutcome::Invalid { reason: "the partition has no chain".to_owned() };
         };
         if record.epoch != epoch {
-            return Outcome::Conflict { current: record.epoch };
+            return CommandOutcome::Conflict { current: record.epoch };
         }
         if !record.chain.contains(&member) {
-            return Outcome::Invalid { reason: "not a member of the partition's chain".to_owned() };
+            return CommandOutcome::Invalid { reason: "not a member of the partition's chain".to_owned() };
         }
-        if record.full.contains(&member) {
-            return Outcome::Taken;
+        if record.in_sync.contains(&member) {
+            return CommandOutcome::Applied;
         }
         // A member is filled by the one before it, so that one is full too, but may not have said so yet.
-        if record.chain.get(record.full.len()) != Some(&member) {
-            return Outcome::Conflict { current: epoch };
+        if record.chain.get(record.in_sync.len()) != Some(&member) {
+            return CommandOutcome::Conflict { current: epoch };
         }
-        record.full.push(member);
-        Outcome::Taken
+        record.in_sync.push(member);
+        CommandOutcome::Applied
     }
 }
 
 /// What is wrong with a new chain: it would lose data, or is none.
 fn flaw(partition: u16, current: Option<&PartitionRecord>, next: &PartitionRecord) -> Option<&'static str> {
-    if partition >= PARTITIONS {
+    if partition >= PARTITION_COUNT {
         return Some("no such partition");
     }
     let unique = next.chain.iter().enumerate().all(|(at, member)| !next.chain[..at].contains(member));
     if next.chain.is_empty() || next.chain.len() > MAX_CHAIN || !unique {
         return Some("the chain is empty, too long, or names a member twice");
     }
-    if !next.full.iter().all(|member| next.chain.contains(member)) {
+    if !next.in_sync.iter().all(|member| next.chain.contains(member)) {
         return Some("a full member is not in the chain");
     }
-    if !next.chain.starts_with(&next.full) {
+    if !next.chain.starts_with(&next.in_sync) {
         return Some("the full members do not stand first");
     }
     let current = current?;
@@ -96,10 +102,10 @@
     if !next.chain.starts_with(&stay) {
         return Some("the members that stay do not keep their order before the new ones");
     }
-    if !next.full.iter().all(|member| current.full.contains(member)) {
+    if !next.in_sync.iter().all(|member| current.in_sync.contains(member)) {
         return Some("a member is called full that was not");
     }
-    if next.full.is_empty() {
+    if next.in_sync.is_empty() {
         return Some("the chain keeps no full member");
     }
     None
--- a/system/control/src/state/retiring.rs
+++ b/system/control/src/state/retiring.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use gingerledge_wire::{Outcome, RetireState};
+use gingerledge_wire::{CommandOutcome, RetirementState};
 use serde::{Deserialize, Serialize};
 
 /// Most backends whose emptying is remembered.
@@ -14,7 +14,7 @@
     /// The identity of its disk when the emptying was asked for.
     pub member: u64,
     /// How far it is.
-    pub state: RetireState,
+    pub state: RetirementState,
 }
 
 /// All of them, by the machine's name.
@@ -39,29 +39,29 @@
         self.machines.values().any(|retiring| retiring.member == member)
     }
 
-    pub(super) fn begin(&mut self, name: &str, member: u64) -> Outcome {
+    pub(super) fn begin(&mut self, name: &str, member: u64) -> CommandOutcome {
         if self.machines.get(name).is_some_and(|retiring| retiring.member == member) {
-            return Outcome::Taken;
+            return CommandOutcome::Applied;
         }
         if self.machines.len() >= MAX_RETIRING && !self.machines.contains_key(name) {
-            return Outcome::Invalid { reason: "too many machines are being emptied".to_owned() };
+            return CommandOutcome::Invalid { reason: "too many machines are being emptied".to_owned() };
         }
-        self.machines.insert(name.to_owned(), Retiring { member, state: RetireState::Active });
-        Outcome::Taken
+        self.machines.insert(name.to_owned(), Retiring { member, state: RetirementState::Active });
+        CommandOutcome::Applied
     }
 
     /// The machine is empty. It is taken away at once with its disk, so it must not be `needed`: neither a member of a chain, nor a
     /// former one of a chain whose other members do not hold everything yet.
-    pub(super) fn complete(&mut self, name: &str, member: u64, needed: bool) -> Outcome {
+    pub(super) fn complete(&mut self, name: &str, member: u64, needed: bool) -> CommandOutcome {
         match self.machines.get_mut(name) {
             Some(retiring) if retiring.member == member && !needed => {
-                retiring.state = RetireState::Completed;
-                Outcome::Taken
+                retiring.state = RetirementState::Completed;
+                CommandOutcome::Applied
             }
-            Some(retiring) if retiring.member == member => {
-                Outcome::Invalid { reason: "the machine may still be needed for partitions".to_owned() }
-            }
-            _ => Outcome::Invalid { reason: "the machine is not being emptied".to_owned() },
+            Some(retiring) if retiring.member == member => CommandOutcome::Invalid {
+                reason: "the machine may still be needed for partitions".to_owned(),
+            },
+            _ => CommandOutcome::Invalid { reason: "the machine is not being emptied".to_owned() },
         }
     }
 }
--- a/system/control/tests/golden_disk.rs
+++ b/system/control/tests/golden_disk.rs
@@ -15,7 +15,8 @@
 
 use disk::{encode, DiskRecord, Kept};
 use gingerledge_chain::{
-    Ballot, ChainAction, ChainEvent, ControlChain, LogRecord, MemberId, Members, Settings, View,
+    ChainAction, ChainEvent, ControlChain, ControlChainSettings, LogRecord, MemberId, Membership,
+    ProposalNumber, View,
 };
 use gingerledge_control::state::ControlState;
 use gingerledge_golden::disk_image::DiskImage;
@@ -64,8 +65,8 @@
     ]
 }
 
-fn members(epoch: u64, chain: &[u64]) -> Members {
-    Members {
+fn members(epoch: u64, chain: &[u64]) -> Membership {
+    Membership {
         epoch,
         voters: founders().into_iter().map(MemberId).collect(),
         chain: chain.iter().copied().map(MemberId).collect(),
@@ -81,23 +82,23 @@
 fn commands() -> Vec<Command> {
     let configuration = Arc::new(br#"{"models":[]}"#.to_vec());
     vec![
-        Command::Nothing,
-        Command::TakeFence { incarnation: 71, address: address(7001) },
-        Command::TakeFence { incarnation: 72, address: address(7002) },
+        Command::Noop,
+        Command::AllocateFencingToken { incarnation: 71, address: address(7001) },
+        Command::AllocateFencingToken { incarnation: 72, address: address(7002) },
         Command::ReplaceConfiguration { base: 0, version: 5, json: configuration.clone() },
         Command::NameVersion { model: "model-a".to_owned(), version: 4 },
         Command::NameVersion { model: "model-b".to_owned(), version: u64::MAX },
         Command::SetPartition {
             partition: 3,
-            record: PartitionRecord { epoch: 1, chain: vec![81, 82], full: vec![81] },
-            fence: 2,
+            record: PartitionRecord { epoch: 1, chain: vec![81, 82], in_sync: vec![81] },
+            fencing_token: 2,
         },
-        Command::NoteBackend { member: 81, address: address(7101) },
-        Command::BeginRetire { name: "backend-1".to_owned(), member: 83 },
-        Command::PartitionFull { partition: 3, epoch: 1, member: 82 },
-        Command::SettleFence { token: 2 },
+        Command::RegisterBackend { member: 81, address: address(7101) },
+        Command::BeginRetirement { name: "backend-1".to_owned(), member: 83 },
+        Command::ReplicaInSync { partition: 3, epoch: 1, member: 82 },
+        Command::CompleteHandover { token: 2 },
         Command::UpdateConfiguration { base: 5, version: 6, json: configuration },
-        Command::CompleteRetire { name: "backend-1".to_owned(), member: 83, copies: 1 },
+        Command::CompleteRetirement { name: "backend-1".to_owned(), member: 83, replicas: 1 },
         Command::NameVersion { model: "model-a".to_owned(), version: 9 },
     ]
 }
@@ -116,8 +117,8 @@
     command
 }
 
-fn entry(epoch: u64, seq: u64, committed: u64) -> LogRecord {
-    LogRecord::Entry { epoch, seq, committed, command: submission(seq) }
+fn entry(epoch: u64, index: u64, committed: u64) -> LogRecord {
+    LogRecord::Entry { epoch, index, committed, command: submission(index) }
 }
 
 /// The state after the first entries.
@@ -132,31 +133,31 @@
 /// What the chain has on the disk: a snapshot and all that came after it, with one record of each kind.
 fn chain_records() -> Vec<LogRecord> {
     vec![
-        LogRecord::Snapshot { seq: SNAPSHOT_ENTRY, bytes: state_after(SNAPSHOT_ENTRY).snapshot().unwrap() },
-        LogRecord::View { view: view(1, &founders()), full: true },
-        LogRecord::Barriers { epoch: 1, reserved: 1024 },
-        LogRecord::Members { members: members(1, &founders()) },
+        LogRecord::Snapshot { index: SNAPSHOT_ENTRY, bytes: state_after(SNAPSHOT_ENTRY).snapshot().unwrap() },
+        LogRecord::View { view: view(1, &founders()), in_sync: true },
+        LogRecord::BarrierReservation { epoch: 1, reserved: 1024 },
+        LogRecord::Membership { members: members(1, &founders()) },
         entry(1, 10, 9),
         entry(1, 11, 10),
         LogRecord::Sealed { epoch: 1 },
-        LogRecord::Promise { epoch: 2, ballot: Ballot { counter: 1, proposer: SECOND } },
+        LogRecord::Promise { epoch: 2, proposal: ProposalNumber { counter: 1, proposer: SECOND } },
         LogRecord::Accepted {
-            ballot: Ballot { counter: 1, proposer: SECOND },
+            proposal: ProposalNumber { counter: 1, proposer: SECOND },
             members: members(2, &[SECOND, ME]),
         },
-        LogRecord::Members { members: members(2, &[SECOND, ME]) },
+        LogRecord::Membership { members: members(2, &[SECOND, ME]) },
         LogRecord::Rejoined { view: view(2, &[SECOND, ME]), after: 10 },
-        LogRecord::Full { epoch: 2 },
+        LogRecord::InSync { epoch: 2 },
         entry(2, 11, 10),
         entry(2, 12, 11),
         entry(2, 13, 12),
-        LogRecord::Barriers { epoch: 2, reserved: 4096 },
-        LogRecord::Promise { epoch: 3, ballot: Ballot { counter: 4, proposer: THIRD } },
+        LogRecord::BarrierReservation { epoch: 2, reserved: 4096 },
+        LogRecord::Promise { epoch: 3, proposal: ProposalNumber { counter: 4, proposer: THIRD } },
         LogRecord::Accepted {
-            ballot: Ballot { counter: 4, proposer: THIRD },
+            proposal: ProposalNumber { counter: 4, proposer: THIRD },
             members: members(3, &[ME, THIRD]),
         },
-        LogRecord::Promise { epoch: 3, ballot: Ballot { counter: 5, proposer: SECOND } },
+        LogRecord::Promise { epoch: 3, proposal: ProposalNumber { counter: 5, proposer: SECOND } },
     ]
 }
 
@@ -165,7 +166,7 @@
 
 /// What the write in the middle of which the power goes would have added.
 fn last_records() -> Vec<DiskRecord> {
-    let large = LogRecord::Entry { epoch: 2, seq: 14, committed: 13, command: vec![0x5a; 3000] };
+    let large = LogRecord::Entry { epoch: 2, index: 14, committed: 13, command: vec![0x5a; 3000] };
     vec![DiskRecord::Chain(large), DiskRecord::Book(Vec::new())]
 }
 
@@ -186,8 +187,8 @@
     ring.append(&encoded(std::slice::from_ref(&identity))).unwrap();
     ring.append(&encoded(&[DiskRecord::Book(book()[..1].to_vec())])).unwrap();
     let first_life = [
-        LogRecord::Members { members: members(1, &founders()) },
-        LogRecord::View { view: view(1, &founders()), full: true },
+        LogRecord::Membership { members: members(1, &founders()) },
+        LogRecord::View { view: view(1, &founders()), in_sync: true },
     ];
     ring.append(&encoded(&first_life.map(DiskRecord::Chain))).unwrap();
     for number in 1..=SNAPSHOT_ENTRY {
@@ -223,7 +224,7 @@
 
 /// Starts the chain from its records as a node does; gives the state of the node after all that is known to be committed.
 fn start_chain(records: Vec<LogRecord>) -> (ControlChain, ControlState) {
-    let settings = Settings::new(FAULT_TOLERANCE);
+    let settings = ControlChainSettings::new(FAULT_TOLERANCE);
     let mut chain = ControlChain::recover(MemberId(ME), records, settings, SEED);
     let mut actions = Vec::new();
     chain.handle(Duration::ZERO, ChainEvent::Started, &mut actions);
@@ -231,9 +232,12 @@
     for action in actions {
         match action {
             ChainAction::InstallSnapshot { bytes, .. } => state = ControlState::restore(&bytes).unwrap(),
-            ChainAction::Apply { seq, command, .. } => {
-                assert!(command_of(&command) == commands()[usize::try_from(seq).unwrap() - 1], "entry {seq}");
-                state.apply(seq, &command_of(&command));
+            ChainAction::Apply { index, command, .. } => {
+                assert!(
+                    command_of(&command) == commands()[usize::try_from(index).unwrap() - 1],
+                    "entry {index}"
+                );
+                state.apply(index, &command_of(&command));
             }
             _ => {}
         }
@@ -287,22 +291,22 @@
     assert_eq!(state.versions()["model-b"], u64::MAX);
     assert!(
         state.partitions().get(3)
-            == Some(&PartitionRecord { epoch: 1, chain: vec![81, 82], full: vec![81, 82] }),
+            == Some(&PartitionRecord { epoch: 1, chain: vec![81, 82], in_sync: vec![81, 82] }),
         "the partition"
     );
     let checkpoint = chain.checkpoint(state.snapshot().unwrap()).unwrap();
     let expected = [
-        LogRecord::Snapshot { seq: LAST_COMMITTED, bytes: state_after(LAST_COMMITTED).snapshot().unwrap() },
-        LogRecord::View { view: view(2, &[SECOND, ME]), full: true },
-        LogRecord::Barriers { epoch: 2, reserved: 4096 },
+        LogRecord::Snapshot { index: LAST_COMMITTED, bytes: state_after(LAST_COMMITTED).snapshot().unwrap() },
+        LogRecord::View { view: view(2, &[SECOND, ME]), in_sync: true },
+        LogRecord::BarrierReservation { epoch: 2, reserved: 4096 },
         LogRecord::Sealed { epoch: 2 },
         entry(2, 13, LAST_COMMITTED),
-        LogRecord::Members { members: members(2, &[SECOND, ME]) },
+        LogRecord::Membership { members: members(2, &[SECOND, ME]) },
         LogRecord::Accepted {
-            ballot: Ballot { counter: 4, proposer: THIRD },
+            proposal: ProposalNumber { counter: 4, proposer: THIRD },
             members: members(3, &[ME, THIRD]),
         },
-        LogRecord::Promise { epoch: 3, ballot: Ballot { counter: 5, proposer: SECOND } },
+        LogRecord::Promise { epoch: 3, proposal: ProposalNumber { counter: 5, proposer: SECOND } },
     ];
     for (number, (found, expected)) in checkpoint.iter().zip(&expected).enumerate() {
         assert!(found == expected, "record {number} of the checkpoint: {found:?}");
