--- a/system/control/tests/nodes/coordination.rs
+++ b/system/control/tests/nodes/coordination.rs
@@ -18,7 +18,7 @@
 /// A backend that only reports. It says of every partition asked of it that it is full.
 struct Backend {
     member: u64,
-    full: Arc<Mutex<Vec<(u16, u64)>>>,
+    in_sync: Arc<Mutex<Vec<(u16, u64)>>>,
     task: JoinHandle<()>,
 }
 
@@ -26,7 +26,7 @@
     async fn start(world: &World, number: u8) -> Self {
         let address = world.other_internal_address(FIRST_BACKEND + number);
         let member = u64::from(number) + 1;
-        let full: Arc<Mutex<Vec<(u16, u64)>>> = Arc::default();
+        let in_sync: Arc<Mutex<Vec<(u16, u64)>>> = Arc::default();
         let node = NodeRecord {
             role: Role::Backend,
             name: format!("backend-{number}"),
@@ -35,8 +35,9 @@
             address,
             zone: format!("zone-{number}"),
         };
-        let task = tokio::task::spawn_local(report(address, node, world.internal_addresses(), full.clone()));
-        Self { member, full, task }
+        let task =
+            tokio::task::spawn_local(report(address, node, world.internal_addresses(), in_sync.clone()));
+        Self { member, in_sync, task }
     }
 
     fn name(&self) -> String {
@@ -46,7 +47,7 @@
     /// Says of all partitions in the status that it holds everything.
     fn fill(&self, status: &Value) {
         let chains = partitions(status).into_iter().filter(|(_, _, chain, _)| chain.contains(&self.name()));
-        *self.full.lock().expect("full") =
+        *self.in_sync.lock().expect("in sync") =
             chains.map(|(partition, epoch, _, _)| (partition, epoch)).collect();
     }
 }
@@ -61,13 +62,14 @@
     address: SocketAddr,
     node: NodeRecord,
     control: Vec<SocketAddr>,
-    full: Arc<Mutex<Vec<(u16, u64)>>>,
+    in_sync: Arc<Mutex<Vec<(u16, u64)>>>,
 ) {
     let (network, _inbox) = Network::<Envelope>::bind(NetworkSettings::new(address)).await.expect("network");
     let mut ticks = tokio::time::interval(INTERVAL);
     for sequence in 1.. {
         ticks.tick().await;
-        let report = BackendReport { full: full.lock().expect("full").clone(), ..BackendReport::default() };
+        let report =
+            BackendReport { in_sync: in_sync.lock().expect("in sync").clone(), ..BackendReport::default() };
         for to in &control {
             let heartbeat =
                 ControlMessage::Heartbeat { node: node.clone(), sequence, report: Some(report.clone()) };
@@ -88,7 +90,7 @@
 }
 
 fn all_founded(status: &Value) -> bool {
-    partitions(status).len() == usize::from(gingerledge_wire::PARTITIONS)
+    partitions(status).len() == usize::from(gingerledge_wire::PARTITION_COUNT)
 }
 
 async fn backends(world: &World, count: u8) -> Vec<Backend> {
--- a/system/control/tests/partitions.rs
+++ b/system/control/tests/partitions.rs
@@ -6,7 +6,9 @@
 use gingerledge_control::coordinator::backends::{BackendReports, BackendSettings};
 use gingerledge_control::coordinator::partitions::{Backend, Backends, Change, Condition};
 use gingerledge_control::state::ControlState;
-use gingerledge_wire::{BackendReport, Command, NodeRecord, Outcome, PartitionRecord, Role, PARTITIONS};
+use gingerledge_wire::{
+    BackendReport, Command, CommandOutcome, NodeRecord, PartitionRecord, Role, PARTITION_COUNT,
+};
 use yare::parameterized;
 
 use Condition::{Lost, Retiring, Unknown, Usable};
@@ -25,8 +27,8 @@
     Backends::new(all, FAULT_TOLERANCE)
 }
 
-fn record(epoch: u64, chain: &[u64], full: &[u64]) -> PartitionRecord {
-    PartitionRecord { epoch, chain: chain.to_vec(), full: full.to_vec() }
+fn record(epoch: u64, chain: &[u64], in_sync: &[u64]) -> PartitionRecord {
+    PartitionRecord { epoch, chain: chain.to_vec(), in_sync: in_sync.to_vec() }
 }
 
 /// The change of partition 0, if it is the only one with a chain.
@@ -38,15 +40,15 @@
 #[test]
 fn the_first_chains_are_spread_evenly_over_zones() {
     let found = backends(&[Usable; 4]).plan(|_| None);
-    assert_eq!(found.len(), usize::from(PARTITIONS));
+    assert_eq!(found.len(), usize::from(PARTITION_COUNT));
     let mut chains: BTreeMap<u64, usize> = BTreeMap::new();
     for Change { record, .. } in &found {
-        assert_eq!((record.epoch, record.chain.len(), record.full.len()), (1, 2, 2));
+        assert_eq!((record.epoch, record.chain.len(), record.in_sync.len()), (1, 2, 2));
         for member in &record.chain {
             *chains.entry(*member).or_default() += 1;
         }
     }
-    let even = usize::from(PARTITIONS) * 2 / 4;
+    let even = usize::from(PARTITION_COUNT) * 2 / 4;
     assert!(chains.values().all(|count| *count == even), "{chains:?}");
 }
 
@@ -80,8 +82,8 @@
     if let Some(next) = next {
         assert_eq!(next.epoch, 6);
         let stay_full: Vec<u64> = next.chain.iter().copied().filter(|member| *member <= 2).collect();
-        assert_eq!(next.full, stay_full, "members that were full stay so and stand first");
-        assert_eq!(&next.chain[..next.full.len()], next.full);
+        assert_eq!(next.in_sync, stay_full, "members that were full stay so and stand first");
+        assert_eq!(&next.chain[..next.in_sync.len()], next.in_sync);
     }
 }
 
@@ -95,7 +97,7 @@
 fn a_member_that_was_filling_and_is_lost_is_replaced() {
     let current = record(5, &[1, 3], &[1]);
     let next = change_of(&backends(&[Usable, Usable, Lost]), &current).expect("a change");
-    assert_eq!((next.chain, next.full), (vec![1, 2], vec![1]));
+    assert_eq!((next.chain, next.in_sync), (vec![1, 2], vec![1]));
 }
 
 #[test]
@@ -105,14 +107,14 @@
     assert_eq!(change_of(&conditions, &filling), None, "nothing changes while the third fills");
     let filled = record(5, &[1, 2, 3], &[1, 2, 3]);
     let next = change_of(&conditions, &filled).expect("a change");
-    assert_eq!((next.chain, next.full), (vec![1, 3], vec![1, 3]));
+    assert_eq!((next.chain, next.in_sync), (vec![1, 3], vec![1, 3]));
 }
 
 #[test]
 fn one_that_retires_keeps_its_place_before_the_full_members_behind_it() {
     let current = record(4, &[2, 1], &[2, 1]);
     let next = change_of(&backends(&[Usable, Retiring, Usable]), &current).expect("a change");
-    assert_eq!((next.chain, next.full), (vec![2, 1, 3], vec![2, 1]));
+    assert_eq!((next.chain, next.in_sync), (vec![2, 1, 3], vec![2, 1]));
 }
 
 #[parameterized(spared = { &[Usable, Usable, Usable], true }, needed = { &[Usable, Usable, Lost], false })]
@@ -133,8 +135,8 @@
     let mut random = fastrand::Rng::with_seed(seed);
     let mut state = ControlState::default();
     let mut sequence = 1;
-    let fence = Command::TakeFence { incarnation: 1, address: ([10, 0, 0, 1], 1).into() };
-    assert_eq!(state.apply(sequence, &fence), Outcome::Fence(1));
+    let fence = Command::AllocateFencingToken { incarnation: 1, address: ([10, 0, 0, 1], 1).into() };
+    assert_eq!(state.apply(sequence, &fence), CommandOutcome::FencingToken(1));
     let mut conditions = [Usable; 5];
     for _ in 0..40 {
         disturb(&mut conditions, &mut random);
@@ -147,7 +149,7 @@
         fill(&mut state, &mut sequence, &calm, || true);
     }
     for (partition, record) in state.partitions().all() {
-        let whole = record.chain.len() == FAULT_TOLERANCE + 1 && record.full.len() == record.chain.len();
+        let whole = record.chain.len() == FAULT_TOLERANCE + 1 && record.in_sync.len() == record.chain.len();
         let usable = record.chain.iter().all(|member| calm[*member as usize - 1] == Usable);
         assert!(whole && usable, "seed {seed}: partition {partition} ends as {record:?} under {calm:?}");
     }
@@ -172,23 +174,23 @@
     let plan = backends(conditions).plan(|partition| state.partitions().get(partition));
     for Change { partition, record } in plan {
         *sequence += 1;
-        let live = record.full.iter().any(|member| conditions[*member as usize - 1] != Lost);
+        let live = record.in_sync.iter().any(|member| conditions[*member as usize - 1] != Lost);
         assert!(live, "seed {seed}: {record:?} keeps no full member that lives");
         if let Some(before) = state.partitions().get(partition) {
             assert!(full_in_order(before, &record), "seed {seed}: {before:?} to {record:?}");
         }
-        let outcome = state.apply(*sequence, &Command::SetPartition { partition, record, fence: 1 });
-        assert_eq!(outcome, Outcome::Taken, "seed {seed}");
+        let outcome = state.apply(*sequence, &Command::SetPartition { partition, record, fencing_token: 1 });
+        assert_eq!(outcome, CommandOutcome::Applied, "seed {seed}");
     }
 }
 
 /// Whether members that are full before a change stand before all others, in the order that they had: each holds all that
 /// the next one does, which would not hold the other way round.
 fn full_in_order(before: &PartitionRecord, after: &PartitionRecord) -> bool {
-    let full =
-        before.chain.iter().filter(|member| before.full.contains(member) && after.chain.contains(member));
-    let full: Vec<_> = full.collect();
-    after.chain.iter().take(full.len()).collect::<Vec<_>>() == full
+    let in_sync =
+        before.chain.iter().filter(|member| before.in_sync.contains(member) && after.chain.contains(member));
+    let in_sync: Vec<_> = in_sync.collect();
+    after.chain.iter().take(in_sync.len()).collect::<Vec<_>>() == in_sync
 }
 
 /// Members that live become full, those that `happens` picks.
@@ -209,7 +211,7 @@
     for (partition, epoch, member) in filling {
         if happens() {
             *sequence += 1;
-            state.apply(*sequence, &Command::PartitionFull { partition, epoch, member });
+            state.apply(*sequence, &Command::ReplicaInSync { partition, epoch, member });
         }
     }
 }
@@ -319,7 +321,7 @@
 )]
 fn full_members_are_noted_once_and_in_the_order_of_the_chain(epoch: u64, member: u64, expected: usize) {
     let mut reports = BackendReports::new(REPORTS);
-    let report = BackendReport { full: vec![(4, epoch)], ..BackendReport::default() };
+    let report = BackendReport { in_sync: vec![(4, epoch)], ..BackendReport::default() };
     reports.reported(Duration::ZERO, &node(member), report);
     let current = record(2, &[1, 3, 4], &[1]);
     let full = reports.newly_full(|partition| (partition == 4).then_some(&current));
@@ -333,12 +335,12 @@
     a_new_one_behind = { &[1, 2, 3], &[1, 2], true },
     one_left = { &[2, 3], &[2], true },
 )]
-fn a_chain_that_gives_up_the_order_of_its_members_is_refused(chain: &[u64], full: &[u64], taken: bool) {
+fn a_chain_that_gives_up_the_order_of_its_members_is_refused(chain: &[u64], in_sync: &[u64], taken: bool) {
     let mut state = ControlState::default();
-    let fence = Command::TakeFence { incarnation: 1, address: ([10, 0, 0, 1], 1).into() };
-    assert_eq!(state.apply(1, &fence), Outcome::Fence(1));
-    let first = Command::SetPartition { partition: 4, record: record(1, &[1, 2], &[1, 2]), fence: 1 };
-    assert_eq!(state.apply(2, &first), Outcome::Taken);
-    let second = Command::SetPartition { partition: 4, record: record(2, chain, full), fence: 1 };
-    assert_eq!(state.apply(3, &second) == Outcome::Taken, taken);
+    let fence = Command::AllocateFencingToken { incarnation: 1, address: ([10, 0, 0, 1], 1).into() };
+    assert_eq!(state.apply(1, &fence), CommandOutcome::FencingToken(1));
+    let first = Command::SetPartition { partition: 4, record: record(1, &[1, 2], &[1, 2]), fencing_token: 1 };
+    assert_eq!(state.apply(2, &first), CommandOutcome::Applied);
+    let second = Command::SetPartition { partition: 4, record: record(2, chain, in_sync), fencing_token: 1 };
+    assert_eq!(state.apply(3, &second) == CommandOutcome::Applied, taken);
 }
--- a/system/control/tests/sessions.rs
+++ b/system/control/tests/sessions.rs
@@ -5,7 +5,7 @@
 
 use gingerledge_control::sessions::{Heard, SessionSettings, Sessions, Sharing, SharingSettings};
 use gingerledge_protocol::StoreState;
-use gingerledge_wire::{Entry, Key, Registry, StoreRecord, Value, ENDED_VERSION};
+use gingerledge_wire::{Entry, Key, Registry, StoreRecord, Value, FINAL_VERSION};
 use yare::parameterized;
 
 const INTERVAL: Duration = Duration::from_millis(1_200);
@@ -139,7 +139,7 @@
     let mut node = Node::new(1);
     node.hear(Duration::ZERO, 4, ready());
     let entry = node.sessions.ended(key());
-    assert_eq!((entry.version, entry.value.clone()), (ENDED_VERSION, Value::Gone));
+    assert_eq!((entry.version, entry.value.clone()), (FINAL_VERSION, Value::Tombstone));
     node.registry.merge(entry);
     assert_eq!(node.hear(INTERVAL, 7, ready()), None);
     assert!(!node.is_there());
--- a/system/control/tests/state.rs
+++ b/system/control/tests/state.rs
@@ -6,7 +6,9 @@
 
 use gingerledge_control::state::{ControlState, MAX_BACKENDS, REFUSED_HISTORY, TAKEN_HISTORY};
 use gingerledge_protocol::ConfigurationDocument;
-use gingerledge_wire::{Command, Key, Outcome, PartitionRecord, RetireState, Value, PARTITIONS};
+use gingerledge_wire::{
+    Command, CommandOutcome, Key, PartitionRecord, RetirementState, Value, PARTITION_COUNT,
+};
 use yare::parameterized;
 
 fn replace(base: u64, version: u64, text: &str) -> Command {
@@ -44,59 +46,59 @@
 }
 
 fn take_fence(last: u8, incarnation: u64) -> Command {
-    Command::TakeFence { incarnation, address: address(last) }
+    Command::AllocateFencingToken { incarnation, address: address(last) }
 }
 
-fn set(epoch: u64, chain: &[u64], full: &[u64], fence: u64) -> Command {
-    let record = PartitionRecord { epoch, chain: chain.to_vec(), full: full.to_vec() };
-    Command::SetPartition { partition: 3, record, fence }
+fn set(epoch: u64, chain: &[u64], in_sync: &[u64], fencing_token: u64) -> Command {
+    let record = PartitionRecord { epoch, chain: chain.to_vec(), in_sync: in_sync.to_vec() };
+    Command::SetPartition { partition: 3, record, fencing_token }
 }
 
 /// Applies commands in order and returns the outcome of the last.
-fn outcome(commands: &[Command]) -> (ControlState, Outcome) {
+fn outcome(commands: &[Command]) -> (ControlState, CommandOutcome) {
     let mut state = ControlState::default();
-    let mut last = Outcome::Taken;
+    let mut last = CommandOutcome::Applied;
     for (at, command) in commands.iter().enumerate() {
         last = state.apply(at as u64 + 1, command);
     }
     (state, last)
 }
 
-const CONFLICT_AT_5: Outcome = Outcome::Conflict { current: 5 };
+const CONFLICT_AT_5: CommandOutcome = CommandOutcome::Conflict { current: 5 };
 
 #[parameterized(
-    first = { &[replace(0, 5, "a")], Outcome::Taken },
-    on_top = { &[replace(0, 5, "a"), replace(5, 9, "b")], Outcome::Taken },
-    again = { &[replace(0, 5, "a"), replace(0, 5, "a")], Outcome::Taken },
-    again_when_superseded = { &[replace(0, 5, "a"), replace(5, 9, "b"), replace(0, 5, "a")], Outcome::Taken },
+    first = { &[replace(0, 5, "a")], CommandOutcome::Applied },
+    on_top = { &[replace(0, 5, "a"), replace(5, 9, "b")], CommandOutcome::Applied },
+    again = { &[replace(0, 5, "a"), replace(0, 5, "a")], CommandOutcome::Applied },
+    again_when_superseded = { &[replace(0, 5, "a"), replace(5, 9, "b"), replace(0, 5, "a")], CommandOutcome::Applied },
     lost_race = { &[replace(0, 5, "a"), replace(0, 6, "b")], CONFLICT_AT_5 },
     same_number_other_text = { &[replace(0, 5, "a"), replace(0, 5, "b")], CONFLICT_AT_5 },
     base_unknown_yet = { &[replace(0, 5, "a"), replace(7, 9, "b")], CONFLICT_AT_5 },
     refused_stays_refused = {
         &[replace(0, 5, "a"), replace(7, 9, "b"), replace(5, 7, "c"), replace(7, 9, "b")],
-        Outcome::Conflict { current: 7 }
+        CommandOutcome::Conflict { current: 7 }
     },
 )]
-fn configurations(commands: &[Command], expected: Outcome) {
+fn configurations(commands: &[Command], expected: CommandOutcome) {
     assert_eq!(outcome(commands).1, expected);
 }
 
 #[parameterized(
-    on_top = { &[routed(0, 5), update(5, 9, "a")], Outcome::Taken },
-    again = { &[routed(0, 5), update(5, 9, "a"), update(5, 9, "a")], Outcome::Taken },
+    on_top = { &[routed(0, 5), update(5, 9, "a")], CommandOutcome::Applied },
+    again = { &[routed(0, 5), update(5, 9, "a"), update(5, 9, "a")], CommandOutcome::Applied },
     again_when_superseded = {
-        &[routed(0, 5), update(5, 9, "a"), routed(9, 11), update(11, 12, "b"), update(5, 9, "a")], Outcome::Taken
+        &[routed(0, 5), update(5, 9, "a"), routed(9, 11), update(11, 12, "b"), update(5, 9, "a")], CommandOutcome::Applied
     },
-    lost_race = { &[routed(0, 5), update(5, 9, "a"), update(5, 8, "b")], Outcome::Conflict { current: 9 } },
-    lost_to_a_replacement = { &[routed(0, 5), routed(5, 9), update(5, 9, "a")], Outcome::Conflict { current: 9 } },
+    lost_race = { &[routed(0, 5), update(5, 9, "a"), update(5, 8, "b")], CommandOutcome::Conflict { current: 9 } },
+    lost_to_a_replacement = { &[routed(0, 5), routed(5, 9), update(5, 9, "a")], CommandOutcome::Conflict { current: 9 } },
     refused_stays_refused = {
-        &[routed(0, 5), update(7, 9, "a"), update(5, 7, "b"), update(7, 9, "a")], Outcome::Conflict { current: 7 }
+        &[routed(0, 5), update(7, 9, "a"), update(5, 7, "b"), update(7, 9, "a")], CommandOutcome::Conflict { current: 7 }
     },
     invalid_again_once_it_is_passed = {
-        &[routed(0, 5), dangling(5, 9), update(5, 9, "a"), dangling(5, 9)], Outcome::Conflict { current: 9 }
+        &[routed(0, 5), dangling(5, 9), update(5, 9, "a"), dangling(5, 9)], CommandOutcome::Conflict { current: 9 }
     },
 )]
-fn updates(commands: &[Command], expected: Outcome) {
+fn updates(commands: &[Command], expected: CommandOutcome) {
     assert_eq!(outcome(commands).1, expected);
 }
 
@@ -109,7 +111,7 @@
 )]
 fn invalid_updates_change_nothing(commands: &[Command]) {
     let (state, last) = outcome(commands);
-    assert!(matches!(last, Outcome::Invalid { .. }), "{last:?}");
+    assert!(matches!(last, CommandOutcome::Invalid { .. }), "{last:?}");
     let (before, _) = outcome(&commands[..1]);
     assert_eq!(state.configuration().document(), before.configuration().document());
 }
@@ -121,9 +123,12 @@
     let replacement = Command::ReplaceConfiguration { base: 5, version: 9, json };
     assert_eq!(
         outcome(&[routed(0, 5), update(5, 9, "a"), replacement.clone()]).1,
-        Outcome::Conflict { current: 9 }
+        CommandOutcome::Conflict { current: 9 }
+    );
+    assert_eq!(
+        outcome(&[routed(0, 5), replacement, update(5, 9, "a")]).1,
+        CommandOutcome::Conflict { current: 9 }
     );
-    assert_eq!(outcome(&[routed(0, 5), replacement, update(5, 9, "a")]).1, Outcome::Conflict { current: 9 });
 }
 
 #[test]
@@ -131,8 +136,12 @@
     let (state, _) = outcome(&[routed(0, 5), update(5, 9, "a")]);
     let mut restored = ControlState::restore(&state.snapshot().expect("a snapshot")).expect("own snapshot");
     assert_eq!(restored, state);
-    assert_eq!(restored.apply(7, &update(9, 10, "b")), Outcome::Taken);
-    assert_eq!(restored.apply(8, &update(5, 9, "a")), Outcome::Taken, "it was taken before the snapshot");
+    assert_eq!(restored.apply(7, &update(9, 10, "b")), CommandOutcome::Applied);
+    assert_eq!(
+        restored.apply(8, &update(5, 9, "a")),
+        CommandOutcome::Applied,
+        "it was taken before the snapshot"
+    );
     let json = restored.configuration().document().expect("a configuration").to_json();
     let text = String::from_utf8_lossy(&json);
     assert!(text.contains(r#""version":10"#) && text.contains(r#""healthPath":"b""#), "{text}");
@@ -141,7 +150,7 @@
 #[parameterized(zero_first = { 0, 0 }, same = { 5, 5 }, lower = { 5, 3 })]
 fn a_version_that_does_not_rise_is_invalid(base: u64, version: u64) {
     let (_, last) = outcome(&[replace(0, base, "a"), replace(base, version, "b")]);
-    assert!(matches!(last, Outcome::Invalid { .. }), "{last:?}");
+    assert!(matches!(last, CommandOutcome::Invalid { .. }), "{last:?}");
 }
 
 #[test]
@@ -159,13 +168,16 @@
     let mut state = ControlState::default();
     let changes = TAKEN_HISTORY as u64 + 10;
     for version in 1..=changes {
-        assert_eq!(state.apply(version, &replace(version - 1, version, "text")), Outcome::Taken);
+        assert_eq!(state.apply(version, &replace(version - 1, version, "text")), CommandOutcome::Applied);
     }
-    assert_eq!(state.apply(changes + 1, &replace(20, 21, "text")), Outcome::Taken);
-    assert_eq!(state.apply(changes + 2, &replace(20, 21, "other")), Outcome::Conflict { current: changes });
+    assert_eq!(state.apply(changes + 1, &replace(20, 21, "text")), CommandOutcome::Applied);
+    assert_eq!(
+        state.apply(changes + 2, &replace(20, 21, "other")),
+        CommandOutcome::Conflict { current: changes }
+    );
     // The same call may come for the second time, or a rival's for the first: neither may be answered clearly any more.
-    assert_eq!(state.apply(changes + 3, &replace(0, 1, "text")), Outcome::Unknown);
-    assert_eq!(state.apply(changes + 4, &replace(0, 1, "other")), Outcome::Unknown);
+    assert_eq!(state.apply(changes + 3, &replace(0, 1, "text")), CommandOutcome::Indeterminate);
+    assert_eq!(state.apply(changes + 4, &replace(0, 1, "other")), CommandOutcome::Indeterminate);
 }
 
 #[test]
@@ -174,17 +186,21 @@
     let change = |number: u64| replace(7, 9, &format!("change {number}"));
     let refused = REFUSED_HISTORY as u64;
     for number in 1..=refused {
-        assert_eq!(state.apply(number, &change(number)), Outcome::Conflict { current: 0 });
+        assert_eq!(state.apply(number, &change(number)), CommandOutcome::Conflict { current: 0 });
     }
     let one_too_many = change(refused + 1);
-    assert_eq!(state.apply(refused + 1, &one_too_many), Outcome::Unknown, "it may still be taken");
-    assert_eq!(state.apply(refused + 2, &replace(0, 7, "base")), Outcome::Taken);
+    assert_eq!(
+        state.apply(refused + 1, &one_too_many),
+        CommandOutcome::Indeterminate,
+        "it may still be taken"
+    );
+    assert_eq!(state.apply(refused + 2, &replace(0, 7, "base")), CommandOutcome::Applied);
     for number in [1, 2, refused / 2, refused] {
-        assert_eq!(state.apply(refused + 3, &change(number)), Outcome::Conflict { current: 7 });
+        assert_eq!(state.apply(refused + 3, &change(number)), CommandOutcome::Conflict { current: 7 });
     }
-    assert_eq!(state.apply(refused + 4, &one_too_many), Outcome::Taken);
+    assert_eq!(state.apply(refused + 4, &one_too_many), CommandOutcome::Applied);
     for number in [1, refused] {
-        assert_eq!(state.apply(refused + 5, &change(number)), Outcome::Conflict { current: 9 });
+        assert_eq!(state.apply(refused + 5, &change(number)), CommandOutcome::Conflict { current: 9 });
     }
 }
 
@@ -224,13 +240,13 @@
         }
         let outcome = state.apply(sequence, &command(call));
         let taken = match outcome {
-            Outcome::Taken => true,
-            Outcome::Conflict { .. } | Outcome::Invalid { .. } => false,
-            Outcome::Unknown => {
+            CommandOutcome::Applied => true,
+            CommandOutcome::Conflict { .. } | CommandOutcome::Invalid { .. } => false,
+            CommandOutcome::Indeterminate => {
                 unknown += 1;
                 continue;
             }
-            Outcome::Fence(_) => panic!("no token was asked for"),
+            CommandOutcome::FencingToken(_) => panic!("no token was asked for"),
         };
         let before = clear.insert(call, taken);
         repeated += u64::from(before.is_some());
@@ -248,7 +264,7 @@
 fn versions_only_rise(named: &[u64], expected: u64) {
     let commands: Vec<Command> = named.iter().copied().map(name).collect();
     let (state, last) = outcome(&commands);
-    assert_eq!(last, Outcome::Taken);
+    assert_eq!(last, CommandOutcome::Applied);
     assert_eq!(state.versions().get("m"), Some(&expected));
 }
 
@@ -261,7 +277,7 @@
     for (at, (machine, incarnation)) in takes.into_iter().enumerate() {
         assert_eq!(
             state.apply(at as u64 + 1, &take_fence(machine, incarnation)),
-            Outcome::Fence(at as u64 + 1)
+            CommandOutcome::FencingToken(at as u64 + 1)
         );
         previous
             .push(state.fence().and_then(|fence| fence.previous.as_ref()).map(|holder| holder.incarnation));
@@ -272,27 +288,27 @@
 #[test]
 fn a_machine_that_has_waited_for_the_one_before_need_not_again_after_a_restart() {
     let previous = |state: &ControlState| state.fence().and_then(|fence| fence.previous.clone()).is_some();
-    let settle = |token: u64| Command::SettleFence { token };
+    let settle = |token: u64| Command::CompleteHandover { token };
     let (mut state, _) = outcome(&[take_fence(1, 10), take_fence(2, 20)]);
-    assert_eq!(state.apply(3, &settle(1)), Outcome::Conflict { current: 2 }, "an older token");
+    assert_eq!(state.apply(3, &settle(1)), CommandOutcome::Conflict { current: 2 }, "an older token");
     assert!(previous(&state));
-    assert_eq!(state.apply(4, &settle(2)), Outcome::Taken);
-    assert_eq!(state.apply(5, &settle(2)), Outcome::Taken);
-    assert_eq!(state.apply(6, &take_fence(2, 21)), Outcome::Fence(3));
+    assert_eq!(state.apply(4, &settle(2)), CommandOutcome::Applied);
+    assert_eq!(state.apply(5, &settle(2)), CommandOutcome::Applied);
+    assert_eq!(state.apply(6, &take_fence(2, 21)), CommandOutcome::FencingToken(3));
     assert!(!previous(&state));
-    assert_eq!(state.apply(7, &take_fence(1, 11)), Outcome::Fence(4));
+    assert_eq!(state.apply(7, &take_fence(1, 11)), CommandOutcome::FencingToken(4));
     assert!(previous(&state), "it is the other machine's turn that is near now");
 }
 
 #[parameterized(
-    first = { &[set(1, &[1, 2], &[1, 2], 1)], Outcome::Taken },
-    again = { &[set(1, &[1, 2], &[1, 2], 1), set(1, &[1, 2], &[1, 2], 1)], Outcome::Taken },
-    next = { &[set(1, &[1, 2], &[1, 2], 1), set(2, &[1, 3], &[1], 1)], Outcome::Taken },
-    epoch_skipped = { &[set(1, &[1, 2], &[1, 2], 1), set(3, &[1, 3], &[1], 1)], Outcome::Conflict { current: 1 } },
-    epoch_taken = { &[set(1, &[1, 2], &[1, 2], 1), set(1, &[1, 3], &[1], 1)], Outcome::Conflict { current: 1 } },
-    older_fence = { &[take_fence(2, 2), set(1, &[1, 2], &[1, 2], 1)], Outcome::Conflict { current: 2 } },
+    first = { &[set(1, &[1, 2], &[1, 2], 1)], CommandOutcome::Applied },
+    again = { &[set(1, &[1, 2], &[1, 2], 1), set(1, &[1, 2], &[1, 2], 1)], CommandOutcome::Applied },
+    next = { &[set(1, &[1, 2], &[1, 2], 1), set(2, &[1, 3], &[1], 1)], CommandOutcome::Applied },
+    epoch_skipped = { &[set(1, &[1, 2], &[1, 2], 1), set(3, &[1, 3], &[1], 1)], CommandOutcome::Conflict { current: 1 } },
+    epoch_taken = { &[set(1, &[1, 2], &[1, 2], 1), set(1, &[1, 3], &[1], 1)], CommandOutcome::Conflict { current: 1 } },
+    older_fence = { &[take_fence(2, 2), set(1, &[1, 2], &[1, 2], 1)], CommandOutcome::Conflict { current: 2 } },
 )]
-fn partitions(commands: &[Command], expected: Outcome) {
+fn partitions(commands: &[Command], expected: CommandOutcome) {
     let mut all = vec![take_fence(1, 1)];
     all.extend(commands.iter().cloned());
     assert_eq!(outcome(&all).1, expected);
@@ -306,29 +322,29 @@
     empty = { set(2, &[], &[], 1) },
     no_such_partition = {
         Command::SetPartition {
-            partition: PARTITIONS,
-            record: PartitionRecord { epoch: 1, chain: vec![1], full: vec![1] },
-            fence: 1,
+            partition: PARTITION_COUNT,
+            record: PartitionRecord { epoch: 1, chain: vec![1], in_sync: vec![1] },
+            fencing_token: 1,
         }
     },
 )]
 fn a_chain_that_would_lose_data_is_never_taken(change: Command) {
     let (state, last) = outcome(&[take_fence(1, 1), set(1, &[1, 2], &[1, 2], 1), change]);
-    assert!(matches!(last, Outcome::Invalid { .. }), "{last:?}");
+    assert!(matches!(last, CommandOutcome::Invalid { .. }), "{last:?}");
     assert_eq!(state.partitions().get(3).map(|record| record.epoch), Some(1));
 }
 
 #[parameterized(
-    member = { 2, 3, Outcome::Taken, 2 },
-    of_an_older_epoch = { 1, 3, Outcome::Conflict { current: 2 }, 1 },
-    full_already = { 2, 1, Outcome::Taken, 1 },
+    member = { 2, 3, CommandOutcome::Applied, 2 },
+    of_an_older_epoch = { 1, 3, CommandOutcome::Conflict { current: 2 }, 1 },
+    full_already = { 2, 1, CommandOutcome::Applied, 1 },
 )]
-fn a_member_becomes_full(epoch: u64, member: u64, expected: Outcome, full: usize) {
-    let mark = Command::PartitionFull { partition: 3, epoch, member };
+fn a_member_becomes_full(epoch: u64, member: u64, expected: CommandOutcome, in_sync: usize) {
+    let mark = Command::ReplicaInSync { partition: 3, epoch, member };
     let (state, last) =
         outcome(&[take_fence(1, 1), set(1, &[1, 2], &[1, 2], 1), set(2, &[1, 3], &[1], 1), mark]);
     assert_eq!(last, expected);
-    assert_eq!(state.partitions().get(3).map(|record| record.full.len()), Some(full));
+    assert_eq!(state.partitions().get(3).map(|record| record.in_sync.len()), Some(in_sync));
 }
 
 #[test]
@@ -336,7 +352,7 @@
     let (state, _) = outcome(&[take_fence(1, 1), set(1, &[1, 2], &[1, 2], 1), set(2, &[1, 3], &[1], 1)]);
     let before = state.changed_entries(&set(2, &[1, 3], &[1], 1));
     let mut state = state;
-    let mark = Command::PartitionFull { partition: 3, epoch: 2, member: 3 };
+    let mark = Command::ReplicaInSync { partition: 3, epoch: 2, member: 3 };
     state.apply(9, &mark);
     let after = state.changed_entries(&mark);
     assert!(after[0].version > before[0].version);
@@ -347,30 +363,30 @@
 
 #[test]
 fn a_backend_is_complete_only_once_no_chain_has_it_and_all_have_their_copies() {
-    let begin = Command::BeginRetire { name: "b-1".to_owned(), member: 1 };
-    let complete = Command::CompleteRetire { name: "b-1".to_owned(), member: 1, copies: 2 };
+    let begin = Command::BeginRetirement { name: "b-1".to_owned(), member: 1 };
+    let complete = Command::CompleteRetirement { name: "b-1".to_owned(), member: 1, replicas: 2 };
     let (mut state, last) =
         outcome(&[take_fence(1, 1), set(1, &[1, 2], &[1, 2], 1), begin.clone(), complete.clone()]);
-    assert!(matches!(last, Outcome::Invalid { .. }));
-    assert_eq!(state.retiring().get("b-1").map(|retiring| retiring.state), Some(RetireState::Active));
+    assert!(matches!(last, CommandOutcome::Invalid { .. }));
+    assert_eq!(state.retiring().get("b-1").map(|retiring| retiring.state), Some(RetirementState::Active));
     // It was silent for a moment and lost its place; only one member holds everything until its replacement is filled.
-    assert_eq!(state.apply(8, &set(2, &[2, 3], &[2], 1)), Outcome::Taken);
-    assert!(matches!(state.apply(9, &complete), Outcome::Invalid { .. }));
-    let full = Command::PartitionFull { partition: 3, epoch: 2, member: 3 };
-    assert_eq!(state.apply(10, &full), Outcome::Taken);
-    assert_eq!(state.apply(11, &complete), Outcome::Taken);
-    assert_eq!(state.apply(12, &begin), Outcome::Taken);
-    assert_eq!(state.retiring().get("b-1").map(|retiring| retiring.state), Some(RetireState::Completed));
+    assert_eq!(state.apply(8, &set(2, &[2, 3], &[2], 1)), CommandOutcome::Applied);
+    assert!(matches!(state.apply(9, &complete), CommandOutcome::Invalid { .. }));
+    let full = Command::ReplicaInSync { partition: 3, epoch: 2, member: 3 };
+    assert_eq!(state.apply(10, &full), CommandOutcome::Applied);
+    assert_eq!(state.apply(11, &complete), CommandOutcome::Applied);
+    assert_eq!(state.apply(12, &begin), CommandOutcome::Applied);
+    assert_eq!(state.retiring().get("b-1").map(|retiring| retiring.state), Some(RetirementState::Completed));
 }
 
 #[test]
 fn where_disks_are_is_kept_and_bounded() {
-    let note = |member: u64, last: u8| Command::NoteBackend { member, address: address(last) };
+    let note = |member: u64, last: u8| Command::RegisterBackend { member, address: address(last) };
     let (mut state, last) = outcome(&[take_fence(1, 1), set(1, &[1, 2], &[1, 2], 1), note(1, 1), note(1, 2)]);
-    assert_eq!(last, Outcome::Taken);
+    assert_eq!(last, CommandOutcome::Applied);
     assert_eq!(state.backends().get(1), Some(address(2)));
     for member in 2..MAX_BACKENDS as u64 + 10 {
-        assert_eq!(state.apply(member + 10, &note(member, 3)), Outcome::Taken);
+        assert_eq!(state.apply(member + 10, &note(member, 3)), CommandOutcome::Applied);
     }
     assert_eq!(state.backends().get(1), Some(address(2)), "it keeps a partition");
     assert_eq!(state.backends().get(100), None, "it keeps none");
@@ -384,11 +400,11 @@
         replace(7, 8, "never"),
         name(2),
         set(1, &[1, 2], &[1, 2], 1),
-        Command::BeginRetire { name: "b-1".to_owned(), member: 1 },
+        Command::BeginRetirement { name: "b-1".to_owned(), member: 1 },
     ]);
     let mut restored = ControlState::restore(&state.snapshot().expect("a snapshot")).expect("own snapshot");
     assert_eq!(restored, state);
-    assert_eq!(restored.apply(9, &replace(0, 5, "a")), Outcome::Taken);
+    assert_eq!(restored.apply(9, &replace(0, 5, "a")), CommandOutcome::Applied);
     let keys: Vec<Key> = restored.registry_entries().into_iter().map(|entry| entry.key).collect();
     assert_eq!(
         keys,
@@ -405,7 +421,7 @@
 #[test]
 fn the_entry_of_the_configuration_carries_the_bytes_as_sent() {
     let command = replace(0, 5, "{ \"as\" : \"sent\" }");
-    let (state, _) = outcome(&[Command::Nothing, command.clone()]);
+    let (state, _) = outcome(&[Command::Noop, command.clone()]);
     let entries = state.changed_entries(&command);
     assert_eq!(entries[0].version, 2);
     assert!(
--- a/system/control/tests/submissions.rs
+++ b/system/control/tests/submissions.rs
@@ -15,7 +15,7 @@
 
 fn submissions() -> (Submissions<&'static str>, u64) {
     let mut submissions = Submissions::new(SETTINGS, 100);
-    let request = submissions.add(ms(0), Command::Nothing, PATIENCE, "caller").expect("room");
+    let request = submissions.add(ms(0), Command::Noop, PATIENCE, "caller").expect("room");
     assert_eq!(submissions.due(ms(0)).len(), 1);
     (submissions, request)
 }
@@ -33,7 +33,7 @@
     let (mut submissions, request) = submissions();
     assert!(submissions.due(ms(599)).is_empty());
     let again = submissions.due(ms(600));
-    assert_eq!(again, [(request, Command::Nothing)], "under the same number, so that either outcome will do");
+    assert_eq!(again, [(request, Command::Noop)], "under the same number, so that either outcome will do");
 }
 
 #[test]
@@ -62,6 +62,6 @@
 #[test]
 fn too_many_are_refused() {
     let (mut submissions, _) = submissions();
-    assert!(submissions.add(ms(0), Command::Nothing, PATIENCE, "second").is_ok());
-    assert_eq!(submissions.add(ms(0), Command::Nothing, PATIENCE, "third"), Err("third"));
+    assert!(submissions.add(ms(0), Command::Noop, PATIENCE, "second").is_ok());
+    assert_eq!(submissions.add(ms(0), Command::Noop, PATIENCE, "third"), Err("third"));
 }
--- a/system/data/src/node/heartbeat.rs
+++ b/system/data/src/node/heartbeat.rs
@@ -78,7 +78,7 @@
     /// Says to the control node that this edge ends.
     pub fn farewell(&self, shared: &Shared) {
         if let Some(target) = self.target {
-            let message = ControlMessage::Farewell { incarnation: shared.incarnation };
+            let message = ControlMessage::Goodbye { incarnation: shared.incarnation };
             shared.send(target, &Envelope::Control(message));
         }
     }
--- a/system/data/src/node/mod.rs
+++ b/system/data/src/node/mod.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use gingerledge_protocol::Settings;
-use gingerledge_relay::Event;
+use gingerledge_relay::RelayEvent;
 use gingerledge_transport::{identity, Inbox, Incoming, Network, NetworkSettings, TransportError};
 use gingerledge_wire::{ControlMessage, Envelope};
 use snafu::{OptionExt, ResultExt, Snafu};
@@ -83,8 +83,8 @@
     let shared = Rc::new(Shared::new(settings, network, incarnation));
     shared.stores.set_most(bounds.store_connections);
     let ready = Rc::new(Readiness::default());
-    shared.relay(Event::ControlKnown(shared.settings().internal_seeds()));
-    shared.relay(Event::Started);
+    shared.relay(RelayEvent::ControlNodesKnown(shared.settings().internal_seeds()));
+    shared.relay(RelayEvent::Started);
     rollout::start(&shared);
     tokio::task::spawn_local(front::serve(Rc::clone(&shared), Rc::clone(&front), frontend));
     tokio::task::spawn_local(readiness::serve(Rc::clone(&shared), Rc::clone(&ready), readiness));
@@ -177,7 +177,7 @@
     fn take(&mut self, incoming: Incoming<Envelope>) {
         match incoming {
             Incoming::Message { from, message: Envelope::Relay(message) } => {
-                self.shared.relay(Event::Message { from, message });
+                self.shared.relay(RelayEvent::Message { from, message });
             }
             Incoming::Message { from, message: Envelope::Jobs(message) } => {
                 rollout::on_message(&self.shared, from, message);
@@ -187,7 +187,7 @@
             }
             Incoming::Message { .. } => {}
             Incoming::Lost { peer, .. } => {
-                self.shared.relay(Event::Lost { peer });
+                self.shared.relay(RelayEvent::PeerDisconnected { peer });
                 self.heartbeats.lost(peer);
                 rollout::on_lost(&self.shared, peer);
             }
@@ -195,9 +195,9 @@
     }
 
     fn take_control(&mut self, from: std::net::SocketAddr, message: ControlMessage) {
-        if let ControlMessage::HeartbeatTaken { sequence, control } = message {
-            self.heartbeats.taken(from, sequence, &control);
-            self.shared.relay(Event::ControlKnown(self.heartbeats.known(&self.shared)));
+        if let ControlMessage::HeartbeatAck { sequence, control_nodes } = message {
+            self.heartbeats.taken(from, sequence, &control_nodes);
+            self.shared.relay(RelayEvent::ControlNodesKnown(self.heartbeats.known(&self.shared)));
         }
     }
 
@@ -205,7 +205,7 @@
     fn clockwork(&mut self, stopping: Option<&Stopping>) -> bool {
         let now = self.shared.now();
         if self.shared.relay_timer().is_some_and(|due| due <= now) {
-            self.shared.relay(Event::Timer);
+            self.shared.relay(RelayEvent::TimerExpired);
         }
         self.heartbeats.beat(&self.shared, now);
         if now.saturating_sub(self.swept) >= SWEEP_INTERVAL {
@@ -269,7 +269,7 @@
         match reread() {
             Ok(settings) => {
                 self.shared.set_settings(settings);
-                self.shared.relay(Event::ControlKnown(self.heartbeats.known(&self.shared)));
+                self.shared.relay(RelayEvent::ControlNodesKnown(self.heartbeats.known(&self.shared)));
             }
             Err(error) => log::warn!("settings stay as they were: {error}"),
         }
--- a/system/data/src/rollout/backend_client.rs
+++ b/system/data/src/rollout/backend_client.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use gingerledge_transport::Pending;
-use gingerledge_wire::{partition_of, Envelope, JobsAnswer, JobsMessage, JobsRequest, Registry, Role};
+use gingerledge_wire::{partition_of, Envelope, JobsMessage, JobsRequest, JobsResponse, Registry, Role};
 use tokio::sync::Notify;
 
 use crate::Shared;
@@ -34,15 +34,15 @@
 /// What came of a question.
 #[derive(Clone, Debug)]
 pub struct Asked {
-    /// A backend's answer, never [`JobsAnswer::NotNow`]; none if none came in time.
-    pub answer: Option<JobsAnswer>,
+    /// A backend's answer, never [`JobsResponse::Unavailable`]; none if none came in time.
+    pub answer: Option<JobsResponse>,
     /// Whether a copy of the question went out that nobody answered, and that may have been taken.
     pub in_doubt: bool,
 }
 
 /// Questions to backends that are under way.
 pub struct BackendClient {
-    pending: Pending<JobsAnswer>,
+    pending: Pending<JobsResponse>,
     lost: Notify,
 }
 
@@ -54,7 +54,7 @@
 
 impl BackendClient {
     /// A backend answered.
-    pub fn answered(&self, request: u64, answer: JobsAnswer) {
+    pub fn answered(&self, request: u64, answer: JobsResponse) {
         self.pending.complete(request, answer);
     }
 
@@ -85,7 +85,7 @@
         patience: Duration,
     ) -> Asked {
         let until = shared.now() + patience;
-        let held_ms = if let JobsRequest::Read { wait_ms, .. } = &body { *wait_ms } else { 0 };
+        let held_ms = if let JobsRequest::ReadResults { wait_ms, .. } = &body { *wait_ms } else { 0 };
         let again = TRY_AGAIN + Duration::from_millis(held_ms);
         let question = Question { shared, partition, member, body };
         let mut in_doubt = false;
@@ -98,7 +98,7 @@
             let (answer, copies) = self.send_until_answered(&question, request, reply, again).await;
             in_doubt |= copies > u32::from(answer.is_some());
             match answer {
-                Some(JobsAnswer::NotNow) => tokio::time::sleep(NOT_NOW_PAUSE).await,
+                Some(JobsResponse::Unavailable) => tokio::time::sleep(NOT_NOW_PAUSE).await,
                 answer => return Asked { answer, in_doubt },
             }
         }
@@ -109,9 +109,9 @@
         &self,
         question: &Question<'_>,
         request: u64,
-        reply: impl Future<Output = Option<JobsAnswer>>,
+        reply: impl Future<Output = Option<JobsResponse>>,
         again: Duration,
-    ) -> (Option<JobsAnswer>, u32) {
+    ) -> (Option<JobsResponse>, u32) {
         let mut reply = pin!(reply);
         let mut copies = 0;
         loop {
@@ -141,7 +141,7 @@
     fn send(&self, request: u64) -> bool {
         let found = self.shared.registry(|registry| member_address(registry, self.partition, self.member));
         let Some((to, epoch)) = found else { return false };
-        let message = JobsMessage::Ask {
+        let message = JobsMessage::Request {
             request,
             reply_to: self.shared.address(),
             edge: self.shared.incarnation,
--- a/system/data/src/rollout/driver.rs
+++ b/system/data/src/rollout/driver.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use gingerledge_protocol::Route;
-use gingerledge_wire::{DriverTerm, JobRecord, PartialText, RenewState};
+use gingerledge_wire::{DriverLeaseState, DriverTerm, JobRecord, PartialText};
 use tokio::task::JoinSet;
 
 use super::drive::{Carried, Drive, DriveKey, KeptSince, Outcome, MAX_DRIVES};
@@ -130,7 +130,7 @@
 }
 
 /// The batch job is ended, or another edge drives it under a later term.
-pub(super) fn stop(shared: &Rc<Shared>, job: &str, term: DriverTerm, why: RenewState) {
+pub(super) fn stop(shared: &Rc<Shared>, job: &str, term: DriverTerm, why: DriverLeaseState) {
     let key = shared.rollout.drives.borrow().of(job);
     let Some(key) = key else { return };
     let ours = shared.rollout.drives.borrow().all.get(key).is_some_and(|drive| drive.term <= term);
@@ -142,7 +142,7 @@
 
 /// The batch job is ended: whatever the term.
 pub(super) fn ended(shared: &Rc<Shared>, job: &str) {
-    stop(shared, job, DriverTerm::MAX, RenewState::Ended);
+    stop(shared, job, DriverTerm::MAX, DriverLeaseState::Ended);
 }
 
 pub(super) fn remove(shared: &Rc<Shared>, key: DriveKey) {
--- a/system/data/src/rollout/front.rs
+++ b/system/data/src/rollout/front.rs
@@ -9,7 +9,7 @@
 
 use bytes::Bytes;
 use gingerledge_protocol::{ItemState, ListedResult, ResultPage};
-use gingerledge_wire::{partition_of, JobsAnswer, JobsRequest, ResultRecord};
+use gingerledge_wire::{partition_of, JobsRequest, JobsResponse, ResultRecord};
 use hyper::http::header::{CONTENT_TYPE, HOST, RETRY_AFTER};
 use hyper::http::{HeaderMap, HeaderValue, Method, Request, StatusCode};
 
@@ -75,21 +75,21 @@
         return Ok(not_taken());
     }
     let asked_at = shared.now();
-    let question = JobsRequest::Create { job: Arc::clone(&job) };
+    let question = JobsRequest::CreateJob { job: Arc::clone(&job) };
     let asked = shared.rollout.backends.ask(shared, &job.id, Member::Head, question, patience).await;
     match asked.answer {
-        Some(JobsAnswer::Created { drive }) => {
+        Some(JobsResponse::Created { driver_term }) => {
             hold::tell_model_use(shared, &job);
-            if let Some(term) = drive {
+            if let Some(term) = driver_term {
                 let held_until = asked_at + hold::hold_time(shared);
                 driver::begin(shared, driver::Assignment::of_new(job, term), held_until);
             }
             Ok(ReplyBody::status(StatusCode::ACCEPTED))
         }
         // It was taken before, and has ended since.
-        Some(JobsAnswer::Ended) => Ok(ReplyBody::status(StatusCode::ACCEPTED)),
+        Some(JobsResponse::Ended) => Ok(ReplyBody::status(StatusCode::ACCEPTED)),
         _ if asked.in_doubt => Err(CloseConnection),
-        Some(JobsAnswer::Full) | None => Ok(not_taken()),
+        Some(JobsResponse::CapacityExceeded) | None => Ok(not_taken()),
         Some(_) => Err(CloseConnection),
     }
 }
@@ -98,7 +98,7 @@
     let start_after = number(parameter(query, "startAfter")).unwrap_or(0);
     let wait =
         Duration::from_millis(number::<u32>(text(headers, "wait-ms")).unwrap_or(0).into()).min(LONGEST_WAIT);
-    let question = JobsRequest::Read {
+    let question = JobsRequest::ReadResults {
         job: job.to_owned(),
         start_after,
         wait_ms: u64::try_from(wait.as_millis()).unwrap_or(0),
@@ -106,8 +106,8 @@
     };
     let asked = shared.rollout.backends.ask(shared, job, Member::Tail, question, wait + READ_PATIENCE).await;
     match asked.answer {
-        Some(JobsAnswer::Page { total, results, .. }) => page(total, start_after, results),
-        Some(JobsAnswer::Unknown) => ReplyBody::status(StatusCode::NOT_FOUND),
+        Some(JobsResponse::Results { total, results, .. }) => page(total, start_after, results),
+        Some(JobsResponse::NotFound) => ReplyBody::status(StatusCode::NOT_FOUND),
         _ => ReplyBody::status(StatusCode::SERVICE_UNAVAILABLE),
     }
 }
@@ -137,24 +137,24 @@
 
 async fn body(shared: &Rc<Shared>, job: &str, query: &str) -> Reply {
     let Some(item) = parameter(query, "id") else { return ReplyBody::status(StatusCode::NOT_FOUND) };
-    let question = JobsRequest::Body { job: job.to_owned(), item: item.to_owned() };
+    let question = JobsRequest::ReadItemBody { job: job.to_owned(), item: item.to_owned() };
     let asked = shared.rollout.backends.ask(shared, job, Member::Tail, question, READ_PATIENCE).await;
     match asked.answer {
-        Some(JobsAnswer::Body(bytes)) => with_body("application/octet-stream", bytes.into()),
-        Some(JobsAnswer::Unknown) => ReplyBody::status(StatusCode::NOT_FOUND),
+        Some(JobsResponse::ItemBody(bytes)) => with_body("application/octet-stream", bytes.into()),
+        Some(JobsResponse::NotFound) => ReplyBody::status(StatusCode::NOT_FOUND),
         _ => ReplyBody::status(StatusCode::SERVICE_UNAVAILABLE),
     }
 }
 
 async fn end(shared: &Rc<Shared>, job: &str) -> Reply {
-    let question = JobsRequest::End { job: job.to_owned() };
+    let question = JobsRequest::EndJob { job: job.to_owned() };
     let asked = shared.rollout.backends.ask(shared, job, Member::Head, question, END_PATIENCE).await;
     match asked.answer {
-        Some(JobsAnswer::Ended) => {
+        Some(JobsResponse::Ended) => {
             driver::ended(shared, job);
             ReplyBody::status(StatusCode::OK)
         }
-        Some(JobsAnswer::Unknown) => ReplyBody::status(StatusCode::NOT_FOUND),
+        Some(JobsResponse::NotFound) => ReplyBody::status(StatusCode::NOT_FOUND),
         // It may have been taken, so this is no promise.
         _ => ReplyBody::status(StatusCode::GATEWAY_TIMEOUT),
     }
--- a/system/data/src/rollout/hold.rs
+++ b/system/data/src/rollout/hold.rs
@@ -6,7 +6,8 @@
 use std::time::Duration;
 
 use gingerledge_wire::{
-    partition_of, ControlMessage, DriverTerm, Envelope, JobId, JobRecord, JobsAnswer, JobsRequest, RenewState,
+    partition_of, ControlMessage, DriverLeaseState, DriverTerm, Envelope, JobId, JobRecord, JobsRequest,
+    JobsResponse,
 };
 
 use super::backend_client::Member;
@@ -80,13 +81,13 @@
     let asked_at = shared.now();
     let hold = hold_time(&shared);
     let patience = renewal_period(&shared);
-    let body = JobsRequest::Renew { jobs: jobs.clone() };
+    let body = JobsRequest::RenewDriverLeases { jobs: jobs.clone() };
     let asked = shared.rollout.backends.ask_partition(&shared, partition, Member::Head, body, patience).await;
-    let Some(JobsAnswer::Renewed(states)) = asked.answer else { return };
+    let Some(JobsResponse::Renewed(states)) = asked.answer else { return };
     for ((job, term), state) in jobs.into_iter().zip(states) {
         match state {
-            RenewState::Held => driver::held(&shared, &job, term, asked_at + hold),
-            RenewState::Ended | RenewState::Fenced => driver::stop(&shared, &job, term, state),
+            DriverLeaseState::Held => driver::held(&shared, &job, term, asked_at + hold),
+            DriverLeaseState::Ended | DriverLeaseState::Fenced => driver::stop(&shared, &job, term, state),
         }
     }
 }
--- a/system/data/src/rollout/job_route.rs
+++ b/system/data/src/rollout/job_route.rs
@@ -50,7 +50,7 @@
     let services = route.services();
     let total: f64 = services.iter().map(|&(_, weight)| weight).sum();
     let spot =
-        f64::from(gingerledge_wire::partition_of(job)) / f64::from(gingerledge_wire::PARTITIONS) * total;
+        f64::from(gingerledge_wire::partition_of(job)) / f64::from(gingerledge_wire::PARTITION_COUNT) * total;
     let mut passed = 0.0;
     for &(service, weight) in &services {
         passed += weight;
--- a/system/data/src/rollout/mod.rs
+++ b/system/data/src/rollout/mod.rs
@@ -28,7 +28,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use gingerledge_wire::{JobsMessage, RenewState};
+use gingerledge_wire::{DriverLeaseState, JobsMessage};
 use tokio::sync::Notify;
 
 pub use backend_client::{Asked, BackendClient, Member};
@@ -67,14 +67,14 @@
 /// Called for each message of the batch jobs' plane.
 pub fn on_message(shared: &Rc<Shared>, _from: SocketAddr, message: JobsMessage) {
     match message {
-        JobsMessage::Answer { request, body } => shared.rollout.backends.answered(request, body),
-        JobsMessage::Drive { job, term, listed, texts, age_ms } => {
+        JobsMessage::Response { request, body } => shared.rollout.backends.answered(request, body),
+        JobsMessage::AssignDriver { job, term, items_with_results, texts, age_ms } => {
             let age = Duration::from_millis(age_ms);
-            let assignment = driver::Assignment { job, term, listed, saved: texts, age };
+            let assignment = driver::Assignment { job, term, listed: items_with_results, saved: texts, age };
             driver::begin(shared, assignment, shared.now());
         }
-        JobsMessage::Stop { job, term } => driver::stop(shared, &job, term, RenewState::Fenced),
-        JobsMessage::Ask { .. } => log::warn!("an edge was asked what only backends know"),
+        JobsMessage::StopDriver { job, term } => driver::stop(shared, &job, term, DriverLeaseState::Fenced),
+        JobsMessage::Request { .. } => log::warn!("an edge was asked what only backends know"),
     }
 }
 
--- a/system/data/src/rollout/plan/groups.rs
+++ b/system/data/src/rollout/plan/groups.rs
@@ -60,7 +60,7 @@
                 group.items.push(index as u32);
             }
         }
-        let desired = match usize::try_from(job.desired) {
+        let desired = match usize::try_from(job.desired_groups) {
             Ok(desired) if desired > 0 => desired.min(all.len()),
             _ => all.len(),
         };
--- a/system/data/src/rollout/plan/mod.rs
+++ b/system/data/src/rollout/plan/mod.rs
@@ -116,7 +116,7 @@
     /// Takes over a text that another driver has saved, if the item has not begun and the versions fit; says whether it did.
     pub fn take_over(&mut self, now: Duration, saved: PartialText, rules: Rules) -> bool {
         let Some(item) = self.items.get_mut(saved.item as usize) else { return false };
-        let (origin, whole) = (saved.origin, saved.whole);
+        let (origin, whole) = (saved.origin, saved.is_complete);
         let text = Text::restored(saved);
         if !item.is_fresh() || !text.fits(self.job.min_version, rules.single_version) {
             return false;
--- a/system/data/src/rollout/plan/saving.rs
+++ b/system/data/src/rollout/plan/saving.rs
@@ -63,14 +63,15 @@
     /// A part is kept, after all that was kept before it.
     pub fn kept(&mut self, parts: &[PartialText], sizes: &[usize]) {
         for (part, &bytes) in parts.iter().zip(sizes) {
-            let saved = Saved { origin: part.origin, last_id: part.last_id, bytes, whole: part.whole };
+            let saved =
+                Saved { origin: part.origin, last_id: part.last_event_id, bytes, whole: part.is_complete };
             self.saved.insert(part.item, saved);
         }
     }
 
     /// How long each text is with its part.
     pub fn sizes(&self, parts: &[PartialText]) -> Vec<usize> {
-        let before = |part: &PartialText| match part.after {
+        let before = |part: &PartialText| match part.previous_event_id {
             Some(_) => self.saved.get(&part.item).map_or(0, |saved| saved.bytes),
             None => 0,
         };
@@ -87,11 +88,11 @@
         Some(PartialText {
             item: view.item,
             origin: view.origin,
-            after: saved.map(|saved| saved.last_id),
-            last_id,
+            previous_event_id: saved.map(|saved| saved.last_id),
+            last_event_id: last_id,
             data: data.to_vec(),
             versions: view.text.versions().to_vec(),
-            whole: view.whole,
+            is_complete: view.whole,
         })
     }
 }
--- a/system/data/src/rollout/plan/text.rs
+++ b/system/data/src/rollout/plan/text.rs
@@ -73,7 +73,7 @@
 
     /// A text as it was saved by another driver; nothing follows from its data being there but that it was taken from a text.
     pub fn restored(saved: PartialText) -> Self {
-        Self { data: saved.data, last_id: Some(saved.last_id), versions: saved.versions }
+        Self { data: saved.data, last_id: Some(saved.last_event_id), versions: saved.versions }
     }
 
     /// The data from a place on.
--- a/system/data/src/rollout/results.rs
+++ b/system/data/src/rollout/results.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use gingerledge_wire::{JobRecord, JobsAnswer, JobsRequest, RenewState, ResultRecord};
+use gingerledge_wire::{DriverLeaseState, JobRecord, JobsRequest, JobsResponse, ResultRecord};
 
 use super::backend_client::Member;
 use super::drive::{Drive, DriveKey, Outcome};
@@ -53,12 +53,12 @@
             tokio::time::sleep(PAUSE).await;
             continue;
         }
-        let body = JobsRequest::Append { job: job.id.clone(), term, results: results.clone() };
+        let body = JobsRequest::AppendResults { job: job.id.clone(), term, results: results.clone() };
         let asked = shared.rollout.backends.ask(shared, &job.id, Member::Head, body, PATIENCE).await;
         let over = match asked.answer {
-            Some(JobsAnswer::Appended) => return true,
-            Some(JobsAnswer::Fenced) => RenewState::Fenced,
-            Some(JobsAnswer::Ended) => RenewState::Ended,
+            Some(JobsResponse::Appended) => return true,
+            Some(JobsResponse::Fenced) => DriverLeaseState::Fenced,
+            Some(JobsResponse::Ended) => DriverLeaseState::Ended,
             Some(_) => {
                 tokio::time::sleep(PAUSE).await;
                 continue;
--- a/system/data/src/rollout/saving.rs
+++ b/system/data/src/rollout/saving.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use gingerledge_wire::{JobsAnswer, JobsRequest, PartialText};
+use gingerledge_wire::{JobsRequest, JobsResponse, PartialText};
 
 use super::backend_client::Member;
 use super::drive::{Drive, DriveKey, Outcome};
@@ -76,9 +76,9 @@
     drive.saving.under_way = true;
     let (shared, job, term) = (Rc::clone(shared), Arc::clone(drive.plan.job()), drive.term);
     drive.tasks.spawn_local(async move {
-        let body = JobsRequest::Save { job: job.id.clone(), term, texts: parts.clone() };
+        let body = JobsRequest::SaveCheckpoint { job: job.id.clone(), term, texts: parts.clone() };
         let asked = shared.rollout.backends.ask(&shared, &job.id, Member::Head, body, PATIENCE).await;
-        let kept = matches!(asked.answer, Some(JobsAnswer::Appended)).then_some((parts, sizes));
+        let kept = matches!(asked.answer, Some(JobsResponse::Appended)).then_some((parts, sizes));
         driver::tell(&shared, Outcome::Saved { drive: key, kept });
     });
 }
--- a/system/data/src/rollout/submission.rs
+++ b/system/data/src/rollout/submission.rs
@@ -50,7 +50,7 @@
         step: submitted.step,
         model: submitted.model,
         min_version: submitted.min_version,
-        desired: submitted.desired,
+        desired_groups: submitted.desired,
         items: items?,
     })
 }
--- a/system/data/src/shared.rs
+++ b/system/data/src/shared.rs
@@ -9,7 +9,7 @@
 use gingerledge_protocol::{
     Configuration, ConfigurationDocument, FollowedChange, FollowedConfiguration, Settings,
 };
-use gingerledge_relay::{Action, Event, Relay, RelaySettings};
+use gingerledge_relay::{Relay, RelayAction, RelayEvent, RelaySettings};
 use gingerledge_transport::Network;
 use gingerledge_wire::{Entry, Envelope, Key, Registry, Role, Value};
 
@@ -112,29 +112,29 @@
 
     /// Whether the registry holds all that the control chain had confirmed a moment ago.
     pub fn fresh(&self) -> bool {
-        self.relay.borrow().fresh(self.now())
+        self.relay.borrow().is_fresh(self.now())
     }
 
     /// Gives the relay an event and does what it wants done.
-    pub fn relay(&self, event: Event) {
+    pub fn relay(&self, event: RelayEvent) {
         let mut actions = Vec::new();
         self.relay.borrow_mut().handle(self.now(), event, &mut actions);
         for action in actions {
             match action {
-                Action::Send { to, message } => self.send(to, &Envelope::Relay(message)),
-                Action::Changed(entries) => self.note_changed(&entries),
+                RelayAction::Send { to, message } => self.send(to, &Envelope::Relay(message)),
+                RelayAction::EntriesChanged(entries) => self.note_changed(&entries),
             }
         }
     }
 
-    /// When the relay wants [`Event::Timer`].
+    /// When the relay wants [`RelayEvent::TimerExpired`].
     pub fn relay_timer(&self) -> Option<Duration> {
         self.relay.borrow().next_timer()
     }
 
     /// Takes entries of the registry in from another source than the relay tree.
     pub fn merge(&self, entries: impl IntoIterator<Item = Entry>) {
-        self.relay(Event::Learned(entries.into_iter().collect()));
+        self.relay(RelayEvent::EntriesLearned(entries.into_iter().collect()));
     }
 
     /// The newest configuration known, read once for each change.
--- a/system/data/tests/edge_common/control.rs
+++ b/system/data/tests/edge_common/control.rs
@@ -5,9 +5,9 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use gingerledge_relay::{Action, Event, Relay, RelaySettings};
+use gingerledge_relay::{Relay, RelayAction, RelayEvent, RelaySettings};
 use gingerledge_transport::{Inbox, Incoming, Network, NetworkSettings};
-use gingerledge_wire::{ControlMessage, Entry, Envelope, NodeRecord, Role, Tick};
+use gingerledge_wire::{ControlMessage, Entry, Envelope, FreshnessTick, NodeRecord, Role};
 
 /// How often the control chain confirms that it knows all.
 const TICK: Duration = Duration::from_millis(100);
@@ -34,14 +34,14 @@
             heartbeats: RefCell::default(),
             farewells: RefCell::default(),
         });
-        control.relay(Event::Started);
+        control.relay(RelayEvent::Started);
         tokio::task::spawn_local(Rc::clone(&control).run(inbox));
         control
     }
 
     /// Learns entries from the control chain or sessions.
     pub fn learn(&self, entries: Vec<Entry>) {
-        self.relay(Event::Learned(entries));
+        self.relay(RelayEvent::EntriesLearned(entries));
     }
 
     async fn run(self: Rc<Self>, mut inbox: Inbox<Envelope>) {
@@ -50,44 +50,47 @@
             tokio::select! {
                 incoming = inbox.next() => match incoming {
                     Some(Incoming::Message { from, message }) => self.take(from, message),
-                    Some(Incoming::Lost { peer, .. }) => self.relay(Event::Lost { peer }),
+                    Some(Incoming::Lost { peer, .. }) => self.relay(RelayEvent::PeerDisconnected { peer }),
                     None => return,
                 },
                 _ = ticks.tick() => self.tick(),
             }
             let now = self.started.elapsed();
             if self.relay.borrow().next_timer().is_some_and(|due| due <= now) {
-                self.relay(Event::Timer);
+                self.relay(RelayEvent::TimerExpired);
             }
         }
     }
 
     fn tick(&self) {
         self.ticks.set(self.ticks.get() + 1);
-        self.relay(Event::Tick(Tick { epoch: 1, number: self.ticks.get() }));
-        self.relay(Event::Timer);
+        self.relay(RelayEvent::Tick(FreshnessTick { epoch: 1, number: self.ticks.get() }));
+        self.relay(RelayEvent::TimerExpired);
     }
 
     fn take(&self, from: SocketAddr, message: Envelope) {
         match message {
-            Envelope::Relay(message) => self.relay(Event::Message { from, message }),
+            Envelope::Relay(message) => self.relay(RelayEvent::Message { from, message }),
             Envelope::Control(ControlMessage::Heartbeat { node, sequence, .. }) => {
                 self.heartbeats.borrow_mut().push(node);
                 let control = vec![self.network.local_address()];
-                self.send(from, &Envelope::Control(ControlMessage::HeartbeatTaken { sequence, control }));
+                self.send(
+                    from,
+                    &Envelope::Control(ControlMessage::HeartbeatAck { sequence, control_nodes: control }),
+                );
             }
-            Envelope::Control(ControlMessage::Farewell { incarnation }) => {
+            Envelope::Control(ControlMessage::Goodbye { incarnation }) => {
                 self.farewells.borrow_mut().push(incarnation);
             }
             _ => {}
         }
     }
 
-    fn relay(&self, event: Event) {
+    fn relay(&self, event: RelayEvent) {
         let mut actions = Vec::new();
         self.relay.borrow_mut().handle(self.started.elapsed(), event, &mut actions);
         for action in actions {
-            if let Action::Send { to, message } = action {
+            if let RelayAction::Send { to, message } = action {
                 self.send(to, &Envelope::Relay(message));
             }
         }
--- a/system/data/tests/edge_common/mod.rs
+++ b/system/data/tests/edge_common/mod.rs
@@ -14,9 +14,9 @@
 use gingerledge_data::front::{self, Bounds, Front};
 use gingerledge_data::Shared;
 use gingerledge_protocol::{ConfigurationDocument, Settings, StoreState};
-use gingerledge_relay::Event;
+use gingerledge_relay::RelayEvent;
 use gingerledge_transport::{Network, NetworkSettings};
-use gingerledge_wire::{Entry, Key, StoreRecord, Tick, Value};
+use gingerledge_wire::{Entry, FreshnessTick, Key, StoreRecord, Value};
 use tokio::net::TcpListener;
 use tokio::task::LocalSet;
 
@@ -94,7 +94,7 @@
 
     /// The control chain confirms that this is all.
     pub fn tick(&self) {
-        self.shared.relay(Event::Tick(Tick { epoch: 1, number: 1 }));
+        self.shared.relay(RelayEvent::Tick(FreshnessTick { epoch: 1, number: 1 }));
     }
 
     pub fn learn_configuration(&self, sequence: u64, json: &str) {
--- a/system/data/tests/rollout_common/backend.rs
+++ b/system/data/tests/rollout_common/backend.rs
@@ -9,7 +9,7 @@
 
 use gingerledge_transport::{Incoming, Network, NetworkSettings};
 use gingerledge_wire::{
-    DriverTerm, Envelope, JobRecord, JobsAnswer, JobsMessage, JobsRequest, PartialText, RenewState,
+    DriverLeaseState, DriverTerm, Envelope, JobRecord, JobsMessage, JobsRequest, JobsResponse, PartialText,
     ResultRecord,
 };
 
@@ -21,7 +21,7 @@
     /// It does what is asked, and the answer is lost.
     Loses,
     /// This.
-    This(JobsAnswer),
+    This(JobsResponse),
 }
 
 struct Kept {
@@ -61,9 +61,9 @@
         tokio::task::spawn_local(async move {
             while let Some(incoming) = inbox.next().await {
                 let Incoming::Message { message: Envelope::Jobs(message), .. } = incoming else { continue };
-                let JobsMessage::Ask { request, reply_to, body, .. } = message else { continue };
+                let JobsMessage::Request { request, reply_to, body, .. } = message else { continue };
                 if let Some(body) = serving.borrow_mut().answer(body) {
-                    let answer = Envelope::Jobs(JobsMessage::Answer { request, body });
+                    let answer = Envelope::Jobs(JobsMessage::Response { request, body });
                     assert!(answers.send(reply_to, &answer).is_queued());
                 }
             }
@@ -104,7 +104,7 @@
         let kept = Kept { job: Arc::clone(&job), term, ended: false, results, saved: Vec::new() };
         self.state.borrow_mut().jobs.insert(job.id.clone(), kept);
         let age_ms = self.state.borrow().told_age.as_millis() as u64;
-        self.send(edge, JobsMessage::Drive { job, term, listed, texts, age_ms });
+        self.send(edge, JobsMessage::AssignDriver { job, term, items_with_results: listed, texts, age_ms });
     }
 
     /// From now on, drivers are told that batch jobs are that old.
@@ -154,7 +154,7 @@
 }
 
 impl State {
-    fn answer(&mut self, body: JobsRequest) -> Option<JobsAnswer> {
+    fn answer(&mut self, body: JobsRequest) -> Option<JobsResponse> {
         self.heard.push(body.clone());
         match self.script.as_ref().and_then(|script| script(&body)) {
             Some(Says::Nothing) => None,
@@ -167,77 +167,77 @@
         }
     }
 
-    fn properly(&mut self, body: JobsRequest) -> JobsAnswer {
+    fn properly(&mut self, body: JobsRequest) -> JobsResponse {
         match body {
-            JobsRequest::Create { job } => {
+            JobsRequest::CreateJob { job } => {
                 let (results, saved) = (Vec::new(), Vec::new());
                 let kept = Kept { job: Arc::clone(&job), term: 1, ended: false, results, saved };
                 let kept = self.jobs.entry(job.id.clone()).or_insert(kept);
-                JobsAnswer::Created { drive: (!kept.ended).then_some(kept.term) }
+                JobsResponse::Created { driver_term: (!kept.ended).then_some(kept.term) }
             }
-            JobsRequest::Append { job, term, results } => self.append(&job, term, results),
-            JobsRequest::Save { job, term, texts } => match self.jobs.get_mut(&job) {
+            JobsRequest::AppendResults { job, term, results } => self.append(&job, term, results),
+            JobsRequest::SaveCheckpoint { job, term, texts } => match self.jobs.get_mut(&job) {
                 Some(kept) if kept.term == term => {
                     kept.saved.extend(texts);
-                    JobsAnswer::Appended
+                    JobsResponse::Appended
                 }
-                _ => JobsAnswer::Fenced,
+                _ => JobsResponse::Fenced,
             },
-            JobsRequest::End { job } => match self.jobs.get_mut(&job) {
+            JobsRequest::EndJob { job } => match self.jobs.get_mut(&job) {
                 Some(kept) => {
                     kept.ended = true;
-                    JobsAnswer::Ended
+                    JobsResponse::Ended
                 }
-                None => JobsAnswer::Unknown,
+                None => JobsResponse::NotFound,
             },
-            JobsRequest::Read { job, start_after, .. } => match self.jobs.get(&job) {
+            JobsRequest::ReadResults { job, start_after, .. } => match self.jobs.get(&job) {
                 Some(kept) => {
                     let from = kept.results.iter().skip(start_after as usize);
                     let name = |result: &ResultRecord| kept.job.items[result.item as usize].id.clone();
-                    JobsAnswer::Page {
+                    JobsResponse::Results {
                         total: kept.job.items.len() as u64,
                         results: from.map(|result| (name(result), result.clone())).collect(),
                         ended: kept.ended,
                     }
                 }
-                None => JobsAnswer::Unknown,
+                None => JobsResponse::NotFound,
             },
-            JobsRequest::Body { job, item } => {
+            JobsRequest::ReadItemBody { job, item } => {
                 let items = self.jobs.get(&job).map(|kept| kept.job.items.iter());
                 let found = items.and_then(|mut items| items.find(|known| known.id == item));
-                found.map_or(JobsAnswer::Unknown, |item| JobsAnswer::Body(item.body.clone()))
+                found.map_or(JobsResponse::NotFound, |item| JobsResponse::ItemBody(item.body.clone()))
             }
-            JobsRequest::Renew { jobs } => {
+            JobsRequest::RenewDriverLeases { jobs } => {
                 let states: Vec<_> = jobs.iter().map(|(job, term)| self.renew(job, *term)).collect();
-                if states.contains(&RenewState::Held) {
+                if states.contains(&DriverLeaseState::Held) {
                     self.renewed.push(Instant::now());
                 }
-                JobsAnswer::Renewed(states)
+                JobsResponse::Renewed(states)
             }
         }
     }
 
-    fn append(&mut self, job: &str, term: DriverTerm, results: Vec<ResultRecord>) -> JobsAnswer {
-        let Some(kept) = self.jobs.get_mut(job) else { return JobsAnswer::NotNow };
+    fn append(&mut self, job: &str, term: DriverTerm, results: Vec<ResultRecord>) -> JobsResponse {
+        let Some(kept) = self.jobs.get_mut(job) else { return JobsResponse::Unavailable };
         if kept.ended {
-            return JobsAnswer::Ended;
+            return JobsResponse::Ended;
         }
         if kept.term != term {
-            return JobsAnswer::Fenced;
+            return JobsResponse::Fenced;
         }
         for result in results {
             if kept.results.iter().all(|known| known.item != result.item) {
                 kept.results.push(result);
             }
         }
-        JobsAnswer::Appended
+        JobsResponse::Appended
     }
 
-    fn renew(&self, job: &str, term: DriverTerm) -> RenewState {
+    fn renew(&self, job: &str, term: DriverTerm) -> DriverLeaseState {
         match self.jobs.get(job) {
-            Some(kept) if kept.ended || kept.results.len() == kept.job.items.len() => RenewState::Ended,
-            Some(kept) if kept.term == term => RenewState::Held,
-            _ => RenewState::Fenced,
+            Some(kept) if kept.ended || kept.results.len() == kept.job.items.len() => DriverLeaseState::Ended,
+            Some(kept) if kept.term == term => DriverLeaseState::Held,
+            _ => DriverLeaseState::Fenced,
         }
     }
 }
--- a/system/data/tests/rollout_common/mod.rs
+++ b/system/data/tests/rollout_common/mod.rs
@@ -11,11 +11,11 @@
 
 use gingerledge_data::{rollout, Shared};
 use gingerledge_protocol::{ConfigurationDocument, LoadedModel, Settings, StoreState};
-use gingerledge_relay::Event;
+use gingerledge_relay::RelayEvent;
 use gingerledge_transport::{Incoming, Network, NetworkSettings};
 use gingerledge_wire::{
     Entry, Envelope, ItemRecord, JobRecord, Key, NodeRecord, PartitionRecord, Role, ScoringRecord,
-    StoreRecord, Value, PARTITIONS,
+    StoreRecord, Value, PARTITION_COUNT,
 };
 use tokio::task::LocalSet;
 
@@ -125,9 +125,9 @@
             zone: "home".to_owned(),
         };
         self.learn(Key::Node(5), 1, Value::Node(node));
-        for partition in 0..PARTITIONS {
+        for partition in 0..PARTITION_COUNT {
             let record =
-                PartitionRecord { epoch: 1, chain: vec![BACKEND_MEMBER], full: vec![BACKEND_MEMBER] };
+                PartitionRecord { epoch: 1, chain: vec![BACKEND_MEMBER], in_sync: vec![BACKEND_MEMBER] };
             self.learn(Key::Partition(partition), 1, Value::Partition(record));
         }
     }
@@ -151,7 +151,7 @@
     }
 
     fn learn(&self, key: Key, version: u64, value: Value) {
-        self.shared.relay(Event::Learned(vec![Entry { key, version, value }]));
+        self.shared.relay(RelayEvent::EntriesLearned(vec![Entry { key, version, value }]));
     }
 
     /// Nothing is out at any of these stores by the edge's own counts.
@@ -183,7 +183,7 @@
         step: 0,
         model: MODEL.to_owned(),
         min_version: 2,
-        desired: groups as u64,
+        desired_groups: groups as u64,
         items: items.collect(),
     }
 }
--- a/system/data/tests/rollout_front.rs
+++ b/system/data/tests/rollout_front.rs
@@ -9,7 +9,7 @@
 use bytes::Bytes;
 use gingerledge_data::{rollout, CloseConnection, Reply, ReplyBody};
 use gingerledge_protocol::{ItemState, ResultPage};
-use gingerledge_wire::{JobRecord, JobsAnswer, JobsRequest, ResultRecord};
+use gingerledge_wire::{JobRecord, JobsRequest, JobsResponse, ResultRecord};
 use http_body_util::BodyExt;
 use hyper::http::{Method, Request, StatusCode};
 use rollout_common::*;
@@ -28,7 +28,7 @@
                 "path": scoring.path, "body": STANDARD.encode(&scoring.body)}, "unknown": 1})
         })
         .collect();
-    serde_json::json!({"step": job.step, "model": job.model, "minVersion": job.min_version, "desired": job.desired,
+    serde_json::json!({"step": job.step, "model": job.model, "minVersion": job.min_version, "desired": job.desired_groups,
         "items": items})
     .to_string()
 }
@@ -66,7 +66,7 @@
 
 /// What becomes of one kind of question.
 fn creating(says: Says) -> impl Fn(&JobsRequest) -> Option<Says> {
-    move |asked| matches!(asked, JobsRequest::Create { .. }).then(|| says.clone())
+    move |asked| matches!(asked, JobsRequest::CreateJob { .. }).then(|| says.clone())
 }
 
 #[test]
@@ -97,7 +97,7 @@
         let world = World::start(Route::default()).await;
         let sent = job("j", 2, 2);
         world.status(hand_in("j", submitted(&sent), 5_000)).await;
-        let JobsRequest::Create { job: kept } = world.backend.heard().remove(0) else {
+        let JobsRequest::CreateJob { job: kept } = world.backend.heard().remove(0) else {
             panic!("no creation")
         };
         let mut expected = sent;
@@ -141,10 +141,10 @@
 #[parameterized(
     no_answer = { Says::Nothing, None },
     taken_and_the_answer_lost = { Says::Loses, None },
-    not_now = { Says::This(JobsAnswer::NotNow), Some(StatusCode::SERVICE_UNAVAILABLE) },
-    no_room = { Says::This(JobsAnswer::Full), Some(StatusCode::SERVICE_UNAVAILABLE) },
-    taken_before_and_ended = { Says::This(JobsAnswer::Created { drive: None }), Some(StatusCode::ACCEPTED) },
-    an_odd_answer = { Says::This(JobsAnswer::Appended), None },
+    not_now = { Says::This(JobsResponse::Unavailable), Some(StatusCode::SERVICE_UNAVAILABLE) },
+    no_room = { Says::This(JobsResponse::CapacityExceeded), Some(StatusCode::SERVICE_UNAVAILABLE) },
+    taken_before_and_ended = { Says::This(JobsResponse::Created { driver_term: None }), Some(StatusCode::ACCEPTED) },
+    an_odd_answer = { Says::This(JobsResponse::Appended), None },
 )]
 fn a_batch_job_that_meets(says: Says, expected: Option<StatusCode>) {
     run(async move {
@@ -165,9 +165,15 @@
         let world = World::start(Route::default()).await;
         let copies = std::cell::Cell::new(0);
         world.backend.says(move |asked| {
-            let creation = matches!(asked, JobsRequest::Create { .. });
+            let creation = matches!(asked, JobsRequest::CreateJob { .. });
             copies.set(copies.get() + u32::from(creation));
-            creation.then(|| if copies.get() == 1 { Says::Nothing } else { Says::This(JobsAnswer::Full) })
+            creation.then(|| {
+                if copies.get() == 1 {
+                    Says::Nothing
+                } else {
+                    Says::This(JobsResponse::CapacityExceeded)
+                }
+            })
         });
         let answer = world.answer(hand_in("j", submitted(&job("j", 1, 1)), 5_000)).await;
         assert!(answer.is_err(), "the first copy may have been taken");
@@ -180,7 +186,7 @@
         let world = World::start(Route::default()).await;
         let copies = std::cell::Cell::new(0);
         world.backend.says(move |asked| {
-            copies.set(copies.get() + u32::from(matches!(asked, JobsRequest::Create { .. })));
+            copies.set(copies.get() + u32::from(matches!(asked, JobsRequest::CreateJob { .. })));
             (copies.get() == 1).then_some(Says::Loses)
         });
         let answer = hand_in("j", submitted(&job("j", 1, 1)), 5_000);
@@ -189,8 +195,8 @@
 }
 
 #[parameterized(
-    unknown = { Says::This(JobsAnswer::Unknown), StatusCode::NOT_FOUND },
-    not_sure = { Says::This(JobsAnswer::NotNow), StatusCode::SERVICE_UNAVAILABLE },
+    unknown = { Says::This(JobsResponse::NotFound), StatusCode::NOT_FOUND },
+    not_sure = { Says::This(JobsResponse::Unavailable), StatusCode::SERVICE_UNAVAILABLE },
     silent = { Says::Nothing, StatusCode::SERVICE_UNAVAILABLE },
 )]
 fn a_read_that_meets(says: Says, expected: StatusCode) {
@@ -236,7 +242,7 @@
 fn an_end_that_is_not_acknowledged_promises_nothing() {
     run(async {
         let world = World::start(Route::default()).await;
-        world.backend.says(|_| Some(Says::This(JobsAnswer::NotNow)));
+        world.backend.says(|_| Some(Says::This(JobsResponse::Unavailable)));
         assert_eq!(world.status(call(Method::DELETE, "/lots/j")).await, StatusCode::GATEWAY_TIMEOUT);
     });
 }
@@ -261,7 +267,7 @@
                 };
                 (format!("i{item}"), result)
             };
-            Some(Says::This(JobsAnswer::Page {
+            Some(Says::This(JobsResponse::Results {
                 total: 50,
                 results: (0..results).map(result).collect(),
                 ended: false,
--- a/system/data/tests/rollout_hold.rs
+++ b/system/data/tests/rollout_hold.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use gingerledge_wire::{JobsAnswer, JobsMessage, JobsRequest};
+use gingerledge_wire::{JobsMessage, JobsRequest, JobsResponse};
 use rollout_common::*;
 use yare::parameterized;
 
@@ -40,7 +40,9 @@
         let world = World::start_with(Route::default(), 20_000).await;
         let engine = Engine::start("a", 2, |_| Does::Stream).await;
         world.learn_engine(&engine);
-        world.backend.says(|asked| matches!(asked, JobsRequest::Renew { .. }).then_some(Says::Nothing));
+        world
+            .backend
+            .says(|asked| matches!(asked, JobsRequest::RenewDriverLeases { .. }).then_some(Says::Nothing));
         world.backend.tell_to_drive(world.shared.address(), job("j", 1, 2), TERM, Vec::new());
         until("a renewal is lost", || !world.backend.heard().is_empty()).await;
         assert!(engine.heard().is_empty());
@@ -55,7 +57,9 @@
 fn without_renewals_everything_is_dropped_within_the_hold() {
     run(async {
         let (world, engine) = under_way().await;
-        world.backend.says(|asked| matches!(asked, JobsRequest::Renew { .. }).then_some(Says::Nothing));
+        world
+            .backend
+            .says(|asked| matches!(asked, JobsRequest::RenewDriverLeases { .. }).then_some(Says::Nothing));
         let renewed = world.backend.renewed().expect("a renewal");
         all_is_dropped(&world, &engine).await;
         assert!(renewed.elapsed() < HOLD * 5 / 3, "{:?}", renewed.elapsed());
@@ -69,7 +73,12 @@
     run(async {
         let (world, engine) = under_way().await;
         let renewals = |world: &World| {
-            world.backend.heard().iter().filter(|asked| matches!(asked, JobsRequest::Renew { .. })).count()
+            world
+                .backend
+                .heard()
+                .iter()
+                .filter(|asked| matches!(asked, JobsRequest::RenewDriverLeases { .. }))
+                .count()
         };
         until("several holds pass", || renewals(&world) >= 9).await;
         assert_eq!((engine.open(), engine.heard().len()), (2, 2));
@@ -80,7 +89,7 @@
     the_end_is_told_at_a_renewal = { |world| world.backend.end("j") },
     another_drives_it = { |world| world.backend.give_to_another("j") },
     the_head_says_stop = { |world| {
-        let stop = JobsMessage::Stop { job: "j".to_owned(), term: TERM };
+        let stop = JobsMessage::StopDriver { job: "j".to_owned(), term: TERM };
         world.backend.send(world.shared.address(), stop);
     } },
 )]
@@ -99,7 +108,7 @@
 fn an_older_stop_stops_nothing() {
     run(async {
         let (world, engine) = under_way().await;
-        let stop = JobsMessage::Stop { job: "j".to_owned(), term: TERM - 1 };
+        let stop = JobsMessage::StopDriver { job: "j".to_owned(), term: TERM - 1 };
         world.backend.send(world.shared.address(), stop);
         let heard = world.backend.heard().len();
         until("it is renewed on", || world.backend.heard().len() >= heard + 3).await;
@@ -108,14 +117,14 @@
 }
 
 #[parameterized(
-    fenced = { JobsAnswer::Fenced },
-    ended = { JobsAnswer::Ended },
+    fenced = { JobsResponse::Fenced },
+    ended = { JobsResponse::Ended },
 )]
-fn a_hand_in_that_is_refused_stops_the_driver(answer: JobsAnswer) {
+fn a_hand_in_that_is_refused_stops_the_driver(answer: JobsResponse) {
     run(async move {
         let world = World::start_with(Route::default(), CANCEL_MS).await;
         world.backend.says(move |asked| {
-            matches!(asked, JobsRequest::Append { .. }).then(|| Says::This(answer.clone()))
+            matches!(asked, JobsRequest::AppendResults { .. }).then(|| Says::This(answer.clone()))
         });
         let script = |asked: &Asked| if asked.id == "i0" { Does::Stream } else { Does::HangAfter(2) };
         let engine = Engine::start("a", 2, script).await;
@@ -130,15 +139,15 @@
 #[parameterized(
     lost_on_the_way = { || Says::Nothing },
     taken_and_the_answer_lost = { || Says::Loses },
-    not_now = { || Says::This(JobsAnswer::NotNow) },
-    no_room = { || Says::This(JobsAnswer::Full) },
+    not_now = { || Says::This(JobsResponse::Unavailable) },
+    no_room = { || Says::This(JobsResponse::CapacityExceeded) },
 )]
 fn results_are_handed_in_until_they_are_kept(first: fn() -> Says) {
     run(async move {
         let world = World::start(Route::default()).await;
         let tries = std::cell::Cell::new(0);
         world.backend.says(move |asked| {
-            if !matches!(asked, JobsRequest::Append { .. }) {
+            if !matches!(asked, JobsRequest::AppendResults { .. }) {
                 return None;
             }
             tries.set(tries.get() + 1);
@@ -178,10 +187,10 @@
 fn an_older_term_does_not_replace_the_newer() {
     run(async {
         let (world, engine) = under_way().await;
-        let older = JobsMessage::Drive {
+        let older = JobsMessage::AssignDriver {
             job: job("j", 1, 2).into(),
             term: TERM - 1,
-            listed: vec![0, 1],
+            items_with_results: vec![0, 1],
             texts: Vec::new(),
             age_ms: 0,
         };
--- a/system/data/tests/rollout_plan_common/mod.rs
+++ b/system/data/tests/rollout_plan_common/mod.rs
@@ -19,7 +19,7 @@
         step: 0,
         model: "model".to_owned(),
         min_version,
-        desired,
+        desired_groups: desired,
         items: items.collect(),
     })
 }
--- a/system/data/tests/rollout_saving.rs
+++ b/system/data/tests/rollout_saving.rs
@@ -47,7 +47,7 @@
     let mut after = None;
     for last in [2, 3, 5] {
         let part = part(&saved, &text("i0", last), ORIGIN).expect("a part");
-        assert_eq!((part.after, part.last_id), (after, last));
+        assert_eq!((part.previous_event_id, part.last_event_id), (after, last));
         whole.extend_from_slice(&part.data);
         kept(&mut saved, part);
         after = Some(last);
@@ -67,7 +67,7 @@
     let first = part(&saved, &text("i0", 3), ORIGIN).expect("a part");
     kept(&mut saved, first);
     let again = part(&saved, &text("other", 5), ORIGIN + 1).expect("a part");
-    assert_eq!((again.after, again.origin), (None, ORIGIN + 1));
+    assert_eq!((again.previous_event_id, again.origin), (None, ORIGIN + 1));
     assert!(data(&again).starts_with("other.1"));
 }
 
@@ -79,7 +79,7 @@
     let second = part(&saved, &text("i0", 4), ORIGIN).expect("a part");
     saved.sent(std::slice::from_ref(&second));
     let third = part(&saved, &text("i0", 5), ORIGIN).expect("a part");
-    assert_eq!((third.after, third.last_id), (None, 5));
+    assert_eq!((third.previous_event_id, third.last_event_id), (None, 5));
 }
 
 #[test]
@@ -90,7 +90,7 @@
     kept(&mut saved, first);
     let whole = TextView { whole: true, ..view(&text, ORIGIN) };
     let last = saved.parts(std::iter::once(whole), PLENTY).pop().expect("a part");
-    assert_eq!((last.after, last.whole, last.data.is_empty()), (Some(EVENTS), true, true));
+    assert_eq!((last.previous_event_id, last.is_complete, last.data.is_empty()), (Some(EVENTS), true, true));
 }
 
 #[test]
@@ -107,7 +107,15 @@
 fn saved_before(last_id: u64, version: u64) -> PartialText {
     let (data, _) = text("i0", last_id).into_parts();
     let whole = last_id == EVENTS;
-    PartialText { item: 0, origin: ORIGIN, after: None, last_id, data, versions: vec![version], whole }
+    PartialText {
+        item: 0,
+        origin: ORIGIN,
+        previous_event_id: None,
+        last_event_id: last_id,
+        data,
+        versions: vec![version],
+        is_complete: whole,
+    }
 }
 
 #[test]
@@ -120,7 +128,7 @@
         world.backend.tell_to_drive(world.shared.address(), job("j", 1, 2), TERM, Vec::new());
         until("both are saved", || world.backend.saved("j").len() >= 2).await;
         for part in world.backend.saved("j") {
-            assert_eq!((part.after, part.last_id), (None, 2));
+            assert_eq!((part.previous_event_id, part.last_event_id), (None, 2));
             assert_eq!(data(&part), format!("i{0}.1\ni{0}.2", part.item));
         }
     });
@@ -182,7 +190,7 @@
         let engine = Engine::start("a", 2, |_| Does::NothingMore).await;
         world.learn_engine(&engine);
         let mut all_events = saved_before(EVENTS, 2);
-        all_events.whole = false;
+        all_events.is_complete = false;
         let texts = vec![all_events];
         world.backend.tell_to_go_on(world.shared.address(), job("j", 1, 1), TERM, Vec::new(), texts);
         until("a result", || world.backend.results("j").len() == 1).await;
--- a/system/data/tests/rollout_transcripts.rs
+++ b/system/data/tests/rollout_transcripts.rs
@@ -9,7 +9,7 @@
 use edge_common::{transcript, Client};
 use gingerledge_data::front::{self, Bounds, Front};
 use gingerledge_system_standin::Transcript;
-use gingerledge_wire::JobsAnswer;
+use gingerledge_wire::JobsResponse;
 use rollout_common::{local, loopback, until, Does, Engine, Route, Says, World, EVENTS};
 use tokio::net::TcpListener;
 
@@ -117,9 +117,9 @@
         let world = World::start(Route::default()).await;
         let front = serve(&world).await;
         let says = [
-            ("no room", Says::This(JobsAnswer::Full)),
-            ("not now", Says::This(JobsAnswer::NotNow)),
-            ("another answer", Says::This(JobsAnswer::Appended)),
+            ("no room", Says::This(JobsResponse::CapacityExceeded)),
+            ("not now", Says::This(JobsResponse::Unavailable)),
+            ("another answer", Says::This(JobsResponse::Appended)),
         ];
         for (what, answer) in says {
             world.backend.says(move |_| Some(answer.clone()));
@@ -129,7 +129,7 @@
             client.send(&text.replace("Deadline-Ms: 5000", "Deadline-Ms: 400")).await;
             client.read().await;
         }
-        world.backend.says(|_| Some(Says::This(JobsAnswer::NotNow)));
+        world.backend.says(|_| Some(Says::This(JobsResponse::Unavailable)));
         transcript.note("backend", "not now");
         call(front, &transcript, "GET", "/lots/j?startAfter=0", "t1", "").await;
         call(front, &transcript, "GET", "/items/j?id=i0", "t2", "").await;
--- a/system/jobs/src/backend/mod.rs
+++ b/system/jobs/src/backend/mod.rs
@@ -10,7 +10,9 @@
 use std::time::Duration;
 
 use gingerledge_chain::{LogRecord, MemberId, ReplicaMessage};
-use gingerledge_wire::{BackendReport, JobsAnswer, JobsMessage, JobsRequest, PartitionRecord, PARTITIONS};
+use gingerledge_wire::{
+    BackendReport, JobsMessage, JobsRequest, JobsResponse, PartitionRecord, PARTITION_COUNT,
+};
 
 pub use record::{DiskContent, DiskRecord};
 
@@ -127,7 +129,7 @@
     /// A backend with what its disk holds.
     pub fn new(me: MemberId, mut content: DiskContent, settings: JobsSettings, seed: u64) -> Self {
         let mut seeds = fastrand::Rng::with_seed(seed);
-        let partitions = (0..PARTITIONS).map(|partition| {
+        let partitions = (0..PARTITION_COUNT).map(|partition| {
             let seed = seeds.u64(..);
             match content.partitions.remove(&partition) {
                 Some(records) => Partition::recover(me, &records, settings.clone(), seed),
@@ -186,10 +188,14 @@
 
     /// What the coordinator is told.
     pub fn report(&self, now: Duration) -> BackendReport {
-        let full = (0..)
+        let in_sync = (0..)
             .zip(&self.partitions)
             .filter_map(|(number, partition)| partition.full_epoch().map(|epoch| (number, epoch)));
-        BackendReport { full: full.collect(), bytes: self.bytes(), disk_stalled: self.disk_is_stalled(now) }
+        BackendReport {
+            in_sync: in_sync.collect(),
+            bytes: self.bytes(),
+            disk_stalled: self.disk_is_stalled(now),
+        }
     }
 
     /// Whether the disk has kept records waiting for longer than it should.
@@ -235,12 +241,12 @@
         out: &mut Vec<BackendAction>,
     ) {
         let room = self.room(now);
-        if partition < PARTITIONS {
+        if partition < PARTITION_COUNT {
             self.one(now, partition, out, |partition, context| {
                 partition.ask(context, asker, epoch, request, room)
             });
         } else {
-            let message = JobsMessage::Answer { request: asker.request, body: JobsAnswer::NotNow };
+            let message = JobsMessage::Response { request: asker.request, body: JobsResponse::Unavailable };
             out.push(BackendAction::SendEdge { to: asker.reply_to, message });
         }
     }
@@ -275,7 +281,7 @@
         out: &mut Vec<BackendAction>,
         act: impl Fn(&mut Partition, &mut Context<'_>),
     ) {
-        for number in 0..PARTITIONS {
+        for number in 0..PARTITION_COUNT {
             self.one(now, number, out, |partition, context| act(partition, context));
         }
     }
--- a/system/jobs/src/backend/record.rs
+++ b/system/jobs/src/backend/record.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use gingerledge_chain::LogRecord;
-use gingerledge_wire::PARTITIONS;
+use gingerledge_wire::PARTITION_COUNT;
 use serde::{Deserialize, Serialize};
 use snafu::ResultExt;
 
@@ -42,7 +42,7 @@
         for bytes in records {
             match codec::decode(&bytes).context(RecordSnafu)? {
                 DiskRecord::Identity(member) => content.member = Some(member),
-                DiskRecord::Partition(partition, record) if partition < PARTITIONS => {
+                DiskRecord::Partition(partition, record) if partition < PARTITION_COUNT => {
                     content.partitions.entry(partition).or_default().push(record);
                 }
                 DiskRecord::Partition(partition, _) => log::warn!("no partition has the number {partition}"),
--- a/system/jobs/src/node/heartbeats.rs
+++ b/system/jobs/src/node/heartbeats.rs
@@ -88,7 +88,7 @@
 
     /// What is sent before a planned end.
     pub fn farewells(&self, coordinator: Option<SocketAddr>) -> Vec<(SocketAddr, ControlMessage)> {
-        let message = ControlMessage::Farewell { incarnation: self.node.incarnation };
+        let message = ControlMessage::Goodbye { incarnation: self.node.incarnation };
         let mut receivers = self.control();
         receivers.extend(coordinator);
         receivers.sort_unstable();
--- a/system/jobs/src/node/mod.rs
+++ b/system/jobs/src/node/mod.rs
@@ -9,7 +9,7 @@
 
 use gingerledge_chain::MemberId;
 use gingerledge_protocol::Settings;
-use gingerledge_relay::{Action as RelayAction, Event as RelayEvent, Relay, RelaySettings};
+use gingerledge_relay::{Relay, RelayAction, RelayEvent, RelaySettings};
 use gingerledge_storage::WriterEvent;
 use gingerledge_transport::{identity, Inbox, Incoming, Network, NetworkSettings};
 use gingerledge_wire::{ControlMessage, Entry, Envelope, JobsMessage, Key, NodeRecord, Role, Value};
@@ -112,7 +112,7 @@
             last_token: 0,
         };
         node.drive(BackendEvent::Started);
-        node.drive_relay(RelayEvent::ControlKnown(settings.internal_seeds()));
+        node.drive_relay(RelayEvent::ControlNodesKnown(settings.internal_seeds()));
         node.drive_relay(RelayEvent::Started);
         Ok(node)
     }
@@ -136,7 +136,7 @@
             self.drive(BackendEvent::Tick);
         }
         if self.relay.next_timer().is_some_and(|timer| timer <= now) {
-            self.drive_relay(RelayEvent::Timer);
+            self.drive_relay(RelayEvent::TimerExpired);
         }
         if self.heartbeats.next_timer() <= now {
             let coordinator = self.coordinator();
@@ -176,21 +176,21 @@
     fn receive(&mut self, incoming: Incoming<Envelope>) {
         let (from, message) = match incoming {
             Incoming::Message { from, message } => (from, message),
-            Incoming::Lost { peer, .. } => return self.drive_relay(RelayEvent::Lost { peer }),
+            Incoming::Lost { peer, .. } => return self.drive_relay(RelayEvent::PeerDisconnected { peer }),
         };
         match message {
             Envelope::Partition { partition, from: member, message } => {
                 self.know_member(member, from);
                 self.drive(BackendEvent::Replica { partition, from: MemberId(member), message });
             }
-            Envelope::Jobs(JobsMessage::Ask { request, reply_to, edge, partition, epoch, body }) => {
+            Envelope::Jobs(JobsMessage::Request { request, reply_to, edge, partition, epoch, body }) => {
                 let asker = Asker { request, reply_to, edge };
                 self.drive(BackendEvent::Ask { asker, partition, epoch, request: body });
             }
             Envelope::Relay(message) => self.drive_relay(RelayEvent::Message { from, message }),
-            Envelope::Control(ControlMessage::HeartbeatTaken { control, .. }) => {
+            Envelope::Control(ControlMessage::HeartbeatAck { control_nodes, .. }) => {
                 let now = self.now();
-                self.heartbeats.taken(now, from, control);
+                self.heartbeats.taken(now, from, control_nodes);
             }
             Envelope::Jobs(_) | Envelope::Control(_) | Envelope::Chain { .. } | Envelope::Lease { .. } => {}
         }
@@ -231,7 +231,7 @@
         for action in actions {
             match action {
                 RelayAction::Send { to, message } => self.send(to, &Envelope::Relay(message)),
-                RelayAction::Changed(entries) => self.learn(entries),
+                RelayAction::EntriesChanged(entries) => self.learn(entries),
             }
         }
     }
@@ -258,7 +258,7 @@
                 self.drive(BackendEvent::Edge { incarnation, state: EdgeState::There(node.address) });
             }
             Value::Node(node) if node.role == Role::Backend => self.know_member(node.member, node.address),
-            Value::Gone => {
+            Value::Tombstone => {
                 let state = if ended { EdgeState::Ended } else { EdgeState::Silent };
                 self.drive(BackendEvent::Edge { incarnation, state });
             }
--- a/system/jobs/src/partition/asks.rs
+++ b/system/jobs/src/partition/asks.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use gingerledge_chain::ReplicaEvent;
-use gingerledge_wire::{DriverTerm, JobId, JobRecord, JobsAnswer, JobsRequest};
+use gingerledge_wire::{DriverTerm, JobId, JobRecord, JobsRequest, JobsResponse};
 
 use super::output::answer;
 use super::reads::{Question, Wanted};
@@ -46,42 +46,42 @@
         request: JobsRequest,
         room: Room,
     ) {
-        let at_tail = matches!(request, JobsRequest::Read { .. } | JobsRequest::Body { .. });
+        let at_tail = matches!(request, JobsRequest::ReadResults { .. } | JobsRequest::ReadItemBody { .. });
         let has_role = if at_tail { self.is_tail } else { self.is_head };
         if !has_role || epoch > self.replica.epoch() {
-            context.out.push(answer(asker, JobsAnswer::NotNow));
+            context.out.push(answer(asker, JobsResponse::Unavailable));
             return;
         }
         match request {
-            JobsRequest::Create { job } => self.ask_create(context, asker, job, room),
-            JobsRequest::Append { job, term, results } => {
+            JobsRequest::CreateJob { job } => self.ask_create(context, asker, job, room),
+            JobsRequest::AppendResults { job, term, results } => {
                 let done = self.store.job(&job).and_then(|known| append_done(known, term, &results));
                 let command = Command::Append { job, term, results };
                 self.ask_write(context, asker, done, command, room);
             }
-            JobsRequest::Save { job, term, texts } => {
+            JobsRequest::SaveCheckpoint { job, term, texts } => {
                 let done = self.store.job(&job).and_then(|known| refused(known, term));
                 let bytes = texts.iter().map(|text| text.data.len() as u64).sum::<u64>();
-                let done = done.or((bytes > room.state_bytes).then_some(JobsAnswer::Full));
+                let done = done.or((bytes > room.state_bytes).then_some(JobsResponse::CapacityExceeded));
                 let command = Command::Save { job, term, texts };
                 self.ask_write(context, asker, done, command, room);
             }
-            JobsRequest::End { job } => {
+            JobsRequest::EndJob { job } => {
                 let ended = self.store.job(&job).is_some_and(Job::is_ended);
-                let done = ended.then_some(JobsAnswer::Ended);
+                let done = ended.then_some(JobsResponse::Ended);
                 self.ask_write(context, asker, done, Command::End { job }, room);
             }
-            JobsRequest::Read { job, start_after, wait_ms, max_bytes } => {
+            JobsRequest::ReadResults { job, start_after, wait_ms, max_bytes } => {
                 let max_bytes = max_bytes.min(self.settings.page_bytes);
                 let until = context.now + Duration::from_millis(wait_ms).min(self.settings.longest_wait);
                 let wanted = Wanted::Page { start_after, max_bytes };
                 self.ask_read(context, Question { asker, job, wanted, until });
             }
-            JobsRequest::Body { job, item } => {
+            JobsRequest::ReadItemBody { job, item } => {
                 let question = Question { asker, job, wanted: Wanted::Body { item }, until: context.now };
                 self.ask_read(context, question);
             }
-            JobsRequest::Renew { jobs } => self.ask_renew(context, asker, jobs),
+            JobsRequest::RenewDriverLeases { jobs } => self.ask_renew(context, asker, jobs),
         }
     }
 
@@ -96,7 +96,7 @@
         }
         let bytes = record_bytes(&job) + job.items.len() as u64 * self.settings.result_room_bytes;
         if bytes > room.state_bytes {
-            context.out.push(answer(asker, JobsAnswer::Full));
+            context.out.push(answer(asker, JobsResponse::CapacityExceeded));
             return;
         }
         if room.disk_keeps_up {
@@ -112,14 +112,14 @@
         &mut self,
         context: &mut Context<'_>,
         asker: Asker,
-        done: Option<JobsAnswer>,
+        done: Option<JobsResponse>,
         command: Command,
         room: Room,
     ) {
         match done {
             Some(done) => context.out.push(answer(asker, done)),
             None if room.disk_keeps_up => self.propose(context, Some(asker), command),
-            None => context.out.push(answer(asker, JobsAnswer::NotNow)),
+            None => context.out.push(answer(asker, JobsResponse::Unavailable)),
         }
     }
 
@@ -129,7 +129,7 @@
             return;
         }
         if self.reads.len() >= self.settings.waiting_reads {
-            context.out.push(answer(question.asker, JobsAnswer::NotNow));
+            context.out.push(answer(question.asker, JobsResponse::Unavailable));
             return;
         }
         let token = self.next_read_token();
@@ -139,7 +139,7 @@
 
     fn ask_renew(&mut self, context: &mut Context<'_>, asker: Asker, jobs: Vec<(JobId, DriverTerm)>) {
         if self.renewals.waiting.len() >= MOST_RENEWALS {
-            context.out.push(answer(asker, JobsAnswer::NotNow));
+            context.out.push(answer(asker, JobsResponse::Unavailable));
             return;
         }
         let token = self.next_read_token();
@@ -158,7 +158,7 @@
         if let Some((asker, jobs)) = self.renewals.waiting.remove(&token) {
             let states =
                 jobs.iter().map(|(id, term)| self.holds.renew(context.now, id, *term, &self.store)).collect();
-            context.out.push(answer(asker, JobsAnswer::Renewed(states)));
+            context.out.push(answer(asker, JobsResponse::Renewed(states)));
         }
     }
 
@@ -166,16 +166,16 @@
     pub(super) fn read_failed(&mut self, context: &mut Context<'_>, token: u64) {
         let renewal = self.renewals.waiting.remove(&token).map(|(asker, _)| asker);
         let askers = renewal.into_iter().chain(self.reads.fail(token));
-        context.out.extend(askers.map(|asker| answer(asker, JobsAnswer::NotNow)));
+        context.out.extend(askers.map(|asker| answer(asker, JobsResponse::Unavailable)));
     }
 }
 
 /// The answer to a driver that is none any more.
-fn refused(job: &Job, term: DriverTerm) -> Option<JobsAnswer> {
+fn refused(job: &Job, term: DriverTerm) -> Option<JobsResponse> {
     if job.is_ended() {
-        return Some(JobsAnswer::Ended);
+        return Some(JobsResponse::Ended);
     }
-    (term < job.term()).then_some(JobsAnswer::Fenced)
+    (term < job.term()).then_some(JobsResponse::Fenced)
 }
 
 /// The answer to results that need not be written: an older term, an ended batch job, or all of them are there.
@@ -183,11 +183,11 @@
     job: &Job,
     term: DriverTerm,
     results: &[gingerledge_wire::ResultRecord],
-) -> Option<JobsAnswer> {
+) -> Option<JobsResponse> {
     let refused = refused(job, term);
     if refused.is_some() {
         return refused;
     }
     let listed = results.iter().all(|result| job.is_listed(result.item));
-    (listed && term == job.term()).then_some(JobsAnswer::Appended)
+    (listed && term == job.term()).then_some(JobsResponse::Appended)
 }
--- a/system/jobs/src/partition/driving.rs
+++ b/system/jobs/src/partition/driving.rs
@@ -14,7 +14,7 @@
         match (self.store.job(id), outcome) {
             (Some(job), Outcome::Ended { stopped: Some((_, term)) }) => {
                 self.holds.drop(id);
-                let message = JobsMessage::Stop { job: id.to_owned(), term: *term };
+                let message = JobsMessage::StopDriver { job: id.to_owned(), term: *term };
                 context.out.push(PartitionAction::SendEdge { to: job.driver().address, message });
             }
             (Some(job), _) => {
@@ -71,9 +71,15 @@
         self.holds.told(context.now, id);
         if let Some(to) = context.edges.address(job.driver().incarnation) {
             let record = Arc::new(job.record().clone());
-            let (listed, texts) = (job.listed_items(), job.texts());
+            let (items_with_results, texts) = (job.listed_items(), job.texts());
             let age_ms = u64::try_from(self.ages.age(context.now, id).as_millis()).unwrap_or(u64::MAX);
-            let message = JobsMessage::Drive { job: record, term: job.term(), listed, texts, age_ms };
+            let message = JobsMessage::AssignDriver {
+                job: record,
+                term: job.term(),
+                items_with_results,
+                texts,
+                age_ms,
+            };
             context.out.push(PartitionAction::SendEdge { to, message });
         }
     }
--- a/system/jobs/src/partition/holds.rs
+++ b/system/jobs/src/partition/holds.rs
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use gingerledge_wire::{DriverTerm, JobId, RenewState};
+use gingerledge_wire::{DriverLeaseState, DriverTerm, JobId};
 
 use crate::store::{EdgeProcess, Job, Store};
 
@@ -172,19 +172,19 @@
     }
 
     /// The driver lives. The state must be confirmed to be the newest.
-    pub fn renew(&mut self, now: Duration, id: &str, term: DriverTerm, store: &Store) -> RenewState {
-        let Some(job) = store.job(id) else { return RenewState::Fenced };
+    pub fn renew(&mut self, now: Duration, id: &str, term: DriverTerm, store: &Store) -> DriverLeaseState {
+        let Some(job) = store.job(id) else { return DriverLeaseState::Fenced };
         if !job.needs_driver() {
-            return RenewState::Ended;
+            return DriverLeaseState::Ended;
         }
         match self.holds.get_mut(id) {
             Some(hold) if hold.term == term && !hold.replacing => {
                 hold.renewed = now;
                 hold.seen = true;
                 hold.silent.clear();
-                RenewState::Held
+                DriverLeaseState::Held
             }
-            _ => RenewState::Fenced,
+            _ => DriverLeaseState::Fenced,
         }
     }
 
--- a/system/jobs/src/partition/mod.rs
+++ b/system/jobs/src/partition/mod.rs
@@ -1,7 +1,7 @@
 //! One partition at one backend: its replica, its state, and what its head and its tail keep beside them. Sans I/O.
 //!
 //! The head takes questions that write and proposes commands; the tail answers them once they are committed. The tail
-//! answers reads. A replica that is neither, or that does not count in its view, answers [`JobsAnswer::NotNow`].
+//! answers reads. A replica that is neither, or that does not count in its view, answers [`JobsResponse::Unavailable`].
 
 mod ages;
 mod asks;
@@ -15,7 +15,7 @@
 use std::time::Duration;
 
 use gingerledge_chain::{LogRecord, MemberId, Replica, ReplicaAction, ReplicaEvent, ReplicaMessage, View};
-use gingerledge_wire::{JobsAnswer, PartitionRecord};
+use gingerledge_wire::{JobsResponse, PartitionRecord};
 
 pub use holds::{EdgeState, Edges};
 pub use output::{Context, PartitionAction};
@@ -132,9 +132,9 @@
         let missed = record.epoch.saturating_sub(self.replica.epoch() + 1);
         let counted = match self.replica.view() {
             None => self.replica.last() == 0,
-            Some(_) => self.replica.is_full(),
+            Some(_) => self.replica.is_in_sync(),
         };
-        counted && (1..=MOST_SKIPPED_VIEWS).contains(&missed) && record.full.contains(&self.me.0)
+        counted && (1..=MOST_SKIPPED_VIEWS).contains(&missed) && record.in_sync.contains(&self.me.0)
     }
 
     /// A message from another replica.
@@ -153,7 +153,7 @@
     /// The time of [`Partition::next_timer`] has come.
     pub fn tick(&mut self, context: &mut Context<'_>) {
         if self.replica.next_timer().is_some_and(|timer| timer <= context.now) {
-            self.replicate(context, ReplicaEvent::Tick);
+            self.replicate(context, ReplicaEvent::TimerExpired);
         }
         self.answer_reads(context);
         if self.is_head {
@@ -181,7 +181,7 @@
 
     /// The epoch in which this replica counts, if it does.
     pub fn full_epoch(&self) -> Option<u64> {
-        (self.replica.is_full() && !self.broken).then(|| self.replica.epoch())
+        (self.replica.is_in_sync() && !self.broken).then(|| self.replica.epoch())
     }
 
     /// Bytes of batch jobs, those on their way too.
@@ -222,25 +222,25 @@
                 context.out.push(PartitionAction::SendMember { to, message })
             }
             ReplicaAction::Persist { token, records } => self.persist(context, token, records),
-            ReplicaAction::Apply { seq, command, reply } => self.apply(context, seq, &command, reply),
+            ReplicaAction::Apply { index, command, reply } => self.apply(context, index, &command, reply),
             ReplicaAction::TakeSnapshot => self.take_snapshot(context),
-            ReplicaAction::InstallSnapshot { seq, bytes } => self.install_snapshot(context, seq, &bytes),
+            ReplicaAction::InstallSnapshot { index, bytes } => self.install_snapshot(context, index, &bytes),
             ReplicaAction::ReadReady { token, .. } => self.read_ready(context, token),
             ReplicaAction::ReadFailed { token } => self.read_failed(context, token),
             ReplicaAction::NotHead { command, .. } | ReplicaAction::Busy { command } => {
                 self.not_taken(context, &command)
             }
             ReplicaAction::Installed { .. } => self.drop_copy_if_left(context),
-            ReplicaAction::BecameFull { .. }
+            ReplicaAction::BecameInSync { .. }
             | ReplicaAction::Sealed { .. }
             | ReplicaAction::LearnerProgress { .. }
-            | ReplicaAction::Barrier { .. }
-            | ReplicaAction::Behind { .. } => {}
+            | ReplicaAction::BarrierCommitted { .. }
+            | ReplicaAction::OwnViewStale { .. } => {}
         }
     }
 
-    fn apply(&mut self, context: &mut Context<'_>, seq: u64, command: &[u8], reply: bool) {
-        self.applied = seq;
+    fn apply(&mut self, context: &mut Context<'_>, index: u64, command: &[u8], reply: bool) {
+        self.applied = index;
         let proposal = match Proposal::decode(command) {
             Ok(proposal) => proposal,
             Err(error) => return self.fail(&error),
@@ -272,13 +272,13 @@
 
     fn take_snapshot(&mut self, context: &mut Context<'_>) {
         match self.store.encode() {
-            Ok(bytes) => self.feed(context.now, ReplicaEvent::SnapshotReady { seq: self.applied, bytes }),
+            Ok(bytes) => self.feed(context.now, ReplicaEvent::SnapshotReady { index: self.applied, bytes }),
             Err(error) => self.fail(&error),
         }
     }
 
-    fn install_snapshot(&mut self, context: &Context<'_>, seq: u64, bytes: &[u8]) {
-        self.applied = seq;
+    fn install_snapshot(&mut self, context: &Context<'_>, index: u64, bytes: &[u8]) {
+        self.applied = index;
         let store = if bytes.is_empty() { Ok(Store::default()) } else { Store::decode(bytes) };
         match store {
             Ok(store) => self.store = store,
@@ -299,8 +299,10 @@
         if self.replica.last() == 0 {
             return;
         }
-        let records =
-            vec![LogRecord::Snapshot { seq: 0, bytes: Vec::new() }, LogRecord::View { view, full: false }];
+        let records = vec![
+            LogRecord::Snapshot { index: 0, bytes: Vec::new() },
+            LogRecord::View { view, in_sync: false },
+        ];
         let seed = self.seed.wrapping_add(self.last_token);
         self.replica = Replica::recover(self.me, &records, self.settings.replica.clone(), seed);
         self.actions.clear();
@@ -331,11 +333,11 @@
             self.holds.clear();
             self.creations.clear();
             let askers = self.renewals.fail_all();
-            context.out.extend(askers.into_iter().map(|asker| answer(asker, JobsAnswer::NotNow)));
+            context.out.extend(askers.into_iter().map(|asker| answer(asker, JobsResponse::Unavailable)));
         }
         if !is_tail && self.is_tail {
             let askers = self.reads.fail_all();
-            context.out.extend(askers.into_iter().map(|asker| answer(asker, JobsAnswer::NotNow)));
+            context.out.extend(askers.into_iter().map(|asker| answer(asker, JobsResponse::Unavailable)));
         }
         self.is_head = is_head;
         self.is_tail = is_tail;
@@ -363,7 +365,7 @@
             Command::Drive { job, .. } => self.holds.not_replaced(job),
             _ => {}
         }
-        context.out.extend(askers.into_iter().map(|asker| answer(asker, JobsAnswer::NotNow)));
+        context.out.extend(askers.into_iter().map(|asker| answer(asker, JobsResponse::Unavailable)));
     }
 
     fn answer_reads(&mut self, context: &mut Context<'_>) {
--- a/system/jobs/src/partition/output.rs
+++ b/system/jobs/src/partition/output.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use gingerledge_chain::{LogRecord, MemberId, ReplicaMessage};
-use gingerledge_wire::{JobsAnswer, JobsMessage};
+use gingerledge_wire::{JobsMessage, JobsResponse};
 
 use super::holds::Edges;
 use crate::store::Asker;
@@ -46,7 +46,7 @@
 }
 
 /// An answer to an edge.
-pub(crate) fn answer(asker: Asker, body: JobsAnswer) -> PartitionAction {
-    let message = JobsMessage::Answer { request: asker.request, body };
+pub(crate) fn answer(asker: Asker, body: JobsResponse) -> PartitionAction {
+    let message = JobsMessage::Response { request: asker.request, body };
     PartitionAction::SendEdge { to: asker.reply_to, message }
 }
--- a/system/jobs/src/partition/reads.rs
+++ b/system/jobs/src/partition/reads.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use gingerledge_wire::{JobId, JobsAnswer};
+use gingerledge_wire::{JobId, JobsResponse};
 
 use crate::store::{Asker, Job, Store};
 
@@ -31,12 +31,12 @@
 
 impl Question {
     /// The answer that can't be wrong whatever came since.
-    pub fn certain_answer(&self, store: &Store) -> Option<JobsAnswer> {
+    pub fn certain_answer(&self, store: &Store) -> Option<JobsResponse> {
         let job = store.job(&self.job)?;
         match &self.wanted {
-            Wanted::Body { item } => {
-                Some(job.body(item).map_or(JobsAnswer::Unknown, |body| JobsAnswer::Body(body.to_vec())))
-            }
+            Wanted::Body { item } => Some(
+                job.body(item).map_or(JobsResponse::NotFound, |body| JobsResponse::ItemBody(body.to_vec())),
+            ),
             Wanted::Page { start_after, max_bytes } => {
                 let has_results = *start_after < job.results().len() as u64;
                 (has_results || !job.needs_driver()).then(|| page(job, *start_after, *max_bytes))
@@ -45,18 +45,18 @@
     }
 
     /// The answer where the state is confirmed to be the newest.
-    fn confirmed_answer(&self, store: &Store) -> JobsAnswer {
+    fn confirmed_answer(&self, store: &Store) -> JobsResponse {
         match (store.job(&self.job), &self.wanted) {
             (Some(job), Wanted::Page { start_after, max_bytes }) => page(job, *start_after, *max_bytes),
             (Some(_), Wanted::Body { .. }) | (None, _) => {
-                self.certain_answer(store).unwrap_or(JobsAnswer::Unknown)
+                self.certain_answer(store).unwrap_or(JobsResponse::NotFound)
             }
         }
     }
 }
 
-fn page(job: &Job, start_after: u64, max_bytes: u64) -> JobsAnswer {
-    JobsAnswer::Page {
+fn page(job: &Job, start_after: u64, max_bytes: u64) -> JobsResponse {
+    JobsResponse::Results {
         total: job.record().items.len() as u64,
         results: job.page(start_after, max_bytes),
         ended: job.is_ended(),
@@ -104,7 +104,7 @@
     }
 
     /// Takes out all that can be answered from the state.
-    pub fn answers(&mut self, now: Duration, store: &Store) -> Vec<(Asker, JobsAnswer)> {
+    pub fn answers(&mut self, now: Duration, store: &Store) -> Vec<(Asker, JobsResponse)> {
         let mut answers = Vec::new();
         self.waiting.retain(|_, waiting| match waiting.answer(now, store) {
             Some(answer) => {
@@ -123,7 +123,7 @@
 }
 
 impl Waiting {
-    fn answer(&self, now: Duration, store: &Store) -> Option<JobsAnswer> {
+    fn answer(&self, now: Duration, store: &Store) -> Option<JobsResponse> {
         if let Some(answer) = self.question.certain_answer(store) {
             return Some(answer);
         }
--- a/system/jobs/src/store/command.rs
+++ b/system/jobs/src/store/command.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use gingerledge_wire::{DriverTerm, JobId, JobRecord, JobsAnswer, PartialText, ResultRecord};
+use gingerledge_wire::{DriverTerm, JobId, JobRecord, JobsResponse, PartialText, ResultRecord};
 use serde::{Deserialize, Serialize};
 use snafu::ResultExt;
 
@@ -137,15 +137,15 @@
 
 impl Outcome {
     /// What an edge is told.
-    pub fn answer(&self, edge: u64) -> JobsAnswer {
+    pub fn answer(&self, edge: u64) -> JobsResponse {
         match self {
-            Self::Created { driver } => JobsAnswer::Created {
-                drive: driver.filter(|(holder, _)| *holder == edge).map(|(_, term)| term),
+            Self::Created { driver } => JobsResponse::Created {
+                driver_term: driver.filter(|(holder, _)| *holder == edge).map(|(_, term)| term),
             },
-            Self::Appended => JobsAnswer::Appended,
-            Self::Fenced => JobsAnswer::Fenced,
-            Self::Ended { .. } => JobsAnswer::Ended,
-            Self::Driven | Self::Forgotten | Self::Kept | Self::Unknown => JobsAnswer::Unknown,
+            Self::Appended => JobsResponse::Appended,
+            Self::Fenced => JobsResponse::Fenced,
+            Self::Ended { .. } => JobsResponse::Ended,
+            Self::Driven | Self::Forgotten | Self::Kept | Self::Unknown => JobsResponse::NotFound,
         }
     }
 }
--- a/system/jobs/src/store/job.rs
+++ b/system/jobs/src/store/job.rs
@@ -142,20 +142,20 @@
         if self.is_listed(part.item) || part.data.len() > MOST_TEXT_BYTES {
             return;
         }
-        if part.after.is_none() {
+        if part.previous_event_id.is_none() {
             self.drop_text(part.item);
             self.bytes += text_bytes(&part);
             self.texts.insert(part.item, part);
             return;
         }
         let Some(known) = self.texts.get_mut(&part.item) else { return };
-        let goes_on = known.origin == part.origin && Some(known.last_id) == part.after;
+        let goes_on = known.origin == part.origin && Some(known.last_event_id) == part.previous_event_id;
         if goes_on && known.data.len() + part.data.len() <= MOST_TEXT_BYTES {
             self.bytes -= text_bytes(known);
             known.data.extend_from_slice(&part.data);
-            known.last_id = part.last_id;
+            known.last_event_id = part.last_event_id;
             known.versions = part.versions;
-            known.whole = part.whole;
+            known.is_complete = part.is_complete;
             self.bytes += text_bytes(known);
         }
     }
--- a/system/jobs/tests/ages.rs
+++ b/system/jobs/tests/ages.rs
@@ -12,7 +12,7 @@
 /// The age that the newest message to a driver told, in milliseconds.
 fn told_age(bench: &Bench) -> Option<u64> {
     let mut ages = bench.sent.iter().filter_map(|message| match message {
-        JobsMessage::Drive { age_ms, .. } => Some(*age_ms),
+        JobsMessage::AssignDriver { age_ms, .. } => Some(*age_ms),
         _ => None,
     });
     ages.next_back()
--- a/system/jobs/tests/backend.rs
+++ b/system/jobs/tests/backend.rs
@@ -11,7 +11,7 @@
 use gingerledge_chain::{LogRecord, MemberId};
 use gingerledge_jobs::backend::{Backend, BackendEvent, DiskContent};
 use gingerledge_jobs::partition::EdgeState;
-use gingerledge_wire::{JobsAnswer, JobsMessage, JobsRequest, PartitionRecord, RenewState};
+use gingerledge_wire::{DriverLeaseState, JobsMessage, JobsRequest, JobsResponse, PartitionRecord};
 use yare::parameterized;
 
 #[test]
@@ -20,7 +20,7 @@
     bench.ask_only(EDGE, create(10));
     assert!(bench.answers().is_empty());
     bench.sync();
-    assert!(matches!(bench.answers()[..], [JobsAnswer::Created { drive: Some(1) }]));
+    assert!(matches!(bench.answers()[..], [JobsResponse::Created { driver_term: Some(1) }]));
 }
 
 #[test]
@@ -39,8 +39,10 @@
     assert!(bench.answers().is_empty());
     bench.sync();
     let answers = bench.answers();
-    let drives: Vec<_> =
-        answers.iter().map(|answer| matches!(answer, JobsAnswer::Created { drive: Some(_) })).collect();
+    let drives: Vec<_> = answers
+        .iter()
+        .map(|answer| matches!(answer, JobsResponse::Created { driver_term: Some(_) }))
+        .collect();
     assert_eq!(drives.iter().filter(|drives| **drives).count(), 1, "{answers:?}");
     assert_eq!(answers.len(), 2);
 }
@@ -50,7 +52,7 @@
     let mut bench = Bench::new(0);
     let records = bench.records.len();
     let answers = bench.ask(create(body_bytes));
-    assert_eq!(matches!(answers[..], [JobsAnswer::Full]), refused, "{answers:?}");
+    assert_eq!(matches!(answers[..], [JobsResponse::CapacityExceeded]), refused, "{answers:?}");
     assert_eq!(bench.records.len() == records, refused);
 }
 
@@ -60,8 +62,8 @@
     bench.ask_only(EDGE, create(10));
     bench.now += Duration::from_millis(1_500);
     assert!(bench.backend.report(bench.now).disk_stalled);
-    bench.ask_only(EDGE, JobsRequest::End { job: "other".to_owned() });
-    assert!(matches!(bench.answers()[..], [JobsAnswer::NotNow]));
+    bench.ask_only(EDGE, JobsRequest::EndJob { job: "other".to_owned() });
+    assert!(matches!(bench.answers()[..], [JobsResponse::Unavailable]));
     bench.sync();
     assert!(!bench.backend.report(bench.now).disk_stalled);
 }
@@ -75,7 +77,7 @@
     let answers = bench.ask(append(1, 1));
     assert!(answers
         .iter()
-        .any(|answer| matches!(answer, JobsAnswer::Page { results, .. } if results.len() == 1)));
+        .any(|answer| matches!(answer, JobsResponse::Results { results, .. } if results.len() == 1)));
 }
 
 #[test]
@@ -97,13 +99,13 @@
     bench.ask(end());
     assert_eq!(listed(&bench.ask(read(1, 1_000))), Some(0));
     assert!(matches!(
-        bench.ask(JobsRequest::Read {
+        bench.ask(JobsRequest::ReadResults {
             job: "nothing".to_owned(),
             start_after: 0,
             wait_ms: 1_000,
             max_bytes: 1
         })[..],
-        [JobsAnswer::Unknown]
+        [JobsResponse::NotFound]
     ));
 }
 
@@ -114,21 +116,23 @@
     for _ in 0..10 {
         bench.pass(1_000);
         assert!(
-            matches!(&bench.ask(renew(1))[..], [JobsAnswer::Renewed(states)] if states == &[RenewState::Held])
+            matches!(&bench.ask(renew(1))[..], [JobsResponse::Renewed(states)] if states == &[DriverLeaseState::Held])
         );
     }
     bench.pass(1_600);
     let drive = bench.sent.iter().find_map(|message| match message {
-        JobsMessage::Drive { term, listed, job, .. } => Some((*term, listed.len(), job.items.len())),
+        JobsMessage::AssignDriver { term, items_with_results, job, .. } => {
+            Some((*term, items_with_results.len(), job.items.len()))
+        }
         _ => None,
     });
     assert_eq!(drive, Some((2, 0, 2)));
     bench.sent.clear();
     assert!(
-        matches!(&bench.ask(renew(1))[..], [JobsAnswer::Renewed(states)] if states == &[RenewState::Fenced])
+        matches!(&bench.ask(renew(1))[..], [JobsResponse::Renewed(states)] if states == &[DriverLeaseState::Fenced])
     );
-    assert!(matches!(bench.ask(append(1, 0))[..], [JobsAnswer::Fenced]));
-    assert!(matches!(bench.ask(append(2, 0))[..], [JobsAnswer::Appended]));
+    assert!(matches!(bench.ask(append(1, 0))[..], [JobsResponse::Fenced]));
+    assert!(matches!(bench.ask(append(2, 0))[..], [JobsResponse::Appended]));
 }
 
 #[test]
@@ -140,7 +144,7 @@
         bench.pass(500);
         assert!(bench.told_terms().is_empty());
         assert!(
-            matches!(&bench.ask(renew(1))[..], [JobsAnswer::Renewed(states)] if states == &[RenewState::Held])
+            matches!(&bench.ask(renew(1))[..], [JobsResponse::Renewed(states)] if states == &[DriverLeaseState::Held])
         );
         bench.edge_is_there(EDGE, address(EDGE));
     }
@@ -163,7 +167,7 @@
     bench.ask(create(10));
     bench.handle(BackendEvent::Edge { incarnation: EDGE, state: EdgeState::Ended });
     bench.sync();
-    assert!(bench.sent.iter().any(|message| matches!(message, JobsMessage::Drive { term: 2, .. })));
+    assert!(bench.sent.iter().any(|message| matches!(message, JobsMessage::AssignDriver { term: 2, .. })));
 }
 
 #[test]
@@ -179,7 +183,7 @@
     assert_eq!(job.map(|job| job.driver().incarnation), Some(NEXT_LIFE));
     bench.pass(500);
     assert!(
-        matches!(&bench.ask(renew(2))[..], [JobsAnswer::Renewed(states)] if states == &[RenewState::Held])
+        matches!(&bench.ask(renew(2))[..], [JobsResponse::Renewed(states)] if states == &[DriverLeaseState::Held])
     );
 }
 
@@ -197,20 +201,20 @@
 fn the_next_driver_is_told_the_texts_that_were_saved() {
     let mut bench = Bench::new(0);
     bench.ask(create(10));
-    assert!(matches!(bench.ask(save(1, None, 3, b"one"))[..], [JobsAnswer::Appended]));
-    assert!(matches!(bench.ask(save(1, Some(3), 4, b"two"))[..], [JobsAnswer::Appended]));
+    assert!(matches!(bench.ask(save(1, None, 3, b"one"))[..], [JobsResponse::Appended]));
+    assert!(matches!(bench.ask(save(1, Some(3), 4, b"two"))[..], [JobsResponse::Appended]));
     bench.restart();
     bench.edge_is_there(NEXT_LIFE, address(EDGE));
     let texts = bench.sent.iter().find_map(|message| match message {
-        JobsMessage::Drive { term: 2, texts, .. } => Some(texts.clone()),
+        JobsMessage::AssignDriver { term: 2, texts, .. } => Some(texts.clone()),
         _ => None,
     });
-    let texts: Vec<_> = texts.unwrap().into_iter().map(|text| (text.last_id, text.data)).collect();
+    let texts: Vec<_> = texts.unwrap().into_iter().map(|text| (text.last_event_id, text.data)).collect();
     assert_eq!(texts, [(4, b"onetwo".to_vec())]);
     bench.sent.clear();
-    assert!(matches!(bench.ask(save(1, Some(4), 5, b"late"))[..], [JobsAnswer::Fenced]));
+    assert!(matches!(bench.ask(save(1, Some(4), 5, b"late"))[..], [JobsResponse::Fenced]));
     bench.ask(end());
-    assert!(matches!(bench.ask(save(2, Some(4), 5, b"late"))[..], [JobsAnswer::Ended]));
+    assert!(matches!(bench.ask(save(2, Some(4), 5, b"late"))[..], [JobsResponse::Ended]));
 }
 
 #[test]
@@ -223,7 +227,7 @@
     bench.pass(1_400);
     assert!(bench.told_terms().is_empty());
     assert!(
-        matches!(&bench.ask(renew(1))[..], [JobsAnswer::Renewed(states)] if states == &[RenewState::Held])
+        matches!(&bench.ask(renew(1))[..], [JobsResponse::Renewed(states)] if states == &[DriverLeaseState::Held])
     );
 }
 
@@ -233,12 +237,12 @@
     bench.ask(create(10));
     bench.ask_only(OTHER_EDGE, end());
     bench.sync();
-    assert!(bench.sent.iter().any(|message| matches!(message, JobsMessage::Stop { term: 1, .. })));
+    assert!(bench.sent.iter().any(|message| matches!(message, JobsMessage::StopDriver { term: 1, .. })));
     bench.sent.clear();
     assert!(
-        matches!(&bench.ask(renew(1))[..], [JobsAnswer::Renewed(states)] if states == &[RenewState::Ended])
+        matches!(&bench.ask(renew(1))[..], [JobsResponse::Renewed(states)] if states == &[DriverLeaseState::Ended])
     );
-    assert!(matches!(bench.ask(append(1, 0))[..], [JobsAnswer::Ended]));
+    assert!(matches!(bench.ask(append(1, 0))[..], [JobsResponse::Ended]));
 }
 
 #[test]
@@ -261,7 +265,7 @@
 fn outside_the_chain_nothing_is_kept_in_memory_or_comes_back_from_the_disk() {
     let mut bench = Bench::new(0);
     bench.ask(create(10));
-    let record = PartitionRecord { epoch: 2, chain: vec![9], full: vec![9] };
+    let record = PartitionRecord { epoch: 2, chain: vec![9], in_sync: vec![9] };
     bench.handle(BackendEvent::Chain { partition: PARTITION, record });
     bench.sync();
     assert_eq!(bench.backend.report(bench.now).bytes, 0);
@@ -269,7 +273,7 @@
     let mut kept = DiskContent::read(again.checkpoint().unwrap().unwrap()).unwrap();
     let kept = kept.partitions.remove(&PARTITION).unwrap();
     assert!(kept.iter().all(|record| !matches!(record, LogRecord::Entry { .. })), "{kept:?}");
-    assert!(kept.iter().any(|record| matches!(record, LogRecord::Snapshot { seq: 0, .. })), "{kept:?}");
+    assert!(kept.iter().any(|record| matches!(record, LogRecord::Snapshot { index: 0, .. })), "{kept:?}");
     assert!(
         kept.iter().any(|record| matches!(record, LogRecord::View { view, .. } if view.epoch == 2)),
         "{kept:?}"
--- a/system/jobs/tests/bench/mod.rs
+++ b/system/jobs/tests/bench/mod.rs
@@ -11,7 +11,7 @@
 use gingerledge_jobs::JobsSettings;
 use gingerledge_protocol::Settings;
 use gingerledge_wire::{
-    ItemRecord, JobRecord, JobsAnswer, JobsMessage, JobsRequest, PartialText, PartitionRecord, ResultRecord,
+    ItemRecord, JobRecord, JobsMessage, JobsRequest, JobsResponse, PartialText, PartitionRecord, ResultRecord,
 };
 
 pub const ME: u64 = 5;
@@ -76,7 +76,7 @@
     }
 
     pub fn learn_chain(&mut self) {
-        let record = PartitionRecord { epoch: 1, chain: vec![ME], full: vec![ME] };
+        let record = PartitionRecord { epoch: 1, chain: vec![ME], in_sync: vec![ME] };
         self.handle(BackendEvent::Chain { partition: PARTITION, record });
         self.sync();
     }
@@ -89,7 +89,7 @@
     /// The terms under which edges were told to drive.
     pub fn told_terms(&self) -> Vec<u64> {
         let term = |message: &JobsMessage| match message {
-            JobsMessage::Drive { term, .. } => Some(*term),
+            JobsMessage::AssignDriver { term, .. } => Some(*term),
             _ => None,
         };
         self.sent.iter().filter_map(term).collect()
@@ -135,15 +135,15 @@
         self.handle(BackendEvent::Ask { asker, partition: PARTITION, epoch: 1, request });
     }
 
-    pub fn ask(&mut self, request: JobsRequest) -> Vec<JobsAnswer> {
+    pub fn ask(&mut self, request: JobsRequest) -> Vec<JobsResponse> {
         self.ask_only(EDGE, request);
         self.sync();
         self.answers()
     }
 
-    pub fn answers(&mut self) -> Vec<JobsAnswer> {
+    pub fn answers(&mut self) -> Vec<JobsResponse> {
         let answer = |message| match message {
-            JobsMessage::Answer { body, .. } => Some(body),
+            JobsMessage::Response { body, .. } => Some(body),
             _ => None,
         };
         self.sent.drain(..).filter_map(answer).collect()
@@ -167,13 +167,13 @@
         step: 0,
         model: "m".to_owned(),
         min_version: 1,
-        desired: 1,
+        desired_groups: 1,
         items: vec![item(0), item(1)],
     })
 }
 
 pub fn create(body_bytes: usize) -> JobsRequest {
-    JobsRequest::Create { job: job(body_bytes) }
+    JobsRequest::CreateJob { job: job(body_bytes) }
 }
 
 pub fn append(term: u64, item: u32) -> JobsRequest {
@@ -184,31 +184,39 @@
         versions: vec![1],
         score: "s".to_owned(),
     };
-    JobsRequest::Append { job: "j".to_owned(), term, results: vec![result] }
+    JobsRequest::AppendResults { job: "j".to_owned(), term, results: vec![result] }
 }
 
 pub fn read(start_after: u64, wait_ms: u64) -> JobsRequest {
-    JobsRequest::Read { job: "j".to_owned(), start_after, wait_ms, max_bytes: 1_000_000 }
+    JobsRequest::ReadResults { job: "j".to_owned(), start_after, wait_ms, max_bytes: 1_000_000 }
 }
 
 /// A part of the text of the second item.
 pub fn save(term: u64, after: Option<u64>, last_id: u64, data: &[u8]) -> JobsRequest {
     let (data, versions) = (data.to_vec(), vec![1]);
-    let part = PartialText { item: 1, origin: 9, after, last_id, data, versions, whole: false };
-    JobsRequest::Save { job: "j".to_owned(), term, texts: vec![part] }
+    let part = PartialText {
+        item: 1,
+        origin: 9,
+        previous_event_id: after,
+        last_event_id: last_id,
+        data,
+        versions,
+        is_complete: false,
+    };
+    JobsRequest::SaveCheckpoint { job: "j".to_owned(), term, texts: vec![part] }
 }
 
 pub fn renew(term: u64) -> JobsRequest {
-    JobsRequest::Renew { jobs: vec![("j".to_owned(), term)] }
+    JobsRequest::RenewDriverLeases { jobs: vec![("j".to_owned(), term)] }
 }
 
 pub fn end() -> JobsRequest {
-    JobsRequest::End { job: "j".to_owned() }
+    JobsRequest::EndJob { job: "j".to_owned() }
 }
 
-pub fn listed(answers: &[JobsAnswer]) -> Option<usize> {
+pub fn listed(answers: &[JobsResponse]) -> Option<usize> {
     match answers {
-        [JobsAnswer::Page { results, .. }] => Some(results.len()),
+        [JobsResponse::Results { results, .. }] => Some(results.len()),
         _ => None,
     }
 }
--- a/system/jobs/tests/common/coordinator.rs
+++ b/system/jobs/tests/common/coordinator.rs
@@ -4,7 +4,7 @@
 
 use gingerledge_control::coordinator::partitions::{Backend, Backends, Condition};
 use gingerledge_control::state::ControlState;
-use gingerledge_wire::{Command, Outcome, PartitionRecord};
+use gingerledge_wire::{Command, CommandOutcome, PartitionRecord};
 
 const FAULT_TOLERANCE: usize = 1;
 
@@ -40,9 +40,9 @@
     pub fn report(&mut self, member: u64, full: &[(u16, u64)]) {
         for (partition, epoch) in full.iter().copied() {
             let known = self.state.partitions().get(partition);
-            if known.is_some_and(|record| record.epoch == epoch && !record.full.contains(&member)) {
+            if known.is_some_and(|record| record.epoch == epoch && !record.in_sync.contains(&member)) {
                 self.sequence += 1;
-                self.state.apply(self.sequence, &Command::PartitionFull { partition, epoch, member });
+                self.state.apply(self.sequence, &Command::ReplicaInSync { partition, epoch, member });
             }
         }
     }
@@ -50,7 +50,7 @@
     /// Whether every member of every chain is full and lives.
     pub fn is_whole(&self, alive: &[u64]) -> bool {
         self.records().values().all(|record| {
-            record.full.len() == record.chain.len()
+            record.in_sync.len() == record.chain.len()
                 && record.chain.iter().all(|member| alive.contains(member))
         })
     }
@@ -78,11 +78,14 @@
         let changes = backends.plan(|partition| self.state.partitions().get(partition));
         for change in changes {
             if change.partition < self.partitions && looks_at(change.partition) {
-                let set =
-                    Command::SetPartition { partition: change.partition, record: change.record, fence: 0 };
+                let set = Command::SetPartition {
+                    partition: change.partition,
+                    record: change.record,
+                    fencing_token: 0,
+                };
                 self.sequence += 1;
                 let outcome = self.state.apply(self.sequence, &set);
-                assert_eq!(outcome, Outcome::Taken, "{set:?}");
+                assert_eq!(outcome, CommandOutcome::Applied, "{set:?}");
             }
         }
     }
--- a/system/jobs/tests/common/edges.rs
+++ b/system/jobs/tests/common/edges.rs
@@ -7,11 +7,11 @@
 
 use gingerledge_jobs::store::Asker;
 use gingerledge_wire::{
-    ItemRecord, JobRecord, JobsAnswer, JobsMessage, JobsRequest, RenewState, ResultRecord,
+    DriverLeaseState, ItemRecord, JobRecord, JobsMessage, JobsRequest, JobsResponse, ResultRecord,
 };
 
 use super::facts::{Facts, Known};
-use super::world::{Ask, World, PARTITIONS};
+use super::world::{Ask, World, PARTITION_COUNT};
 
 const EDGES: u64 = 3;
 const RESEND_MS: u64 = 250;
@@ -48,7 +48,7 @@
 
 /// Few partitions are used, so that much happens in each.
 pub fn partition_of(job: &str) -> u16 {
-    job.bytes().last().map_or(0, |byte| u16::from(byte) % PARTITIONS)
+    job.bytes().last().map_or(0, |byte| u16::from(byte) % PARTITION_COUNT)
 }
 
 impl Edges {
@@ -118,23 +118,23 @@
                 let start_after = world.rng.u64(..4);
                 let max_bytes = if world.rng.bool() { 300 } else { 1_000_000 };
                 let wait_ms = if world.rng.bool() { 400 } else { 0 };
-                let request = JobsRequest::Read { job: job.clone(), start_after, wait_ms, max_bytes };
+                let request = JobsRequest::ReadResults { job: job.clone(), start_after, wait_ms, max_bytes };
                 self.ask(world, edge, &job, request);
             }
             (7, Some(job)) => {
                 let item = format!("{job}-{}", world.rng.u8(..5));
-                self.ask(world, edge, &job.clone(), JobsRequest::Body { job, item });
+                self.ask(world, edge, &job.clone(), JobsRequest::ReadItemBody { job, item });
             }
             (8, Some(job)) if world.rng.u8(..10) == 0 => {
                 if let Some(known) = self.facts.jobs.get_mut(&job) {
                     known.end_asked = true;
                 }
-                self.ask(world, edge, &job.clone(), JobsRequest::End { job });
+                self.ask(world, edge, &job.clone(), JobsRequest::EndJob { job });
             }
             (9, Some(job)) => {
                 // Handed in again, at another edge.
                 let record = Arc::clone(&self.facts.jobs[&job].record);
-                self.ask(world, edge, &job, JobsRequest::Create { job: record });
+                self.ask(world, edge, &job, JobsRequest::CreateJob { job: record });
             }
             _ => {}
         }
@@ -159,7 +159,7 @@
             step: 0,
             model: "m".to_owned(),
             min_version: 1,
-            desired: 1,
+            desired_groups: 1,
             items: items.collect(),
         });
         let known = Known {
@@ -175,7 +175,7 @@
             held: (0, Duration::ZERO),
         };
         self.facts.jobs.insert(id.clone(), known);
-        self.ask(world, edge, &id, JobsRequest::Create { job: record });
+        self.ask(world, edge, &id, JobsRequest::CreateJob { job: record });
     }
 
     /// Renews what is driven, and lists results.
@@ -189,7 +189,7 @@
                     requests.push((
                         *edge,
                         job.clone(),
-                        JobsRequest::Renew { jobs: vec![(job.clone(), *term)] },
+                        JobsRequest::RenewDriverLeases { jobs: vec![(job.clone(), *term)] },
                     ));
                 }
                 if world.rng.u8(..30) == 0 {
@@ -199,7 +199,8 @@
                     let text = format!("{job} {item} by {edge} under {term}").into_bytes();
                     let versions = vec![*term];
                     let result = ResultRecord { item, completed: true, text, versions, score: String::new() };
-                    let append = JobsRequest::Append { job: job.clone(), term: *term, results: vec![result] };
+                    let append =
+                        JobsRequest::AppendResults { job: job.clone(), term: *term, results: vec![result] };
                     requests.push((*edge, job.clone(), append));
                 }
             }
@@ -227,7 +228,8 @@
         let Some(edge) = self.edges.get(&question.edge) else { return };
         let asker = Asker { request, reply_to: edge.address, edge: question.edge };
         let record = world.chain(question.partition).clone();
-        let at_tail = matches!(question.request, JobsRequest::Read { .. } | JobsRequest::Body { .. });
+        let at_tail =
+            matches!(question.request, JobsRequest::ReadResults { .. } | JobsRequest::ReadItemBody { .. });
         let member = if at_tail { record.chain.last() } else { record.chain.first() };
         // Not every edge knows the newest chain, so some ask anybody.
         let anybody: Vec<u64> = world.backends().map(|(member, _)| member).collect();
@@ -243,7 +245,8 @@
     fn resend(&mut self, world: &mut World) {
         let now = world.now;
         let age = |since: Duration| (now - since).as_millis() as u64;
-        let is_renewal = |question: &Question| matches!(question.request, JobsRequest::Renew { .. });
+        let is_renewal =
+            |question: &Question| matches!(question.request, JobsRequest::RenewDriverLeases { .. });
         self.questions.retain(|_, question| {
             let most = if is_renewal(question) { RENEW_MS } else { GIVE_UP_MS };
             age(question.first_sent) < most
@@ -264,8 +267,8 @@
     pub fn receive(&mut self, world: &World, to: SocketAddr, message: JobsMessage) {
         let now = world.now;
         match message {
-            JobsMessage::Answer { request, body } => self.answered(now, request, body),
-            JobsMessage::Drive { job, term, listed, age_ms, .. } => {
+            JobsMessage::Response { request, body } => self.answered(now, request, body),
+            JobsMessage::AssignDriver { job, term, items_with_results: listed, age_ms, .. } => {
                 self.facts.age_told(now, &job.id, Duration::from_millis(age_ms));
                 for item in listed {
                     assert!((item as usize) < job.items.len());
@@ -279,55 +282,57 @@
                     }
                 }
             }
-            JobsMessage::Stop { job, .. } => {
+            JobsMessage::StopDriver { job, .. } => {
                 self.edges.values_mut().find(|edge| edge.address == to).map(|edge| edge.drives.remove(&job));
             }
-            JobsMessage::Ask { .. } => unreachable!("no backend asks"),
+            JobsMessage::Request { .. } => unreachable!("no backend asks"),
         }
     }
 
-    fn answered(&mut self, now: Duration, request: u64, answer: JobsAnswer) {
-        if matches!(answer, JobsAnswer::NotNow) {
+    fn answered(&mut self, now: Duration, request: u64, answer: JobsResponse) {
+        if matches!(answer, JobsResponse::Unavailable) {
             return;
         }
         let Some(question) = self.questions.remove(&request) else { return };
         let Question { edge, job, request, first_sent: sent, .. } = question;
         match (request, answer) {
-            (JobsRequest::Create { .. }, JobsAnswer::Created { drive }) => {
+            (JobsRequest::CreateJob { .. }, JobsResponse::Created { driver_term }) => {
                 self.facts.count("created");
                 self.facts.jobs.get_mut(&job).unwrap().created.get_or_insert(now);
-                if let (Some(term), Some(state)) = (drive, self.edges.get_mut(&edge)) {
+                if let (Some(term), Some(state)) = (driver_term, self.edges.get_mut(&edge)) {
                     state.drives.entry(job).or_insert((term, now));
                 }
             }
-            (JobsRequest::Append { results, .. }, JobsAnswer::Appended) => {
+            (JobsRequest::AppendResults { results, .. }, JobsResponse::Appended) => {
                 self.facts.count("appended");
                 let known = self.facts.jobs.get_mut(&job).unwrap();
                 known.kept.extend(results.iter().map(|result| result.item));
             }
-            (JobsRequest::Append { .. }, JobsAnswer::Fenced | JobsAnswer::Ended) => {}
-            (JobsRequest::End { .. }, JobsAnswer::Ended) => {
+            (JobsRequest::AppendResults { .. }, JobsResponse::Fenced | JobsResponse::Ended) => {}
+            (JobsRequest::EndJob { .. }, JobsResponse::Ended) => {
                 self.facts.count("ended");
                 self.facts.jobs.get_mut(&job).unwrap().ended.get_or_insert(now);
             }
-            (JobsRequest::Read { start_after, .. }, JobsAnswer::Page { total, results, .. }) => {
+            (JobsRequest::ReadResults { start_after, .. }, JobsResponse::Results { total, results, .. }) => {
                 self.facts.count(if results.is_empty() { "empty page" } else { "page" });
                 assert_eq!(total, self.facts.jobs[&job].record.items.len() as u64);
                 self.facts.page(now, sent, &job, start_after, &results);
             }
-            (JobsRequest::Body { item, .. }, JobsAnswer::Body(body)) => {
+            (JobsRequest::ReadItemBody { item, .. }, JobsResponse::ItemBody(body)) => {
                 self.facts.count("body");
                 let record = &self.facts.jobs[&job].record;
                 let expected = record.items.iter().find(|known| known.id == item);
                 assert_eq!(Some(&body), expected.map(|item| &item.body));
             }
-            (JobsRequest::Body { item, .. }, JobsAnswer::Unknown) => self.no_body(sent, &job, &item),
-            (JobsRequest::Renew { jobs }, JobsAnswer::Renewed(states)) => {
+            (JobsRequest::ReadItemBody { item, .. }, JobsResponse::NotFound) => {
+                self.no_body(sent, &job, &item)
+            }
+            (JobsRequest::RenewDriverLeases { jobs }, JobsResponse::Renewed(states)) => {
                 for ((job, term), state) in jobs.into_iter().zip(states) {
                     self.renewed(now, sent, edge, &job, term, state);
                 }
             }
-            (_, JobsAnswer::Unknown) => self.facts.unknown(sent, &job),
+            (_, JobsResponse::NotFound) => self.facts.unknown(sent, &job),
             (request, answer) => panic!("{request:?} was answered by {answer:?}"),
         }
     }
@@ -341,13 +346,21 @@
         assert!(!acknowledged || known.end_asked || may_be_listed, "{item} has no body");
     }
 
-    fn renewed(&mut self, now: Duration, sent: Duration, edge: u64, job: &str, term: u64, state: RenewState) {
+    fn renewed(
+        &mut self,
+        now: Duration,
+        sent: Duration,
+        edge: u64,
+        job: &str,
+        term: u64,
+        state: DriverLeaseState,
+    ) {
         match state {
-            RenewState::Held => {
+            DriverLeaseState::Held => {
                 self.facts.count("held");
                 self.facts.held(now, sent, job, term);
             }
-            RenewState::Ended | RenewState::Fenced => {
+            DriverLeaseState::Ended | DriverLeaseState::Fenced => {
                 if let Some(state) = self.edges.get_mut(&edge) {
                     if state.drives.get(job).is_some_and(|(known, _)| *known == term) {
                         state.drives.remove(job);
--- a/system/jobs/tests/common/fate.rs
+++ b/system/jobs/tests/common/fate.rs
@@ -13,7 +13,7 @@
         // Reports come one by one.
         for machine in self.machines.iter().filter(|it| it.is_well()) {
             if let Some(backend) = machine.backend.as_ref().filter(|_| self.rng.u8(..100) < 30) {
-                self.coordinator.report(machine.member, &backend.report(self.now).full);
+                self.coordinator.report(machine.member, &backend.report(self.now).in_sync);
             }
         }
         let suspected = self.suspect(&alive);
--- a/system/jobs/tests/common/world.rs
+++ b/system/jobs/tests/common/world.rs
@@ -17,7 +17,7 @@
 use super::disk::Disk;
 
 /// Partitions that are used.
-pub const PARTITIONS: u16 = 2;
+pub const PARTITION_COUNT: u16 = 2;
 const BACKENDS: usize = 4;
 const MOST_DELAY_MS: u64 = 15;
 const MOST_CLOCK_OFFSET_MS: u64 = 1_000_000_000;
@@ -93,7 +93,7 @@
 impl World {
     pub fn new(seed: u64) -> Self {
         let members: Vec<u64> = (1..=BACKENDS as u64).collect();
-        let coordinator = Coordinator::new(PARTITIONS, &members);
+        let coordinator = Coordinator::new(PARTITION_COUNT, &members);
         let machines = members.iter().map(|member| Machine::new(*member)).collect();
         let mut world = Self {
             now: Duration::ZERO,
--- a/system/jobs/tests/golden.rs
+++ b/system/jobs/tests/golden.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use gingerledge_chain::{Ballot, LogRecord, MemberId, Members, View};
+use gingerledge_chain::{LogRecord, MemberId, Membership, ProposalNumber, View};
 use gingerledge_golden::{compare, read, Sample};
 use gingerledge_jobs::backend::{DiskContent, DiskRecord};
 use gingerledge_jobs::store::{Asker, Command, EdgeProcess, Proposal, Store};
@@ -71,7 +71,7 @@
         step: 5,
         model: "model-a".to_owned(),
         min_version: 6,
-        desired: 7,
+        desired_groups: 7,
         items: vec![item("item-1", Some(scoring)), item("item-2", None), item("item-3", None)],
     })
 }
@@ -84,11 +84,11 @@
     PartialText {
         item: 1,
         origin: 10,
-        after: None,
-        last_id: 11,
+        previous_event_id: None,
+        last_event_id: 11,
         data: b"part".to_vec(),
         versions: vec![12],
-        whole: false,
+        is_complete: false,
     }
 }
 
@@ -108,19 +108,19 @@
 fn records() -> Vec<(&'static str, LogRecord)> {
     let view = || View { epoch: 1, chain: vec![MemberId(2), MemberId(3)] };
     let members =
-        || Members { epoch: 4, voters: vec![MemberId(5)], chain: vec![MemberId(6)], fault_tolerance: 1 };
-    let ballot = Ballot { counter: 7, proposer: 8 };
+        || Membership { epoch: 4, voters: vec![MemberId(5)], chain: vec![MemberId(6)], fault_tolerance: 1 };
+    let proposal = ProposalNumber { counter: 7, proposer: 8 };
     vec![
-        ("view", LogRecord::View { view: view(), full: true }),
+        ("view", LogRecord::View { view: view(), in_sync: true }),
         ("rejoined", LogRecord::Rejoined { view: view(), after: 9 }),
-        ("full", LogRecord::Full { epoch: 10 }),
+        ("full", LogRecord::InSync { epoch: 10 }),
         ("sealed", LogRecord::Sealed { epoch: 11 }),
-        ("entry", LogRecord::Entry { epoch: 12, seq: 13, committed: 14, command: vec![15] }),
-        ("snapshot", LogRecord::Snapshot { seq: 16, bytes: vec![17] }),
-        ("barriers", LogRecord::Barriers { epoch: 18, reserved: 19 }),
-        ("members", LogRecord::Members { members: members() }),
-        ("promise", LogRecord::Promise { epoch: 20, ballot }),
-        ("accepted", LogRecord::Accepted { ballot, members: members() }),
+        ("entry", LogRecord::Entry { epoch: 12, index: 13, committed: 14, command: vec![15] }),
+        ("snapshot", LogRecord::Snapshot { index: 16, bytes: vec![17] }),
+        ("barriers", LogRecord::BarrierReservation { epoch: 18, reserved: 19 }),
+        ("members", LogRecord::Membership { members: members() }),
+        ("promise", LogRecord::Promise { epoch: 20, proposal }),
+        ("accepted", LogRecord::Accepted { proposal, members: members() }),
     ]
 }
 
--- a/system/jobs/tests/golden_disk.rs
+++ b/system/jobs/tests/golden_disk.rs
@@ -76,7 +76,7 @@
         step: 12,
         model: "model-a".to_owned(),
         min_version: 3,
-        desired: 2,
+        desired_groups: 2,
         items: (0..items).map(item).collect(),
     }
 }
@@ -93,7 +93,15 @@
 
 fn part(item: u32, after: Option<u64>, last_id: u64, data: &str) -> PartialText {
     let data = data.as_bytes().to_vec();
-    PartialText { item, origin: 31, after, last_id, data, versions: vec![3], whole: after.is_some() }
+    PartialText {
+        item,
+        origin: 31,
+        previous_event_id: after,
+        last_event_id: last_id,
+        data,
+        versions: vec![3],
+        is_complete: after.is_some(),
+    }
 }
 
 /// One command of each kind, in the order of the log; the first entry has the number 1.
@@ -126,8 +134,8 @@
     Proposal { asker: command.job().is_some().then_some(asker), age, command }
 }
 
-fn entry(epoch: u64, seq: u64, committed: u64) -> LogRecord {
-    LogRecord::Entry { epoch, seq, committed, command: proposal(seq).encode().unwrap() }
+fn entry(epoch: u64, index: u64, committed: u64) -> LogRecord {
+    LogRecord::Entry { epoch, index, committed, command: proposal(index).encode().unwrap() }
 }
 
 /// The state after the first entries.
@@ -151,9 +159,9 @@
 /// Records of the partition in the snapshot on the disk.
 fn records_in_snapshot() -> Vec<LogRecord> {
     vec![
-        LogRecord::Snapshot { seq: SNAPSHOT_ENTRY, bytes: store_after(SNAPSHOT_ENTRY).encode().unwrap() },
-        LogRecord::View { view: view(1, &[ME, SECOND]), full: true },
-        LogRecord::Barriers { epoch: 1, reserved: 1024 },
+        LogRecord::Snapshot { index: SNAPSHOT_ENTRY, bytes: store_after(SNAPSHOT_ENTRY).encode().unwrap() },
+        LogRecord::View { view: view(1, &[ME, SECOND]), in_sync: true },
+        LogRecord::BarrierReservation { epoch: 1, reserved: 1024 },
         LogRecord::Sealed { epoch: 1 },
     ]
 }
@@ -164,8 +172,8 @@
         entry(1, 5, 4),
         entry(1, 6, 5),
         LogRecord::Rejoined { view: view(2, &[SECOND, ME]), after: 5 },
-        LogRecord::Full { epoch: 2 },
-        LogRecord::Barriers { epoch: 2, reserved: 2048 },
+        LogRecord::InSync { epoch: 2 },
+        LogRecord::BarrierReservation { epoch: 2, reserved: 2048 },
     ];
     records.extend((6..=LAST_ENTRY).map(|number| entry(2, number, number - 1)));
     records
@@ -173,12 +181,12 @@
 
 /// Records of the partition without entries.
 fn records_of_empty_partition() -> Vec<LogRecord> {
-    vec![LogRecord::View { view: view(7, &[SECOND, ME]), full: false }, LogRecord::Sealed { epoch: 7 }]
+    vec![LogRecord::View { view: view(7, &[SECOND, ME]), in_sync: false }, LogRecord::Sealed { epoch: 7 }]
 }
 
 /// What the write in the middle of which the power goes would have added.
 fn last_records() -> Vec<DiskRecord> {
-    let large = LogRecord::Entry { epoch: 2, seq: 12, committed: 11, command: vec![0x5a; 3000] };
+    let large = LogRecord::Entry { epoch: 2, index: 12, committed: 11, command: vec![0x5a; 3000] };
     vec![
         DiskRecord::Partition(PARTITION, large),
         DiskRecord::Partition(EMPTY_PARTITION, LogRecord::Sealed { epoch: 8 }),
@@ -206,7 +214,7 @@
     let (mut ring, content) = open(folder);
     assert!(content.member.is_none() && content.partitions.is_empty());
     ring.append(&encoded(&[DiskRecord::Identity(ME)])).unwrap();
-    let first = LogRecord::View { view: view(1, &[ME, SECOND]), full: true };
+    let first = LogRecord::View { view: view(1, &[ME, SECOND]), in_sync: true };
     ring.append(&encoded(&[DiskRecord::Partition(PARTITION, first)])).unwrap();
     for number in 1..=SNAPSHOT_ENTRY {
         let entry = DiskRecord::Partition(PARTITION, entry(1, number, number - 1));
@@ -286,9 +294,9 @@
     let (_, content) = open(&laid_out("backend.txt", "entries"));
     let mut numbers = Vec::new();
     for record in &content.partitions[&PARTITION] {
-        if let LogRecord::Entry { seq, command, .. } = record {
-            assert!(Proposal::decode(command).unwrap() == proposal(*seq), "entry {seq}");
-            numbers.push(*seq);
+        if let LogRecord::Entry { index, command, .. } = record {
+            assert!(Proposal::decode(command).unwrap() == proposal(*index), "entry {index}");
+            numbers.push(*index);
         }
     }
     assert_eq!(numbers, [5, 6, 6, 7, 8, 9, 10, 11]);
@@ -312,7 +320,7 @@
     assert!(open.results() == [result(2, true)], "the results");
     assert_eq!(open.listed_items(), [2]);
     assert_eq!(open.body("item-0"), Some(&b"body of item 0"[..]));
-    let joined = PartialText { after: None, ..part(0, Some(5), 9, "first second") };
+    let joined = PartialText { previous_event_id: None, ..part(0, Some(5), 9, "first second") };
     assert!(open.texts() == [joined, part(1, None, 2, "third")], "the texts");
     let ended = store.job("ended").unwrap();
     assert!(ended.is_ended() && ended.results() == [result(0, false)]);
@@ -324,7 +332,7 @@
 fn a_recorded_vote_keeps_its_epoch_sealed() {
     let (_, content) = open(&laid_out("backend.txt", "sealed"));
     let mut backend = start(content);
-    let old = PartitionRecord { epoch: 6, chain: vec![ME, SECOND], full: vec![ME, SECOND] };
+    let old = PartitionRecord { epoch: 6, chain: vec![ME, SECOND], in_sync: vec![ME, SECOND] };
     let event = BackendEvent::Chain { partition: EMPTY_PARTITION, record: old };
     backend.handle(Duration::ZERO, event, &mut Vec::new());
     assert!(backend.partition(EMPTY_PARTITION).unwrap().view() == Some(&view(7, &[SECOND, ME])));
--- a/system/jobs/tests/simulation.rs
+++ b/system/jobs/tests/simulation.rs
@@ -7,7 +7,7 @@
 
 use common::edges::{partition_of, Edges};
 use common::facts::Known;
-use common::world::{World, PARTITIONS};
+use common::world::{World, PARTITION_COUNT};
 use gingerledge_jobs::store::Store;
 
 const TROUBLE: Duration = Duration::from_secs(25);
@@ -25,7 +25,7 @@
 
 /// Every acknowledged batch job is at every member of its chain, with what was shown where it was shown.
 fn check_copies(world: &World, edges: &Edges) {
-    for partition in 0..PARTITIONS {
+    for partition in 0..PARTITION_COUNT {
         let chain = world.chain(partition);
         let outside = world.backends().filter(|(member, _)| !chain.chain.contains(member));
         for copy in outside.filter_map(|(_, backend)| backend.partition(partition)) {
--- a/system/jobs/tests/store.rs
+++ b/system/jobs/tests/store.rs
@@ -38,7 +38,7 @@
         step: 0,
         model: "m".to_owned(),
         min_version: 1,
-        desired: 1,
+        desired_groups: 1,
         items: vec![item("a"), item("b"), item("c")],
     })
 }
@@ -110,13 +110,21 @@
 
 fn save(store: &mut Store, term: u64, (origin, after, last_id, data): Part) -> Outcome {
     let (data, versions, whole) = (data.as_bytes().to_vec(), vec![last_id], false);
-    let part = PartialText { item: 1, origin, after, last_id, data, versions, whole };
+    let part = PartialText {
+        item: 1,
+        origin,
+        previous_event_id: after,
+        last_event_id: last_id,
+        data,
+        versions,
+        is_complete: whole,
+    };
     store.apply(Command::Save { job: "j".to_owned(), term, texts: vec![part] })
 }
 
 fn saved(store: &Store) -> Vec<(u64, String, Vec<u64>)> {
     let texts = store.job("j").map(|job| job.texts()).unwrap_or_default();
-    let parts = texts.into_iter().map(|text| (text.last_id, text.data, text.versions));
+    let parts = texts.into_iter().map(|text| (text.last_event_id, text.data, text.versions));
     parts.map(|(last, data, versions)| (last, String::from_utf8(data).unwrap(), versions)).collect()
 }
 
--- a/system/lease/src/granter.rs
+++ b/system/lease/src/granter.rs
@@ -3,20 +3,20 @@
 
 use std::time::Duration;
 
-use crate::{Message, Settings, Voter};
+use crate::{LeaseMessage, LeaseSettings, VoterId};
 
 #[derive(Clone, Debug)]
 struct Granted {
-    holder: Voter,
-    round: u64,
+    holder: VoterId,
+    generation: u64,
     until: Duration,
 }
 
-/// A question, as it is in [`Message::Request`].
+/// A question, as it is in [`LeaseMessage::Request`].
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Request {
     pub epoch: u64,
-    pub round: u64,
+    pub generation: u64,
     pub renewal: bool,
     pub attempt: u64,
 }
@@ -34,7 +34,7 @@
 
 impl Granter {
     /// Grants may be out that this voter doesn't know of.
-    pub fn be_silent(&mut self, now: Duration, settings: &Settings) {
+    pub fn be_silent(&mut self, now: Duration, settings: &LeaseSettings) {
         self.silent_until = self.silent_until.max(now + settings.silence());
     }
 
@@ -43,7 +43,7 @@
     }
 
     /// Until when somebody else than `me` may hold the lease, as far as known here.
-    pub fn taken_until(&self, me: Voter) -> Duration {
+    pub fn taken_until(&self, me: VoterId) -> Duration {
         let others = self.granted.as_ref().filter(|granted| granted.holder != me);
         others.map_or(Duration::ZERO, |granted| granted.until)
     }
@@ -54,27 +54,38 @@
 
     /// Answers a request of the present epoch. A new round must be higher than all before; a renewal need not be, since
     /// its sender counts it only while it still holds the lease, so that no higher round can have been held.
-    pub fn request(&mut self, now: Duration, from: Voter, request: Request, settings: &Settings) -> Message {
-        let Request { epoch, round, renewal, attempt } = request;
+    pub fn request(
+        &mut self,
+        now: Duration,
+        from: VoterId,
+        request: Request,
+        settings: &LeaseSettings,
+    ) -> LeaseMessage {
+        let Request { epoch, generation, renewal, attempt } = request;
         let wait = self.wait_for(now, from);
-        let stale = round <= self.highest && !renewal;
+        let stale = generation <= self.highest && !renewal;
         if !wait.is_zero() || stale || epoch <= self.sealed {
-            return Message::Refuse { attempt, highest: self.highest, wait };
+            return LeaseMessage::Refuse { attempt, highest: self.highest, wait };
         }
-        self.highest = self.highest.max(round);
+        self.highest = self.highest.max(generation);
         // A late renewal must not lower the round: a late release of the lower one would then end the higher one.
         let before =
-            self.granted.as_ref().filter(|granted| granted.holder == from).map_or(0, |held| held.round);
-        self.granted = Some(Granted { holder: from, round: round.max(before), until: now + settings.term });
-        Message::Grant { epoch, round, attempt }
+            self.granted.as_ref().filter(|granted| granted.holder == from).map_or(0, |held| held.generation);
+        self.granted =
+            Some(Granted { holder: from, generation: generation.max(before), until: now + settings.term });
+        LeaseMessage::Grant { epoch, generation, attempt }
     }
 
-    fn wait_for(&self, now: Duration, from: Voter) -> Duration {
+    fn wait_for(&self, now: Duration, from: VoterId) -> Duration {
         self.silent_until.max(self.taken_until(from)).saturating_sub(now)
     }
 
-    pub fn release(&mut self, from: Voter, round: u64) {
-        if self.granted.as_ref().is_some_and(|granted| granted.holder == from && granted.round <= round) {
+    pub fn release(&mut self, from: VoterId, generation: u64) {
+        if self
+            .granted
+            .as_ref()
+            .is_some_and(|granted| granted.holder == from && granted.generation <= generation)
+        {
             self.granted = None;
         }
     }
--- a/system/lease/src/holder.rs
+++ b/system/lease/src/holder.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use crate::Voter;
+use crate::VoterId;
 
 /// One question to all voters.
 #[derive(Clone, Debug)]
@@ -12,9 +12,9 @@
     /// Whether the lease was held when it was asked.
     pub renewal: bool,
     pub asked_at: Duration,
-    pub grants: BTreeSet<Voter>,
+    pub grants: BTreeSet<VoterId>,
     /// How long each voter that refused will go on to.
-    pub refusals: BTreeMap<Voter, Duration>,
+    pub refusals: BTreeMap<VoterId, Duration>,
 }
 
 impl Attempt {
@@ -35,7 +35,7 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Holder {
     /// The round held or asked for.
-    pub round: u64,
+    pub generation: u64,
     /// Until when the lease is held.
     pub until: Option<Duration>,
     pub attempt: Option<Attempt>,
--- a/system/lease/src/lease.rs
+++ b/system/lease/src/lease.rs
@@ -4,7 +4,7 @@
 
 use crate::granter::{Granter, Request};
 use crate::holder::Holder;
-use crate::{Message, Settings, Voter};
+use crate::{LeaseMessage, LeaseSettings, VoterId};
 
 /// Rounds begin with the epoch in which they were asked for, above this many bits.
 const ROUNDS_BITS: u32 = 32;
@@ -15,7 +15,7 @@
 
 /// What happens to a process.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Event {
+pub enum LeaseEvent {
     /// The process has started; given once, first. A founder of the whole system, that can't have granted anything
     /// before, says so.
     Started {
@@ -27,7 +27,7 @@
         /// The epoch.
         epoch: u64,
         /// The voters.
-        voters: Vec<Voter>,
+        voters: Vec<VoterId>,
     },
     /// This process has sealed an epoch: it grants nothing more in it.
     Sealed {
@@ -37,61 +37,61 @@
     /// Who may hold the lease, the preferred one first. A process that isn't named doesn't ask, and gives up the lease.
     Candidates {
         /// The candidates.
-        order: Vec<Voter>,
+        order: Vec<VoterId>,
     },
     /// A message has arrived.
     Message {
         /// The sender.
-        from: Voter,
+        from: VoterId,
         /// The message.
-        message: Message,
+        message: LeaseMessage,
     },
     /// Give the lease up; this process asks again only after a term.
     Release,
     /// The time of [`Lease::next_timer`] has come.
-    Tick,
+    TimerExpired,
 }
 
 /// What the host is to do.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Action {
+pub enum LeaseAction {
     /// Send a message, once.
     Send {
         /// The receiver.
-        to: Voter,
+        to: VoterId,
         /// The message.
-        message: Message,
+        message: LeaseMessage,
     },
     /// The lease is held.
     Acquired {
         /// The round: higher than those before, unless a majority of the voters has started again in this epoch.
-        round: u64,
+        generation: u64,
         /// Until when, if it isn't renewed.
         until: Duration,
     },
     /// The lease is held for longer.
     Renewed {
         /// The round.
-        round: u64,
+        generation: u64,
         /// Until when.
         until: Duration,
     },
     /// The lease isn't held any more.
     Lost {
         /// The round.
-        round: u64,
+        generation: u64,
     },
 }
 
 /// One process's part in the lease.
 #[derive(Clone, Debug)]
 pub struct Lease {
-    me: Voter,
-    settings: Settings,
+    me: VoterId,
+    settings: LeaseSettings,
     rng: fastrand::Rng,
     epoch: u64,
-    voters: Vec<Voter>,
-    candidates: Vec<Voter>,
+    voters: Vec<VoterId>,
+    candidates: Vec<VoterId>,
     granter: Granter,
     holder: Holder,
     started: bool,
@@ -101,7 +101,7 @@
 
 impl Lease {
     /// A process that has just started. The seed must differ from life to life.
-    pub fn new(me: Voter, settings: Settings, seed: u64) -> Self {
+    pub fn new(me: VoterId, settings: LeaseSettings, seed: u64) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
         // Questions of an earlier life must not be taken for those of this one.
         let holder = Holder { attempts: rng.u64(..) >> 1, ..Holder::default() };
@@ -130,11 +130,11 @@
     }
 
     /// The round that is held or was asked for last.
-    pub fn round(&self) -> u64 {
-        self.holder.round
+    pub fn generation(&self) -> u64 {
+        self.holder.generation
     }
 
-    /// When [`Event::Tick`] is wanted next.
+    /// When [`LeaseEvent::TimerExpired`] is wanted next.
     pub fn next_timer(&self) -> Option<Duration> {
         if !self.started || self.voters.is_empty() {
             return None;
@@ -145,16 +145,16 @@
     }
 
     /// Takes an event and appends what is to be done.
-    pub fn handle(&mut self, now: Duration, event: Event, out: &mut Vec<Action>) {
+    pub fn handle(&mut self, now: Duration, event: LeaseEvent, out: &mut Vec<LeaseAction>) {
         self.check_expiry(now, out);
         match event {
-            Event::Started { founding } => self.on_started(now, founding),
-            Event::Voters { epoch, voters } => self.on_voters(now, epoch, voters),
-            Event::Sealed { epoch } => self.granter.seal(epoch),
-            Event::Candidates { order } => self.on_candidates(now, order, out),
-            Event::Message { from, message } => self.on_message(now, from, message, out),
-            Event::Release => self.on_release(now, out),
-            Event::Tick => self.on_tick(now, out),
+            LeaseEvent::Started { founding } => self.on_started(now, founding),
+            LeaseEvent::Voters { epoch, voters } => self.on_voters(now, epoch, voters),
+            LeaseEvent::Sealed { epoch } => self.granter.seal(epoch),
+            LeaseEvent::Candidates { order } => self.on_candidates(now, order, out),
+            LeaseEvent::Message { from, message } => self.on_message(now, from, message, out),
+            LeaseEvent::Release => self.on_release(now, out),
+            LeaseEvent::TimerExpired => self.on_tick(now, out),
         }
     }
 
@@ -183,7 +183,7 @@
     /// Takes up the voters of a newer epoch. Where they differ, or may have differed in between, a majority of the old
     /// ones and one of the new ones need not meet: then this voter waits until all old grants have ended. So it does
     /// after a start, since it remembers no grants of its life before.
-    fn on_voters(&mut self, now: Duration, epoch: u64, mut voters: Vec<Voter>) {
+    fn on_voters(&mut self, now: Duration, epoch: u64, mut voters: Vec<VoterId>) {
         if epoch <= self.epoch {
             return;
         }
@@ -201,7 +201,7 @@
         self.voters = voters;
     }
 
-    fn on_candidates(&mut self, now: Duration, order: Vec<Voter>, out: &mut Vec<Action>) {
+    fn on_candidates(&mut self, now: Duration, order: Vec<VoterId>, out: &mut Vec<LeaseAction>) {
         let before = self.rank();
         let was = self.is_candidate();
         self.candidates = order;
@@ -212,40 +212,40 @@
         }
     }
 
-    fn on_release(&mut self, now: Duration, out: &mut Vec<Action>) {
+    fn on_release(&mut self, now: Duration, out: &mut Vec<LeaseAction>) {
         self.give_up(out);
         self.holder.ask_at = now + self.settings.term;
     }
 
     /// Ends the lease or the question under way, and tells the voters.
-    fn give_up(&mut self, out: &mut Vec<Action>) {
+    fn give_up(&mut self, out: &mut Vec<LeaseAction>) {
         let held = self.holder.until.take().is_some();
         let asked = self.holder.attempt.take().is_some();
         if held {
-            out.push(Action::Lost { round: self.holder.round });
+            out.push(LeaseAction::Lost { generation: self.holder.generation });
         }
         if !held && !asked {
             return;
         }
-        let round = self.holder.round;
-        self.granter.release(self.me, round);
+        let generation = self.holder.generation;
+        self.granter.release(self.me, generation);
         for to in self.others() {
-            out.push(Action::Send { to, message: Message::Release { round } });
+            out.push(LeaseAction::Send { to, message: LeaseMessage::Release { generation } });
         }
     }
 
-    fn others(&self) -> Vec<Voter> {
+    fn others(&self) -> Vec<VoterId> {
         self.voters.iter().copied().filter(|voter| *voter != self.me).collect()
     }
 
-    fn check_expiry(&mut self, now: Duration, out: &mut Vec<Action>) {
+    fn check_expiry(&mut self, now: Duration, out: &mut Vec<LeaseAction>) {
         if self.holder.until.is_some_and(|until| until <= now) {
             self.holder.until = None;
-            out.push(Action::Lost { round: self.holder.round });
+            out.push(LeaseAction::Lost { generation: self.holder.generation });
         }
     }
 
-    fn on_tick(&mut self, now: Duration, out: &mut Vec<Action>) {
+    fn on_tick(&mut self, now: Duration, out: &mut Vec<LeaseAction>) {
         if !self.started || self.voters.is_empty() {
             return;
         }
@@ -259,33 +259,37 @@
     }
 
     /// Renews the lease, or asks for it if nobody else is known to hold it.
-    fn consider(&mut self, now: Duration, out: &mut Vec<Action>) {
+    fn consider(&mut self, now: Duration, out: &mut Vec<LeaseAction>) {
         if !self.held(now) {
             let free_at = self.granter.taken_until(self.me);
             if free_at > now {
                 self.holder.ask_at = free_at + self.settings.stagger * self.rank();
                 return;
             }
-            self.holder.round = self.next_round();
+            self.holder.generation = self.next_round();
         }
         self.ask(now, out);
     }
 
     /// Higher than all rounds known here, and than all of older epochs: new voters may know of none.
     fn next_round(&self) -> u64 {
-        let known = self.holder.round.max(self.granter.highest()).max(self.holder.seen);
+        let known = self.holder.generation.max(self.granter.highest()).max(self.holder.seen);
         known.max(self.epoch << ROUNDS_BITS) + 1
     }
 
-    fn ask(&mut self, now: Duration, out: &mut Vec<Action>) {
+    fn ask(&mut self, now: Duration, out: &mut Vec<LeaseAction>) {
         let attempt = self.holder.start_attempt(now);
         self.holder.ask_at = now + self.settings.renew_every();
-        let request =
-            Request { epoch: self.epoch, round: self.holder.round, renewal: self.held(now), attempt };
-        let Request { epoch, round, renewal, .. } = request;
-        let message = Message::Request { epoch, round, renewal, attempt };
+        let request = Request {
+            epoch: self.epoch,
+            generation: self.holder.generation,
+            renewal: self.held(now),
+            attempt,
+        };
+        let Request { epoch, generation, renewal, .. } = request;
+        let message = LeaseMessage::Request { epoch, generation, renewal, attempt };
         for to in self.others() {
-            out.push(Action::Send { to, message: message.clone() });
+            out.push(LeaseAction::Send { to, message: message.clone() });
         }
         if self.voters.contains(&self.me) {
             let answer = self.granter.request(now, self.me, request, &self.settings);
@@ -293,34 +297,41 @@
         }
     }
 
-    fn on_message(&mut self, now: Duration, from: Voter, message: Message, out: &mut Vec<Action>) {
+    fn on_message(
+        &mut self,
+        now: Duration,
+        from: VoterId,
+        message: LeaseMessage,
+        out: &mut Vec<LeaseAction>,
+    ) {
         match message {
-            Message::Request { epoch, round, renewal, attempt } => {
+            LeaseMessage::Request { epoch, generation, renewal, attempt } => {
                 if self.started && epoch == self.epoch && self.voters.contains(&self.me) {
-                    let request = Request { epoch, round, renewal, attempt };
+                    let request = Request { epoch, generation, renewal, attempt };
                     let message = self.granter.request(now, from, request, &self.settings);
-                    out.push(Action::Send { to: from, message });
+                    out.push(LeaseAction::Send { to: from, message });
                 }
             }
-            Message::Release { round } => self.on_released(now, from, round),
+            LeaseMessage::Release { generation } => self.on_released(now, from, generation),
             answer => self.on_answer(now, from, answer, out),
         }
     }
 
     /// The holder has given up: the next one need not wait for the end of the term.
-    fn on_released(&mut self, now: Duration, from: Voter, round: u64) {
-        self.granter.release(from, round);
+    fn on_released(&mut self, now: Duration, from: VoterId, generation: u64) {
+        self.granter.release(from, generation);
         if !self.held(now) && self.granter.taken_until(self.me) <= now {
             let turn = now + self.settings.stagger * self.rank();
             self.holder.ask_at = self.holder.ask_at.min(turn.max(now));
         }
     }
 
-    fn on_answer(&mut self, now: Duration, from: Voter, answer: Message, out: &mut Vec<Action>) {
+    fn on_answer(&mut self, now: Duration, from: VoterId, answer: LeaseMessage, out: &mut Vec<LeaseAction>) {
         match answer {
-            Message::Grant { epoch, round, attempt } => {
-                let current =
-                    epoch == self.epoch && round == self.holder.round && self.voters.contains(&from);
+            LeaseMessage::Grant { epoch, generation, attempt } => {
+                let current = epoch == self.epoch
+                    && generation == self.holder.generation
+                    && self.voters.contains(&from);
                 let majority = self.majority();
                 let Some(asked) = self.holder.attempt.as_mut().filter(|asked| asked.number == attempt) else {
                     return;
@@ -333,10 +344,10 @@
                     self.granted(now, until, renewal, out);
                 }
             }
-            Message::Refuse { attempt, highest, wait } => {
+            LeaseMessage::Refuse { attempt, highest, wait } => {
                 self.on_refusal(now, from, attempt, highest, wait, out)
             }
-            Message::Request { .. } | Message::Release { .. } => {}
+            LeaseMessage::Request { .. } | LeaseMessage::Release { .. } => {}
         }
     }
 
@@ -344,11 +355,11 @@
     fn on_refusal(
         &mut self,
         now: Duration,
-        from: Voter,
+        from: VoterId,
         attempt: u64,
         highest: u64,
         wait: Duration,
-        out: &mut Vec<Action>,
+        out: &mut Vec<LeaseAction>,
     ) {
         let spare = self.voters.len() - self.majority().min(self.voters.len());
         let Some(asked) = self.holder.attempt.as_mut().filter(|asked| asked.number == attempt) else {
@@ -363,16 +374,16 @@
     }
 
     /// A renewal that comes after the lease has ended is given back: a higher round may have been held since.
-    fn granted(&mut self, now: Duration, until: Duration, renewal: bool, out: &mut Vec<Action>) {
+    fn granted(&mut self, now: Duration, until: Duration, renewal: bool, out: &mut Vec<LeaseAction>) {
         if until <= now || (renewal && !self.held(now)) {
             self.give_up(out);
             return;
         }
         self.holder.attempt = None;
-        let round = self.holder.round;
+        let generation = self.holder.generation;
         let action = match self.holder.until {
-            Some(_) => Action::Renewed { round, until },
-            None => Action::Acquired { round, until },
+            Some(_) => LeaseAction::Renewed { generation, until },
+            None => LeaseAction::Acquired { generation, until },
         };
         self.holder.until = Some(until);
         // A refusal by a few may have put the next question off.
@@ -391,7 +402,7 @@
     }
 
     /// No majority in time. Without a lease the few grants are given back, so that others need not wait for them.
-    fn attempt_failed(&mut self, now: Duration, out: &mut Vec<Action>) {
+    fn attempt_failed(&mut self, now: Duration, out: &mut Vec<LeaseAction>) {
         if self.held(now) {
             self.holder.attempt = None;
             self.holder.ask_at = now;
--- a/system/lease/src/message.rs
+++ b/system/lease/src/message.rs
@@ -6,17 +6,17 @@
 
 /// A process that grants or asks, by the identity of its disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Voter(pub u64);
+pub struct VoterId(pub u64);
 
 /// One message. Each carries the epoch of the set of voters it belongs to, except those that are safe in any.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Message {
+pub enum LeaseMessage {
     /// Grant me the lease, or renew it.
     Request {
         /// Epoch of the voters.
         epoch: u64,
         /// The round asked for.
-        round: u64,
+        generation: u64,
         /// Whether the asker holds this round and goes on with it.
         renewal: bool,
         /// Names this question.
@@ -27,7 +27,7 @@
         /// Epoch of the voters.
         epoch: u64,
         /// The round granted.
-        round: u64,
+        generation: u64,
         /// The question answered.
         attempt: u64,
     },
@@ -43,6 +43,6 @@
     /// The sender won't act under this round any more.
     Release {
         /// The round.
-        round: u64,
+        generation: u64,
     },
 }
--- a/system/lease/src/settings.rs
+++ b/system/lease/src/settings.rs
@@ -4,7 +4,7 @@
 
 /// The time spans of a lease. All processes are given the same.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Settings {
+pub struct LeaseSettings {
     /// For how long a voter grants.
     pub term: Duration,
     /// By how much the clocks of two machines may differ in rate, as a part of the time passed.
@@ -15,7 +15,7 @@
     pub stagger: Duration,
 }
 
-impl Settings {
+impl LeaseSettings {
     /// The usual settings for a term.
     pub fn new(term: Duration) -> Self {
         Self { term, drift: 0.01, attempt: term / 8, stagger: term / 16 }
--- a/system/lease/tests/golden.rs
+++ b/system/lease/tests/golden.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use gingerledge_golden::{compare, read, Sample};
-use gingerledge_lease::{Message, Voter};
+use gingerledge_lease::{LeaseMessage, VoterId};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 
@@ -55,11 +55,15 @@
 fn messages_are_written_as_before() {
     let mut golden = Golden::new("messages.txt");
     let wait = Duration::new(9, 10);
-    golden.add_equal("voter", &Voter(70_000));
-    golden.add_equal("request", &Message::Request { epoch: 1, round: 2, renewal: true, attempt: 3 });
-    golden.add_equal("request anew", &Message::Request { epoch: 1, round: 2, renewal: false, attempt: 3 });
-    golden.add_equal("grant", &Message::Grant { epoch: 4, round: 5, attempt: 6 });
-    golden.add_equal("refuse", &Message::Refuse { attempt: 7, highest: 8, wait });
-    golden.add_equal("release", &Message::Release { round: 11 });
+    golden.add_equal("voter", &VoterId(70_000));
+    golden
+        .add_equal("request", &LeaseMessage::Request { epoch: 1, generation: 2, renewal: true, attempt: 3 });
+    golden.add_equal(
+        "request anew",
+        &LeaseMessage::Request { epoch: 1, generation: 2, renewal: false, attempt: 3 },
+    );
+    golden.add_equal("grant", &LeaseMessage::Grant { epoch: 4, generation: 5, attempt: 6 });
+    golden.add_equal("refuse", &LeaseMessage::Refuse { attempt: 7, highest: 8, wait });
+    golden.add_equal("release", &LeaseMessage::Release { generation: 11 });
     golden.check();
 }
--- a/system/lease/tests/lease.rs
+++ b/system/lease/tests/lease.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use gingerledge_lease::{Event, Voter};
+use gingerledge_lease::{LeaseEvent, VoterId};
 use world::{millis, Trouble, World};
 
 const ALL: Trouble = Trouble { restarts: true, freezes: true, cuts: true, voter_changes: true };
@@ -91,7 +91,7 @@
         let mut world = World::new(seed, 3, 3, None);
         world.run(Duration::from_secs(5));
         let first = world.holder().expect("someone holds the lease");
-        world.event(first, Event::Release);
+        world.event(first, LeaseEvent::Release);
         assert_eq!(world.holder(), None);
         world.run(world.settings.term / 2);
         assert_ne!(world.holder(), Some(first), "seed {seed}: who gave it up took it again at once");
@@ -108,9 +108,9 @@
     let mut world = World::new(1, 3, 3, None);
     world.run(Duration::from_secs(5));
     let first = world.holder().expect("someone holds the lease");
-    let order: Vec<_> = (0..3).map(Voter).filter(|voter| voter.0 as usize != first).collect();
+    let order: Vec<_> = (0..3).map(VoterId).filter(|voter| voter.0 as usize != first).collect();
     for place in 0..3 {
-        world.event(place, Event::Candidates { order: order.clone() });
+        world.event(place, LeaseEvent::Candidates { order: order.clone() });
     }
     assert_eq!(world.holder(), None);
     world.run(millis(500));
--- a/system/lease/tests/model.rs
+++ b/system/lease/tests/model.rs
@@ -10,7 +10,7 @@
 use std::hash::{Hash, Hasher};
 use std::time::Duration;
 
-use gingerledge_lease::{Action, Event, Lease, Message, Settings, Voter};
+use gingerledge_lease::{Lease, LeaseAction, LeaseEvent, LeaseMessage, LeaseSettings, VoterId};
 use stateright::{Checker, Model, Property};
 
 const TERM: Duration = Duration::from_millis(1_000);
@@ -44,18 +44,18 @@
 struct Group {
     now: Duration,
     processes: Vec<Process>,
-    network: Vec<(u64, u64, Message)>,
+    network: Vec<(u64, u64, LeaseMessage)>,
     restarts: u8,
     releases: u8,
     repetitions: u8,
 }
 
-fn settings() -> Settings {
-    Settings::new(TERM)
+fn settings() -> LeaseSettings {
+    LeaseSettings::new(TERM)
 }
 
-fn voter(place: usize) -> Voter {
-    Voter(place as u64 + 1)
+fn voter(place: usize) -> VoterId {
+    VoterId(place as u64 + 1)
 }
 
 impl Group {
@@ -76,10 +76,10 @@
     }
 
     fn begin(&mut self, place: usize, founding: bool) {
-        let voters: Vec<Voter> = (0..PROCESSES as usize).map(voter).collect();
-        self.event(place, Event::Started { founding });
-        self.event(place, Event::Voters { epoch: 1, voters: voters.clone() });
-        self.event(place, Event::Candidates { order: voters });
+        let voters: Vec<VoterId> = (0..PROCESSES as usize).map(voter).collect();
+        self.event(place, LeaseEvent::Started { founding });
+        self.event(place, LeaseEvent::Voters { epoch: 1, voters: voters.clone() });
+        self.event(place, LeaseEvent::Candidates { order: voters });
     }
 
     /// What a process's clock shows.
@@ -87,12 +87,12 @@
         (self.now - self.processes[place].started_at).mul_f64(RATES[place])
     }
 
-    fn event(&mut self, place: usize, event: Event) {
+    fn event(&mut self, place: usize, event: LeaseEvent) {
         let now = self.clock(place);
         let mut out = Vec::new();
         self.processes[place].lease.handle(now, event, &mut out);
         for action in out {
-            if let Action::Send { to, message } = action {
+            if let LeaseAction::Send { to, message } = action {
                 let sent = (voter(place).0, to.0, message);
                 if !self.network.contains(&sent) {
                     self.network.push(sent);
@@ -106,14 +106,14 @@
             true => self.network[message].clone(),
             false => self.network.remove(message),
         };
-        self.event(to as usize - 1, Event::Message { from: Voter(from), message: content });
+        self.event(to as usize - 1, LeaseEvent::Message { from: VoterId(from), message: content });
     }
 
     fn pass(&mut self, step: Duration) {
         self.now += step;
         for place in 0..self.processes.len() {
             if self.processes[place].lease.next_timer().is_some_and(|at| at <= self.clock(place)) {
-                self.event(place, Event::Tick);
+                self.event(place, LeaseEvent::TimerExpired);
             }
         }
     }
@@ -210,7 +210,7 @@
             }
             Step::Release { place } => {
                 next.releases -= 1;
-                next.event(place, Event::Release);
+                next.event(place, LeaseEvent::Release);
             }
         }
         Some(next)
--- a/system/lease/tests/world/mod.rs
+++ b/system/lease/tests/world/mod.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, BinaryHeap, HashSet};
 use std::time::Duration;
 
-use gingerledge_lease::{Action, Event, Lease, Message, Settings, Voter};
+use gingerledge_lease::{Lease, LeaseAction, LeaseEvent, LeaseMessage, LeaseSettings, VoterId};
 
 /// What kinds of trouble there are.
 #[derive(Clone, Copy, Debug)]
@@ -44,8 +44,8 @@
 enum Happens {
     Arrives {
         place: usize,
-        from: Voter,
-        message: Message,
+        from: VoterId,
+        message: LeaseMessage,
     },
     Timer {
         place: usize,
@@ -66,14 +66,14 @@
     pub seed: u64,
     pub rng: fastrand::Rng,
     pub now: Duration,
-    pub settings: Settings,
+    pub settings: LeaseSettings,
     pub processes: Vec<Process>,
     pub trouble: Option<Trouble>,
     pub cut: HashSet<(usize, usize)>,
     queue: BinaryHeap<Reverse<(Duration, u64)>>,
     what: BTreeMap<u64, Happens>,
     number: u64,
-    epochs: Vec<Vec<Voter>>,
+    epochs: Vec<Vec<VoterId>>,
     pub acquisitions: u64,
     pub holders: Vec<(Duration, usize)>,
     highest_round: u64,
@@ -87,11 +87,11 @@
 
 impl World {
     pub fn new(seed: u64, places: usize, voters: usize, trouble: Option<Trouble>) -> Self {
-        let settings = Settings::new(millis(1000));
+        let settings = LeaseSettings::new(millis(1000));
         let mut rng = fastrand::Rng::with_seed(seed);
         let processes = (0..places)
             .map(|place| Process {
-                lease: Lease::new(Voter(place as u64), settings.clone(), rng.u64(..)),
+                lease: Lease::new(VoterId(place as u64), settings.clone(), rng.u64(..)),
                 started_at: Duration::ZERO,
                 rate: 1.0 + 0.009 * (rng.f64() - 0.5),
                 frozen_until: Duration::ZERO,
@@ -114,7 +114,7 @@
             queue: BinaryHeap::new(),
             what: BTreeMap::new(),
             number: 0,
-            epochs: vec![(0..voters as u64).map(Voter).collect()],
+            epochs: vec![(0..voters as u64).map(VoterId).collect()],
             acquisitions: 0,
             holders: Vec::new(),
             highest_round: 0,
@@ -182,10 +182,12 @@
             return;
         }
         match what {
-            Happens::Arrives { place, from, message } => self.event(place, Event::Message { from, message }),
+            Happens::Arrives { place, from, message } => {
+                self.event(place, LeaseEvent::Message { from, message })
+            }
             Happens::Timer { place, life } if self.processes[place].life == life => {
                 self.processes[place].timer = None;
-                self.event(place, Event::Tick);
+                self.event(place, LeaseEvent::TimerExpired);
             }
             Happens::Learns { place, epoch } => self.learn(place, epoch),
             _ => {}
@@ -196,20 +198,20 @@
         let founding = self.processes[place].life == 0 && self.epochs.len() == 1;
         let seed = self.rng.u64(..);
         let process = &mut self.processes[place];
-        process.lease = Lease::new(Voter(place as u64), self.settings.clone(), seed);
+        process.lease = Lease::new(VoterId(place as u64), self.settings.clone(), seed);
         process.started_at = self.now;
         process.life += 1;
         process.running = true;
         process.timer = None;
         let epoch = process.epoch.max(1);
         process.epoch = 0;
-        self.event(place, Event::Started { founding });
-        let order = (0..self.processes.len() as u64).map(Voter).collect();
-        self.event(place, Event::Candidates { order });
+        self.event(place, LeaseEvent::Started { founding });
+        let order = (0..self.processes.len() as u64).map(VoterId).collect();
+        self.event(place, LeaseEvent::Candidates { order });
         // What it knew of the epochs is on its disk.
         self.learn(place, epoch);
         let sealed = self.processes[place].sealed;
-        self.event(place, Event::Sealed { epoch: sealed });
+        self.event(place, LeaseEvent::Sealed { epoch: sealed });
     }
 
     fn learn(&mut self, place: usize, epoch: u64) {
@@ -218,10 +220,10 @@
         }
         self.processes[place].epoch = epoch;
         let voters = self.epochs[epoch as usize - 1].clone();
-        self.event(place, Event::Voters { epoch, voters });
+        self.event(place, LeaseEvent::Voters { epoch, voters });
     }
 
-    pub fn event(&mut self, place: usize, event: Event) {
+    pub fn event(&mut self, place: usize, event: LeaseEvent) {
         if !self.processes[place].running {
             return;
         }
@@ -230,14 +232,18 @@
         self.processes[place].lease.handle(clock, event, &mut out);
         for action in out {
             match action {
-                Action::Send { to, message } => self.send(place, to, message),
-                Action::Acquired { round, .. } => {
+                LeaseAction::Send { to, message } => self.send(place, to, message),
+                LeaseAction::Acquired { generation, .. } => {
                     self.acquisitions += 1;
-                    let rises = round > self.highest_round || !self.rounds_rise;
-                    assert!(rises, "seed {}: round {round} after {}", self.seed, self.highest_round);
-                    self.highest_round = self.highest_round.max(round);
+                    let rises = generation > self.highest_round || !self.rounds_rise;
+                    assert!(
+                        rises,
+                        "seed {}: generation {generation} after {}",
+                        self.seed, self.highest_round
+                    );
+                    self.highest_round = self.highest_round.max(generation);
                 }
-                Action::Renewed { .. } | Action::Lost { .. } => {}
+                LeaseAction::Renewed { .. } | LeaseAction::Lost { .. } => {}
             }
         }
         self.schedule_timer(place);
@@ -256,14 +262,14 @@
         self.after(at - now, Happens::Timer { place, life });
     }
 
-    fn send(&mut self, place: usize, to: Voter, message: Message) {
+    fn send(&mut self, place: usize, to: VoterId, message: LeaseMessage) {
         let target = to.0 as usize;
         if self.cut.contains(&(place, target)) || target >= self.processes.len() {
             return;
         }
         let late = if self.trouble.is_some() && self.rng.u8(..) < 4 { self.rng.u64(0..2_000_000) } else { 0 };
         let delay = Duration::from_micros(self.rng.u64(500..3000) + late);
-        self.after(delay, Happens::Arrives { place: target, from: Voter(place as u64), message });
+        self.after(delay, Happens::Arrives { place: target, from: VoterId(place as u64), message });
     }
 
     fn make_trouble(&mut self) {
@@ -319,11 +325,11 @@
         self.rng.shuffle(&mut able);
         for place in able.into_iter().take(majority) {
             self.processes[place].sealed = epoch;
-            self.event(place, Event::Sealed { epoch });
+            self.event(place, LeaseEvent::Sealed { epoch });
         }
         let mut next = voters.clone();
         let outside: Vec<_> =
-            (0..self.processes.len() as u64).map(Voter).filter(|voter| !voters.contains(voter)).collect();
+            (0..self.processes.len() as u64).map(VoterId).filter(|voter| !voters.contains(voter)).collect();
         if !outside.is_empty() && self.rng.bool() {
             let index = self.rng.usize(..next.len());
             next[index] = outside[self.rng.usize(..outside.len())];
--- a/system/relay/examples/cost.rs
+++ b/system/relay/examples/cost.rs
@@ -3,8 +3,8 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::{Duration, Instant};
 
-use gingerledge_relay::{Action, Event, Relay, RelaySettings};
-use gingerledge_wire::{Entry, Key, RelayMessage, Role, StoreRecord, Tick, Value};
+use gingerledge_relay::{Relay, RelayAction, RelayEvent, RelaySettings};
+use gingerledge_wire::{Entry, FreshnessTick, Key, RelayMessage, Role, StoreRecord, Value};
 
 const STORES: usize = 10_000;
 const ROUNDS: u32 = 10_000;
@@ -39,7 +39,7 @@
 const PARENT: u16 = 2;
 
 impl Edge {
-    fn handle(&mut self, event: Event) -> Vec<Action> {
+    fn handle(&mut self, event: RelayEvent) -> Vec<RelayAction> {
         let mut actions = Vec::new();
         self.relay.handle(self.now, event, &mut actions);
         let _ = self.relay.next_timer();
@@ -50,16 +50,16 @@
     fn update(&mut self, subscription: u64, entries: Vec<Entry>) {
         self.sequence += 1;
         self.now += Duration::from_millis(25);
-        let tick = Tick { epoch: 1, number: self.sequence };
+        let tick = FreshnessTick { epoch: 1, number: self.sequence };
         let message = RelayMessage::Update {
             subscription,
             sequence: self.sequence,
             entries,
             tick,
-            gone_for_ms: Vec::new(),
+            tombstone_ages_ms: Vec::new(),
             tick_age_ms: 1,
         };
-        self.handle(Event::Message { from: address(PARENT), message });
+        self.handle(RelayEvent::Message { from: address(PARENT), message });
     }
 }
 
@@ -68,9 +68,9 @@
         RelaySettings { child_silence: Duration::MAX / 4, ..RelaySettings::for_role(Role::Edge, "") };
     let relay = Relay::new(settings, address(1), false, 1);
     let mut edge = Edge { relay, now: Duration::from_secs(1), sequence: 0, sent: 0 };
-    edge.handle(Event::ControlKnown(vec![address(PARENT)]));
-    let subscription = edge.handle(Event::Started).into_iter().find_map(|action| match action {
-        Action::Send { message: RelayMessage::Subscribe { subscription, .. }, .. } => Some(subscription),
+    edge.handle(RelayEvent::ControlNodesKnown(vec![address(PARENT)]));
+    let subscription = edge.handle(RelayEvent::Started).into_iter().find_map(|action| match action {
+        RelayAction::Send { message: RelayMessage::Subscribe { subscription, .. }, .. } => Some(subscription),
         _ => None,
     });
     let subscription = subscription.unwrap_or(SUBSCRIPTION);
@@ -82,14 +82,19 @@
     let start = Instant::now();
     for number in 0..CHILDREN {
         let digest = Vec::new();
-        let message =
-            RelayMessage::Subscribe { subscription: 1, digest, configuration: 0, room: 8, capacity: 8 };
-        edge.handle(Event::Message { from: address(100 + number), message });
+        let message = RelayMessage::Subscribe {
+            subscription: 1,
+            digest,
+            configuration: 0,
+            free_child_slots: 8,
+            capacity: 8,
+        };
+        edge.handle(RelayEvent::Message { from: address(100 + number), message });
     }
     println!("a child that gets all of it: {:?}", start.elapsed() / u32::from(CHILDREN));
     for number in 0..CHILDREN {
-        let received = RelayMessage::Received { subscription: 1, sequence: 100, room: 8 };
-        edge.handle(Event::Message { from: address(100 + number), message: received });
+        let received = RelayMessage::Ack { subscription: 1, sequence: 100, free_child_slots: 8 };
+        edge.handle(RelayEvent::Message { from: address(100 + number), message: received });
     }
 
     edge.sent = 0;
@@ -109,8 +114,8 @@
         edge.update(subscription, vec![store(round as usize % STORES, 2 + u64::from(round))]);
         if round % 100 == 0 {
             for number in 0..CHILDREN {
-                let received = RelayMessage::Received { subscription: 1, sequence: u64::MAX, room: 8 };
-                edge.handle(Event::Message { from: address(100 + number), message: received });
+                let received = RelayMessage::Ack { subscription: 1, sequence: u64::MAX, free_child_slots: 8 };
+                edge.handle(RelayEvent::Message { from: address(100 + number), message: received });
             }
         }
     }
