--- a/system/relay/src/children.rs
+++ b/system/relay/src/children.rs
@@ -6,7 +6,7 @@
 
 use gingerledge_wire::RelayMessage;
 
-use crate::event::Action;
+use crate::event::RelayAction;
 use crate::feed::{Feed, Source};
 
 /// Children that are named to a node that isn't taken.
@@ -25,7 +25,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Offer {
     /// How many more children it takes.
-    pub room: u16,
+    pub free_child_slots: u16,
     /// How many it takes at most.
     pub capacity: u16,
 }
@@ -34,7 +34,7 @@
 struct Child {
     feed: Feed,
     heard_at: Duration,
-    room: u16,
+    free_child_slots: u16,
     named: u16,
     takes_children: bool,
 }
@@ -57,11 +57,14 @@
 
     /// What this node offers to nodes that look for a parent.
     pub fn offer(&self) -> Offer {
-        Offer { room: self.room(), capacity: u16::try_from(self.most).unwrap_or(u16::MAX) }
+        Offer {
+            free_child_slots: self.free_child_slots(),
+            capacity: u16::try_from(self.most).unwrap_or(u16::MAX),
+        }
     }
 
     /// How many more there may be.
-    pub fn room(&self) -> u16 {
+    pub fn free_child_slots(&self) -> u16 {
         u16::try_from(self.most.saturating_sub(self.children.len())).unwrap_or(u16::MAX)
     }
 
@@ -79,8 +82,8 @@
 
     /// Takes a child, in place of its earlier subscription if it has one.
     pub fn insert(&mut self, address: SocketAddr, feed: Feed, offer: Offer, now: Duration) {
-        let Offer { room, capacity } = offer;
-        let child = Child { feed, heard_at: now, room, named: 0, takes_children: capacity > 0 };
+        let Offer { free_child_slots, capacity } = offer;
+        let child = Child { feed, heard_at: now, free_child_slots, named: 0, takes_children: capacity > 0 };
         self.children.insert(address, child);
     }
 
@@ -90,14 +93,14 @@
         from: SocketAddr,
         subscription: u64,
         sequence: u64,
-        room: u16,
+        free_child_slots: u16,
         now: Duration,
     ) -> bool {
         let child = self.children.get_mut(&from).filter(|child| child.feed.subscription() == subscription);
         let Some(child) = child else { return false };
         child.feed.acknowledge(sequence);
         child.heard_at = now;
-        child.room = room;
+        child.free_child_slots = free_child_slots;
         child.named = 0;
         true
     }
@@ -115,7 +118,7 @@
     }
 
     /// Drops children that have been silent for longer than `limit`.
-    pub fn drop_silent(&mut self, limit: Duration, now: Duration, actions: &mut Vec<Action>) {
+    pub fn drop_silent(&mut self, limit: Duration, now: Duration, actions: &mut Vec<RelayAction>) {
         self.children.retain(|address, child| {
             let lives = now < child.heard_at + limit;
             if !lives {
@@ -129,8 +132,8 @@
     /// got the node, until it tells its room again.
     pub fn others(&mut self, asking: &SocketAddr) -> Vec<SocketAddr> {
         let mut open: Vec<(&SocketAddr, &mut Child)> = self.children.iter_mut().collect();
-        open.retain(|(address, child)| *address != asking && child.room > 0);
-        open.sort_by_key(|(_, child)| i32::from(child.named) - i32::from(child.room));
+        open.retain(|(address, child)| *address != asking && child.free_child_slots > 0);
+        open.sort_by_key(|(_, child)| i32::from(child.named) - i32::from(child.free_child_slots));
         open.truncate(OTHERS_NAMED);
         let names = open.into_iter().map(|(address, child)| {
             child.named = child.named.saturating_add(1);
@@ -140,7 +143,7 @@
     }
 
     /// Sends what is due.
-    pub fn feed(&mut self, now: Duration, source: Source<'_>, actions: &mut Vec<Action>) {
+    pub fn feed(&mut self, now: Duration, source: Source<'_>, actions: &mut Vec<RelayAction>) {
         self.children.retain(|address, child| feed_child(*address, child, now, source, actions));
     }
 
@@ -163,19 +166,19 @@
     child: &mut Child,
     now: Duration,
     source: Source<'_>,
-    actions: &mut Vec<Action>,
+    actions: &mut Vec<RelayAction>,
 ) -> bool {
     while child.feed.due(source) <= now {
         let Ok(message) = child.feed.next_frame(now, source) else {
             actions.push(leave(to, child.feed.subscription()));
             return false;
         };
-        actions.push(Action::Send { to, message });
+        actions.push(RelayAction::Send { to, message });
     }
     true
 }
 
 /// Tells a peer that a subscription is over.
-pub(crate) fn leave(to: SocketAddr, subscription: u64) -> Action {
-    Action::Send { to, message: RelayMessage::Leave { subscription } }
+pub(crate) fn leave(to: SocketAddr, subscription: u64) -> RelayAction {
+    RelayAction::Send { to, message: RelayMessage::Unsubscribe { subscription } }
 }
--- a/system/relay/src/event.rs
+++ b/system/relay/src/event.rs
@@ -2,11 +2,11 @@
 
 use std::net::SocketAddr;
 
-use gingerledge_wire::{Entry, RelayMessage, Tick};
+use gingerledge_wire::{Entry, FreshnessTick, RelayMessage};
 
 /// Something that happened, told by the host.
 #[derive(Clone, Debug)]
-pub enum Event {
+pub enum RelayEvent {
     /// The process is up and takes internal messages.
     Started,
     /// A message came in.
@@ -17,24 +17,24 @@
         message: RelayMessage,
     },
     /// The connection to a peer broke, or could not be made.
-    Lost {
+    PeerDisconnected {
         /// The peer's address.
         peer: SocketAddr,
     },
     /// Entries from another source than the tree, at a root from the control chain and its sessions.
-    Learned(Vec<Entry>),
+    EntriesLearned(Vec<Entry>),
     /// A confirmed tick of the control chain, at a root.
-    Tick(Tick),
+    Tick(FreshnessTick),
     /// The time of [`crate::Relay::next_timer`] has come.
-    Timer,
+    TimerExpired,
     /// Control nodes that the host knows of, for instance the seeds. They replace those of the last such event; the
     /// registry's own control nodes are known besides.
-    ControlKnown(Vec<SocketAddr>),
+    ControlNodesKnown(Vec<SocketAddr>),
 }
 
 /// Something that the host shall do.
 #[derive(Clone, Debug)]
-pub enum Action {
+pub enum RelayAction {
     /// Send a message.
     Send {
         /// Where to.
@@ -43,5 +43,5 @@
         message: RelayMessage,
     },
     /// These entries are new in the registry; one that was let go after a long time cut off comes as `Gone`.
-    Changed(Vec<Entry>),
+    EntriesChanged(Vec<Entry>),
 }
--- a/system/relay/src/feed.rs
+++ b/system/relay/src/feed.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use gingerledge_protocol::ConfigurationDocument;
-use gingerledge_wire::{Entry, Key, RelayMessage, Tick, Value};
+use gingerledge_wire::{Entry, FreshnessTick, Key, RelayMessage, Value};
 
 use crate::digest::{bucket_of, BUCKETS};
 use crate::freshness::Freshness;
@@ -36,7 +36,7 @@
     snapshot: Option<Snapshot>,
     /// The number of the change of the configuration that the child has, once it has taken all that was sent.
     configuration: u64,
-    tick: Tick,
+    tick: FreshnessTick,
     in_flight: VecDeque<(u64, usize)>,
     in_flight_bytes: usize,
 }
@@ -63,7 +63,7 @@
             position: source.log.end(),
             snapshot,
             configuration,
-            tick: Tick::default(),
+            tick: FreshnessTick::default(),
             in_flight: VecDeque::new(),
             in_flight_bytes: 0,
         }
@@ -120,7 +120,7 @@
         Ok(RelayMessage::Update {
             subscription: self.subscription,
             sequence: self.sequence,
-            gone_for_ms: gone_for_ms(&frame.entries, now, source.replica),
+            tombstone_ages_ms: tombstone_ages_ms(&frame.entries, now, source.replica),
             entries: frame.entries,
             tick: self.tick,
             tick_age_ms: age_ms(source.freshness.age(now)),
@@ -234,8 +234,8 @@
     }
 }
 
-fn gone_for_ms(entries: &[Entry], now: Duration, replica: &Replica) -> Vec<u32> {
-    let gone = entries.iter().filter(|entry| matches!(entry.value, Value::Gone));
+fn tombstone_ages_ms(entries: &[Entry], now: Duration, replica: &Replica) -> Vec<u32> {
+    let gone = entries.iter().filter(|entry| matches!(entry.value, Value::Tombstone));
     gone.map(|entry| age_ms(replica.gone_for(&entry.key, now))).collect()
 }
 
--- a/system/relay/src/freshness.rs
+++ b/system/relay/src/freshness.rs
@@ -2,14 +2,14 @@
 
 use std::time::Duration;
 
-use gingerledge_wire::Tick;
+use gingerledge_wire::FreshnessTick;
 
 /// The newest tick of this node and how long it counts. Its age starts at the root that confirmed it and grows along the path,
 /// except for the time on the wire.
 #[derive(Debug)]
 pub(crate) struct Freshness {
     limit: Duration,
-    newest: Option<(Tick, Duration)>,
+    newest: Option<(FreshnessTick, Duration)>,
 }
 
 impl Freshness {
@@ -29,7 +29,7 @@
     }
 
     /// The newest tick, or the lowest of all if there is none.
-    pub fn tick(&self) -> Tick {
+    pub fn tick(&self) -> FreshnessTick {
         self.newest.map(|(tick, _)| tick).unwrap_or_default()
     }
 
@@ -39,15 +39,15 @@
     }
 
     /// Takes a tick from the control chain itself.
-    pub fn confirmed(&mut self, tick: Tick, now: Duration) {
+    pub fn confirmed(&mut self, tick: FreshnessTick, now: Duration) {
         self.newest = Some((tick, now + self.limit));
     }
 
     /// Takes a parent's tick of some age if it proves anything new; says whether it does. `rises` says that it is higher than
     /// the one before it in the same subscription. Only a node that is no longer fresh goes to a lower tick than it had: the
     /// control chain may count anew after all of it started again.
-    pub fn relayed(&mut self, tick: Tick, age: Duration, rises: bool, now: Duration) -> bool {
-        if tick == Tick::default() || age >= self.limit {
+    pub fn relayed(&mut self, tick: FreshnessTick, age: Duration, rises: bool, now: Duration) -> bool {
+        if tick == FreshnessTick::default() || age >= self.limit {
             return false;
         }
         let expires_at = now + (self.limit - age);
--- a/system/relay/src/lib.rs
+++ b/system/relay/src/lib.rs
@@ -1,8 +1,8 @@
 //! The relay tree that brings the registry to every node, sans I/O.
 //!
-//! Control nodes are roots: their host feeds [`Event::Learned`] and [`Event::Tick`]. All other nodes subscribe to one parent, a
+//! Control nodes are roots: their host feeds [`RelayEvent::EntriesLearned`] and [`RelayEvent::Tick`]. All other nodes subscribe to one parent, a
 //! control node or an edge, and serve what they learn to a bounded number of children. A [`Relay`] owns the node's copy of the
-//! registry; the host reads it by [`Relay::registry`] and acts on [`Action::Changed`].
+//! registry; the host reads it by [`Relay::registry`] and acts on [`RelayAction::EntriesChanged`].
 //!
 //! It promises:
 //!
@@ -34,6 +34,6 @@
 mod upstream;
 mod weight;
 
-pub use event::{Action, Event};
+pub use event::{RelayAction, RelayEvent};
 pub use relay::Relay;
 pub use settings::RelaySettings;
--- a/system/relay/src/link.rs
+++ b/system/relay/src/link.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use gingerledge_wire::{Entry, RelayMessage, Tick};
+use gingerledge_wire::{Entry, FreshnessTick, RelayMessage};
 
 use crate::search::Attempt;
 use crate::settings::RelaySettings;
@@ -19,7 +19,7 @@
     heard_at: Duration,
     entries_at: Duration,
     sequence: u64,
-    tick: Tick,
+    tick: FreshnessTick,
     unreported_bytes: usize,
     reported_at: Duration,
     reported_room: u16,
@@ -36,10 +36,10 @@
             heard_at: now,
             entries_at: now,
             sequence: 0,
-            tick: Tick::default(),
+            tick: FreshnessTick::default(),
             unreported_bytes: 0,
             reported_at: now,
-            reported_room: attempt.offer.room,
+            reported_room: attempt.offer.free_child_slots,
         }
     }
 
@@ -78,7 +78,7 @@
     }
 
     /// Notes the tick of an update; says whether it is higher than the one before it.
-    pub fn take_tick(&mut self, tick: Tick) -> bool {
+    pub fn take_tick(&mut self, tick: FreshnessTick) -> bool {
         let rises = tick > self.tick;
         self.tick = tick;
         rises
@@ -94,7 +94,7 @@
     pub fn stalled_at(&self, fresh_until: Option<Duration>, settings: &RelaySettings) -> Duration {
         let first = self.accepted_at + settings.freshness;
         let ticking = fresh_until.unwrap_or_default().max(first);
-        if self.tick != Tick::default() {
+        if self.tick != FreshnessTick::default() {
             return ticking;
         }
         let copying = self.entries_at + settings.freshness;
@@ -102,20 +102,23 @@
     }
 
     /// When the parent should be told how far this node is, and how much room it has.
-    pub fn report_at(&self, room: u16, settings: &RelaySettings) -> Duration {
+    pub fn report_at(&self, free_child_slots: u16, settings: &RelaySettings) -> Duration {
         if self.unreported_bytes >= settings.window_bytes / 4 {
             return self.heard_at;
         }
-        let pause =
-            if room == self.reported_room { settings.received_interval } else { settings.room_interval };
+        let pause = if free_child_slots == self.reported_room {
+            settings.received_interval
+        } else {
+            settings.room_interval
+        };
         self.reported_at + pause
     }
 
     /// Tells the parent.
-    pub fn report(&mut self, room: u16, now: Duration) -> RelayMessage {
+    pub fn report(&mut self, free_child_slots: u16, now: Duration) -> RelayMessage {
         self.unreported_bytes = 0;
         self.reported_at = now;
-        self.reported_room = room;
-        RelayMessage::Received { subscription: self.subscription, sequence: self.sequence, room }
+        self.reported_room = free_child_slots;
+        RelayMessage::Ack { subscription: self.subscription, sequence: self.sequence, free_child_slots }
     }
 }
--- a/system/relay/src/relay.rs
+++ b/system/relay/src/relay.rs
@@ -3,10 +3,10 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use gingerledge_wire::{Entry, Registry, RelayMessage, Tick, Value};
+use gingerledge_wire::{Entry, FreshnessTick, Registry, RelayMessage, Value};
 
 use crate::children::{leave, Children, Offer};
-use crate::event::{Action, Event};
+use crate::event::{RelayAction, RelayEvent};
 use crate::feed::{Feed, Source};
 use crate::freshness::Freshness;
 use crate::link::Link;
@@ -38,8 +38,8 @@
     subscription: u64,
     sequence: u64,
     entries: Vec<Entry>,
-    gone_for_ms: Vec<u32>,
-    tick: Tick,
+    tombstone_ages_ms: Vec<u32>,
+    tick: FreshnessTick,
     tick_age_ms: u32,
 }
 
@@ -68,16 +68,16 @@
     }
 
     /// Takes one event and adds what is to be done.
-    pub fn handle(&mut self, now: Duration, event: Event, actions: &mut Vec<Action>) {
+    pub fn handle(&mut self, now: Duration, event: RelayEvent, actions: &mut Vec<RelayAction>) {
         self.expire(now, actions);
         match event {
-            Event::Started => self.started = true,
-            Event::Message { from, message } => self.on_message(from, message, now, actions),
-            Event::Lost { peer } => self.on_lost(peer, now),
-            Event::Learned(entries) => self.merge(entries, Vec::new(), now, actions),
-            Event::Tick(tick) => self.freshness.confirmed(tick, now),
-            Event::ControlKnown(seeds) => self.upstream.set_seeds(seeds, now),
-            Event::Timer => {}
+            RelayEvent::Started => self.started = true,
+            RelayEvent::Message { from, message } => self.on_message(from, message, now, actions),
+            RelayEvent::PeerDisconnected { peer } => self.on_lost(peer, now),
+            RelayEvent::EntriesLearned(entries) => self.merge(entries, Vec::new(), now, actions),
+            RelayEvent::Tick(tick) => self.freshness.confirmed(tick, now),
+            RelayEvent::ControlNodesKnown(seeds) => self.upstream.set_seeds(seeds, now),
+            RelayEvent::TimerExpired => {}
         }
         self.let_go_of_suspects(now, actions);
         if !self.root && self.started {
@@ -86,9 +86,10 @@
         self.feed_children(now, actions);
     }
 
-    /// When [`Event::Timer`] is due, if at all.
+    /// When [`RelayEvent::TimerExpired`] is due, if at all.
     pub fn next_timer(&self) -> Option<Duration> {
-        let upstream = self.upstream.next_timer(self.freshness.expires_at(), self.children.room());
+        let upstream =
+            self.upstream.next_timer(self.freshness.expires_at(), self.children.free_child_slots());
         let children = self.children.next_timer(self.source());
         let doubts = self.suspects.next_timer(self.doubt_after());
         [upstream, children, doubts, self.replica.next_expiry()].into_iter().flatten().min()
@@ -100,7 +101,7 @@
     }
 
     /// Whether the copy had, within the last [`RelaySettings::freshness`], all that the control chain had confirmed.
-    pub fn fresh(&self, now: Duration) -> bool {
+    pub fn is_fresh(&self, now: Duration) -> bool {
         self.freshness.is_fresh(now)
     }
 
@@ -129,7 +130,7 @@
     }
 
     /// Acts on deadlines before anything else: after a standstill of this process the event may be old.
-    fn expire(&mut self, now: Duration, actions: &mut Vec<Action>) {
+    fn expire(&mut self, now: Duration, actions: &mut Vec<RelayAction>) {
         self.replica.expire(now);
         self.upstream.expire(now, actions);
         self.children.drop_silent(self.settings.child_silence, now, actions);
@@ -140,33 +141,41 @@
         from: SocketAddr,
         message: RelayMessage,
         now: Duration,
-        actions: &mut Vec<Action>,
+        actions: &mut Vec<RelayAction>,
     ) {
         match message {
-            RelayMessage::Subscribe { subscription, digest, configuration, room, capacity } => {
-                let offer = Offer { room, capacity };
+            RelayMessage::Subscribe { subscription, digest, configuration, free_child_slots, capacity } => {
+                let offer = Offer { free_child_slots, capacity };
                 let copy = CopyOfChild { digest: &digest, configuration };
                 let answer = self.answer_subscription(from, subscription, copy, offer, now);
-                actions.push(Action::Send { to: from, message: answer });
+                actions.push(RelayAction::Send { to: from, message: answer });
             }
-            RelayMessage::Accepted { subscription } => {
+            RelayMessage::SubscribeAccepted { subscription } => {
                 if self.link_of(from, subscription, now, actions).is_none() {
                     actions.push(leave(from, subscription));
                 }
             }
-            RelayMessage::Declined { subscription, others } => {
+            RelayMessage::SubscribeDeclined { subscription, alternatives: others } => {
                 self.upstream.declined(from, subscription, others, now);
             }
-            RelayMessage::Update { subscription, sequence, entries, gone_for_ms, tick, tick_age_ms } => {
-                let update = Update { from, subscription, sequence, entries, gone_for_ms, tick, tick_age_ms };
+            RelayMessage::Update {
+                subscription,
+                sequence,
+                entries,
+                tombstone_ages_ms,
+                tick,
+                tick_age_ms,
+            } => {
+                let update =
+                    Update { from, subscription, sequence, entries, tombstone_ages_ms, tick, tick_age_ms };
                 self.on_update(update, now, actions);
             }
-            RelayMessage::Received { subscription, sequence, room } => {
-                if !self.children.received(from, subscription, sequence, room, now) {
+            RelayMessage::Ack { subscription, sequence, free_child_slots } => {
+                if !self.children.received(from, subscription, sequence, free_child_slots, now) {
                     actions.push(leave(from, subscription));
                 }
             }
-            RelayMessage::Leave { subscription } => {
+            RelayMessage::Unsubscribe { subscription } => {
                 self.upstream.left(from, subscription, now);
                 self.children.leave(from, subscription);
             }
@@ -183,20 +192,23 @@
         offer: Offer,
         now: Duration,
     ) -> RelayMessage {
-        if !self.fresh(now) {
+        if !self.is_fresh(now) {
             self.children.remove(&from);
-            return RelayMessage::Declined { subscription, others: Vec::new() };
+            return RelayMessage::SubscribeDeclined { subscription, alternatives: Vec::new() };
         }
         let above = from == self.me || self.upstream.looks_to(from);
         if above || !self.children.has_place(&from, offer.capacity > 0) {
-            return RelayMessage::Declined { subscription, others: self.children.others(&from) };
+            return RelayMessage::SubscribeDeclined {
+                subscription,
+                alternatives: self.children.others(&from),
+            };
         }
         let feed = Feed::new(subscription, copy.digest, copy.configuration, self.source());
         self.children.insert(from, feed, offer, now);
-        RelayMessage::Accepted { subscription }
+        RelayMessage::SubscribeAccepted { subscription }
     }
 
-    fn on_update(&mut self, update: Update, now: Duration, actions: &mut Vec<Action>) {
+    fn on_update(&mut self, update: Update, now: Duration, actions: &mut Vec<RelayAction>) {
         let Some(link) = self.link_of(update.from, update.subscription, now, actions) else {
             actions.push(leave(update.from, update.subscription));
             return;
@@ -208,7 +220,7 @@
         let rises = link.take_tick(update.tick);
         let brings_changes = |entry: &Entry| matches!(entry.value, Value::ConfigurationUpdates(_));
         let brought_changes = update.entries.iter().any(brings_changes);
-        self.merge(update.entries, update.gone_for_ms, now, actions);
+        self.merge(update.entries, update.tombstone_ages_ms, now, actions);
         // Another parent may have no newer configuration either: that is no reason to leave it.
         if brought_changes && self.replica.lacks_configuration() {
             self.upstream.leave_parent(actions);
@@ -227,15 +239,15 @@
     fn merge(
         &mut self,
         entries: Vec<Entry>,
-        gone_for_ms: Vec<u32>,
+        tombstone_ages_ms: Vec<u32>,
         now: Duration,
-        actions: &mut Vec<Action>,
+        actions: &mut Vec<RelayAction>,
     ) {
-        let mut ages = gone_for_ms.into_iter();
+        let mut ages = tombstone_ages_ms.into_iter();
         let mut changed = Vec::new();
         for entry in entries {
             self.suspects.confirm(&entry.key);
-            let age_ms = if matches!(entry.value, Value::Gone) { ages.next().unwrap_or(0) } else { 0 };
+            let age_ms = if matches!(entry.value, Value::Tombstone) { ages.next().unwrap_or(0) } else { 0 };
             if !self.replica.merge(&entry, Duration::from_millis(u64::from(age_ms)), now) {
                 continue;
             }
@@ -245,7 +257,7 @@
             changed.push(entry);
         }
         if !changed.is_empty() {
-            actions.push(Action::Changed(changed));
+            actions.push(RelayAction::EntriesChanged(changed));
         }
     }
 
@@ -266,7 +278,7 @@
         from: SocketAddr,
         subscription: u64,
         now: Duration,
-        actions: &mut Vec<Action>,
+        actions: &mut Vec<RelayAction>,
     ) -> Option<&mut Link> {
         let link = self.upstream.link_of(from, subscription, now, actions)?;
         if link.begins_whole_copy() {
@@ -275,15 +287,15 @@
         Some(link)
     }
 
-    fn let_go_of_suspects(&mut self, now: Duration, actions: &mut Vec<Action>) {
-        let keys = self.suspects.judge(self.fresh(now), self.doubt_after(), now);
+    fn let_go_of_suspects(&mut self, now: Duration, actions: &mut Vec<RelayAction>) {
+        let keys = self.suspects.judge(self.is_fresh(now), self.doubt_after(), now);
         let known = keys.into_iter().filter_map(|key| self.registry().entry(&key).cloned());
-        let gone: Vec<Entry> = known.map(|entry| Entry { value: Value::Gone, ..entry }).collect();
+        let gone: Vec<Entry> = known.map(|entry| Entry { value: Value::Tombstone, ..entry }).collect();
         self.merge(gone, Vec::new(), now, actions);
     }
 
     /// Looks for a parent if need be, and tells the one there is how far this node is.
-    fn look_up(&mut self, now: Duration, actions: &mut Vec<Action>) {
+    fn look_up(&mut self, now: Duration, actions: &mut Vec<RelayAction>) {
         let digest = if self.needs_whole_copy(now) { &[] } else { self.replica.digest() };
         let asking = Asking {
             directory: self.replica.directory(),
@@ -294,10 +306,10 @@
         let (me, children) = (self.me, &self.children);
         let skip = |address: &SocketAddr| *address == me || children.contains(address);
         actions.extend(self.upstream.search(now, self.freshness.expires_at(), asking, skip));
-        actions.extend(self.upstream.report(self.children.room(), now));
+        actions.extend(self.upstream.report(self.children.free_child_slots(), now));
     }
 
-    fn feed_children(&mut self, now: Duration, actions: &mut Vec<Action>) {
+    fn feed_children(&mut self, now: Duration, actions: &mut Vec<RelayAction>) {
         let source = Source {
             settings: &self.settings,
             replica: &self.replica,
--- a/system/relay/src/replica.rs
+++ b/system/relay/src/replica.rs
@@ -72,7 +72,7 @@
         self.dig_up(&entry.key);
         self.count(entry);
         self.directory.update(entry);
-        if matches!(entry.value, Value::Gone) {
+        if matches!(entry.value, Value::Tombstone) {
             let age = if was_there { gone_for.min(self.retention / 2) } else { gone_for };
             self.bury(entry.key.clone(), now + self.retention.saturating_sub(age));
         }
--- a/system/relay/src/suspects.rs
+++ b/system/relay/src/suspects.rs
@@ -22,7 +22,7 @@
         let doubtful = registry
             .entries()
             .filter(|entry| matches!(entry.key, Key::Store(_) | Key::Weights(..) | Key::Node(_)))
-            .filter(|entry| !matches!(entry.value, Value::Gone));
+            .filter(|entry| !matches!(entry.value, Value::Tombstone));
         self.keys = doubtful.map(|entry| entry.key.clone()).collect();
         self.fresh_since = None;
     }
--- a/system/relay/src/upstream.rs
+++ b/system/relay/src/upstream.rs
@@ -8,7 +8,7 @@
 
 use crate::candidates::Candidates;
 use crate::children::leave;
-use crate::event::Action;
+use crate::event::RelayAction;
 use crate::link::Link;
 use crate::search::{Asking, Attempt, Search};
 use crate::settings::RelaySettings;
@@ -46,7 +46,7 @@
         from: SocketAddr,
         subscription: u64,
         now: Duration,
-        actions: &mut Vec<Action>,
+        actions: &mut Vec<RelayAction>,
     ) -> Option<&mut Link> {
         if let Some(attempt) = self.search.as_mut().and_then(|search| search.answered(from, subscription)) {
             self.accept(attempt, now, actions);
@@ -76,7 +76,7 @@
     }
 
     /// Leaves the parent, for instance because an update is missing.
-    pub fn leave_parent(&mut self, actions: &mut Vec<Action>) {
+    pub fn leave_parent(&mut self, actions: &mut Vec<RelayAction>) {
         if let Some(link) = self.link.take() {
             actions.push(leave(link.parent(), link.subscription()));
         }
@@ -105,7 +105,7 @@
 
     /// Gives up what has been silent for too long. To be called before a message is looked at: after a standstill of this process,
     /// messages that waited meanwhile prove nothing.
-    pub fn expire(&mut self, now: Duration, actions: &mut Vec<Action>) {
+    pub fn expire(&mut self, now: Duration, actions: &mut Vec<RelayAction>) {
         if let Some(link) = self.link.as_ref().filter(|link| link.silent_at(&self.settings) <= now) {
             self.candidates.note_failure(link.parent(), now);
             self.leave_parent(actions);
@@ -124,7 +124,7 @@
         fresh_until: Option<Duration>,
         asking: Asking<'_>,
         skip: impl Fn(&SocketAddr) -> bool,
-    ) -> Option<Action> {
+    ) -> Option<RelayAction> {
         if !self.is_wanting(now, fresh_until) {
             self.search = None;
             return None;
@@ -152,21 +152,21 @@
     }
 
     /// Tells the parent how far this node is, if it is time.
-    pub fn report(&mut self, room: u16, now: Duration) -> Option<Action> {
+    pub fn report(&mut self, free_child_slots: u16, now: Duration) -> Option<RelayAction> {
         let link = self.link.as_mut()?;
-        if link.report_at(room, &self.settings) > now {
+        if link.report_at(free_child_slots, &self.settings) > now {
             return None;
         }
-        Some(Action::Send { to: link.parent(), message: link.report(room, now) })
+        Some(RelayAction::Send { to: link.parent(), message: link.report(free_child_slots, now) })
     }
 
     /// When there is something to do.
-    pub fn next_timer(&self, fresh_until: Option<Duration>, room: u16) -> Option<Duration> {
+    pub fn next_timer(&self, fresh_until: Option<Duration>, free_child_slots: u16) -> Option<Duration> {
         let settings = &self.settings;
         let link = self.link.as_ref().map(|link| {
             let stalled_at = link.stalled_at(fresh_until, settings);
             let stalls = if self.search.is_none() { stalled_at } else { Duration::MAX };
-            link.silent_at(settings).min(link.report_at(room, settings)).min(stalls)
+            link.silent_at(settings).min(link.report_at(free_child_slots, settings)).min(stalls)
         });
         link.into_iter().chain(self.search.as_ref().map(Search::next_timer)).min()
     }
@@ -175,20 +175,20 @@
         self.link.as_ref().is_none_or(|link| link.stalled_at(fresh_until, &self.settings) <= now)
     }
 
-    fn accept(&mut self, attempt: Attempt, now: Duration, actions: &mut Vec<Action>) {
+    fn accept(&mut self, attempt: Attempt, now: Duration, actions: &mut Vec<RelayAction>) {
         self.search = None;
         self.leave_parent(actions);
         self.link = Some(Link::new(&attempt, now));
     }
 }
 
-fn subscribe(attempt: Attempt, asking: Asking<'_>) -> Action {
+fn subscribe(attempt: Attempt, asking: Asking<'_>) -> RelayAction {
     let message = RelayMessage::Subscribe {
         subscription: attempt.subscription,
         digest: asking.digest.to_vec(),
         configuration: asking.configuration,
-        room: attempt.offer.room,
+        free_child_slots: attempt.offer.free_child_slots,
         capacity: attempt.offer.capacity,
     };
-    Action::Send { to: attempt.to, message }
+    RelayAction::Send { to: attempt.to, message }
 }
--- a/system/relay/src/weight.rs
+++ b/system/relay/src/weight.rs
@@ -29,7 +29,7 @@
             store.service.len() + store.zone.len() + store.software.len() + models
         }
         Value::Node(node) => node.name.len() + node.zone.len(),
-        Value::Partition(record) => (record.chain.len() + record.full.len()) * size_of::<u64>(),
-        Value::Version(_) | Value::Coordinator(_) | Value::Gone => 0,
+        Value::Partition(record) => (record.chain.len() + record.in_sync.len()) * size_of::<u64>(),
+        Value::Version(_) | Value::Coordinator(_) | Value::Tombstone => 0,
     }
 }
--- a/system/relay/tests/configuration.rs
+++ b/system/relay/tests/configuration.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use gingerledge_protocol::{AppliedUpdate, ConfigurationDocument};
-use gingerledge_relay::{Action, Event, Relay, RelaySettings};
-use gingerledge_wire::{Entry, Key, RelayMessage, Role, Tick, Value};
+use gingerledge_relay::{Relay, RelayAction, RelayEvent, RelaySettings};
+use gingerledge_wire::{Entry, FreshnessTick, Key, RelayMessage, Role, Value};
 use yare::parameterized;
 
 const STEP: Duration = Duration::from_millis(10);
@@ -59,27 +59,27 @@
         };
         let relays = (0..3).map(relay).collect();
         let mut line = Self { relays, now: Duration::from_secs(10), ticks: 0, cut: false, sent: Vec::new() };
-        line.handle(0, Event::Learned(vec![first.clone()]));
-        line.handle(0, Event::Tick(Tick { epoch: 1, number: 1 }));
+        line.handle(0, RelayEvent::EntriesLearned(vec![first.clone()]));
+        line.handle(0, RelayEvent::Tick(FreshnessTick { epoch: 1, number: 1 }));
         for number in 1..3 {
-            line.handle(number, Event::ControlKnown(vec![address(number as u8 - 1)]));
-            line.handle(number, Event::Started);
+            line.handle(number, RelayEvent::ControlNodesKnown(vec![address(number as u8 - 1)]));
+            line.handle(number, RelayEvent::Started);
         }
         line.run();
         line
     }
 
-    fn handle(&mut self, number: usize, event: Event) {
+    fn handle(&mut self, number: usize, event: RelayEvent) {
         let mut actions = Vec::new();
         self.relays[number].handle(self.now, event, &mut actions);
         for action in actions {
-            let Action::Send { to, message } = action else { continue };
+            let RelayAction::Send { to, message } = action else { continue };
             let Some(receiver) = (0..3).find(|receiver| address(*receiver as u8) == to) else { continue };
             if self.cut && number + receiver == 1 {
                 continue;
             }
             self.note(receiver, &message);
-            self.handle(receiver, Event::Message { from: address(number as u8), message });
+            self.handle(receiver, RelayEvent::Message { from: address(number as u8), message });
         }
     }
 
@@ -99,10 +99,10 @@
         for _ in 0..STEPS {
             self.now += STEP;
             self.ticks += 1;
-            self.handle(0, Event::Tick(Tick { epoch: 1, number: self.ticks + 1 }));
+            self.handle(0, RelayEvent::Tick(FreshnessTick { epoch: 1, number: self.ticks + 1 }));
             for number in 0..3 {
                 if self.relays[number].next_timer().is_some_and(|at| at <= self.now) {
-                    self.handle(number, Event::Timer);
+                    self.handle(number, RelayEvent::TimerExpired);
                 }
             }
         }
@@ -126,7 +126,7 @@
     assert_eq!(line.sent(), [(1, Sent::Whole(1)), (2, Sent::Whole(1))]);
     for base in 1..5 {
         known.apply(update(base)).expect("valid");
-        line.handle(0, Event::Learned(vec![entry(base + 1, &known)]));
+        line.handle(0, RelayEvent::EntriesLearned(vec![entry(base + 1, &known)]));
         line.run();
         line.everywhere(&entry(base + 1, &known));
         assert_eq!(line.sent(), [(1, Sent::Updates(vec![base + 1])), (2, Sent::Updates(vec![base + 1]))]);
@@ -137,7 +137,7 @@
 fn a_replacement_goes_whole() {
     let mut line = Line::new(&entry(1, &document(3)));
     line.sent();
-    line.handle(0, Event::Learned(vec![entry(7, &document(4))]));
+    line.handle(0, RelayEvent::EntriesLearned(vec![entry(7, &document(4))]));
     line.run();
     line.everywhere(&entry(7, &document(4)));
     assert_eq!(line.sent(), [(1, Sent::Whole(7)), (2, Sent::Whole(7))]);
@@ -153,7 +153,7 @@
     line.run();
     for base in 1..=updates {
         known.apply(update(base)).expect("valid");
-        line.handle(0, Event::Learned(vec![entry(base + 1, &known)]));
+        line.handle(0, RelayEvent::EntriesLearned(vec![entry(base + 1, &known)]));
     }
     line.run();
     line.cut = false;
@@ -173,7 +173,7 @@
     others.apply(update(6)).expect("valid");
     line.sent();
     // As if the root had been told of a change that the others lack.
-    line.handle(0, Event::Learned(vec![entry(7, &others)]));
+    line.handle(0, RelayEvent::EntriesLearned(vec![entry(7, &others)]));
     line.run();
     line.everywhere(&entry(7, &others));
     let expected = [(1, Sent::Whole(7)), (2, Sent::Whole(7))];
@@ -186,9 +186,9 @@
     let mut relay = Relay::new(relay_settings, address(9), false, 3);
     let now = Duration::from_secs(10);
     let mut actions = Vec::new();
-    relay.handle(now, Event::ControlKnown(vec![address(0)]), &mut actions);
-    relay.handle(now, Event::Learned(vec![entry(5, &document(3))]), &mut actions);
-    relay.handle(now, Event::Started, &mut actions);
+    relay.handle(now, RelayEvent::ControlNodesKnown(vec![address(0)]), &mut actions);
+    relay.handle(now, RelayEvent::EntriesLearned(vec![entry(5, &document(3))]), &mut actions);
+    relay.handle(now, RelayEvent::Started, &mut actions);
     let subscription = subscribed(&actions).expect("a subscription").0;
     assert_eq!(subscribed(&actions), Some((subscription, 5)));
     let value = Value::ConfigurationUpdates(vec![update(6)]);
@@ -196,42 +196,42 @@
         subscription,
         sequence: 1,
         entries: vec![Entry { key: Key::Configuration, version: 7, value }],
-        gone_for_ms: Vec::new(),
-        tick: Tick { epoch: 1, number: 1 },
+        tombstone_ages_ms: Vec::new(),
+        tick: FreshnessTick { epoch: 1, number: 1 },
         tick_age_ms: 1,
     };
     actions.clear();
-    relay.handle(now, Event::Message { from: address(0), message: update }, &mut actions);
+    relay.handle(now, RelayEvent::Message { from: address(0), message: update }, &mut actions);
     assert_eq!(relay.registry().entry(&Key::Configuration), Some(&entry(5, &document(3))));
     assert_eq!(relay.parent(), None);
-    assert!(!relay.fresh(now), "the tick stands for what could not be taken");
+    assert!(!relay.is_fresh(now), "the tick stands for what could not be taken");
     let mut later = now;
     while subscribed(&actions).is_none() {
         later = relay.next_timer().expect("it looks for a parent").max(later);
-        relay.handle(later, Event::Timer, &mut actions);
+        relay.handle(later, RelayEvent::TimerExpired, &mut actions);
     }
     assert_eq!(subscribed(&actions).map(|(_, configuration)| configuration), Some(0));
     // A parent that has nothing newer either is kept.
     let subscription = subscribed(&actions).expect("a subscription").0;
-    let tick = Tick { epoch: 1, number: 2 };
+    let tick = FreshnessTick { epoch: 1, number: 2 };
     let update = RelayMessage::Update {
         subscription,
         sequence: 1,
         entries: Vec::new(),
-        gone_for_ms: Vec::new(),
+        tombstone_ages_ms: Vec::new(),
         tick,
         tick_age_ms: 1,
     };
-    relay.handle(later, Event::Message { from: address(0), message: update }, &mut actions);
+    relay.handle(later, RelayEvent::Message { from: address(0), message: update }, &mut actions);
     assert_eq!(relay.parent(), Some(address(0)));
 }
 
 /// The last subscription among actions, with the configuration that it tells.
-fn subscribed(actions: &[Action]) -> Option<(u64, u64)> {
+fn subscribed(actions: &[RelayAction]) -> Option<(u64, u64)> {
     actions.iter().rev().find_map(|action| match action {
-        Action::Send { message: RelayMessage::Subscribe { subscription, configuration, .. }, .. } => {
-            Some((*subscription, *configuration))
-        }
+        RelayAction::Send {
+            message: RelayMessage::Subscribe { subscription, configuration, .. }, ..
+        } => Some((*subscription, *configuration)),
         _ => None,
     })
 }
--- a/system/relay/tests/machine.rs
+++ b/system/relay/tests/machine.rs
@@ -5,8 +5,8 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
 
-use gingerledge_relay::{Action, Event, Relay, RelaySettings};
-use gingerledge_wire::{Entry, RelayMessage, Role, Tick};
+use gingerledge_relay::{Relay, RelayAction, RelayEvent, RelaySettings};
+use gingerledge_wire::{Entry, FreshnessTick, RelayMessage, Role};
 use world::{gone, ms, store, store_key};
 use yare::parameterized;
 
@@ -16,8 +16,8 @@
     SocketAddr::from((Ipv4Addr::new(10, 0, (number >> 8) as u8, number as u8), 7000))
 }
 
-fn tick(number: u64) -> Tick {
-    Tick { epoch: 1, number }
+fn tick(number: u64) -> FreshnessTick {
+    FreshnessTick { epoch: 1, number }
 }
 
 /// A relay with its clock and what it has sent since one last looked.
@@ -31,8 +31,8 @@
     fn new(settings: RelaySettings, root: bool) -> Self {
         let relay = Relay::new(settings, address(ME), root, 1);
         let mut lone = Self { relay, now: Duration::from_secs(10), sent: Vec::new() };
-        lone.handle(Event::ControlKnown(vec![address(2), address(3)]));
-        lone.handle(Event::Started);
+        lone.handle(RelayEvent::ControlNodesKnown(vec![address(2), address(3)]));
+        lone.handle(RelayEvent::Started);
         lone
     }
 
@@ -43,7 +43,7 @@
 
     fn root_with(settings: RelaySettings) -> Self {
         let mut lone = Self::new(settings, true);
-        lone.handle(Event::Tick(tick(1)));
+        lone.handle(RelayEvent::Tick(tick(1)));
         lone
     }
 
@@ -57,24 +57,24 @@
     /// An edge that is fresh, with its parent and subscription.
     fn fresh_edge() -> (Self, SocketAddr, u64) {
         let (mut lone, parent, subscription) = Self::edge();
-        lone.message(parent, RelayMessage::Accepted { subscription });
+        lone.message(parent, RelayMessage::SubscribeAccepted { subscription });
         lone.update(parent, subscription, 1, Vec::new(), tick(1));
-        assert!(lone.relay.fresh(lone.now));
+        assert!(lone.relay.is_fresh(lone.now));
         (lone, parent, subscription)
     }
 
-    fn handle(&mut self, event: Event) {
+    fn handle(&mut self, event: RelayEvent) {
         let mut actions = Vec::new();
         self.relay.handle(self.now, event, &mut actions);
         for action in actions {
-            if let Action::Send { to, message } = action {
+            if let RelayAction::Send { to, message } = action {
                 self.sent.push((to, message));
             }
         }
     }
 
     fn message(&mut self, from: SocketAddr, message: RelayMessage) {
-        self.handle(Event::Message { from, message });
+        self.handle(RelayEvent::Message { from, message });
     }
 
     fn update(
@@ -83,7 +83,7 @@
         subscription: u64,
         sequence: u64,
         entries: Vec<Entry>,
-        tick: Tick,
+        tick: FreshnessTick,
     ) {
         self.message(
             from,
@@ -92,7 +92,7 @@
                 sequence,
                 entries,
                 tick,
-                gone_for_ms: Vec::new(),
+                tombstone_ages_ms: Vec::new(),
                 tick_age_ms: 5,
             },
         );
@@ -104,7 +104,7 @@
         while let Some(at) = self.relay.next_timer().filter(|at| *at <= until) {
             assert!(at > self.now, "a timer that is due at once, a busy loop");
             self.now = at;
-            self.handle(Event::Timer);
+            self.handle(RelayEvent::TimerExpired);
         }
         self.now = until;
     }
@@ -113,7 +113,12 @@
         self.subscribe_with(number, capacity, capacity)
     }
 
-    fn subscribe_with(&mut self, number: u16, room: u16, capacity: u16) -> Vec<(SocketAddr, RelayMessage)> {
+    fn subscribe_with(
+        &mut self,
+        number: u16,
+        free_child_slots: u16,
+        capacity: u16,
+    ) -> Vec<(SocketAddr, RelayMessage)> {
         self.sent.clear();
         let digest = Vec::new();
         self.message(
@@ -122,24 +127,24 @@
                 subscription: u64::from(number),
                 digest,
                 configuration: 0,
-                room,
+                free_child_slots,
                 capacity,
             },
         );
         std::mem::take(&mut self.sent)
     }
 
-    fn takes(&mut self, number: u16, room: u16) -> bool {
-        self.subscribe(number, room)
+    fn takes(&mut self, number: u16, free_child_slots: u16) -> bool {
+        self.subscribe(number, free_child_slots)
             .iter()
-            .any(|(_, message)| matches!(message, RelayMessage::Accepted { .. }))
+            .any(|(_, message)| matches!(message, RelayMessage::SubscribeAccepted { .. }))
     }
 
     /// Whom a node is sent to that isn't taken.
     fn others(&mut self, number: u16) -> Vec<SocketAddr> {
         let sent = self.subscribe(number, 8);
         let others = sent.into_iter().find_map(|(_, message)| match message {
-            RelayMessage::Declined { others, .. } => Some(others),
+            RelayMessage::SubscribeDeclined { alternatives, .. } => Some(alternatives),
             _ => None,
         });
         others.expect("declined")
@@ -155,11 +160,13 @@
     }
 
     fn left(&self, peer: SocketAddr) -> bool {
-        self.sent.iter().any(|(to, message)| *to == peer && matches!(message, RelayMessage::Leave { .. }))
+        self.sent
+            .iter()
+            .any(|(to, message)| *to == peer && matches!(message, RelayMessage::Unsubscribe { .. }))
     }
 
     /// The updates sent: entries and tick of each.
-    fn updates(&mut self) -> Vec<(Vec<Entry>, Tick)> {
+    fn updates(&mut self) -> Vec<(Vec<Entry>, FreshnessTick)> {
         let sent = std::mem::take(&mut self.sent);
         let updates = sent.into_iter().filter_map(|(_, message)| match message {
             RelayMessage::Update { entries, tick, .. } => Some((entries, tick)),
@@ -180,8 +187,8 @@
     let second = root.others(101);
     assert!(first.iter().all(|named| !second.contains(named)), "each naming counts");
     for number in 10..34 {
-        let room = if number == 20 { 3 } else { 0 };
-        let received = RelayMessage::Received { subscription: number.into(), sequence: 1, room };
+        let free_child_slots = if number == 20 { 3 } else { 0 };
+        let received = RelayMessage::Ack { subscription: number.into(), sequence: 1, free_child_slots };
         root.message(address(number), received);
     }
     assert_eq!(root.others(102), vec![address(20)], "only this one has room");
@@ -203,7 +210,7 @@
     let mut root = Lone::root();
     for number in 10..34 {
         let sent = root.subscribe_with(number, 0, 8);
-        assert!(sent.iter().any(|(_, message)| matches!(message, RelayMessage::Accepted { .. })));
+        assert!(sent.iter().any(|(_, message)| matches!(message, RelayMessage::SubscribeAccepted { .. })));
     }
     assert!(root.others(50).is_empty(), "none of them has room");
 }
@@ -220,7 +227,7 @@
     assert!(root.takes(10, 8));
     root.run(ms(801));
     assert!(!root.takes(11, 8));
-    root.handle(Event::Tick(tick(2)));
+    root.handle(RelayEvent::Tick(tick(2)));
     assert!(root.takes(11, 8));
 }
 
@@ -230,7 +237,7 @@
     let number = if parent == address(2) { 2 } else { 3 };
     assert!(!edge.takes(number, 8));
     assert!(!edge.takes(ME, 8));
-    edge.handle(Event::Lost { peer: parent });
+    edge.handle(RelayEvent::PeerDisconnected { peer: parent });
     let (asked, _) = edge.asked();
     let number = if asked == address(2) { 2 } else { 3 };
     assert!(!edge.takes(number, 8));
@@ -262,9 +269,9 @@
 #[test]
 fn a_tombstone_goes_when_its_time_is_over_wherever_it_came_from() {
     let (mut edge, parent, subscription) = Lone::fresh_edge();
-    let update = |sequence, entries, gone_for_ms| {
+    let update = |sequence, entries, tombstone_ages_ms| {
         let (tick, tick_age_ms) = (tick(sequence), 0);
-        RelayMessage::Update { subscription, sequence, entries, gone_for_ms, tick, tick_age_ms }
+        RelayMessage::Update { subscription, sequence, entries, tombstone_ages_ms, tick, tick_age_ms }
     };
     edge.message(parent, update(2, vec![store(3, 1)], Vec::new()));
     edge.message(parent, update(3, vec![gone(1, 1), gone(2, 1), gone(3, 2)], vec![0, 100_000, 100_000]));
@@ -295,11 +302,11 @@
         edge.run(ms(200));
         edge.update(parent, subscription, sequence, Vec::new(), tick(1));
     }
-    assert!(!edge.relay.fresh(edge.now));
+    assert!(!edge.relay.is_fresh(edge.now));
     assert_eq!(edge.relay.parent(), Some(parent));
     let (other, subscription) = edge.asked();
     assert_ne!(other, parent);
-    edge.message(other, RelayMessage::Accepted { subscription });
+    edge.message(other, RelayMessage::SubscribeAccepted { subscription });
     assert!(edge.left(parent));
     assert_eq!(edge.relay.parent(), Some(other));
 }
@@ -310,7 +317,7 @@
     // No timer ran meanwhile.
     edge.now += ms(5000);
     edge.update(parent, subscription, 2, Vec::new(), tick(2));
-    assert!(!edge.relay.fresh(edge.now));
+    assert!(!edge.relay.is_fresh(edge.now));
 }
 
 #[test]
@@ -318,15 +325,22 @@
     let (mut edge, parent, subscription) = Lone::edge();
     let update = |sequence, number, tick_age_ms| {
         let (entries, tick) = (Vec::new(), tick(number));
-        RelayMessage::Update { subscription, sequence, entries, tick, gone_for_ms: Vec::new(), tick_age_ms }
+        RelayMessage::Update {
+            subscription,
+            sequence,
+            entries,
+            tick,
+            tombstone_ages_ms: Vec::new(),
+            tick_age_ms,
+        }
     };
     edge.message(parent, update(1, 1, 800));
-    assert!(!edge.relay.fresh(edge.now));
+    assert!(!edge.relay.is_fresh(edge.now));
     edge.message(parent, update(2, 2, 700));
-    assert!(edge.relay.fresh(edge.now));
+    assert!(edge.relay.is_fresh(edge.now));
     edge.message(parent, update(3, 2, 5));
     edge.run(ms(101));
-    assert!(!edge.relay.fresh(edge.now), "the same tick doesn't grow younger");
+    assert!(!edge.relay.is_fresh(edge.now), "the same tick doesn't grow younger");
 }
 
 #[test]
@@ -339,13 +353,13 @@
         edge.update(parent, subscription, sequence, Vec::new(), tick(number));
     }
     edge.run(ms(224));
-    assert!(edge.relay.fresh(edge.now), "as long as the first tick counts");
+    assert!(edge.relay.is_fresh(edge.now), "as long as the first tick counts");
     edge.run(ms(2));
-    assert!(!edge.relay.fresh(edge.now), "lower ones meanwhile proved nothing");
+    assert!(!edge.relay.is_fresh(edge.now), "lower ones meanwhile proved nothing");
     edge.update(parent, subscription, 5, Vec::new(), tick(3));
-    assert!(!edge.relay.fresh(edge.now), "it doesn't rise");
+    assert!(!edge.relay.is_fresh(edge.now), "it doesn't rise");
     edge.update(parent, subscription, 6, Vec::new(), tick(4));
-    assert!(edge.relay.fresh(edge.now));
+    assert!(edge.relay.is_fresh(edge.now));
 }
 
 #[test]
@@ -359,8 +373,8 @@
         }
     }
     let (parent, subscription) = edge.asked();
-    edge.update(parent, subscription, 1, Vec::new(), Tick { epoch: 0, number: 1 });
-    assert!(edge.relay.fresh(edge.now));
+    edge.update(parent, subscription, 1, Vec::new(), FreshnessTick { epoch: 0, number: 1 });
+    assert!(edge.relay.is_fresh(edge.now));
 }
 
 #[test]
@@ -368,16 +382,16 @@
     let (mut edge, _, _) = Lone::fresh_edge();
     let stranger = address(99);
     for message in [
-        RelayMessage::Accepted { subscription: 7 },
+        RelayMessage::SubscribeAccepted { subscription: 7 },
         RelayMessage::Update {
             subscription: 7,
             sequence: 1,
             entries: vec![store(1, 1)],
             tick: tick(9),
-            gone_for_ms: Vec::new(),
+            tombstone_ages_ms: Vec::new(),
             tick_age_ms: 0,
         },
-        RelayMessage::Received { subscription: 7, sequence: 1, room: 0 },
+        RelayMessage::Ack { subscription: 7, sequence: 1, free_child_slots: 0 },
     ] {
         edge.sent.clear();
         edge.message(stranger, message);
@@ -385,8 +399,11 @@
     }
     assert_eq!(edge.relay.registry().len(), 0);
     edge.sent.clear();
-    edge.message(stranger, RelayMessage::Leave { subscription: 7 });
-    edge.message(stranger, RelayMessage::Declined { subscription: 7, others: vec![address(98)] });
+    edge.message(stranger, RelayMessage::Unsubscribe { subscription: 7 });
+    edge.message(
+        stranger,
+        RelayMessage::SubscribeDeclined { subscription: 7, alternatives: vec![address(98)] },
+    );
     assert!(edge.sent.is_empty(), "these are not answered");
 }
 
@@ -396,7 +413,7 @@
     settings.update_bytes = 8 * 1024;
     settings.window_bytes = 32 * 1024;
     let mut root = Lone::root_with(settings);
-    root.handle(Event::Learned((0..2000).map(|number| store(number, 1)).collect()));
+    root.handle(RelayEvent::EntriesLearned((0..2000).map(|number| store(number, 1)).collect()));
     let mut entries = 0;
     let mut sequence = 0;
     root.sent = root.subscribe(10, 8);
@@ -415,7 +432,7 @@
             return;
         }
         root.run(ms(5));
-        root.message(address(10), RelayMessage::Received { subscription: 10, sequence, room: 8 });
+        root.message(address(10), RelayMessage::Ack { subscription: 10, sequence, free_child_slots: 8 });
     }
     panic!("the copy didn't arrive");
 }
@@ -424,10 +441,10 @@
 fn only_what_differs_is_sent() {
     let entries: Vec<Entry> = (0..5000).map(|number| store(number, 1)).collect();
     let mut root = Lone::root();
-    root.handle(Event::Learned(entries.clone()));
+    root.handle(RelayEvent::EntriesLearned(entries.clone()));
     let (mut edge, parent, subscription) = Lone::edge();
     edge.update(parent, subscription, 1, entries, tick(1));
-    edge.handle(Event::Lost { peer: parent });
+    edge.handle(RelayEvent::PeerDisconnected { peer: parent });
     let subscribe = |edge: &mut Lone| {
         let sent = std::mem::take(&mut edge.sent);
         let last =
@@ -437,7 +454,7 @@
     let message = subscribe(&mut edge);
     root.message(address(50), message.clone());
     assert!(root.updates().iter().all(|(entries, _)| entries.is_empty()), "equal copies need nothing");
-    root.handle(Event::Learned(vec![store(1, 2), store(2, 2)]));
+    root.handle(RelayEvent::EntriesLearned(vec![store(1, 2), store(2, 2)]));
     root.message(address(50), message);
     let sent: Vec<Entry> = root.updates().into_iter().flat_map(|(entries, _)| entries).collect();
     assert!(sent.contains(&store(1, 2)) && sent.contains(&store(2, 2)));
@@ -450,11 +467,11 @@
     root.takes(10, 8);
     root.run(ms(25));
     root.sent.clear();
-    root.handle(Event::Learned(vec![store(1, 1)]));
+    root.handle(RelayEvent::EntriesLearned(vec![store(1, 1)]));
     assert_eq!(root.updates().len(), 1, "the first goes at once");
     for version in 2..20 {
         root.now += ms(1);
-        root.handle(Event::Learned(vec![store(1, version), store(2, version)]));
+        root.handle(RelayEvent::EntriesLearned(vec![store(1, version), store(2, version)]));
     }
     assert_eq!(root.updates().len(), 0);
     root.run(ms(20));
@@ -472,8 +489,8 @@
     root.takes(10, 8);
     for number in 0..300 {
         root.run(ms(5));
-        root.handle(Event::Learned(vec![store(number, 1)]));
-        root.handle(Event::Tick(tick(number as u64 + 2)));
+        root.handle(RelayEvent::EntriesLearned(vec![store(number, 1)]));
+        root.handle(RelayEvent::Tick(tick(number as u64 + 2)));
     }
     assert!(root.left(address(10)));
     assert_eq!(root.relay.children(), 0);
@@ -489,7 +506,7 @@
     for sequence in 1..5 {
         root.run(ms(1000));
         if answers {
-            root.message(address(10), RelayMessage::Received { subscription: 10, sequence, room: 8 });
+            root.message(address(10), RelayMessage::Ack { subscription: 10, sequence, free_child_slots: 8 });
         }
     }
     assert_eq!(root.relay.children(), children);
@@ -504,7 +521,7 @@
     let attempts = count(&edge);
     assert!((10..50).contains(&attempts), "{attempts} attempts in 10 s");
     let (asked, subscription) = edge.asked();
-    edge.message(asked, RelayMessage::Declined { subscription, others: vec![address(70)] });
+    edge.message(asked, RelayMessage::SubscribeDeclined { subscription, alternatives: vec![address(70)] });
     assert_eq!(edge.asked().0, address(70));
 }
 
@@ -514,7 +531,7 @@
     let mut attempts = 1;
     let end = edge.now + Duration::from_secs(10);
     while edge.now < end {
-        edge.message(asked, RelayMessage::Declined { subscription, others: Vec::new() });
+        edge.message(asked, RelayMessage::SubscribeDeclined { subscription, alternatives: Vec::new() });
         while edge.now < end && edge.sent.is_empty() {
             edge.run(ms(5));
         }
@@ -535,7 +552,7 @@
     assert!(edge.relay.registry().is_empty());
     let digest = |relay: &mut Lone| {
         relay.sent.clear();
-        relay.handle(Event::Tick(tick(9)));
+        relay.handle(RelayEvent::Tick(tick(9)));
         relay.run(ms(2000));
         relay.sent.iter().rev().find_map(|(_, message)| match message {
             RelayMessage::Subscribe { digest, .. } if !digest.is_empty() => Some(digest.clone()),
--- a/system/relay/tests/world/check.rs
+++ b/system/relay/tests/world/check.rs
@@ -42,7 +42,7 @@
         let promised = self.learned.iter().rev().skip_while(|(by, _)| *by > sure).take(20);
         // A node that was cut off for long may hold what is gone until its doubts have been settled.
         let mut promised = promised
-            .filter(|(by, entry)| !matches!(entry.value, Value::Gone) || *by + doubt_after > self.now);
+            .filter(|(by, entry)| !matches!(entry.value, Value::Tombstone) || *by + doubt_after > self.now);
         let lacking = promised.find(|(_, entry)| !has(relay, entry));
         self.expect(lacking.is_none(), &format!("{at} is fresh and lacks {lacking:?}"));
     }
@@ -75,7 +75,7 @@
 
     /// Whether a node holds a key, and not as gone.
     pub fn holds(&self, at: SocketAddr, key: &Key) -> bool {
-        self.relay(at).registry().entry(key).is_some_and(|entry| !matches!(entry.value, Value::Gone))
+        self.relay(at).registry().entry(key).is_some_and(|entry| !matches!(entry.value, Value::Tombstone))
     }
 }
 
@@ -83,6 +83,6 @@
 fn has(relay: &gingerledge_relay::Relay, entry: &Entry) -> bool {
     match relay.registry().entry(&entry.key) {
         Some(known) => known.rank() >= entry.rank(),
-        None => matches!(entry.value, Value::Gone),
+        None => matches!(entry.value, Value::Tombstone),
     }
 }
--- a/system/relay/tests/world/entries.rs
+++ b/system/relay/tests/world/entries.rs
@@ -25,5 +25,5 @@
 
 /// The same store, gone.
 pub fn gone(number: usize, version: u64) -> Entry {
-    Entry { key: store_key(number), version, value: Value::Gone }
+    Entry { key: store_key(number), version, value: Value::Tombstone }
 }
--- a/system/relay/tests/world/mod.rs
+++ b/system/relay/tests/world/mod.rs
@@ -14,8 +14,8 @@
 use std::time::Duration;
 
 use fastrand::Rng;
-use gingerledge_relay::{Action, Event, Relay, RelaySettings};
-use gingerledge_wire::{Entry, Key, RelayMessage, Role, Tick};
+use gingerledge_relay::{Relay, RelayAction, RelayEvent, RelaySettings};
+use gingerledge_wire::{Entry, FreshnessTick, Key, RelayMessage, Role};
 
 pub use entries::{gone, store, store_key};
 pub use node::Node;
@@ -69,7 +69,7 @@
     pub watch: Option<fn(&RelayMessage)>,
     /// When each tombstone was learned at the roots.
     pub buried: BTreeMap<(Key, u64), Duration>,
-    tick: Tick,
+    tick: FreshnessTick,
     steps: BTreeMap<(Duration, u64), Step>,
     order: u64,
     last_delivery: BTreeMap<(SocketAddr, SocketAddr), Duration>,
@@ -91,7 +91,7 @@
             slack: ms(50),
             watch: None,
             buried: BTreeMap::new(),
-            tick: Tick { epoch: 1, number: 0 },
+            tick: FreshnessTick { epoch: 1, number: 0 },
             steps: BTreeMap::new(),
             order: 0,
             last_delivery: BTreeMap::new(),
@@ -142,8 +142,8 @@
         let control = self.with_role(Role::Control);
         let Some(node) = self.nodes.get_mut(&at) else { return };
         node.start(at, seed, self.now);
-        self.handle(at, Event::ControlKnown(control));
-        self.handle(at, Event::Started);
+        self.handle(at, RelayEvent::ControlNodesKnown(control));
+        self.handle(at, RelayEvent::Started);
         self.catch_up(at);
     }
 
@@ -151,7 +151,7 @@
     fn catch_up(&mut self, at: SocketAddr) {
         if self.nodes[&at].role == Role::Control && !self.outside_chain.contains(&at) {
             let known = self.learned.iter().map(|(_, entry)| entry.clone()).collect();
-            self.handle(at, Event::Learned(known));
+            self.handle(at, RelayEvent::EntriesLearned(known));
         }
     }
 
@@ -275,9 +275,9 @@
     fn step(&mut self, step: Step) {
         match step {
             Step::Deliver { from, to, message, bytes } => self.deliver(from, to, message, bytes),
-            Step::Lost { at, peer } => self.handle(at, Event::Lost { peer }),
+            Step::Lost { at, peer } => self.handle(at, RelayEvent::PeerDisconnected { peer }),
             Step::Timer { at, life } => self.timer(at, life),
-            Step::Learn { root, entry } => self.handle(root, Event::Learned(vec![entry])),
+            Step::Learn { root, entry } => self.handle(root, RelayEvent::EntriesLearned(vec![entry])),
             Step::Tick => self.tick(),
             Step::Thaw { at } => self.thaw(at),
             Step::Start { at } => self.start(at),
@@ -291,7 +291,7 @@
         }
         self.tick.number += 1;
         for root in self.roots().collect::<Vec<_>>() {
-            self.handle(root, Event::Tick(self.tick));
+            self.handle(root, RelayEvent::Tick(self.tick));
         }
     }
 
@@ -300,7 +300,7 @@
         let Some(node) = self.nodes.get_mut(&at) else { return };
         if node.life == life && node.armed == Some(now) {
             node.armed = None;
-            self.handle(at, Event::Timer);
+            self.handle(at, RelayEvent::TimerExpired);
         }
     }
 
@@ -310,7 +310,7 @@
         for event in std::mem::take(&mut node.waiting) {
             self.handle(at, event);
         }
-        self.handle(at, Event::Timer);
+        self.handle(at, RelayEvent::TimerExpired);
         self.catch_up(at);
     }
 
@@ -331,16 +331,16 @@
         node.work(self.now, bytes);
         node.peers.insert(from);
         node.received.add(bytes);
-        self.handle(to, Event::Message { from, message });
+        self.handle(to, RelayEvent::Message { from, message });
     }
 
     /// Gives an event to a relay, or lets it wait while the process is frozen.
-    pub fn handle(&mut self, at: SocketAddr, event: Event) {
+    pub fn handle(&mut self, at: SocketAddr, event: RelayEvent) {
         let now = self.now;
         let Some(node) = self.nodes.get_mut(&at) else { return };
         let Some(relay) = node.relay.as_mut() else { return };
         if node.frozen {
-            if !matches!(event, Event::Timer) {
+            if !matches!(event, RelayEvent::TimerExpired) {
                 node.waiting.push(event);
             }
             return;
@@ -351,8 +351,8 @@
         self.arm(at, timer);
         for action in actions {
             match action {
-                Action::Send { to, message } => self.send(at, to, message),
-                Action::Changed(entries) => self.check_changes(at, &entries),
+                RelayAction::Send { to, message } => self.send(at, to, message),
+                RelayAction::EntriesChanged(entries) => self.check_changes(at, &entries),
             }
         }
         self.check_node(at);
--- a/system/relay/tests/world/node.rs
+++ b/system/relay/tests/world/node.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use gingerledge_relay::{Event, Relay, RelaySettings};
+use gingerledge_relay::{Relay, RelayEvent, RelaySettings};
 use gingerledge_wire::{Key, RelayMessage, Role};
 
 /// Processor time of one message at a whole core.
@@ -42,7 +42,7 @@
     pub frozen: bool,
     pub dark: bool,
     pub armed: Option<Duration>,
-    pub waiting: Vec<Event>,
+    pub waiting: Vec<RelayEvent>,
     pub busy_until: Duration,
     pub peers: BTreeSet<SocketAddr>,
     pub seen: BTreeMap<Key, ((u64, u8), Duration)>,
@@ -72,7 +72,7 @@
 
     /// Whether the process is up and counts as fresh.
     pub fn is_fresh(&self, now: Duration) -> bool {
-        self.relay.as_ref().is_some_and(|relay| relay.fresh(now - self.born))
+        self.relay.as_ref().is_some_and(|relay| relay.is_fresh(now - self.born))
     }
 
     /// Whether the process is up and not frozen.
--- a/system/wire/src/command.rs
+++ b/system/wire/src/command.rs
@@ -11,7 +11,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Command {
     /// Nothing; shows that the chain works.
-    Nothing,
+    Noop,
     /// A whole configuration, valid in itself, on top of a version.
     ReplaceConfiguration {
         /// The operator's version that it builds on; 0 for the first.
@@ -29,14 +29,14 @@
         version: u64,
     },
     /// A new holder of the coordinator's lease takes the next fencing token.
-    TakeFence {
+    AllocateFencingToken {
         /// The holder's incarnation.
         incarnation: u64,
         /// Where it takes internal messages.
         address: SocketAddr,
     },
     /// The holder of a fencing token has waited until its turn is far enough from that of the machine before it.
-    SettleFence {
+    CompleteHandover {
         /// The token.
         token: u64,
     },
@@ -47,10 +47,10 @@
         /// The new chain, its epoch one above the current one.
         record: PartitionRecord,
         /// The coordinator's fencing token.
-        fence: u64,
+        fencing_token: u64,
     },
     /// A member of a partition's chain holds everything now.
-    PartitionFull {
+    ReplicaInSync {
         /// The partition.
         partition: u16,
         /// The epoch in which it became so.
@@ -59,14 +59,14 @@
         member: u64,
     },
     /// The disk of a backend is at an address.
-    NoteBackend {
+    RegisterBackend {
         /// The identity of its disk.
         member: u64,
         /// Where it takes internal messages.
         address: SocketAddr,
     },
     /// A backend is to be emptied.
-    BeginRetire {
+    BeginRetirement {
         /// The machine's name.
         name: String,
         /// The identity of its disk.
@@ -82,23 +82,23 @@
         json: Arc<Vec<u8>>,
     },
     /// A backend is empty.
-    CompleteRetire {
+    CompleteRetirement {
         /// The machine's name.
         name: String,
         /// The identity of its disk.
         member: u64,
         /// How many full copies every partition must have without it: one more than the disks that may be lost at once.
-        copies: u64,
+        replicas: u64,
     },
 }
 
 /// What became of a command: the same at every control node.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Outcome {
+pub enum CommandOutcome {
     /// Taken now, or the very same was taken before.
-    Taken,
+    Applied,
     /// Taken; the fencing token.
-    Fence(u64),
+    FencingToken(u64),
     /// Another version is current.
     Conflict {
         /// The current one.
@@ -110,12 +110,12 @@
         reason: String,
     },
     /// It was not taken now, and nobody knows any more what became of it before: no clear answer may be given.
-    Unknown,
+    Indeterminate,
 }
 
 /// How far the emptying of a backend is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum RetireState {
+pub enum RetirementState {
     /// Under way.
     Active,
     /// Nothing is on it any more.
--- a/system/wire/src/control.rs
+++ b/system/wire/src/control.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::command::{Command, Outcome};
+use crate::command::{Command, CommandOutcome};
 use crate::node::NodeRecord;
 use crate::registry::Entry;
 
@@ -12,7 +12,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BackendReport {
     /// Partitions of which it holds everything in their current epoch: (partition, epoch).
-    pub full: Vec<(u16, u64)>,
+    pub in_sync: Vec<(u16, u64)>,
     /// Bytes of batch jobs that it holds.
     pub bytes: u64,
     /// Its disk has not answered for longer than it should.
@@ -32,25 +32,25 @@
         report: Option<BackendReport>,
     },
     /// The answer: where control nodes are.
-    HeartbeatTaken {
+    HeartbeatAck {
         /// The sequence answered.
         sequence: u64,
         /// Control nodes.
-        control: Vec<SocketAddr>,
+        control_nodes: Vec<SocketAddr>,
     },
     /// A node stops on purpose.
-    Farewell {
+    Goodbye {
         /// Its incarnation.
         incarnation: u64,
     },
     /// A control node tells another who it is and whom it knows.
-    Introduce {
+    Hello {
         /// Itself.
         node: NodeRecord,
         /// Control nodes that it knows.
-        known: Vec<NodeRecord>,
+        known_peers: Vec<NodeRecord>,
         /// Whether an answer is wanted.
-        answer: bool,
+        wants_reply: bool,
     },
     /// A command, on its way to the head of the chain.
     Submit {
@@ -62,23 +62,23 @@
         command: Command,
     },
     /// The outcome, from the tail.
-    Submitted {
+    SubmitResponse {
         /// From the submission.
         request: u64,
         /// What became of it; none if it was not taken by a chain at all.
-        outcome: Option<Outcome>,
+        outcome: Option<CommandOutcome>,
     },
     /// Session changes for another control node.
-    Share {
+    ReplicateSessions {
         /// Chosen by the sender.
-        number: u64,
+        sequence: u64,
         /// Changed entries.
         entries: Vec<Entry>,
     },
     /// They were taken.
-    Shared {
+    ReplicateSessionsAck {
         /// From the message answered.
-        number: u64,
+        sequence: u64,
     },
     /// From edges to the coordinator: a batch job has come, so the weights of this model are used by the route of this host and
     /// path.
--- a/system/wire/src/jobs.rs
+++ b/system/wire/src/jobs.rs
@@ -8,7 +8,7 @@
 use crate::stable_hash;
 
 /// How many partitions batch jobs are spread over.
-pub const PARTITIONS: u16 = 64;
+pub const PARTITION_COUNT: u16 = 64;
 
 /// The id of a batch job, as its trainer gave it.
 pub type JobId = String;
@@ -17,7 +17,7 @@
 
 /// The partition of a batch job.
 pub fn partition_of(job: &str) -> u16 {
-    (stable_hash(job) % u64::from(PARTITIONS)) as u16
+    (stable_hash(job) % u64::from(PARTITION_COUNT)) as u16
 }
 
 /// A batch job as it is kept.
@@ -36,7 +36,7 @@
     /// The oldest version of weights allowed.
     pub min_version: u64,
     /// How many whole groups the trainer waits for.
-    pub desired: u64,
+    pub desired_groups: u64,
     /// Its items, in the trainer's order.
     pub items: Vec<ItemRecord>,
 }
@@ -96,27 +96,27 @@
     /// Drawn anew whenever a text begins from its first event; parts of different ones never come together.
     pub origin: u64,
     /// The id of the event that this part goes on after; none if the text begins with it.
-    pub after: Option<u64>,
+    pub previous_event_id: Option<u64>,
     /// The id of the last event in it.
-    pub last_id: u64,
+    pub last_event_id: u64,
     /// The data of its events as they stand in the text, with the line feed before the first one where the text goes on.
     pub data: Vec<u8>,
     /// The versions of the weights that made the text up to here.
     pub versions: Vec<u64>,
     /// Whether its last event is the last one of all.
-    pub whole: bool,
+    pub is_complete: bool,
 }
 
 /// What an edge asks of a backend.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum JobsRequest {
     /// Keep a batch job (head). The asking edge drives it if nobody does.
-    Create {
+    CreateJob {
         /// The batch job.
         job: Arc<JobRecord>,
     },
     /// Keep results (head). Those of items that have one already are passed over.
-    Append {
+    AppendResults {
         /// The batch job.
         job: JobId,
         /// The driver's term.
@@ -125,7 +125,7 @@
         results: Vec<ResultRecord>,
     },
     /// Keep parts of texts, for whoever drives the batch job next (head).
-    Save {
+    SaveCheckpoint {
         /// The batch job.
         job: JobId,
         /// The driver's term.
@@ -134,12 +134,12 @@
         texts: Vec<PartialText>,
     },
     /// End a batch job (head).
-    End {
+    EndJob {
         /// The batch job.
         job: JobId,
     },
     /// Read results (tail).
-    Read {
+    ReadResults {
         /// The batch job.
         job: JobId,
         /// The first position wanted.
@@ -150,14 +150,14 @@
         max_bytes: u64,
     },
     /// The body of an item (tail).
-    Body {
+    ReadItemBody {
         /// The batch job.
         job: JobId,
         /// The item's id.
         item: String,
     },
     /// The driver of batch jobs of this partition lives (head).
-    Renew {
+    RenewDriverLeases {
         /// Batch jobs with the driver's terms.
         jobs: Vec<(JobId, DriverTerm)>,
     },
@@ -165,7 +165,7 @@
 
 /// What becomes of a driver's hold on a batch job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum RenewState {
+pub enum DriverLeaseState {
     /// It still drives it.
     Held,
     /// The batch job is ended, or all results are there.
@@ -176,11 +176,11 @@
 
 /// A backend's answer.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub enum JobsAnswer {
+pub enum JobsResponse {
     /// Kept by the whole chain, now or before. `drive` holds the asking edge's term where it is the driver.
     Created {
         /// The term under which the asking edge drives the batch job; none if another does or it has ended.
-        drive: Option<DriverTerm>,
+        driver_term: Option<DriverTerm>,
     },
     /// Results, or parts of texts: kept by the whole chain.
     Appended,
@@ -189,7 +189,7 @@
     /// The batch job is ended; the whole chain knows.
     Ended,
     /// Results from the position asked for.
-    Page {
+    Results {
         /// Items of the batch job.
         total: u64,
         /// Results with their items' ids, by position.
@@ -198,23 +198,23 @@
         ended: bool,
     },
     /// The body of an item that isn't listed yet.
-    Body(Vec<u8>),
+    ItemBody(Vec<u8>),
     /// There is surely no such batch job, or no such item that isn't listed.
-    Unknown,
+    NotFound,
     /// States of the batch jobs asked about, in order.
-    Renewed(Vec<RenewState>),
+    Renewed(Vec<DriverLeaseState>),
     /// This backend is not the one to ask, or can't be sure now; nothing was changed by this message, but an earlier copy
     /// of the same request may have been taken.
-    NotNow,
+    Unavailable,
     /// No room; this request was not taken and never will be.
-    Full,
+    CapacityExceeded,
 }
 
 /// One message between an edge and a backend.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum JobsMessage {
     /// From an edge.
-    Ask {
+    Request {
         /// Chosen by the edge; the answer carries it.
         request: u64,
         /// Where the answer goes.
@@ -229,27 +229,27 @@
         body: JobsRequest,
     },
     /// From a backend.
-    Answer {
+    Response {
         /// From the question.
         request: u64,
         /// The answer.
-        body: JobsAnswer,
+        body: JobsResponse,
     },
     /// From the head: drive this batch job from now on. The edge shows by `Renew` that it does.
-    Drive {
+    AssignDriver {
         /// The batch job.
         job: Arc<JobRecord>,
         /// The term.
         term: DriverTerm,
         /// Items that have results.
-        listed: Vec<u32>,
+        items_with_results: Vec<u32>,
         /// Texts so far of others.
         texts: Vec<PartialText>,
         /// How long the batch job has been kept, in milliseconds: at least that long.
         age_ms: u64,
     },
     /// From the head: stop what is under way for a batch job.
-    Stop {
+    StopDriver {
         /// The batch job.
         job: JobId,
         /// The term.
--- a/system/wire/src/lib.rs
+++ b/system/wire/src/lib.rs
@@ -12,20 +12,20 @@
 use serde::{Deserialize, Serialize};
 
 pub use gingerledge_chain::{ChainMessage, ReplicaMessage};
-pub use gingerledge_lease::Message as LeaseMessage;
+pub use gingerledge_lease::LeaseMessage;
 
-pub use command::{Command, Outcome, RetireState};
+pub use command::{Command, CommandOutcome, RetirementState};
 pub use control::{BackendReport, ControlMessage};
 pub use jobs::{
-    partition_of, DriverTerm, ItemRecord, JobId, JobRecord, JobsAnswer, JobsMessage, JobsRequest,
-    PartialText, RenewState, ResultRecord, ScoringRecord, PARTITIONS,
+    partition_of, DriverLeaseState, DriverTerm, ItemRecord, JobId, JobRecord, JobsMessage, JobsRequest,
+    JobsResponse, PartialText, ResultRecord, ScoringRecord, PARTITION_COUNT,
 };
 pub use node::{NodeRecord, Role};
 pub use registry::{
-    Coordinator, Entry, Key, PartitionRecord, Registry, StoreRecord, Value, ENDED_VERSION, MAX_ENTRIES,
+    Coordinator, Entry, Key, PartitionRecord, Registry, StoreRecord, Value, FINAL_VERSION, MAX_ENTRIES,
     TOMBSTONE_RANK,
 };
-pub use relay::{RelayMessage, Tick};
+pub use relay::{FreshnessTick, RelayMessage};
 pub use stable_hash::stable_hash;
 
 /// One internal message.
--- a/system/wire/src/registry.rs
+++ b/system/wire/src/registry.rs
@@ -50,7 +50,7 @@
     /// The holder of the coordinator's lease.
     Coordinator(Coordinator),
     /// It is gone.
-    Gone,
+    Tombstone,
     /// The updates that lead to a configuration, for a copy that has an earlier one. Only on its way, never in a registry.
     ConfigurationUpdates(Vec<AppliedUpdate>),
 }
@@ -82,7 +82,7 @@
     /// Member identities, head first; those that are full come first.
     pub chain: Vec<u64>,
     /// Which of them are known to hold everything.
-    pub full: Vec<u64>,
+    pub in_sync: Vec<u64>,
 }
 
 /// The holder of the coordinator's lease.
@@ -95,7 +95,7 @@
 }
 
 /// The version of an entry that ends a session for good: its source said itself that it ends.
-pub const ENDED_VERSION: u64 = u64::MAX;
+pub const FINAL_VERSION: u64 = u64::MAX;
 
 /// One entry.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -111,12 +111,12 @@
 impl Entry {
     /// Whether its source has said itself that it ends. One that only fell silent may come back.
     pub fn is_ended(&self) -> bool {
-        self.version == ENDED_VERSION && matches!(self.value, Value::Gone)
+        self.version == FINAL_VERSION && matches!(self.value, Value::Tombstone)
     }
 
     /// The order among entries of one key.
     pub fn rank(&self) -> (u64, u8) {
-        (self.version, if matches!(self.value, Value::Gone) { TOMBSTONE_RANK } else { 0 })
+        (self.version, if matches!(self.value, Value::Tombstone) { TOMBSTONE_RANK } else { 0 })
     }
 }
 
--- a/system/wire/tests/golden.rs
+++ b/system/wire/tests/golden.rs
@@ -12,10 +12,10 @@
 use gingerledge_golden::{compare, read, Sample};
 use gingerledge_protocol::{AppliedUpdate, ConfigurationDocument, LoadedModel, StoreState};
 use gingerledge_wire::{
-    partition_of, stable_hash, BackendReport, Command, ControlMessage, Coordinator, Entry, Envelope,
-    ItemRecord, JobRecord, JobsAnswer, JobsMessage, JobsRequest, Key, LeaseMessage, NodeRecord, Outcome,
-    PartialText, PartitionRecord, RelayMessage, RenewState, ResultRecord, RetireState, Role, ScoringRecord,
-    StoreRecord, Tick, Value,
+    partition_of, stable_hash, BackendReport, Command, CommandOutcome, ControlMessage, Coordinator,
+    DriverLeaseState, Entry, Envelope, FreshnessTick, ItemRecord, JobRecord, JobsMessage, JobsRequest,
+    JobsResponse, Key, LeaseMessage, NodeRecord, PartialText, PartitionRecord, RelayMessage, ResultRecord,
+    RetirementState, Role, ScoringRecord, StoreRecord, Value,
 };
 use serde::de::DeserializeOwned;
 use serde::Serialize;
@@ -106,7 +106,7 @@
 }
 
 fn partition_record() -> PartitionRecord {
-    PartitionRecord { epoch: 12, chain: vec![5, 300, 70_000], full: vec![5, 300] }
+    PartitionRecord { epoch: 12, chain: vec![5, 300, 70_000], in_sync: vec![5, 300] }
 }
 
 fn store_record() -> StoreRecord {
@@ -181,7 +181,7 @@
         step: 8,
         model: "model-a".to_owned(),
         min_version: 9,
-        desired: 2,
+        desired_groups: 2,
         items: vec![item(), bare_item()],
     }
 }
@@ -194,7 +194,7 @@
         step: 0,
         model: "m".to_owned(),
         min_version: 1,
-        desired: 0,
+        desired_groups: 0,
         items: Vec::new(),
     }
 }
@@ -217,11 +217,11 @@
     PartialText {
         item: 2,
         origin: 0x0102_0304_0506_0708,
-        after: Some(6),
-        last_id: 9,
+        previous_event_id: Some(6),
+        last_event_id: 9,
         data: b"\nthree".to_vec(),
         versions: vec![7, 8],
-        whole: true,
+        is_complete: true,
     }
 }
 
@@ -229,11 +229,11 @@
     PartialText {
         item: 0,
         origin: 1,
-        after: None,
-        last_id: 0,
+        previous_event_id: None,
+        last_event_id: 0,
         data: Vec::new(),
         versions: Vec::new(),
-        whole: false,
+        is_complete: false,
     }
 }
 
@@ -250,27 +250,33 @@
 fn commands() -> Vec<(&'static str, Command)> {
     let json = || Arc::new(br#"{"version":2}"#.to_vec());
     vec![
-        ("nothing", Command::Nothing),
+        ("nothing", Command::Noop),
         ("replace configuration", Command::ReplaceConfiguration { base: 1, version: 2, json: json() }),
         ("name version", Command::NameVersion { model: "model-a".to_owned(), version: 5 }),
-        ("take fence", Command::TakeFence { incarnation: 77, address: address(5, 7005) }),
-        ("settle fence", Command::SettleFence { token: 6 }),
-        ("set partition", Command::SetPartition { partition: 63, record: partition_record(), fence: 7 }),
-        ("partition full", Command::PartitionFull { partition: 61, epoch: 8, member: 9 }),
-        ("note backend", Command::NoteBackend { member: 10, address: address(6, 7006) }),
-        ("begin retire", Command::BeginRetire { name: "backend-3".to_owned(), member: 11 }),
+        ("take fence", Command::AllocateFencingToken { incarnation: 77, address: address(5, 7005) }),
+        ("settle fence", Command::CompleteHandover { token: 6 }),
+        (
+            "set partition",
+            Command::SetPartition { partition: 63, record: partition_record(), fencing_token: 7 },
+        ),
+        ("partition full", Command::ReplicaInSync { partition: 61, epoch: 8, member: 9 }),
+        ("note backend", Command::RegisterBackend { member: 10, address: address(6, 7006) }),
+        ("begin retire", Command::BeginRetirement { name: "backend-3".to_owned(), member: 11 }),
         ("update configuration", Command::UpdateConfiguration { base: 12, version: 13, json: json() }),
-        ("complete retire", Command::CompleteRetire { name: "backend-4".to_owned(), member: 14, copies: 15 }),
+        (
+            "complete retire",
+            Command::CompleteRetirement { name: "backend-4".to_owned(), member: 14, replicas: 15 },
+        ),
     ]
 }
 
-fn outcomes() -> Vec<(&'static str, Outcome)> {
+fn outcomes() -> Vec<(&'static str, CommandOutcome)> {
     vec![
-        ("taken", Outcome::Taken),
-        ("fence", Outcome::Fence(5)),
-        ("conflict", Outcome::Conflict { current: 6 }),
-        ("invalid", Outcome::Invalid { reason: "why".to_owned() }),
-        ("unknown", Outcome::Unknown),
+        ("taken", CommandOutcome::Applied),
+        ("fence", CommandOutcome::FencingToken(5)),
+        ("conflict", CommandOutcome::Conflict { current: 6 }),
+        ("invalid", CommandOutcome::Invalid { reason: "why".to_owned() }),
+        ("unknown", CommandOutcome::Indeterminate),
     ]
 }
 
@@ -294,7 +300,7 @@
         ("node", Value::Node(edge_node())),
         ("partition", Value::Partition(partition_record())),
         ("coordinator", Value::Coordinator(coordinator())),
-        ("gone", Value::Gone),
+        ("gone", Value::Tombstone),
         ("configuration updates", Value::ConfigurationUpdates(vec![update()])),
     ]
 }
@@ -304,7 +310,7 @@
 }
 
 fn gone_entry() -> Entry {
-    Entry { key: Key::Node(4), version: u64::MAX, value: Value::Gone }
+    Entry { key: Key::Node(4), version: u64::MAX, value: Value::Tombstone }
 }
 
 fn control_messages() -> Vec<(&'static str, ControlMessage)> {
@@ -316,33 +322,39 @@
         ),
         (
             "heartbeat taken",
-            ControlMessage::HeartbeatTaken { sequence: 6, control: vec![address(7, 7007), address(8, 7008)] },
+            ControlMessage::HeartbeatAck {
+                sequence: 6,
+                control_nodes: vec![address(7, 7007), address(8, 7008)],
+            },
         ),
-        ("farewell", ControlMessage::Farewell { incarnation: 7 }),
+        ("farewell", ControlMessage::Goodbye { incarnation: 7 }),
         (
             "introduce",
-            ControlMessage::Introduce {
+            ControlMessage::Hello {
                 node: control_node(),
-                known: vec![edge_node(), backend_node()],
-                answer: true,
+                known_peers: vec![edge_node(), backend_node()],
+                wants_reply: true,
             },
         ),
         (
             "introduce bare",
-            ControlMessage::Introduce { node: control_node(), known: Vec::new(), answer: false },
+            ControlMessage::Hello { node: control_node(), known_peers: Vec::new(), wants_reply: false },
         ),
         (
             "submit",
             ControlMessage::Submit {
                 request: 8,
                 reply_to: address(9, 7009),
-                command: Command::SettleFence { token: 3 },
+                command: Command::CompleteHandover { token: 3 },
             },
         ),
-        ("submitted", ControlMessage::Submitted { request: 9, outcome: Some(Outcome::Fence(4)) }),
-        ("submitted without outcome", ControlMessage::Submitted { request: 10, outcome: None }),
-        ("share", ControlMessage::Share { number: 11, entries: vec![entry(), gone_entry()] }),
-        ("shared", ControlMessage::Shared { number: 12 }),
+        (
+            "submitted",
+            ControlMessage::SubmitResponse { request: 9, outcome: Some(CommandOutcome::FencingToken(4)) },
+        ),
+        ("submitted without outcome", ControlMessage::SubmitResponse { request: 10, outcome: None }),
+        ("share", ControlMessage::ReplicateSessions { sequence: 11, entries: vec![entry(), gone_entry()] }),
+        ("shared", ControlMessage::ReplicateSessionsAck { sequence: 12 }),
         (
             "model used",
             ControlMessage::ModelUsed {
@@ -356,37 +368,47 @@
 }
 
 fn report() -> BackendReport {
-    BackendReport { full: vec![(1, 2), (63, 700)], bytes: 4_096, disk_stalled: true }
+    BackendReport { in_sync: vec![(1, 2), (63, 700)], bytes: 4_096, disk_stalled: true }
 }
 
 fn requests() -> Vec<(&'static str, JobsRequest)> {
     let id = || "job-1".to_owned();
     vec![
-        ("create", JobsRequest::Create { job: Arc::new(job()) }),
-        ("append", JobsRequest::Append { job: id(), term: 2, results: vec![result(), abandoned_result()] }),
-        ("save", JobsRequest::Save { job: id(), term: 3, texts: vec![text(), first_text()] }),
-        ("end", JobsRequest::End { job: id() }),
-        ("read", JobsRequest::Read { job: id(), start_after: 4, wait_ms: 5_000, max_bytes: 65_536 }),
-        ("body", JobsRequest::Body { job: id(), item: "item-1".to_owned() }),
-        ("renew", JobsRequest::Renew { jobs: vec![(id(), 5), ("job-2".to_owned(), 6)] }),
+        ("create", JobsRequest::CreateJob { job: Arc::new(job()) }),
+        (
+            "append",
+            JobsRequest::AppendResults { job: id(), term: 2, results: vec![result(), abandoned_result()] },
+        ),
+        ("save", JobsRequest::SaveCheckpoint { job: id(), term: 3, texts: vec![text(), first_text()] }),
+        ("end", JobsRequest::EndJob { job: id() }),
+        ("read", JobsRequest::ReadResults { job: id(), start_after: 4, wait_ms: 5_000, max_bytes: 65_536 }),
+        ("body", JobsRequest::ReadItemBody { job: id(), item: "item-1".to_owned() }),
+        ("renew", JobsRequest::RenewDriverLeases { jobs: vec![(id(), 5), ("job-2".to_owned(), 6)] }),
     ]
 }
 
-fn answers() -> Vec<(&'static str, JobsAnswer)> {
+fn answers() -> Vec<(&'static str, JobsResponse)> {
     let listed = vec![("item-1".to_owned(), result()), ("item-2".to_owned(), abandoned_result())];
     vec![
-        ("created driving", JobsAnswer::Created { drive: Some(7) }),
-        ("created", JobsAnswer::Created { drive: None }),
-        ("appended", JobsAnswer::Appended),
-        ("fenced", JobsAnswer::Fenced),
-        ("ended", JobsAnswer::Ended),
-        ("page", JobsAnswer::Page { total: 8, results: listed, ended: true }),
-        ("page bare", JobsAnswer::Page { total: 0, results: Vec::new(), ended: false }),
-        ("body", JobsAnswer::Body(vec![1, 2, 3])),
-        ("unknown", JobsAnswer::Unknown),
-        ("renewed", JobsAnswer::Renewed(vec![RenewState::Held, RenewState::Ended, RenewState::Fenced])),
-        ("not now", JobsAnswer::NotNow),
-        ("full", JobsAnswer::Full),
+        ("created driving", JobsResponse::Created { driver_term: Some(7) }),
+        ("created", JobsResponse::Created { driver_term: None }),
+        ("appended", JobsResponse::Appended),
+        ("fenced", JobsResponse::Fenced),
+        ("ended", JobsResponse::Ended),
+        ("page", JobsResponse::Results { total: 8, results: listed, ended: true }),
+        ("page bare", JobsResponse::Results { total: 0, results: Vec::new(), ended: false }),
+        ("body", JobsResponse::ItemBody(vec![1, 2, 3])),
+        ("unknown", JobsResponse::NotFound),
+        (
+            "renewed",
+            JobsResponse::Renewed(vec![
+                DriverLeaseState::Held,
+                DriverLeaseState::Ended,
+                DriverLeaseState::Fenced,
+            ]),
+        ),
+        ("not now", JobsResponse::Unavailable),
+        ("full", JobsResponse::CapacityExceeded),
     ]
 }
 
@@ -394,27 +416,27 @@
     vec![
         (
             "ask",
-            JobsMessage::Ask {
+            JobsMessage::Request {
                 request: 1,
                 reply_to: address(2, 7010),
                 edge: 3,
                 partition: 4,
                 epoch: 5,
-                body: JobsRequest::End { job: "job-1".to_owned() },
+                body: JobsRequest::EndJob { job: "job-1".to_owned() },
             },
         ),
-        ("answer", JobsMessage::Answer { request: 6, body: JobsAnswer::Fenced }),
+        ("answer", JobsMessage::Response { request: 6, body: JobsResponse::Fenced }),
         (
             "drive",
-            JobsMessage::Drive {
+            JobsMessage::AssignDriver {
                 job: Arc::new(bare_job()),
                 term: 7,
-                listed: vec![8, 9],
+                items_with_results: vec![8, 9],
                 texts: vec![first_text()],
                 age_ms: 10,
             },
         ),
-        ("stop", JobsMessage::Stop { job: "job-1".to_owned(), term: 11 }),
+        ("stop", JobsMessage::StopDriver { job: "job-1".to_owned(), term: 11 }),
     ]
 }
 
@@ -426,7 +448,7 @@
                 subscription: 1,
                 digest: vec![2, u64::MAX],
                 configuration: 3,
-                room: 4,
+                free_child_slots: 4,
                 capacity: 5,
             },
         ),
@@ -436,30 +458,33 @@
                 subscription: 1,
                 digest: Vec::new(),
                 configuration: 0,
-                room: 0,
+                free_child_slots: 0,
                 capacity: 0,
             },
         ),
-        ("accepted", RelayMessage::Accepted { subscription: 6 }),
-        ("declined", RelayMessage::Declined { subscription: 7, others: vec![address(1, 7011)] }),
+        ("accepted", RelayMessage::SubscribeAccepted { subscription: 6 }),
+        (
+            "declined",
+            RelayMessage::SubscribeDeclined { subscription: 7, alternatives: vec![address(1, 7011)] },
+        ),
         (
             "update",
             RelayMessage::Update {
                 subscription: 8,
                 sequence: 9,
                 entries: vec![entry(), gone_entry()],
-                gone_for_ms: vec![10],
+                tombstone_ages_ms: vec![10],
                 tick: tick(),
                 tick_age_ms: 13,
             },
         ),
-        ("received", RelayMessage::Received { subscription: 14, sequence: 15, room: 16 }),
-        ("leave", RelayMessage::Leave { subscription: 17 }),
+        ("received", RelayMessage::Ack { subscription: 14, sequence: 15, free_child_slots: 16 }),
+        ("leave", RelayMessage::Unsubscribe { subscription: 17 }),
     ]
 }
 
-fn tick() -> Tick {
-    Tick { epoch: 11, number: 12 }
+fn tick() -> FreshnessTick {
+    FreshnessTick { epoch: 11, number: 12 }
 }
 
 #[test]
@@ -471,8 +496,8 @@
     for (name, outcome) in outcomes() {
         golden.add_equal(&format!("outcome {name}"), &outcome);
     }
-    golden.add_equal("retire state active", &RetireState::Active);
-    golden.add_equal("retire state completed", &RetireState::Completed);
+    golden.add_equal("retire state active", &RetirementState::Active);
+    golden.add_equal("retire state completed", &RetirementState::Completed);
     golden.check();
 }
 
@@ -489,7 +514,7 @@
         golden.add(&format!("control message submit of {name}"), &message);
     }
     for (name, outcome) in outcomes() {
-        let message = ControlMessage::Submitted { request: 1, outcome: Some(outcome) };
+        let message = ControlMessage::SubmitResponse { request: 1, outcome: Some(outcome) };
         golden.add(&format!("control message submitted of {name}"), &message);
     }
     golden.check();
@@ -507,9 +532,9 @@
     golden.add_equal("result abandoned", &abandoned_result());
     golden.add_equal("partial text", &text());
     golden.add_equal("partial text first", &first_text());
-    golden.add_equal("renew state held", &RenewState::Held);
-    golden.add_equal("renew state ended", &RenewState::Ended);
-    golden.add_equal("renew state fenced", &RenewState::Fenced);
+    golden.add_equal("renew state held", &DriverLeaseState::Held);
+    golden.add_equal("renew state ended", &DriverLeaseState::Ended);
+    golden.add_equal("renew state fenced", &DriverLeaseState::Fenced);
     for (name, request) in requests() {
         golden.add(&format!("request {name}"), &request);
     }
@@ -560,14 +585,15 @@
 #[test]
 fn envelopes_are_written_as_before() {
     let mut golden = Golden::new("envelopes.txt");
-    let lease = LeaseMessage::Release { round: 4 };
-    let replica = ReplicaMessage::AskResume { epoch: 6 };
-    let agreement = ChainMessage::Agreement(AgreementMessage::AskView { epoch: 2 });
+    let lease = LeaseMessage::Release { generation: 4 };
+    let replica = ReplicaMessage::RequestResume { epoch: 6 };
+    let agreement = ChainMessage::Agreement(AgreementMessage::RequestMembership { epoch: 2 });
     golden.add("envelope chain", &Envelope::Chain { from: 1, message: agreement });
     golden.add("envelope lease", &Envelope::Lease { from: 3, message: lease });
-    golden.add("envelope control", &Envelope::Control(ControlMessage::Shared { number: 5 }));
-    golden.add("envelope relay", &Envelope::Relay(RelayMessage::Leave { subscription: 6 }));
-    golden.add("envelope jobs", &Envelope::Jobs(JobsMessage::Stop { job: "job-1".to_owned(), term: 7 }));
+    golden.add("envelope control", &Envelope::Control(ControlMessage::ReplicateSessionsAck { sequence: 5 }));
+    golden.add("envelope relay", &Envelope::Relay(RelayMessage::Unsubscribe { subscription: 6 }));
+    golden
+        .add("envelope jobs", &Envelope::Jobs(JobsMessage::StopDriver { job: "job-1".to_owned(), term: 7 }));
     golden.add("envelope partition", &Envelope::Partition { partition: 8, from: 9, message: replica });
     golden.check();
 }
