--- a/system/bin/src/lib.rs
+++ b/system/bin/src/lib.rs
@@ -1,6 +1,8 @@
 //! What the three programs share: the set-up of the log, the reading of the settings file, and the command line of a program
 //! that runs when it is given no arguments and only checks its settings when told `check`.
 
+mod log_line;
+
 use std::fmt::Display;
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -10,11 +12,10 @@
 use log::LevelFilter;
 use log4rs::append::console::{ConsoleAppender, Target};
 use log4rs::config::{Appender, Config, Root};
-use log4rs::encode::pattern::PatternEncoder;
 use snafu::{OptionExt, ResultExt, Snafu};
 
-/// One line for each event: level, module, message. The platform adds the time.
-const LINE_PATTERN: &str = "{l} {M}: {m}{n}";
+use log_line::LineEncoder;
+
 const APPENDER: &str = "stderr";
 
 /// Why a program does not start.
@@ -91,7 +92,7 @@
 
 /// Logs go to standard error, from level info on.
 fn init_log() -> Result<(), StartError> {
-    let encoder = Box::new(PatternEncoder::new(LINE_PATTERN));
+    let encoder = Box::new(LineEncoder);
     let console = ConsoleAppender::builder().target(Target::Stderr).encoder(encoder).build();
     let root = Root::builder().appender(APPENDER).build(LevelFilter::Info);
     let config = Config::builder()
