--- a/system/standin/src/fleet.rs
+++ b/system/standin/src/fleet.rs
@@ -45,6 +45,8 @@
     pub ip: IpAddr,
     /// Its zone.
     pub zone: String,
+    /// The folder of the programs that its next process is started from.
+    programs: PathBuf,
     started: u32,
     child: Option<Child>,
 }
@@ -62,7 +64,6 @@
 #[derive(Debug)]
 pub struct Fleet {
     folder: PathBuf,
-    programs: PathBuf,
     ports: Ports,
     fault_tolerance: usize,
     nodes: Vec<Node>,
@@ -90,6 +91,7 @@
                     class,
                     ip,
                     zone: format!("zone-{}", index % 3),
+                    programs: programs.to_owned(),
                     started: 0,
                     child: None,
                 });
@@ -98,8 +100,7 @@
         let ports = free_ports(nodes[0].ip)?;
         let seeds = nodes.iter().filter(|node| node.class == NodeClass::Core).take(3);
         let seeds = seeds.map(|node| SocketAddr::new(node.ip, ports.control)).collect();
-        let (folder, programs) = (folder.to_owned(), programs.to_owned());
-        Ok(Self { folder, programs, ports, fault_tolerance: 1, nodes, seeds })
+        Ok(Self { folder: folder.to_owned(), ports, fault_tolerance: 1, nodes, seeds })
     }
 
     /// All machines.
@@ -145,7 +146,8 @@
             .context(SystemSnafu { what: format!("{}", file.display()) })?;
         let log = self.folder.join(format!("{name}.{}.log", self.nodes[index].started));
         let log = File::create(&log).context(SystemSnafu { what: format!("{}", log.display()) })?;
-        let program = self.programs.join(format!("gingerledge-{}", program_name(self.nodes[index].class)));
+        let node = &self.nodes[index];
+        let program = node.programs.join(format!("gingerledge-{}", program_name(node.class)));
         let child = Command::new(&program)
             .env("GINGERLEDGE_SETTINGS", &file)
             .stdin(Stdio::null())
@@ -159,6 +161,19 @@
         Ok(())
     }
 
+    /// Kills a machine's process and starts one of the programs in another folder on the same disk: an upgrade in place.
+    ///
+    /// # Errors
+    ///
+    /// If the new process can't be started.
+    pub fn replace_program(&mut self, name: &str, programs: &Path) -> Result<(), FleetError> {
+        self.kill(name);
+        for node in self.nodes.iter_mut().filter(|node| node.name == name) {
+            programs.clone_into(&mut node.programs);
+        }
+        self.start(name)
+    }
+
     /// Kills a machine's process.
     pub fn kill(&mut self, name: &str) {
         for node in self.nodes.iter_mut().filter(|node| node.name == name) {
