--- a/system/chain/src/agreement/liveness.rs
+++ b/system/chain/src/agreement/liveness.rs
@@ -81,9 +81,9 @@
         let peer = self.peers.entry(from).or_default();
         peer.heard_at = peer.heard_at.max(Some(now));
         peer.epoch = heartbeat.epoch;
-        peer.ready = heartbeat.ready;
+        peer.ready = heartbeat.disk_ready;
         peer.sealed = heartbeat.sealed;
-        peer.hears = heartbeat.hears;
+        peer.hears = heartbeat.live_peers;
     }
 
     /// This process was paused: all that were heard of get another chance.
--- a/system/chain/src/agreement/mod.rs
+++ b/system/chain/src/agreement/mod.rs
@@ -75,7 +75,7 @@
             members: None,
             promised: None,
             accepted: None,
-            liveness: Liveness::new(settings.candidates),
+            liveness: Liveness::new(settings.max_candidates),
             proposer: Proposer::default(),
             heartbeat_at: Duration::ZERO,
             last_event: Duration::ZERO,
@@ -134,7 +134,7 @@
     pub fn start(&mut self, now: Duration) {
         self.heartbeat_at = now;
         self.last_event = now;
-        self.grace_until = now + self.settings.start_grace;
+        self.grace_until = now + self.settings.startup_grace_period;
         if let Some(members) = self.members.clone() {
             self.expect_voters(now, &members);
         }
@@ -179,7 +179,7 @@
 
     /// Notes that time has passed. After a pause of this process nobody's silence means anything.
     pub fn passed(&mut self, now: Duration) {
-        if now.saturating_sub(self.last_event) > self.settings.heartbeat * 2 {
+        if now.saturating_sub(self.last_event) > self.settings.heartbeat_interval * 2 {
             self.liveness.excuse(now);
         }
         self.last_event = now;
@@ -245,7 +245,7 @@
 
     pub fn on_tick(&mut self, now: Duration, status: Status, out: &mut Vec<AgreementAction>) {
         if self.heartbeat_at <= now {
-            self.heartbeat_at = now + self.settings.heartbeat;
+            self.heartbeat_at = now + self.settings.heartbeat_interval;
             self.send_heartbeats(now, status, out);
             self.consider(now, status, out);
         }
@@ -253,9 +253,9 @@
     }
 
     fn send_heartbeats(&self, now: Duration, status: Status, out: &mut Vec<AgreementAction>) {
-        let hears = self.liveness.hears(now, self.settings.suspect);
+        let live_peers = self.liveness.hears(now, self.settings.suspect_timeout);
         let sealed = self.promised.is_some();
-        let heartbeat = Heartbeat { epoch: self.epoch(), ready: status.disk_ready, sealed, hears };
+        let heartbeat = Heartbeat { epoch: self.epoch(), disk_ready: status.disk_ready, sealed, live_peers };
         for to in self.liveness.receivers(now, self.me, self.members.as_ref(), self.settings.replace_after) {
             let message = AgreementMessage::Heartbeat(heartbeat.clone());
             out.push(AgreementAction::Send { to, message });
--- a/system/chain/src/agreement/proposer.rs
+++ b/system/chain/src/agreement/proposer.rs
@@ -44,15 +44,15 @@
     }
 
     fn attempt_span(&self, settings: &ControlChainSettings) -> Duration {
-        settings.attempt * (1 << self.failures.min(MOST_DOUBLINGS))
+        settings.attempt_timeout * (1 << self.failures.min(MOST_DOUBLINGS))
     }
 
     pub fn next_timer(&self, settings: &ControlChainSettings) -> Option<Duration> {
         let attempt = self.attempt.as_ref()?;
         let given_up_at = attempt.started_at + self.attempt_span(settings);
-        let mut at = (attempt.sent_at + settings.heartbeat).min(given_up_at);
+        let mut at = (attempt.sent_at + settings.heartbeat_interval).min(given_up_at);
         if let Phase::Preparing { majority_at: Some(majority_at), .. } = attempt.phase {
-            at = at.min(majority_at + settings.promise_grace);
+            at = at.min(majority_at + settings.promise_grace_period);
         }
         Some(at)
     }
@@ -75,14 +75,14 @@
         let since = *self.proposer.wanted_since.get_or_insert(now);
         let before = &members.chain[..position];
         let rank = before.iter().filter(|member| !self.is_suspect(now, **member)).count() as u32;
-        let due = (since + self.settings.retry * rank).max(self.proposer.pause_until);
+        let due = (since + self.settings.retry_backoff * rank).max(self.proposer.pause_until);
         if due <= now && self.hears_majority(now, &members) {
             self.start_attempt(now, None, out);
         }
     }
 
     fn is_suspect(&self, now: Duration, member: MemberId) -> bool {
-        member != self.me && !self.liveness.is_live(now, member, self.settings.suspect)
+        member != self.me && !self.liveness.is_live(now, member, self.settings.suspect_timeout)
     }
 
     fn hears_majority(&self, now: Duration, members: &Membership) -> bool {
@@ -102,7 +102,7 @@
         let Some(members) = self.members.clone() else { return };
         let idle = self.proposer.attempt.is_none() && self.promised.is_none();
         let may = idle && status.serving && status.disk_ready && self.proposer.pause_until <= now;
-        let near = behind <= self.settings.learner_reach && !members.chain.contains(&member);
+        let near = behind <= self.settings.learner_max_lag && !members.chain.contains(&member);
         if !may || !near || !self.is_well_connected(now, member, &members) {
             return;
         }
@@ -204,7 +204,7 @@
         let Phase::Preparing { promises, majority_at: Some(majority_at) } = &attempt.phase else { return };
         let all =
             members.voters.iter().all(|voter| promises.contains_key(voter) || self.is_suspect(now, *voter));
-        if !all && *majority_at + self.settings.promise_grace > now {
+        if !all && *majority_at + self.settings.promise_grace_period > now {
             return;
         }
         let left_out =
@@ -270,14 +270,15 @@
     /// Somebody else is changing the view: gives it time.
     pub(super) fn make_way(&mut self, now: Duration, proposer: MemberId) {
         if proposer != self.me {
-            self.proposer.pause_until = self.proposer.pause_until.max(now + self.settings.attempt / 2);
+            self.proposer.pause_until =
+                self.proposer.pause_until.max(now + self.settings.attempt_timeout / 2);
         }
     }
 
     fn give_up(&mut self, now: Duration) {
         self.proposer.attempt = None;
         self.proposer.failures += 1;
-        let retry = self.settings.retry;
+        let retry = self.settings.retry_backoff;
         self.proposer.pause_until = now + retry + retry.mul_f64(2.0 * self.rng.f64());
     }
 
@@ -288,7 +289,7 @@
             self.give_up(now);
             return;
         }
-        if attempt.sent_at + self.settings.heartbeat <= now {
+        if attempt.sent_at + self.settings.heartbeat_interval <= now {
             attempt.sent_at = now;
             self.send_round(out);
         }
--- a/system/chain/src/agreement/value.rs
+++ b/system/chain/src/agreement/value.rs
@@ -68,7 +68,7 @@
     voters: &[MemberId],
 ) {
     for voter in voters.iter().filter(|voter| stays(voter)) {
-        if chain.len() >= present.min_chain() {
+        if chain.len() >= present.min_chain_length() {
             return;
         }
         if !chain.contains(voter) {
--- a/system/chain/src/control_chain.rs
+++ b/system/chain/src/control_chain.rs
@@ -43,15 +43,16 @@
     /// A member that starts again with what its disk holds. No record at all is the same as [`ControlChain::join`].
     /// The seed must differ from life to life.
     pub fn recover(me: MemberId, records: Vec<LogRecord>, settings: ControlChainSettings, seed: u64) -> Self {
-        let bounds = ReplicaSettings { min_chain: settings.fault_tolerance + 1, ..settings.replica.clone() };
+        let bounds =
+            ReplicaSettings { min_chain_length: settings.fault_tolerance + 1, ..settings.replica.clone() };
         let replica = Replica::recover(me, &records, bounds, seed);
-        let disk_suspect = settings.disk_suspect;
+        let disk_timeout = settings.disk_timeout;
         let mut agreement = Agreement::new(me, settings, seed);
         for record in &records {
             agreement.restore(record);
         }
         Self {
-            machines: Machines { agreement, replica, disk: Disk::default(), disk_suspect, founding: None },
+            machines: Machines { agreement, replica, disk: Disk::default(), disk_timeout, founding: None },
         }
     }
 
@@ -87,13 +88,13 @@
     }
 
     /// The last entry given to the host to apply. It is in the host's state once all actions so far are carried out.
-    pub fn applied(&self) -> u64 {
-        self.machines.replica.applied()
+    pub fn applied_index(&self) -> u64 {
+        self.machines.replica.applied_index()
     }
 
     /// Everything that must stay on the disk once the state after the last applied entry is encoded as `state`. The
     /// host writes these records after all that it was told to persist before, and may then drop all of that. It must
-    /// have done all the actions so far; [`ControlChain::applied`] names the state's entry. None while the state is
+    /// have done all the actions so far; [`ControlChain::applied_index`] names the state's entry. None while the state is
     /// being replaced by another member's: ask again later.
     pub fn checkpoint(&self, state: Vec<u8>) -> Option<Vec<LogRecord>> {
         let mut records = self.machines.replica.checkpoint(state)?;
--- a/system/chain/src/interface.rs
+++ b/system/chain/src/interface.rs
@@ -77,7 +77,7 @@
         reply: bool,
     },
     /// Encode the state and give [`ChainEvent::SnapshotReady`] with the number of the last [`ChainAction::Apply`] or
-    /// [`ChainAction::InstallSnapshot`] that was carried out, now or later. [`ControlChain::applied`](crate::ControlChain::applied) may be ahead of that
+    /// [`ChainAction::InstallSnapshot`] that was carried out, now or later. [`ControlChain::applied_index`](crate::ControlChain::applied_index) may be ahead of that
     /// while actions are still to be carried out.
     TakeSnapshot,
     /// Replace the state. Given after a start from a disk that holds a snapshot, and in catching up.
--- a/system/chain/src/members.rs
+++ b/system/chain/src/members.rs
@@ -70,7 +70,7 @@
     }
 
     /// The shortest chain that commits.
-    pub fn min_chain(&self) -> usize {
+    pub fn min_chain_length(&self) -> usize {
         self.fault_tolerance + 1
     }
 
--- a/system/chain/src/message.rs
+++ b/system/chain/src/message.rs
@@ -12,7 +12,7 @@
         /// Epoch of the view.
         epoch: u64,
         /// The sender's last entry.
-        last: u64,
+        last_index: u64,
         /// Whether the sender counts in this view already.
         in_sync: bool,
         /// Whether the sender is outside the chain.
@@ -28,13 +28,13 @@
         /// Epoch of the view.
         epoch: u64,
         /// Number of the first entry; the receiver must hold the one before.
-        first: u64,
+        first_index: u64,
         /// The commands, in order.
         commands: Vec<Vec<u8>>,
         /// Up to where the sender knows the log to be committed.
-        committed: u64,
+        commit_index: u64,
         /// Set once the sender counts in this view: a receiver that holds all up to here counts as well.
-        in_sync_at: Option<u64>,
+        in_sync_index: Option<u64>,
     },
     /// A part of a snapshot.
     SnapshotChunk {
@@ -63,9 +63,9 @@
         /// Epoch of the view.
         epoch: u64,
         /// The sender's last durable entry.
-        durable: u64,
+        durable_index: u64,
         /// Up to where the log is committed.
-        committed: u64,
+        commit_index: u64,
     },
     /// Is this view still in force for you?
     ConfirmView {
@@ -81,7 +81,7 @@
         /// The probe's round.
         round: u64,
         /// From the tail, if it is certain that nothing beyond was ever acknowledged: up to where the log is committed.
-        committed: Option<u64>,
+        commit_index: Option<u64>,
     },
     /// A numbered barrier, passed from the head to the tail.
     Barrier {
@@ -97,7 +97,7 @@
         /// Number of the barrier.
         number: u64,
         /// Up to where the tail had committed.
-        committed: u64,
+        commit_index: u64,
     },
     /// The message was of an old view.
     StaleEpoch {
@@ -121,11 +121,11 @@
     /// Epoch of the membership the sender knows (0: none).
     pub epoch: u64,
     /// Whether its disk answers.
-    pub ready: bool,
+    pub disk_ready: bool,
     /// Whether it has sealed that epoch, so that the next one must be decided.
     pub sealed: bool,
     /// Whom it has heard of lately.
-    pub hears: Vec<MemberId>,
+    pub live_peers: Vec<MemberId>,
 }
 
 /// A message of the vote on memberships.
--- a/system/chain/src/record.rs
+++ b/system/chain/src/record.rs
@@ -20,7 +20,7 @@
         /// The view.
         view: View,
         /// The last entry that stays.
-        after: u64,
+        last_index: u64,
     },
     /// This member has caught up in a view, and counts in it from here on.
     InSync {
@@ -39,7 +39,7 @@
         /// Its number.
         index: u64,
         /// Up to where the log was known to be committed when this was written.
-        committed: u64,
+        commit_index: u64,
         /// The command.
         command: Vec<u8>,
     },
--- a/system/chain/src/replica/barrier.rs
+++ b/system/chain/src/replica/barrier.rs
@@ -55,7 +55,7 @@
 impl Replica {
     pub(super) fn barrier_tick(&mut self, now: Duration, out: &mut Vec<ReplicaAction>) {
         let due = self.barrier_timer().is_some_and(|at| at <= now);
-        let Some(every) = self.settings.tick_every.filter(|_| due) else { return };
+        let Some(every) = self.settings.barrier_interval.filter(|_| due) else { return };
         self.barriers.next_at = now + every;
         if self.barriers.number >= self.barriers.reserved {
             self.reserve(out);
@@ -89,25 +89,25 @@
                 out.push(ReplicaAction::Send { to, message });
             }
             None => {
-                if let Some(committed) = self.certain_commit() {
-                    self.barrier_confirmed(number, committed, out);
+                if let Some(commit_index) = self.certain_commit() {
+                    self.barrier_confirmed(number, commit_index, out);
                 }
             }
         }
     }
 
-    fn barrier_confirmed(&mut self, number: u64, committed: u64, out: &mut Vec<ReplicaAction>) {
+    fn barrier_confirmed(&mut self, number: u64, commit_index: u64, out: &mut Vec<ReplicaAction>) {
         if number <= self.barriers.confirmed {
             return;
         }
         self.barriers.confirmed = number;
         // What the confirmation stands for comes first, as far as it is here.
-        self.log.commit(committed);
+        self.log.commit(commit_index);
         self.apply(out);
         let epoch = self.epoch();
-        out.push(ReplicaAction::BarrierCommitted { epoch, number, committed });
+        out.push(ReplicaAction::BarrierCommitted { epoch, number, commit_index });
         if let Some(to) = self.view.as_ref().and_then(|view| view.predecessor(self.me)) {
-            let message = ReplicaMessage::BarrierCommitted { epoch, number, committed };
+            let message = ReplicaMessage::BarrierCommitted { epoch, number, commit_index };
             out.push(ReplicaAction::Send { to, message });
         }
     }
@@ -122,16 +122,16 @@
         &mut self,
         from: MemberId,
         number: u64,
-        committed: u64,
+        commit_index: u64,
         out: &mut Vec<ReplicaAction>,
     ) {
         if self.view.as_ref().and_then(|view| view.successor(self.me)) == Some(from) {
-            self.barrier_confirmed(number, committed, out);
+            self.barrier_confirmed(number, commit_index, out);
         }
     }
 
     pub(super) fn barrier_timer(&self) -> Option<Duration> {
-        let sends = self.is_head() && self.is_serving() && self.settings.tick_every.is_some();
+        let sends = self.is_head() && self.is_serving() && self.settings.barrier_interval.is_some();
         sends.then_some(self.barriers.next_at)
     }
 }
--- a/system/chain/src/replica/feed.rs
+++ b/system/chain/src/replica/feed.rs
@@ -34,7 +34,7 @@
     state: FeedState,
     next: u64,
     acked: u64,
-    in_sync_at: Option<u64>,
+    in_sync_index: Option<u64>,
     /// When the member last moved on, or was last reminded.
     progress_at: Duration,
     /// When the member was last heard of.
@@ -44,7 +44,16 @@
 impl Feed {
     pub fn new(member: MemberId, learner: bool, now: Duration) -> Self {
         let state = FeedState::Waiting;
-        Self { member, learner, state, next: 0, acked: 0, in_sync_at: None, progress_at: now, heard_at: now }
+        Self {
+            member,
+            learner,
+            state,
+            next: 0,
+            acked: 0,
+            in_sync_index: None,
+            progress_at: now,
+            heard_at: now,
+        }
     }
 
     pub fn ask_at_once(&mut self) {
@@ -74,35 +83,38 @@
         &mut self,
         now: Duration,
         from: MemberId,
-        last: u64,
+        last_index: u64,
         in_sync: bool,
         learner: bool,
         out: &mut Vec<ReplicaAction>,
     ) {
-        if !self.is_serving() || last > self.log.durable() || (learner && !self.admit_learner(now, from)) {
+        if !self.is_serving()
+            || last_index > self.log.durable_index()
+            || (learner && !self.admit_learner(now, from))
+        {
             return;
         }
         if learner {
             // A learner holds nothing but committed entries: a tail that has started again may not know of them yet.
-            self.log.commit(last);
+            self.log.commit(last_index);
         }
-        let offset = self.log.offset();
-        let in_sync_at = (!in_sync && !learner).then(|| self.log.durable());
+        let offset = self.log.compacted_index();
+        let in_sync_index = (!in_sync && !learner).then(|| self.log.durable_index());
         let Some(feed) = self.feeds.iter_mut().find(|feed| feed.member == from && feed.learner == learner)
         else {
             return;
         };
         feed.heard_at = now;
         feed.progress_at = now;
-        feed.in_sync_at = in_sync_at;
-        if last < offset {
+        feed.in_sync_index = in_sync_index;
+        if last_index < offset {
             let index = self.snapshot.as_ref().map(|snapshot| snapshot.index);
             feed.state = FeedState::Snapshot { index, received: 0, sent: None };
             return;
         }
         feed.state = FeedState::Entries;
-        feed.acked = last;
-        feed.next = last + 1;
+        feed.acked = last_index;
+        feed.next = last_index + 1;
         self.send_batch(from, out);
         self.report_learner(from, out);
     }
@@ -116,9 +128,9 @@
             return true;
         }
         let learners = self.feeds.iter().filter(|feed| feed.learner).count();
-        if learners >= self.settings.learners {
+        if learners >= self.settings.max_learners {
             let oldest = self.feeds.iter().filter(|feed| feed.learner).map(|feed| feed.heard_at).min();
-            let idle = oldest.is_some_and(|at| at + self.settings.resend * 4 <= now);
+            let idle = oldest.is_some_and(|at| at + self.settings.resend_interval * 4 <= now);
             if !idle {
                 return false;
             }
@@ -132,36 +144,36 @@
         &mut self,
         now: Duration,
         from: MemberId,
-        durable: u64,
-        committed: u64,
+        durable_index: u64,
+        commit_index: u64,
         out: &mut Vec<ReplicaAction>,
     ) {
         let Some(feed) = self.feeds.iter_mut().find(|feed| feed.member == from) else { return };
         feed.heard_at = now;
         if let FeedState::Snapshot { index: Some(index), .. } = feed.state {
-            if durable >= index {
+            if durable_index >= index {
                 feed.state = FeedState::Entries;
-                feed.acked = durable;
-                feed.next = durable + 1;
+                feed.acked = durable_index;
+                feed.next = durable_index + 1;
                 feed.progress_at = now;
                 self.send_batch(from, out);
             }
-        } else if durable > feed.acked {
-            feed.acked = durable;
-            feed.next = feed.next.max(durable + 1);
+        } else if durable_index > feed.acked {
+            feed.acked = durable_index;
+            feed.next = feed.next.max(durable_index + 1);
             feed.progress_at = now;
         }
         if self.view.as_ref().and_then(|view| view.successor(self.me)) == Some(from) {
-            self.log.commit(committed);
+            self.log.commit(commit_index);
         }
         self.report_learner(from, out);
     }
 
     fn report_learner(&mut self, member: MemberId, out: &mut Vec<ReplicaAction>) {
-        let committed = self.log.committed();
+        let commit_index = self.log.commit_index();
         let feed = self.feeds.iter().find(|feed| feed.member == member && feed.learner);
         if let Some(feed) = feed.filter(|feed| feed.state == FeedState::Entries) {
-            let behind = committed.saturating_sub(feed.acked);
+            let behind = commit_index.saturating_sub(feed.acked);
             out.push(ReplicaAction::LearnerProgress { member, behind });
         }
     }
@@ -186,7 +198,7 @@
         _out: &mut Vec<ReplicaAction>,
     ) {
         self.snapshot_asked = false;
-        if index < self.log.offset() || index > self.log.applied() {
+        if index < self.log.compacted_index() || index > self.log.applied_index() {
             return;
         }
         self.snapshot = Some(HostSnapshot { index, bytes: Arc::new(bytes) });
@@ -216,15 +228,15 @@
 
     fn limit_for(&self, feed: &Feed) -> u64 {
         if feed.learner {
-            self.log.committed()
+            self.log.commit_index()
         } else {
-            self.log.durable()
+            self.log.durable_index()
         }
     }
 
     fn has_more_for(&self, member: MemberId) -> bool {
         let Some(feed) = self.feeds.iter().find(|feed| feed.member == member) else { return false };
-        let open = feed.next <= feed.acked + self.settings.window_entries;
+        let open = feed.next <= feed.acked + self.settings.max_inflight_entries;
         feed.state == FeedState::Entries && open && feed.next <= self.limit_for(feed)
     }
 
@@ -232,7 +244,7 @@
     fn send_batch(&mut self, member: MemberId, out: &mut Vec<ReplicaAction>) -> bool {
         let Some(position) = self.feeds.iter().position(|feed| feed.member == member) else { return false };
         let feed = &self.feeds[position];
-        if feed.next <= self.log.offset() {
+        if feed.next <= self.log.compacted_index() {
             let index = self.snapshot.as_ref().map(|snapshot| snapshot.index);
             self.feeds[position].state = FeedState::Snapshot { index, received: 0, sent: None };
             return false;
@@ -241,20 +253,20 @@
         let sent = commands.len() as u64;
         let message = ReplicaMessage::Append {
             epoch: self.epoch(),
-            first: feed.next,
+            first_index: feed.next,
             commands,
-            committed: self.log.committed(),
-            in_sync_at: feed.in_sync_at,
+            commit_index: self.log.commit_index(),
+            in_sync_index: feed.in_sync_index,
         };
         out.push(ReplicaAction::Send { to: member, message });
         self.feeds[position].next += sent;
         sent > 0
     }
 
-    fn batch(&self, first: u64, limit: u64) -> Vec<Vec<u8>> {
+    fn batch(&self, first_index: u64, limit: u64) -> Vec<Vec<u8>> {
         let mut commands = Vec::new();
         let mut bytes = 0;
-        for index in first..=limit {
+        for index in first_index..=limit {
             let Some(entry) = self.log.get(index) else { break };
             bytes += entry.command.len();
             let over = commands.len() >= self.settings.batch_entries || bytes > self.settings.batch_bytes;
@@ -272,7 +284,8 @@
             self.snapshot = None;
             return;
         }
-        let stale = self.snapshot.as_ref().is_some_and(|snapshot| snapshot.index < self.log.offset());
+        let stale =
+            self.snapshot.as_ref().is_some_and(|snapshot| snapshot.index < self.log.compacted_index());
         if stale {
             self.snapshot = None;
         }
@@ -294,8 +307,8 @@
         if !self.is_serving() {
             return;
         }
-        let resend = self.settings.resend;
-        let uncommitted = self.commits() && self.log.committed() < self.log.durable();
+        let resend = self.settings.resend_interval;
+        let uncommitted = self.commits() && self.log.commit_index() < self.log.durable_index();
         let due: Vec<_> = self
             .feeds
             .iter()
@@ -323,9 +336,9 @@
         if !self.is_serving() {
             return None;
         }
-        let uncommitted = self.commits() && self.log.committed() < self.log.durable();
+        let uncommitted = self.commits() && self.log.commit_index() < self.log.durable_index();
         let outstanding = self.feeds.iter().filter(|feed| feed.is_outstanding(uncommitted));
-        outstanding.map(|feed| feed.progress_at + self.settings.resend).min()
+        outstanding.map(|feed| feed.progress_at + self.settings.resend_interval).min()
     }
 }
 
--- a/system/chain/src/replica/install.rs
+++ b/system/chain/src/replica/install.rs
@@ -9,7 +9,7 @@
 impl Replica {
     pub(super) fn on_started(&mut self, now: Duration, out: &mut Vec<ReplicaAction>) {
         if let Some(bytes) = self.stored_state.take() {
-            out.push(ReplicaAction::InstallSnapshot { index: self.log.applied(), bytes });
+            out.push(ReplicaAction::InstallSnapshot { index: self.log.applied_index(), bytes });
         }
         if self.view.is_some() {
             self.in_force(now, out);
@@ -25,8 +25,8 @@
         let record = if in_sync {
             LogRecord::View { view: view.clone(), in_sync }
         } else {
-            self.log.truncate(self.log.committed());
-            LogRecord::Rejoined { view: view.clone(), after: self.log.committed() }
+            self.log.truncate(self.log.commit_index());
+            LogRecord::Rejoined { view: view.clone(), last_index: self.log.commit_index() }
         };
         let epoch = view.epoch;
         self.view = Some(view);
@@ -45,7 +45,7 @@
     /// predecessor.
     fn counts_in(&self, next: &View) -> bool {
         let Some(view) = &self.view else {
-            return next.epoch == 1 && next.contains(self.me) && self.log.last() == 0;
+            return next.epoch == 1 && next.contains(self.me) && self.log.last_index() == 0;
         };
         let before = |view: &View| -> Vec<MemberId> {
             view.chain.iter().copied().take_while(|member| *member != self.me).collect()
@@ -117,7 +117,7 @@
 
     /// Becomes full once all that the predecessor held when it was asked is durable here.
     pub(super) fn check_full(&mut self, out: &mut Vec<ReplicaAction>) {
-        let complete = self.intake.in_sync_at.is_some_and(|index| index <= self.log.durable());
+        let complete = self.intake.in_sync_index.is_some_and(|index| index <= self.log.durable_index());
         if !complete || self.in_sync || self.becoming_in_sync || !self.is_active() || !self.in_chain() {
             return;
         }
--- a/system/chain/src/replica/intake.rs
+++ b/system/chain/src/replica/intake.rs
@@ -17,9 +17,9 @@
     /// When it was last sent, or something came.
     heard_at: Duration,
     /// Up to where the source knows the log to be committed.
-    committed: u64,
+    commit_index: u64,
     /// What must be durable here to count in the view.
-    pub in_sync_at: Option<u64>,
+    pub in_sync_index: Option<u64>,
     assembly: Option<Assembly>,
     /// Whether a snapshot is being written.
     installing: bool,
@@ -60,7 +60,7 @@
         let learner = !self.in_chain();
         let message = ReplicaMessage::Resume {
             epoch: self.epoch(),
-            last: self.log.last(),
+            last_index: self.log.last_index(),
             in_sync: self.is_in_sync(),
             learner,
         };
@@ -79,16 +79,16 @@
         &mut self,
         now: Duration,
         from: MemberId,
-        first: u64,
+        first_index: u64,
         commands: Vec<Vec<u8>>,
-        committed: u64,
-        in_sync_at: Option<u64>,
+        commit_index: u64,
+        in_sync_index: Option<u64>,
         out: &mut Vec<ReplicaAction>,
     ) {
-        if self.intake.source != Some(from) || self.intake.installing || first == 0 {
+        if self.intake.source != Some(from) || self.intake.installing || first_index == 0 {
             return;
         }
-        if first > self.log.last() + 1 {
+        if first_index > self.log.last_index() + 1 {
             if !self.intake.awaiting {
                 self.send_resume(now, out);
             }
@@ -97,23 +97,23 @@
         self.intake.awaiting = false;
         self.intake.heard_at = now;
         self.intake.assembly = None;
-        self.intake.committed = self.intake.committed.max(committed);
-        self.intake.in_sync_at = self.intake.in_sync_at.or(in_sync_at);
-        let held = (self.log.last() + 1 - first) as usize;
+        self.intake.commit_index = self.intake.commit_index.max(commit_index);
+        self.intake.in_sync_index = self.intake.in_sync_index.or(in_sync_index);
+        let held = (self.log.last_index() + 1 - first_index) as usize;
         let epoch = self.epoch();
         let records: Vec<_> =
             commands.into_iter().skip(held).map(|command| self.log.append(epoch, command)).collect();
         if records.is_empty() {
             self.intake.acknowledged = None;
         } else {
-            let pending = Pending::Entries { up_to: self.log.last() };
+            let pending = Pending::Entries { up_to: self.log.last_index() };
             self.persist(records, pending, out);
         }
         self.commit_as_told();
     }
 
     pub(super) fn commit_as_told(&mut self) {
-        self.log.commit(self.intake.committed);
+        self.log.commit(self.intake.commit_index);
     }
 
     pub(super) fn on_chunk(
@@ -127,9 +127,9 @@
             return;
         }
         // A late `Resume` of this member may have asked for it: the acknowledgement ends that.
-        if chunk.index <= self.log.committed() || self.is_in_sync() {
-            let (durable, committed) = (self.log.durable(), self.log.committed());
-            let message = ReplicaMessage::Ack { epoch: self.epoch(), durable, committed };
+        if chunk.index <= self.log.commit_index() || self.is_in_sync() {
+            let (durable_index, commit_index) = (self.log.durable_index(), self.log.commit_index());
+            let message = ReplicaMessage::Ack { epoch: self.epoch(), durable_index, commit_index };
             out.push(ReplicaAction::Send { to: from, message });
             return;
         }
@@ -146,7 +146,7 @@
 
     /// Adds a part, and gives how much there is.
     fn assemble(&mut self, chunk: &Chunk) -> Option<u64> {
-        if chunk.total > self.settings.snapshot_bytes as u64 {
+        if chunk.total > self.settings.max_snapshot_bytes as u64 {
             return None;
         }
         let same = |assembly: &Assembly| assembly.index == chunk.index && assembly.total == chunk.total;
@@ -175,7 +175,7 @@
     pub(super) fn snapshot_durable(&mut self, index: u64, bytes: Vec<u8>, out: &mut Vec<ReplicaAction>) {
         self.intake.installing = false;
         self.intake.acknowledged = None;
-        if index > self.log.committed() {
+        if index > self.log.commit_index() {
             self.log.reset(index);
             self.recovered = self.recovered.max(index);
             out.push(ReplicaAction::InstallSnapshot { index, bytes });
@@ -185,12 +185,13 @@
     /// Tells the source what has become durable or committed here.
     pub(super) fn acknowledge(&mut self, out: &mut Vec<ReplicaAction>) {
         let Some(source) = self.intake.source else { return };
-        let state = (self.log.durable(), self.log.committed());
+        let state = (self.log.durable_index(), self.log.commit_index());
         if !self.is_active() || self.intake.awaiting_first() || self.intake.acknowledged == Some(state) {
             return;
         }
         self.intake.acknowledged = Some(state);
-        let message = ReplicaMessage::Ack { epoch: self.epoch(), durable: state.0, committed: state.1 };
+        let message =
+            ReplicaMessage::Ack { epoch: self.epoch(), durable_index: state.0, commit_index: state.1 };
         out.push(ReplicaAction::Send { to: source, message });
     }
 
@@ -206,10 +207,10 @@
             return None;
         }
         if self.intake.awaiting || (self.in_chain() && !self.in_sync) {
-            return Some(self.intake.heard_at + self.settings.resend);
+            return Some(self.intake.heard_at + self.settings.resend_interval);
         }
         let learner = !self.in_chain();
-        learner.then(|| self.intake.heard_at + self.settings.resend * LEARNER_IDLE_RESENDS)
+        learner.then(|| self.intake.heard_at + self.settings.resend_interval * LEARNER_IDLE_RESENDS)
     }
 }
 
--- a/system/chain/src/replica/interface.rs
+++ b/system/chain/src/replica/interface.rs
@@ -123,7 +123,7 @@
         /// Whether the member counted in it.
         in_sync: bool,
         /// The last entry.
-        last: u64,
+        last_index: u64,
     },
     /// This member holds everything committed before this epoch, and counts in its chain. Given in each view.
     BecameInSync {
@@ -144,7 +144,7 @@
         /// Number of the barrier; rises within an epoch, also over restarts.
         number: u64,
         /// Up to where the tail had committed.
-        committed: u64,
+        commit_index: u64,
     },
     /// A member knows a newer view than this one.
     OwnViewStale {
--- a/system/chain/src/replica/log.rs
+++ b/system/chain/src/replica/log.rs
@@ -1,6 +1,6 @@
 //! The entries of one replica that are held in memory, and how far they are durable, committed and applied.
 //!
-//! Always: `applied <= committed <= durable <= last`, and every entry after `applied` is held.
+//! Always: `applied_index <= commit_index <= durable_index <= last_index`, and every entry after `applied_index` is held.
 
 use std::collections::VecDeque;
 
@@ -16,40 +16,40 @@
 /// The entries and their positions.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Log {
-    /// Entries `offset + 1 ..= last`.
+    /// Entries `compacted_index + 1 ..= last_index`.
     entries: VecDeque<Entry>,
-    offset: u64,
+    compacted_index: u64,
     bytes: usize,
     unapplied_bytes: usize,
-    durable: u64,
-    committed: u64,
-    applied: u64,
+    durable_index: u64,
+    commit_index: u64,
+    applied_index: u64,
 }
 
 impl Log {
     /// Number of the last entry, durable or not.
-    pub fn last(&self) -> u64 {
-        self.offset + self.entries.len() as u64
+    pub fn last_index(&self) -> u64 {
+        self.compacted_index + self.entries.len() as u64
     }
 
     /// Number of the last synced entry.
-    pub fn durable(&self) -> u64 {
-        self.durable
+    pub fn durable_index(&self) -> u64 {
+        self.durable_index
     }
 
     /// Number of the last entry known to be committed and durable here.
-    pub fn committed(&self) -> u64 {
-        self.committed
+    pub fn commit_index(&self) -> u64 {
+        self.commit_index
     }
 
     /// Number of the last entry given to the host.
-    pub fn applied(&self) -> u64 {
-        self.applied
+    pub fn applied_index(&self) -> u64 {
+        self.applied_index
     }
 
     /// The number before the oldest entry still held.
-    pub fn offset(&self) -> u64 {
-        self.offset
+    pub fn compacted_index(&self) -> u64 {
+        self.compacted_index
     }
 
     /// Bytes of the commands that aren't applied.
@@ -61,8 +61,8 @@
     pub fn append(&mut self, epoch: u64, command: Vec<u8>) -> LogRecord {
         let record = LogRecord::Entry {
             epoch,
-            index: self.last() + 1,
-            committed: self.committed,
+            index: self.last_index() + 1,
+            commit_index: self.commit_index,
             command: command.clone(),
         };
         self.push(Entry { epoch, command });
@@ -77,46 +77,46 @@
 
     /// An entry that is still held.
     pub fn get(&self, index: u64) -> Option<&Entry> {
-        let position = index.checked_sub(self.offset + 1)?;
+        let position = index.checked_sub(self.compacted_index + 1)?;
         self.entries.get(usize::try_from(position).ok()?)
     }
 
     /// The entries up to here are synced. Entries that have become void since are no matter: no others are appended before
     /// the record that voids them is synced as well.
     pub fn synced(&mut self, up_to: u64) {
-        self.durable = self.durable.max(up_to.min(self.last()));
+        self.durable_index = self.durable_index.max(up_to.min(self.last_index()));
     }
 
     /// The entries up to here are committed; what isn't durable here doesn't count yet.
     pub fn commit(&mut self, up_to: u64) -> bool {
-        let committed = up_to.min(self.durable);
-        let risen = committed > self.committed;
-        self.committed = self.committed.max(committed);
+        let commit_index = up_to.min(self.durable_index);
+        let risen = commit_index > self.commit_index;
+        self.commit_index = self.commit_index.max(commit_index);
         risen
     }
 
     /// The next committed entry that wasn't applied, which then counts as applied.
     pub fn take_next(&mut self) -> Option<(u64, Vec<u8>)> {
-        if self.applied >= self.committed {
+        if self.applied_index >= self.commit_index {
             return None;
         }
-        let index = self.applied + 1;
+        let index = self.applied_index + 1;
         let command = self.get(index)?.command.clone();
-        self.applied = index;
+        self.applied_index = index;
         self.unapplied_bytes -= command.len();
         Some((index, command))
     }
 
     /// Drops the entries after a number.
     pub fn truncate(&mut self, after: u64) {
-        let after = after.max(self.committed);
-        while self.last() > after {
+        let after = after.max(self.commit_index);
+        while self.last_index() > after {
             if let Some(entry) = self.entries.pop_back() {
                 self.bytes -= entry.command.len();
                 self.unapplied_bytes -= entry.command.len();
             }
         }
-        self.durable = self.durable.min(after);
+        self.durable_index = self.durable_index.min(after);
     }
 
     /// Starts again from a state.
@@ -124,41 +124,41 @@
         self.entries.clear();
         self.bytes = 0;
         self.unapplied_bytes = 0;
-        self.offset = index;
-        self.durable = index;
-        self.committed = index;
-        self.applied = index;
+        self.compacted_index = index;
+        self.durable_index = index;
+        self.commit_index = index;
+        self.applied_index = index;
     }
 
     /// Drops applied entries beyond the bounds, the oldest first.
     pub fn trim(&mut self, most_entries: usize, most_bytes: usize) {
-        while self.applied > self.offset + most_entries as u64
-            || (self.applied > self.offset && self.bytes - self.unapplied_bytes > most_bytes)
+        while self.applied_index > self.compacted_index + most_entries as u64
+            || (self.applied_index > self.compacted_index && self.bytes - self.unapplied_bytes > most_bytes)
         {
             let Some(entry) = self.entries.pop_front() else { return };
             self.bytes -= entry.command.len();
-            self.offset += 1;
+            self.compacted_index += 1;
         }
     }
 
     /// Records of all the entries after a number.
     pub fn records_after(&self, index: u64) -> Vec<LogRecord> {
-        (index + 1..=self.last())
+        (index + 1..=self.last_index())
             .filter_map(|index| {
                 let entry = self.get(index)?;
                 let command = entry.command.clone();
-                Some(LogRecord::Entry { epoch: entry.epoch, index, committed: self.committed, command })
+                Some(LogRecord::Entry { epoch: entry.epoch, index, commit_index: self.commit_index, command })
             })
             .collect()
     }
 
     /// Takes back an entry from the disk. An entry out of order is left out.
-    pub fn restore(&mut self, epoch: u64, index: u64, committed: u64, command: Vec<u8>) {
-        if index != self.last() + 1 {
+    pub fn restore(&mut self, epoch: u64, index: u64, commit_index: u64, command: Vec<u8>) {
+        if index != self.last_index() + 1 {
             return;
         }
         self.push(Entry { epoch, command });
-        self.durable = index;
-        self.commit(committed);
+        self.durable_index = index;
+        self.commit(commit_index);
     }
 }
--- a/system/chain/src/replica/mod.rs
+++ b/system/chain/src/replica/mod.rs
@@ -155,18 +155,18 @@
     }
 
     /// The last entry given to the host.
-    pub fn applied(&self) -> u64 {
-        self.log.applied()
+    pub fn applied_index(&self) -> u64 {
+        self.log.applied_index()
     }
 
     /// The last entry known to be committed.
-    pub fn committed(&self) -> u64 {
-        self.log.committed()
+    pub fn commit_index(&self) -> u64 {
+        self.log.commit_index()
     }
 
     /// The last entry held, durable or not.
-    pub fn last(&self) -> u64 {
-        self.log.last()
+    pub fn last_index(&self) -> u64 {
+        self.log.last_index()
     }
 
     /// Takes part in nothing more of this epoch, as of now. The caller persists that before it tells anybody.
@@ -192,7 +192,7 @@
     }
 
     fn commits(&self) -> bool {
-        self.view.as_ref().is_some_and(|view| view.chain.len() >= self.settings.min_chain)
+        self.view.as_ref().is_some_and(|view| view.chain.len() >= self.settings.min_chain_length)
     }
 
     fn persist(&mut self, records: Vec<LogRecord>, pending: Pending, out: &mut Vec<ReplicaAction>) {
@@ -207,15 +207,15 @@
             out.push(ReplicaAction::NotHead { command, head });
             return;
         }
-        let uncommitted = self.log.last() - self.log.committed();
-        let too_many = uncommitted >= self.settings.uncommitted_entries
-            || self.log.unapplied_bytes() + command.len() > self.settings.uncommitted_bytes;
+        let uncommitted = self.log.last_index() - self.log.commit_index();
+        let too_many = uncommitted >= self.settings.max_uncommitted_entries
+            || self.log.unapplied_bytes() + command.len() > self.settings.max_uncommitted_bytes;
         if !self.is_serving() || too_many {
             out.push(ReplicaAction::Busy { command });
             return;
         }
         let record = self.log.append(self.epoch(), command);
-        let pending = Pending::Entries { up_to: self.log.last() };
+        let pending = Pending::Entries { up_to: self.log.last_index() };
         self.persist(vec![record], pending, out);
     }
 
@@ -263,12 +263,12 @@
         out: &mut Vec<ReplicaAction>,
     ) {
         match message {
-            ReplicaMessage::Resume { last, in_sync, learner, .. } => {
-                self.on_resume(now, from, last, in_sync, learner, out)
+            ReplicaMessage::Resume { last_index, in_sync, learner, .. } => {
+                self.on_resume(now, from, last_index, in_sync, learner, out)
             }
             ReplicaMessage::RequestResume { .. } => self.on_ask_resume(now, from, out),
-            ReplicaMessage::Append { first, commands, committed, in_sync_at, .. } => {
-                self.on_append(now, from, first, commands, committed, in_sync_at, out)
+            ReplicaMessage::Append { first_index, commands, commit_index, in_sync_index, .. } => {
+                self.on_append(now, from, first_index, commands, commit_index, in_sync_index, out)
             }
             ReplicaMessage::SnapshotChunk { index, total, offset, bytes, .. } => {
                 self.on_chunk(now, from, intake::Chunk { index, total, offset, bytes }, out)
@@ -276,12 +276,16 @@
             ReplicaMessage::SnapshotChunkAck { index, received, .. } => {
                 self.on_chunk_ack(now, from, index, received)
             }
-            ReplicaMessage::Ack { durable, committed, .. } => self.on_ack(now, from, durable, committed, out),
+            ReplicaMessage::Ack { durable_index, commit_index, .. } => {
+                self.on_ack(now, from, durable_index, commit_index, out)
+            }
             ReplicaMessage::ConfirmView { round, .. } => self.on_probe(from, round, out),
-            ReplicaMessage::ViewConfirmed { round, committed, .. } => self.on_confirm(from, round, committed),
+            ReplicaMessage::ViewConfirmed { round, commit_index, .. } => {
+                self.on_confirm(from, round, commit_index)
+            }
             ReplicaMessage::Barrier { number, .. } => self.on_barrier(from, number, out),
-            ReplicaMessage::BarrierCommitted { number, committed, .. } => {
-                self.on_barrier_done(from, number, committed, out)
+            ReplicaMessage::BarrierCommitted { number, commit_index, .. } => {
+                self.on_barrier_done(from, number, commit_index, out)
             }
             ReplicaMessage::StaleEpoch { .. } => {}
         }
@@ -302,7 +306,7 @@
             Pending::Full { epoch } if epoch == self.epoch() => self.now_full(epoch, out),
             Pending::Sealed { epoch } => {
                 let in_sync = self.is_in_sync() && epoch == self.epoch();
-                out.push(ReplicaAction::Sealed { epoch, in_sync, last: self.log.last() })
+                out.push(ReplicaAction::Sealed { epoch, in_sync, last_index: self.log.last_index() })
             }
             Pending::Snapshot { index, bytes } => self.snapshot_durable(index, bytes, out),
             Pending::Barriers { epoch, reserved } => self.barriers.reserved(epoch == self.epoch(), reserved),
@@ -323,7 +327,7 @@
 
     fn commit_as_tail(&mut self) {
         if self.is_serving() && self.is_tail() && self.commits() {
-            self.log.commit(self.log.durable());
+            self.log.commit(self.log.durable_index());
         }
     }
 
--- a/system/chain/src/replica/reads.rs
+++ b/system/chain/src/replica/reads.rs
@@ -77,7 +77,7 @@
 
 impl Replica {
     pub(super) fn on_read(&mut self, now: Duration, token: u64, out: &mut Vec<ReplicaAction>) {
-        if self.reads.len() >= self.settings.reads {
+        if self.reads.len() >= self.settings.max_reads {
             out.push(ReplicaAction::ReadFailed { token });
             return;
         }
@@ -90,25 +90,25 @@
             return None;
         }
         self.commit_as_tail();
-        let complete = self.log.committed() == self.log.last();
-        (self.commits() || complete).then(|| self.log.committed())
+        let complete = self.log.commit_index() == self.log.last_index();
+        (self.commits() || complete).then(|| self.log.commit_index())
     }
 
     pub(super) fn on_probe(&mut self, from: MemberId, round: u64, out: &mut Vec<ReplicaAction>) {
         if !self.in_chain() {
             return;
         }
-        let committed = self.certain_commit();
-        let message = ReplicaMessage::ViewConfirmed { epoch: self.epoch(), round, committed };
+        let commit_index = self.certain_commit();
+        let message = ReplicaMessage::ViewConfirmed { epoch: self.epoch(), round, commit_index };
         out.push(ReplicaAction::Send { to: from, message });
     }
 
-    pub(super) fn on_confirm(&mut self, from: MemberId, number: u64, committed: Option<u64>) {
+    pub(super) fn on_confirm(&mut self, from: MemberId, number: u64, commit_index: Option<u64>) {
         let tail = self.view.as_ref().and_then(|view| view.tail());
         let Some(round) = self.reads.round.as_mut().filter(|round| round.number == number) else { return };
         if tail == Some(from) {
-            let Some(committed) = committed else { return };
-            round.required = round.required.max(committed);
+            let Some(commit_index) = commit_index else { return };
+            round.required = round.required.max(commit_index);
         }
         round.missing.retain(|member| *member != from);
     }
@@ -120,9 +120,9 @@
             self.start_round(now, out);
             self.end_round();
         }
-        let applied = self.log.applied();
-        for (_, read) in take_where(&mut self.reads.confirmed, |(required, _)| *required <= applied) {
-            out.push(ReplicaAction::ReadReady { token: read.token, index: applied });
+        let applied_index = self.log.applied_index();
+        for (_, read) in take_where(&mut self.reads.confirmed, |(required, _)| *required <= applied_index) {
+            out.push(ReplicaAction::ReadReady { token: read.token, index: applied_index });
         }
         for token in self.reads.expire(now) {
             out.push(ReplicaAction::ReadFailed { token });
@@ -171,7 +171,7 @@
 
     /// Asks again those that haven't answered; a tail that wasn't certain looks at itself again.
     pub(super) fn reads_tick(&mut self, now: Duration, out: &mut Vec<ReplicaAction>) {
-        let resend = self.settings.resend;
+        let resend = self.settings.resend_interval;
         let me = self.me;
         let Some(round) = self.reads.round.as_mut() else { return };
         if round.asked_at + resend > now {
@@ -188,7 +188,7 @@
     }
 
     pub(super) fn reads_timer(&self) -> Option<Duration> {
-        let again = self.reads.round.as_ref().map(|round| round.asked_at + self.settings.resend);
+        let again = self.reads.round.as_ref().map(|round| round.asked_at + self.settings.resend_interval);
         let deadline = self.reads.next_deadline();
         again.into_iter().chain(deadline).min()
     }
--- a/system/chain/src/replica/recovery.rs
+++ b/system/chain/src/replica/recovery.rs
@@ -13,21 +13,21 @@
         for record in records {
             replica.restore(record);
         }
-        replica.recovered = replica.log.committed();
+        replica.recovered = replica.log.commit_index();
         replica
     }
 
     fn restore(&mut self, record: &LogRecord) {
         match record {
             LogRecord::View { view, in_sync } => self.restore_view(view, *in_sync),
-            LogRecord::Rejoined { view, after } => {
+            LogRecord::Rejoined { view, last_index } => {
                 self.restore_view(view, false);
-                self.log.truncate(*after);
+                self.log.truncate(*last_index);
             }
             LogRecord::InSync { epoch } if *epoch == self.epoch() => self.in_sync = true,
             LogRecord::Sealed { epoch } => self.seal_in_memory(*epoch),
-            LogRecord::Entry { epoch, index, committed, command } => {
-                self.log.restore(*epoch, *index, *committed, command.clone())
+            LogRecord::Entry { epoch, index, commit_index, command } => {
+                self.log.restore(*epoch, *index, *commit_index, command.clone())
             }
             LogRecord::Snapshot { index, bytes } => {
                 self.log.reset(*index);
@@ -52,14 +52,14 @@
         self.in_sync = in_sync;
     }
 
-    /// Everything that must stay on the disk once the state after [`Replica::applied`] is encoded as `state`. The host
+    /// Everything that must stay on the disk once the state after [`Replica::applied_index`] is encoded as `state`. The host
     /// writes it after all that was to be persisted before, and may then drop all of that. None while a snapshot from
     /// another member is being written; ask again later.
     pub fn checkpoint(&self, state: Vec<u8>) -> Option<Vec<LogRecord>> {
         if self.intake.is_installing() {
             return None;
         }
-        let mut records = vec![LogRecord::Snapshot { index: self.log.applied(), bytes: state }];
+        let mut records = vec![LogRecord::Snapshot { index: self.log.applied_index(), bytes: state }];
         if let Some(view) = &self.view {
             // What is being written counts: it is on the disk before these records are.
             let in_sync = self.in_sync || self.becoming_in_sync;
@@ -69,7 +69,7 @@
         if self.sealed > 0 {
             records.push(LogRecord::Sealed { epoch: self.sealed });
         }
-        records.extend(self.log.records_after(self.log.applied()));
+        records.extend(self.log.records_after(self.log.applied_index()));
         Some(records)
     }
 
--- a/system/chain/src/settings.rs
+++ b/system/chain/src/settings.rs
@@ -6,17 +6,17 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReplicaSettings {
     /// The shortest chain that commits: one more than the disks that may be lost at once.
-    pub min_chain: usize,
+    pub min_chain_length: usize,
     /// Most entries in one message.
     pub batch_entries: usize,
     /// Most bytes of commands in one message (a single larger command goes alone).
     pub batch_bytes: usize,
     /// Most entries on their way to a successor without its acknowledgement.
-    pub window_entries: u64,
+    pub max_inflight_entries: u64,
     /// Most entries the head holds that aren't committed; more are refused as busy.
-    pub uncommitted_entries: u64,
+    pub max_uncommitted_entries: u64,
     /// Most bytes of commands the head holds that aren't committed.
-    pub uncommitted_bytes: usize,
+    pub max_uncommitted_bytes: usize,
     /// Committed entries kept in memory for members that come back.
     pub retain_entries: usize,
     /// Bytes of committed entries kept in memory for members that come back.
@@ -24,37 +24,37 @@
     /// Bytes of a snapshot in one message.
     pub chunk_bytes: usize,
     /// Largest snapshot taken from another member.
-    pub snapshot_bytes: usize,
+    pub max_snapshot_bytes: usize,
     /// Sent again when not acknowledged for this long.
-    pub resend: Duration,
+    pub resend_interval: Duration,
     /// A read that isn't confirmed by then fails.
     pub read_timeout: Duration,
     /// Most reads that wait at once.
-    pub reads: usize,
+    pub max_reads: usize,
     /// Most members outside the chain that a tail feeds at once.
-    pub learners: usize,
+    pub max_learners: usize,
     /// Time between the numbered barriers that the head sends through the chain; none: it sends none.
-    pub tick_every: Option<Duration>,
+    pub barrier_interval: Option<Duration>,
 }
 
 impl Default for ReplicaSettings {
     fn default() -> Self {
         Self {
-            min_chain: 2,
+            min_chain_length: 2,
             batch_entries: 256,
             batch_bytes: 256 * 1024,
-            window_entries: 2048,
-            uncommitted_entries: 4096,
-            uncommitted_bytes: 8 * 1024 * 1024,
+            max_inflight_entries: 2048,
+            max_uncommitted_entries: 4096,
+            max_uncommitted_bytes: 8 * 1024 * 1024,
             retain_entries: 1024,
             retain_bytes: 4 * 1024 * 1024,
             chunk_bytes: 128 * 1024,
-            snapshot_bytes: 64 * 1024 * 1024,
-            resend: Duration::from_millis(200),
+            max_snapshot_bytes: 64 * 1024 * 1024,
+            resend_interval: Duration::from_millis(200),
             read_timeout: Duration::from_millis(1000),
-            reads: 1024,
-            learners: 4,
-            tick_every: None,
+            max_reads: 1024,
+            max_learners: 4,
+            barrier_interval: None,
         }
     }
 }
@@ -67,27 +67,27 @@
     /// How many voters to strive for; at least `2 * fault_tolerance + 1`.
     pub target_voters: usize,
     /// Time between heartbeats.
-    pub heartbeat: Duration,
+    pub heartbeat_interval: Duration,
     /// A member not heard of for this long is left out of the chain.
-    pub suspect: Duration,
-    /// How much longer than `suspect` the others may be silent after this process has started.
-    pub start_grace: Duration,
+    pub suspect_timeout: Duration,
+    /// How much longer than `suspect_timeout` the others may be silent after this process has started.
+    pub startup_grace_period: Duration,
     /// A voter not heard of for this long is replaced, where another member stands ready.
     pub replace_after: Duration,
     /// A member whose disk hasn't answered for this long leaves the chain by itself.
-    pub disk_suspect: Duration,
+    pub disk_timeout: Duration,
     /// How long a proposer with a majority waits for the other members that live.
-    pub promise_grace: Duration,
+    pub promise_grace_period: Duration,
     /// An attempt to change the view is given up after this; after failures after up to four times this.
-    pub attempt: Duration,
+    pub attempt_timeout: Duration,
     /// Shortest pause before the next attempt; the pause is drawn up to three times this. Also the lead of each member
     /// of the chain over the next one in proposing.
-    pub retry: Duration,
+    pub retry_backoff: Duration,
     /// A learner at most this many entries behind is taken into the chain.
-    pub learner_reach: u64,
+    pub learner_max_lag: u64,
     /// Most members known that are no voters.
-    pub candidates: usize,
-    /// Bounds of the replica. `min_chain` is taken from `fault_tolerance`.
+    pub max_candidates: usize,
+    /// Bounds of the replica. `min_chain_length` is taken from `fault_tolerance`.
     pub replica: ReplicaSettings,
 }
 
@@ -95,23 +95,23 @@
     /// The usual settings for a fault tolerance.
     pub fn new(fault_tolerance: usize) -> Self {
         let replica = ReplicaSettings {
-            min_chain: fault_tolerance + 1,
-            tick_every: Some(Duration::from_millis(250)),
+            min_chain_length: fault_tolerance + 1,
+            barrier_interval: Some(Duration::from_millis(250)),
             ..ReplicaSettings::default()
         };
         Self {
             fault_tolerance,
             target_voters: 2 * fault_tolerance + 1,
-            heartbeat: Duration::from_millis(150),
-            suspect: Duration::from_millis(700),
-            start_grace: Duration::from_millis(700),
+            heartbeat_interval: Duration::from_millis(150),
+            suspect_timeout: Duration::from_millis(700),
+            startup_grace_period: Duration::from_millis(700),
             replace_after: Duration::from_secs(3),
-            disk_suspect: Duration::from_secs(1),
-            promise_grace: Duration::from_millis(200),
-            attempt: Duration::from_millis(700),
-            retry: Duration::from_millis(150),
-            learner_reach: 256,
-            candidates: 16,
+            disk_timeout: Duration::from_secs(1),
+            promise_grace_period: Duration::from_millis(200),
+            attempt_timeout: Duration::from_millis(700),
+            retry_backoff: Duration::from_millis(150),
+            learner_max_lag: 256,
+            max_candidates: 16,
             replica,
         }
     }
--- a/system/chain/src/turn.rs
+++ b/system/chain/src/turn.rs
@@ -16,7 +16,7 @@
     pub replica: Replica,
     pub disk: Disk,
     /// A disk that takes longer than this does not answer.
-    pub disk_suspect: Duration,
+    pub disk_timeout: Duration,
     /// The first membership, where this member founds the group.
     pub founding: Option<Membership>,
 }
@@ -89,7 +89,7 @@
         Status {
             in_sync: self.machines.replica.is_in_sync(),
             serving: self.machines.replica.is_serving(),
-            disk_ready: self.machines.disk.is_ready(self.now, self.machines.disk_suspect),
+            disk_ready: self.machines.disk.is_ready(self.now, self.machines.disk_timeout),
         }
     }
 
@@ -234,8 +234,8 @@
         ReplicaAction::NotHead { command, head } => ChainAction::NotHead { command, head },
         ReplicaAction::Busy { command } => ChainAction::Busy { command },
         ReplicaAction::BecameInSync { epoch } => ChainAction::BecameInSync { epoch },
-        ReplicaAction::BarrierCommitted { epoch, number, committed } => {
-            ChainAction::BarrierCommitted { epoch, number, commit_index: committed }
+        ReplicaAction::BarrierCommitted { epoch, number, commit_index } => {
+            ChainAction::BarrierCommitted { epoch, number, commit_index }
         }
         _ => return None,
     })
--- a/system/chain/tests/golden.rs
+++ b/system/chain/tests/golden.rs
@@ -76,27 +76,36 @@
 }
 
 fn heartbeat() -> Heartbeat {
-    Heartbeat { epoch: 51, ready: true, sealed: false, hears: vec![MemberId(7)] }
+    Heartbeat { epoch: 51, disk_ready: true, sealed: false, live_peers: vec![MemberId(7)] }
 }
 
 fn replica_messages() -> Vec<(&'static str, ReplicaMessage)> {
     let commands = vec![vec![1, 2], Vec::new()];
     vec![
-        ("resume", ReplicaMessage::Resume { epoch: 1, last: 2, in_sync: true, learner: false }),
-        ("resume of a learner", ReplicaMessage::Resume { epoch: 1, last: 2, in_sync: false, learner: true }),
+        ("resume", ReplicaMessage::Resume { epoch: 1, last_index: 2, in_sync: true, learner: false }),
+        (
+            "resume of a learner",
+            ReplicaMessage::Resume { epoch: 1, last_index: 2, in_sync: false, learner: true },
+        ),
         ("ask resume", ReplicaMessage::RequestResume { epoch: 3 }),
         (
             "append",
-            ReplicaMessage::Append { epoch: 4, first: 5, commands, committed: 6, in_sync_at: Some(7) },
+            ReplicaMessage::Append {
+                epoch: 4,
+                first_index: 5,
+                commands,
+                commit_index: 6,
+                in_sync_index: Some(7),
+            },
         ),
         (
             "append bare",
             ReplicaMessage::Append {
                 epoch: 4,
-                first: 5,
+                first_index: 5,
                 commands: Vec::new(),
-                committed: 6,
-                in_sync_at: None,
+                commit_index: 6,
+                in_sync_index: None,
             },
         ),
         (
@@ -104,12 +113,12 @@
             ReplicaMessage::SnapshotChunk { epoch: 8, index: 9, total: 10, offset: 11, bytes: vec![12, 13] },
         ),
         ("chunk ack", ReplicaMessage::SnapshotChunkAck { epoch: 14, index: 15, received: 16 }),
-        ("ack", ReplicaMessage::Ack { epoch: 17, durable: 18, committed: 19 }),
+        ("ack", ReplicaMessage::Ack { epoch: 17, durable_index: 18, commit_index: 19 }),
         ("probe", ReplicaMessage::ConfirmView { epoch: 20, round: 21 }),
-        ("confirm", ReplicaMessage::ViewConfirmed { epoch: 22, round: 23, committed: Some(24) }),
-        ("confirm bare", ReplicaMessage::ViewConfirmed { epoch: 22, round: 23, committed: None }),
+        ("confirm", ReplicaMessage::ViewConfirmed { epoch: 22, round: 23, commit_index: Some(24) }),
+        ("confirm bare", ReplicaMessage::ViewConfirmed { epoch: 22, round: 23, commit_index: None }),
         ("barrier", ReplicaMessage::Barrier { epoch: 25, number: 26 }),
-        ("barrier done", ReplicaMessage::BarrierCommitted { epoch: 27, number: 28, committed: 29 }),
+        ("barrier done", ReplicaMessage::BarrierCommitted { epoch: 27, number: 28, commit_index: 29 }),
         ("newer", ReplicaMessage::StaleEpoch { epoch: 30 }),
     ]
 }
@@ -135,10 +144,10 @@
 fn records() -> Vec<(&'static str, LogRecord)> {
     vec![
         ("view", LogRecord::View { view: view(), in_sync: true }),
-        ("rejoined", LogRecord::Rejoined { view: view(), after: 1 }),
+        ("rejoined", LogRecord::Rejoined { view: view(), last_index: 1 }),
         ("full", LogRecord::InSync { epoch: 2 }),
         ("sealed", LogRecord::Sealed { epoch: 3 }),
-        ("entry", LogRecord::Entry { epoch: 4, index: 5, committed: 6, command: vec![7, 8] }),
+        ("entry", LogRecord::Entry { epoch: 4, index: 5, commit_index: 6, command: vec![7, 8] }),
         ("snapshot", LogRecord::Snapshot { index: 9, bytes: vec![10, 11] }),
         ("barriers", LogRecord::BarrierReservation { epoch: 12, reserved: 13 }),
         ("members", LogRecord::Membership { members: members() }),
--- a/system/chain/tests/model/group.rs
+++ b/system/chain/tests/model/group.rs
@@ -65,7 +65,7 @@
     /// Founders that have started and know each other.
     pub fn founded(fault_tolerance: usize) -> Self {
         let mut settings = ControlChainSettings::new(fault_tolerance);
-        settings.replica.tick_every = None;
+        settings.replica.barrier_interval = None;
         settings.replica.retain_entries = 2;
         let founders: Vec<MemberId> = (1..=2 * fault_tolerance as u64 + 1).map(MemberId).collect();
         let nodes = founders.iter().map(|founder| Node::founder(*founder, &founders, &settings)).collect();
@@ -169,8 +169,9 @@
         }
         let from = &self.nodes[other];
         let epoch = from.chain.members().map_or(0, |members| members.epoch);
-        let hears = self.nodes.iter().map(|node| node.identity).collect();
-        let heartbeat = Heartbeat { epoch, ready: true, sealed: epoch > 0 && from.sealed == epoch, hears };
+        let live_peers = self.nodes.iter().map(|node| node.identity).collect();
+        let heartbeat =
+            Heartbeat { epoch, disk_ready: true, sealed: epoch > 0 && from.sealed == epoch, live_peers };
         let message = ChainMessage::Agreement(AgreementMessage::Heartbeat(heartbeat));
         let from = from.identity;
         self.event(place, ChainEvent::Message { from, message });
--- a/system/chain/tests/not_full.rs
+++ b/system/chain/tests/not_full.rs
@@ -56,10 +56,10 @@
         let commands = (first..=last).map(|index| vec![index as u8]).collect();
         self.message(ReplicaMessage::Append {
             epoch: EPOCH,
-            first,
+            first_index: first,
             commands,
-            committed: 0,
-            in_sync_at: Some(5),
+            commit_index: 0,
+            in_sync_index: Some(5),
         });
     }
 
@@ -99,7 +99,10 @@
     });
     let counts = |member: &Member| {
         let acknowledged = |action: &ReplicaAction| {
-            matches!(action, ReplicaAction::Send { message: ReplicaMessage::Ack { durable: 4.., .. }, .. })
+            matches!(
+                action,
+                ReplicaAction::Send { message: ReplicaMessage::Ack { durable_index: 4.., .. }, .. }
+            )
         };
         let installed = ReplicaAction::InstallSnapshot { index: 4, bytes: bytes.clone() };
         (member.actions.iter().any(acknowledged), member.actions.contains(&installed))
--- a/system/chain/tests/partition/main.rs
+++ b/system/chain/tests/partition/main.rs
@@ -38,13 +38,13 @@
     let view = |epoch| View { epoch, chain: vec![MemberId(1)] };
     let records = vec![
         LogRecord::View { view: view(1), in_sync: true },
-        LogRecord::Entry { epoch: 1, index: 1, committed: 0, command: vec![1] },
-        LogRecord::Entry { epoch: 1, index: 2, committed: 1, command: vec![2] },
-        LogRecord::Rejoined { view: view(3), after: 1 },
-        LogRecord::Entry { epoch: 3, index: 2, committed: 1, command: vec![3] },
+        LogRecord::Entry { epoch: 1, index: 1, commit_index: 0, command: vec![1] },
+        LogRecord::Entry { epoch: 1, index: 2, commit_index: 1, command: vec![2] },
+        LogRecord::Rejoined { view: view(3), last_index: 1 },
+        LogRecord::Entry { epoch: 3, index: 2, commit_index: 1, command: vec![3] },
         LogRecord::InSync { epoch: 3 },
     ];
-    let settings = ReplicaSettings { min_chain: 1, ..ReplicaSettings::default() };
+    let settings = ReplicaSettings { min_chain_length: 1, ..ReplicaSettings::default() };
     let mut replica = Replica::recover(MemberId(1), &records, settings, 1);
     let mut out = Vec::new();
     replica.handle(Duration::ZERO, ReplicaEvent::Started, &mut out);
--- a/system/chain/tests/partition/world.rs
+++ b/system/chain/tests/partition/world.rs
@@ -88,9 +88,9 @@
 impl Partition {
     pub fn new(seed: u64, places: usize) -> Self {
         let settings = ReplicaSettings {
-            min_chain: CHAIN,
+            min_chain_length: CHAIN,
             batch_entries: 4,
-            window_entries: 16,
+            max_inflight_entries: 16,
             retain_entries: 20,
             chunk_bytes: 16,
             ..ReplicaSettings::default()
@@ -287,7 +287,7 @@
     pub fn checkpoint(&mut self, place: usize) {
         let host = &mut self.places[place];
         let Some(replica) = &host.replica else { return };
-        if replica.applied() != host.applied {
+        if replica.applied_index() != host.applied {
             return;
         }
         if let Some(records) = replica.checkpoint(encode(host)) {
--- a/system/chain/tests/world/host.rs
+++ b/system/chain/tests/world/host.rs
@@ -107,7 +107,7 @@
         let host = &mut self.hosts[place];
         let Some(process) = &host.process else { return };
         // A host that is in the middle of its actions has applied less than the machine gave out.
-        if process.chain.applied() != host.applied {
+        if process.chain.applied_index() != host.applied {
             return;
         }
         let state = host.encode();
--- a/system/chain/tests/world/mod.rs
+++ b/system/chain/tests/world/mod.rs
@@ -108,7 +108,7 @@
     pub fn new(seed: u64, shape: Shape) -> Self {
         let mut settings = ControlChainSettings::new(shape.fault_tolerance);
         settings.replica.batch_entries = 4;
-        settings.replica.window_entries = 16;
+        settings.replica.max_inflight_entries = 16;
         settings.replica.retain_entries = 20;
         settings.replica.chunk_bytes = 16;
         let founders: Vec<_> = (0..shape.founders).map(|place| MemberId(place as u64 + 1)).collect();
--- a/system/control/src/node/status.rs
+++ b/system/control/src/node/status.rs
@@ -53,7 +53,7 @@
             "voters": members.map(|members| names(&members.voters)),
             "chain": members.map(|members| names(&members.chain)),
             "serving": self.chain.is_serving(),
-            "applied": self.chain.applied(),
+            "applied": self.chain.applied_index(),
             "configurationVersion": self.state.configuration().version(),
             "namedVersions": self.state.versions(),
             "fencingToken": self.state.fence_token(),
--- a/system/control/tests/golden_disk.rs
+++ b/system/control/tests/golden_disk.rs
@@ -118,7 +118,7 @@
 }
 
 fn entry(epoch: u64, index: u64, committed: u64) -> LogRecord {
-    LogRecord::Entry { epoch, index, committed, command: submission(index) }
+    LogRecord::Entry { epoch, index, commit_index: committed, command: submission(index) }
 }
 
 /// The state after the first entries.
@@ -146,7 +146,7 @@
             members: members(2, &[SECOND, ME]),
         },
         LogRecord::Membership { members: members(2, &[SECOND, ME]) },
-        LogRecord::Rejoined { view: view(2, &[SECOND, ME]), after: 10 },
+        LogRecord::Rejoined { view: view(2, &[SECOND, ME]), last_index: 10 },
         LogRecord::InSync { epoch: 2 },
         entry(2, 11, 10),
         entry(2, 12, 11),
@@ -166,7 +166,7 @@
 
 /// What the write in the middle of which the power goes would have added.
 fn last_records() -> Vec<DiskRecord> {
-    let large = LogRecord::Entry { epoch: 2, index: 14, committed: 13, command: vec![0x5a; 3000] };
+    let large = LogRecord::Entry { epoch: 2, index: 14, commit_index: 13, command: vec![0x5a; 3000] };
     vec![DiskRecord::Chain(large), DiskRecord::Book(Vec::new())]
 }
 
@@ -285,7 +285,7 @@
     let (_, kept) = open(&laid_out("control.txt", "chain"));
     let (chain, state) = start_chain(kept.chain);
     assert!(chain.members() == Some(&members(2, &[SECOND, ME])), "the membership");
-    assert_eq!(chain.applied(), LAST_COMMITTED);
+    assert_eq!(chain.applied_index(), LAST_COMMITTED);
     assert!(state == state_after(LAST_COMMITTED), "the state");
     assert_eq!(state.fence_token(), 2);
     assert_eq!(state.versions()["model-b"], u64::MAX);
--- a/system/jobs/src/partition/mod.rs
+++ b/system/jobs/src/partition/mod.rs
@@ -131,7 +131,7 @@
     fn is_certainly_full(&self, record: &PartitionRecord) -> bool {
         let missed = record.epoch.saturating_sub(self.replica.epoch() + 1);
         let counted = match self.replica.view() {
-            None => self.replica.last() == 0,
+            None => self.replica.last_index() == 0,
             Some(_) => self.replica.is_in_sync(),
         };
         counted && (1..=MOST_SKIPPED_VIEWS).contains(&missed) && record.in_sync.contains(&self.me.0)
@@ -296,7 +296,7 @@
     /// an older chain never brings this member back.
     fn drop_copy_if_left(&mut self, context: &mut Context<'_>) {
         let Some(view) = self.replica.view().filter(|view| !view.contains(self.me)).cloned() else { return };
-        if self.replica.last() == 0 {
+        if self.replica.last_index() == 0 {
             return;
         }
         let records = vec![
--- a/system/jobs/src/settings.rs
+++ b/system/jobs/src/settings.rs
@@ -62,11 +62,11 @@
         let state_bytes = (memory * MEMORY_SHARE_PERCENT / 100).min(ring * RING_STATE_PERCENT / 100);
         let retention = Duration::try_from_secs_f64(settings.bounds.status_s).unwrap_or(Duration::MAX);
         let replica = ReplicaSettings {
-            min_chain: settings.fault_tolerance.machines + 1,
-            uncommitted_bytes: 16 * MEBIBYTE as usize,
+            min_chain_length: settings.fault_tolerance.machines + 1,
+            max_uncommitted_bytes: 16 * MEBIBYTE as usize,
             retain_entries: 128,
             retain_bytes: 256 * 1024,
-            snapshot_bytes: usize::try_from(state_bytes).unwrap_or(usize::MAX),
+            max_snapshot_bytes: usize::try_from(state_bytes).unwrap_or(usize::MAX),
             ..ReplicaSettings::default()
         };
         Self {
--- a/system/jobs/tests/golden.rs
+++ b/system/jobs/tests/golden.rs
@@ -112,10 +112,10 @@
     let proposal = ProposalNumber { counter: 7, proposer: 8 };
     vec![
         ("view", LogRecord::View { view: view(), in_sync: true }),
-        ("rejoined", LogRecord::Rejoined { view: view(), after: 9 }),
+        ("rejoined", LogRecord::Rejoined { view: view(), last_index: 9 }),
         ("full", LogRecord::InSync { epoch: 10 }),
         ("sealed", LogRecord::Sealed { epoch: 11 }),
-        ("entry", LogRecord::Entry { epoch: 12, index: 13, committed: 14, command: vec![15] }),
+        ("entry", LogRecord::Entry { epoch: 12, index: 13, commit_index: 14, command: vec![15] }),
         ("snapshot", LogRecord::Snapshot { index: 16, bytes: vec![17] }),
         ("barriers", LogRecord::BarrierReservation { epoch: 18, reserved: 19 }),
         ("members", LogRecord::Membership { members: members() }),
--- a/system/jobs/tests/golden_disk.rs
+++ b/system/jobs/tests/golden_disk.rs
@@ -135,7 +135,7 @@
 }
 
 fn entry(epoch: u64, index: u64, committed: u64) -> LogRecord {
-    LogRecord::Entry { epoch, index, committed, command: proposal(index).encode().unwrap() }
+    LogRecord::Entry { epoch, index, commit_index: committed, command: proposal(index).encode().unwrap() }
 }
 
 /// The state after the first entries.
@@ -171,7 +171,7 @@
     let mut records = vec![
         entry(1, 5, 4),
         entry(1, 6, 5),
-        LogRecord::Rejoined { view: view(2, &[SECOND, ME]), after: 5 },
+        LogRecord::Rejoined { view: view(2, &[SECOND, ME]), last_index: 5 },
         LogRecord::InSync { epoch: 2 },
         LogRecord::BarrierReservation { epoch: 2, reserved: 2048 },
     ];
@@ -186,7 +186,7 @@
 
 /// What the write in the middle of which the power goes would have added.
 fn last_records() -> Vec<DiskRecord> {
-    let large = LogRecord::Entry { epoch: 2, index: 12, committed: 11, command: vec![0x5a; 3000] };
+    let large = LogRecord::Entry { epoch: 2, index: 12, commit_index: 11, command: vec![0x5a; 3000] };
     vec![
         DiskRecord::Partition(PARTITION, large),
         DiskRecord::Partition(EMPTY_PARTITION, LogRecord::Sealed { epoch: 8 }),
--- a/system/lease/src/granter.rs
+++ b/system/lease/src/granter.rs
@@ -25,7 +25,7 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Granter {
     granted: Option<Granted>,
-    highest: u64,
+    highest_generation: u64,
     /// Grants nothing before this.
     silent_until: Duration,
     /// The highest epoch in which nothing more is granted.
@@ -35,7 +35,7 @@
 impl Granter {
     /// Grants may be out that this voter doesn't know of.
     pub fn be_silent(&mut self, now: Duration, settings: &LeaseSettings) {
-        self.silent_until = self.silent_until.max(now + settings.silence());
+        self.silent_until = self.silent_until.max(now + settings.outstanding_grant_bound());
     }
 
     pub fn seal(&mut self, epoch: u64) {
@@ -48,8 +48,8 @@
         others.map_or(Duration::ZERO, |granted| granted.until)
     }
 
-    pub fn highest(&self) -> u64 {
-        self.highest
+    pub fn highest_generation(&self) -> u64 {
+        self.highest_generation
     }
 
     /// Answers a request of the present epoch. A new round must be higher than all before; a renewal need not be, since
@@ -63,16 +63,19 @@
     ) -> LeaseMessage {
         let Request { epoch, generation, renewal, attempt } = request;
         let wait = self.wait_for(now, from);
-        let stale = generation <= self.highest && !renewal;
+        let stale = generation <= self.highest_generation && !renewal;
         if !wait.is_zero() || stale || epoch <= self.sealed {
-            return LeaseMessage::Refuse { attempt, highest: self.highest, wait };
+            return LeaseMessage::Refuse { attempt, highest_generation: self.highest_generation, wait };
         }
-        self.highest = self.highest.max(generation);
+        self.highest_generation = self.highest_generation.max(generation);
         // A late renewal must not lower the round: a late release of the lower one would then end the higher one.
         let before =
             self.granted.as_ref().filter(|granted| granted.holder == from).map_or(0, |held| held.generation);
-        self.granted =
-            Some(Granted { holder: from, generation: generation.max(before), until: now + settings.term });
+        self.granted = Some(Granted {
+            holder: from,
+            generation: generation.max(before),
+            until: now + settings.grant_duration,
+        });
         LeaseMessage::Grant { epoch, generation, attempt }
     }
 
--- a/system/lease/src/holder.rs
+++ b/system/lease/src/holder.rs
@@ -47,13 +47,13 @@
 }
 
 impl Holder {
-    pub fn held(&self, now: Duration) -> bool {
+    pub fn is_held(&self, now: Duration) -> bool {
         self.until.is_some_and(|until| now < until)
     }
 
     pub fn start_attempt(&mut self, now: Duration) -> u64 {
         self.attempts += 1;
-        let (number, renewal) = (self.attempts, self.held(now));
+        let (number, renewal) = (self.attempts, self.is_held(now));
         let (grants, refusals) = (BTreeSet::new(), BTreeMap::new());
         self.attempt = Some(Attempt { number, renewal, asked_at: now, grants, refusals });
         number
--- a/system/lease/src/lease.rs
+++ b/system/lease/src/lease.rs
@@ -120,8 +120,8 @@
     }
 
     /// Whether the lease is held now. To be asked right before each act under it.
-    pub fn held(&self, now: Duration) -> bool {
-        self.holder.held(now)
+    pub fn is_held(&self, now: Duration) -> bool {
+        self.holder.is_held(now)
     }
 
     /// Until when the lease is held, if it is.
@@ -139,7 +139,8 @@
         if !self.started || self.voters.is_empty() {
             return None;
         }
-        let attempt = self.holder.attempt.as_ref().map(|attempt| attempt.asked_at + self.settings.attempt);
+        let attempt =
+            self.holder.attempt.as_ref().map(|attempt| attempt.asked_at + self.settings.attempt_timeout);
         let asks = (self.is_candidate() && self.holder.attempt.is_none()).then_some(self.holder.ask_at);
         [attempt, asks, self.holder.until].into_iter().flatten().min()
     }
@@ -177,7 +178,7 @@
     fn on_started(&mut self, now: Duration, founding: bool) {
         self.started = true;
         self.founding = founding;
-        self.holder.ask_at = now + self.settings.stagger * self.rank();
+        self.holder.ask_at = now + self.settings.candidate_stagger * self.rank();
     }
 
     /// Takes up the voters of a newer epoch. Where they differ, or may have differed in between, a majority of the old
@@ -208,13 +209,13 @@
         if !self.is_candidate() {
             self.give_up(out);
         } else if !was || self.rank() != before {
-            self.holder.ask_at = self.holder.ask_at.max(now + self.settings.stagger * self.rank());
+            self.holder.ask_at = self.holder.ask_at.max(now + self.settings.candidate_stagger * self.rank());
         }
     }
 
     fn on_release(&mut self, now: Duration, out: &mut Vec<LeaseAction>) {
         self.give_up(out);
-        self.holder.ask_at = now + self.settings.term;
+        self.holder.ask_at = now + self.settings.grant_duration;
     }
 
     /// Ends the lease or the question under way, and tells the voters.
@@ -249,7 +250,7 @@
         if !self.started || self.voters.is_empty() {
             return;
         }
-        let late = |asked_at: Duration| asked_at + self.settings.attempt <= now;
+        let late = |asked_at: Duration| asked_at + self.settings.attempt_timeout <= now;
         if self.holder.attempt.as_ref().is_some_and(|attempt| late(attempt.asked_at)) {
             self.attempt_failed(now, out);
         }
@@ -260,10 +261,10 @@
 
     /// Renews the lease, or asks for it if nobody else is known to hold it.
     fn consider(&mut self, now: Duration, out: &mut Vec<LeaseAction>) {
-        if !self.held(now) {
+        if !self.is_held(now) {
             let free_at = self.granter.taken_until(self.me);
             if free_at > now {
-                self.holder.ask_at = free_at + self.settings.stagger * self.rank();
+                self.holder.ask_at = free_at + self.settings.candidate_stagger * self.rank();
                 return;
             }
             self.holder.generation = self.next_round();
@@ -273,17 +274,17 @@
 
     /// Higher than all rounds known here, and than all of older epochs: new voters may know of none.
     fn next_round(&self) -> u64 {
-        let known = self.holder.generation.max(self.granter.highest()).max(self.holder.seen);
+        let known = self.holder.generation.max(self.granter.highest_generation()).max(self.holder.seen);
         known.max(self.epoch << ROUNDS_BITS) + 1
     }
 
     fn ask(&mut self, now: Duration, out: &mut Vec<LeaseAction>) {
         let attempt = self.holder.start_attempt(now);
-        self.holder.ask_at = now + self.settings.renew_every();
+        self.holder.ask_at = now + self.settings.renewal_interval();
         let request = Request {
             epoch: self.epoch,
             generation: self.holder.generation,
-            renewal: self.held(now),
+            renewal: self.is_held(now),
             attempt,
         };
         let Request { epoch, generation, renewal, .. } = request;
@@ -320,8 +321,8 @@
     /// The holder has given up: the next one need not wait for the end of the term.
     fn on_released(&mut self, now: Duration, from: VoterId, generation: u64) {
         self.granter.release(from, generation);
-        if !self.held(now) && self.granter.taken_until(self.me) <= now {
-            let turn = now + self.settings.stagger * self.rank();
+        if !self.is_held(now) && self.granter.taken_until(self.me) <= now {
+            let turn = now + self.settings.candidate_stagger * self.rank();
             self.holder.ask_at = self.holder.ask_at.min(turn.max(now));
         }
     }
@@ -340,12 +341,12 @@
                     asked.grants.insert(from);
                 }
                 if asked.grants.len() >= majority {
-                    let (until, renewal) = (asked.asked_at + self.settings.usable(), asked.renewal);
+                    let (until, renewal) = (asked.asked_at + self.settings.usable_duration(), asked.renewal);
                     self.granted(now, until, renewal, out);
                 }
             }
-            LeaseMessage::Refuse { attempt, highest, wait } => {
-                self.on_refusal(now, from, attempt, highest, wait, out)
+            LeaseMessage::Refuse { attempt, highest_generation, wait } => {
+                self.on_refusal(now, from, attempt, highest_generation, wait, out)
             }
             LeaseMessage::Request { .. } | LeaseMessage::Release { .. } => {}
         }
@@ -357,7 +358,7 @@
         now: Duration,
         from: VoterId,
         attempt: u64,
-        highest: u64,
+        highest_generation: u64,
         wait: Duration,
         out: &mut Vec<LeaseAction>,
     ) {
@@ -365,17 +366,17 @@
         let Some(asked) = self.holder.attempt.as_mut().filter(|asked| asked.number == attempt) else {
             return;
         };
-        asked.refusals.insert(from, wait.min(self.settings.silence()));
+        asked.refusals.insert(from, wait.min(self.settings.outstanding_grant_bound()));
         let hopeless = asked.refusals.len() > spare;
-        self.holder.seen = self.holder.seen.max(highest);
-        if hopeless && !self.holder.held(now) {
+        self.holder.seen = self.holder.seen.max(highest_generation);
+        if hopeless && !self.holder.is_held(now) {
             self.attempt_failed(now, out);
         }
     }
 
     /// A renewal that comes after the lease has ended is given back: a higher round may have been held since.
     fn granted(&mut self, now: Duration, until: Duration, renewal: bool, out: &mut Vec<LeaseAction>) {
-        if until <= now || (renewal && !self.held(now)) {
+        if until <= now || (renewal && !self.is_held(now)) {
             self.give_up(out);
             return;
         }
@@ -387,7 +388,7 @@
         };
         self.holder.until = Some(until);
         // A refusal by a few may have put the next question off.
-        self.holder.ask_at = self.holder.ask_at.min(now + self.settings.renew_every());
+        self.holder.ask_at = self.holder.ask_at.min(now + self.settings.renewal_interval());
         out.push(action);
     }
 
@@ -403,14 +404,15 @@
 
     /// No majority in time. Without a lease the few grants are given back, so that others need not wait for them.
     fn attempt_failed(&mut self, now: Duration, out: &mut Vec<LeaseAction>) {
-        if self.held(now) {
+        if self.is_held(now) {
             self.holder.attempt = None;
             self.holder.ask_at = now;
             return;
         }
         let free_at = self.free_at(now);
         self.give_up(out);
-        let turn = self.settings.stagger * self.rank() + self.settings.stagger.mul_f64(self.rng.f64());
+        let turn = self.settings.candidate_stagger * self.rank()
+            + self.settings.candidate_stagger.mul_f64(self.rng.f64());
         self.holder.ask_at = free_at + turn;
     }
 }
--- a/system/lease/src/message.rs
+++ b/system/lease/src/message.rs
@@ -36,7 +36,7 @@
         /// The question answered.
         attempt: u64,
         /// The highest round that the voter knows of.
-        highest: u64,
+        highest_generation: u64,
         /// How long it will grant nothing to the asker.
         wait: Duration,
     },
--- a/system/lease/src/settings.rs
+++ b/system/lease/src/settings.rs
@@ -6,33 +6,38 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct LeaseSettings {
     /// For how long a voter grants.
-    pub term: Duration,
+    pub grant_duration: Duration,
     /// By how much the clocks of two machines may differ in rate, as a part of the time passed.
-    pub drift: f64,
+    pub max_clock_drift: f64,
     /// How long a candidate waits for a majority.
-    pub attempt: Duration,
+    pub attempt_timeout: Duration,
     /// By how much each candidate lets those before it go first. Also the shortest pause between attempts.
-    pub stagger: Duration,
+    pub candidate_stagger: Duration,
 }
 
 impl LeaseSettings {
     /// The usual settings for a term.
-    pub fn new(term: Duration) -> Self {
-        Self { term, drift: 0.01, attempt: term / 8, stagger: term / 16 }
+    pub fn new(grant_duration: Duration) -> Self {
+        Self {
+            grant_duration,
+            max_clock_drift: 0.01,
+            attempt_timeout: grant_duration / 8,
+            candidate_stagger: grant_duration / 16,
+        }
     }
 
     /// For how long a holder acts, from when it asked.
-    pub fn usable(&self) -> Duration {
-        self.term.mul_f64(1.0 - self.drift)
+    pub fn usable_duration(&self) -> Duration {
+        self.grant_duration.mul_f64(1.0 - self.max_clock_drift)
     }
 
     /// For how long a voter that remembers nothing grants nothing.
-    pub fn silence(&self) -> Duration {
-        self.term.mul_f64(1.0 + self.drift)
+    pub fn outstanding_grant_bound(&self) -> Duration {
+        self.grant_duration.mul_f64(1.0 + self.max_clock_drift)
     }
 
     /// Time between renewals.
-    pub fn renew_every(&self) -> Duration {
-        self.term / 4
+    pub fn renewal_interval(&self) -> Duration {
+        self.grant_duration / 4
     }
 }
--- a/system/lease/tests/golden.rs
+++ b/system/lease/tests/golden.rs
@@ -63,7 +63,7 @@
         &LeaseMessage::Request { epoch: 1, generation: 2, renewal: false, attempt: 3 },
     );
     golden.add_equal("grant", &LeaseMessage::Grant { epoch: 4, generation: 5, attempt: 6 });
-    golden.add_equal("refuse", &LeaseMessage::Refuse { attempt: 7, highest: 8, wait });
+    golden.add_equal("refuse", &LeaseMessage::Refuse { attempt: 7, highest_generation: 8, wait });
     golden.add_equal("release", &LeaseMessage::Release { generation: 11 });
     golden.check();
 }
--- a/system/lease/tests/lease.rs
+++ b/system/lease/tests/lease.rs
@@ -53,7 +53,7 @@
         world.run(Duration::from_secs(5));
         let first = world.holder().expect("someone holds the lease");
         world.processes[first].frozen_until = Duration::from_secs(3600);
-        world.run(world.settings.term * 2);
+        world.run(world.settings.grant_duration * 2);
         let second = world.holder();
         assert!(second.is_some_and(|second| second != first), "seed {seed}: {second:?} after {first}");
     }
@@ -73,9 +73,9 @@
             world.run(millis(10));
         }
         // Where it is away for longer, the others' turn comes meanwhile.
-        if world.now - down_since < world.settings.term / 6 {
+        if world.now - down_since < world.settings.grant_duration / 6 {
             soon += 1;
-            world.run(world.settings.term / 3);
+            world.run(world.settings.grant_duration / 3);
             again += u64::from(world.holder() == Some(first));
         }
     }
@@ -93,11 +93,11 @@
         let first = world.holder().expect("someone holds the lease");
         world.event(first, LeaseEvent::Release);
         assert_eq!(world.holder(), None);
-        world.run(world.settings.term / 2);
+        world.run(world.settings.grant_duration / 2);
         assert_ne!(world.holder(), Some(first), "seed {seed}: who gave it up took it again at once");
         late += u64::from(world.holder().is_none());
         // Renewals that come after the release at both others may hold the lease up for one term.
-        world.run(world.settings.term);
+        world.run(world.settings.grant_duration);
         assert!(world.holder().is_some(), "seed {seed}: nobody after {first}");
     }
     assert!(late * 100 <= seeds.end - seeds.start, "{late} were late");
@@ -124,9 +124,9 @@
         world.run(Duration::from_secs(5));
         let before = world.acquisitions;
         (0..3).for_each(|place| world.restart(place));
-        world.run(world.settings.term);
+        world.run(world.settings.grant_duration);
         assert_eq!(world.acquisitions, before, "seed {seed}: granted within a term of the restart");
-        world.run(world.settings.term * 3);
+        world.run(world.settings.grant_duration * 3);
         assert!(world.holder().is_some(), "seed {seed}");
     }
 }
--- a/system/lease/tests/model.rs
+++ b/system/lease/tests/model.rs
@@ -149,7 +149,9 @@
     }
 
     fn holders(&self) -> usize {
-        (0..self.processes.len()).filter(|&place| self.processes[place].lease.held(self.clock(place))).count()
+        (0..self.processes.len())
+            .filter(|&place| self.processes[place].lease.is_held(self.clock(place)))
+            .count()
     }
 }
 
--- a/system/lease/tests/world/mod.rs
+++ b/system/lease/tests/world/mod.rs
@@ -37,7 +37,7 @@
     }
 
     pub fn holds(&self, now: Duration) -> bool {
-        self.running && self.lease.held(self.clock(now))
+        self.running && self.lease.is_held(self.clock(now))
     }
 }
 
