--- a/system/chain/src/agreement/liveness.rs
+++ b/system/chain/src/agreement/liveness.rs
@@ -1,4 +1,4 @@
-//! Who has been heard of, and when.
+//! Failure detection: when each member was last heard of, and what it said of itself.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -7,52 +7,54 @@
 
 #[derive(Clone, Debug, Default)]
 struct Peer {
-    /// When it was heard of; none if it was only announced.
-    heard_at: Option<Duration>,
+    /// When a heartbeat last came from it; none if it was only announced.
+    last_heard_at: Option<Duration>,
     epoch: u64,
-    ready: bool,
+    disk_ready: bool,
     sealed: bool,
-    hears: Vec<MemberId>,
+    live_peers: Vec<MemberId>,
 }
 
-/// Heartbeats of the others.
+/// What the heartbeats of the other members have shown.
 #[derive(Clone, Debug)]
 pub(super) struct Liveness {
     peers: BTreeMap<MemberId, Peer>,
-    gone: BTreeSet<MemberId>,
-    /// Most members known beside the voters.
-    candidates: usize,
+    replaced: BTreeSet<MemberId>,
+    /// Most members that are kept beside the voters.
+    max_candidates: usize,
 }
 
 impl Liveness {
-    pub fn new(candidates: usize) -> Self {
-        Self { peers: BTreeMap::new(), gone: BTreeSet::new(), candidates }
+    pub fn new(max_candidates: usize) -> Self {
+        Self { peers: BTreeMap::new(), replaced: BTreeSet::new(), max_candidates }
     }
 
-    /// A voter that was never heard of counts as heard of at a time.
-    pub fn expect(&mut self, voter: MemberId, heard_at: Duration) {
+    /// A voter from which no heartbeat has come counts as heard of at a time.
+    pub fn expect_heartbeat(&mut self, voter: MemberId, last_heard_at: Duration) {
         let peer = self.peers.entry(voter).or_default();
-        if peer.heard_at.is_none() {
-            peer.heard_at = Some(heard_at);
-            peer.ready = true;
+        if peer.last_heard_at.is_none() {
+            peer.last_heard_at = Some(last_heard_at);
+            peer.disk_ready = true;
         }
     }
 
-    pub fn announce(&mut self, member: MemberId, members: Option<&Membership>) {
-        if self.has_room(member, members) {
+    pub fn on_announced(&mut self, member: MemberId, members: Option<&Membership>) {
+        if self.admit(member, members) {
             self.peers.entry(member).or_default();
         }
     }
 
-    /// Voters always have room; of the others, the one silent the longest makes room.
-    fn has_room(&mut self, member: MemberId, members: Option<&Membership>) -> bool {
+    /// Whether a member is kept. Voters always are; of the others, the one heard of the longest ago gives up its place.
+    fn admit(&mut self, member: MemberId, members: Option<&Membership>) -> bool {
         let is_voter = |member: &MemberId| members.is_some_and(|members| members.is_voter(*member));
         if self.peers.contains_key(&member) || is_voter(&member) {
             return true;
         }
-        let others = self.peers.iter().filter(|(member, _)| !is_voter(member));
-        if others.clone().count() >= self.candidates {
-            let Some(oldest) = others.min_by_key(|(_, peer)| peer.heard_at).map(|(member, _)| *member) else {
+        let non_voters = self.peers.iter().filter(|(member, _)| !is_voter(member));
+        if non_voters.clone().count() >= self.max_candidates {
+            let Some(oldest) =
+                non_voters.min_by_key(|(_, peer)| peer.last_heard_at).map(|(member, _)| *member)
+            else {
                 return false;
             };
             self.peers.remove(&oldest);
@@ -60,61 +62,61 @@
         true
     }
 
-    /// An identity won't come back.
-    pub fn gone(&mut self, member: MemberId) {
-        self.gone.insert(member);
-        while self.gone.len() > self.candidates {
-            self.gone.pop_first();
+    /// An identity won't come back: its address has announced another one.
+    pub fn mark_replaced(&mut self, member: MemberId) {
+        self.replaced.insert(member);
+        while self.replaced.len() > self.max_candidates {
+            self.replaced.pop_first();
         }
     }
 
-    pub fn heard(
+    pub fn on_heartbeat(
         &mut self,
         now: Duration,
         from: MemberId,
         heartbeat: Heartbeat,
         members: Option<&Membership>,
     ) {
-        if !self.has_room(from, members) {
+        if !self.admit(from, members) {
             return;
         }
         let peer = self.peers.entry(from).or_default();
-        peer.heard_at = peer.heard_at.max(Some(now));
+        peer.last_heard_at = peer.last_heard_at.max(Some(now));
         peer.epoch = heartbeat.epoch;
-        peer.ready = heartbeat.disk_ready;
+        peer.disk_ready = heartbeat.disk_ready;
         peer.sealed = heartbeat.sealed;
-        peer.hears = heartbeat.live_peers;
+        peer.live_peers = heartbeat.live_peers;
     }
 
-    /// This process was paused: all that were heard of get another chance.
-    pub fn excuse(&mut self, now: Duration) {
-        for peer in self.peers.values_mut().filter(|peer| peer.heard_at.is_some()) {
-            peer.heard_at = peer.heard_at.max(Some(now));
+    /// Counts all that were ever heard of as heard of now: this process was paused.
+    pub fn restart_timeouts(&mut self, now: Duration) {
+        for peer in self.peers.values_mut().filter(|peer| peer.last_heard_at.is_some()) {
+            peer.last_heard_at = peer.last_heard_at.max(Some(now));
         }
     }
 
-    /// Whether a member was heard of within a span and is not known to be gone.
-    pub fn is_heard(&self, now: Duration, member: MemberId, within: Duration) -> bool {
-        let heard_at = self.peers.get(&member).and_then(|peer| peer.heard_at);
-        !self.gone.contains(&member) && heard_at.is_some_and(|at| at + within > now)
+    /// Whether a member was heard of within a span and was not replaced.
+    pub fn is_reachable(&self, now: Duration, member: MemberId, within: Duration) -> bool {
+        let last_heard_at = self.peers.get(&member).and_then(|peer| peer.last_heard_at);
+        !self.replaced.contains(&member) && last_heard_at.is_some_and(|at| at + within > now)
     }
 
     /// Whether a member was heard of within a span, and its disk answers.
     pub fn is_live(&self, now: Duration, member: MemberId, within: Duration) -> bool {
-        self.is_heard(now, member, within) && self.peers.get(&member).is_some_and(|peer| peer.ready)
+        self.is_reachable(now, member, within) && self.peers.get(&member).is_some_and(|peer| peer.disk_ready)
     }
 
-    pub fn is_gone(&self, member: MemberId) -> bool {
-        self.gone.contains(&member)
+    pub fn is_replaced(&self, member: MemberId) -> bool {
+        self.replaced.contains(&member)
     }
 
-    /// Whether a member says that it hears another.
-    pub fn hears_other(&self, member: MemberId, other: MemberId) -> bool {
-        self.peers.get(&member).is_some_and(|peer| peer.hears.contains(&other))
+    /// Whether a member reports another one as live.
+    pub fn reports_live(&self, member: MemberId, other: MemberId) -> bool {
+        self.peers.get(&member).is_some_and(|peer| peer.live_peers.contains(&other))
     }
 
-    /// Whether a member says that it has sealed an epoch.
-    pub fn is_sealed(&self, member: MemberId, epoch: u64) -> bool {
+    /// Whether a member reports that it has sealed an epoch.
+    pub fn has_sealed(&self, member: MemberId, epoch: u64) -> bool {
         self.peers.get(&member).is_some_and(|peer| peer.sealed && peer.epoch == epoch)
     }
 
@@ -122,12 +124,12 @@
         self.peers.get(&member).map_or(0, |peer| peer.epoch)
     }
 
-    pub fn hears(&self, now: Duration, within: Duration) -> Vec<MemberId> {
-        self.peers.keys().copied().filter(|member| self.is_heard(now, *member, within)).collect()
+    pub fn live_peers(&self, now: Duration, within: Duration) -> Vec<MemberId> {
+        self.peers.keys().copied().filter(|member| self.is_reachable(now, *member, within)).collect()
     }
 
-    /// Who gets heartbeats: the voters, and others that are there; from a member that knows no voters, everybody.
-    pub fn receivers(
+    /// The receivers of heartbeats: the voters, and others that are reachable; from a member that is no voter, all known members.
+    pub fn heartbeat_receivers(
         &self,
         now: Duration,
         me: MemberId,
@@ -138,7 +140,7 @@
             members.iter().flat_map(|members| members.voters.iter().copied()).collect();
         let is_voter = receivers.contains(&me);
         receivers.extend(
-            self.peers.keys().copied().filter(|member| !is_voter || self.is_heard(now, *member, within)),
+            self.peers.keys().copied().filter(|member| !is_voter || self.is_reachable(now, *member, within)),
         );
         receivers.remove(&me);
         receivers.into_iter().collect()
--- a/system/chain/src/agreement/mod.rs
+++ b/system/chain/src/agreement/mod.rs
@@ -1,8 +1,11 @@
 //! The votes on the memberships of the control group.
 //!
-//! Membership `e + 1` is decided once, by single-decree Paxos among the voters of `e`. A promise or an acceptance seals
-//! epoch `e` at the voter: its replica takes part in nothing more of it, and what it holds is part of the promise. The
-//! next chain begins with a member that counted in the chain of `e`, so it holds everything that was acknowledged.
+//! Membership `e + 1` is decided once, by single-decree Paxos among the voters of `e` (Lamport, "Paxos Made Simple"). A promise or
+//! an acceptance seals epoch `e` at the voter: its replica takes part in nothing more of it, and what it holds is part of the
+//! promise. The next chain begins with a member that counted in the chain of `e`, so it holds everything that was acknowledged.
+//!
+//! [`liveness`] knows who is reachable, [`proposer`] when the chain is to change and how the vote on it stands, [`voter`] what this
+//! member has promised and accepted, and [`value`] which membership follows from the promises.
 
 mod liveness;
 mod proposer;
@@ -17,9 +20,9 @@
 use liveness::Liveness;
 use proposer::Proposer;
 
-/// What the replica and the disk of this member are like now.
+/// The present state of the replica and the disk of this member.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Status {
+pub(crate) struct MemberStatus {
     /// Whether the replica counts in the chain of the present epoch.
     pub in_sync: bool,
     /// Whether it counts and has not sealed the epoch.
@@ -28,18 +31,18 @@
     pub disk_ready: bool,
 }
 
-/// What is durable once a sync ends, and what is then to be said.
+/// What is durable once a sync ends, with the message that is due then.
 #[derive(Clone, Debug)]
 pub(crate) enum Vote {
     /// A membership was learned.
     Learned,
-    /// A ballot was promised.
+    /// A proposal number was promised.
     Promised { to: MemberId, epoch: u64, proposal: ProposalNumber },
     /// A value was accepted.
     Accepted { to: MemberId, epoch: u64, proposal: ProposalNumber },
 }
 
-/// What the votes lead to.
+/// An output of the agreement.
 #[derive(Clone, Debug)]
 pub(crate) enum AgreementAction {
     Send { to: MemberId, message: AgreementMessage },
@@ -55,16 +58,16 @@
     settings: ControlChainSettings,
     rng: fastrand::Rng,
     members: Option<Membership>,
-    /// The highest ballot promised for the next epoch.
+    /// The highest proposal number promised for the next epoch.
     promised: Option<ProposalNumber>,
     /// The value accepted for the next epoch.
     accepted: Option<(ProposalNumber, Membership)>,
     liveness: Liveness,
     proposer: Proposer,
-    heartbeat_at: Duration,
-    last_event: Duration,
-    /// After a start the others are given time to start as well.
-    grace_until: Duration,
+    next_heartbeat_at: Duration,
+    last_event_at: Duration,
+    /// After a start of this process the others are given time to start as well.
+    startup_grace_until: Duration,
 }
 
 impl Agreement {
@@ -77,9 +80,9 @@
             accepted: None,
             liveness: Liveness::new(settings.max_candidates),
             proposer: Proposer::default(),
-            heartbeat_at: Duration::ZERO,
-            last_event: Duration::ZERO,
-            grace_until: Duration::ZERO,
+            next_heartbeat_at: Duration::ZERO,
+            last_event_at: Duration::ZERO,
+            startup_grace_until: Duration::ZERO,
             settings,
         }
     }
@@ -101,7 +104,7 @@
         self.promised.map(|_| self.epoch())
     }
 
-    /// Takes up a record found on the disk.
+    /// Restores what a record found on the disk holds.
     pub fn restore(&mut self, record: &LogRecord) {
         match record {
             LogRecord::Membership { members } if members.epoch > self.epoch() => self.adopt(members.clone()),
@@ -131,10 +134,10 @@
         records
     }
 
-    pub fn start(&mut self, now: Duration) {
-        self.heartbeat_at = now;
-        self.last_event = now;
-        self.grace_until = now + self.settings.startup_grace_period;
+    pub fn on_started(&mut self, now: Duration) {
+        self.next_heartbeat_at = now;
+        self.last_event_at = now;
+        self.startup_grace_until = now + self.settings.startup_grace_period;
         if let Some(members) = self.members.clone() {
             self.expect_voters(now, &members);
         }
@@ -142,22 +145,22 @@
 
     fn expect_voters(&mut self, now: Duration, members: &Membership) {
         for voter in members.voters.iter().filter(|voter| **voter != self.me) {
-            self.liveness.expect(*voter, now.max(self.grace_until));
+            self.liveness.expect_heartbeat(*voter, now.max(self.startup_grace_until));
         }
     }
 
-    /// A member is known to exist, and maybe to have taken the place of another for good.
-    pub fn announced(&mut self, member: MemberId, replaces: Option<MemberId>) {
+    /// A member exists, and has replaced another identity of its address, if any.
+    pub fn on_member_announced(&mut self, member: MemberId, replaces: Option<MemberId>) {
         if member != self.me {
-            self.liveness.announce(member, self.members.as_ref());
+            self.liveness.on_announced(member, self.members.as_ref());
         }
-        if let Some(gone) = replaces.filter(|gone| *gone != member) {
-            self.liveness.gone(gone);
+        if let Some(replaced) = replaces.filter(|replaced| *replaced != member) {
+            self.liveness.mark_replaced(replaced);
         }
     }
 
     /// Learns a decided membership.
-    pub fn learn(&mut self, now: Duration, members: Membership, out: &mut Vec<AgreementAction>) {
+    pub fn learn_membership(&mut self, now: Duration, members: Membership, out: &mut Vec<AgreementAction>) {
         if members.epoch <= self.epoch() {
             return;
         }
@@ -177,12 +180,12 @@
         self.proposer.reset();
     }
 
-    /// Notes that time has passed. After a pause of this process nobody's silence means anything.
-    pub fn passed(&mut self, now: Duration) {
-        if now.saturating_sub(self.last_event) > self.settings.heartbeat_interval * 2 {
-            self.liveness.excuse(now);
+    /// Takes notice of the time. After a pause of this process, time-outs of the others prove nothing, and start again.
+    pub fn observe_time(&mut self, now: Duration) {
+        if now.saturating_sub(self.last_event_at) > self.settings.heartbeat_interval * 2 {
+            self.liveness.restart_timeouts(now);
         }
-        self.last_event = now;
+        self.last_event_at = now;
     }
 
     pub fn on_message(
@@ -190,31 +193,33 @@
         now: Duration,
         from: MemberId,
         message: AgreementMessage,
-        status: Status,
+        status: MemberStatus,
         out: &mut Vec<AgreementAction>,
     ) {
         match message {
             AgreementMessage::Heartbeat(heartbeat) => {
-                let (theirs, mine) = (heartbeat.epoch, self.epoch());
-                self.liveness.heard(now, from, heartbeat, self.members.as_ref());
-                if theirs > mine {
-                    self.ask_view(from, out);
-                } else if theirs < mine {
-                    self.tell_view(from, out);
+                let (sender_epoch, own_epoch) = (heartbeat.epoch, self.epoch());
+                self.liveness.on_heartbeat(now, from, heartbeat, self.members.as_ref());
+                if sender_epoch > own_epoch {
+                    self.request_membership(from, out);
+                } else if sender_epoch < own_epoch {
+                    self.send_membership(from, out);
                 }
             }
             AgreementMessage::RequestMembership { epoch } if epoch < self.epoch() => {
-                self.tell_view(from, out)
+                self.send_membership(from, out)
             }
             AgreementMessage::RequestMembership { .. } => {}
-            AgreementMessage::MembershipDecided { members } => self.learn(now, members, out),
+            AgreementMessage::MembershipDecided { members } => self.learn_membership(now, members, out),
             AgreementMessage::Prepare { epoch, proposal } => self.on_prepare(now, from, epoch, proposal, out),
             AgreementMessage::Accept { proposal, members } => {
                 self.on_accept(now, from, proposal, members, out)
             }
             AgreementMessage::Promise { epoch, proposal, accepted, in_sync } => {
                 let promise = value::Promise { accepted, in_sync };
-                self.on_promise(now, from, epoch, proposal, promise, status, out)
+                if self.record_promise(now, from, epoch, proposal, promise) {
+                    self.try_accept(now, status, out);
+                }
             }
             AgreementMessage::Accepted { epoch, proposal } => {
                 self.on_accepted(now, from, epoch, proposal, out)
@@ -223,40 +228,45 @@
         }
     }
 
-    /// Somebody was seen to be in a newer epoch.
-    pub fn behind(&mut self, member: MemberId, epoch: u64, out: &mut Vec<AgreementAction>) {
+    /// A member was seen to be in a newer epoch.
+    pub fn on_newer_epoch(&mut self, member: MemberId, epoch: u64, out: &mut Vec<AgreementAction>) {
         if epoch > self.epoch() {
-            self.ask_view(member, out);
+            self.request_membership(member, out);
         }
     }
 
-    fn ask_view(&self, to: MemberId, out: &mut Vec<AgreementAction>) {
+    fn request_membership(&self, to: MemberId, out: &mut Vec<AgreementAction>) {
         out.push(AgreementAction::Send {
             to,
             message: AgreementMessage::RequestMembership { epoch: self.epoch() },
         });
     }
 
-    fn tell_view(&self, to: MemberId, out: &mut Vec<AgreementAction>) {
+    fn send_membership(&self, to: MemberId, out: &mut Vec<AgreementAction>) {
         if let Some(members) = self.members.clone() {
             out.push(AgreementAction::Send { to, message: AgreementMessage::MembershipDecided { members } });
         }
     }
 
-    pub fn on_tick(&mut self, now: Duration, status: Status, out: &mut Vec<AgreementAction>) {
-        if self.heartbeat_at <= now {
-            self.heartbeat_at = now + self.settings.heartbeat_interval;
+    pub fn on_timer_expired(&mut self, now: Duration, status: MemberStatus, out: &mut Vec<AgreementAction>) {
+        if self.next_heartbeat_at <= now {
+            self.next_heartbeat_at = now + self.settings.heartbeat_interval;
             self.send_heartbeats(now, status, out);
-            self.consider(now, status, out);
+            self.propose_if_needed(now, status, out);
         }
-        self.proposer_tick(now, status, out);
+        self.on_proposer_timer(now, status, out);
     }
 
-    fn send_heartbeats(&self, now: Duration, status: Status, out: &mut Vec<AgreementAction>) {
-        let live_peers = self.liveness.hears(now, self.settings.suspect_timeout);
+    fn send_heartbeats(&self, now: Duration, status: MemberStatus, out: &mut Vec<AgreementAction>) {
+        let live_peers = self.liveness.live_peers(now, self.settings.suspect_timeout);
         let sealed = self.promised.is_some();
         let heartbeat = Heartbeat { epoch: self.epoch(), disk_ready: status.disk_ready, sealed, live_peers };
-        for to in self.liveness.receivers(now, self.me, self.members.as_ref(), self.settings.replace_after) {
+        for to in self.liveness.heartbeat_receivers(
+            now,
+            self.me,
+            self.members.as_ref(),
+            self.settings.replace_after,
+        ) {
             let message = AgreementMessage::Heartbeat(heartbeat.clone());
             out.push(AgreementAction::Send { to, message });
         }
@@ -264,6 +274,6 @@
 
     pub fn next_timer(&self) -> Duration {
         let proposer = self.proposer.next_timer(&self.settings);
-        proposer.map_or(self.heartbeat_at, |at| at.min(self.heartbeat_at))
+        proposer.map_or(self.next_heartbeat_at, |at| at.min(self.next_heartbeat_at))
     }
 }
--- a/system/chain/src/agreement/proposer.rs
+++ b/system/chain/src/agreement/proposer.rs
@@ -1,10 +1,10 @@
-//! The proposer's part: when the chain is to change, and the two rounds of the vote on it.
+//! The proposer's part: when the chain is to change, and the two phases of the vote on it.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
 use super::value::{next_members, Addition, Promise};
-use super::{Agreement, AgreementAction, Status};
+use super::{Agreement, AgreementAction, MemberStatus};
 use crate::{AgreementMessage, ControlChainSettings, MemberId, Membership, ProposalNumber};
 
 #[derive(Clone, Debug)]
@@ -22,35 +22,35 @@
     sent_at: Duration,
 }
 
-/// The attempt under way, and when the next one may start.
+/// The current attempt, and when the next one may start.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Proposer {
     attempt: Option<Attempt>,
-    /// Not before this time.
-    pause_until: Duration,
+    /// No attempt starts before this.
+    backoff_until: Duration,
     /// Since when something has to change.
-    wanted_since: Option<Duration>,
+    change_needed_since: Option<Duration>,
     highest_counter: u64,
-    /// Attempts given up since the last change of the view.
+    /// Attempts abandoned since the last change of the view.
     failures: u32,
 }
 
-/// How many times the time of an attempt is doubled at most: disks may be slow.
-const MOST_DOUBLINGS: u32 = 2;
+/// How many times the time-out of an attempt is doubled at most: disks may be slow.
+const MAX_TIMEOUT_DOUBLINGS: u32 = 2;
 
 impl Proposer {
     pub fn reset(&mut self) {
         *self = Self::default();
     }
 
-    fn attempt_span(&self, settings: &ControlChainSettings) -> Duration {
-        settings.attempt_timeout * (1 << self.failures.min(MOST_DOUBLINGS))
+    fn attempt_timeout(&self, settings: &ControlChainSettings) -> Duration {
+        settings.attempt_timeout * (1 << self.failures.min(MAX_TIMEOUT_DOUBLINGS))
     }
 
     pub fn next_timer(&self, settings: &ControlChainSettings) -> Option<Duration> {
         let attempt = self.attempt.as_ref()?;
-        let given_up_at = attempt.started_at + self.attempt_span(settings);
-        let mut at = (attempt.sent_at + settings.heartbeat_interval).min(given_up_at);
+        let abandon_at = attempt.started_at + self.attempt_timeout(settings);
+        let mut at = (attempt.sent_at + settings.heartbeat_interval).min(abandon_at);
         if let Phase::Preparing { majority_at: Some(majority_at), .. } = attempt.phase {
             at = at.min(majority_at + settings.promise_grace_period);
         }
@@ -60,23 +60,28 @@
 
 impl Agreement {
     /// Starts an attempt where the chain has to change and this member is the one to propose it.
-    pub(super) fn consider(&mut self, now: Duration, status: Status, out: &mut Vec<AgreementAction>) {
+    pub(super) fn propose_if_needed(
+        &mut self,
+        now: Duration,
+        status: MemberStatus,
+        out: &mut Vec<AgreementAction>,
+    ) {
         let Some(members) = self.members.clone() else { return };
         let Some(position) = members.chain.iter().position(|member| *member == self.me) else { return };
         if self.proposer.attempt.is_some() || !status.disk_ready {
             return;
         }
-        let suspects = members.chain.iter().any(|member| self.is_suspect(now, *member));
-        let sealed = members.voters.iter().any(|voter| self.liveness.is_sealed(*voter, members.epoch));
-        if !suspects && !sealed && self.promised.is_none() {
-            self.proposer.wanted_since = None;
+        let has_suspect = members.chain.iter().any(|member| self.is_suspect(now, *member));
+        let sealed = members.voters.iter().any(|voter| self.liveness.has_sealed(*voter, members.epoch));
+        if !has_suspect && !sealed && self.promised.is_none() {
+            self.proposer.change_needed_since = None;
             return;
         }
-        let since = *self.proposer.wanted_since.get_or_insert(now);
+        let since = *self.proposer.change_needed_since.get_or_insert(now);
         let before = &members.chain[..position];
         let rank = before.iter().filter(|member| !self.is_suspect(now, **member)).count() as u32;
-        let due = (since + self.settings.retry_backoff * rank).max(self.proposer.pause_until);
-        if due <= now && self.hears_majority(now, &members) {
+        let due = (since + self.settings.retry_backoff * rank).max(self.proposer.backoff_until);
+        if due <= now && self.has_live_majority(now, &members) {
             self.start_attempt(now, None, out);
         }
     }
@@ -85,29 +90,30 @@
         member != self.me && !self.liveness.is_live(now, member, self.settings.suspect_timeout)
     }
 
-    fn hears_majority(&self, now: Duration, members: &Membership) -> bool {
+    fn has_live_majority(&self, now: Duration, members: &Membership) -> bool {
         let live = members.voters.iter().filter(|voter| !self.is_suspect(now, **voter));
         live.count() >= members.majority()
     }
 
-    /// A member outside the chain has caught up with this tail: takes it in, if all in the chain hear it.
-    pub fn caught_up(
+    /// A member outside the chain follows this tail: adds it to the chain once it is near enough and all in the chain hear it.
+    pub fn on_learner_progress(
         &mut self,
         now: Duration,
         member: MemberId,
-        behind: u64,
-        status: Status,
+        lag: u64,
+        status: MemberStatus,
         out: &mut Vec<AgreementAction>,
     ) {
         let Some(members) = self.members.clone() else { return };
-        let idle = self.proposer.attempt.is_none() && self.promised.is_none();
-        let may = idle && status.serving && status.disk_ready && self.proposer.pause_until <= now;
-        let near = behind <= self.settings.learner_max_lag && !members.chain.contains(&member);
-        if !may || !near || !self.is_well_connected(now, member, &members) {
+        let is_idle = self.proposer.attempt.is_none() && self.promised.is_none();
+        let may_propose =
+            is_idle && status.serving && status.disk_ready && self.proposer.backoff_until <= now;
+        let is_near = lag <= self.settings.learner_max_lag && !members.chain.contains(&member);
+        if !may_propose || !is_near || !self.is_well_connected(now, member, &members) {
             return;
         }
-        if let Some(addition) = self.place_for(now, member, &members) {
-            if self.hears_majority(now, &members) {
+        if let Some(addition) = self.addition_for(now, member, &members) {
+            if self.has_live_majority(now, &members) {
                 self.start_attempt(now, Some(addition), out);
             }
         }
@@ -120,39 +126,41 @@
         !self.is_suspect(now, member)
             && self.liveness.epoch_of(member) == members.epoch
             && others.clone().all(|other| !self.is_suspect(now, *other))
-            && others.clone().all(|other| self.liveness.hears_other(*other, member))
-            && chain.all(|other| self.liveness.hears_other(member, *other))
+            && others.clone().all(|other| self.liveness.reports_live(*other, member))
+            && chain.all(|other| self.liveness.reports_live(member, *other))
     }
 
-    fn place_for(&self, now: Duration, member: MemberId, members: &Membership) -> Option<Addition> {
+    fn addition_for(&self, now: Duration, member: MemberId, members: &Membership) -> Option<Addition> {
         if members.is_voter(member) || members.voters.len() < self.settings.target_voters {
             return Some(Addition { member, replaces: None });
         }
-        let free = |voter: &&MemberId| !members.chain.contains(voter) && self.is_lost(now, **voter, members);
-        let replaces = members.voters.iter().find(free).copied();
+        let is_replaceable =
+            |voter: &&MemberId| !members.chain.contains(voter) && self.is_lost(now, **voter, members);
+        let replaces = members.voters.iter().find(is_replaceable).copied();
         replaces.map(|_| Addition { member, replaces })
     }
 
-    /// Whether a voter is gone for good, or nobody in the chain has heard of it for long.
+    /// Whether a voter was replaced, or no member of the chain has heard of it for [`ControlChainSettings::replace_after`].
     fn is_lost(&self, now: Duration, voter: MemberId, members: &Membership) -> bool {
         let mut others = members.chain.iter().filter(|other| **other != self.me);
-        let unheard = voter != self.me
-            && !self.liveness.is_heard(now, voter, self.settings.replace_after)
-            && others.all(|other| !self.liveness.hears_other(*other, voter));
-        unheard || self.liveness.is_gone(voter)
+        let is_unheard = voter != self.me
+            && !self.liveness.is_reachable(now, voter, self.settings.replace_after)
+            && others.all(|other| !self.liveness.reports_live(*other, voter));
+        is_unheard || self.liveness.is_replaced(voter)
     }
 
     fn start_attempt(&mut self, now: Duration, addition: Option<Addition>, out: &mut Vec<AgreementAction>) {
-        let seen = self.promised.map_or(0, |proposal| proposal.counter).max(self.proposer.highest_counter);
-        let proposal = ProposalNumber { counter: seen + 1, proposer: self.me.0 };
+        let highest_seen =
+            self.promised.map_or(0, |proposal| proposal.counter).max(self.proposer.highest_counter);
+        let proposal = ProposalNumber { counter: highest_seen + 1, proposer: self.me.0 };
         self.proposer.highest_counter = proposal.counter;
         let phase = Phase::Preparing { promises: BTreeMap::new(), majority_at: None };
         self.proposer.attempt = Some(Attempt { proposal, phase, addition, started_at: now, sent_at: now });
-        self.send_round(out);
+        self.send_phase_messages(out);
     }
 
-    /// Sends the round's message to the voters that haven't answered.
-    fn send_round(&self, out: &mut Vec<AgreementAction>) {
+    /// Sends the message of the current phase to the voters that haven't replied.
+    fn send_phase_messages(&self, out: &mut Vec<AgreementAction>) {
         let (Some(members), Some(attempt)) = (&self.members, &self.proposer.attempt) else { return };
         let proposal = attempt.proposal;
         for voter in &members.voters {
@@ -169,25 +177,23 @@
         }
     }
 
-    #[allow(clippy::too_many_arguments)]
-    pub(super) fn on_promise(
+    /// Records a voter's promise; returns whether it belongs to the current attempt.
+    pub(super) fn record_promise(
         &mut self,
         now: Duration,
         from: MemberId,
         epoch: u64,
         proposal: ProposalNumber,
         promise: Promise,
-        status: Status,
-        out: &mut Vec<AgreementAction>,
-    ) {
-        let Some(members) = &self.members else { return };
+    ) -> bool {
+        let Some(members) = &self.members else { return false };
         let (is_voter, majority) = (members.is_voter(from), members.majority());
         if epoch != members.epoch + 1 || !is_voter {
-            return;
+            return false;
         }
         let Some(attempt) = self.proposer.attempt.as_mut().filter(|attempt| attempt.proposal == proposal)
         else {
-            return;
+            return false;
         };
         if let Phase::Preparing { promises, majority_at } = &mut attempt.phase {
             promises.insert(from, promise);
@@ -195,31 +201,31 @@
                 majority_at.get_or_insert(now);
             }
         }
-        self.try_accept(now, status, out);
+        true
     }
 
-    /// Goes on to the second round once a majority and all others that live have promised, or have had their time.
-    fn try_accept(&mut self, now: Duration, status: Status, out: &mut Vec<AgreementAction>) {
+    /// Begins the second phase once all live voters have promised, or a majority has and the grace period for the rest is over.
+    pub(super) fn try_accept(&mut self, now: Duration, status: MemberStatus, out: &mut Vec<AgreementAction>) {
         let (Some(members), Some(attempt)) = (&self.members, &self.proposer.attempt) else { return };
         let Phase::Preparing { promises, majority_at: Some(majority_at) } = &attempt.phase else { return };
-        let all =
+        let have_all_promised =
             members.voters.iter().all(|voter| promises.contains_key(voter) || self.is_suspect(now, *voter));
-        if !all && *majority_at + self.settings.promise_grace_period > now {
+        if !have_all_promised && *majority_at + self.settings.promise_grace_period > now {
             return;
         }
-        let left_out =
+        let is_left_out =
             |member: MemberId| self.is_suspect(now, member) || (member == self.me && !status.disk_ready);
         let accepted = promises.values().filter_map(|promise| promise.accepted.clone());
         let value = match accepted.max_by_key(|(proposal, _)| *proposal) {
             Some((_, value)) => Some(value),
-            None => next_members(members, promises, left_out, attempt.addition),
+            None => next_members(members, promises, is_left_out, attempt.addition),
         };
         let Some(value) = value else { return };
         if let Some(attempt) = self.proposer.attempt.as_mut() {
             attempt.phase = Phase::Accepting { value, accepts: BTreeSet::new() };
             attempt.sent_at = now;
         }
-        self.send_round(out);
+        self.send_phase_messages(out);
     }
 
     pub(super) fn on_accepted(
@@ -242,16 +248,16 @@
         accepts.insert(from);
         if accepts.len() >= members.majority() {
             let value = value.clone();
-            self.learn(now, value.clone(), out);
+            self.learn_membership(now, value.clone(), out);
             self.broadcast(members, value, out);
         }
     }
 
     fn broadcast(&self, before: Membership, after: Membership, out: &mut Vec<AgreementAction>) {
-        let mut receivers: BTreeSet<MemberId> = before.voters.into_iter().collect();
-        receivers.extend(after.voters.iter().copied());
-        receivers.remove(&self.me);
-        for to in receivers {
+        let mut heartbeat_receivers: BTreeSet<MemberId> = before.voters.into_iter().collect();
+        heartbeat_receivers.extend(after.voters.iter().copied());
+        heartbeat_receivers.remove(&self.me);
+        for to in heartbeat_receivers {
             let message = AgreementMessage::MembershipDecided { members: after.clone() };
             out.push(AgreementAction::Send { to, message });
         }
@@ -263,35 +269,40 @@
         }
         self.proposer.highest_counter = self.proposer.highest_counter.max(promised.counter);
         if self.proposer.attempt.as_ref().is_some_and(|attempt| attempt.proposal < promised) {
-            self.give_up(now);
+            self.abandon_attempt(now);
         }
     }
 
-    /// Somebody else is changing the view: gives it time.
-    pub(super) fn make_way(&mut self, now: Duration, proposer: MemberId) {
+    /// Another member is changing the view: lets it finish.
+    pub(super) fn defer_to(&mut self, now: Duration, proposer: MemberId) {
         if proposer != self.me {
-            self.proposer.pause_until =
-                self.proposer.pause_until.max(now + self.settings.attempt_timeout / 2);
+            self.proposer.backoff_until =
+                self.proposer.backoff_until.max(now + self.settings.attempt_timeout / 2);
         }
     }
 
-    fn give_up(&mut self, now: Duration) {
+    fn abandon_attempt(&mut self, now: Duration) {
         self.proposer.attempt = None;
         self.proposer.failures += 1;
         let retry = self.settings.retry_backoff;
-        self.proposer.pause_until = now + retry + retry.mul_f64(2.0 * self.rng.f64());
+        self.proposer.backoff_until = now + retry + retry.mul_f64(2.0 * self.rng.f64());
     }
 
-    pub(super) fn proposer_tick(&mut self, now: Duration, status: Status, out: &mut Vec<AgreementAction>) {
-        let span = self.proposer.attempt_span(&self.settings);
+    pub(super) fn on_proposer_timer(
+        &mut self,
+        now: Duration,
+        status: MemberStatus,
+        out: &mut Vec<AgreementAction>,
+    ) {
+        let span = self.proposer.attempt_timeout(&self.settings);
         let Some(attempt) = &mut self.proposer.attempt else { return };
         if attempt.started_at + span <= now {
-            self.give_up(now);
+            self.abandon_attempt(now);
             return;
         }
         if attempt.sent_at + self.settings.heartbeat_interval <= now {
             attempt.sent_at = now;
-            self.send_round(out);
+            self.send_phase_messages(out);
         }
         self.try_accept(now, status, out);
     }
--- a/system/chain/src/agreement/value.rs
+++ b/system/chain/src/agreement/value.rs
@@ -1,10 +1,10 @@
-//! Which membership follows from which promises.
+//! The membership that follows from a set of promises.
 
 use std::collections::BTreeMap;
 
 use crate::{MemberId, Membership, ProposalNumber};
 
-/// What a voter said with its promise.
+/// What a voter reported with its promise.
 #[derive(Clone, Debug)]
 pub(super) struct Promise {
     pub accepted: Option<(ProposalNumber, Membership)>,
@@ -12,11 +12,11 @@
     pub in_sync: bool,
 }
 
-/// A member to take into the chain.
+/// A member to be added to the chain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Addition {
     pub member: MemberId,
-    /// The voter whose place it takes, if it isn't a voter itself and none is free.
+    /// The voter that it replaces, if it isn't a voter itself and there are enough.
     pub replaces: Option<MemberId>,
 }
 
@@ -30,14 +30,14 @@
     is_left_out: impl Fn(MemberId) -> bool,
     addition: Option<Addition>,
 ) -> Option<Membership> {
-    let counts = |member: &MemberId| promises.get(member).is_some_and(|promise| promise.in_sync);
-    let stays = |member: &MemberId| promises.contains_key(member) && !is_left_out(*member);
-    let staying = || present.chain.iter().copied().filter(stays);
-    let mut chain: Vec<MemberId> = staying().filter(counts).collect();
+    let is_in_sync = |member: &MemberId| promises.get(member).is_some_and(|promise| promise.in_sync);
+    let can_stay = |member: &MemberId| promises.contains_key(member) && !is_left_out(*member);
+    let staying = || present.chain.iter().copied().filter(can_stay);
+    let mut chain: Vec<MemberId> = staying().filter(is_in_sync).collect();
     if chain.is_empty() {
         return None;
     }
-    chain.extend(staying().filter(|member| !counts(member)));
+    chain.extend(staying().filter(|member| !is_in_sync(member)));
     let mut voters = present.voters.clone();
     if let Some(Addition { member, replaces }) = addition {
         add_voter(&mut voters, member, replaces);
@@ -46,7 +46,7 @@
             chain.push(member);
         }
     }
-    fill_up(&mut chain, present, &stays, &voters);
+    extend_to_min_chain(&mut chain, present, &can_stay, &voters);
     Some(Membership { epoch: present.epoch + 1, voters, chain, fault_tolerance: present.fault_tolerance })
 }
 
@@ -54,20 +54,20 @@
     if voters.contains(&member) {
         return;
     }
-    match replaces.and_then(|gone| voters.iter_mut().find(|voter| **voter == gone)) {
-        Some(place) => *place = member,
+    match replaces.and_then(|replaced| voters.iter_mut().find(|voter| **voter == replaced)) {
+        Some(voter) => *voter = member,
         None => voters.push(member),
     }
 }
 
-/// A chain too short to commit takes in other voters at once: nothing is lost by having it wait for them.
-fn fill_up(
+/// Adds other voters to a chain too short to commit: it loses nothing by waiting until they have caught up.
+fn extend_to_min_chain(
     chain: &mut Vec<MemberId>,
     present: &Membership,
-    stays: &impl Fn(&MemberId) -> bool,
+    can_stay: &impl Fn(&MemberId) -> bool,
     voters: &[MemberId],
 ) {
-    for voter in voters.iter().filter(|voter| stays(voter)) {
+    for voter in voters.iter().filter(|voter| can_stay(voter)) {
         if chain.len() >= present.min_chain_length() {
             return;
         }
--- a/system/chain/src/agreement/voter.rs
+++ b/system/chain/src/agreement/voter.rs
@@ -1,26 +1,26 @@
-//! The voter's part: promises and acceptances, each on the disk before it is given.
+//! The voter's part: promises and acceptances, each on the disk before it is sent.
 
 use std::time::Duration;
 
-use super::{Agreement, AgreementAction, Status, Vote};
+use super::{Agreement, AgreementAction, MemberStatus, Vote};
 use crate::{AgreementMessage, LogRecord, MemberId, Membership, ProposalNumber};
 
 impl Agreement {
-    /// Whether this member may vote for an epoch now; if not, the asker is told why where that helps.
-    fn may_vote(&self, from: MemberId, epoch: u64, out: &mut Vec<AgreementAction>) -> bool {
+    /// Whether this member may vote for an epoch now. A proposer in another epoch gets the newer membership, or is asked for it.
+    fn check_may_vote(&self, from: MemberId, epoch: u64, out: &mut Vec<AgreementAction>) -> bool {
         if epoch <= self.epoch() {
-            self.tell_view(from, out);
+            self.send_membership(from, out);
             return false;
         }
         if epoch > self.epoch() + 1 {
-            self.ask_view(from, out);
+            self.request_membership(from, out);
             return false;
         }
         self.members.as_ref().is_some_and(|members| members.is_voter(self.me) && members.is_voter(from))
     }
 
-    /// Takes a ballot if this member may vote and has promised no higher one; the epoch before it is sealed with it.
-    fn take_ballot(
+    /// Adopts a proposal number if this member may vote and has promised no higher one; that seals the epoch before.
+    fn adopt_proposal_number(
         &mut self,
         now: Duration,
         from: MemberId,
@@ -28,7 +28,7 @@
         proposal: ProposalNumber,
         out: &mut Vec<AgreementAction>,
     ) -> bool {
-        if !self.may_vote(from, epoch, out) {
+        if !self.check_may_vote(from, epoch, out) {
             return false;
         }
         if let Some(promised) = self.promised.filter(|promised| *promised > proposal) {
@@ -36,7 +36,7 @@
             out.push(AgreementAction::Send { to: from, message });
             return false;
         }
-        self.make_way(now, from);
+        self.defer_to(now, from);
         self.promised = Some(proposal);
         out.push(AgreementAction::Seal { epoch: epoch - 1 });
         true
@@ -50,7 +50,7 @@
         proposal: ProposalNumber,
         out: &mut Vec<AgreementAction>,
     ) {
-        if !self.take_ballot(now, from, epoch, proposal, out) {
+        if !self.adopt_proposal_number(now, from, epoch, proposal, out) {
             return;
         }
         out.push(AgreementAction::Persist {
@@ -68,7 +68,7 @@
         out: &mut Vec<AgreementAction>,
     ) {
         let epoch = members.epoch;
-        if !self.take_ballot(now, from, epoch, proposal, out) {
+        if !self.adopt_proposal_number(now, from, epoch, proposal, out) {
             return;
         }
         self.accepted = Some((proposal, members.clone()));
@@ -78,8 +78,8 @@
         });
     }
 
-    /// A vote is on the disk: it is given, if it still holds.
-    pub fn durable(&mut self, vote: Vote, status: Status, out: &mut Vec<AgreementAction>) {
+    /// A vote is on the disk: it is sent, if no higher proposal number was promised meanwhile.
+    pub fn on_vote_durable(&mut self, vote: Vote, status: MemberStatus, out: &mut Vec<AgreementAction>) {
         match vote {
             Vote::Learned => {}
             Vote::Promised { to, epoch, proposal } => {
--- a/system/chain/src/control_chain.rs
+++ b/system/chain/src/control_chain.rs
@@ -5,16 +5,18 @@
 //! - Records of [`ChainAction::Persist`] are written in the order of the actions, and [`ChainEvent::Durable`] is given
 //!   only when they and all records before them are synced. One event may stand for all the tokens up to its own, so
 //!   the host writes what has queued up with one sync.
-//! - A member's identity is on its disk before anybody hears of it, and a disk that has lost anything gets another.
+//! - A member's identity is on its disk before it is announced, and a disk that has lost anything gets another.
 //! - [`ChainEvent::TimerExpired`] is given at [`ControlChain::next_timer`] or soon after it.
 //!
-//! Messages may be lost, repeated and out of order. Each member that the host hears of is told by
-//! [`ChainEvent::MemberAnnounced`]; the host can then reach it under its [`MemberId`].
+//! Messages may be lost, repeated and out of order. Each member that the host learns of is announced by
+//! [`MembershipEvent::MemberAnnounced`](crate::MembershipEvent::MemberAnnounced); the host can then reach it under its
+//! [`MemberId`].
 
 use std::time::Duration;
 
 use crate::agreement::Agreement;
-use crate::turn::{Disk, Machines, Turn};
+use crate::event_dispatch::{EventDispatch, MemberState};
+use crate::pending_writes::PendingWrites;
 use crate::{
     ChainAction, ChainEvent, ControlChainSettings, LogRecord, MemberId, Membership, Replica, ReplicaSettings,
 };
@@ -22,7 +24,7 @@
 /// One member of the control group.
 #[derive(Clone, Debug)]
 pub struct ControlChain {
-    machines: Machines,
+    state: MemberState,
 }
 
 impl ControlChain {
@@ -31,17 +33,17 @@
         let fault_tolerance = settings.fault_tolerance;
         let members = Membership { epoch: 1, voters: founders.clone(), chain: founders, fault_tolerance };
         let mut chain = Self::recover(me, Vec::new(), settings, seed);
-        chain.machines.founding = Some(members);
+        chain.state.founding = Some(members);
         chain
     }
 
-    /// A member with an empty disk that asks the members announced to it to be taken in.
+    /// A member with an empty disk that joins the group of the members announced to it.
     pub fn join(me: MemberId, settings: ControlChainSettings, seed: u64) -> Self {
         Self::recover(me, Vec::new(), settings, seed)
     }
 
-    /// A member that starts again with what its disk holds. No record at all is the same as [`ControlChain::join`].
-    /// The seed must differ from life to life.
+    /// Recovers a member from what its disk holds. No record at all is the same as [`ControlChain::join`].
+    /// The seed must differ from one start of the process to the next.
     pub fn recover(me: MemberId, records: Vec<LogRecord>, settings: ControlChainSettings, seed: u64) -> Self {
         let bounds =
             ReplicaSettings { min_chain_length: settings.fault_tolerance + 1, ..settings.replica.clone() };
@@ -52,29 +54,35 @@
             agreement.restore(record);
         }
         Self {
-            machines: Machines { agreement, replica, disk: Disk::default(), disk_timeout, founding: None },
+            state: MemberState {
+                agreement,
+                replica,
+                pending_writes: PendingWrites::default(),
+                disk_timeout,
+                founding: None,
+            },
         }
     }
 
-    /// Takes an event and appends what is to be done.
+    /// Handles an event, and appends the actions that follow.
     pub fn handle(&mut self, now: Duration, event: ChainEvent, out: &mut Vec<ChainAction>) {
-        Turn::new(&mut self.machines, now, out).run(event);
+        EventDispatch::new(&mut self.state, now, out).run_until_idle(event);
     }
 
-    /// When [`ChainEvent::TimerExpired`] is wanted next.
+    /// When [`ChainEvent::TimerExpired`] is due next.
     pub fn next_timer(&self) -> Option<Duration> {
-        let agreement = self.machines.agreement.next_timer();
-        Some(self.machines.replica.next_timer().map_or(agreement, |at| at.min(agreement)))
+        let agreement = self.state.agreement.next_timer();
+        Some(self.state.replica.next_timer().map_or(agreement, |at| at.min(agreement)))
     }
 
     /// This member's identity.
     pub fn me(&self) -> MemberId {
-        self.machines.agreement.me()
+        self.state.agreement.me()
     }
 
     /// The membership in force as far as known here.
     pub fn members(&self) -> Option<&Membership> {
-        self.machines.agreement.members()
+        self.state.agreement.members()
     }
 
     /// The head of the chain as far as known here.
@@ -84,21 +92,21 @@
 
     /// Whether this member is in the chain, holds all that is committed, and hasn't sealed the view.
     pub fn is_serving(&self) -> bool {
-        self.machines.replica.is_serving()
+        self.state.replica.is_serving()
     }
 
     /// The last entry given to the host to apply. It is in the host's state once all actions so far are carried out.
     pub fn applied_index(&self) -> u64 {
-        self.machines.replica.applied_index()
+        self.state.replica.applied_index()
     }
 
     /// Everything that must stay on the disk once the state after the last applied entry is encoded as `state`. The
-    /// host writes these records after all that it was told to persist before, and may then drop all of that. It must
-    /// have done all the actions so far; [`ControlChain::applied_index`] names the state's entry. None while the state is
-    /// being replaced by another member's: ask again later.
+    /// host writes these records after all that it was to persist before, and may then drop all of that. It must
+    /// have done all the actions so far; [`ControlChain::applied_index`] is the index of the state. None while the state is
+    /// being replaced by another member's; a later call succeeds.
     pub fn checkpoint(&self, state: Vec<u8>) -> Option<Vec<LogRecord>> {
-        let mut records = self.machines.replica.checkpoint(state)?;
-        records.extend(self.machines.agreement.checkpoint());
+        let mut records = self.state.replica.checkpoint(state)?;
+        records.extend(self.state.agreement.checkpoint());
         Some(records)
     }
 }
--- /dev/null
+++ b/system/chain/src/event_dispatch.rs
@@ -0,0 +1,234 @@
+//! Passes one event to the components of a member, the agreement and the replica, and then their outputs to each other and to the
+//! host, until none is left.
+
+use std::collections::VecDeque;
+use std::time::Duration;
+
+use crate::agreement::{Agreement, AgreementAction, MemberStatus};
+use crate::pending_writes::{PendingWrites, WriteOwner};
+use crate::{
+    AgreementMessage, ChainAction, ChainEvent, ChainMessage, LogRecord, MemberId, Membership,
+    MembershipAction, MembershipEvent, Replica, ReplicaAction, ReplicaEvent, ViewAction, ViewEvent,
+};
+
+/// All state of one member of the control group.
+#[derive(Clone, Debug)]
+pub(crate) struct MemberState {
+    /// The votes on memberships.
+    pub agreement: Agreement,
+    /// The replicated log.
+    pub replica: Replica,
+    /// The disk that both write to.
+    pub pending_writes: PendingWrites,
+    /// A disk that takes longer than this for a write counts as unresponsive.
+    pub disk_timeout: Duration,
+    /// The first membership, where this member is a founder and hasn't started yet.
+    pub founding: Option<Membership>,
+}
+
+/// One event being processed.
+pub(crate) struct EventDispatch<'a> {
+    state: &'a mut MemberState,
+    now: Duration,
+    /// Actions for the host.
+    out: &'a mut Vec<ChainAction>,
+    replica_actions: Vec<ReplicaAction>,
+    agreement_actions: Vec<AgreementAction>,
+    /// Messages of the agreement from this member to itself.
+    loopback: VecDeque<AgreementMessage>,
+}
+
+impl<'a> EventDispatch<'a> {
+    /// Processes nothing yet; actions for the host are appended to `out`.
+    pub fn new(state: &'a mut MemberState, now: Duration, out: &'a mut Vec<ChainAction>) -> Self {
+        Self {
+            state,
+            now,
+            out,
+            replica_actions: Vec::new(),
+            agreement_actions: Vec::new(),
+            loopback: VecDeque::new(),
+        }
+    }
+
+    /// Handles an event with everything that follows from it.
+    pub fn run_until_idle(&mut self, event: ChainEvent) {
+        self.state.agreement.observe_time(self.now);
+        self.handle_event(event);
+        self.process_outputs();
+        while let Some(message) = self.loopback.pop_front() {
+            self.on_agreement_message(self.state.agreement.me(), message);
+            self.process_outputs();
+        }
+    }
+
+    fn status(&self) -> MemberStatus {
+        let MemberState { replica, pending_writes, disk_timeout, .. } = &*self.state;
+        MemberStatus {
+            in_sync: replica.is_in_sync(),
+            serving: replica.is_serving(),
+            disk_ready: pending_writes.is_disk_responsive(self.now, *disk_timeout),
+        }
+    }
+
+    fn handle_event(&mut self, event: ChainEvent) {
+        match event {
+            ChainEvent::Started => self.on_started(),
+            ChainEvent::Message { from, message: ChainMessage::Replica(message) } => {
+                self.replica_event(ReplicaEvent::Message { from, message })
+            }
+            ChainEvent::Message { from, message: ChainMessage::Agreement(message) } => {
+                self.on_agreement_message(from, message)
+            }
+            ChainEvent::Durable { token } => self.on_durable(token),
+            ChainEvent::Submit { command } => self.replica_event(ReplicaEvent::Submit { command }),
+            ChainEvent::Read { token } => self.replica_event(ReplicaEvent::Read { token }),
+            ChainEvent::SnapshotReady { index, bytes } => {
+                self.replica_event(ReplicaEvent::SnapshotReady { index, bytes })
+            }
+            ChainEvent::TimerExpired => self.on_timer_expired(),
+            ChainEvent::View(MembershipEvent::MemberAnnounced { member, replaces }) => {
+                self.state.agreement.on_member_announced(member, replaces)
+            }
+        }
+    }
+
+    fn on_started(&mut self) {
+        self.state.agreement.on_started(self.now);
+        if let Some(members) = self.state.founding.take() {
+            self.state.agreement.learn_membership(self.now, members, &mut self.agreement_actions);
+        }
+        self.replica_event(ReplicaEvent::Started);
+        if let Some(epoch) = self.state.agreement.sealed_epoch() {
+            self.out.push(ChainAction::View(MembershipAction::Sealed { epoch }));
+        }
+        self.replica_event(ReplicaEvent::View(ViewEvent::FollowAsLearner));
+        self.install_recovered_view();
+    }
+
+    /// Installs the view of a membership that was on the disk, where a crash came between its record and that of its view.
+    fn install_recovered_view(&mut self) {
+        let epoch = self.state.replica.epoch();
+        let newer = self.state.agreement.members().filter(|members| members.epoch > epoch);
+        if let Some(view) = newer.map(Membership::view) {
+            if self.agreement_actions.is_empty() {
+                self.replica_event(ReplicaEvent::View(ViewEvent::Install { view }));
+            }
+        }
+    }
+
+    fn on_durable(&mut self, synced_token: u64) {
+        while let Some(owner) = self.state.pending_writes.complete_next(synced_token) {
+            match owner {
+                WriteOwner::Replica { token } => self.replica_event(ReplicaEvent::Durable { token }),
+                WriteOwner::Agreement(vote) => {
+                    let status = self.status();
+                    self.state.agreement.on_vote_durable(vote, status, &mut self.agreement_actions);
+                }
+            }
+            self.process_outputs();
+        }
+    }
+
+    fn on_timer_expired(&mut self) {
+        let status = self.status();
+        self.state.agreement.on_timer_expired(self.now, status, &mut self.agreement_actions);
+        self.replica_event(ReplicaEvent::TimerExpired);
+    }
+
+    fn on_agreement_message(&mut self, from: MemberId, message: AgreementMessage) {
+        let status = self.status();
+        self.state.agreement.on_message(self.now, from, message, status, &mut self.agreement_actions);
+    }
+
+    fn replica_event(&mut self, event: ReplicaEvent) {
+        self.state.replica.handle(self.now, event, &mut self.replica_actions);
+    }
+
+    /// Carries out what the two components want of each other, and hands the rest to the host, until neither has any output.
+    fn process_outputs(&mut self) {
+        while !self.replica_actions.is_empty() || !self.agreement_actions.is_empty() {
+            for action in std::mem::take(&mut self.agreement_actions) {
+                self.on_agreement_action(action);
+            }
+            for action in std::mem::take(&mut self.replica_actions) {
+                self.on_replica_action(action);
+            }
+        }
+    }
+
+    fn on_agreement_action(&mut self, action: AgreementAction) {
+        match action {
+            AgreementAction::Send { to, message } if to == self.state.agreement.me() => {
+                self.loopback.push_back(message)
+            }
+            AgreementAction::Send { to, message } => {
+                self.out.push(ChainAction::Send { to, message: ChainMessage::Agreement(message) })
+            }
+            AgreementAction::Persist { record, vote } => {
+                self.persist(vec![record], WriteOwner::Agreement(vote))
+            }
+            AgreementAction::Seal { epoch } => {
+                self.state.replica.seal_in_memory(epoch);
+                self.out.push(ChainAction::View(MembershipAction::Sealed { epoch }));
+            }
+            AgreementAction::Install { members } => {
+                self.replica_event(ReplicaEvent::View(ViewEvent::Install { view: members.view() }))
+            }
+        }
+    }
+
+    fn persist(&mut self, records: Vec<LogRecord>, owner: WriteOwner) {
+        let token = self.state.pending_writes.start(self.now, owner);
+        self.out.push(ChainAction::Persist { token, records });
+    }
+
+    fn on_replica_action(&mut self, action: ReplicaAction) {
+        match action {
+            ReplicaAction::Send { to, message } => {
+                self.out.push(ChainAction::Send { to, message: ChainMessage::Replica(message) })
+            }
+            ReplicaAction::Persist { token, records } => self.persist(records, WriteOwner::Replica { token }),
+            ReplicaAction::View(action) => self.on_view_action(action),
+            action => self.out.extend(host_action(action)),
+        }
+    }
+
+    fn on_view_action(&mut self, action: ViewAction) {
+        match action {
+            ViewAction::Installed { .. } => {
+                if let Some(members) = self.state.agreement.members().cloned() {
+                    self.out.push(ChainAction::View(MembershipAction::Installed { members }));
+                }
+            }
+            ViewAction::LearnerProgress { member, lag } => {
+                let status = self.status();
+                let out = &mut self.agreement_actions;
+                self.state.agreement.on_learner_progress(self.now, member, lag, status, out);
+            }
+            ViewAction::OwnViewStale { member, epoch } => {
+                self.state.agreement.on_newer_epoch(member, epoch, &mut self.agreement_actions)
+            }
+            // Only the host of a replica seals by an event; here the vote does, in memory.
+            ViewAction::Sealed { .. } => {}
+        }
+    }
+}
+
+/// The same action for the host of the control chain; none for those that this module carries out itself.
+fn host_action(action: ReplicaAction) -> Option<ChainAction> {
+    Some(match action {
+        ReplicaAction::Apply { index, command, reply } => ChainAction::Apply { index, command, reply },
+        ReplicaAction::TakeSnapshot => ChainAction::TakeSnapshot,
+        ReplicaAction::InstallSnapshot { index, bytes } => ChainAction::InstallSnapshot { index, bytes },
+        ReplicaAction::ReadReady { token, index } => ChainAction::ReadReady { token, index },
+        ReplicaAction::ReadFailed { token } => ChainAction::ReadFailed { token },
+        ReplicaAction::NotHead { command, head } => ChainAction::NotHead { command, head },
+        ReplicaAction::Busy { command } => ChainAction::Busy { command },
+        ReplicaAction::BecameInSync { epoch } => ChainAction::BecameInSync { epoch },
+        ReplicaAction::BarrierCommitted { epoch, number, commit_index } => {
+            ChainAction::BarrierCommitted { epoch, number, commit_index }
+        }
+        ReplicaAction::Send { .. } | ReplicaAction::Persist { .. } | ReplicaAction::View(_) => return None,
+    })
+}
--- a/system/chain/src/lib.rs
+++ b/system/chain/src/lib.rs
@@ -1,23 +1,27 @@
 //! Chain replication under an agreed membership view, sans I/O.
 //!
-//! [`Replica`] is one copy of one replicated log in a view that somebody else decides (the partitions of batch jobs).
+//! [`Replica`] is one replica of a log in a view that its host decides (the partitions of batch jobs).
 //! [`ControlChain`] is a replica whose views are decided by a majority of its own voters (the control plane).
-//! Neither owns a socket, file, timer or clock: events go in with the time, actions come out.
+//! Neither owns a socket, file, timer or clock: an [`Event`] goes in with the time, an [`Action`] comes out.
 
 mod agreement;
 mod control_chain;
+mod event_dispatch;
 mod interface;
 mod members;
 mod message;
+mod pending_writes;
 mod record;
 mod replica;
 mod settings;
-mod turn;
 
 pub use control_chain::ControlChain;
-pub use interface::{ChainAction, ChainEvent};
+pub use interface::{
+    Action, ChainAction, ChainEvent, Event, MembershipAction, MembershipEvent, ReplicaAction, ReplicaEvent,
+    ViewAction, ViewEvent,
+};
 pub use members::{MemberId, Membership, View};
 pub use message::{AgreementMessage, ChainMessage, Heartbeat, ProposalNumber, ReplicaMessage};
 pub use record::LogRecord;
-pub use replica::{Replica, ReplicaAction, ReplicaEvent};
+pub use replica::Replica;
 pub use settings::{ControlChainSettings, ReplicaSettings};
--- a/system/chain/src/members.rs
+++ b/system/chain/src/members.rs
@@ -1,4 +1,4 @@
-//! Who takes part: identities of disks, the view of a chain, and the membership of the control group.
+//! Members and views: identities of disks, the view of a chain, and the membership of the control group.
 
 use serde::{Deserialize, Serialize};
 
--- a/system/chain/src/message.rs
+++ b/system/chain/src/message.rs
@@ -1,4 +1,4 @@
-//! What members say to each other.
+//! The messages between members. Their encoded form goes by the order of variants and fields.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,7 +7,7 @@
 /// A message between replicas of one group. Each carries the epoch of the view it belongs to.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ReplicaMessage {
-    /// From a successor or learner: go on after my last durable entry.
+    /// From a successor or learner: send what follows my last entry.
     Resume {
         /// Epoch of the view.
         epoch: u64,
@@ -18,7 +18,7 @@
         /// Whether the sender is outside the chain.
         learner: bool,
     },
-    /// From a predecessor that has restarted: tell me where to go on.
+    /// From a predecessor that has restarted: send [`ReplicaMessage::Resume`].
     RequestResume {
         /// Epoch of the view.
         epoch: u64,
@@ -27,7 +27,7 @@
     Append {
         /// Epoch of the view.
         epoch: u64,
-        /// Number of the first entry; the receiver must hold the one before.
+        /// Index of the first entry; the receiver must hold the one before.
         first_index: u64,
         /// The commands, in order.
         commands: Vec<Vec<u8>>,
@@ -36,7 +36,7 @@
         /// Set once the sender counts in this view: a receiver that holds all up to here counts as well.
         in_sync_index: Option<u64>,
     },
-    /// A part of a snapshot.
+    /// A chunk of a snapshot.
     SnapshotChunk {
         /// Epoch of the view.
         epoch: u64,
@@ -44,12 +44,12 @@
         index: u64,
         /// Length of the whole snapshot.
         total: u64,
-        /// Where this part starts.
+        /// Where this chunk starts.
         offset: u64,
-        /// The part.
+        /// The chunk.
         bytes: Vec<u8>,
     },
-    /// How far a snapshot has arrived.
+    /// How much of a snapshot has arrived.
     SnapshotChunkAck {
         /// Epoch of the view.
         epoch: u64,
@@ -58,7 +58,7 @@
         /// Bytes received so far without a gap.
         received: u64,
     },
-    /// From a successor or learner: this much is durable here, and this much committed.
+    /// From a successor or learner: up to where its log is durable and committed.
     Ack {
         /// Epoch of the view.
         epoch: u64,
@@ -67,18 +67,18 @@
         /// Up to where the log is committed.
         commit_index: u64,
     },
-    /// Is this view still in force for you?
+    /// Asks whether a view is still in force at the receiver.
     ConfirmView {
         /// Epoch of the view.
         epoch: u64,
-        /// Chosen by the asker.
+        /// Number of the confirmation round, chosen by the sender.
         round: u64,
     },
-    /// It is.
+    /// The view is still in force at the sender.
     ViewConfirmed {
         /// Epoch of the view.
         epoch: u64,
-        /// The probe's round.
+        /// Number of the confirmation round.
         round: u64,
         /// From the tail, if it is certain that nothing beyond was ever acknowledged: up to where the log is committed.
         commit_index: Option<u64>,
@@ -99,14 +99,14 @@
         /// Up to where the tail had committed.
         commit_index: u64,
     },
-    /// The message was of an old view.
+    /// A message was of a view older than that of the sender.
     StaleEpoch {
         /// The sender's epoch.
         epoch: u64,
     },
 }
 
-/// A ballot of the vote on the next membership: the higher counter wins, then the higher member.
+/// The number of a proposal in the vote on the next membership (Paxos): the higher counter wins, then the higher member.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ProposalNumber {
     /// Counts the attempts.
@@ -115,7 +115,7 @@
     pub proposer: u64,
 }
 
-/// What a member says of itself, regularly.
+/// What a member reports of itself at regular intervals.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
     /// Epoch of the membership the sender knows (0: none).
@@ -124,16 +124,16 @@
     pub disk_ready: bool,
     /// Whether it has sealed that epoch, so that the next one must be decided.
     pub sealed: bool,
-    /// Whom it has heard of lately.
+    /// The members that it has heard of lately.
     pub live_peers: Vec<MemberId>,
 }
 
 /// A message of the vote on memberships.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AgreementMessage {
-    /// I am here.
+    /// The sender is alive.
     Heartbeat(Heartbeat),
-    /// Which membership is in force? I know of this epoch.
+    /// Asks for the membership in force.
     RequestMembership {
         /// The epoch known to the sender.
         epoch: u64,
@@ -143,43 +143,43 @@
         /// The membership.
         members: Membership,
     },
-    /// Promise to take part in nothing lower, and seal the epoch before.
+    /// Phase 1: asks for the promise to accept no lower proposal number, which also seals the epoch before.
     Prepare {
         /// The epoch that is to be decided.
         epoch: u64,
-        /// The ballot.
+        /// The proposal number.
         proposal: ProposalNumber,
     },
-    /// Promised, sealed and durable.
+    /// Phase 1: promised, sealed and durable.
     Promise {
         /// The epoch that is to be decided.
         epoch: u64,
-        /// The ballot.
+        /// The proposal number.
         proposal: ProposalNumber,
         /// What the sender has accepted before.
         accepted: Option<(ProposalNumber, Membership)>,
         /// Whether the sender counted in the chain of the epoch before, so that it holds all that was committed.
         in_sync: bool,
     },
-    /// Accept this value.
+    /// Phase 2: asks to accept a value.
     Accept {
-        /// The ballot.
+        /// The proposal number.
         proposal: ProposalNumber,
         /// The value.
         members: Membership,
     },
-    /// Accepted and durable.
+    /// Phase 2: accepted and durable.
     Accepted {
         /// The epoch that is to be decided.
         epoch: u64,
-        /// The ballot.
+        /// The proposal number.
         proposal: ProposalNumber,
     },
-    /// A higher ballot has been promised.
+    /// A higher proposal number has been promised.
     Rejected {
         /// The epoch that is to be decided.
         epoch: u64,
-        /// The promised ballot.
+        /// The promised proposal number.
         promised: ProposalNumber,
     },
 }
--- /dev/null
+++ b/system/chain/src/pending_writes.rs
@@ -0,0 +1,49 @@
+//! The records that a member is writing, oldest first, and on whose behalf.
+
+use std::collections::VecDeque;
+use std::time::Duration;
+
+use crate::agreement::Vote;
+
+/// The component that waits for a write.
+#[derive(Clone, Debug)]
+pub(crate) enum WriteOwner {
+    /// The replica, under its own token.
+    Replica { token: u64 },
+    /// The agreement.
+    Agreement(Vote),
+}
+
+#[derive(Clone, Debug)]
+struct PendingWrite {
+    token: u64,
+    started_at: Duration,
+    owner: WriteOwner,
+}
+
+/// The writes in flight. Both components of a member write to one disk, in one order.
+#[derive(Clone, Debug, Default)]
+pub(crate) struct PendingWrites {
+    last_token: u64,
+    writes: VecDeque<PendingWrite>,
+}
+
+impl PendingWrites {
+    /// Adds a write, and returns its token.
+    pub fn start(&mut self, now: Duration, owner: WriteOwner) -> u64 {
+        self.last_token += 1;
+        self.writes.push_back(PendingWrite { token: self.last_token, started_at: now, owner });
+        self.last_token
+    }
+
+    /// Removes the oldest write, if it is synced with all those up to a token.
+    pub fn complete_next(&mut self, synced_token: u64) -> Option<WriteOwner> {
+        self.writes.front().filter(|write| write.token <= synced_token)?;
+        self.writes.pop_front().map(|write| write.owner)
+    }
+
+    /// Whether the oldest write has been in flight for less than `timeout`.
+    pub fn is_disk_responsive(&self, now: Duration, timeout: Duration) -> bool {
+        self.writes.front().is_none_or(|write| now < write.started_at + timeout)
+    }
+}
--- a/system/chain/src/record.rs
+++ b/system/chain/src/record.rs
@@ -1,4 +1,4 @@
-//! What a member keeps on its disk, in the order in which it was written.
+//! The records on the disk of a member, in the order in which they were written.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,14 +7,14 @@
 /// One durable record. The host encodes records in the order given, and feeds them back in that order after a restart.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LogRecord {
-    /// A view has been installed. `full` says whether this member holds everything committed in the views before.
+    /// A view has been installed.
     View {
         /// The view.
         view: View,
         /// Whether this member holds everything that was committed before.
         in_sync: bool,
     },
-    /// A view has been installed in which this member doesn't count, and entries it doesn't know to be committed are void.
+    /// A view has been installed in which this member doesn't count, and entries it doesn't know to be committed are dropped.
     /// Both in one record, so that no loss of power comes between.
     Rejoined {
         /// The view.
@@ -36,21 +36,21 @@
     Entry {
         /// The epoch in which it was written here.
         epoch: u64,
-        /// Its number.
+        /// Its index.
         index: u64,
         /// Up to where the log was known to be committed when this was written.
         commit_index: u64,
         /// The command.
         command: Vec<u8>,
     },
-    /// The state after an entry; everything before is void.
+    /// The state after an entry; it replaces all entries before.
     Snapshot {
         /// The last entry in the state.
         index: u64,
         /// The state, as the host encoded it.
         bytes: Vec<u8>,
     },
-    /// The head of an epoch may number barriers up to here; after a restart it goes on behind.
+    /// The head of an epoch may number barriers up to here; after a restart it continues behind.
     BarrierReservation {
         /// The epoch.
         epoch: u64,
@@ -62,16 +62,16 @@
         /// The membership.
         members: Membership,
     },
-    /// A ballot for the next membership has been promised. It also seals the epoch before.
+    /// A proposal number for the next membership has been promised. It also seals the epoch before.
     Promise {
         /// The epoch that is to be decided.
         epoch: u64,
-        /// The ballot.
+        /// The proposal number.
         proposal: ProposalNumber,
     },
     /// A value for the next membership has been accepted. It also seals the epoch before.
     Accepted {
-        /// The ballot.
+        /// The proposal number.
         proposal: ProposalNumber,
         /// The value; its epoch is the one that is to be decided.
         members: Membership,
--- a/system/chain/src/replica/barrier.rs
+++ b/system/chain/src/replica/barrier.rs
@@ -4,19 +4,19 @@
 
 use std::time::Duration;
 
-use super::{Pending, Replica, ReplicaAction};
+use super::{PendingRecord, Replica, ReplicaAction};
 use crate::{LogRecord, MemberId, ReplicaMessage};
 
-/// How many numbers are reserved at a time.
-const BLOCK: u64 = 100_000;
+/// How many numbers are reserved with one record.
+const RESERVED_BLOCK: u64 = 100_000;
 
-/// Where the numbers stand.
+/// The numbers that have been used and reserved in the view.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Barriers {
     next_at: Duration,
-    number: u64,
+    last_number: u64,
     reserved: u64,
-    reserving: bool,
+    is_reserving: bool,
     /// The last number confirmed by the tail.
     confirmed: u64,
 }
@@ -27,111 +27,113 @@
         *self = Self::default();
     }
 
+    /// The next barrier is due now.
     pub fn start(&mut self, now: Duration) {
         self.next_at = now;
     }
 
-    /// A reservation is on the disk.
-    pub fn reserved(&mut self, epoch_is_current: bool, reserved: u64) {
-        if epoch_is_current {
-            self.reserving = false;
-            self.reserved = self.reserved.max(reserved);
-        }
+    /// The reservation of this view is on the disk.
+    pub fn on_reservation_durable(&mut self, reserved: u64) {
+        self.is_reserving = false;
+        self.reserved = self.reserved.max(reserved);
     }
 
     /// A reservation was found on the disk: all its numbers may have been used.
     pub fn restore(&mut self, reserved: u64) {
-        self.number = reserved;
+        self.last_number = reserved;
         self.reserved = reserved;
     }
 
     /// The highest number that may have been used, with what is being reserved.
     pub fn record(&self, epoch: u64) -> LogRecord {
-        let coming = if self.reserving { BLOCK } else { 0 };
-        LogRecord::BarrierReservation { epoch, reserved: self.reserved + coming }
+        let being_reserved = if self.is_reserving { RESERVED_BLOCK } else { 0 };
+        LogRecord::BarrierReservation { epoch, reserved: self.reserved + being_reserved }
     }
 }
 
 impl Replica {
-    pub(super) fn barrier_tick(&mut self, now: Duration, out: &mut Vec<ReplicaAction>) {
+    /// Sends the next barrier, if this is the head and its time has come.
+    pub(super) fn send_due_barrier(&mut self, now: Duration, out: &mut Vec<ReplicaAction>) {
         let due = self.barrier_timer().is_some_and(|at| at <= now);
         let Some(every) = self.settings.barrier_interval.filter(|_| due) else { return };
         self.barriers.next_at = now + every;
-        if self.barriers.number >= self.barriers.reserved {
+        if self.barriers.last_number >= self.barriers.reserved {
             self.reserve(out);
             return;
         }
-        self.barriers.number += 1;
-        self.pass_barrier(self.barriers.number, out);
+        self.barriers.last_number += 1;
+        self.forward_barrier(self.barriers.last_number, out);
     }
 
     fn reserve(&mut self, out: &mut Vec<ReplicaAction>) {
-        if self.barriers.reserving {
+        if self.barriers.is_reserving {
             return;
         }
-        self.barriers.reserving = true;
+        self.barriers.is_reserving = true;
         let epoch = self.epoch();
-        let reserved = self.barriers.reserved + BLOCK;
+        let reserved = self.barriers.reserved + RESERVED_BLOCK;
         self.persist(
             vec![LogRecord::BarrierReservation { epoch, reserved }],
-            Pending::Barriers { epoch, reserved },
+            PendingRecord::Barriers { epoch, reserved },
             out,
         );
     }
 
-    fn pass_barrier(&mut self, number: u64, out: &mut Vec<ReplicaAction>) {
+    /// Sends a barrier on to the successor; the tail confirms it.
+    fn forward_barrier(&mut self, number: u64, out: &mut Vec<ReplicaAction>) {
         if !self.is_serving() {
             return;
         }
-        match self.view.as_ref().and_then(|view| view.successor(self.me)) {
+        match self.successor() {
             Some(to) => {
                 let message = ReplicaMessage::Barrier { epoch: self.epoch(), number };
                 out.push(ReplicaAction::Send { to, message });
             }
             None => {
-                if let Some(commit_index) = self.certain_commit() {
-                    self.barrier_confirmed(number, commit_index, out);
+                if let Some(commit_index) = self.certain_commit_index() {
+                    self.on_barrier_confirmed(number, commit_index, out);
                 }
             }
         }
     }
 
-    fn barrier_confirmed(&mut self, number: u64, commit_index: u64, out: &mut Vec<ReplicaAction>) {
+    fn on_barrier_confirmed(&mut self, number: u64, commit_index: u64, out: &mut Vec<ReplicaAction>) {
         if number <= self.barriers.confirmed {
             return;
         }
         self.barriers.confirmed = number;
-        // What the confirmation stands for comes first, as far as it is here.
-        self.log.commit(commit_index);
-        self.apply(out);
+        // Entries that the confirmation covers are applied before it is given, as far as they are here.
+        self.log.commit_to(commit_index);
+        self.apply_committed(out);
         let epoch = self.epoch();
         out.push(ReplicaAction::BarrierCommitted { epoch, number, commit_index });
-        if let Some(to) = self.view.as_ref().and_then(|view| view.predecessor(self.me)) {
+        if let Some(to) = self.predecessor() {
             let message = ReplicaMessage::BarrierCommitted { epoch, number, commit_index };
             out.push(ReplicaAction::Send { to, message });
         }
     }
 
     pub(super) fn on_barrier(&mut self, from: MemberId, number: u64, out: &mut Vec<ReplicaAction>) {
-        if self.view.as_ref().and_then(|view| view.predecessor(self.me)) == Some(from) {
-            self.pass_barrier(number, out);
+        if self.predecessor() == Some(from) {
+            self.forward_barrier(number, out);
         }
     }
 
-    pub(super) fn on_barrier_done(
+    pub(super) fn on_barrier_committed(
         &mut self,
         from: MemberId,
         number: u64,
         commit_index: u64,
         out: &mut Vec<ReplicaAction>,
     ) {
-        if self.view.as_ref().and_then(|view| view.successor(self.me)) == Some(from) {
-            self.barrier_confirmed(number, commit_index, out);
+        if self.successor() == Some(from) {
+            self.on_barrier_confirmed(number, commit_index, out);
         }
     }
 
+    /// When [`Replica::send_due_barrier`] has something to do.
     pub(super) fn barrier_timer(&self) -> Option<Duration> {
-        let sends = self.is_head() && self.is_serving() && self.settings.barrier_interval.is_some();
-        sends.then_some(self.barriers.next_at)
+        let sends_barriers = self.is_head() && self.is_serving() && self.settings.barrier_interval.is_some();
+        sends_barriers.then_some(self.barriers.next_at)
     }
 }
--- a/system/chain/src/replica/log.rs
+++ b/system/chain/src/replica/log.rs
@@ -1,4 +1,4 @@
-//! The entries of one replica that are held in memory, and how far they are durable, committed and applied.
+//! The entries of one replica that are held in memory, and up to which index they are durable, committed and applied.
 //!
 //! Always: `applied_index <= commit_index <= durable_index <= last_index`, and every entry after `applied_index` is held.
 
@@ -27,27 +27,27 @@
 }
 
 impl Log {
-    /// Number of the last entry, durable or not.
+    /// Index of the last entry, durable or not.
     pub fn last_index(&self) -> u64 {
         self.compacted_index + self.entries.len() as u64
     }
 
-    /// Number of the last synced entry.
+    /// Index of the last synced entry.
     pub fn durable_index(&self) -> u64 {
         self.durable_index
     }
 
-    /// Number of the last entry known to be committed and durable here.
+    /// Index of the last entry known to be committed and durable here.
     pub fn commit_index(&self) -> u64 {
         self.commit_index
     }
 
-    /// Number of the last entry given to the host.
+    /// Index of the last entry given to the host.
     pub fn applied_index(&self) -> u64 {
         self.applied_index
     }
 
-    /// The number before the oldest entry still held.
+    /// The index before the oldest entry still held.
     pub fn compacted_index(&self) -> u64 {
         self.compacted_index
     }
@@ -81,22 +81,19 @@
         self.entries.get(usize::try_from(position).ok()?)
     }
 
-    /// The entries up to here are synced. Entries that have become void since are no matter: no others are appended before
-    /// the record that voids them is synced as well.
-    pub fn synced(&mut self, up_to: u64) {
+    /// The entries up to here are synced. Entries that were truncated since do no harm: no others are appended
+    /// before the record of that truncation is synced as well.
+    pub fn mark_durable(&mut self, up_to: u64) {
         self.durable_index = self.durable_index.max(up_to.min(self.last_index()));
     }
 
     /// The entries up to here are committed; what isn't durable here doesn't count yet.
-    pub fn commit(&mut self, up_to: u64) -> bool {
-        let commit_index = up_to.min(self.durable_index);
-        let risen = commit_index > self.commit_index;
-        self.commit_index = self.commit_index.max(commit_index);
-        risen
+    pub fn commit_to(&mut self, up_to: u64) {
+        self.commit_index = self.commit_index.max(up_to.min(self.durable_index));
     }
 
-    /// The next committed entry that wasn't applied, which then counts as applied.
-    pub fn take_next(&mut self) -> Option<(u64, Vec<u8>)> {
+    /// The next committed entry that wasn't applied; it counts as applied from now on.
+    pub fn apply_next(&mut self) -> Option<(u64, Vec<u8>)> {
         if self.applied_index >= self.commit_index {
             return None;
         }
@@ -107,7 +104,7 @@
         Some((index, command))
     }
 
-    /// Drops the entries after a number.
+    /// Drops the entries after an index.
     pub fn truncate(&mut self, after: u64) {
         let after = after.max(self.commit_index);
         while self.last_index() > after {
@@ -119,8 +116,8 @@
         self.durable_index = self.durable_index.min(after);
     }
 
-    /// Starts again from a state.
-    pub fn reset(&mut self, index: u64) {
+    /// Continues from a state that holds all entries up to an index.
+    pub fn reset_to(&mut self, index: u64) {
         self.entries.clear();
         self.bytes = 0;
         self.unapplied_bytes = 0;
@@ -131,9 +128,9 @@
     }
 
     /// Drops applied entries beyond the bounds, the oldest first.
-    pub fn trim(&mut self, most_entries: usize, most_bytes: usize) {
-        while self.applied_index > self.compacted_index + most_entries as u64
-            || (self.applied_index > self.compacted_index && self.bytes - self.unapplied_bytes > most_bytes)
+    pub fn compact(&mut self, max_entries: usize, max_bytes: usize) {
+        while self.applied_index > self.compacted_index + max_entries as u64
+            || (self.applied_index > self.compacted_index && self.bytes - self.unapplied_bytes > max_bytes)
         {
             let Some(entry) = self.entries.pop_front() else { return };
             self.bytes -= entry.command.len();
@@ -141,7 +138,7 @@
         }
     }
 
-    /// Records of all the entries after a number.
+    /// Records of all the entries after an index.
     pub fn records_after(&self, index: u64) -> Vec<LogRecord> {
         (index + 1..=self.last_index())
             .filter_map(|index| {
@@ -152,13 +149,13 @@
             .collect()
     }
 
-    /// Takes back an entry from the disk. An entry out of order is left out.
+    /// Adds an entry found on the disk. An entry out of order is ignored.
     pub fn restore(&mut self, epoch: u64, index: u64, commit_index: u64, command: Vec<u8>) {
         if index != self.last_index() + 1 {
             return;
         }
         self.push(Entry { epoch, command });
         self.durable_index = index;
-        self.commit(commit_index);
+        self.commit_to(commit_index);
     }
 }
--- a/system/chain/src/replica/mod.rs
+++ b/system/chain/src/replica/mod.rs
@@ -1,131 +1,140 @@
-//! One copy of a replicated log in a chain.
+//! One replica of a log in a chain (van Renesse and Schneider, "Chain Replication for Supporting High Throughput and Availability",
+//! OSDI 2004).
 //!
-//! The head numbers commands; each member syncs an entry before it passes it on; what the tail has synced is committed.
-//! So the durable log of a member always begins with that of its successor, and every member of a chain holds all that
-//! the chain has committed. The view comes from outside ([`ReplicaEvent::Install`]): whoever decides views must decide
-//! each epoch once, and may keep a member as the first of the next chain only if it reported
-//! [`ReplicaAction::BecameInSync`] in the epoch before. A member counts (it is *full*) in a view if it counted in the view
-//! just before and all that stand before it in the chain stood before it then; so members that stay keep their order
-//! and come first. Any other member drops what it doesn't know to be committed, and catches up from its predecessor
-//! before it counts.
+//! The head numbers commands; each member syncs an entry before it passes it on; what the tail has synced is committed. So the
+//! durable log of a member always begins with that of its successor, and every member of a chain holds all that the chain has
+//! committed. The view comes from outside ([`ViewEvent::Install`]): whoever decides views must decide each epoch once, and may keep
+//! a member as the first of the next chain only if it reported [`ReplicaAction::BecameInSync`] in the epoch before.
 //!
-//! The host's duties towards the disk are those of [`ControlChain`](crate::ControlChain).
+//! A member counts in a view (it is *in sync*) if it counted in the view just before and all that stand before it in the chain
+//! stood before it then; so members that stay keep their order and come first. Any other member drops what it doesn't know to be
+//! committed, and catches up from its predecessor before it counts.
+//!
+//! What a replica does not know: who decides its views, what its commands mean, and how its state is encoded. The host's duties
+//! towards the disk are those of [`ControlChain`](crate::ControlChain).
 
 mod barrier;
-mod feed;
-mod install;
-mod intake;
-mod interface;
 mod log;
+mod progress;
 mod reads;
 mod recovery;
+mod replication;
+mod upstream;
+mod view_installation;
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
-use crate::{LogRecord, MemberId, ReplicaMessage, ReplicaSettings, View};
+use crate::{
+    Event, LogRecord, MemberId, ReplicaAction, ReplicaEvent, ReplicaMessage, ReplicaSettings, View,
+    ViewAction, ViewEvent,
+};
 use barrier::Barriers;
-use feed::{Feed, HostSnapshot};
-use intake::Intake;
-pub use interface::{ReplicaAction, ReplicaEvent};
 use log::Log;
+use progress::{EncodedSnapshot, FollowerRole, Progress};
 use reads::Reads;
+use replication::Resume;
+use upstream::{Append, Chunk, Upstream};
 
-/// What a sync that is under way will have made durable.
+/// What a sync in flight will have made durable.
 #[derive(Clone, Debug)]
-enum Pending {
+enum PendingRecord {
     Entries { up_to: u64 },
     View { epoch: u64 },
-    Full { epoch: u64 },
+    InSync { epoch: u64 },
     Sealed { epoch: u64 },
     Snapshot { index: u64, bytes: Vec<u8> },
     Barriers { epoch: u64, reserved: u64 },
 }
 
-/// Most messages kept for a view that isn't in force here yet.
-const EARLY_MESSAGES: usize = 64;
+/// Most messages that are queued for a view that isn't in force here yet.
+const MAX_EARLY_MESSAGES: usize = 64;
 
-/// How many times the usual number of entries is retained while a snapshot is on its way to another member.
+/// How many times as many entries as usual are retained while a snapshot is being sent.
 const SNAPSHOT_RETAIN_FACTOR: usize = 4;
 
-/// One copy of a replicated log.
+/// One replica of a log.
 #[derive(Clone, Debug)]
 pub struct Replica {
     me: MemberId,
     settings: ReplicaSettings,
     view: Option<View>,
     /// Whether the view's record is on the disk.
-    installed: bool,
+    is_view_durable: bool,
     /// Whether this member counts in the view.
     in_sync: bool,
     /// Whether the record of that is being written.
     becoming_in_sync: bool,
     /// The highest sealed epoch.
-    sealed: u64,
-    learning: bool,
-    /// Entries up to here were known to be committed before this life; nobody waits for an answer.
-    recovered: u64,
+    sealed_epoch: u64,
+    follows_as_learner: bool,
+    /// Entries up to here were known to be committed before this process started; no client waits for a response.
+    recovered_index: u64,
     log: Log,
-    next_token: u64,
-    pending: VecDeque<(u64, Pending)>,
-    intake: Intake,
-    feeds: Vec<Feed>,
-    snapshot: Option<HostSnapshot>,
-    snapshot_asked: bool,
+    last_token: u64,
+    pending_records: VecDeque<(u64, PendingRecord)>,
+    /// Where entries come from.
+    upstream: Upstream,
+    /// Where entries go to.
+    followers: Vec<Progress>,
+    snapshot: Option<EncodedSnapshot>,
+    is_snapshot_requested: bool,
     /// The state found on the disk, until it is given to the host.
-    stored_state: Option<Vec<u8>>,
+    recovered_state: Option<Vec<u8>>,
     reads: Reads,
     barriers: Barriers,
-    early: VecDeque<(MemberId, ReplicaMessage)>,
+    /// Messages of a view that isn't in force here yet.
+    early_messages: VecDeque<(MemberId, ReplicaMessage)>,
 }
 
 impl Replica {
-    /// A replica with an empty disk and no view. The seed must differ from life to life.
+    /// A replica with an empty disk and no view. The seed must differ from one start of the process to
+    /// the next.
     pub fn new(me: MemberId, settings: ReplicaSettings, seed: u64) -> Self {
         Self {
             me,
             settings,
             view: None,
-            installed: false,
+            is_view_durable: false,
             in_sync: false,
             becoming_in_sync: false,
-            sealed: 0,
-            learning: false,
-            recovered: 0,
+            sealed_epoch: 0,
+            follows_as_learner: false,
+            recovered_index: 0,
             log: Log::default(),
-            next_token: 0,
-            pending: VecDeque::new(),
-            intake: Intake::default(),
-            feeds: Vec::new(),
+            last_token: 0,
+            pending_records: VecDeque::new(),
+            upstream: Upstream::default(),
+            followers: Vec::new(),
             snapshot: None,
-            snapshot_asked: false,
-            stored_state: None,
+            is_snapshot_requested: false,
+            recovered_state: None,
             reads: Reads::new(seed),
             barriers: Barriers::default(),
-            early: VecDeque::new(),
+            early_messages: VecDeque::new(),
         }
     }
 
-    /// Takes an event and appends what is to be done.
+    /// Handles an event, and appends the actions that follow.
     pub fn handle(&mut self, now: Duration, event: ReplicaEvent, out: &mut Vec<ReplicaAction>) {
         match event {
-            ReplicaEvent::Started => self.on_started(now, out),
-            ReplicaEvent::Install { view } => self.install(view, out),
-            ReplicaEvent::Seal { epoch } => self.on_seal(epoch, out),
-            ReplicaEvent::FollowAsLearner => self.on_learn(now, out),
-            ReplicaEvent::Message { from, message } => self.on_message(now, from, message, out),
-            ReplicaEvent::Durable { token } => self.on_durable(now, token, out),
-            ReplicaEvent::Submit { command } => self.on_submit(command, out),
-            ReplicaEvent::Read { token } => self.on_read(now, token, out),
-            ReplicaEvent::SnapshotReady { index, bytes } => self.on_snapshot_ready(now, index, bytes, out),
-            ReplicaEvent::TimerExpired => self.on_tick(now, out),
+            Event::Started => self.on_started(now, out),
+            Event::View(ViewEvent::Install { view }) => self.install(view, out),
+            Event::View(ViewEvent::Seal { epoch }) => self.on_seal(epoch, out),
+            Event::View(ViewEvent::FollowAsLearner) => self.follow_as_learner(now, out),
+            Event::Message { from, message } => self.on_message(now, from, message, out),
+            Event::Durable { token } => self.on_durable(now, token, out),
+            Event::Submit { command } => self.on_submit(command, out),
+            Event::Read { token } => self.on_read(now, token, out),
+            Event::SnapshotReady { index, bytes } => self.on_snapshot_ready(now, index, bytes),
+            Event::TimerExpired => self.on_timer_expired(now, out),
         }
         self.advance(now, out);
     }
 
-    /// When [`ReplicaEvent::TimerExpired`] is wanted next.
+    /// When [`Event::TimerExpired`] is due next.
     pub fn next_timer(&self) -> Option<Duration> {
-        let timers = [self.feed_timer(), self.intake_timer(), self.reads_timer(), self.barrier_timer()];
+        let timers = [self.resend_timer(), self.upstream_timer(), self.reads_timer(), self.barrier_timer()];
         timers.into_iter().flatten().min()
     }
 
@@ -146,7 +155,7 @@
 
     /// Whether this member counts in its view's chain.
     pub fn is_in_sync(&self) -> bool {
-        self.in_sync && self.in_chain()
+        self.in_sync && self.is_in_chain()
     }
 
     /// Whether this member takes part in its view's chain now, with all that is committed.
@@ -169,18 +178,18 @@
         self.log.last_index()
     }
 
-    /// Takes part in nothing more of this epoch, as of now. The caller persists that before it tells anybody.
+    /// Takes part in nothing more of this epoch from now on. The caller makes that durable before it sends anything that rests on it.
     pub fn seal_in_memory(&mut self, epoch: u64) {
-        self.sealed = self.sealed.max(epoch);
+        self.sealed_epoch = self.sealed_epoch.max(epoch);
     }
 
-    fn in_chain(&self) -> bool {
+    fn is_in_chain(&self) -> bool {
         self.view.as_ref().is_some_and(|view| view.contains(self.me))
     }
 
     /// Whether the view is in force: on the disk, and not sealed.
     fn is_active(&self) -> bool {
-        self.installed && self.sealed < self.epoch()
+        self.is_view_durable && self.sealed_epoch < self.epoch()
     }
 
     fn is_tail(&self) -> bool {
@@ -191,14 +200,28 @@
         self.view.as_ref().is_some_and(|view| view.head() == Some(self.me))
     }
 
+    fn predecessor(&self) -> Option<MemberId> {
+        self.view.as_ref()?.predecessor(self.me)
+    }
+
+    fn successor(&self) -> Option<MemberId> {
+        self.view.as_ref()?.successor(self.me)
+    }
+
+    /// Whether the chain is long enough to commit.
     fn commits(&self) -> bool {
         self.view.as_ref().is_some_and(|view| view.chain.len() >= self.settings.min_chain_length)
     }
 
-    fn persist(&mut self, records: Vec<LogRecord>, pending: Pending, out: &mut Vec<ReplicaAction>) {
-        self.next_token += 1;
-        self.pending.push_back((self.next_token, pending));
-        out.push(ReplicaAction::Persist { token: self.next_token, records });
+    fn persist(&mut self, records: Vec<LogRecord>, pending: PendingRecord, out: &mut Vec<ReplicaAction>) {
+        self.last_token += 1;
+        self.pending_records.push_back((self.last_token, pending));
+        out.push(ReplicaAction::Persist { token: self.last_token, records });
+    }
+
+    fn persist_entries(&mut self, records: Vec<LogRecord>, out: &mut Vec<ReplicaAction>) {
+        let pending = PendingRecord::Entries { up_to: self.log.last_index() };
+        self.persist(records, pending, out);
     }
 
     fn on_submit(&mut self, command: Vec<u8>, out: &mut Vec<ReplicaAction>) {
@@ -215,8 +238,7 @@
             return;
         }
         let record = self.log.append(self.epoch(), command);
-        let pending = Pending::Entries { up_to: self.log.last_index() };
-        self.persist(vec![record], pending, out);
+        self.persist_entries(vec![record], out);
     }
 
     fn on_message(
@@ -229,7 +251,7 @@
         let epoch = message.epoch();
         if let ReplicaMessage::StaleEpoch { epoch } = message {
             if epoch > self.epoch() {
-                out.push(ReplicaAction::OwnViewStale { member: from, epoch });
+                out.push(ReplicaAction::View(ViewAction::OwnViewStale { member: from, epoch }));
             }
             return;
         }
@@ -239,23 +261,23 @@
             return;
         }
         if epoch > self.epoch() {
-            out.push(ReplicaAction::OwnViewStale { member: from, epoch });
+            out.push(ReplicaAction::View(ViewAction::OwnViewStale { member: from, epoch }));
         }
-        if epoch > self.epoch() || !self.installed {
-            self.keep_early(from, message);
+        if epoch > self.epoch() || !self.is_view_durable {
+            self.queue_early_message(from, message);
         } else if self.is_active() {
-            self.dispatch(now, from, message, out);
+            self.on_current_message(now, from, message, out);
         }
     }
 
-    fn keep_early(&mut self, from: MemberId, message: ReplicaMessage) {
-        if self.early.len() >= EARLY_MESSAGES {
-            self.early.pop_front();
+    fn queue_early_message(&mut self, from: MemberId, message: ReplicaMessage) {
+        if self.early_messages.len() >= MAX_EARLY_MESSAGES {
+            self.early_messages.pop_front();
         }
-        self.early.push_back((from, message));
+        self.early_messages.push_back((from, message));
     }
 
-    fn dispatch(
+    fn on_current_message(
         &mut self,
         now: Duration,
         from: MemberId,
@@ -264,14 +286,15 @@
     ) {
         match message {
             ReplicaMessage::Resume { last_index, in_sync, learner, .. } => {
-                self.on_resume(now, from, last_index, in_sync, learner, out)
+                let role = if learner { FollowerRole::Learner } else { FollowerRole::Successor };
+                self.on_resume(now, from, Resume { last_index, in_sync, role }, out)
             }
-            ReplicaMessage::RequestResume { .. } => self.on_ask_resume(now, from, out),
+            ReplicaMessage::RequestResume { .. } => self.on_request_resume(now, from, out),
             ReplicaMessage::Append { first_index, commands, commit_index, in_sync_index, .. } => {
-                self.on_append(now, from, first_index, commands, commit_index, in_sync_index, out)
+                self.on_append(now, from, Append { first_index, commands, commit_index, in_sync_index }, out)
             }
             ReplicaMessage::SnapshotChunk { index, total, offset, bytes, .. } => {
-                self.on_chunk(now, from, intake::Chunk { index, total, offset, bytes }, out)
+                self.on_chunk(now, from, Chunk { index, total, offset, bytes }, out)
             }
             ReplicaMessage::SnapshotChunkAck { index, received, .. } => {
                 self.on_chunk_ack(now, from, index, received)
@@ -279,67 +302,67 @@
             ReplicaMessage::Ack { durable_index, commit_index, .. } => {
                 self.on_ack(now, from, durable_index, commit_index, out)
             }
-            ReplicaMessage::ConfirmView { round, .. } => self.on_probe(from, round, out),
+            ReplicaMessage::ConfirmView { round, .. } => self.on_confirm_view(from, round, out),
             ReplicaMessage::ViewConfirmed { round, commit_index, .. } => {
-                self.on_confirm(from, round, commit_index)
+                self.on_view_confirmed(from, round, commit_index)
             }
             ReplicaMessage::Barrier { number, .. } => self.on_barrier(from, number, out),
             ReplicaMessage::BarrierCommitted { number, commit_index, .. } => {
-                self.on_barrier_done(from, number, commit_index, out)
+                self.on_barrier_committed(from, number, commit_index, out)
             }
             ReplicaMessage::StaleEpoch { .. } => {}
         }
     }
 
-    fn on_durable(&mut self, now: Duration, token: u64, out: &mut Vec<ReplicaAction>) {
-        while self.pending.front().is_some_and(|(first, _)| *first <= token) {
-            if let Some((_, pending)) = self.pending.pop_front() {
-                self.made_durable(now, pending, out);
+    fn on_durable(&mut self, now: Duration, synced_token: u64, out: &mut Vec<ReplicaAction>) {
+        while self.pending_records.front().is_some_and(|(token, _)| *token <= synced_token) {
+            if let Some((_, record)) = self.pending_records.pop_front() {
+                self.on_record_durable(now, record, out);
             }
         }
     }
 
-    fn made_durable(&mut self, now: Duration, pending: Pending, out: &mut Vec<ReplicaAction>) {
-        match pending {
-            Pending::Entries { up_to } => self.log.synced(up_to),
-            Pending::View { epoch } if epoch == self.epoch() => self.in_force(now, out),
-            Pending::Full { epoch } if epoch == self.epoch() => self.now_full(epoch, out),
-            Pending::Sealed { epoch } => {
-                let in_sync = self.is_in_sync() && epoch == self.epoch();
-                out.push(ReplicaAction::Sealed { epoch, in_sync, last_index: self.log.last_index() })
+    fn on_record_durable(&mut self, now: Duration, record: PendingRecord, out: &mut Vec<ReplicaAction>) {
+        match record {
+            PendingRecord::Entries { up_to } => self.log.mark_durable(up_to),
+            PendingRecord::View { epoch } if epoch == self.epoch() => self.on_view_durable(now, out),
+            PendingRecord::InSync { epoch } if epoch == self.epoch() => self.on_in_sync_durable(epoch, out),
+            PendingRecord::Sealed { epoch } => self.on_seal_durable(epoch, out),
+            PendingRecord::Snapshot { index, bytes } => self.on_snapshot_durable(index, bytes, out),
+            PendingRecord::Barriers { epoch, reserved } if epoch == self.epoch() => {
+                self.barriers.on_reservation_durable(reserved)
             }
-            Pending::Snapshot { index, bytes } => self.snapshot_durable(index, bytes, out),
-            Pending::Barriers { epoch, reserved } => self.barriers.reserved(epoch == self.epoch(), reserved),
-            Pending::View { .. } | Pending::Full { .. } => {}
+            // A newer view has come meanwhile.
+            PendingRecord::View { .. } | PendingRecord::InSync { .. } | PendingRecord::Barriers { .. } => {}
         }
     }
 
-    /// Carries through what has become possible.
+    /// Does what the event has made possible.
     fn advance(&mut self, now: Duration, out: &mut Vec<ReplicaAction>) {
         self.commit_as_tail();
-        self.apply(out);
-        self.check_full(out);
-        self.pump_feeds(now, out);
+        self.apply_committed(out);
+        self.check_in_sync(out);
+        self.send_to_followers(now, out);
         self.acknowledge(out);
-        self.finish_reads(now, out);
-        self.trim();
+        self.process_reads(now, out);
+        self.compact();
     }
 
     fn commit_as_tail(&mut self) {
         if self.is_serving() && self.is_tail() && self.commits() {
-            self.log.commit(self.log.durable_index());
+            self.log.commit_to(self.log.durable_index());
         }
     }
 
-    fn trim(&mut self) {
+    fn compact(&mut self) {
         let factor = if self.snapshot.is_some() { SNAPSHOT_RETAIN_FACTOR } else { 1 };
-        self.log.trim(self.settings.retain_entries * factor, self.settings.retain_bytes * factor);
+        self.log.compact(self.settings.retain_entries * factor, self.settings.retain_bytes * factor);
     }
 
-    fn apply(&mut self, out: &mut Vec<ReplicaAction>) {
-        let tail = self.is_tail() && self.is_serving();
-        while let Some((index, command)) = self.log.take_next() {
-            let reply = tail && index > self.recovered;
+    fn apply_committed(&mut self, out: &mut Vec<ReplicaAction>) {
+        let responds = self.is_tail() && self.is_serving();
+        while let Some((index, command)) = self.log.apply_next() {
+            let reply = responds && index > self.recovered_index;
             out.push(ReplicaAction::Apply { index, command, reply });
         }
     }
--- a/system/chain/src/replica/reads.rs
+++ b/system/chain/src/replica/reads.rs
@@ -1,44 +1,45 @@
-//! Reads through the whole chain: after each member of the view's chain has confirmed that the view is still in force,
-//! what the tail had committed is everything that was acknowledged before the read was asked.
+//! Linearizable reads: once each member of the view's chain has confirmed that the view is still in force, what the tail had
+//! committed is everything that was acknowledged before the read began.
 
 use std::time::Duration;
 
 use super::{Replica, ReplicaAction};
-use crate::{MemberId, ReplicaMessage};
+use crate::{MemberId, ReplicaMessage, View};
 
 #[derive(Clone, Debug)]
-struct Waiting {
+struct PendingRead {
     token: u64,
     deadline: Duration,
 }
 
-/// One question to the chain, for all the reads that were asked before it.
+/// One confirmation of the view by all its members, for all the reads that came before it.
 #[derive(Clone, Debug)]
-struct Round {
+struct ConfirmationRound {
     number: u64,
-    reads: Vec<Waiting>,
-    missing: Vec<MemberId>,
-    required: u64,
-    asked_at: Duration,
+    reads: Vec<PendingRead>,
+    unconfirmed: Vec<MemberId>,
+    required_index: u64,
+    sent_at: Duration,
 }
 
-/// The reads that wait: for the next round, in the round under way, and for the state here to be new enough.
+/// The reads in progress: those queued for the next round, those of the current round, and those that wait until the entries that
+/// they require are applied here.
 #[derive(Clone, Debug)]
 pub(super) struct Reads {
     number: u64,
-    queued: Vec<Waiting>,
-    round: Option<Round>,
-    confirmed: Vec<(u64, Waiting)>,
+    queued: Vec<PendingRead>,
+    round: Option<ConfirmationRound>,
+    confirmed: Vec<(u64, PendingRead)>,
 }
 
 impl Reads {
-    /// Rounds start at a number that no earlier life has used, so that no late answer is taken for a new one.
+    /// Rounds start at a number that no earlier process has used, so that no late confirmation counts for a new round.
     pub fn new(seed: u64) -> Self {
         let number = fastrand::Rng::with_seed(seed).u64(..) >> 1;
         Self { number, queued: Vec::new(), round: None, confirmed: Vec::new() }
     }
 
-    /// Another view is in force: the round under way starts again in it.
+    /// Another view is in force: the reads of the current round go into the next one.
     pub fn restart(&mut self) {
         if let Some(round) = self.round.take() {
             self.queued.extend(round.reads);
@@ -50,15 +51,15 @@
     }
 
     fn expire(&mut self, now: Duration) -> Vec<u64> {
-        let expired = |read: &Waiting| read.deadline <= now;
-        let mut late = take_where(&mut self.queued, expired);
+        let is_expired = |read: &PendingRead| read.deadline <= now;
+        let mut expired_reads = drain_where(&mut self.queued, is_expired);
         if let Some(round) = &mut self.round {
-            late.extend(take_where(&mut round.reads, expired));
+            expired_reads.extend(drain_where(&mut round.reads, is_expired));
         }
-        late.extend(
-            take_where(&mut self.confirmed, |(_, read)| expired(read)).into_iter().map(|(_, read)| read),
+        expired_reads.extend(
+            drain_where(&mut self.confirmed, |(_, read)| is_expired(read)).into_iter().map(|(_, read)| read),
         );
-        late.into_iter().map(|read| read.token).collect()
+        expired_reads.into_iter().map(|read| read.token).collect()
     }
 
     fn next_deadline(&self) -> Option<Duration> {
@@ -68,11 +69,11 @@
     }
 }
 
-/// Takes out what a test holds for, in order.
-fn take_where<T>(list: &mut Vec<T>, test: impl Fn(&T) -> bool) -> Vec<T> {
-    let (taken, left) = std::mem::take(list).into_iter().partition(test);
-    *list = left;
-    taken
+/// Removes the elements that a test holds for, in order.
+fn drain_where<T>(list: &mut Vec<T>, test: impl Fn(&T) -> bool) -> Vec<T> {
+    let (removed, rest) = std::mem::take(list).into_iter().partition(test);
+    *list = rest;
+    removed
 }
 
 impl Replica {
@@ -81,11 +82,11 @@
             out.push(ReplicaAction::ReadFailed { token });
             return;
         }
-        self.reads.queued.push(Waiting { token, deadline: now + self.settings.read_timeout });
+        self.reads.queued.push(PendingRead { token, deadline: now + self.settings.read_timeout });
     }
 
     /// Up to where everything that was ever acknowledged is committed: known to the tail alone.
-    pub(super) fn certain_commit(&mut self) -> Option<u64> {
+    pub(super) fn certain_commit_index(&mut self) -> Option<u64> {
         if !self.is_serving() || !self.is_tail() {
             return None;
         }
@@ -94,34 +95,36 @@
         (self.commits() || complete).then(|| self.log.commit_index())
     }
 
-    pub(super) fn on_probe(&mut self, from: MemberId, round: u64, out: &mut Vec<ReplicaAction>) {
-        if !self.in_chain() {
+    pub(super) fn on_confirm_view(&mut self, from: MemberId, round: u64, out: &mut Vec<ReplicaAction>) {
+        if !self.is_in_chain() {
             return;
         }
-        let commit_index = self.certain_commit();
+        let commit_index = self.certain_commit_index();
         let message = ReplicaMessage::ViewConfirmed { epoch: self.epoch(), round, commit_index };
         out.push(ReplicaAction::Send { to: from, message });
     }
 
-    pub(super) fn on_confirm(&mut self, from: MemberId, number: u64, commit_index: Option<u64>) {
-        let tail = self.view.as_ref().and_then(|view| view.tail());
+    pub(super) fn on_view_confirmed(&mut self, from: MemberId, number: u64, commit_index: Option<u64>) {
+        let tail = self.view.as_ref().and_then(View::tail);
         let Some(round) = self.reads.round.as_mut().filter(|round| round.number == number) else { return };
         if tail == Some(from) {
             let Some(commit_index) = commit_index else { return };
-            round.required = round.required.max(commit_index);
+            round.required_index = round.required_index.max(commit_index);
         }
-        round.missing.retain(|member| *member != from);
+        round.unconfirmed.retain(|member| *member != from);
     }
 
-    /// Starts the next round, and ends what can be ended.
-    pub(super) fn finish_reads(&mut self, now: Duration, out: &mut Vec<ReplicaAction>) {
-        self.end_round();
+    /// Completes the current round if it is confirmed, starts the next one, and ends the reads that are ready or late.
+    pub(super) fn process_reads(&mut self, now: Duration, out: &mut Vec<ReplicaAction>) {
+        self.complete_round();
         if self.reads.round.is_none() && !self.reads.queued.is_empty() {
             self.start_round(now, out);
-            self.end_round();
+            self.complete_round();
         }
         let applied_index = self.log.applied_index();
-        for (_, read) in take_where(&mut self.reads.confirmed, |(required, _)| *required <= applied_index) {
+        for (_, read) in
+            drain_where(&mut self.reads.confirmed, |(required_index, _)| *required_index <= applied_index)
+        {
             out.push(ReplicaAction::ReadReady { token: read.token, index: applied_index });
         }
         for token in self.reads.expire(now) {
@@ -133,63 +136,68 @@
         if !self.is_active() {
             return;
         }
-        let certain = self.certain_commit();
+        let certain = self.certain_commit_index();
         let Some(view) = &self.view else { return };
-        let myself_certain = !self.is_tail() || certain.is_some();
-        let missing: Vec<_> =
-            view.chain.iter().copied().filter(|member| *member != self.me || !myself_certain).collect();
+        let is_own_commit_certain = !self.is_tail() || certain.is_some();
+        let unconfirmed: Vec<_> = view
+            .chain
+            .iter()
+            .copied()
+            .filter(|member| *member != self.me || !is_own_commit_certain)
+            .collect();
         self.reads.number += 1;
-        self.reads.round = Some(Round {
+        self.reads.round = Some(ConfirmationRound {
             number: self.reads.number,
             reads: std::mem::take(&mut self.reads.queued),
-            missing,
-            required: certain.unwrap_or(0),
-            asked_at: now,
+            unconfirmed,
+            required_index: certain.unwrap_or(0),
+            sent_at: now,
         });
-        self.send_probes(out);
+        self.send_confirm_view(out);
     }
 
-    fn send_probes(&mut self, out: &mut Vec<ReplicaAction>) {
+    fn send_confirm_view(&mut self, out: &mut Vec<ReplicaAction>) {
         let Some(round) = &self.reads.round else { return };
         let message = ReplicaMessage::ConfirmView { epoch: self.epoch(), round: round.number };
-        for member in round.missing.iter().filter(|member| **member != self.me) {
+        for member in round.unconfirmed.iter().filter(|member| **member != self.me) {
             out.push(ReplicaAction::Send { to: *member, message: message.clone() });
         }
     }
 
-    fn end_round(&mut self) {
+    fn complete_round(&mut self) {
         if !self.is_active() {
             return;
         }
-        if self.reads.round.as_ref().is_some_and(|round| round.missing.is_empty()) {
+        if self.reads.round.as_ref().is_some_and(|round| round.unconfirmed.is_empty()) {
             if let Some(round) = self.reads.round.take() {
-                let required = round.required;
-                self.reads.confirmed.extend(round.reads.into_iter().map(|read| (required, read)));
+                let required_index = round.required_index;
+                self.reads.confirmed.extend(round.reads.into_iter().map(|read| (required_index, read)));
             }
         }
     }
 
-    /// Asks again those that haven't answered; a tail that wasn't certain looks at itself again.
-    pub(super) fn reads_tick(&mut self, now: Duration, out: &mut Vec<ReplicaAction>) {
+    /// Sends the round again to those that haven't confirmed it; at a tail that wasn't certain, it starts again.
+    pub(super) fn confirm_overdue(&mut self, now: Duration, out: &mut Vec<ReplicaAction>) {
         let resend = self.settings.resend_interval;
         let me = self.me;
         let Some(round) = self.reads.round.as_mut() else { return };
-        if round.asked_at + resend > now {
+        if round.sent_at + resend > now {
             return;
         }
-        round.asked_at = now;
+        round.sent_at = now;
         if round.reads.is_empty() {
             self.reads.round = None;
-        } else if round.missing.contains(&me) {
+        } else if round.unconfirmed.contains(&me) {
             self.reads.restart();
         } else {
-            self.send_probes(out);
+            self.send_confirm_view(out);
         }
     }
 
+    /// When [`Replica::confirm_overdue`] or a deadline of a read has something to do.
     pub(super) fn reads_timer(&self) -> Option<Duration> {
-        let again = self.reads.round.as_ref().map(|round| round.asked_at + self.settings.resend_interval);
+        let resend_at = self.reads.round.as_ref().map(|round| round.sent_at + self.settings.resend_interval);
         let deadline = self.reads.next_deadline();
-        again.into_iter().chain(deadline).min()
+        resend_at.into_iter().chain(deadline).min()
     }
 }
--- a/system/chain/src/replica/recovery.rs
+++ b/system/chain/src/replica/recovery.rs
@@ -1,4 +1,4 @@
-//! What a replica keeps on its disk, and how it starts again from that.
+//! The records that a replica keeps on its disk, and its recovery from them.
 
 use std::time::Duration;
 
@@ -6,14 +6,14 @@
 use crate::{LogRecord, MemberId, ReplicaSettings, View};
 
 impl Replica {
-    /// A replica that starts again with the records on its disk, in the order written. Records of the control group's
+    /// Recovers a replica from the records on its disk, in the order written. Records of the control group's
     /// vote count for the seals that they imply.
     pub fn recover(me: MemberId, records: &[LogRecord], settings: ReplicaSettings, seed: u64) -> Self {
         let mut replica = Self::new(me, settings, seed);
         for record in records {
             replica.restore(record);
         }
-        replica.recovered = replica.log.commit_index();
+        replica.recovered_index = replica.log.commit_index();
         replica
     }
 
@@ -30,8 +30,8 @@
                 self.log.restore(*epoch, *index, *commit_index, command.clone())
             }
             LogRecord::Snapshot { index, bytes } => {
-                self.log.reset(*index);
-                self.stored_state = Some(bytes.clone());
+                self.log.reset_to(*index);
+                self.recovered_state = Some(bytes.clone());
             }
             LogRecord::BarrierReservation { epoch, reserved } if *epoch == self.epoch() => {
                 self.barriers.restore(*reserved)
@@ -54,9 +54,9 @@
 
     /// Everything that must stay on the disk once the state after [`Replica::applied_index`] is encoded as `state`. The host
     /// writes it after all that was to be persisted before, and may then drop all of that. None while a snapshot from
-    /// another member is being written; ask again later.
+    /// another member is being written; a later call succeeds.
     pub fn checkpoint(&self, state: Vec<u8>) -> Option<Vec<LogRecord>> {
-        if self.intake.is_installing() {
+        if self.upstream.is_installing_snapshot() {
             return None;
         }
         let mut records = vec![LogRecord::Snapshot { index: self.log.applied_index(), bytes: state }];
@@ -66,17 +66,17 @@
             records.push(LogRecord::View { view: view.clone(), in_sync });
             records.push(self.barriers.record(view.epoch));
         }
-        if self.sealed > 0 {
-            records.push(LogRecord::Sealed { epoch: self.sealed });
+        if self.sealed_epoch > 0 {
+            records.push(LogRecord::Sealed { epoch: self.sealed_epoch });
         }
         records.extend(self.log.records_after(self.log.applied_index()));
         Some(records)
     }
 
-    pub(super) fn on_tick(&mut self, now: Duration, out: &mut Vec<ReplicaAction>) {
-        self.intake_tick(now, out);
-        self.feeds_tick(now, out);
-        self.reads_tick(now, out);
-        self.barrier_tick(now, out);
+    pub(super) fn on_timer_expired(&mut self, now: Duration, out: &mut Vec<ReplicaAction>) {
+        self.resume_overdue(now, out);
+        self.resend_overdue(now, out);
+        self.confirm_overdue(now, out);
+        self.send_due_barrier(now, out);
     }
 }
--- /dev/null
+++ b/system/chain/src/replica/upstream.rs
@@ -0,0 +1,244 @@
+//! Receiving entries and snapshots from the upstream: the predecessor in the chain, or the tail for a learner.
+
+use std::time::Duration;
+
+use super::{PendingRecord, Replica, ReplicaAction};
+use crate::{LogRecord, MemberId, ReplicaMessage};
+
+/// A learner that has received nothing for this many resend intervals asks again, so that the tail knows of it.
+const LEARNER_IDLE_RESENDS: u32 = 2;
+
+/// Where entries come from in the view, and what is known of them.
+#[derive(Clone, Debug, Default)]
+pub(super) struct Upstream {
+    source: Option<MemberId>,
+    /// Whether a [`ReplicaMessage::Resume`] is still without a reply.
+    awaits_resume_reply: bool,
+    /// When that was last sent, or a message last came from the source.
+    last_message_at: Duration,
+    /// Up to where the source knows the log to be committed.
+    commit_index: u64,
+    /// What must be durable here to count in the view.
+    in_sync_index: Option<u64>,
+    incoming_snapshot: Option<IncomingSnapshot>,
+    /// Whether a snapshot is being written.
+    is_installing_snapshot: bool,
+    /// The durable index and the commit index that were acknowledged last.
+    last_ack: Option<(u64, u64)>,
+}
+
+impl Upstream {
+    /// Follows another source, or none.
+    pub fn reset(&mut self, source: Option<MemberId>) {
+        *self = Self {
+            source,
+            awaits_resume_reply: source.is_some(),
+            is_installing_snapshot: self.is_installing_snapshot,
+            ..Self::default()
+        };
+    }
+
+    /// What must be durable here to count in the view, once the source has said so.
+    pub fn in_sync_index(&self) -> Option<u64> {
+        self.in_sync_index
+    }
+
+    /// Whether a snapshot is being written.
+    pub fn is_installing_snapshot(&self) -> bool {
+        self.is_installing_snapshot
+    }
+
+    /// Whether nothing has come in this view yet, so that there is nothing to acknowledge.
+    fn has_received_nothing(&self) -> bool {
+        self.awaits_resume_reply
+            && self.last_ack.is_none()
+            && self.incoming_snapshot.is_none()
+            && !self.is_installing_snapshot
+    }
+}
+
+/// Entries from the source.
+pub(super) struct Append {
+    pub first_index: u64,
+    pub commands: Vec<Vec<u8>>,
+    pub commit_index: u64,
+    pub in_sync_index: Option<u64>,
+}
+
+/// A chunk of a snapshot.
+pub(super) struct Chunk {
+    pub index: u64,
+    pub total: u64,
+    pub offset: u64,
+    pub bytes: Vec<u8>,
+}
+
+/// A snapshot of which chunks have arrived.
+#[derive(Clone, Debug)]
+struct IncomingSnapshot {
+    index: u64,
+    total: u64,
+    bytes: Vec<u8>,
+}
+
+impl Replica {
+    pub(super) fn send_resume(&mut self, now: Duration, out: &mut Vec<ReplicaAction>) {
+        let Some(source) = self.upstream.source else { return };
+        if self.upstream.is_installing_snapshot || !self.is_active() {
+            return;
+        }
+        self.upstream.awaits_resume_reply = true;
+        self.upstream.last_message_at = now;
+        let learner = !self.is_in_chain();
+        let message = ReplicaMessage::Resume {
+            epoch: self.epoch(),
+            last_index: self.log.last_index(),
+            in_sync: self.is_in_sync(),
+            learner,
+        };
+        out.push(ReplicaAction::Send { to: source, message });
+    }
+
+    pub(super) fn on_request_resume(&mut self, now: Duration, from: MemberId, out: &mut Vec<ReplicaAction>) {
+        let just_sent = self.upstream.awaits_resume_reply && self.upstream.last_message_at == now;
+        if self.upstream.source == Some(from) && !just_sent {
+            self.send_resume(now, out);
+        }
+    }
+
+    pub(super) fn on_append(
+        &mut self,
+        now: Duration,
+        from: MemberId,
+        append: Append,
+        out: &mut Vec<ReplicaAction>,
+    ) {
+        let Append { first_index, commands, commit_index, in_sync_index } = append;
+        if self.upstream.source != Some(from) || self.upstream.is_installing_snapshot || first_index == 0 {
+            return;
+        }
+        if first_index > self.log.last_index() + 1 {
+            if !self.upstream.awaits_resume_reply {
+                self.send_resume(now, out);
+            }
+            return;
+        }
+        self.upstream.awaits_resume_reply = false;
+        self.upstream.last_message_at = now;
+        self.upstream.incoming_snapshot = None;
+        self.upstream.commit_index = self.upstream.commit_index.max(commit_index);
+        self.upstream.in_sync_index = self.upstream.in_sync_index.or(in_sync_index);
+        let already_held = (self.log.last_index() + 1 - first_index) as usize;
+        let epoch = self.epoch();
+        let records: Vec<_> =
+            commands.into_iter().skip(already_held).map(|command| self.log.append(epoch, command)).collect();
+        if records.is_empty() {
+            self.upstream.last_ack = None;
+        } else {
+            self.persist_entries(records, out);
+        }
+        self.log.commit_to(self.upstream.commit_index);
+    }
+
+    pub(super) fn on_chunk(
+        &mut self,
+        now: Duration,
+        from: MemberId,
+        chunk: Chunk,
+        out: &mut Vec<ReplicaAction>,
+    ) {
+        if self.upstream.source != Some(from) || self.upstream.is_installing_snapshot {
+            return;
+        }
+        // A late `Resume` of this member may have led to it: the acknowledgement stops the transfer.
+        if chunk.index <= self.log.commit_index() || self.is_in_sync() {
+            let (durable_index, commit_index) = (self.log.durable_index(), self.log.commit_index());
+            let message = ReplicaMessage::Ack { epoch: self.epoch(), durable_index, commit_index };
+            out.push(ReplicaAction::Send { to: from, message });
+            return;
+        }
+        self.upstream.last_message_at = now;
+        // The source has replied: the snapshot is acknowledged as soon as it is on the disk.
+        self.upstream.awaits_resume_reply = false;
+        let Some(received) = self.add_chunk(&chunk) else { return };
+        let message = ReplicaMessage::SnapshotChunkAck { epoch: self.epoch(), index: chunk.index, received };
+        out.push(ReplicaAction::Send { to: from, message });
+        if received == chunk.total {
+            self.persist_snapshot(out);
+        }
+    }
+
+    /// Adds a chunk, and returns how many bytes there are without a gap; none if the snapshot is too large.
+    fn add_chunk(&mut self, chunk: &Chunk) -> Option<u64> {
+        if chunk.total > self.settings.max_snapshot_bytes as u64 {
+            return None;
+        }
+        let is_same = |incoming_snapshot: &IncomingSnapshot| {
+            incoming_snapshot.index == chunk.index && incoming_snapshot.total == chunk.total
+        };
+        if !self.upstream.incoming_snapshot.as_ref().is_some_and(is_same) {
+            if chunk.offset != 0 {
+                return Some(0);
+            }
+            self.upstream.incoming_snapshot =
+                Some(IncomingSnapshot { index: chunk.index, total: chunk.total, bytes: Vec::new() });
+        }
+        let incoming_snapshot = self.upstream.incoming_snapshot.as_mut()?;
+        let fits = incoming_snapshot.bytes.len() + chunk.bytes.len() <= chunk.total as usize;
+        if chunk.offset == incoming_snapshot.bytes.len() as u64 && fits {
+            incoming_snapshot.bytes.extend_from_slice(&chunk.bytes);
+        }
+        Some(incoming_snapshot.bytes.len() as u64)
+    }
+
+    fn persist_snapshot(&mut self, out: &mut Vec<ReplicaAction>) {
+        let Some(IncomingSnapshot { index, bytes, .. }) = self.upstream.incoming_snapshot.take() else {
+            return;
+        };
+        self.upstream.is_installing_snapshot = true;
+        let record = LogRecord::Snapshot { index, bytes: bytes.clone() };
+        self.persist(vec![record], PendingRecord::Snapshot { index, bytes }, out);
+    }
+
+    pub(super) fn on_snapshot_durable(&mut self, index: u64, bytes: Vec<u8>, out: &mut Vec<ReplicaAction>) {
+        self.upstream.is_installing_snapshot = false;
+        self.upstream.last_ack = None;
+        if index > self.log.commit_index() {
+            self.log.reset_to(index);
+            self.recovered_index = self.recovered_index.max(index);
+            out.push(ReplicaAction::InstallSnapshot { index, bytes });
+        }
+    }
+
+    /// Acknowledges to the source what has become durable or committed here.
+    pub(super) fn acknowledge(&mut self, out: &mut Vec<ReplicaAction>) {
+        let Some(source) = self.upstream.source else { return };
+        let ack = (self.log.durable_index(), self.log.commit_index());
+        if !self.is_active() || self.upstream.has_received_nothing() || self.upstream.last_ack == Some(ack) {
+            return;
+        }
+        self.upstream.last_ack = Some(ack);
+        let message = ReplicaMessage::Ack { epoch: self.epoch(), durable_index: ack.0, commit_index: ack.1 };
+        out.push(ReplicaAction::Send { to: source, message });
+    }
+
+    /// Asks the source again to send, if it hasn't for too long.
+    pub(super) fn resume_overdue(&mut self, now: Duration, out: &mut Vec<ReplicaAction>) {
+        if self.upstream_timer().is_some_and(|at| at <= now) {
+            self.send_resume(now, out);
+        }
+    }
+
+    /// When [`Replica::resume_overdue`] has something to do.
+    pub(super) fn upstream_timer(&self) -> Option<Duration> {
+        self.upstream.source?;
+        if self.upstream.is_installing_snapshot || !self.is_active() {
+            return None;
+        }
+        if self.upstream.awaits_resume_reply || (self.is_in_chain() && !self.in_sync) {
+            return Some(self.upstream.last_message_at + self.settings.resend_interval);
+        }
+        let learner = !self.is_in_chain();
+        learner.then(|| self.upstream.last_message_at + self.settings.resend_interval * LEARNER_IDLE_RESENDS)
+    }
+}
--- a/system/chain/src/settings.rs
+++ b/system/chain/src/settings.rs
@@ -11,9 +11,9 @@
     pub batch_entries: usize,
     /// Most bytes of commands in one message (a single larger command goes alone).
     pub batch_bytes: usize,
-    /// Most entries on their way to a successor without its acknowledgement.
+    /// Most entries in flight to a follower without its acknowledgement.
     pub max_inflight_entries: u64,
-    /// Most entries the head holds that aren't committed; more are refused as busy.
+    /// Most entries the head holds that aren't committed; more are rejected as busy.
     pub max_uncommitted_entries: u64,
     /// Most bytes of commands the head holds that aren't committed.
     pub max_uncommitted_bytes: usize,
@@ -23,15 +23,15 @@
     pub retain_bytes: usize,
     /// Bytes of a snapshot in one message.
     pub chunk_bytes: usize,
-    /// Largest snapshot taken from another member.
+    /// Largest snapshot accepted from another member, in bytes.
     pub max_snapshot_bytes: usize,
     /// Sent again when not acknowledged for this long.
     pub resend_interval: Duration,
     /// A read that isn't confirmed by then fails.
     pub read_timeout: Duration,
-    /// Most reads that wait at once.
+    /// Most reads in progress at once; more fail.
     pub max_reads: usize,
-    /// Most members outside the chain that a tail feeds at once.
+    /// Most learners that a tail serves at once.
     pub max_learners: usize,
     /// Time between the numbered barriers that the head sends through the chain; none: it sends none.
     pub barrier_interval: Option<Duration>,
@@ -70,22 +70,22 @@
     pub heartbeat_interval: Duration,
     /// A member not heard of for this long is left out of the chain.
     pub suspect_timeout: Duration,
-    /// How much longer than `suspect_timeout` the others may be silent after this process has started.
+    /// How much longer than `suspect_timeout` the others have after this process has started.
     pub startup_grace_period: Duration,
-    /// A voter not heard of for this long is replaced, where another member stands ready.
+    /// A voter not heard of for this long is replaced, where a spare member is available.
     pub replace_after: Duration,
-    /// A member whose disk hasn't answered for this long leaves the chain by itself.
+    /// A member whose disk hasn't completed a write for this long asks to leave the chain.
     pub disk_timeout: Duration,
-    /// How long a proposer with a majority waits for the other members that live.
+    /// How long a proposer with a majority of promises waits for those of the other live voters.
     pub promise_grace_period: Duration,
-    /// An attempt to change the view is given up after this; after failures after up to four times this.
+    /// An attempt to change the view is abandoned after this; after failures, after up to four times this.
     pub attempt_timeout: Duration,
-    /// Shortest pause before the next attempt; the pause is drawn up to three times this. Also the lead of each member
+    /// Shortest backoff before the next attempt; it is drawn at random up to three times this. Also the lead of each member
     /// of the chain over the next one in proposing.
     pub retry_backoff: Duration,
-    /// A learner at most this many entries behind is taken into the chain.
+    /// A learner that lacks at most this many committed entries is added to the chain.
     pub learner_max_lag: u64,
-    /// Most members known that are no voters.
+    /// Most known members that are no voters.
     pub max_candidates: usize,
     /// Bounds of the replica. `min_chain_length` is taken from `fault_tolerance`.
     pub replica: ReplicaSettings,
--- a/system/chain/tests/model/group.rs
+++ b/system/chain/tests/model/group.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use gingerledge_chain::{
-    AgreementMessage, ChainEvent, ChainMessage, ControlChainSettings, Heartbeat, MemberId,
+    AgreementMessage, ChainEvent, ChainMessage, ControlChainSettings, Heartbeat, MemberId, MembershipEvent,
 };
 
 use super::ledger::Ledger;
@@ -211,9 +211,9 @@
         let new = self.nodes[place].identity;
         let replaces = (new != old).then_some(old);
         for other in (0..self.nodes.len()).filter(|other| *other != place) {
-            self.event(other, ChainEvent::MemberAnnounced { member: new, replaces });
+            self.event(other, ChainEvent::View(MembershipEvent::MemberAnnounced { member: new, replaces }));
             let member = self.nodes[other].identity;
-            self.event(place, ChainEvent::MemberAnnounced { member, replaces: None });
+            self.event(place, ChainEvent::View(MembershipEvent::MemberAnnounced { member, replaces: None }));
         }
     }
 
--- a/system/chain/tests/model/node.rs
+++ b/system/chain/tests/model/node.rs
@@ -4,7 +4,7 @@
 
 use gingerledge_chain::{
     AgreementMessage, ChainAction, ChainEvent, ChainMessage, ControlChain, ControlChainSettings, LogRecord,
-    MemberId,
+    MemberId, MembershipAction,
 };
 
 use super::ledger::Ledger;
@@ -155,8 +155,8 @@
             }
             ChainAction::InstallSnapshot { bytes, .. } => self.state = decode(&bytes),
             ChainAction::ReadReady { token, index } => ledger.read_ready(token, index),
-            ChainAction::ViewInstalled { members } => ledger.view(&members),
-            ChainAction::Sealed { epoch } => self.sealed = self.sealed.max(epoch),
+            ChainAction::View(MembershipAction::Installed { members }) => ledger.view(&members),
+            ChainAction::View(MembershipAction::Sealed { epoch }) => self.sealed = self.sealed.max(epoch),
             ChainAction::ReadFailed { .. }
             | ChainAction::NotHead { .. }
             | ChainAction::Busy { .. }
--- a/system/chain/tests/not_full.rs
+++ b/system/chain/tests/not_full.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use gingerledge_chain::{
-    MemberId, Replica, ReplicaAction, ReplicaEvent, ReplicaMessage, ReplicaSettings, View,
+    MemberId, Replica, ReplicaAction, ReplicaEvent, ReplicaMessage, ReplicaSettings, View, ViewEvent,
 };
 
 const HEAD: MemberId = MemberId(1);
@@ -24,7 +24,7 @@
         let mut member = Self { replica, actions: Vec::new(), unsynced: Vec::new() };
         member.event(ReplicaEvent::Started);
         let view = View { epoch: EPOCH, chain: vec![HEAD, NEWCOMER] };
-        member.event(ReplicaEvent::Install { view });
+        member.event(ReplicaEvent::View(ViewEvent::Install { view }));
         member.sync();
         member
     }
--- a/system/chain/tests/partition/world.rs
+++ b/system/chain/tests/partition/world.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use gingerledge_chain::{
-    MemberId, Replica, ReplicaAction, ReplicaEvent, ReplicaMessage, ReplicaSettings, View,
+    MemberId, Replica, ReplicaAction, ReplicaEvent, ReplicaMessage, ReplicaSettings, View, ViewEvent,
 };
 
 use crate::disk::{Disk, Write};
@@ -184,7 +184,9 @@
                 self.places[place].timer = None;
                 self.event(place, ReplicaEvent::TimerExpired);
             }
-            Happens::Told { place, view } => self.event(place, ReplicaEvent::Install { view }),
+            Happens::Told { place, view } => {
+                self.event(place, ReplicaEvent::View(ViewEvent::Install { view }))
+            }
             Happens::Reported { member, epoch } if epoch == self.view.epoch => {
                 self.in_sync.insert(member);
             }
@@ -210,7 +212,7 @@
         host.timer = None;
         host.disk.restart();
         self.event(place, ReplicaEvent::Started);
-        self.event(place, ReplicaEvent::FollowAsLearner);
+        self.event(place, ReplicaEvent::View(ViewEvent::FollowAsLearner));
     }
 
     pub fn event(&mut self, place: usize, event: ReplicaEvent) {
--- a/system/chain/tests/world/carry.rs
+++ b/system/chain/tests/world/carry.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use gingerledge_chain::{ChainAction, ChainMessage, MemberId};
+use gingerledge_chain::{ChainAction, ChainMessage, MemberId, MembershipAction};
 
 use super::{millis, Happens, World};
 
@@ -48,14 +48,16 @@
                 self.ledger.read_ready(token, index);
             }
             ChainAction::ReadFailed { token } => self.ledger.read_failed(token),
-            ChainAction::ViewInstalled { members } => {
+            ChainAction::View(MembershipAction::Installed { members }) => {
                 self.note(place, &format!("installs {members:?}"));
                 self.ledger.view(members);
             }
             ChainAction::BarrierCommitted { epoch, number, commit_index } => {
                 self.ledger.tick((me, self.hosts[place].life, epoch), number, commit_index)
             }
-            ChainAction::Sealed { epoch } => self.hosts[place].sealed = self.hosts[place].sealed.max(epoch),
+            ChainAction::View(MembershipAction::Sealed { epoch }) => {
+                self.hosts[place].sealed = self.hosts[place].sealed.max(epoch)
+            }
             ChainAction::NotHead { .. } | ChainAction::Busy { .. } | ChainAction::BecameInSync { .. } => {}
         }
     }
--- a/system/chain/tests/world/mod.rs
+++ b/system/chain/tests/world/mod.rs
@@ -12,7 +12,9 @@
 use std::collections::{BinaryHeap, HashSet};
 use std::time::Duration;
 
-use gingerledge_chain::{ChainEvent, ChainMessage, ControlChain, ControlChainSettings, MemberId};
+use gingerledge_chain::{
+    ChainEvent, ChainMessage, ControlChain, ControlChainSettings, MemberId, MembershipEvent,
+};
 use host::{Host, Process};
 use ledger::Ledger;
 
@@ -224,7 +226,7 @@
                 continue;
             }
             let (member, replaces) = (self.hosts[other].identity, self.hosts[other].replaced);
-            self.event(place, ChainEvent::MemberAnnounced { member, replaces });
+            self.event(place, ChainEvent::View(MembershipEvent::MemberAnnounced { member, replaces }));
         }
     }
 
--- a/system/control/src/node/chain.rs
+++ b/system/control/src/node/chain.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use gingerledge_chain::{ChainAction, ChainEvent, ChainMessage, MemberId};
+use gingerledge_chain::{ChainAction, ChainEvent, ChainMessage, MemberId, MembershipAction};
 use gingerledge_storage::WriterEvent;
 use gingerledge_wire::{Command, Envelope, FreshnessTick};
 
@@ -51,13 +51,13 @@
             ChainAction::ReadReady { token, .. } => self.finish_read(token, true),
             ChainAction::ReadFailed { token } => self.finish_read(token, false),
             ChainAction::NotHead { command, .. } | ChainAction::Busy { command } => self.not_taken(&command),
-            ChainAction::ViewInstalled { members } => {
+            ChainAction::View(MembershipAction::Installed { members }) => {
                 log::info!("view {}: chain {:?}", members.epoch, names(&members.chain));
                 let now = self.now();
                 self.submissions.view_changed(now);
                 self.view_installed(&members);
             }
-            ChainAction::Sealed { epoch } => self.lease_sealed(epoch),
+            ChainAction::View(MembershipAction::Sealed { epoch }) => self.lease_sealed(epoch),
             ChainAction::BecameInSync { epoch } => log::info!("holds all that is committed, view {epoch}"),
             ChainAction::BarrierCommitted { epoch, number, commit_index } => {
                 self.confirmed_tick(FreshnessTick { epoch, number }, commit_index);
--- a/system/control/src/node/introductions.rs
+++ b/system/control/src/node/introductions.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use gingerledge_chain::{ChainEvent, MemberId, Membership};
+use gingerledge_chain::{ChainEvent, MemberId, Membership, MembershipEvent};
 use gingerledge_wire::{ControlMessage, Entry, Envelope, Key, NodeRecord, Role, Value};
 
 use super::disk::DiskRecord;
@@ -65,7 +65,10 @@
         self.reachable.insert(from, now);
         self.announcements.look_again();
         let member = MemberId(node.member);
-        self.chain_event(ChainEvent::MemberAnnounced { member, replaces: introduced.replaces.map(MemberId) });
+        self.chain_event(ChainEvent::View(MembershipEvent::MemberAnnounced {
+            member,
+            replaces: introduced.replaces.map(MemberId),
+        }));
         if changed {
             log::info!("control node {} is at {}", node.name, node.address);
             self.disk.append(&[DiskRecord::Book(self.book.records())], None);
--- a/system/jobs/src/partition/mod.rs
+++ b/system/jobs/src/partition/mod.rs
@@ -14,7 +14,9 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-use gingerledge_chain::{LogRecord, MemberId, Replica, ReplicaAction, ReplicaEvent, ReplicaMessage, View};
+use gingerledge_chain::{
+    LogRecord, MemberId, Replica, ReplicaAction, ReplicaEvent, ReplicaMessage, View, ViewAction, ViewEvent,
+};
 use gingerledge_wire::{JobsResponse, PartitionRecord};
 
 pub use holds::{EdgeState, Edges};
@@ -115,11 +117,11 @@
             before.push(self.me);
             for epoch in self.replica.epoch() + 1..record.epoch {
                 let view = View { epoch, chain: before.clone() };
-                self.replicate(context, ReplicaEvent::Install { view });
+                self.replicate(context, ReplicaEvent::View(ViewEvent::Install { view }));
             }
         }
         let view = View { epoch: record.epoch, chain: members(record).collect() };
-        self.replicate(context, ReplicaEvent::Install { view });
+        self.replicate(context, ReplicaEvent::View(ViewEvent::Install { view }));
     }
 
     /// Whether this replica holds all that was committed before a chain, though it never heard of some chains before it.
@@ -230,12 +232,10 @@
             ReplicaAction::NotHead { command, .. } | ReplicaAction::Busy { command } => {
                 self.not_taken(context, &command)
             }
-            ReplicaAction::Installed { .. } => self.drop_copy_if_left(context),
+            ReplicaAction::View(ViewAction::Installed { .. }) => self.drop_copy_if_left(context),
             ReplicaAction::BecameInSync { .. }
-            | ReplicaAction::Sealed { .. }
-            | ReplicaAction::LearnerProgress { .. }
-            | ReplicaAction::BarrierCommitted { .. }
-            | ReplicaAction::OwnViewStale { .. } => {}
+            | ReplicaAction::View(_)
+            | ReplicaAction::BarrierCommitted { .. } => {}
         }
     }
 
