--- a/system/chain/tests/not_full.rs
+++ b/system/chain/tests/catching_up.rs
@@ -1,4 +1,4 @@
-//! A member that has not caught up: it commits nothing and holds nothing that is not on its disk.
+//! A member that is not in sync: it commits nothing, and what is not on its disk does not count.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 const NEWCOMER: MemberId = MemberId(2);
 const EPOCH: u64 = 7;
 
-/// A replica, what it wants, and a disk that syncs when the test says so.
+/// A replica, its actions, and a disk that syncs when the test says so.
 struct Member {
     replica: Replica,
     actions: Vec<ReplicaAction>,
@@ -18,7 +18,7 @@
 }
 
 impl Member {
-    /// The newcomer at the tail of a chain that has been at work before.
+    /// The newcomer at the tail of a chain that has committed entries before.
     fn newcomer() -> Self {
         let replica = Replica::new(NEWCOMER, ReplicaSettings::default(), 1);
         let mut member = Self { replica, actions: Vec::new(), unsynced: Vec::new() };
@@ -51,7 +51,7 @@
         self.event(ReplicaEvent::Message { from: HEAD, message });
     }
 
-    /// Entries up to `last`, of which the newcomer has to hold those up to 5.
+    /// Entries up to `last`, with an in-sync index of 5.
     fn entries(&mut self, first: u64, last: u64) {
         let commands = (first..=last).map(|index| vec![index as u8]).collect();
         self.message(ReplicaMessage::Append {
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn a_tail_that_is_not_full_commits_nothing() {
+fn a_tail_that_is_not_in_sync_commits_nothing() {
     let mut member = Member::newcomer();
     member.entries(1, 3);
     member.sync();
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn a_snapshot_counts_once_it_is_on_the_disk() {
+fn a_snapshot_counts_only_once_it_is_durable() {
     let mut member = Member::newcomer();
     let bytes = vec![9; 10];
     member.message(ReplicaMessage::SnapshotChunk {
--- a/system/chain/tests/control_chain.rs
+++ b/system/chain/tests/control_chain.rs
@@ -1,16 +1,16 @@
-//! Whole control groups under trouble of all kinds: what was acknowledged survives, in one order; reads and ticks are
-//! never stale; each epoch has one membership; and afterwards the group is whole again in time.
+//! Control groups under faults of all kinds: what was acknowledged survives, in one order; reads and barriers are never stale; each
+//! epoch has one membership; and after the faults the chain is complete again in time.
 
-mod world;
+mod cluster;
 
 use std::time::Duration;
 
-use world::{millis, Shape, World};
+use cluster::{millis, Cluster, ClusterShape};
 
-const SMALL: Shape = Shape { fault_tolerance: 1, founders: 3, places: 3 };
-const SPARES: Shape = Shape { fault_tolerance: 1, founders: 3, places: 5 };
-const LARGE: Shape = Shape { fault_tolerance: 2, founders: 5, places: 5 };
-const GROWING: Shape = Shape { fault_tolerance: 2, founders: 3, places: 5 };
+const SMALL: ClusterShape = ClusterShape { fault_tolerance: 1, founders: 3, machines: 3 };
+const SPARES: ClusterShape = ClusterShape { fault_tolerance: 1, founders: 3, machines: 5 };
+const LARGE: ClusterShape = ClusterShape { fault_tolerance: 2, founders: 5, machines: 5 };
+const GROWING: ClusterShape = ClusterShape { fault_tolerance: 2, founders: 3, machines: 5 };
 
 /// How many seeds each shape is run with; more by `CHAIN_SEEDS`, from `CHAIN_FIRST_SEED` on.
 fn seeds(usual: u64) -> std::ops::Range<u64> {
@@ -19,34 +19,40 @@
     first..first + number("CHAIN_SEEDS").unwrap_or(usual)
 }
 
-/// Makes trouble for a while, heals everything, and sees that the group is whole within the time to catch up.
-fn ordeal(seed: u64, shape: Shape) {
-    let mut world = World::new(seed, shape);
-    world.run(millis(1500));
-    world.start_trouble();
-    world.run(Duration::from_secs(30));
-    world.troubled = false;
-    world.heal();
+/// Injects faults for a while, heals everything, and checks that the chain is complete within the time to catch up.
+fn survives_faults(seed: u64, shape: ClusterShape) {
+    let mut cluster = Cluster::new(seed, shape);
+    cluster.run(millis(1500));
+    cluster.start_faults();
+    cluster.run(Duration::from_secs(30));
+    cluster.faults_enabled = false;
+    cluster.heal();
     // What is down, frozen or stalled comes back by itself.
-    world.run(Duration::from_secs(6));
-    // Voters that are gone for good without a word are noticed, and the newcomers caught up.
-    world.run(Duration::from_secs(9));
-    let acknowledged = world.ledger.acknowledgements;
-    let members = world.newest_view().cloned().expect("there is a view");
-    let expected = shape.places.min(2 * shape.fault_tolerance + 1);
+    cluster.run(Duration::from_secs(6));
+    // Voters that were replaced at another address are noticed, and the new members caught up.
+    cluster.run(Duration::from_secs(9));
+    let acknowledged_index = cluster.invariants.acknowledgements;
+    let members = cluster.newest_membership().cloned().expect("there is a view");
+    let expected = shape.machines.min(2 * shape.fault_tolerance + 1);
     if members.chain.len() != expected {
-        world.dump();
+        cluster.dump();
     }
     assert_eq!(members.chain.len(), expected, "seed {seed}: not whole again: {members:?}");
-    world.run(Duration::from_secs(1));
-    if world.ledger.acknowledgements == acknowledged {
-        world.dump();
+    cluster.run(Duration::from_secs(1));
+    if cluster.invariants.acknowledgements == acknowledged_index {
+        cluster.dump();
     }
-    assert!(world.ledger.acknowledgements > acknowledged, "seed {seed}: nothing is committed any more");
+    assert!(
+        cluster.invariants.acknowledgements > acknowledged_index,
+        "seed {seed}: nothing is committed any more"
+    );
     for member in &members.chain {
-        let place = world.place_of(*member).expect("members of the chain are there");
-        let applied = world.hosts[place].applied();
-        assert!(applied + 100 > world.ledger.acknowledged, "seed {seed}: {member:?} lags at {applied}");
+        let machine = cluster.machine_of(*member).expect("members of the chain are there");
+        let applied = cluster.hosts[machine].state_machine.applied_index();
+        assert!(
+            applied + 100 > cluster.invariants.acknowledged_index,
+            "seed {seed}: {member:?} lags at {applied}"
+        );
     }
 }
 
@@ -56,8 +62,8 @@
     five = { LARGE, 80 },
     growing = { GROWING, 60 },
 )]
-fn what_was_acknowledged_survives_all_bearable_trouble(shape: Shape, usual: u64) {
+fn acknowledged_entries_survive_faults_within_the_tolerance(shape: ClusterShape, usual: u64) {
     for seed in seeds(usual) {
-        ordeal(seed, shape);
+        survives_faults(seed, shape);
     }
 }
--- a/system/chain/tests/model/group.rs
+++ b/system/chain/tests/model/group.rs
@@ -7,36 +7,36 @@
     AgreementMessage, ChainEvent, ChainMessage, ControlChainSettings, Heartbeat, MemberId, MembershipEvent,
 };
 
-use super::ledger::Ledger;
 use super::node::{Loss, Node, Sent};
+use super::observations::Observations;
 
-/// Time between two rounds of heartbeats.
-const ROUND: Duration = Duration::from_millis(150);
-/// So many rounds are played until a member that hears nothing of another takes it to be lost for good.
-const ROUNDS_TO_LOSE: usize = 40;
-/// So many rounds of calm a group gets to take writes again.
-const ROUNDS_TO_SETTLE: usize = 120;
+/// Time between the heartbeats.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(150);
+/// After so many intervals without a heartbeat a member counts as lost.
+const INTERVALS_TO_LOSE: usize = 40;
+/// Within so many intervals without faults a group must commit again.
+const INTERVALS_TO_RECOVER: usize = 120;
 
 /// One step of the checker.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// A message arrives; with `stays`, a second copy of it is still on its way.
-    Deliver { message: usize, from: MemberId, stays: bool },
+    /// A message arrives; with `is_duplicated`, a second copy of it stays in flight.
+    Deliver { message: usize, from: MemberId, is_duplicated: bool },
     /// A message is lost.
-    Lose { message: usize, from: MemberId },
+    Drop { message: usize, from: MemberId },
     /// All that a member wrote is synced.
-    Sync { place: usize },
-    /// A client writes at a member that takes itself for the head.
-    Submit { place: usize },
+    Sync { machine: usize },
+    /// A client submits a command at a member that takes itself for the head.
+    Submit { machine: usize },
     /// A client reads at a member.
-    Read { place: usize },
-    /// A member hears nothing of another for long, and all of the rest.
-    Miss { place: usize, missed: usize },
-    /// A process ends and starts again.
-    End { place: usize, loss: Loss },
+    Read { machine: usize },
+    /// No heartbeat of one member reaches another for long; those of the rest do.
+    Miss { machine: usize, missed: usize },
+    /// A process ends and starts again, with some loss.
+    Restart { machine: usize, loss: Loss },
 }
 
-/// How often the checker may still do what would never end.
+/// How often the checker may still take those steps that could be taken without end.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Budget {
     pub losses: u8,
@@ -44,7 +44,7 @@
     pub writes: u8,
     pub reads: u8,
     pub misses: u8,
-    pub ends: u8,
+    pub restarts: u8,
     pub wipes: u8,
 }
 
@@ -53,7 +53,7 @@
 pub struct Group {
     pub nodes: Vec<Node>,
     pub network: Vec<Sent>,
-    pub ledger: Ledger,
+    pub observations: Observations,
     pub budget: Budget,
     settings: ControlChainSettings,
     next_command: u8,
@@ -72,65 +72,65 @@
         let mut group = Self {
             nodes,
             network: Vec::new(),
-            ledger: Ledger::default(),
+            observations: Observations::default(),
             budget: Budget::default(),
             settings,
             next_command: 0,
             next_read: 0,
             next_identity: 100,
         };
-        for place in 0..group.nodes.len() {
-            group.event(place, ChainEvent::Started);
+        for machine in 0..group.nodes.len() {
+            group.handle_event(machine, ChainEvent::Started);
         }
-        group.calm(4);
+        group.run_without_faults(4);
         group
     }
 
-    pub fn event(&mut self, place: usize, event: ChainEvent) {
-        self.nodes[place].event(event, &mut self.ledger, &mut self.network);
+    pub fn handle_event(&mut self, machine: usize, event: ChainEvent) {
+        self.nodes[machine].handle_event(event, &mut self.observations, &mut self.network);
     }
 
-    /// Everything on its way arrives, everything written is synced, until nothing is left.
+    /// Delivers all messages and syncs all writes, until none is left.
     pub fn deliver_all(&mut self) {
         self.deliver_until(|_| false);
     }
 
-    /// Time passes without faults: heartbeats, timers, deliveries.
-    pub fn calm(&mut self, rounds: usize) {
-        for _ in 0..rounds {
+    /// Lets time pass without faults: heartbeats, timers, deliveries.
+    pub fn run_without_faults(&mut self, intervals: usize) {
+        for _ in 0..intervals {
             self.heartbeats_and_timers();
             self.deliver_all();
         }
     }
 
-    /// One round of calm, which ends as soon as somebody proposes a membership; that message has not arrived yet.
-    pub fn calm_until_proposal(&mut self) {
+    /// One interval without faults, which ends as soon as a member proposes a membership; that message has not arrived yet.
+    pub fn run_until_proposal(&mut self) {
         self.heartbeats_and_timers();
         self.deliver_until(is_proposal);
     }
 
-    /// One round in which every member hears all others.
+    /// One interval in which every member receives the heartbeats of all others.
     fn heartbeats_and_timers(&mut self) {
-        for place in 0..self.nodes.len() {
-            self.nodes[place].now += ROUND;
+        for machine in 0..self.nodes.len() {
+            self.nodes[machine].now += HEARTBEAT_INTERVAL;
             for other in 0..self.nodes.len() {
-                self.hear(place, other);
+                self.deliver_heartbeat(machine, other);
             }
-            self.event(place, ChainEvent::TimerExpired);
+            self.handle_event(machine, ChainEvent::TimerExpired);
         }
     }
 
-    /// Delivers only what belongs to the vote; entries wait.
+    /// Delivers only the messages of the agreement.
     pub fn deliver_agreement(&mut self) {
         for _ in 0..1_000 {
-            if let Some(place) = self.nodes.iter().position(Node::is_writing) {
-                self.sync(place);
+            if let Some(machine) = self.nodes.iter().position(Node::is_writing) {
+                self.sync(machine);
                 continue;
             }
             let votes = |sent: &Sent| matches!(sent.message, ChainMessage::Agreement(_));
             let Some(next) = self.network.iter().position(votes) else { return };
             let sent = self.network.remove(next);
-            self.arrive(sent);
+            self.deliver(sent);
         }
     }
 
@@ -139,60 +139,64 @@
             if self.network.iter().any(&stop) {
                 return;
             }
-            if let Some(place) = self.nodes.iter().position(Node::is_writing) {
-                self.sync(place);
+            if let Some(machine) = self.nodes.iter().position(Node::is_writing) {
+                self.sync(machine);
             } else if self.network.is_empty() {
                 return;
             } else {
                 let sent = self.network.remove(0);
-                self.arrive(sent);
+                self.deliver(sent);
             }
         }
-        panic!("the group never comes to rest");
+        panic!("messages are sent without end");
     }
 
-    fn sync(&mut self, place: usize) {
-        self.nodes[place].sync(&mut self.ledger, &mut self.network);
+    fn sync(&mut self, machine: usize) {
+        self.nodes[machine].sync(&mut self.observations, &mut self.network);
     }
 
-    fn arrive(&mut self, sent: Sent) {
+    fn deliver(&mut self, sent: Sent) {
         let to = self.nodes.iter().position(|node| node.identity == sent.to);
-        if let Some(place) = to {
-            self.event(place, ChainEvent::Message { from: sent.from, message: sent.message });
+        if let Some(machine) = to {
+            self.handle_event(machine, ChainEvent::Message { from: sent.from, message: sent.message });
         }
     }
 
-    /// A member hears another's heartbeat as it would be now.
-    fn hear(&mut self, place: usize, other: usize) {
-        if place == other {
+    /// Delivers the heartbeat that another member would send now.
+    fn deliver_heartbeat(&mut self, machine: usize, other: usize) {
+        if machine == other {
             return;
         }
         let from = &self.nodes[other];
         let epoch = from.chain.members().map_or(0, |members| members.epoch);
         let live_peers = self.nodes.iter().map(|node| node.identity).collect();
-        let heartbeat =
-            Heartbeat { epoch, disk_ready: true, sealed: epoch > 0 && from.sealed == epoch, live_peers };
+        let heartbeat = Heartbeat {
+            epoch,
+            disk_ready: true,
+            sealed: epoch > 0 && from.sealed_epoch == epoch,
+            live_peers,
+        };
         let message = ChainMessage::Agreement(AgreementMessage::Heartbeat(heartbeat));
         let from = from.identity;
-        self.event(place, ChainEvent::Message { from, message });
+        self.handle_event(machine, ChainEvent::Message { from, message });
     }
 
-    /// A client writes; gives the command.
-    pub fn submit(&mut self, place: usize) -> u8 {
+    /// A client submits a command; returns it.
+    pub fn submit(&mut self, machine: usize) -> u8 {
         self.next_command += 1;
-        self.event(place, ChainEvent::Submit { command: vec![self.next_command] });
+        self.handle_event(machine, ChainEvent::Submit { command: vec![self.next_command] });
         self.next_command
     }
 
-    /// A member hears nothing of another until it wants it out of the chain, or for long.
-    pub fn miss(&mut self, place: usize, missed: usize) {
-        for _ in 0..ROUNDS_TO_LOSE {
-            self.nodes[place].now += ROUND;
+    /// Keeps the heartbeats of one member from another, until that proposes a membership without it or counts it as lost.
+    pub fn miss(&mut self, machine: usize, missed: usize) {
+        for _ in 0..INTERVALS_TO_LOSE {
+            self.nodes[machine].now += HEARTBEAT_INTERVAL;
             for other in (0..self.nodes.len()).filter(|other| *other != missed) {
-                self.hear(place, other);
+                self.deliver_heartbeat(machine, other);
             }
             let before = self.network.len();
-            self.event(place, ChainEvent::TimerExpired);
+            self.handle_event(machine, ChainEvent::TimerExpired);
             if self.network[before..].iter().any(is_proposal) {
                 return;
             }
@@ -200,26 +204,32 @@
     }
 
     /// A process ends and starts again; the others learn of a new identity.
-    pub fn end(&mut self, place: usize, loss: Loss) {
-        let old = self.nodes[place].identity;
+    pub fn restart(&mut self, machine: usize, loss: Loss) {
+        let old = self.nodes[machine].identity;
         if loss == Loss::Disk {
             self.next_identity += 1;
         }
         let new_identity = MemberId(self.next_identity);
-        self.nodes[place].end(loss, new_identity, &self.settings, &mut self.ledger);
-        self.event(place, ChainEvent::Started);
-        let new = self.nodes[place].identity;
+        self.nodes[machine].restart(loss, new_identity, &self.settings, &mut self.observations);
+        self.handle_event(machine, ChainEvent::Started);
+        let new = self.nodes[machine].identity;
         let replaces = (new != old).then_some(old);
-        for other in (0..self.nodes.len()).filter(|other| *other != place) {
-            self.event(other, ChainEvent::View(MembershipEvent::MemberAnnounced { member: new, replaces }));
+        for other in (0..self.nodes.len()).filter(|other| *other != machine) {
+            self.handle_event(
+                other,
+                ChainEvent::View(MembershipEvent::MemberAnnounced { member: new, replaces }),
+            );
             let member = self.nodes[other].identity;
-            self.event(place, ChainEvent::View(MembershipEvent::MemberAnnounced { member, replaces: None }));
+            self.handle_event(
+                machine,
+                ChainEvent::View(MembershipEvent::MemberAnnounced { member, replaces: None }),
+            );
         }
     }
 
-    /// Whether all members are in one chain and serve: the next loss of a disk is then one that must be borne.
-    fn is_whole(&self) -> bool {
-        let Some(newest) = self.ledger.views.values().next_back() else { return false };
+    /// Whether all members are in one chain and serve: then the group tolerates the next loss of a disk.
+    fn is_complete(&self) -> bool {
+        let Some(newest) = self.observations.views.values().next_back() else { return false };
         self.nodes.iter().all(|node| {
             newest.chain.contains(&node.identity)
                 && node.chain.members() == Some(newest)
@@ -230,106 +240,108 @@
     pub fn actions(&self, actions: &mut Vec<Action>) {
         for (message, sent) in self.network.iter().enumerate() {
             let from = sent.from;
-            actions.push(Action::Deliver { message, from, stays: false });
+            actions.push(Action::Deliver { message, from, is_duplicated: false });
             if self.budget.repetitions > 0 {
-                actions.push(Action::Deliver { message, from, stays: true });
+                actions.push(Action::Deliver { message, from, is_duplicated: true });
             }
             if self.budget.losses > 0 {
-                actions.push(Action::Lose { message, from });
+                actions.push(Action::Drop { message, from });
             }
         }
-        for place in 0..self.nodes.len() {
-            self.actions_at(place, actions);
+        for machine in 0..self.nodes.len() {
+            self.actions_at(machine, actions);
         }
     }
 
-    fn actions_at(&self, place: usize, actions: &mut Vec<Action>) {
-        let node = &self.nodes[place];
+    fn actions_at(&self, machine: usize, actions: &mut Vec<Action>) {
+        let node = &self.nodes[machine];
         if node.is_writing() {
-            actions.push(Action::Sync { place });
+            actions.push(Action::Sync { machine });
         }
         if self.budget.writes > 0 && node.chain.head() == Some(node.identity) {
-            actions.push(Action::Submit { place });
+            actions.push(Action::Submit { machine });
         }
         if self.budget.reads > 0 && node.chain.members().is_some() {
-            actions.push(Action::Read { place });
+            actions.push(Action::Read { machine });
         }
         if self.budget.misses > 0 {
-            let others = (0..self.nodes.len()).filter(|missed| *missed != place);
-            actions.extend(others.map(|missed| Action::Miss { place, missed }));
+            let others = (0..self.nodes.len()).filter(|missed| *missed != machine);
+            actions.extend(others.map(|missed| Action::Miss { machine, missed }));
         }
-        if self.budget.ends > 0 {
-            actions.push(Action::End { place, loss: Loss::Nothing });
-            actions.push(Action::End { place, loss: Loss::Unsynced });
+        if self.budget.restarts > 0 {
+            actions.push(Action::Restart { machine, loss: Loss::Nothing });
+            actions.push(Action::Restart { machine, loss: Loss::Unsynced });
         }
-        if self.budget.wipes > 0 && self.is_whole() {
-            actions.push(Action::End { place, loss: Loss::Disk });
+        if self.budget.wipes > 0 && self.is_complete() {
+            actions.push(Action::Restart { machine, loss: Loss::Disk });
         }
     }
 
-    pub fn take(&mut self, action: Action) {
+    pub fn apply(&mut self, action: Action) {
         match action {
-            Action::Deliver { message, stays, .. } => {
-                let sent = match stays {
+            Action::Deliver { message, is_duplicated, .. } => {
+                let sent = match is_duplicated {
                     true => self.network[message].clone(),
                     false => self.network.remove(message),
                 };
-                self.budget.repetitions -= u8::from(stays);
-                self.arrive(sent);
+                self.budget.repetitions -= u8::from(is_duplicated);
+                self.deliver(sent);
             }
-            Action::Lose { message, .. } => {
+            Action::Drop { message, .. } => {
                 self.budget.losses -= 1;
                 self.network.remove(message);
             }
-            Action::Sync { place } => self.sync(place),
-            Action::Submit { place } => {
+            Action::Sync { machine } => self.sync(machine),
+            Action::Submit { machine } => {
                 self.budget.writes -= 1;
-                self.submit(place);
+                self.submit(machine);
             }
-            Action::Read { place } => {
+            Action::Read { machine } => {
                 self.budget.reads -= 1;
                 self.next_read += 1;
-                self.ledger.read_asked(self.next_read);
-                self.event(place, ChainEvent::Read { token: self.next_read });
+                self.observations.on_read_started(self.next_read);
+                self.handle_event(machine, ChainEvent::Read { token: self.next_read });
             }
-            Action::Miss { place, missed } => {
+            Action::Miss { machine, missed } => {
                 self.budget.misses -= 1;
-                self.miss(place, missed);
+                self.miss(machine, missed);
             }
-            Action::End { place, loss } => {
+            Action::Restart { machine, loss } => {
                 match loss {
                     Loss::Disk => self.budget.wipes -= 1,
-                    Loss::Nothing | Loss::Unsynced => self.budget.ends -= 1,
+                    Loss::Nothing | Loss::Unsynced => self.budget.restarts -= 1,
                 }
-                self.end(place, loss);
+                self.restart(machine, loss);
             }
         }
     }
 
     /// Every head that serves has all that was acknowledged.
-    pub fn heads_hold_what_was_acknowledged(&self) -> bool {
+    pub fn heads_hold_acknowledged_entries(&self) -> bool {
         let heads = self.nodes.iter().filter(|node| {
-            // A view that was left behind may still look as if it were in force; only the newest decides.
-            let newest = self.ledger.views.keys().next_back();
+            // An older view may still look as if it were in force; only the newest counts.
+            let newest = self.observations.views.keys().next_back();
             node.chain.members().map(|members| &members.epoch) == newest
                 && node.chain.head() == Some(node.identity)
                 && node.chain.is_serving()
         });
-        heads.into_iter().all(|head| (1..=self.ledger.acknowledged).all(|index| head.holds(index)))
+        heads
+            .into_iter()
+            .all(|head| (1..=self.observations.acknowledged_index).all(|index| head.holds(index)))
     }
 
     /// Acknowledged only once f + 1 disks have synced it.
-    pub fn acknowledged_is_on_enough_disks(&self) -> bool {
+    pub fn acknowledged_entries_are_on_enough_disks(&self) -> bool {
         let enough = self.settings.fault_tolerance + 1;
-        (1..=self.ledger.acknowledged)
-            .all(|index| self.ledger.synced.get(&index).is_some_and(|disks| disks.len() >= enough))
+        (1..=self.observations.acknowledged_index)
+            .all(|index| self.observations.synced.get(&index).is_some_and(|disks| disks.len() >= enough))
     }
 
-    /// Calm comes: whether a write is then taken, and nothing that was acknowledged before is lost.
-    pub fn settles(mut self) -> bool {
-        let before = self.ledger.acknowledged;
-        for _ in 0..ROUNDS_TO_SETTLE {
-            self.calm(1);
+    /// Whether the group commits again once there are no more faults, with all that was acknowledged before.
+    pub fn recovers(mut self) -> bool {
+        let before = self.observations.acknowledged_index;
+        for _ in 0..INTERVALS_TO_RECOVER {
+            self.run_without_faults(1);
             let head = self
                 .nodes
                 .iter()
@@ -337,14 +349,14 @@
             let Some(head) = head else { continue };
             self.submit(head);
             self.deliver_all();
-            if self.ledger.acknowledged > before {
-                return self.ledger.contradiction.is_none() && self.heads_hold_what_was_acknowledged();
+            if self.observations.acknowledged_index > before {
+                return self.observations.contradiction.is_none() && self.heads_hold_acknowledged_entries();
             }
         }
         false
     }
 
-    /// Tells states apart by all of their fields.
+    /// A hash of all fields of the state.
     pub fn fingerprint(&self) -> u64 {
         let mut hasher = DefaultHasher::new();
         self.hash(&mut hasher);
--- a/system/chain/tests/model/main.rs
+++ b/system/chain/tests/model/main.rs
@@ -1,4 +1,4 @@
-//! Explores the control chain exhaustively, to a depth, from states in which the crossings that matter are under way.
+//! Explores the control chain exhaustively, to a depth, from states in which several faults and changes meet.
 //!
 //! What runs is the machine itself ([`gingerledge_chain::ControlChain`]: votes, replica, log and reads), not a copy of its rules. The
 //! checker chooses every order of deliveries, losses, repetitions, ends of syncs, ends of processes, losses of power and of disks,
@@ -11,8 +11,8 @@
 //! ```
 
 mod group;
-mod ledger;
 mod node;
+mod observations;
 mod scenarios;
 
 use group::{Action, Group};
@@ -20,8 +20,8 @@
 use stateright::{Checker, Model, Property};
 
 const DEFAULT_DEPTH: usize = 5;
-/// Of the states seen, one in so many is followed through calm, to see that the group works again.
-const SETTLED_SHARE: u64 = 64;
+/// Of the states seen, one in so many is continued without faults, to check that the group commits again.
+const RECOVERY_CHECK_SHARE: u64 = 64;
 
 /// One scenario with the depth to which it is explored.
 struct Exploration {
@@ -42,27 +42,30 @@
 
     fn next_state(&self, state: &Group, action: Action) -> Option<Group> {
         let mut next = state.clone();
-        next.take(action);
+        next.apply(action);
         Some(next)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always("one membership an epoch, and one command a number", |_, state: &Group| {
-                state.ledger.contradiction.is_none()
+                state.observations.contradiction.is_none()
             }),
             Property::always("what was acknowledged is at every head that serves", |_, state: &Group| {
-                state.heads_hold_what_was_acknowledged()
+                state.heads_hold_acknowledged_entries()
             }),
             Property::always("what was acknowledged was synced by f + 1 disks", |_, state: &Group| {
-                state.acknowledged_is_on_enough_disks()
+                state.acknowledged_entries_are_on_enough_disks()
             }),
             Property::always("no read is older than an acknowledgement before it", |_, state: &Group| {
-                !state.ledger.read_too_old
-            }),
-            Property::always("in calm the group takes writes again, and lost none", |_, state: &Group| {
-                state.fingerprint() % SETTLED_SHARE != 0 || state.clone().settles()
+                !state.observations.has_stale_read
             }),
+            Property::always(
+                "without further faults the group commits again, and lost nothing",
+                |_, state: &Group| {
+                    state.fingerprint() % RECOVERY_CHECK_SHARE != 0 || state.clone().recovers()
+                },
+            ),
         ]
     }
 }
@@ -83,7 +86,7 @@
         checker.max_depth()
     );
     if let Some((property, path)) = checker.discoveries().into_iter().next() {
-        let contradiction = path.last_state().ledger.contradiction.clone();
+        let contradiction = path.last_state().observations.contradiction.clone();
         let actions: Vec<String> = path.into_actions().iter().map(|action| format!("{action:?}")).collect();
         panic!("{}: not so: {property}; {contradiction:?}; after\n{}", scenario.name, actions.join("\n"));
     }
@@ -91,17 +94,17 @@
 }
 
 #[test]
-fn every_order_of_events_keeps_what_was_acknowledged() {
+fn acknowledged_entries_survive_every_order_of_events() {
     let wanted = std::env::var("MODEL_SCENARIO").unwrap_or_default();
     for scenario in SCENARIOS.iter().filter(|scenario| scenario.name.starts_with(&wanted)) {
         explore(scenario);
     }
 }
 
-/// The scenarios are what their names say: each calms down to a group that takes writes.
+/// Each scenario begins in a state from which the group commits again without faults.
 #[test]
-fn every_scenario_settles() {
+fn every_scenario_recovers_without_faults() {
     for scenario in SCENARIOS {
-        assert!((scenario.begin)().settles(), "{}", scenario.name);
+        assert!((scenario.begin)().recovers(), "{}", scenario.name);
     }
 }
--- a/system/chain/tests/model/node.rs
+++ b/system/chain/tests/model/node.rs
@@ -7,9 +7,9 @@
     MemberId, MembershipAction,
 };
 
-use super::ledger::Ledger;
+use super::observations::Observations;
 
-/// A message on its way.
+/// A message in flight.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Sent {
     pub from: MemberId,
@@ -41,12 +41,12 @@
     pub identity: MemberId,
     pub chain: ControlChain,
     pub now: Duration,
-    pub sealed: u64,
+    pub sealed_epoch: u64,
     disk: Vec<LogRecord>,
     unsynced: Vec<Write>,
     /// The host's state: the numbers and commands applied.
     state: Vec<(u64, Vec<u8>)>,
-    lives: u64,
+    incarnation: u64,
 }
 
 impl Node {
@@ -56,36 +56,36 @@
             identity,
             chain,
             now: Duration::ZERO,
-            sealed: 0,
+            sealed_epoch: 0,
             disk: Vec::new(),
             unsynced: Vec::new(),
             state: Vec::new(),
-            lives: 0,
+            incarnation: 0,
         }
     }
 
     /// Ends the process, and makes it ready to start again.
-    pub fn end(
+    pub fn restart(
         &mut self,
         loss: Loss,
         new_identity: MemberId,
         settings: &ControlChainSettings,
-        ledger: &mut Ledger,
+        observations: &mut Observations,
     ) {
         let unsynced = std::mem::take(&mut self.unsynced);
         match loss {
             // The storage syncs what it finds before anybody reads it.
-            Loss::Nothing => self.keep(unsynced, ledger),
+            Loss::Nothing => self.store(unsynced, observations),
             Loss::Unsynced => {}
             Loss::Disk => {
                 self.disk.clear();
                 self.identity = new_identity;
             }
         }
-        self.lives += 1;
+        self.incarnation += 1;
         self.state.clear();
-        self.sealed = 0;
-        let seed = self.identity.0 * 100 + self.lives;
+        self.sealed_epoch = 0;
+        let seed = self.identity.0 * 100 + self.incarnation;
         self.chain = ControlChain::recover(self.identity, self.disk.clone(), settings.clone(), seed);
     }
 
@@ -94,7 +94,7 @@
         !self.unsynced.is_empty()
     }
 
-    /// Whether the disk holds an entry, by itself or in a state.
+    /// Whether the disk holds an entry, by itself or in a snapshot.
     pub fn holds(&self, index: u64) -> bool {
         let records = self.disk.iter().chain(self.unsynced.iter().flat_map(|write| &write.records));
         records.into_iter().any(|record| match record {
@@ -104,29 +104,34 @@
         })
     }
 
-    /// Gives the process an event, and carries out what it wants.
-    pub fn event(&mut self, event: ChainEvent, ledger: &mut Ledger, network: &mut Vec<Sent>) {
+    /// Gives an event to the process, and carries out its actions.
+    pub fn handle_event(
+        &mut self,
+        event: ChainEvent,
+        observations: &mut Observations,
+        network: &mut Vec<Sent>,
+    ) {
         let mut out = Vec::new();
         self.chain.handle(self.now, event, &mut out);
         for action in out {
-            self.carry_out(action, ledger, network);
+            self.carry_out(action, observations, network);
         }
     }
 
     /// All that was written is synced.
-    pub fn sync(&mut self, ledger: &mut Ledger, network: &mut Vec<Sent>) {
+    pub fn sync(&mut self, observations: &mut Observations, network: &mut Vec<Sent>) {
         let writes = std::mem::take(&mut self.unsynced);
         let Some(token) = writes.last().map(|write| write.token) else { return };
-        self.keep(writes, ledger);
-        self.event(ChainEvent::Durable { token }, ledger, network);
+        self.store(writes, observations);
+        self.handle_event(ChainEvent::Durable { token }, observations, network);
     }
 
-    fn keep(&mut self, writes: Vec<Write>, ledger: &mut Ledger) {
+    fn store(&mut self, writes: Vec<Write>, observations: &mut Observations) {
         for record in writes.into_iter().flat_map(|write| write.records) {
             match &record {
-                LogRecord::Entry { index, .. } => ledger.on_disk(self.identity, *index),
+                LogRecord::Entry { index, .. } => observations.on_synced(self.identity, *index),
                 LogRecord::Snapshot { index, .. } => {
-                    (1..=*index).for_each(|entry| ledger.on_disk(self.identity, entry));
+                    (1..=*index).for_each(|entry| observations.on_synced(self.identity, entry));
                 }
                 _ => {}
             }
@@ -134,29 +139,33 @@
         }
     }
 
-    fn carry_out(&mut self, action: ChainAction, ledger: &mut Ledger, network: &mut Vec<Sent>) {
+    fn carry_out(&mut self, action: ChainAction, observations: &mut Observations, network: &mut Vec<Sent>) {
         match action {
             ChainAction::Send { to, message } => {
                 let sent = Sent { from: self.identity, to, message };
-                // A second copy of what is on its way is a repetition, which the checker chooses itself.
+                // A second copy of a message in flight is a repetition, which the checker chooses itself.
                 if !is_heartbeat(&sent.message) && !network.contains(&sent) {
                     network.push(sent);
                 }
             }
             ChainAction::Persist { token, records } => self.unsynced.push(Write { token, records }),
             ChainAction::Apply { index, command, reply } => {
-                ledger.apply(index, &command, reply);
+                observations.on_applied(index, &command, reply);
                 self.state.push((index, command));
             }
             ChainAction::TakeSnapshot => {
                 let index = self.state.last().map_or(0, |(index, _)| *index);
                 let bytes = encode(&self.state);
-                self.event(ChainEvent::SnapshotReady { index, bytes }, ledger, network);
+                self.handle_event(ChainEvent::SnapshotReady { index, bytes }, observations, network);
             }
             ChainAction::InstallSnapshot { bytes, .. } => self.state = decode(&bytes),
-            ChainAction::ReadReady { token, index } => ledger.read_ready(token, index),
-            ChainAction::View(MembershipAction::Installed { members }) => ledger.view(&members),
-            ChainAction::View(MembershipAction::Sealed { epoch }) => self.sealed = self.sealed.max(epoch),
+            ChainAction::ReadReady { token, index } => observations.on_read_ready(token, index),
+            ChainAction::View(MembershipAction::Installed { members }) => {
+                observations.on_membership_installed(&members)
+            }
+            ChainAction::View(MembershipAction::Sealed { epoch }) => {
+                self.sealed_epoch = self.sealed_epoch.max(epoch)
+            }
             ChainAction::ReadFailed { .. }
             | ChainAction::NotHead { .. }
             | ChainAction::Busy { .. }
--- a/system/chain/tests/model/scenarios.rs
+++ b/system/chain/tests/model/scenarios.rs
@@ -1,9 +1,9 @@
-//! The crossings from which every order of events is explored.
+//! The states from which every order of events is explored.
 
 use super::group::{Budget, Group};
 use super::node::Loss;
 
-/// A beginning, with what the checker may do after it.
+/// An initial state, with what the checker may do after it.
 pub struct Scenario {
     pub name: &'static str,
     pub begin: fn() -> Group,
@@ -40,12 +40,12 @@
     write_and_missed(1, 0)
 }
 
-/// A write is under way, and a member hears nothing of another.
-fn write_and_missed(place: usize, missed: usize) -> Group {
+/// A write is in flight, and no heartbeat of one member reaches another.
+fn write_and_missed(machine: usize, missed: usize) -> Group {
     let mut group = with_write(1);
     group.submit(0);
-    group.miss(place, missed);
-    group.budget = Budget { repetitions: 1, writes: 1, reads: 1, ends: 1, ..Budget::default() };
+    group.miss(machine, missed);
+    group.budget = Budget { repetitions: 1, writes: 1, reads: 1, restarts: 1, ..Budget::default() };
     group
 }
 
@@ -54,28 +54,28 @@
     group.submit(0);
     group.miss(0, 2);
     group.miss(1, 0);
-    group.budget = Budget { ends: 1, ..Budget::default() };
+    group.budget = Budget { restarts: 1, ..Budget::default() };
     group
 }
 
 /// The tail's disk was lost; its successor has caught up, and the vote on taking it in has just begun.
 fn replacement() -> Group {
     let mut group = with_write(1);
-    group.end(2, Loss::Disk);
+    group.restart(2, Loss::Disk);
     group.miss(0, 2);
     group.deliver_all();
-    group.calm_until_proposal();
-    group.budget = Budget { writes: 1, reads: 1, ends: 1, ..Budget::default() };
+    group.run_until_proposal();
+    group.budget = Budget { writes: 1, reads: 1, restarts: 1, ..Budget::default() };
     group
 }
 
-/// The replacement is whole; any disk may be the next one.
+/// The replacement is complete; any disk may be the next one.
 fn loss_after_replacement() -> Group {
     let mut group = with_write(1);
-    group.end(2, Loss::Disk);
-    group.calm(40);
+    group.restart(2, Loss::Disk);
+    group.run_without_faults(40);
     group.submit(0);
-    group.budget = Budget { writes: 1, misses: 1, ends: 0, wipes: 1, ..Budget::default() };
+    group.budget = Budget { writes: 1, misses: 1, restarts: 0, wipes: 1, ..Budget::default() };
     group
 }
 
@@ -84,7 +84,7 @@
     let mut group = replacement();
     group.budget = Budget::default();
     group.deliver_agreement();
-    group.budget = Budget { writes: 1, misses: 1, ends: 1, ..Budget::default() };
+    group.budget = Budget { writes: 1, misses: 1, restarts: 1, ..Budget::default() };
     group
 }
 
@@ -92,6 +92,6 @@
     let mut group = with_write(2);
     group.submit(0);
     group.miss(0, 4);
-    group.budget = Budget { reads: 1, ends: 1, ..Budget::default() };
+    group.budget = Budget { reads: 1, restarts: 1, ..Budget::default() };
     group
 }
--- a/system/chain/tests/partition/main.rs
+++ b/system/chain/tests/partition/main.rs
@@ -1,40 +1,39 @@
-//! Replicas whose views are decided elsewhere, as the partitions of batch jobs use them. The decider is never wrong, but its
-//! news is late or lost: it follows the contract of [`Replica`], and keeps only members that counted in the present view.
+//! Replicas whose views are decided elsewhere, as the partitions of batch jobs use them. The decider of
+//! views follows the contract of [`Replica`], and keeps only members that counted in the present view; but its views arrive late or
+//! are lost.
 
-#[path = "../world/disk.rs"]
-mod disk;
-#[path = "../world/ledger.rs"]
-mod ledger;
-mod trouble;
-mod world;
+mod cluster;
+mod faults;
+#[path = "../simulation/mod.rs"]
+mod simulation;
 
 use std::time::Duration;
 
+use cluster::Partition;
 use gingerledge_chain::{LogRecord, MemberId, Replica, ReplicaAction, ReplicaEvent, ReplicaSettings, View};
-use world::Partition;
 
 #[yare::parameterized(three_backends = { 3 }, five_backends = { 5 })]
-fn a_partition_survives_late_news_of_its_views(places: usize) {
+fn acknowledged_entries_survive_faults_while_views_arrive_late_or_never(machines: usize) {
     let seeds = std::env::var("CHAIN_SEEDS").ok().and_then(|value| value.parse().ok()).unwrap_or(100);
     for seed in 0..seeds {
-        let mut partition = Partition::new(seed, places);
+        let mut partition = Partition::new(seed, machines);
         partition.run(Duration::from_secs(30));
-        partition.troubled = false;
+        partition.faults_enabled = false;
         partition.heal();
         partition.run(Duration::from_secs(10));
-        let before = partition.ledger.acknowledgements;
+        let before = partition.invariants.acknowledgements;
         partition.run(Duration::from_secs(1));
-        let after = partition.ledger.acknowledgements;
+        let after = partition.invariants.acknowledgements;
         if after == before {
             partition.dump();
         }
         assert!(after > before, "seed {seed}: nothing is committed in {:?}", partition.view);
-        assert!(partition.ledger.reads_done > 0, "seed {seed}: no read was answered");
+        assert!(partition.invariants.reads_served > 0, "seed {seed}: no read was answered");
     }
 }
 
 #[test]
-fn records_of_a_log_are_read_back_as_they_were() {
+fn a_recovered_replica_applies_the_entries_that_its_records_left_committed() {
     let view = |epoch| View { epoch, chain: vec![MemberId(1)] };
     let records = vec![
         LogRecord::View { view: view(1), in_sync: true },
--- a/system/chain/tests/world/ledger.rs
+++ b/system/chain/tests/simulation/invariants.rs
@@ -1,19 +1,13 @@
-//! What must hold: kept outside the group, from what its hosts were told to do.
-#![allow(dead_code)]
+//! The invariants, checked at every step from outside of the members, by the actions that their hosts carry out.
 
 use std::collections::{BTreeMap, HashMap};
 
 use gingerledge_chain::{ChainMessage, MemberId, Membership, ReplicaMessage};
 
-/// The hash of a state after one more command.
-pub fn mix(hash: u64, command: &[u8]) -> u64 {
-    command
-        .iter()
-        .fold(hash ^ 0x9e37_79b9, |hash, byte| (hash ^ u64::from(*byte)).wrapping_mul(0x0000_0100_0000_01b3))
-}
+use super::state_machine::hash_command;
 
-/// The witness.
-pub struct Ledger {
+/// Knows what was acknowledged, and fails the test where an invariant is broken.
+pub struct InvariantChecker {
     seed: u64,
     fault_tolerance: usize,
     founders: usize,
@@ -21,24 +15,24 @@
     commands: Vec<Vec<u8>>,
     /// The state after each number.
     hashes: Vec<u64>,
-    seen: HashMap<Vec<u8>, u64>,
+    index_of: HashMap<Vec<u8>, u64>,
     /// The highest number acknowledged.
-    pub acknowledged: u64,
+    pub acknowledged_index: u64,
     pub acknowledgements: u64,
     reads: HashMap<u64, u64>,
-    pub reads_done: u64,
+    pub reads_served: u64,
     pub reads_failed: u64,
-    pub ticks: u64,
+    pub confirmed_barriers: u64,
     views: BTreeMap<u64, Membership>,
     /// What was acknowledged when the head sent a barrier.
     barriers: HashMap<(u64, u64), u64>,
     /// The last barrier that the head of an epoch sent.
     last_barriers: HashMap<u64, u64>,
     /// The last tick of each member, life and epoch.
-    last_ticks: HashMap<(MemberId, u64, u64), u64>,
+    last_confirmed: HashMap<(MemberId, u64, u64), u64>,
 }
 
-impl Ledger {
+impl InvariantChecker {
     pub fn new(seed: u64, fault_tolerance: usize, founders: usize) -> Self {
         Self {
             seed,
@@ -46,28 +40,28 @@
             founders,
             commands: Vec::new(),
             hashes: vec![0],
-            seen: HashMap::new(),
-            acknowledged: 0,
+            index_of: HashMap::new(),
+            acknowledged_index: 0,
             acknowledgements: 0,
             reads: HashMap::new(),
-            reads_done: 0,
+            reads_served: 0,
             reads_failed: 0,
-            ticks: 0,
+            confirmed_barriers: 0,
             views: BTreeMap::new(),
             barriers: HashMap::new(),
             last_barriers: HashMap::new(),
-            last_ticks: HashMap::new(),
+            last_confirmed: HashMap::new(),
         }
     }
 
     /// Each number has one command, everywhere and for good, and each command one number.
-    pub fn applied(&mut self, member: MemberId, index: u64, command: &[u8], reply: bool) {
+    pub fn on_applied(&mut self, member: MemberId, index: u64, command: &[u8], reply: bool) {
         let position = index as usize - 1;
         assert!(position <= self.commands.len(), "seed {}: {member:?} applied {index} with a gap", self.seed);
         if position == self.commands.len() {
-            let before = self.seen.insert(command.to_vec(), index);
+            let before = self.index_of.insert(command.to_vec(), index);
             assert_eq!(before, None, "seed {}: {member:?} applied {command:?} twice, at {index}", self.seed);
-            self.hashes.push(mix(self.hashes[position], command));
+            self.hashes.push(hash_command(self.hashes[position], command));
             self.commands.push(command.to_vec());
         }
         assert_eq!(
@@ -76,13 +70,13 @@
             self.seed
         );
         if reply {
-            self.acknowledged = self.acknowledged.max(index);
+            self.acknowledged_index = self.acknowledged_index.max(index);
             self.acknowledgements += 1;
         }
     }
 
     /// What is acknowledged has been synced by one more disk than may be lost.
-    pub fn synced_by(&self, index: u64, disks: usize) {
+    pub fn on_acknowledged(&self, index: u64, disks: usize) {
         let needed = self.fault_tolerance + 1;
         assert!(
             disks >= needed,
@@ -91,28 +85,28 @@
         );
     }
 
-    pub fn state(&self, member: MemberId, index: u64, hash: u64) {
+    pub fn on_snapshot_installed(&self, member: MemberId, index: u64, hash: u64) {
         let expected = self.hashes.get(index as usize).copied();
         assert_eq!(expected, Some(hash), "seed {}: {member:?} took another state at {index}", self.seed);
     }
 
-    pub fn read_asked(&mut self, token: u64) {
-        self.reads.insert(token, self.acknowledged);
+    pub fn on_read_started(&mut self, token: u64) {
+        self.reads.insert(token, self.acknowledged_index);
     }
 
-    pub fn read_ready(&mut self, token: u64, index: u64) {
+    pub fn on_read_ready(&mut self, token: u64, index: u64) {
         let floor = self.reads.remove(&token).expect("each read ends once");
         assert!(index >= floor, "seed {}: a read at {index} after {floor} was acknowledged", self.seed);
-        self.reads_done += 1;
+        self.reads_served += 1;
     }
 
-    pub fn read_failed(&mut self, token: u64) {
+    pub fn on_read_failed(&mut self, token: u64) {
         self.reads.remove(&token).expect("each read ends once");
         self.reads_failed += 1;
     }
 
     /// One membership for each epoch, and voters that change one at a time and don't become fewer.
-    pub fn view(&mut self, members: Membership) {
+    pub fn on_membership_installed(&mut self, members: Membership) {
         let seed = self.seed;
         let known = self.views.entry(members.epoch).or_insert_with(|| members.clone());
         assert_eq!(*known, members, "seed {seed}: two memberships for one epoch");
@@ -126,26 +120,26 @@
     }
 
     /// The head sends each barrier once, also over restarts; what was acknowledged by then must be in its confirmation.
-    pub fn sent(&mut self, from: MemberId, message: &ChainMessage) {
+    pub fn on_sent(&mut self, from: MemberId, message: &ChainMessage) {
         let ChainMessage::Replica(ReplicaMessage::Barrier { epoch, number }) = message else { return };
-        self.barriers.entry((*epoch, *number)).or_insert(self.acknowledged);
+        self.barriers.entry((*epoch, *number)).or_insert(self.acknowledged_index);
         if self.views.get(epoch).is_some_and(|members| members.chain.first() == Some(&from)) {
             let last = self.last_barriers.insert(*epoch, *number);
             assert!(last < Some(*number), "seed {}: barrier {number} of {epoch} sent again", self.seed);
         }
     }
 
-    /// A tick confirms what was acknowledged before it was sent, and ticks rise in a member's life and an epoch.
-    pub fn tick(&mut self, at: (MemberId, u64, u64), number: u64, committed: u64) {
+    /// A tick confirms what was acknowledged before it was sent, and confirmed_barriers rise in a member's life and an epoch.
+    pub fn on_barrier_committed(&mut self, at: (MemberId, u64, u64), number: u64, commit_index: u64) {
         let (member, _, epoch) = at;
         let seed = self.seed;
         let floor = self.barriers.get(&(epoch, number)).copied().unwrap_or(0);
         assert!(
-            committed >= floor,
-            "seed {seed}: tick {number} of {epoch} confirms {committed}, not {floor}"
+            commit_index >= floor,
+            "seed {seed}: tick {number} of {epoch} confirms {commit_index}, not {floor}"
         );
-        let last = self.last_ticks.insert(at, number);
+        let last = self.last_confirmed.insert(at, number);
         assert!(last < Some(number), "seed {seed}: tick {number} of {epoch} came twice at {member:?}");
-        self.ticks += 1;
+        self.confirmed_barriers += 1;
     }
 }
