--- a/system/control/src/node/lease.rs
+++ b/system/control/src/node/lease.rs
@@ -57,11 +57,11 @@
                         self.send(address, Envelope::Lease { from: self.me.member, message });
                     }
                 }
-                LeaseAction::Acquired { generation, until } => {
+                LeaseAction::Acquired { generation, held_until } => {
                     log::info!("holds the coordinator's lease, generation {generation}");
-                    self.lease_held(until);
+                    self.lease_held(held_until);
                 }
-                LeaseAction::Renewed { until, .. } => self.lease_held(until),
+                LeaseAction::Renewed { held_until, .. } => self.lease_held(held_until),
                 LeaseAction::Lost { generation } => {
                     log::info!("lost the coordinator's lease, generation {generation}");
                     self.lease_lost();
--- /dev/null
+++ b/system/lease/src/candidate.rs
@@ -0,0 +1,73 @@
+//! The candidate's side of one process: the current attempt at a majority of grants, and how long the lease is held.
+
+use std::collections::{BTreeMap, BTreeSet};
+use std::time::Duration;
+
+use crate::VoterId;
+
+/// One round of requests to all voters.
+#[derive(Clone, Debug)]
+pub(crate) struct Attempt {
+    pub number: u64,
+    /// Whether the lease was held when the requests were sent.
+    pub renewal: bool,
+    /// The lease is counted from here: no voter can have granted earlier.
+    pub sent_at: Duration,
+    pub grants: BTreeSet<VoterId>,
+    /// For how long each voter that refused will go on to refuse.
+    pub refusals: BTreeMap<VoterId, Duration>,
+}
+
+impl Attempt {
+    /// How long it may take until a majority grants, by the refusals so far. A voter that has not responded may grant now. Voters
+    /// that refuse for long, such as one that has just started, are not waited for where the others suffice.
+    pub fn time_until_majority(&self, majority: usize, voters: usize) -> Duration {
+        let mut waits: Vec<Duration> = self.refusals.values().copied().collect();
+        waits.sort();
+        let not_refused = voters.saturating_sub(waits.len());
+        match majority.checked_sub(not_refused + 1) {
+            None => Duration::ZERO,
+            Some(position) => waits.get(position).or(waits.last()).copied().unwrap_or_default(),
+        }
+    }
+}
+
+/// Whether the lease is held, and the attempt in progress.
+#[derive(Clone, Debug, Default)]
+pub(crate) struct Candidate {
+    /// The generation held or requested last.
+    pub generation: u64,
+    /// Until when the lease is held.
+    pub held_until: Option<Duration>,
+    pub attempt: Option<Attempt>,
+    /// When the next attempt may start.
+    pub next_attempt_at: Duration,
+    /// Number of the last attempt.
+    pub last_attempt: u64,
+    /// The highest generation that a voter has named in a refusal.
+    pub highest_refused: u64,
+}
+
+impl Candidate {
+    pub fn is_held(&self, now: Duration) -> bool {
+        self.held_until.is_some_and(|held_until| now < held_until)
+    }
+
+    /// Starts an attempt, and returns its number.
+    pub fn start_attempt(&mut self, now: Duration) -> u64 {
+        self.last_attempt += 1;
+        self.attempt = Some(Attempt {
+            number: self.last_attempt,
+            renewal: self.is_held(now),
+            sent_at: now,
+            grants: BTreeSet::new(),
+            refusals: BTreeMap::new(),
+        });
+        self.last_attempt
+    }
+
+    /// The attempt in progress, if it has this number.
+    pub fn attempt_mut(&mut self, number: u64) -> Option<&mut Attempt> {
+        self.attempt.as_mut().filter(|attempt| attempt.number == number)
+    }
+}
--- a/system/lease/src/lease.rs
+++ b/system/lease/src/lease.rs
@@ -1,87 +1,17 @@
-//! One process's part: voter and candidate.
+//! One process's part in the lease: when it asks for the lease, holds it and steps down.
 
 use std::time::Duration;
 
-use crate::granter::{Granter, Request};
-use crate::holder::Holder;
-use crate::{LeaseMessage, LeaseSettings, VoterId};
-
-/// Rounds begin with the epoch in which they were asked for, above this many bits.
-const ROUNDS_BITS: u32 = 32;
-
-/// How many more staggers than the place in the order say the preferred candidate is ahead of the others, since it may have started
-/// a little later.
-const LEAD_OF_THE_PREFERRED: u32 = 2;
-
-/// What happens to a process.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum LeaseEvent {
-    /// The process has started; given once, first. A founder of the whole system, that can't have granted anything
-    /// before, says so.
-    Started {
-        /// Whether this is its first life, and that of all the voters.
-        founding: bool,
-    },
-    /// The voters of an epoch. Older and repeated ones are ignored.
-    Voters {
-        /// The epoch.
-        epoch: u64,
-        /// The voters.
-        voters: Vec<VoterId>,
-    },
-    /// This process has sealed an epoch: it grants nothing more in it.
-    Sealed {
-        /// The epoch.
-        epoch: u64,
-    },
-    /// Who may hold the lease, the preferred one first. A process that isn't named doesn't ask, and gives up the lease.
-    Candidates {
-        /// The candidates.
-        order: Vec<VoterId>,
-    },
-    /// A message has arrived.
-    Message {
-        /// The sender.
-        from: VoterId,
-        /// The message.
-        message: LeaseMessage,
-    },
-    /// Give the lease up; this process asks again only after a term.
-    Release,
-    /// The time of [`Lease::next_timer`] has come.
-    TimerExpired,
-}
+use crate::candidate::Candidate;
+use crate::voter::{Request, Voter};
+use crate::{LeaseAction, LeaseEvent, LeaseMessage, LeaseSettings, VoterId};
 
-/// What the host is to do.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum LeaseAction {
-    /// Send a message, once.
-    Send {
-        /// The receiver.
-        to: VoterId,
-        /// The message.
-        message: LeaseMessage,
-    },
-    /// The lease is held.
-    Acquired {
-        /// The round: higher than those before, unless a majority of the voters has started again in this epoch.
-        generation: u64,
-        /// Until when, if it isn't renewed.
-        until: Duration,
-    },
-    /// The lease is held for longer.
-    Renewed {
-        /// The round.
-        generation: u64,
-        /// Until when.
-        until: Duration,
-    },
-    /// The lease isn't held any more.
-    Lost {
-        /// The round.
-        generation: u64,
-    },
-}
+/// A generation begins with the epoch in which it was requested, above this many bits.
+const EPOCH_SHIFT: u32 = 32;
+
+/// By how many staggers more than its position says the preferred candidate is ahead of the others, since it may have started a
+/// little later.
+const PREFERRED_CANDIDATE_LEAD: u32 = 2;
 
 /// One process's part in the lease.
 #[derive(Clone, Debug)]
@@ -91,83 +21,85 @@
     rng: fastrand::Rng,
     epoch: u64,
     voters: Vec<VoterId>,
-    candidates: Vec<VoterId>,
-    granter: Granter,
-    holder: Holder,
-    started: bool,
-    /// Whether nobody can have granted anything before this life.
-    founding: bool,
+    /// Who may hold the lease, the preferred one first.
+    candidate_order: Vec<VoterId>,
+    voter: Voter,
+    candidate: Candidate,
+    is_started: bool,
+    /// Whether no voter can have granted anything before this process started.
+    is_founding: bool,
 }
 
 impl Lease {
-    /// A process that has just started. The seed must differ from life to life.
+    /// A process that has just started. The seed must differ from one start to the next.
     pub fn new(me: VoterId, settings: LeaseSettings, seed: u64) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
-        // Questions of an earlier life must not be taken for those of this one.
-        let holder = Holder { attempts: rng.u64(..) >> 1, ..Holder::default() };
+        // Responses to attempts of an earlier incarnation must not count for those of this one.
+        let candidate = Candidate { last_attempt: rng.u64(..) >> 1, ..Candidate::default() };
         Self {
             me,
             settings,
             rng,
             epoch: 0,
             voters: Vec::new(),
-            candidates: Vec::new(),
-            granter: Granter::default(),
-            holder,
-            started: false,
-            founding: false,
+            candidate_order: Vec::new(),
+            voter: Voter::default(),
+            candidate,
+            is_started: false,
+            is_founding: false,
         }
     }
 
-    /// Whether the lease is held now. To be asked right before each act under it.
+    /// Whether the lease is held now. To be checked right before each action under it.
     pub fn is_held(&self, now: Duration) -> bool {
-        self.holder.is_held(now)
+        self.candidate.is_held(now)
     }
 
     /// Until when the lease is held, if it is.
     pub fn held_until(&self, now: Duration) -> Option<Duration> {
-        self.holder.until.filter(|until| now < *until)
+        self.candidate.held_until.filter(|held_until| now < *held_until)
     }
 
-    /// The round that is held or was asked for last.
+    /// The generation that is held or was requested last.
     pub fn generation(&self) -> u64 {
-        self.holder.generation
+        self.candidate.generation
     }
 
-    /// When [`LeaseEvent::TimerExpired`] is wanted next.
+    /// When [`LeaseEvent::TimerExpired`] is due next.
     pub fn next_timer(&self) -> Option<Duration> {
-        if !self.started || self.voters.is_empty() {
+        if !self.is_started || self.voters.is_empty() {
             return None;
         }
-        let attempt =
-            self.holder.attempt.as_ref().map(|attempt| attempt.asked_at + self.settings.attempt_timeout);
-        let asks = (self.is_candidate() && self.holder.attempt.is_none()).then_some(self.holder.ask_at);
-        [attempt, asks, self.holder.until].into_iter().flatten().min()
+        let timeout =
+            self.candidate.attempt.as_ref().map(|attempt| attempt.sent_at + self.settings.attempt_timeout);
+        let next_attempt = (self.is_candidate() && self.candidate.attempt.is_none())
+            .then_some(self.candidate.next_attempt_at);
+        [timeout, next_attempt, self.candidate.held_until].into_iter().flatten().min()
     }
 
-    /// Takes an event and appends what is to be done.
+    /// Handles an event, and appends the actions that follow.
     pub fn handle(&mut self, now: Duration, event: LeaseEvent, out: &mut Vec<LeaseAction>) {
         self.check_expiry(now, out);
         match event {
             LeaseEvent::Started { founding } => self.on_started(now, founding),
             LeaseEvent::Voters { epoch, voters } => self.on_voters(now, epoch, voters),
-            LeaseEvent::Sealed { epoch } => self.granter.seal(epoch),
+            LeaseEvent::Sealed { epoch } => self.voter.seal(epoch),
             LeaseEvent::Candidates { order } => self.on_candidates(now, order, out),
             LeaseEvent::Message { from, message } => self.on_message(now, from, message, out),
             LeaseEvent::Release => self.on_release(now, out),
-            LeaseEvent::TimerExpired => self.on_tick(now, out),
+            LeaseEvent::TimerExpired => self.on_timer_expired(now, out),
         }
     }
 
     fn is_candidate(&self) -> bool {
-        self.candidates.contains(&self.me)
+        self.candidate_order.contains(&self.me)
     }
 
-    /// How many staggers this candidate leaves to others. The preferred one has a lead over all the others.
+    /// How many staggers this candidate lets pass before it asks. The preferred one has a lead over all the others.
     fn rank(&self) -> u32 {
-        match self.candidates.iter().position(|candidate| *candidate == self.me) {
+        match self.candidate_order.iter().position(|candidate| *candidate == self.me) {
             None | Some(0) => 0,
-            Some(place) => LEAD_OF_THE_PREFERRED + place as u32,
+            Some(position) => PREFERRED_CANDIDATE_LEAD + position as u32,
         }
     }
 
@@ -176,125 +108,130 @@
     }
 
     fn on_started(&mut self, now: Duration, founding: bool) {
-        self.started = true;
-        self.founding = founding;
-        self.holder.ask_at = now + self.settings.candidate_stagger * self.rank();
+        self.is_started = true;
+        self.is_founding = founding;
+        self.candidate.next_attempt_at = now + self.settings.candidate_stagger * self.rank();
     }
 
-    /// Takes up the voters of a newer epoch. Where they differ, or may have differed in between, a majority of the old
-    /// ones and one of the new ones need not meet: then this voter waits until all old grants have ended. So it does
-    /// after a start, since it remembers no grants of its life before.
+    /// Adopts the voters of a newer epoch. Where they differ, or may have differed in between, a majority of the old ones and one
+    /// of the new ones need not meet: then this voter waits until all old grants have expired. It does so after a start as well,
+    /// since it remembers no grants of an earlier incarnation.
     fn on_voters(&mut self, now: Duration, epoch: u64, mut voters: Vec<VoterId>) {
         if epoch <= self.epoch {
             return;
         }
         voters.sort();
-        let first = self.epoch == 0;
-        let same = self.epoch + 1 == epoch && self.voters == voters;
-        let fresh = first && self.founding;
-        if !same && !fresh {
-            self.granter.be_silent(now, &self.settings);
+        let is_first = self.epoch == 0;
+        let is_same = self.epoch + 1 == epoch && self.voters == voters;
+        let has_no_grants = is_first && self.is_founding;
+        if !is_same && !has_no_grants {
+            self.voter.wait_out_unknown_grants(now, &self.settings);
         }
-        if !same {
-            self.holder.attempt = None;
+        if !is_same {
+            self.candidate.attempt = None;
         }
         self.epoch = epoch;
         self.voters = voters;
     }
 
     fn on_candidates(&mut self, now: Duration, order: Vec<VoterId>, out: &mut Vec<LeaseAction>) {
-        let before = self.rank();
-        let was = self.is_candidate();
-        self.candidates = order;
+        let rank_before = self.rank();
+        let was_candidate = self.is_candidate();
+        self.candidate_order = order;
         if !self.is_candidate() {
-            self.give_up(out);
-        } else if !was || self.rank() != before {
-            self.holder.ask_at = self.holder.ask_at.max(now + self.settings.candidate_stagger * self.rank());
+            self.step_down(out);
+        } else if !was_candidate || self.rank() != rank_before {
+            self.candidate.next_attempt_at =
+                self.candidate.next_attempt_at.max(now + self.settings.candidate_stagger * self.rank());
         }
     }
 
     fn on_release(&mut self, now: Duration, out: &mut Vec<LeaseAction>) {
-        self.give_up(out);
-        self.holder.ask_at = now + self.settings.grant_duration;
+        self.step_down(out);
+        self.candidate.next_attempt_at = now + self.settings.grant_duration;
     }
 
-    /// Ends the lease or the question under way, and tells the voters.
-    fn give_up(&mut self, out: &mut Vec<LeaseAction>) {
-        let held = self.holder.until.take().is_some();
-        let asked = self.holder.attempt.take().is_some();
-        if held {
-            out.push(LeaseAction::Lost { generation: self.holder.generation });
+    /// Ends the lease or the attempt in progress, and releases the grants.
+    fn step_down(&mut self, out: &mut Vec<LeaseAction>) {
+        let was_held = self.candidate.held_until.take().is_some();
+        let had_attempt = self.candidate.attempt.take().is_some();
+        if was_held {
+            out.push(LeaseAction::Lost { generation: self.candidate.generation });
         }
-        if !held && !asked {
+        if !was_held && !had_attempt {
             return;
         }
-        let generation = self.holder.generation;
-        self.granter.release(self.me, generation);
-        for to in self.others() {
+        let generation = self.candidate.generation;
+        self.voter.on_release(self.me, generation);
+        for to in self.other_voters() {
             out.push(LeaseAction::Send { to, message: LeaseMessage::Release { generation } });
         }
     }
 
-    fn others(&self) -> Vec<VoterId> {
+    fn other_voters(&self) -> Vec<VoterId> {
         self.voters.iter().copied().filter(|voter| *voter != self.me).collect()
     }
 
     fn check_expiry(&mut self, now: Duration, out: &mut Vec<LeaseAction>) {
-        if self.holder.until.is_some_and(|until| until <= now) {
-            self.holder.until = None;
-            out.push(LeaseAction::Lost { generation: self.holder.generation });
+        if self.candidate.held_until.is_some_and(|held_until| held_until <= now) {
+            self.candidate.held_until = None;
+            out.push(LeaseAction::Lost { generation: self.candidate.generation });
         }
     }
 
-    fn on_tick(&mut self, now: Duration, out: &mut Vec<LeaseAction>) {
-        if !self.started || self.voters.is_empty() {
+    fn on_timer_expired(&mut self, now: Duration, out: &mut Vec<LeaseAction>) {
+        if !self.is_started || self.voters.is_empty() {
             return;
         }
-        let late = |asked_at: Duration| asked_at + self.settings.attempt_timeout <= now;
-        if self.holder.attempt.as_ref().is_some_and(|attempt| late(attempt.asked_at)) {
-            self.attempt_failed(now, out);
+        let is_late = |sent_at: Duration| sent_at + self.settings.attempt_timeout <= now;
+        if self.candidate.attempt.as_ref().is_some_and(|attempt| is_late(attempt.sent_at)) {
+            self.abandon_attempt(now, out);
         }
-        if self.holder.attempt.is_none() && self.is_candidate() && self.holder.ask_at <= now {
-            self.consider(now, out);
+        if self.candidate.attempt.is_none() && self.is_candidate() && self.candidate.next_attempt_at <= now {
+            self.acquire_or_renew(now, out);
         }
     }
 
-    /// Renews the lease, or asks for it if nobody else is known to hold it.
-    fn consider(&mut self, now: Duration, out: &mut Vec<LeaseAction>) {
+    /// Renews the lease, or requests it unless another process is known to hold it.
+    fn acquire_or_renew(&mut self, now: Duration, out: &mut Vec<LeaseAction>) {
         if !self.is_held(now) {
-            let free_at = self.granter.taken_until(self.me);
+            let free_at = self.voter.granted_to_others_until(self.me);
             if free_at > now {
-                self.holder.ask_at = free_at + self.settings.candidate_stagger * self.rank();
+                self.candidate.next_attempt_at = free_at + self.settings.candidate_stagger * self.rank();
                 return;
             }
-            self.holder.generation = self.next_round();
+            self.candidate.generation = self.next_generation();
         }
-        self.ask(now, out);
+        self.send_requests(now, out);
     }
 
-    /// Higher than all rounds known here, and than all of older epochs: new voters may know of none.
-    fn next_round(&self) -> u64 {
-        let known = self.holder.generation.max(self.granter.highest_generation()).max(self.holder.seen);
-        known.max(self.epoch << ROUNDS_BITS) + 1
+    /// Higher than all generations known here, and than all of older epochs: new voters may know of none.
+    fn next_generation(&self) -> u64 {
+        let known = self
+            .candidate
+            .generation
+            .max(self.voter.highest_generation())
+            .max(self.candidate.highest_refused);
+        known.max(self.epoch << EPOCH_SHIFT) + 1
     }
 
-    fn ask(&mut self, now: Duration, out: &mut Vec<LeaseAction>) {
-        let attempt = self.holder.start_attempt(now);
-        self.holder.ask_at = now + self.settings.renewal_interval();
+    fn send_requests(&mut self, now: Duration, out: &mut Vec<LeaseAction>) {
+        let attempt = self.candidate.start_attempt(now);
+        self.candidate.next_attempt_at = now + self.settings.renewal_interval();
         let request = Request {
             epoch: self.epoch,
-            generation: self.holder.generation,
+            generation: self.candidate.generation,
             renewal: self.is_held(now),
             attempt,
         };
         let Request { epoch, generation, renewal, .. } = request;
         let message = LeaseMessage::Request { epoch, generation, renewal, attempt };
-        for to in self.others() {
+        for to in self.other_voters() {
             out.push(LeaseAction::Send { to, message: message.clone() });
         }
         if self.voters.contains(&self.me) {
-            let answer = self.granter.request(now, self.me, request, &self.settings);
-            self.on_answer(now, self.me, answer, out);
+            let response = self.voter.on_request(now, self.me, request, &self.settings);
+            self.on_response(now, self.me, response, out);
         }
     }
 
@@ -307,43 +244,36 @@
     ) {
         match message {
             LeaseMessage::Request { epoch, generation, renewal, attempt } => {
-                if self.started && epoch == self.epoch && self.voters.contains(&self.me) {
+                if self.is_started && epoch == self.epoch && self.voters.contains(&self.me) {
                     let request = Request { epoch, generation, renewal, attempt };
-                    let message = self.granter.request(now, from, request, &self.settings);
+                    let message = self.voter.on_request(now, from, request, &self.settings);
                     out.push(LeaseAction::Send { to: from, message });
                 }
             }
-            LeaseMessage::Release { generation } => self.on_released(now, from, generation),
-            answer => self.on_answer(now, from, answer, out),
+            LeaseMessage::Release { generation } => self.on_holder_released(now, from, generation),
+            response => self.on_response(now, from, response, out),
         }
     }
 
-    /// The holder has given up: the next one need not wait for the end of the term.
-    fn on_released(&mut self, now: Duration, from: VoterId, generation: u64) {
-        self.granter.release(from, generation);
-        if !self.is_held(now) && self.granter.taken_until(self.me) <= now {
+    /// The holder has released the lease: the next candidate need not wait until its grants expire.
+    fn on_holder_released(&mut self, now: Duration, from: VoterId, generation: u64) {
+        self.voter.on_release(from, generation);
+        if !self.is_held(now) && self.voter.granted_to_others_until(self.me) <= now {
             let turn = now + self.settings.candidate_stagger * self.rank();
-            self.holder.ask_at = self.holder.ask_at.min(turn.max(now));
+            self.candidate.next_attempt_at = self.candidate.next_attempt_at.min(turn.max(now));
         }
     }
 
-    fn on_answer(&mut self, now: Duration, from: VoterId, answer: LeaseMessage, out: &mut Vec<LeaseAction>) {
-        match answer {
+    fn on_response(
+        &mut self,
+        now: Duration,
+        from: VoterId,
+        response: LeaseMessage,
+        out: &mut Vec<LeaseAction>,
+    ) {
+        match response {
             LeaseMessage::Grant { epoch, generation, attempt } => {
-                let current = epoch == self.epoch
-                    && generation == self.holder.generation
-                    && self.voters.contains(&from);
-                let majority = self.majority();
-                let Some(asked) = self.holder.attempt.as_mut().filter(|asked| asked.number == attempt) else {
-                    return;
-                };
-                if current {
-                    asked.grants.insert(from);
-                }
-                if asked.grants.len() >= majority {
-                    let (until, renewal) = (asked.asked_at + self.settings.usable_duration(), asked.renewal);
-                    self.granted(now, until, renewal, out);
-                }
+                self.on_grant(now, from, epoch, generation, attempt, out)
             }
             LeaseMessage::Refuse { attempt, highest_generation, wait } => {
                 self.on_refusal(now, from, attempt, highest_generation, wait, out)
@@ -352,7 +282,29 @@
         }
     }
 
-    /// Asks again when the voter would grant; at once gives up a question that can't have a majority any more.
+    fn on_grant(
+        &mut self,
+        now: Duration,
+        from: VoterId,
+        epoch: u64,
+        generation: u64,
+        attempt: u64,
+        out: &mut Vec<LeaseAction>,
+    ) {
+        let is_current =
+            epoch == self.epoch && generation == self.candidate.generation && self.voters.contains(&from);
+        let majority = self.majority();
+        let Some(attempt) = self.candidate.attempt_mut(attempt) else { return };
+        if is_current {
+            attempt.grants.insert(from);
+        }
+        if attempt.grants.len() >= majority {
+            let (held_until, renewal) = (attempt.sent_at + self.settings.usable_duration(), attempt.renewal);
+            self.on_majority(now, held_until, renewal, out);
+        }
+    }
+
+    /// Abandons an attempt that can't get a majority any more; the next one starts when the voters would grant.
     fn on_refusal(
         &mut self,
         now: Duration,
@@ -362,57 +314,63 @@
         wait: Duration,
         out: &mut Vec<LeaseAction>,
     ) {
-        let spare = self.voters.len() - self.majority().min(self.voters.len());
-        let Some(asked) = self.holder.attempt.as_mut().filter(|asked| asked.number == attempt) else {
-            return;
-        };
-        asked.refusals.insert(from, wait.min(self.settings.outstanding_grant_bound()));
-        let hopeless = asked.refusals.len() > spare;
-        self.holder.seen = self.holder.seen.max(highest_generation);
-        if hopeless && !self.holder.is_held(now) {
-            self.attempt_failed(now, out);
+        let dispensable = self.voters.len() - self.majority().min(self.voters.len());
+        let Some(attempt) = self.candidate.attempt_mut(attempt) else { return };
+        attempt.refusals.insert(from, wait.min(self.settings.outstanding_grant_bound()));
+        let is_majority_impossible = attempt.refusals.len() > dispensable;
+        self.candidate.highest_refused = self.candidate.highest_refused.max(highest_generation);
+        if is_majority_impossible && !self.candidate.is_held(now) {
+            self.abandon_attempt(now, out);
         }
     }
 
-    /// A renewal that comes after the lease has ended is given back: a higher round may have been held since.
-    fn granted(&mut self, now: Duration, until: Duration, renewal: bool, out: &mut Vec<LeaseAction>) {
-        if until <= now || (renewal && !self.is_held(now)) {
-            self.give_up(out);
+    /// A majority has granted. A renewal that completes after the lease has expired is released: a higher generation may have been
+    /// held since.
+    fn on_majority(
+        &mut self,
+        now: Duration,
+        held_until: Duration,
+        renewal: bool,
+        out: &mut Vec<LeaseAction>,
+    ) {
+        if held_until <= now || (renewal && !self.is_held(now)) {
+            self.step_down(out);
             return;
         }
-        self.holder.attempt = None;
-        let generation = self.holder.generation;
-        let action = match self.holder.until {
-            Some(_) => LeaseAction::Renewed { generation, until },
-            None => LeaseAction::Acquired { generation, until },
+        self.candidate.attempt = None;
+        let generation = self.candidate.generation;
+        let action = match self.candidate.held_until {
+            Some(_) => LeaseAction::Renewed { generation, held_until },
+            None => LeaseAction::Acquired { generation, held_until },
         };
-        self.holder.until = Some(until);
-        // A refusal by a few may have put the next question off.
-        self.holder.ask_at = self.holder.ask_at.min(now + self.settings.renewal_interval());
+        self.candidate.held_until = Some(held_until);
+        // A refusal by a minority may have delayed the next attempt.
+        self.candidate.next_attempt_at =
+            self.candidate.next_attempt_at.min(now + self.settings.renewal_interval());
         out.push(action);
     }
 
-    /// When a majority may grant, by the refusals of the attempt under way.
-    fn free_at(&self, now: Duration) -> Duration {
+    /// When a majority may grant, by the refusals of the attempt in progress.
+    fn majority_possible_at(&self, now: Duration) -> Duration {
         let (majority, voters) = (self.majority(), self.voters.len());
         now + self
-            .holder
+            .candidate
             .attempt
             .as_ref()
-            .map_or(Duration::ZERO, |attempt| attempt.wait_for(majority, voters))
+            .map_or(Duration::ZERO, |attempt| attempt.time_until_majority(majority, voters))
     }
 
-    /// No majority in time. Without a lease the few grants are given back, so that others need not wait for them.
-    fn attempt_failed(&mut self, now: Duration, out: &mut Vec<LeaseAction>) {
+    /// There is no majority in time. Without a lease the grants so far are released, so that others need not wait for them.
+    fn abandon_attempt(&mut self, now: Duration, out: &mut Vec<LeaseAction>) {
         if self.is_held(now) {
-            self.holder.attempt = None;
-            self.holder.ask_at = now;
+            self.candidate.attempt = None;
+            self.candidate.next_attempt_at = now;
             return;
         }
-        let free_at = self.free_at(now);
-        self.give_up(out);
+        let majority_possible_at = self.majority_possible_at(now);
+        self.step_down(out);
         let turn = self.settings.candidate_stagger * self.rank()
             + self.settings.candidate_stagger.mul_f64(self.rng.f64());
-        self.holder.ask_at = free_at + turn;
+        self.candidate.next_attempt_at = majority_possible_at + turn;
     }
 }
--- a/system/lease/src/settings.rs
+++ b/system/lease/src/settings.rs
@@ -5,18 +5,18 @@
 /// The time spans of a lease. All processes are given the same.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LeaseSettings {
-    /// For how long a voter grants.
+    /// For how long a grant lasts at the voter.
     pub grant_duration: Duration,
-    /// By how much the clocks of two machines may differ in rate, as a part of the time passed.
+    /// By how much the clocks of two machines may differ in rate, as a fraction of the elapsed time.
     pub max_clock_drift: f64,
-    /// How long a candidate waits for a majority.
+    /// How long a candidate waits for a majority of grants.
     pub attempt_timeout: Duration,
-    /// By how much each candidate lets those before it go first. Also the shortest pause between attempts.
+    /// By how much each candidate waits longer than the one before it. Also the shortest pause between attempts.
     pub candidate_stagger: Duration,
 }
 
 impl LeaseSettings {
-    /// The usual settings for a term.
+    /// The default settings for a duration of grants.
     pub fn new(grant_duration: Duration) -> Self {
         Self {
             grant_duration,
@@ -26,12 +26,13 @@
         }
     }
 
-    /// For how long a holder acts, from when it asked.
+    /// For how long a holder may act, from when it sent its requests: by any clock it stops before the first grant expires.
     pub fn usable_duration(&self) -> Duration {
         self.grant_duration.mul_f64(1.0 - self.max_clock_drift)
     }
 
-    /// For how long a voter that remembers nothing grants nothing.
+    /// How long a grant that a voter doesn't remember can last, by any clock. A voter that has just started grants nothing before
+    /// that has passed.
     pub fn outstanding_grant_bound(&self) -> Duration {
         self.grant_duration.mul_f64(1.0 + self.max_clock_drift)
     }
--- /dev/null
+++ b/system/lease/src/voter.rs
@@ -0,0 +1,93 @@
+//! The voter's side of one process. Nothing is kept on a disk: a voter that has just started grants nothing for as long as a grant
+//! of an earlier incarnation could last.
+
+use std::time::Duration;
+
+use crate::{LeaseMessage, LeaseSettings, VoterId};
+
+#[derive(Clone, Debug)]
+struct Grant {
+    holder: VoterId,
+    generation: u64,
+    until: Duration,
+}
+
+/// The content of a [`LeaseMessage::Request`].
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct Request {
+    pub epoch: u64,
+    pub generation: u64,
+    pub renewal: bool,
+    pub attempt: u64,
+}
+
+/// What a voter has granted.
+#[derive(Clone, Debug, Default)]
+pub(crate) struct Voter {
+    grant: Option<Grant>,
+    highest_generation: u64,
+    /// Grants that this voter doesn't know of may last until then; it grants nothing before.
+    unknown_grants_until: Duration,
+    /// The highest epoch in which nothing more is granted.
+    sealed_epoch: u64,
+}
+
+impl Voter {
+    /// Grants nothing until all grants that this voter may not know of have expired.
+    pub fn wait_out_unknown_grants(&mut self, now: Duration, settings: &LeaseSettings) {
+        self.unknown_grants_until = self.unknown_grants_until.max(now + settings.outstanding_grant_bound());
+    }
+
+    /// Grants nothing more in an epoch and those before.
+    pub fn seal(&mut self, epoch: u64) {
+        self.sealed_epoch = self.sealed_epoch.max(epoch);
+    }
+
+    /// Until when another process than `me` may hold the lease, as far as known here.
+    pub fn granted_to_others_until(&self, me: VoterId) -> Duration {
+        let grant = self.grant.as_ref().filter(|grant| grant.holder != me);
+        grant.map_or(Duration::ZERO, |grant| grant.until)
+    }
+
+    /// The highest generation granted.
+    pub fn highest_generation(&self) -> u64 {
+        self.highest_generation
+    }
+
+    /// Responds to a request of the present epoch. A new generation must be higher than all before; a renewal need not be, since
+    /// its sender counts it only while it still holds the lease, so that no higher generation can have been held.
+    pub fn on_request(
+        &mut self,
+        now: Duration,
+        from: VoterId,
+        request: Request,
+        settings: &LeaseSettings,
+    ) -> LeaseMessage {
+        let Request { epoch, generation, renewal, attempt } = request;
+        let wait = self.remaining_wait(now, from);
+        let is_stale = generation <= self.highest_generation && !renewal;
+        if !wait.is_zero() || is_stale || epoch <= self.sealed_epoch {
+            return LeaseMessage::Refuse { attempt, highest_generation: self.highest_generation, wait };
+        }
+        self.highest_generation = self.highest_generation.max(generation);
+        // A late renewal must not lower the generation: a late release of the lower one would then end the higher one.
+        let granted = self.grant.as_ref().filter(|grant| grant.holder == from);
+        let granted_generation = granted.map_or(0, |grant| grant.generation);
+        self.grant = Some(Grant {
+            holder: from,
+            generation: generation.max(granted_generation),
+            until: now + settings.grant_duration,
+        });
+        LeaseMessage::Grant { epoch, generation, attempt }
+    }
+
+    /// For how long a candidate is refused.
+    fn remaining_wait(&self, now: Duration, from: VoterId) -> Duration {
+        self.unknown_grants_until.max(self.granted_to_others_until(from)).saturating_sub(now)
+    }
+
+    /// The holder has released the lease up to a generation.
+    pub fn on_release(&mut self, from: VoterId, generation: u64) {
+        self.grant = self.grant.take().filter(|grant| grant.holder != from || grant.generation > generation);
+    }
+}
--- a/system/lease/tests/model.rs
+++ b/system/lease/tests/model.rs
@@ -1,4 +1,4 @@
-//! Explores the lease exhaustively, to a depth, from states in which somebody holds it, asks for it, or has just lost it: every order of
+//! Explores the lease exhaustively, to a depth, from states in which a process holds it, requests it, or has just lost it: every order of
 //! deliveries, repetitions, restarts, releases and passing time. What runs is the machine itself ([`Lease`]).
 //!
 //! Clocks differ in rate by what the settings allow: the first process's runs slow, the last one's fast. `LEASE_DEPTH` sets the depth:
@@ -7,17 +7,19 @@
 //! LEASE_DEPTH=8 cargo test --release -p gingerledge-lease --test model -- --nocapture
 //! ```
 
+mod cluster;
+
 use std::hash::{Hash, Hasher};
 use std::time::Duration;
 
-use gingerledge_lease::{Lease, LeaseAction, LeaseEvent, LeaseMessage, LeaseSettings, VoterId};
+use cluster::{settings, ProcessClock};
+use gingerledge_lease::{Lease, LeaseAction, LeaseEvent, LeaseMessage, VoterId};
 use stateright::{Checker, Model, Property};
 
-const TERM: Duration = Duration::from_millis(1_000);
-/// Time passes in steps of this: a question stays open over one of them, and not over two.
-const STEP: Duration = Duration::from_millis(120);
+/// Time passes in steps of this: an attempt stays open over one of them, and not over two.
+const TIME_STEP: Duration = Duration::from_millis(120);
 /// Time passes in steps of this before the exploration.
-const SMALL_STEP: Duration = Duration::from_millis(10);
+const SMALL_TIME_STEP: Duration = Duration::from_millis(10);
 const PROCESSES: u64 = 3;
 const DEFAULT_DEPTH: usize = 6;
 /// By how much the slowest clock stays behind true time, and the fastest runs ahead, as a part of it: half of what is allowed.
@@ -26,17 +28,17 @@
 #[derive(Clone, Debug)]
 struct Process {
     lease: Lease,
-    started_at: Duration,
-    lives: u64,
+    clock: ProcessClock,
+    incarnation: u64,
 }
 
 /// One step of the checker.
 #[derive(Clone, Debug, PartialEq)]
 enum Step {
-    Deliver { message: usize, stays: bool },
-    Pass,
-    Restart { place: usize },
-    Release { place: usize },
+    Deliver { message: usize, is_duplicated: bool },
+    PassTime,
+    Restart { process_index: usize },
+    Release { process_index: usize },
 }
 
 /// All processes and the messages between them.
@@ -50,50 +52,46 @@
     repetitions: u8,
 }
 
-fn settings() -> LeaseSettings {
-    LeaseSettings::new(TERM)
-}
-
-fn voter(place: usize) -> VoterId {
-    VoterId(place as u64 + 1)
+fn voter(process_index: usize) -> VoterId {
+    VoterId(process_index as u64 + 1)
 }
 
 impl Group {
     /// Founders: nobody can have granted anything before.
     fn founded() -> Self {
-        let processes = (0..PROCESSES as usize).map(|place| Process {
-            lease: Lease::new(voter(place), settings(), place as u64 + 1),
-            started_at: Duration::ZERO,
-            lives: 0,
+        let processes = (0..PROCESSES as usize).map(|process_index| Process {
+            lease: Lease::new(voter(process_index), settings(), process_index as u64 + 1),
+            clock: ProcessClock { started_at: Duration::ZERO, rate: RATES[process_index] },
+            incarnation: 0,
         });
         let processes = processes.collect();
         let (network, now) = (Vec::new(), Duration::from_secs(5));
         let mut group = Self { now, processes, network, restarts: 0, releases: 0, repetitions: 0 };
-        for place in 0..PROCESSES as usize {
-            group.begin(place, true);
+        for process_index in 0..PROCESSES as usize {
+            group.join(process_index, true);
         }
         group
     }
 
-    fn begin(&mut self, place: usize, founding: bool) {
+    fn join(&mut self, process_index: usize, founding: bool) {
         let voters: Vec<VoterId> = (0..PROCESSES as usize).map(voter).collect();
-        self.event(place, LeaseEvent::Started { founding });
-        self.event(place, LeaseEvent::Voters { epoch: 1, voters: voters.clone() });
-        self.event(place, LeaseEvent::Candidates { order: voters });
+        self.event(process_index, LeaseEvent::Started { founding });
+        self.event(process_index, LeaseEvent::Voters { epoch: 1, voters: voters.clone() });
+        self.event(process_index, LeaseEvent::Candidates { order: voters });
     }
 
     /// What a process's clock shows.
-    fn clock(&self, place: usize) -> Duration {
-        (self.now - self.processes[place].started_at).mul_f64(RATES[place])
+    fn clock(&self, process_index: usize) -> Duration {
+        self.processes[process_index].clock.read(self.now)
     }
 
-    fn event(&mut self, place: usize, event: LeaseEvent) {
-        let now = self.clock(place);
+    fn event(&mut self, process_index: usize, event: LeaseEvent) {
+        let now = self.clock(process_index);
         let mut out = Vec::new();
-        self.processes[place].lease.handle(now, event, &mut out);
+        self.processes[process_index].lease.handle(now, event, &mut out);
         for action in out {
             if let LeaseAction::Send { to, message } = action {
-                let sent = (voter(place).0, to.0, message);
+                let sent = (voter(process_index).0, to.0, message);
                 if !self.network.contains(&sent) {
                     self.network.push(sent);
                 }
@@ -101,56 +99,61 @@
         }
     }
 
-    fn deliver(&mut self, message: usize, stays: bool) {
-        let (from, to, content) = match stays {
+    fn deliver(&mut self, message: usize, is_duplicated: bool) {
+        let (from, to, content) = match is_duplicated {
             true => self.network[message].clone(),
             false => self.network.remove(message),
         };
         self.event(to as usize - 1, LeaseEvent::Message { from: VoterId(from), message: content });
     }
 
-    fn pass(&mut self, step: Duration) {
+    fn pass_time(&mut self, step: Duration) {
         self.now += step;
-        for place in 0..self.processes.len() {
-            if self.processes[place].lease.next_timer().is_some_and(|at| at <= self.clock(place)) {
-                self.event(place, LeaseEvent::TimerExpired);
+        for process_index in 0..self.processes.len() {
+            if self.processes[process_index]
+                .lease
+                .next_timer()
+                .is_some_and(|at| at <= self.clock(process_index))
+            {
+                self.event(process_index, LeaseEvent::TimerExpired);
             }
         }
     }
 
     /// Time without faults, until somebody holds the lease.
-    fn until_held(mut self) -> Self {
+    fn run_until_held(mut self) -> Self {
         for _ in 0..1_000 {
             if self.holders() == 1 {
                 return self;
             }
-            self.pass(SMALL_STEP);
+            self.pass_time(SMALL_TIME_STEP);
             while !self.network.is_empty() {
                 self.deliver(0, false);
             }
         }
-        panic!("nobody gets the lease");
+        panic!("no process acquires the lease");
     }
 
-    fn restart(&mut self, place: usize) {
-        let lives = self.processes[place].lives + 1;
-        let lease = Lease::new(voter(place), settings(), lives * 10 + place as u64);
-        self.processes[place] = Process { lease, started_at: self.now, lives };
-        self.begin(place, false);
+    fn restart(&mut self, process_index: usize) {
+        let incarnation = self.processes[process_index].incarnation + 1;
+        let lease = Lease::new(voter(process_index), settings(), incarnation * 10 + process_index as u64);
+        let clock = ProcessClock { started_at: self.now, rate: RATES[process_index] };
+        self.processes[process_index] = Process { lease, clock, incarnation };
+        self.join(process_index, false);
     }
 
-    /// How long the holder may still act.
+    /// For how long the holder may still act.
     fn time_left(&self) -> Duration {
-        let left = (0..self.processes.len()).filter_map(|place| {
-            let now = self.clock(place);
-            self.processes[place].lease.held_until(now).map(|until| until - now)
+        let left = (0..self.processes.len()).filter_map(|process_index| {
+            let now = self.clock(process_index);
+            self.processes[process_index].lease.held_until(now).map(|until| until - now)
         });
         left.max().unwrap_or_default()
     }
 
     fn holders(&self) -> usize {
         (0..self.processes.len())
-            .filter(|&place| self.processes[place].lease.is_held(self.clock(place)))
+            .filter(|&process_index| self.processes[process_index].lease.is_held(self.clock(process_index)))
             .count()
     }
 }
@@ -169,7 +172,7 @@
 
 /// The beginnings from which every order is explored.
 struct Exploration {
-    beginnings: Vec<Group>,
+    initial_states: Vec<Group>,
 }
 
 impl Model for Exploration {
@@ -177,23 +180,23 @@
     type Action = Step;
 
     fn init_states(&self) -> Vec<Group> {
-        self.beginnings.clone()
+        self.initial_states.clone()
     }
 
     fn actions(&self, state: &Group, actions: &mut Vec<Step>) {
         for message in 0..state.network.len() {
-            actions.push(Step::Deliver { message, stays: false });
+            actions.push(Step::Deliver { message, is_duplicated: false });
             if state.repetitions > 0 {
-                actions.push(Step::Deliver { message, stays: true });
+                actions.push(Step::Deliver { message, is_duplicated: true });
             }
         }
-        actions.push(Step::Pass);
-        for place in 0..state.processes.len() {
+        actions.push(Step::PassTime);
+        for process_index in 0..state.processes.len() {
             if state.restarts > 0 {
-                actions.push(Step::Restart { place });
+                actions.push(Step::Restart { process_index });
             }
             if state.releases > 0 {
-                actions.push(Step::Release { place });
+                actions.push(Step::Release { process_index });
             }
         }
     }
@@ -201,18 +204,18 @@
     fn next_state(&self, state: &Group, step: Step) -> Option<Group> {
         let mut next = state.clone();
         match step {
-            Step::Deliver { message, stays } => {
-                next.repetitions -= u8::from(stays);
-                next.deliver(message, stays);
+            Step::Deliver { message, is_duplicated } => {
+                next.repetitions -= u8::from(is_duplicated);
+                next.deliver(message, is_duplicated);
             }
-            Step::Pass => next.pass(STEP),
-            Step::Restart { place } => {
+            Step::PassTime => next.pass_time(TIME_STEP),
+            Step::Restart { process_index } => {
                 next.restarts -= 1;
-                next.restart(place);
+                next.restart(process_index);
             }
-            Step::Release { place } => {
+            Step::Release { process_index } => {
                 next.releases -= 1;
-                next.event(place, LeaseEvent::Release);
+                next.event(process_index, LeaseEvent::Release);
             }
         }
         Some(next)
@@ -223,32 +226,32 @@
     }
 }
 
-fn beginnings() -> Vec<Group> {
-    let held = Group::founded().until_held();
+fn initial_states() -> Vec<Group> {
+    let held = Group::founded().run_until_held();
     // The holder's renewal has just been sent, and nothing of it has arrived.
     let mut renewing = held.clone();
     while renewing.network.is_empty() {
-        renewing.pass(SMALL_STEP);
+        renewing.pass_time(SMALL_TIME_STEP);
     }
-    // Nothing has arrived for so long that the lease has two steps left, or has just run out and the others ask.
-    let mut nearly_over = held.clone();
-    while nearly_over.time_left() > STEP * 2 {
-        nearly_over.pass(SMALL_STEP);
-        nearly_over.network.clear();
+    // Nothing has arrived for so long that the lease has two steps left, or has just run out and the others request it.
+    let mut nearly_expired = held.clone();
+    while nearly_expired.time_left() > TIME_STEP * 2 {
+        nearly_expired.pass_time(SMALL_TIME_STEP);
+        nearly_expired.network.clear();
     }
-    let mut over = nearly_over.clone();
-    while over.network.is_empty() || over.holders() > 0 {
-        over.network.clear();
-        over.pass(SMALL_STEP);
+    let mut expired = nearly_expired.clone();
+    while expired.network.is_empty() || expired.holders() > 0 {
+        expired.network.clear();
+        expired.pass_time(SMALL_TIME_STEP);
     }
     let budget = |group: Group| Group { restarts: 2, releases: 1, repetitions: 1, ..group };
-    [held, renewing, nearly_over, over].map(budget).into()
+    [held, renewing, nearly_expired, expired].map(budget).into()
 }
 
 #[test]
-fn nobody_else_holds_it_whatever_the_order() {
+fn at_most_one_process_holds_the_lease_in_every_order_of_events() {
     let depth = std::env::var("LEASE_DEPTH").ok().and_then(|text| text.parse().ok()).unwrap_or(DEFAULT_DEPTH);
-    let model = Exploration { beginnings: beginnings() };
+    let model = Exploration { initial_states: initial_states() };
     // With several threads a state may be met first by a longer way, and then be gone on from for fewer steps than the depth allows.
     let checker = model.checker().threads(1).target_max_depth(depth).spawn_bfs().join();
     println!(
