--- a/system/relay/examples/cost.rs
+++ b/system/relay/examples/cost.rs
@@ -65,7 +65,7 @@
 
 fn main() {
     let settings =
-        RelaySettings { child_silence: Duration::MAX / 4, ..RelaySettings::for_role(Role::Edge, "") };
+        RelaySettings { child_timeout: Duration::MAX / 4, ..RelaySettings::for_role(Role::Edge, "") };
     let relay = Relay::new(settings, address(1), false, 1);
     let mut edge = Edge { relay, now: Duration::from_secs(1), sequence: 0, sent: 0 };
     edge.handle(RelayEvent::ControlNodesKnown(vec![address(PARENT)]));
@@ -104,7 +104,7 @@
     }
     println!(
         "a tick for {} children: {:?}, {} messages",
-        edge.relay.children(),
+        edge.relay.child_count(),
         start.elapsed() / ROUNDS,
         edge.sent / ROUNDS as usize
     );
@@ -119,5 +119,5 @@
             }
         }
     }
-    println!("a change for {} children: {:?}", edge.relay.children(), start.elapsed() / ROUNDS);
+    println!("a change for {} children: {:?}", edge.relay.child_count(), start.elapsed() / ROUNDS);
 }
--- a/system/relay/src/log.rs
+++ b/system/relay/src/change_log.rs
@@ -1,4 +1,4 @@
-//! Which keys changed, in order, for as long as a child may still need to hear of them.
+//! The keys that changed, in order, for as long as a child may still have to be sent them.
 
 use std::collections::VecDeque;
 
@@ -9,13 +9,13 @@
 pub(crate) struct ChangeLog {
     keys: VecDeque<Key>,
     start: u64,
-    most: usize,
+    max_changes: usize,
 }
 
 impl ChangeLog {
-    /// An empty log that keeps at most so many changes.
-    pub fn new(most: usize) -> Self {
-        Self { keys: VecDeque::new(), start: 0, most }
+    /// An empty log of at most so many changes.
+    pub fn new(max_changes: usize) -> Self {
+        Self { keys: VecDeque::new(), start: 0, max_changes }
     }
 
     /// The position after the last change.
@@ -23,10 +23,10 @@
         self.start + self.keys.len() as u64
     }
 
-    /// Notes a change; the oldest one goes if there are too many.
+    /// Adds a change; the oldest one is dropped if there are too many.
     pub fn push(&mut self, key: Key) {
         self.keys.push_back(key);
-        if self.keys.len() > self.most {
+        if self.keys.len() > self.max_changes {
             self.keys.pop_front();
             self.start += 1;
         }
@@ -38,7 +38,7 @@
         Some(self.keys.iter().skip(skip))
     }
 
-    /// Lets go of what lies before a position.
+    /// Drops the changes before a position.
     pub fn trim(&mut self, position: u64) {
         while self.start < position && self.keys.pop_front().is_some() {
             self.start += 1;
--- a/system/relay/src/children.rs
+++ b/system/relay/src/children.rs
@@ -1,4 +1,4 @@
-//! The children of a node: who is taken, whom the others are sent to, and what each is sent.
+//! The children of a node: which are accepted, to which others are redirected, and what each is sent.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -6,43 +6,44 @@
 
 use gingerledge_wire::RelayMessage;
 
+use crate::child_progress::{ChildProgress, UpdateSource};
 use crate::event::RelayAction;
-use crate::feed::{Feed, Source};
 
-/// Children that are named to a node that isn't taken.
-const OTHERS_NAMED: usize = 4;
-/// Of the places, one in so many is only for nodes that take children themselves, so that the tree can always grow.
+/// Children that are named to a node that is declined.
+const MAX_ALTERNATIVES: usize = 4;
+/// Of the slots, one in so many is only for nodes that accept children themselves, so that the tree can always grow.
 const GROWTH_SHARE: usize = 4;
 
 /// The children of a node.
 #[derive(Debug)]
 pub(crate) struct Children {
-    most: usize,
+    max_children: usize,
     children: BTreeMap<SocketAddr, Child>,
 }
 
-/// What a node offers to others that look for a parent.
+/// How many children a node accepts.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Offer {
-    /// How many more children it takes.
+pub(crate) struct ChildCapacity {
+    /// How many more children it accepts.
     pub free_child_slots: u16,
-    /// How many it takes at most.
+    /// How many it accepts at most.
     pub capacity: u16,
 }
 
 #[derive(Debug)]
 struct Child {
-    feed: Feed,
-    heard_at: Duration,
+    progress: ChildProgress,
+    last_message_at: Duration,
     free_child_slots: u16,
-    named: u16,
-    takes_children: bool,
+    /// How often it was named as an alternative since its last acknowledgement.
+    times_named: u16,
+    accepts_children: bool,
 }
 
 impl Children {
-    /// No children yet, and never more than `most`.
-    pub fn new(most: usize) -> Self {
-        Self { most, children: BTreeMap::new() }
+    /// No children yet, and never more than `max_children`.
+    pub fn new(max_children: usize) -> Self {
+        Self { max_children, children: BTreeMap::new() }
     }
 
     /// How many there are.
@@ -55,40 +56,53 @@
         self.children.contains_key(address)
     }
 
-    /// What this node offers to nodes that look for a parent.
-    pub fn offer(&self) -> Offer {
-        Offer {
+    /// How many children this node accepts.
+    pub fn child_capacity(&self) -> ChildCapacity {
+        ChildCapacity {
             free_child_slots: self.free_child_slots(),
-            capacity: u16::try_from(self.most).unwrap_or(u16::MAX),
+            capacity: u16::try_from(self.max_children).unwrap_or(u16::MAX),
         }
     }
 
     /// How many more there may be.
     pub fn free_child_slots(&self) -> u16 {
-        u16::try_from(self.most.saturating_sub(self.children.len())).unwrap_or(u16::MAX)
+        u16::try_from(self.max_children.saturating_sub(self.children.len())).unwrap_or(u16::MAX)
     }
 
-    /// Whether there is a place for a node that takes children itself or not; one that subscribes again keeps its place.
-    pub fn has_place(&self, address: &SocketAddr, takes_children: bool) -> bool {
+    /// Whether there is a slot for a node, which accepts children itself or not; one that subscribes again keeps its slot.
+    pub fn has_capacity_for(&self, address: &SocketAddr, accepts_children: bool) -> bool {
         if self.contains(address) {
             return true;
         }
-        if takes_children {
-            return self.children.len() < self.most;
+        if accepts_children {
+            return self.children.len() < self.max_children;
         }
-        let without = self.children.values().filter(|child| !child.takes_children).count();
-        self.children.len() < self.most && without < self.most - self.most.div_ceil(GROWTH_SHARE)
+        let childless = self.children.values().filter(|child| !child.accepts_children).count();
+        self.children.len() < self.max_children
+            && childless < self.max_children - self.max_children.div_ceil(GROWTH_SHARE)
     }
 
-    /// Takes a child, in place of its earlier subscription if it has one.
-    pub fn insert(&mut self, address: SocketAddr, feed: Feed, offer: Offer, now: Duration) {
-        let Offer { free_child_slots, capacity } = offer;
-        let child = Child { feed, heard_at: now, free_child_slots, named: 0, takes_children: capacity > 0 };
+    /// Adds a child; that replaces its earlier subscription, if it has one.
+    pub fn insert(
+        &mut self,
+        address: SocketAddr,
+        progress: ChildProgress,
+        child_capacity: ChildCapacity,
+        now: Duration,
+    ) {
+        let ChildCapacity { free_child_slots, capacity } = child_capacity;
+        let child = Child {
+            progress,
+            last_message_at: now,
+            free_child_slots,
+            times_named: 0,
+            accepts_children: capacity > 0,
+        };
         self.children.insert(address, child);
     }
 
-    /// A child has taken an update; says whether it is one.
-    pub fn received(
+    /// A node acknowledges an update; returns whether it is a child with this subscription.
+    pub fn on_ack(
         &mut self,
         from: SocketAddr,
         subscription: u64,
@@ -96,81 +110,90 @@
         free_child_slots: u16,
         now: Duration,
     ) -> bool {
-        let child = self.children.get_mut(&from).filter(|child| child.feed.subscription() == subscription);
+        let child =
+            self.children.get_mut(&from).filter(|child| child.progress.subscription() == subscription);
         let Some(child) = child else { return false };
-        child.feed.acknowledge(sequence);
-        child.heard_at = now;
+        child.progress.acknowledge(sequence);
+        child.last_message_at = now;
         child.free_child_slots = free_child_slots;
-        child.named = 0;
+        child.times_named = 0;
         true
     }
 
     /// A child ends its subscription.
-    pub fn leave(&mut self, from: SocketAddr, subscription: u64) {
-        if self.children.get(&from).is_some_and(|child| child.feed.subscription() == subscription) {
+    pub fn unsubscribe(&mut self, from: SocketAddr, subscription: u64) {
+        if self.children.get(&from).is_some_and(|child| child.progress.subscription() == subscription) {
             self.children.remove(&from);
         }
     }
 
-    /// Drops a child, if the node is one, without a word.
+    /// Drops a child, if the node is one, without a message to it.
     pub fn remove(&mut self, address: &SocketAddr) {
         self.children.remove(address);
     }
 
-    /// Drops children that have been silent for longer than `limit`.
-    pub fn drop_silent(&mut self, limit: Duration, now: Duration, actions: &mut Vec<RelayAction>) {
+    /// Drops children from which nothing has come for `limit`.
+    pub fn drop_timed_out(&mut self, limit: Duration, now: Duration, actions: &mut Vec<RelayAction>) {
         self.children.retain(|address, child| {
-            let lives = now < child.heard_at + limit;
-            if !lives {
-                actions.push(leave(*address, child.feed.subscription()));
+            let is_alive = now < child.last_message_at + limit;
+            if !is_alive {
+                actions.push(unsubscribe(*address, child.progress.subscription()));
             }
-            lives
+            is_alive
         });
     }
 
-    /// Children that may have room, the emptiest first, for a node that isn't taken. Each naming counts as if the named child had
-    /// got the node, until it tells its room again.
-    pub fn others(&mut self, asking: &SocketAddr) -> Vec<SocketAddr> {
+    /// Children that may have free slots, those with the most first, for a node that is declined. Each naming counts as if the named
+    /// child had accepted the node, until it reports its free slots again.
+    pub fn alternatives(&mut self, request: &SocketAddr) -> Vec<SocketAddr> {
         let mut open: Vec<(&SocketAddr, &mut Child)> = self.children.iter_mut().collect();
-        open.retain(|(address, child)| *address != asking && child.free_child_slots > 0);
-        open.sort_by_key(|(_, child)| i32::from(child.named) - i32::from(child.free_child_slots));
-        open.truncate(OTHERS_NAMED);
+        open.retain(|(address, child)| *address != request && child.free_child_slots > 0);
+        open.sort_by_key(|(_, child)| i32::from(child.times_named) - i32::from(child.free_child_slots));
+        open.truncate(MAX_ALTERNATIVES);
         let names = open.into_iter().map(|(address, child)| {
-            child.named = child.named.saturating_add(1);
+            child.times_named = child.times_named.saturating_add(1);
             *address
         });
         names.collect()
     }
 
-    /// Sends what is due.
-    pub fn feed(&mut self, now: Duration, source: Source<'_>, actions: &mut Vec<RelayAction>) {
-        self.children.retain(|address, child| feed_child(*address, child, now, source, actions));
-    }
-
-    /// When the next frame is due or the next silent child is dropped.
-    pub fn next_timer(&self, source: Source<'_>) -> Option<Duration> {
-        let silence = source.settings.child_silence;
-        let each = self.children.values().map(|child| child.feed.due(source).min(child.heard_at + silence));
+    /// Sends each child what is due.
+    pub fn send_due_updates(
+        &mut self,
+        now: Duration,
+        source: UpdateSource<'_>,
+        actions: &mut Vec<RelayAction>,
+    ) {
+        self.children.retain(|address, child| send_due_to_child(*address, child, now, source, actions));
+    }
+
+    /// When the next update is due or the next child times out.
+    pub fn next_timer(&self, source: UpdateSource<'_>) -> Option<Duration> {
+        let timeout = source.settings.child_timeout;
+        let each = self
+            .children
+            .values()
+            .map(|child| child.progress.next_update_at(source).min(child.last_message_at + timeout));
         each.min()
     }
 
-    /// The part of the log that nobody needs any more ends here.
-    pub fn needed_from(&self) -> Option<u64> {
-        self.children.values().map(|child| child.feed.position()).min()
+    /// The position in the change log before which no child needs anything.
+    pub fn oldest_needed_position(&self) -> Option<u64> {
+        self.children.values().map(|child| child.progress.log_position()).min()
     }
 }
 
-/// Sends a child what is due; says whether it can be kept.
-fn feed_child(
+/// Sends a child what is due; returns whether it can be kept.
+fn send_due_to_child(
     to: SocketAddr,
     child: &mut Child,
     now: Duration,
-    source: Source<'_>,
+    source: UpdateSource<'_>,
     actions: &mut Vec<RelayAction>,
 ) -> bool {
-    while child.feed.due(source) <= now {
-        let Ok(message) = child.feed.next_frame(now, source) else {
-            actions.push(leave(to, child.feed.subscription()));
+    while child.progress.next_update_at(source) <= now {
+        let Ok(message) = child.progress.next_update(now, source) else {
+            actions.push(unsubscribe(to, child.progress.subscription()));
             return false;
         };
         actions.push(RelayAction::Send { to, message });
@@ -178,7 +201,7 @@
     true
 }
 
-/// Tells a peer that a subscription is over.
-pub(crate) fn leave(to: SocketAddr, subscription: u64) -> RelayAction {
+/// The message that ends a subscription.
+pub(crate) fn unsubscribe(to: SocketAddr, subscription: u64) -> RelayAction {
     RelayAction::Send { to, message: RelayMessage::Unsubscribe { subscription } }
 }
--- a/system/relay/src/digest.rs
+++ b/system/relay/src/digest.rs
@@ -1,7 +1,7 @@
 //! Hashes that describe a copy of the registry, the same in every process.
 //!
 //! An entry counts with its key, version and rank only: two entries that agree in these are the same. The hashes of a bucket's
-//! entries are combined by exclusive or, so that an entry is taken in or out without a look at the others.
+//! entries are combined by exclusive or, so that an entry is added or removed without the others.
 
 use std::hash::Hasher;
 
@@ -23,9 +23,8 @@
 pub(crate) fn fingerprint(entry: &Entry) -> (usize, u64) {
     let key = hash_key(&entry.key);
     let (version, rank) = entry.rank();
-    let whole =
-        mix(key ^ mix(version.wrapping_mul(2).wrapping_add(u64::from(rank)).wrapping_add(FNV_OFFSET)));
-    (bucket_of_hash(key), whole)
+    let hash = mix(key ^ mix(version.wrapping_mul(2).wrapping_add(u64::from(rank)).wrapping_add(FNV_OFFSET)));
+    (bucket_of_hash(key), hash)
 }
 
 /// The 64-bit FNV-1a hash of bytes, with its offset basis changed by `start`. The hashes go over the wire in digests, so this one
--- a/system/relay/src/directory.rs
+++ b/system/relay/src/directory.rs
@@ -1,4 +1,4 @@
-//! Where control nodes and edges are, as the registry tells; they are the parents that a node may ask.
+//! The addresses of control nodes and edges in the registry: the possible parents of a node.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -9,17 +9,17 @@
 #[derive(Debug)]
 pub(crate) struct Directory {
     zone: String,
-    control: BTreeMap<u64, Place>,
-    edges: BTreeMap<u64, Place>,
+    control: BTreeMap<u64, NodeLocation>,
+    edges: BTreeMap<u64, NodeLocation>,
 }
 
-/// Where a node is.
+/// The address of a node, and its zone compared with that of this one.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Place {
+pub(crate) struct NodeLocation {
     /// Where it takes internal messages.
     pub address: SocketAddr,
     /// Whether it is in the zone of this node.
-    pub near: bool,
+    pub in_same_zone: bool,
 }
 
 impl Directory {
@@ -28,28 +28,28 @@
         Self { zone, control: BTreeMap::new(), edges: BTreeMap::new() }
     }
 
-    /// Takes in what an entry says.
+    /// Applies an entry.
     pub fn update(&mut self, entry: &Entry) {
         let Key::Node(incarnation) = entry.key else { return };
         self.control.remove(&incarnation);
         self.edges.remove(&incarnation);
         let Value::Node(node) = &entry.value else { return };
-        let place = Place { address: node.address, near: node.zone == self.zone };
+        let location = NodeLocation { address: node.address, in_same_zone: node.zone == self.zone };
         match node.role {
-            Role::Control => self.control.insert(incarnation, place),
-            Role::Edge => self.edges.insert(incarnation, place),
+            Role::Control => self.control.insert(incarnation, location),
+            Role::Edge => self.edges.insert(incarnation, location),
             Role::Backend => None,
         };
     }
 
     /// All control nodes.
-    pub fn control(&self) -> impl Iterator<Item = Place> + '_ {
+    pub fn control(&self) -> impl Iterator<Item = NodeLocation> + '_ {
         self.control.values().copied()
     }
 
     /// The edges that follow a random number; incarnations are random, so this picks evenly.
-    pub fn edges_from(&self, random: u64) -> impl Iterator<Item = Place> + '_ {
+    pub fn edges_from(&self, random: u64) -> impl Iterator<Item = NodeLocation> + '_ {
         let after = self.edges.range(random..);
-        after.chain(self.edges.range(..random)).map(|(_, place)| *place)
+        after.chain(self.edges.range(..random)).map(|(_, location)| *location)
     }
 }
--- a/system/relay/src/weight.rs
+++ b/system/relay/src/entry_size.rs
@@ -1,16 +1,16 @@
-//! How large an entry is on its way, about.
+//! The approximate size of an entry in a message.
 
 use gingerledge_wire::{Entry, Key, Value};
 
-/// Of an entry without its text.
+/// Size of an entry without its text.
 const FIXED_BYTES: usize = 32;
 
-/// About how many bytes an entry takes in a message.
-pub(crate) fn weight(entry: &Entry) -> usize {
-    FIXED_BYTES + key_weight(&entry.key) + value_weight(&entry.value)
+/// The approximate size of an entry in a message, in bytes.
+pub(crate) fn entry_size(entry: &Entry) -> usize {
+    FIXED_BYTES + key_size(&entry.key) + value_size(&entry.value)
 }
 
-fn key_weight(key: &Key) -> usize {
+fn key_size(key: &Key) -> usize {
     match key {
         Key::NamedVersion(text) | Key::Store(text) => text.len(),
         Key::Weights(id, model) => id.len() + model.len(),
@@ -18,7 +18,7 @@
     }
 }
 
-fn value_weight(value: &Value) -> usize {
+fn value_size(value: &Value) -> usize {
     match value {
         Value::Configuration(document) => document.weight(),
         Value::ConfigurationUpdates(series) => {
--- a/system/relay/src/event.rs
+++ b/system/relay/src/event.rs
@@ -1,22 +1,22 @@
-//! What goes into the machine and what comes out.
+//! The events that go into the relay, and the actions that come out.
 
 use std::net::SocketAddr;
 
 use gingerledge_wire::{Entry, FreshnessTick, RelayMessage};
 
-/// Something that happened, told by the host.
+/// An event that the host gives to the relay.
 #[derive(Clone, Debug)]
 pub enum RelayEvent {
-    /// The process is up and takes internal messages.
+    /// The process is up and receives internal messages.
     Started,
     /// A message came in.
     Message {
-        /// The address where the sender takes internal messages.
+        /// The address where the sender receives internal messages.
         from: SocketAddr,
         /// The message.
         message: RelayMessage,
     },
-    /// The connection to a peer broke, or could not be made.
+    /// The connection to a peer failed, or could not be established.
     PeerDisconnected {
         /// The peer's address.
         peer: SocketAddr,
@@ -32,7 +32,7 @@
     ControlNodesKnown(Vec<SocketAddr>),
 }
 
-/// Something that the host shall do.
+/// An action that the host carries out.
 #[derive(Clone, Debug)]
 pub enum RelayAction {
     /// Send a message.
@@ -42,6 +42,6 @@
         /// The message.
         message: RelayMessage,
     },
-    /// These entries are new in the registry; one that was let go after a long time cut off comes as `Gone`.
+    /// These entries are new in the registry; one that was removed because no parent confirmed it comes as a tombstone.
     EntriesChanged(Vec<Entry>),
 }
--- a/system/relay/src/freshness.rs
+++ b/system/relay/src/freshness.rs
@@ -38,28 +38,34 @@
         self.expires_at().map_or(Duration::MAX, |at| (now + self.limit).saturating_sub(at))
     }
 
-    /// Takes a tick from the control chain itself.
-    pub fn confirmed(&mut self, tick: FreshnessTick, now: Duration) {
+    /// Records a tick from the control chain itself.
+    pub fn on_confirmed_tick(&mut self, tick: FreshnessTick, now: Duration) {
         self.newest = Some((tick, now + self.limit));
     }
 
-    /// Takes a parent's tick of some age if it proves anything new; says whether it does. `rises` says that it is higher than
-    /// the one before it in the same subscription. Only a node that is no longer fresh goes to a lower tick than it had: the
-    /// control chain may count anew after all of it started again.
-    pub fn relayed(&mut self, tick: FreshnessTick, age: Duration, rises: bool, now: Duration) -> bool {
+    /// Records a parent's tick of some age if it extends the freshness; returns whether it does. `rises` is set if it is higher than
+    /// the one before it in the same subscription. Only a node that is no longer fresh accepts a lower tick than it had: the control
+    /// chain may count from the beginning after all of it restarted.
+    pub fn on_relayed_tick(
+        &mut self,
+        tick: FreshnessTick,
+        age: Duration,
+        rises: bool,
+        now: Duration,
+    ) -> bool {
         if tick == FreshnessTick::default() || age >= self.limit {
             return false;
         }
         let expires_at = now + (self.limit - age);
-        let news = match self.newest {
+        let is_newer = match self.newest {
             None => true,
             Some((known, known_at)) => {
                 expires_at > known_at && (tick > known || (rises && !self.is_fresh(now)))
             }
         };
-        if news {
+        if is_newer {
             self.newest = Some((tick, expires_at));
         }
-        news
+        is_newer
     }
 }
--- a/system/relay/src/lib.rs
+++ b/system/relay/src/lib.rs
@@ -7,32 +7,32 @@
 //! It promises:
 //!
 //! - a copy never goes back: entries only rise, whatever parent they come from;
-//! - an entry is removed only by one that says "gone". The exception are entries of sessions at a node that was without a fresh
-//!   parent for longer than half of [`RelaySettings::tombstone_retention`]: what no parent has confirmed after the node has been
-//!   fresh again for as long goes, since the word of its end may have been missed for good;
-//! - a node is [fresh](Relay::fresh) only while ticks of the control chain move through its whole path from a root, and then has
+//! - an entry is removed only by a tombstone. The exception are entries of sessions at a node that was without a fresh parent for
+//!   longer than half of [`RelaySettings::tombstone_retention`]: those that no parent has confirmed after the node has been fresh
+//!   again for as long are removed, since their tombstones may have expired everywhere else;
+//! - a node is [fresh](Relay::is_fresh) only while ticks of the control chain move through its whole path from a root, and then has
 //!   every entry that the root had at that tick;
-//! - a node without a fresh parent looks for another until it has one; only a fresh node takes children, so that a cycle starves;
+//! - a node without a fresh parent looks for another until it has one; only a fresh node accepts children, so that a cycle can't last;
 //! - children, buffered changes, frame sizes and known addresses are bounded, most of them by [`RelaySettings`].
 //!
 //! It does not know sockets, clocks or the meaning of most entries.
 
 mod candidates;
+mod change_log;
+mod child_progress;
 mod children;
 mod digest;
 mod directory;
+mod entry_size;
 mod event;
-mod feed;
 mod freshness;
-mod link;
-mod log;
+mod parent_search;
+mod parent_subscription;
 mod relay;
 mod replica;
-mod search;
 mod settings;
-mod suspects;
+mod unconfirmed;
 mod upstream;
-mod weight;
 
 pub use event::{RelayAction, RelayEvent};
 pub use relay::Relay;
--- /dev/null
+++ b/system/relay/src/parent_subscription.rs
@@ -0,0 +1,124 @@
+//! The subscription of a node at its parent.
+
+use std::net::SocketAddr;
+use std::time::Duration;
+
+use gingerledge_wire::{Entry, FreshnessTick, RelayMessage};
+
+use crate::entry_size::entry_size;
+use crate::parent_search::Attempt;
+use crate::settings::RelaySettings;
+
+/// A subscription that a parent has accepted.
+#[derive(Debug)]
+pub(crate) struct ParentSubscription {
+    parent: SocketAddr,
+    subscription: u64,
+    awaits_full_copy: bool,
+    accepted_at: Duration,
+    last_message_at: Duration,
+    last_entries_at: Duration,
+    sequence: u64,
+    tick: FreshnessTick,
+    unreported_bytes: usize,
+    last_report_at: Duration,
+    reported_child_slots: u16,
+}
+
+impl ParentSubscription {
+    /// The subscription of an attempt that was just accepted.
+    pub fn new(attempt: &Attempt, now: Duration) -> Self {
+        Self {
+            parent: attempt.to,
+            subscription: attempt.subscription,
+            awaits_full_copy: attempt.full_copy,
+            accepted_at: now,
+            last_message_at: now,
+            last_entries_at: now,
+            sequence: 0,
+            tick: FreshnessTick::default(),
+            unreported_bytes: 0,
+            last_report_at: now,
+            reported_child_slots: attempt.child_capacity.free_child_slots,
+        }
+    }
+
+    /// Whether this is the first message of a subscription that requested a full copy; true only once.
+    pub fn begins_full_copy(&mut self) -> bool {
+        std::mem::take(&mut self.awaits_full_copy)
+    }
+
+    /// The parent.
+    pub fn parent(&self) -> SocketAddr {
+        self.parent
+    }
+
+    /// The identifier of the subscription.
+    pub fn subscription(&self) -> u64 {
+        self.subscription
+    }
+
+    /// Whether a message belongs to this subscription.
+    pub fn matches_message(&self, from: SocketAddr, subscription: u64) -> bool {
+        self.parent == from && self.subscription == subscription
+    }
+
+    /// Records an update; returns whether it is the next one in sequence.
+    pub fn on_update(&mut self, sequence: u64, entries: &[Entry], now: Duration) -> bool {
+        if sequence != self.sequence + 1 {
+            return false;
+        }
+        self.sequence = sequence;
+        self.last_message_at = now;
+        if !entries.is_empty() {
+            self.last_entries_at = now;
+            self.unreported_bytes += entries.iter().map(entry_size).sum::<usize>();
+        }
+        true
+    }
+
+    /// Records the tick of an update; returns whether it is higher than the one before it.
+    pub fn on_tick(&mut self, tick: FreshnessTick) -> bool {
+        let rises = tick > self.tick;
+        self.tick = tick;
+        rises
+    }
+
+    /// When the parent times out.
+    pub fn times_out_at(&self, settings: &RelaySettings) -> Duration {
+        self.last_message_at + settings.parent_timeout
+    }
+
+    /// When the subscription counts as stalled, by a newest tick that makes the node fresh until `fresh_until`. While the parent
+    /// still sends its copy, entries count like ticks, for a bounded time.
+    pub fn stalled_at(&self, fresh_until: Option<Duration>, settings: &RelaySettings) -> Duration {
+        let first_tick_by = self.accepted_at + settings.freshness;
+        let ticks_expected_until = fresh_until.unwrap_or_default().max(first_tick_by);
+        if self.tick != FreshnessTick::default() {
+            return ticks_expected_until;
+        }
+        let copy_expected_until = self.last_entries_at + settings.freshness;
+        ticks_expected_until.max(copy_expected_until.min(self.accepted_at + settings.snapshot_timeout))
+    }
+
+    /// When the next acknowledgement to the parent is due.
+    pub fn report_at(&self, free_child_slots: u16, settings: &RelaySettings) -> Duration {
+        if self.unreported_bytes >= settings.max_inflight_bytes / 4 {
+            return self.last_message_at;
+        }
+        let interval = if free_child_slots == self.reported_child_slots {
+            settings.ack_interval
+        } else {
+            settings.capacity_report_interval
+        };
+        self.last_report_at + interval
+    }
+
+    /// The acknowledgement, with the free slots of this node.
+    pub fn report(&mut self, free_child_slots: u16, now: Duration) -> RelayMessage {
+        self.unreported_bytes = 0;
+        self.last_report_at = now;
+        self.reported_child_slots = free_child_slots;
+        RelayMessage::Ack { subscription: self.subscription, sequence: self.sequence, free_child_slots }
+    }
+}
--- a/system/relay/src/relay.rs
+++ b/system/relay/src/relay.rs
@@ -1,20 +1,20 @@
-//! The machine of one node: takes events, keeps the copy, and brings its parts together.
+//! The relay of one node: passes events to its parts, which are the copy, the upstream and the children.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use gingerledge_wire::{Entry, FreshnessTick, Registry, RelayMessage, Value};
 
-use crate::children::{leave, Children, Offer};
+use crate::change_log::ChangeLog;
+use crate::child_progress::{ChildProgress, UpdateSource};
+use crate::children::{unsubscribe, ChildCapacity, Children};
 use crate::event::{RelayAction, RelayEvent};
-use crate::feed::{Feed, Source};
 use crate::freshness::Freshness;
-use crate::link::Link;
-use crate::log::ChangeLog;
+use crate::parent_search::SubscribeRequest;
+use crate::parent_subscription::ParentSubscription;
 use crate::replica::Replica;
-use crate::search::Asking;
 use crate::settings::RelaySettings;
-use crate::suspects::Suspects;
+use crate::unconfirmed::UnconfirmedEntries;
 use crate::upstream::Upstream;
 
 /// One node's part of the tree, with its copy of the registry.
@@ -22,14 +22,14 @@
 pub struct Relay {
     settings: RelaySettings,
     me: SocketAddr,
-    root: bool,
-    started: bool,
+    is_root: bool,
+    is_started: bool,
     replica: Replica,
-    suspects: Suspects,
+    unconfirmed: UnconfirmedEntries,
     freshness: Freshness,
     upstream: Upstream,
     children: Children,
-    log: ChangeLog,
+    change_log: ChangeLog,
 }
 
 /// An update, as it came from a parent.
@@ -43,47 +43,47 @@
     tick_age_ms: u32,
 }
 
-/// What a node that wants to become a child has.
+/// The digest and the configuration of a node that subscribes.
 #[derive(Clone, Copy)]
-struct CopyOfChild<'a> {
+struct ChildCopy<'a> {
     digest: &'a [u64],
     configuration: u64,
 }
 
 impl Relay {
-    /// The relay of the node that takes internal messages at `me`. A `root` is fed by its host and has no parent.
-    pub fn new(settings: RelaySettings, me: SocketAddr, root: bool, seed: u64) -> Self {
+    /// The relay of the node that takes internal messages at `me`. A `is_root` is fed by its host and has no parent.
+    pub fn new(settings: RelaySettings, me: SocketAddr, is_root: bool, seed: u64) -> Self {
         Self {
             me,
-            root,
-            started: false,
+            is_root,
+            is_started: false,
             replica: Replica::new(&settings),
-            suspects: Suspects::default(),
+            unconfirmed: UnconfirmedEntries::default(),
             freshness: Freshness::new(settings.freshness),
             upstream: Upstream::new(settings.clone(), me, seed),
             children: Children::new(settings.max_children),
-            log: ChangeLog::new(settings.max_pending),
+            change_log: ChangeLog::new(settings.max_logged_changes),
             settings,
         }
     }
 
-    /// Takes one event and adds what is to be done.
+    /// Handles an event, and appends the actions that follow.
     pub fn handle(&mut self, now: Duration, event: RelayEvent, actions: &mut Vec<RelayAction>) {
         self.expire(now, actions);
         match event {
-            RelayEvent::Started => self.started = true,
+            RelayEvent::Started => self.is_started = true,
             RelayEvent::Message { from, message } => self.on_message(from, message, now, actions),
-            RelayEvent::PeerDisconnected { peer } => self.on_lost(peer, now),
+            RelayEvent::PeerDisconnected { peer } => self.on_peer_disconnected(peer, now),
             RelayEvent::EntriesLearned(entries) => self.merge(entries, Vec::new(), now, actions),
-            RelayEvent::Tick(tick) => self.freshness.confirmed(tick, now),
+            RelayEvent::Tick(tick) => self.freshness.on_confirmed_tick(tick, now),
             RelayEvent::ControlNodesKnown(seeds) => self.upstream.set_seeds(seeds, now),
             RelayEvent::TimerExpired => {}
         }
-        self.let_go_of_suspects(now, actions);
-        if !self.root && self.started {
-            self.look_up(now, actions);
+        self.remove_unconfirmed(now, actions);
+        if !self.is_root && self.is_started {
+            self.drive_upstream(now, actions);
         }
-        self.feed_children(now, actions);
+        self.send_to_children(now, actions);
     }
 
     /// When [`RelayEvent::TimerExpired`] is due, if at all.
@@ -91,8 +91,8 @@
         let upstream =
             self.upstream.next_timer(self.freshness.expires_at(), self.children.free_child_slots());
         let children = self.children.next_timer(self.source());
-        let doubts = self.suspects.next_timer(self.doubt_after());
-        [upstream, children, doubts, self.replica.next_expiry()].into_iter().flatten().min()
+        let unconfirmed = self.unconfirmed.next_timer(self.confirmation_period());
+        [upstream, children, unconfirmed, self.replica.next_expiry()].into_iter().flatten().min()
     }
 
     /// This node's copy of the registry.
@@ -116,24 +116,24 @@
     }
 
     /// How many children the node has.
-    pub fn children(&self) -> usize {
+    pub fn child_count(&self) -> usize {
         self.children.len()
     }
 
-    fn source(&self) -> Source<'_> {
-        Source {
+    fn source(&self) -> UpdateSource<'_> {
+        UpdateSource {
             settings: &self.settings,
             replica: &self.replica,
-            log: &self.log,
+            change_log: &self.change_log,
             freshness: &self.freshness,
         }
     }
 
-    /// Acts on deadlines before anything else: after a standstill of this process the event may be old.
+    /// Handles deadlines before anything else: after a pause of this process the event may be old.
     fn expire(&mut self, now: Duration, actions: &mut Vec<RelayAction>) {
         self.replica.expire(now);
         self.upstream.expire(now, actions);
-        self.children.drop_silent(self.settings.child_silence, now, actions);
+        self.children.drop_timed_out(self.settings.child_timeout, now, actions);
     }
 
     fn on_message(
@@ -145,18 +145,18 @@
     ) {
         match message {
             RelayMessage::Subscribe { subscription, digest, configuration, free_child_slots, capacity } => {
-                let offer = Offer { free_child_slots, capacity };
-                let copy = CopyOfChild { digest: &digest, configuration };
-                let answer = self.answer_subscription(from, subscription, copy, offer, now);
-                actions.push(RelayAction::Send { to: from, message: answer });
+                let child_capacity = ChildCapacity { free_child_slots, capacity };
+                let copy = ChildCopy { digest: &digest, configuration };
+                let response = self.subscription_response(from, subscription, copy, child_capacity, now);
+                actions.push(RelayAction::Send { to: from, message: response });
             }
             RelayMessage::SubscribeAccepted { subscription } => {
-                if self.link_of(from, subscription, now, actions).is_none() {
-                    actions.push(leave(from, subscription));
+                if self.subscription_of(from, subscription, now, actions).is_none() {
+                    actions.push(unsubscribe(from, subscription));
                 }
             }
-            RelayMessage::SubscribeDeclined { subscription, alternatives: others } => {
-                self.upstream.declined(from, subscription, others, now);
+            RelayMessage::SubscribeDeclined { subscription, alternatives } => {
+                self.upstream.on_declined(from, subscription, alternatives, now);
             }
             RelayMessage::Update {
                 subscription,
@@ -171,71 +171,71 @@
                 self.on_update(update, now, actions);
             }
             RelayMessage::Ack { subscription, sequence, free_child_slots } => {
-                if !self.children.received(from, subscription, sequence, free_child_slots, now) {
-                    actions.push(leave(from, subscription));
+                if !self.children.on_ack(from, subscription, sequence, free_child_slots, now) {
+                    actions.push(unsubscribe(from, subscription));
                 }
             }
             RelayMessage::Unsubscribe { subscription } => {
-                self.upstream.left(from, subscription, now);
-                self.children.leave(from, subscription);
+                self.upstream.on_unsubscribed(from, subscription, now);
+                self.children.unsubscribe(from, subscription);
             }
         }
     }
 
-    /// Takes a node as a child, or names others. One that can't vouch for its own copy takes nobody, which keeps cycles from
-    /// lasting: no ticks come into one, so that nobody in it is fresh for long.
-    fn answer_subscription(
+    /// Accepts a node as a child, or names alternatives. A node that isn't fresh accepts none, which keeps cycles from lasting: no
+    /// ticks come into one, so that no node in it stays fresh.
+    fn subscription_response(
         &mut self,
         from: SocketAddr,
         subscription: u64,
-        copy: CopyOfChild<'_>,
-        offer: Offer,
+        copy: ChildCopy<'_>,
+        child_capacity: ChildCapacity,
         now: Duration,
     ) -> RelayMessage {
         if !self.is_fresh(now) {
             self.children.remove(&from);
             return RelayMessage::SubscribeDeclined { subscription, alternatives: Vec::new() };
         }
-        let above = from == self.me || self.upstream.looks_to(from);
-        if above || !self.children.has_place(&from, offer.capacity > 0) {
+        let is_upstream = from == self.me || self.upstream.is_possible_parent(from);
+        if is_upstream || !self.children.has_capacity_for(&from, child_capacity.capacity > 0) {
             return RelayMessage::SubscribeDeclined {
                 subscription,
-                alternatives: self.children.others(&from),
+                alternatives: self.children.alternatives(&from),
             };
         }
-        let feed = Feed::new(subscription, copy.digest, copy.configuration, self.source());
-        self.children.insert(from, feed, offer, now);
+        let progress = ChildProgress::new(subscription, copy.digest, copy.configuration, self.source());
+        self.children.insert(from, progress, child_capacity, now);
         RelayMessage::SubscribeAccepted { subscription }
     }
 
     fn on_update(&mut self, update: Update, now: Duration, actions: &mut Vec<RelayAction>) {
-        let Some(link) = self.link_of(update.from, update.subscription, now, actions) else {
-            actions.push(leave(update.from, update.subscription));
+        let Some(subscription) = self.subscription_of(update.from, update.subscription, now, actions) else {
+            actions.push(unsubscribe(update.from, update.subscription));
             return;
         };
-        if !link.take_update(update.sequence, &update.entries, now) {
-            self.upstream.leave_parent(actions);
+        if !subscription.on_update(update.sequence, &update.entries, now) {
+            self.upstream.unsubscribe_from_parent(actions);
             return;
         }
-        let rises = link.take_tick(update.tick);
-        let brings_changes = |entry: &Entry| matches!(entry.value, Value::ConfigurationUpdates(_));
-        let brought_changes = update.entries.iter().any(brings_changes);
+        let rises = subscription.on_tick(update.tick);
+        let is_updates = |entry: &Entry| matches!(entry.value, Value::ConfigurationUpdates(_));
+        let brought_updates = update.entries.iter().any(is_updates);
         self.merge(update.entries, update.tombstone_ages_ms, now, actions);
         // Another parent may have no newer configuration either: that is no reason to leave it.
-        if brought_changes && self.replica.lacks_configuration() {
-            self.upstream.leave_parent(actions);
+        if brought_updates && self.replica.lacks_configuration() {
+            self.upstream.unsubscribe_from_parent(actions);
             return;
         }
         let tick_age = Duration::from_millis(u64::from(update.tick_age_ms));
-        self.freshness.relayed(update.tick, tick_age, rises, now);
+        self.freshness.on_relayed_tick(update.tick, tick_age, rises, now);
     }
 
-    fn on_lost(&mut self, peer: SocketAddr, now: Duration) {
-        self.upstream.lost(peer, now);
+    fn on_peer_disconnected(&mut self, peer: SocketAddr, now: Duration) {
+        self.upstream.on_disconnected(peer, now);
         self.children.remove(&peer);
     }
 
-    /// Takes in what is new, for this node and its children. The ages belong to the entries that say "gone"; what has none is new.
+    /// Merges what is new, for this node and its children. The ages belong to the tombstones; one without an age is new.
     fn merge(
         &mut self,
         entries: Vec<Entry>,
@@ -246,13 +246,13 @@
         let mut ages = tombstone_ages_ms.into_iter();
         let mut changed = Vec::new();
         for entry in entries {
-            self.suspects.confirm(&entry.key);
+            self.unconfirmed.confirm(&entry.key);
             let age_ms = if matches!(entry.value, Value::Tombstone) { ages.next().unwrap_or(0) } else { 0 };
             if !self.replica.merge(&entry, Duration::from_millis(u64::from(age_ms)), now) {
                 continue;
             }
             if self.children.len() > 0 {
-                self.log.push(entry.key.clone());
+                self.change_log.push(entry.key.clone());
             }
             changed.push(entry);
         }
@@ -261,63 +261,64 @@
         }
     }
 
-    /// For how long a node may be without a tick before it doubts the entries of sessions, and then how long it waits for parents
-    /// to confirm them.
-    fn doubt_after(&self) -> Duration {
+    /// For how long a node may be without a tick before its entries of sessions need to be confirmed, and then how long it waits for
+    /// parents to confirm them.
+    fn confirmation_period(&self) -> Duration {
         self.settings.tombstone_retention / 2
     }
 
-    fn needs_whole_copy(&self, now: Duration) -> bool {
-        let apart_since = self.freshness.expires_at();
-        !self.suspects.is_empty() || apart_since.is_some_and(|since| since + self.doubt_after() <= now)
+    fn needs_full_copy(&self, now: Duration) -> bool {
+        let stale_since = self.freshness.expires_at();
+        !self.unconfirmed.is_empty()
+            || stale_since.is_some_and(|since| since + self.confirmation_period() <= now)
     }
 
-    /// The link that a message belongs to; where it begins one after a long time apart, entries are doubted.
-    fn link_of(
+    /// The subscription that a message belongs to; where that begins with a full copy, entries of sessions have to be confirmed.
+    fn subscription_of(
         &mut self,
         from: SocketAddr,
         subscription: u64,
         now: Duration,
         actions: &mut Vec<RelayAction>,
-    ) -> Option<&mut Link> {
-        let link = self.upstream.link_of(from, subscription, now, actions)?;
-        if link.begins_whole_copy() {
-            self.suspects.doubt_sessions(self.replica.registry());
+    ) -> Option<&mut ParentSubscription> {
+        let subscription = self.upstream.subscription_of(from, subscription, now, actions)?;
+        if subscription.begins_full_copy() {
+            self.unconfirmed.mark_sessions(self.replica.registry());
         }
-        Some(link)
+        Some(subscription)
     }
 
-    fn let_go_of_suspects(&mut self, now: Duration, actions: &mut Vec<RelayAction>) {
-        let keys = self.suspects.judge(self.is_fresh(now), self.doubt_after(), now);
+    fn remove_unconfirmed(&mut self, now: Duration, actions: &mut Vec<RelayAction>) {
+        let keys = self.unconfirmed.remove_overdue(self.is_fresh(now), self.confirmation_period(), now);
         let known = keys.into_iter().filter_map(|key| self.registry().entry(&key).cloned());
-        let gone: Vec<Entry> = known.map(|entry| Entry { value: Value::Tombstone, ..entry }).collect();
-        self.merge(gone, Vec::new(), now, actions);
+        let tombstones: Vec<Entry> = known.map(|entry| Entry { value: Value::Tombstone, ..entry }).collect();
+        self.merge(tombstones, Vec::new(), now, actions);
     }
 
-    /// Looks for a parent if need be, and tells the one there is how far this node is.
-    fn look_up(&mut self, now: Duration, actions: &mut Vec<RelayAction>) {
-        let digest = if self.needs_whole_copy(now) { &[] } else { self.replica.digest() };
-        let asking = Asking {
+    /// Searches for a parent if necessary, and acknowledges to the present one.
+    fn drive_upstream(&mut self, now: Duration, actions: &mut Vec<RelayAction>) {
+        let digest = if self.needs_full_copy(now) { &[] } else { self.replica.digest() };
+        let request = SubscribeRequest {
             directory: self.replica.directory(),
             digest,
             configuration: self.replica.configuration_known(),
-            offer: self.children.offer(),
+            child_capacity: self.children.child_capacity(),
         };
         let (me, children) = (self.me, &self.children);
-        let skip = |address: &SocketAddr| *address == me || children.contains(address);
-        actions.extend(self.upstream.search(now, self.freshness.expires_at(), asking, skip));
+        let is_excluded = |address: &SocketAddr| *address == me || children.contains(address);
+        actions.extend(self.upstream.continue_search(now, self.freshness.expires_at(), request, is_excluded));
         actions.extend(self.upstream.report(self.children.free_child_slots(), now));
     }
 
-    fn feed_children(&mut self, now: Duration, actions: &mut Vec<RelayAction>) {
-        let source = Source {
+    fn send_to_children(&mut self, now: Duration, actions: &mut Vec<RelayAction>) {
+        let source = UpdateSource {
             settings: &self.settings,
             replica: &self.replica,
-            log: &self.log,
+            change_log: &self.change_log,
             freshness: &self.freshness,
         };
-        self.children.feed(now, source, actions);
-        let needed_from = self.children.needed_from().unwrap_or(self.log.end());
-        self.log.trim(needed_from);
+        self.children.send_due_updates(now, source, actions);
+        let oldest_needed_position = self.children.oldest_needed_position().unwrap_or(self.change_log.end());
+        self.change_log.trim(oldest_needed_position);
     }
 }
--- a/system/relay/src/replica.rs
+++ b/system/relay/src/replica.rs
@@ -1,10 +1,9 @@
-//! This node's copy of the registry with what belongs to it: digest, age of tombstones, addresses of nodes.
+//! This node's copy of the registry, with its digest, the ages of its tombstones and the addresses of nodes.
 //!
 //! A tombstone is kept for [`RelaySettings::tombstone_retention`] from when it was first learned at a root: its age goes along with
-//! it, so that all copies let go of it at about the same time, and nobody who has is given it anew, however often nodes come and
-//! go. Only a copy that still had the entry itself keeps its tombstone for at least half the time, so that its own children hear
-//! of it. A copy that was cut off for less than half the time finds every tombstone that it missed at any parent; one that was
-//! cut off for longer doubts its entries (see [`crate::suspects`]).
+//! it, so that all copies drop it at about the same time, and none that has is sent it again, however often nodes come and go. Only a copy that still had the entry itself keeps its tombstone for at least half the time, so that its own children get
+//! it. A copy that was separated for less than half the time finds every tombstone that it missed at any parent; one that was
+//! separated for longer has its entries confirmed (see [`crate::unconfirmed`]).
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -22,9 +21,9 @@
     digest: Vec<u64>,
     directory: Directory,
     retention: Duration,
-    /// Updates of the configuration came that don't lead on from the one here, so that the whole one is needed.
+    /// Updates of the configuration came that don't build on the one here, so that it is needed in full.
     lacks_configuration: bool,
-    /// When each tombstone is let go.
+    /// When each tombstone expires.
     tombstones: BTreeMap<Key, Duration>,
     /// The same in the order of time.
     expiries: BTreeSet<(Duration, Key)>,
@@ -59,22 +58,22 @@
         &self.directory
     }
 
-    /// Takes an entry in if it is newer than what is known; says whether it was. `gone_for` is the age of a tombstone.
-    pub fn merge(&mut self, entry: &Entry, gone_for: Duration, now: Duration) -> bool {
+    /// Takes an entry in if it is newer than what is known; returns whether it was. `tombstone_age` is the age of a tombstone.
+    pub fn merge(&mut self, entry: &Entry, tombstone_age: Duration, now: Duration) -> bool {
         if !self.registry.accepts(entry) {
             return false;
         }
         if entry.key == Key::Configuration {
             return self.merge_configuration(entry);
         }
-        let was_there = self.registry.entry(&entry.key).is_some();
-        self.uncount(&entry.key);
-        self.dig_up(&entry.key);
-        self.count(entry);
+        let had_entry = self.registry.entry(&entry.key).is_some();
+        self.remove_from_digest(&entry.key);
+        self.remove_tombstone(&entry.key);
+        self.add_to_digest(entry);
         self.directory.update(entry);
         if matches!(entry.value, Value::Tombstone) {
-            let age = if was_there { gone_for.min(self.retention / 2) } else { gone_for };
-            self.bury(entry.key.clone(), now + self.retention.saturating_sub(age));
+            let age = if had_entry { tombstone_age.min(self.retention / 2) } else { tombstone_age };
+            self.add_tombstone(entry.key.clone(), now + self.retention.saturating_sub(age));
         }
         self.registry.merge(entry.clone())
     }
@@ -84,8 +83,8 @@
         let merged = self.registry.merge(entry.clone());
         self.lacks_configuration = !merged;
         if merged {
-            before.iter().for_each(|before| self.count(before));
-            self.count(entry);
+            before.iter().for_each(|before| self.add_to_digest(before));
+            self.add_to_digest(entry);
         }
         merged
     }
@@ -95,7 +94,7 @@
         self.lacks_configuration
     }
 
-    /// The number of the change of the configuration that others may build on; 0 where the whole one is needed.
+    /// The number of the change of the configuration that others may build on; 0 where it is needed in full.
     pub fn configuration_known(&self) -> u64 {
         match self.registry.configuration() {
             Some((sequence, _)) if !self.lacks_configuration => sequence,
@@ -103,16 +102,16 @@
         }
     }
 
-    /// How long ago an entry was first said to be gone; zero if it isn't.
-    pub fn gone_for(&self, key: &Key, now: Duration) -> Duration {
+    /// How long ago an entry was removed; zero if it wasn't.
+    pub fn tombstone_age(&self, key: &Key, now: Duration) -> Duration {
         self.tombstones.get(key).map_or(Duration::ZERO, |until| (now + self.retention).saturating_sub(*until))
     }
 
-    /// Lets go of tombstones whose time is over.
+    /// Drops expired tombstones.
     pub fn expire(&mut self, now: Duration) {
         while self.next_expiry().is_some_and(|at| at <= now) {
             let Some((_, key)) = self.expiries.pop_first() else { return };
-            self.uncount(&key);
+            self.remove_from_digest(&key);
             self.tombstones.remove(&key);
             self.registry.forget(&key);
         }
@@ -123,26 +122,26 @@
         self.expiries.first().map(|(until, _)| *until)
     }
 
-    fn bury(&mut self, key: Key, until: Duration) {
+    fn add_tombstone(&mut self, key: Key, until: Duration) {
         self.tombstones.insert(key.clone(), until);
         self.expiries.insert((until, key));
     }
 
-    fn dig_up(&mut self, key: &Key) {
+    fn remove_tombstone(&mut self, key: &Key) {
         if let Some((key, until)) = self.tombstones.remove_entry(key) {
             self.expiries.remove(&(until, key));
         }
     }
 
-    fn count(&mut self, entry: &Entry) {
+    fn add_to_digest(&mut self, entry: &Entry) {
         let (bucket, hash) = fingerprint(entry);
         if let Some(sum) = self.digest.get_mut(bucket) {
             *sum ^= hash;
         }
     }
 
-    /// Takes the known entry of a key out of the digest.
-    fn uncount(&mut self, key: &Key) {
+    /// Removes the known entry of a key from the digest.
+    fn remove_from_digest(&mut self, key: &Key) {
         let Some(entry) = self.registry.entry(key) else { return };
         let (bucket, hash) = fingerprint(entry);
         if let Some(sum) = self.digest.get_mut(bucket) {
--- a/system/relay/src/settings.rs
+++ b/system/relay/src/settings.rs
@@ -12,41 +12,41 @@
 pub struct RelaySettings {
     /// This node's zone; parents there are tried first. Empty if unknown.
     pub zone: String,
-    /// The most children; 0 if this node never takes any.
+    /// The most children; 0 if this node accepts none.
     pub max_children: usize,
     /// A node is fresh while its newest tick is younger than this.
     pub freshness: Duration,
-    /// A parent that has sent nothing for this long is given up.
-    pub parent_silence: Duration,
-    /// A child that has sent nothing for this long is dropped.
-    pub child_silence: Duration,
+    /// A parent from which nothing has come for this long is left.
+    pub parent_timeout: Duration,
+    /// A child from which nothing has come for this long is dropped.
+    pub child_timeout: Duration,
     /// A child gets at most one update in this time.
     pub update_interval: Duration,
-    /// A child gets an update at least this often, also without news.
-    pub keepalive: Duration,
-    /// A child says at least this often that it lives.
-    pub received_interval: Duration,
-    /// A child says at most this often how much room it has.
-    pub room_interval: Duration,
-    /// How long a node waits for the answer to a subscription.
-    pub answer_timeout: Duration,
-    /// How long a node waits before it asks another as well.
-    pub hedge_after: Duration,
-    /// The shortest pause between rounds of attempts.
-    pub retry_least: Duration,
-    /// The longest pause between rounds of attempts.
-    pub retry_most: Duration,
-    /// For how long an address that didn't answer is asked after all others.
-    pub failure_memory: Duration,
+    /// A child gets an update at least this often, also without changes.
+    pub keepalive_interval: Duration,
+    /// A child acknowledges at least this often.
+    pub ack_interval: Duration,
+    /// A child reports a change of its free slots at most this often.
+    pub capacity_report_interval: Duration,
+    /// How long a node waits for the response to a subscription.
+    pub response_timeout: Duration,
+    /// How long a node waits before it tries another parent as well.
+    pub hedge_delay: Duration,
+    /// The shortest backoff between rounds of attempts.
+    pub min_backoff: Duration,
+    /// The longest backoff between rounds of attempts.
+    pub max_backoff: Duration,
+    /// For how long an address that didn't respond is tried after all others.
+    pub failure_penalty: Duration,
     /// A copy that is being sent in full may delay ticks for at most this long.
     pub snapshot_timeout: Duration,
     /// An update is not larger than about this, unless a single entry is.
-    pub update_bytes: usize,
-    /// The most bytes of entries on their way to one child.
-    pub window_bytes: usize,
+    pub max_update_bytes: usize,
+    /// The most bytes of entries in flight to one child.
+    pub max_inflight_bytes: usize,
     /// The most changes kept for children; one further behind is dropped and subscribes again.
-    pub max_pending: usize,
-    /// How long an entry that says "gone" is kept.
+    pub max_logged_changes: usize,
+    /// How long a tombstone is kept.
     pub tombstone_retention: Duration,
 }
 
@@ -68,21 +68,21 @@
             zone: String::new(),
             max_children: 0,
             freshness: Duration::from_millis(800),
-            parent_silence: Duration::from_millis(600),
-            child_silence: Duration::from_secs(3),
+            parent_timeout: Duration::from_millis(600),
+            child_timeout: Duration::from_secs(3),
             update_interval: Duration::from_millis(20),
-            keepalive: Duration::from_millis(300),
-            received_interval: Duration::from_secs(1),
-            room_interval: Duration::from_millis(100),
-            answer_timeout: Duration::from_millis(300),
-            hedge_after: Duration::from_millis(100),
-            retry_least: Duration::from_millis(50),
-            retry_most: Duration::from_millis(500),
-            failure_memory: Duration::from_secs(5),
+            keepalive_interval: Duration::from_millis(300),
+            ack_interval: Duration::from_secs(1),
+            capacity_report_interval: Duration::from_millis(100),
+            response_timeout: Duration::from_millis(300),
+            hedge_delay: Duration::from_millis(100),
+            min_backoff: Duration::from_millis(50),
+            max_backoff: Duration::from_millis(500),
+            failure_penalty: Duration::from_secs(5),
             snapshot_timeout: Duration::from_secs(5),
-            update_bytes: 64 * 1024,
-            window_bytes: 256 * 1024,
-            max_pending: 16_384,
+            max_update_bytes: 64 * 1024,
+            max_inflight_bytes: 256 * 1024,
+            max_logged_changes: 16_384,
             tombstone_retention: Duration::from_secs(120),
         }
     }
--- a/system/relay/src/upstream.rs
+++ b/system/relay/src/upstream.rs
@@ -1,4 +1,4 @@
-//! The side of a node that faces its parent: the link it has, and the search for another.
+//! The side of a node towards its parent: its subscription, and the search for another parent.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,10 +7,10 @@
 use gingerledge_wire::RelayMessage;
 
 use crate::candidates::Candidates;
-use crate::children::leave;
+use crate::children::unsubscribe;
 use crate::event::RelayAction;
-use crate::link::Link;
-use crate::search::{Asking, Attempt, Search};
+use crate::parent_search::{Attempt, ParentSearch, SubscribeRequest};
+use crate::parent_subscription::ParentSubscription;
 use crate::settings::RelaySettings;
 
 /// The parent of a node, or the search for one.
@@ -19,176 +19,195 @@
     settings: RelaySettings,
     rng: Rng,
     candidates: Candidates,
-    link: Option<Link>,
-    search: Option<Search>,
+    subscription: Option<ParentSubscription>,
+    search: Option<ParentSearch>,
 }
 
 impl Upstream {
     /// Without a parent.
     pub fn new(settings: RelaySettings, me: SocketAddr, seed: u64) -> Self {
-        let candidates = Candidates::new(me, settings.failure_memory);
-        Self { settings, rng: Rng::with_seed(seed), candidates, link: None, search: None }
+        let candidates = Candidates::new(me, settings.failure_penalty);
+        Self { settings, rng: Rng::with_seed(seed), candidates, subscription: None, search: None }
     }
 
     /// The parent's address.
     pub fn parent(&self) -> Option<SocketAddr> {
-        self.link.as_ref().map(Link::parent)
+        self.subscription.as_ref().map(ParentSubscription::parent)
     }
 
-    /// Whether a node is the parent, or may become it soon.
-    pub fn looks_to(&self, address: SocketAddr) -> bool {
-        self.parent() == Some(address) || self.search.as_ref().is_some_and(|search| search.asks(&address))
+    /// Whether a node is the parent, or an attempt at it is pending.
+    pub fn is_possible_parent(&self, address: SocketAddr) -> bool {
+        self.parent() == Some(address)
+            || self.search.as_ref().is_some_and(|search| search.is_pending(&address))
     }
 
-    /// The link that a message belongs to. The first message of a subscription that was asked for makes it the link.
-    pub fn link_of(
+    /// The subscription that a message belongs to. The first message of a pending attempt makes it the subscription.
+    pub fn subscription_of(
         &mut self,
         from: SocketAddr,
         subscription: u64,
         now: Duration,
         actions: &mut Vec<RelayAction>,
-    ) -> Option<&mut Link> {
-        if let Some(attempt) = self.search.as_mut().and_then(|search| search.answered(from, subscription)) {
-            self.accept(attempt, now, actions);
+    ) -> Option<&mut ParentSubscription> {
+        if let Some(attempt) =
+            self.search.as_mut().and_then(|search| search.remove_attempt(from, subscription))
+        {
+            self.on_accepted(attempt, now, actions);
         }
-        self.link.as_mut().filter(|link| link.is(from, subscription))
+        self.subscription.as_mut().filter(|current| current.matches_message(from, subscription))
     }
 
-    /// The one asked doesn't take this node, but names others.
-    pub fn declined(&mut self, from: SocketAddr, subscription: u64, others: Vec<SocketAddr>, now: Duration) {
+    /// A node has declined this one as a child, and names alternatives.
+    pub fn on_declined(
+        &mut self,
+        from: SocketAddr,
+        subscription: u64,
+        alternatives: Vec<SocketAddr>,
+        now: Duration,
+    ) {
         let Some(search) = &mut self.search else { return };
-        if search.answered(from, subscription).is_none() {
+        if search.remove_attempt(from, subscription).is_none() {
             return;
         }
-        if self.candidates.named(others, &mut self.rng) {
-            search.resume(now);
+        if self.candidates.add_alternatives(alternatives, &mut self.rng) {
+            search.extend_round(now);
         } else {
-            search.go_on(now);
+            search.expedite_next(now);
         }
     }
 
     /// The other side ends a subscription.
-    pub fn left(&mut self, from: SocketAddr, subscription: u64, now: Duration) {
-        if self.link.as_ref().is_some_and(|link| link.is(from, subscription)) {
-            self.link = None;
+    pub fn on_unsubscribed(&mut self, from: SocketAddr, subscription: u64, now: Duration) {
+        if self.subscription.as_ref().is_some_and(|current| current.matches_message(from, subscription)) {
+            self.subscription = None;
         }
-        self.declined(from, subscription, Vec::new(), now);
+        self.on_declined(from, subscription, Vec::new(), now);
     }
 
     /// Leaves the parent, for instance because an update is missing.
-    pub fn leave_parent(&mut self, actions: &mut Vec<RelayAction>) {
-        if let Some(link) = self.link.take() {
-            actions.push(leave(link.parent(), link.subscription()));
+    pub fn unsubscribe_from_parent(&mut self, actions: &mut Vec<RelayAction>) {
+        if let Some(subscription) = self.subscription.take() {
+            actions.push(unsubscribe(subscription.parent(), subscription.subscription()));
         }
     }
 
-    /// The connection to a node broke.
-    pub fn lost(&mut self, peer: SocketAddr, now: Duration) {
+    /// The connection to a node failed.
+    pub fn on_disconnected(&mut self, peer: SocketAddr, now: Duration) {
         if self.parent() == Some(peer) {
-            self.link = None;
-            self.candidates.note_failure(peer, now);
+            self.subscription = None;
+            self.candidates.record_failure(peer, now);
         }
         let Some(search) = &mut self.search else { return };
-        if search.lost(peer) {
-            self.candidates.note_failure(peer, now);
-            search.go_on(now);
+        if search.remove_attempts_to(peer) {
+            self.candidates.record_failure(peer, now);
+            search.expedite_next(now);
         }
     }
 
     /// Replaces the control nodes that the host knows of.
     pub fn set_seeds(&mut self, seeds: Vec<SocketAddr>, now: Duration) {
-        let news = self.candidates.set_seeds(seeds);
-        if let Some(search) = self.search.as_mut().filter(|_| news) {
-            search.hurry(now);
+        let has_new = self.candidates.set_seeds(seeds);
+        if let Some(search) = self.search.as_mut().filter(|_| has_new) {
+            search.expedite_round(now);
         }
     }
 
-    /// Gives up what has been silent for too long. To be called before a message is looked at: after a standstill of this process,
-    /// messages that waited meanwhile prove nothing.
+    /// Leaves a parent that has timed out, and drops attempts that have. To be called before a message is handled: after a pause of
+    /// this process, messages that waited meanwhile prove nothing.
     pub fn expire(&mut self, now: Duration, actions: &mut Vec<RelayAction>) {
-        if let Some(link) = self.link.as_ref().filter(|link| link.silent_at(&self.settings) <= now) {
-            self.candidates.note_failure(link.parent(), now);
-            self.leave_parent(actions);
+        if let Some(subscription) =
+            self.subscription.as_ref().filter(|subscription| subscription.times_out_at(&self.settings) <= now)
+        {
+            self.candidates.record_failure(subscription.parent(), now);
+            self.unsubscribe_from_parent(actions);
         }
         let Some(search) = &mut self.search else { return };
-        for late in search.expire(now) {
-            self.candidates.note_failure(late.to, now);
+        for expired in search.remove_expired(now) {
+            self.candidates.record_failure(expired.to, now);
         }
     }
 
-    /// Begins or ends the search, and goes on with it. `fresh_until` tells how long the newest tick counts; `skip` says who
-    /// can't be a parent.
-    pub fn search(
+    /// Begins, continues or ends the search. The newest tick counts until `fresh_until`; `is_excluded` holds for nodes that
+    /// can't be parents.
+    pub fn continue_search(
         &mut self,
         now: Duration,
         fresh_until: Option<Duration>,
-        asking: Asking<'_>,
-        skip: impl Fn(&SocketAddr) -> bool,
+        request: SubscribeRequest<'_>,
+        is_excluded: impl Fn(&SocketAddr) -> bool,
     ) -> Option<RelayAction> {
-        if !self.is_wanting(now, fresh_until) {
+        if !self.needs_parent(now, fresh_until) {
             self.search = None;
             return None;
         }
         let (settings, rng) = (&self.settings, &mut self.rng);
-        let parent = self.link.as_ref().map(Link::parent);
+        let parent = self.subscription.as_ref().map(ParentSubscription::parent);
         let search = self.search.get_or_insert_with(|| {
             self.candidates.clear();
-            Search::new(now, settings)
+            ParentSearch::new(now, settings)
         });
         if !search.is_due(now) {
             return None;
         }
         let to = loop {
             match self.candidates.next() {
-                Some(to) if Some(to) == parent || search.asks(&to) || skip(&to) => {}
+                Some(to) if Some(to) == parent || search.is_pending(&to) || is_excluded(&to) => {}
                 Some(to) => break to,
                 None if search.begin_round(now, settings, rng) => {
-                    self.candidates.refill(asking.directory, search.is_repeated(), now, rng);
+                    self.candidates.start_round(request.directory, search.is_repeated(), now, rng);
                 }
                 None => return None,
             }
         };
-        Some(subscribe(search.ask(to, asking, now, settings, rng), asking))
+        Some(subscribe(search.start_attempt(to, request, now, settings, rng), request))
     }
 
-    /// Tells the parent how far this node is, if it is time.
+    /// Acknowledges to the parent, if that is due.
     pub fn report(&mut self, free_child_slots: u16, now: Duration) -> Option<RelayAction> {
-        let link = self.link.as_mut()?;
-        if link.report_at(free_child_slots, &self.settings) > now {
+        let subscription = self.subscription.as_mut()?;
+        if subscription.report_at(free_child_slots, &self.settings) > now {
             return None;
         }
-        Some(RelayAction::Send { to: link.parent(), message: link.report(free_child_slots, now) })
+        Some(RelayAction::Send {
+            to: subscription.parent(),
+            message: subscription.report(free_child_slots, now),
+        })
     }
 
     /// When there is something to do.
     pub fn next_timer(&self, fresh_until: Option<Duration>, free_child_slots: u16) -> Option<Duration> {
         let settings = &self.settings;
-        let link = self.link.as_ref().map(|link| {
-            let stalled_at = link.stalled_at(fresh_until, settings);
-            let stalls = if self.search.is_none() { stalled_at } else { Duration::MAX };
-            link.silent_at(settings).min(link.report_at(free_child_slots, settings)).min(stalls)
+        let subscription = self.subscription.as_ref().map(|subscription| {
+            let stalled_at = subscription.stalled_at(fresh_until, settings);
+            let stall_check_at = if self.search.is_none() { stalled_at } else { Duration::MAX };
+            subscription
+                .times_out_at(settings)
+                .min(subscription.report_at(free_child_slots, settings))
+                .min(stall_check_at)
         });
-        link.into_iter().chain(self.search.as_ref().map(Search::next_timer)).min()
+        subscription.into_iter().chain(self.search.as_ref().map(ParentSearch::next_timer)).min()
     }
 
-    fn is_wanting(&self, now: Duration, fresh_until: Option<Duration>) -> bool {
-        self.link.as_ref().is_none_or(|link| link.stalled_at(fresh_until, &self.settings) <= now)
+    fn needs_parent(&self, now: Duration, fresh_until: Option<Duration>) -> bool {
+        self.subscription
+            .as_ref()
+            .is_none_or(|subscription| subscription.stalled_at(fresh_until, &self.settings) <= now)
     }
 
-    fn accept(&mut self, attempt: Attempt, now: Duration, actions: &mut Vec<RelayAction>) {
+    fn on_accepted(&mut self, attempt: Attempt, now: Duration, actions: &mut Vec<RelayAction>) {
         self.search = None;
-        self.leave_parent(actions);
-        self.link = Some(Link::new(&attempt, now));
+        self.unsubscribe_from_parent(actions);
+        self.subscription = Some(ParentSubscription::new(&attempt, now));
     }
 }
 
-fn subscribe(attempt: Attempt, asking: Asking<'_>) -> RelayAction {
+fn subscribe(attempt: Attempt, request: SubscribeRequest<'_>) -> RelayAction {
     let message = RelayMessage::Subscribe {
         subscription: attempt.subscription,
-        digest: asking.digest.to_vec(),
-        configuration: asking.configuration,
-        free_child_slots: attempt.offer.free_child_slots,
-        capacity: attempt.offer.capacity,
+        digest: request.digest.to_vec(),
+        configuration: request.configuration,
+        free_child_slots: attempt.child_capacity.free_child_slots,
+        capacity: attempt.child_capacity.capacity,
     };
     RelayAction::Send { to: attempt.to, message }
 }
--- a/system/relay/tests/world/entries.rs
+++ b/system/relay/tests/cluster/entries.rs
@@ -1,4 +1,4 @@
-//! Entries to learn.
+//! Sample entries.
 
 use std::net::{Ipv4Addr, SocketAddr};
 
@@ -23,7 +23,7 @@
     Key::Store(format!("store-{number:05}"))
 }
 
-/// The same store, gone.
-pub fn gone(number: usize, version: u64) -> Entry {
+/// The same store, removed.
+pub fn tombstone(number: usize, version: u64) -> Entry {
     Entry { key: store_key(number), version, value: Value::Tombstone }
 }
--- a/system/relay/tests/world/mod.rs
+++ b/system/relay/tests/cluster/mod.rs
@@ -1,5 +1,5 @@
-//! A seeded world of relays: links with delay, cuts and order, processes that stop, freeze and start again, and a control chain
-//! that is only a source of ticks. Every step is checked for what must always hold.
+//! A seeded simulation of relays: ordered links with delay that can be blocked, processes that stop, pause and start again, and a
+//! control chain that is only a source of ticks. The invariants are checked after every event.
 
 // Each file of tests uses a part of it.
 #![allow(dead_code, unused_imports)]
@@ -17,7 +17,7 @@
 use gingerledge_relay::{Relay, RelayAction, RelayEvent, RelaySettings};
 use gingerledge_wire::{Entry, FreshnessTick, Key, RelayMessage, Role};
 
-pub use entries::{gone, store, store_key};
+pub use entries::{store, store_key, tombstone};
 pub use node::Node;
 
 /// How often the control chain confirms a tick.
@@ -33,86 +33,86 @@
 }
 
 /// Milliseconds.
-pub fn ms(value: u64) -> Duration {
+pub fn millis(value: u64) -> Duration {
     Duration::from_millis(value)
 }
 
-/// What lies ahead.
-enum Step {
-    Deliver { from: SocketAddr, to: SocketAddr, message: RelayMessage, bytes: usize },
-    Lost { at: SocketAddr, peer: SocketAddr },
-    Timer { at: SocketAddr, life: u32 },
-    Learn { root: SocketAddr, entry: Entry },
+/// An event of the simulation.
+enum ScheduledEvent {
+    MessageArrives { from: SocketAddr, to: SocketAddr, message: RelayMessage, bytes: usize },
+    Disconnected { at: SocketAddr, peer: SocketAddr },
+    TimerExpires { at: SocketAddr, incarnation: u32 },
+    EntryLearned { root: SocketAddr, entry: Entry },
     Tick,
-    Thaw { at: SocketAddr },
-    Start { at: SocketAddr },
+    Resume { at: SocketAddr },
+    ProcessStarts { at: SocketAddr },
 }
 
-/// The world.
-pub struct World {
+/// The simulated nodes.
+pub struct Cluster {
     pub now: Duration,
     pub rng: Rng,
     pub nodes: BTreeMap<SocketAddr, Node>,
     /// Whether the control chain makes ticks.
-    pub chain_up: bool,
+    pub ticks_enabled: bool,
     /// Whether messages take processor time.
-    pub processor_costs: bool,
+    pub charges_processor_time: bool,
     /// Directed pairs between which nothing passes.
-    pub cuts: BTreeSet<(SocketAddr, SocketAddr)>,
-    /// Roots that are out of touch with the control chain.
-    pub outside_chain: BTreeSet<SocketAddr>,
+    pub blocked_links: BTreeSet<(SocketAddr, SocketAddr)>,
+    /// Roots that are separated from the control chain.
+    pub separated_roots: BTreeSet<SocketAddr>,
     /// Entries that all roots in the chain learned, with the time by which they all had.
     pub learned: Vec<(Duration, Entry)>,
     /// How much newer than `last_tick_at` an entry may be that a node still lacks.
-    pub slack: Duration,
+    pub freshness_slack: Duration,
     /// Sees every message sent.
-    pub watch: Option<fn(&RelayMessage)>,
+    pub message_observer: Option<fn(&RelayMessage)>,
     /// When each tombstone was learned at the roots.
-    pub buried: BTreeMap<(Key, u64), Duration>,
+    pub tombstone_times: BTreeMap<(Key, u64), Duration>,
     tick: FreshnessTick,
-    steps: BTreeMap<(Duration, u64), Step>,
-    order: u64,
+    schedule: BTreeMap<(Duration, u64), ScheduledEvent>,
+    scheduled_count: u64,
     last_delivery: BTreeMap<(SocketAddr, SocketAddr), Duration>,
     seed: u64,
 }
 
-impl World {
-    /// An empty world. Its seed decides everything.
+impl Cluster {
+    /// No nodes yet. The seed decides everything.
     pub fn new(seed: u64) -> Self {
-        let mut world = Self {
+        let mut cluster = Self {
             now: Duration::from_secs(1),
             rng: Rng::with_seed(seed),
             nodes: BTreeMap::new(),
-            chain_up: true,
-            processor_costs: false,
-            cuts: BTreeSet::new(),
-            outside_chain: BTreeSet::new(),
+            ticks_enabled: true,
+            charges_processor_time: false,
+            blocked_links: BTreeSet::new(),
+            separated_roots: BTreeSet::new(),
             learned: Vec::new(),
-            slack: ms(50),
-            watch: None,
-            buried: BTreeMap::new(),
+            freshness_slack: millis(50),
+            message_observer: None,
+            tombstone_times: BTreeMap::new(),
             tick: FreshnessTick { epoch: 1, number: 0 },
-            steps: BTreeMap::new(),
-            order: 0,
+            schedule: BTreeMap::new(),
+            scheduled_count: 0,
             last_delivery: BTreeMap::new(),
             seed,
         };
-        world.plan(TICK_EVERY, Step::Tick);
-        world
+        cluster.schedule_after(TICK_EVERY, ScheduledEvent::Tick);
+        cluster
     }
 
-    /// A world with so many control nodes, edges and backends, all started within the spread.
+    /// So many control nodes, edges and backends, all started within the spread.
     pub fn with_nodes(seed: u64, control: usize, edges: usize, backends: usize, spread: Duration) -> Self {
-        let mut world = Self::new(seed);
+        let mut cluster = Self::new(seed);
         let roles = [(Role::Control, control), (Role::Edge, edges), (Role::Backend, backends)];
         for (role, count) in roles {
             for _ in 0..count {
-                let after = spread.mul_f64(world.rng.f64());
-                let address = world.add(role);
-                world.plan(after, Step::Start { at: address });
+                let after = spread.mul_f64(cluster.rng.f64());
+                let address = cluster.add(role);
+                cluster.schedule_after(after, ScheduledEvent::ProcessStarts { at: address });
             }
         }
-        world
+        cluster
     }
 
     /// Adds a node that isn't started yet.
@@ -149,79 +149,79 @@
 
     /// Gives a control node what the others know, as its host does before it counts as a root again.
     fn catch_up(&mut self, at: SocketAddr) {
-        if self.nodes[&at].role == Role::Control && !self.outside_chain.contains(&at) {
+        if self.nodes[&at].role == Role::Control && !self.separated_roots.contains(&at) {
             let known = self.learned.iter().map(|(_, entry)| entry.clone()).collect();
             self.handle(at, RelayEvent::EntriesLearned(known));
         }
     }
 
-    /// A control node loses touch with the others of its kind.
-    pub fn leave_chain(&mut self, at: SocketAddr) {
-        self.outside_chain.insert(at);
+    /// A control node is separated from the others.
+    pub fn separate_root(&mut self, at: SocketAddr) {
+        self.separated_roots.insert(at);
     }
 
-    /// A control node is in touch again.
-    pub fn rejoin_chain(&mut self, at: SocketAddr) {
-        self.outside_chain.remove(&at);
+    /// A control node is connected again.
+    pub fn reconnect_root(&mut self, at: SocketAddr) {
+        self.separated_roots.remove(&at);
         self.catch_up(at);
     }
 
     /// All control nodes end and start again with nothing, and count ticks anew.
-    pub fn restart_core(&mut self) {
+    pub fn restart_control_nodes(&mut self) {
         self.learned.clear();
         self.tick.number = 0;
         for at in self.with_role(Role::Control) {
             self.kill(at);
-            self.start_after(ms(300), at);
+            self.start_after(millis(300), at);
         }
     }
 
     /// Starts a process later.
     pub fn start_after(&mut self, after: Duration, at: SocketAddr) {
-        self.plan(after, Step::Start { at });
+        self.schedule_after(after, ScheduledEvent::ProcessStarts { at });
     }
 
-    /// Ends a process; those who talked with it learn that soon.
+    /// Ends a process; its peers see their connections close.
     pub fn kill(&mut self, at: SocketAddr) {
         let Some(node) = self.nodes.get_mut(&at) else { return };
         node.stop();
         for peer in std::mem::take(&mut node.peers) {
-            self.plan(ms(1), Step::Lost { at: peer, peer: at });
+            self.schedule_after(millis(1), ScheduledEvent::Disconnected { at: peer, peer: at });
         }
     }
 
-    /// Takes a machine's power: nobody is told.
-    pub fn darken(&mut self, at: SocketAddr) {
+    /// A machine loses power: no peer notices a closed connection.
+    pub fn power_off(&mut self, at: SocketAddr) {
         let Some(node) = self.nodes.get_mut(&at) else { return };
         node.stop();
-        node.dark = true;
+        node.is_powered_off = true;
     }
 
-    /// Freezes a process; what comes for it waits.
-    pub fn freeze(&mut self, at: SocketAddr, time: Duration) {
+    /// Pauses a process; events for it wait.
+    pub fn pause(&mut self, at: SocketAddr, time: Duration) {
         let Some(node) = self.nodes.get_mut(&at) else { return };
-        node.frozen = true;
-        self.plan(time, Step::Thaw { at });
+        node.is_paused = true;
+        self.schedule_after(time, ScheduledEvent::Resume { at });
     }
 
-    /// Nothing passes between two nodes any more.
-    pub fn cut(&mut self, one: SocketAddr, other: SocketAddr) {
-        self.cuts.insert((one, other));
-        self.cuts.insert((other, one));
+    /// No messages pass between two nodes any more.
+    pub fn block_link(&mut self, one: SocketAddr, other: SocketAddr) {
+        self.blocked_links.insert((one, other));
+        self.blocked_links.insert((other, one));
     }
 
     /// Lets all roots in the chain learn an entry, one after the other within a few milliseconds.
-    pub fn learn(&mut self, entry: Entry) {
+    pub fn learn_at_roots(&mut self, entry: Entry) {
         let roots: Vec<SocketAddr> = self.roots().collect();
         let mut latest = Duration::ZERO;
         for root in &roots {
-            let after = ms(self.rng.u64(0..5));
+            let after = millis(self.rng.u64(0..5));
             latest = latest.max(after);
-            self.plan(after, Step::Learn { root: *root, entry: entry.clone() });
+            self.schedule_after(after, ScheduledEvent::EntryLearned { root: *root, entry: entry.clone() });
         }
         if !roots.is_empty() {
             self.learned.retain(|(_, known)| known.key != entry.key);
-            self.buried.insert((entry.key.clone(), entry.version), self.now);
+            self.tombstone_times.insert((entry.key.clone(), entry.version), self.now);
             self.learned.push((self.now + latest, entry));
         }
     }
@@ -229,64 +229,70 @@
     /// Lets time pass.
     pub fn run(&mut self, time: Duration) {
         let until = self.now + time;
-        while let Some(((at, _), step)) = self.pop_until(until) {
+        while let Some(((at, _), process)) = self.pop_until(until) {
             self.now = at;
-            self.step(step);
+            self.process(process);
         }
         self.now = until;
     }
 
     /// Lets time pass until a condition holds, checked every 5 ms; the time that it took, if it came to hold.
-    pub fn run_until(&mut self, most: Duration, condition: impl Fn(&World) -> bool) -> Option<Duration> {
+    pub fn run_until(&mut self, most: Duration, condition: impl Fn(&Cluster) -> bool) -> Option<Duration> {
         let start = self.now;
         while self.now < start + most {
             if condition(self) {
                 return Some(self.now - start);
             }
-            self.run(ms(5));
+            self.run(millis(5));
         }
         condition(self).then_some(self.now - start)
     }
 
     /// Fails with the seed.
     #[track_caller]
-    pub fn expect(&self, holds: bool, what: &str) {
-        assert!(holds, "seed {} at {:?}: {what}", self.seed, self.now);
+    pub fn assert_holds(&self, has_live_entry: bool, what: &str) {
+        assert!(has_live_entry, "seed {} at {:?}: {what}", self.seed, self.now);
     }
 
     fn roots(&self) -> impl Iterator<Item = SocketAddr> + '_ {
-        let control = self.nodes.iter().filter(|(_, node)| node.role == Role::Control && node.runs());
-        control.map(|(address, _)| *address).filter(|address| !self.outside_chain.contains(address))
+        let control = self.nodes.iter().filter(|(_, node)| node.role == Role::Control && node.is_running());
+        control.map(|(address, _)| *address).filter(|address| !self.separated_roots.contains(address))
     }
 
-    fn plan(&mut self, after: Duration, step: Step) {
-        self.order += 1;
-        self.steps.insert((self.now + after, self.order), step);
+    fn schedule_after(&mut self, after: Duration, process: ScheduledEvent) {
+        self.scheduled_count += 1;
+        self.schedule.insert((self.now + after, self.scheduled_count), process);
     }
 
-    fn pop_until(&mut self, until: Duration) -> Option<((Duration, u64), Step)> {
-        let first = self.steps.first_entry()?;
+    fn pop_until(&mut self, until: Duration) -> Option<((Duration, u64), ScheduledEvent)> {
+        let first = self.schedule.first_entry()?;
         if first.key().0 > until {
             return None;
         }
         Some(first.remove_entry())
     }
 
-    fn step(&mut self, step: Step) {
-        match step {
-            Step::Deliver { from, to, message, bytes } => self.deliver(from, to, message, bytes),
-            Step::Lost { at, peer } => self.handle(at, RelayEvent::PeerDisconnected { peer }),
-            Step::Timer { at, life } => self.timer(at, life),
-            Step::Learn { root, entry } => self.handle(root, RelayEvent::EntriesLearned(vec![entry])),
-            Step::Tick => self.tick(),
-            Step::Thaw { at } => self.thaw(at),
-            Step::Start { at } => self.start(at),
+    fn process(&mut self, process: ScheduledEvent) {
+        match process {
+            ScheduledEvent::MessageArrives { from, to, message, bytes } => {
+                self.deliver(from, to, message, bytes)
+            }
+            ScheduledEvent::Disconnected { at, peer } => {
+                self.handle(at, RelayEvent::PeerDisconnected { peer })
+            }
+            ScheduledEvent::TimerExpires { at, incarnation } => self.timer(at, incarnation),
+            ScheduledEvent::EntryLearned { root, entry } => {
+                self.handle(root, RelayEvent::EntriesLearned(vec![entry]))
+            }
+            ScheduledEvent::Tick => self.tick(),
+            ScheduledEvent::Resume { at } => self.resume(at),
+            ScheduledEvent::ProcessStarts { at } => self.start(at),
         }
     }
 
     fn tick(&mut self) {
-        self.plan(TICK_EVERY, Step::Tick);
-        if !self.chain_up {
+        self.schedule_after(TICK_EVERY, ScheduledEvent::Tick);
+        if !self.ticks_enabled {
             return;
         }
         self.tick.number += 1;
@@ -295,19 +301,19 @@
         }
     }
 
-    fn timer(&mut self, at: SocketAddr, life: u32) {
+    fn timer(&mut self, at: SocketAddr, incarnation: u32) {
         let now = self.now;
         let Some(node) = self.nodes.get_mut(&at) else { return };
-        if node.life == life && node.armed == Some(now) {
-            node.armed = None;
+        if node.incarnation == incarnation && node.timer_at == Some(now) {
+            node.timer_at = None;
             self.handle(at, RelayEvent::TimerExpired);
         }
     }
 
-    fn thaw(&mut self, at: SocketAddr) {
+    fn resume(&mut self, at: SocketAddr) {
         let Some(node) = self.nodes.get_mut(&at) else { return };
-        node.frozen = false;
-        for event in std::mem::take(&mut node.waiting) {
+        node.is_paused = false;
+        for event in std::mem::take(&mut node.queued_events) {
             self.handle(at, event);
         }
         self.handle(at, RelayEvent::TimerExpired);
@@ -315,40 +321,40 @@
     }
 
     fn deliver(&mut self, from: SocketAddr, to: SocketAddr, message: RelayMessage, bytes: usize) {
-        let costs = self.processor_costs;
+        let costs = self.charges_processor_time;
         let Some(node) = self.nodes.get_mut(&to) else { return };
         if node.relay.is_none() {
-            if !node.dark {
-                self.plan(ms(1), Step::Lost { at: from, peer: to });
+            if !node.is_powered_off {
+                self.schedule_after(millis(1), ScheduledEvent::Disconnected { at: from, peer: to });
             }
             return;
         }
         if costs && node.busy_until > self.now {
             let after = node.busy_until - self.now;
-            self.plan(after, Step::Deliver { from, to, message, bytes });
+            self.schedule_after(after, ScheduledEvent::MessageArrives { from, to, message, bytes });
             return;
         }
-        node.work(self.now, bytes);
+        node.charge(self.now, bytes);
         node.peers.insert(from);
         node.received.add(bytes);
         self.handle(to, RelayEvent::Message { from, message });
     }
 
-    /// Gives an event to a relay, or lets it wait while the process is frozen.
+    /// Gives an event to a relay, or queues it while the process is paused.
     pub fn handle(&mut self, at: SocketAddr, event: RelayEvent) {
         let now = self.now;
         let Some(node) = self.nodes.get_mut(&at) else { return };
         let Some(relay) = node.relay.as_mut() else { return };
-        if node.frozen {
+        if node.is_paused {
             if !matches!(event, RelayEvent::TimerExpired) {
-                node.waiting.push(event);
+                node.queued_events.push(event);
             }
             return;
         }
         let mut actions = Vec::new();
-        relay.handle(now - node.born, event, &mut actions);
-        let timer = relay.next_timer().map(|timer| timer + node.born);
-        self.arm(at, timer);
+        relay.handle(now - node.started_at, event, &mut actions);
+        let timer = relay.next_timer().map(|timer| timer + node.started_at);
+        self.schedule_timer(at, timer);
         for action in actions {
             match action {
                 RelayAction::Send { to, message } => self.send(at, to, message),
@@ -358,39 +364,40 @@
         self.check_node(at);
     }
 
-    fn arm(&mut self, at: SocketAddr, timer: Option<Duration>) {
+    fn schedule_timer(&mut self, at: SocketAddr, timer: Option<Duration>) {
         let Some(timer) = timer else { return };
-        self.expect(timer > self.now, &format!("the timer of {at} is due at once, a busy loop"));
+        self.assert_holds(timer > self.now, &format!("the timer of {at} is due at once, a busy loop"));
         let Some(node) = self.nodes.get_mut(&at) else { return };
-        if node.armed != Some(timer) {
-            node.armed = Some(timer);
-            let life = node.life;
-            self.plan(timer - self.now, Step::Timer { at, life });
+        if node.timer_at != Some(timer) {
+            node.timer_at = Some(timer);
+            let incarnation = node.incarnation;
+            self.schedule_after(timer - self.now, ScheduledEvent::TimerExpires { at, incarnation });
         }
     }
 
     fn send(&mut self, from: SocketAddr, to: SocketAddr, message: RelayMessage) {
-        if let Some(watch) = self.watch {
-            watch(&message);
+        if let Some(message_observer) = self.message_observer {
+            message_observer(&message);
         }
         let bytes = node::encoded_bytes(&message);
         if let Some(node) = self.nodes.get_mut(&from) {
             node.sent.add(bytes);
-            node.work(self.now, bytes);
+            node.charge(self.now, bytes);
             node.peers.insert(to);
         }
-        let away = self.nodes.get(&to).is_none_or(|node| node.dark) || self.cuts.contains(&(from, to));
-        if away || self.cuts.contains(&(to, from)) && self.rng.bool() {
-            self.plan(USER_TIMEOUT, Step::Lost { at: from, peer: to });
+        let is_unreachable = self.nodes.get(&to).is_none_or(|node| node.is_powered_off)
+            || self.blocked_links.contains(&(from, to));
+        if is_unreachable || self.blocked_links.contains(&(to, from)) && self.rng.bool() {
+            self.schedule_after(USER_TIMEOUT, ScheduledEvent::Disconnected { at: from, peer: to });
             return;
         }
         let mut delay = Duration::from_micros(self.rng.u64(100..2000));
-        if self.processor_costs {
+        if self.charges_processor_time {
             delay += self.nodes[&from].busy_until.saturating_sub(self.now);
         }
         let last = self.last_delivery.entry((from, to)).or_default();
         *last = (*last).max(self.now + delay);
         let after = *last - self.now;
-        self.plan(after, Step::Deliver { from, to, message, bytes });
+        self.schedule_after(after, ScheduledEvent::MessageArrives { from, to, message, bytes });
     }
 }
--- a/system/relay/tests/world/node.rs
+++ b/system/relay/tests/cluster/node.rs
@@ -1,4 +1,4 @@
-//! One process of the world.
+//! One process of the simulation.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -36,16 +36,16 @@
     pub settings: RelaySettings,
     /// None while it is down.
     pub relay: Option<Relay>,
-    pub life: u32,
+    pub incarnation: u32,
     /// When the process started; its own clock counts from there.
-    pub born: Duration,
-    pub frozen: bool,
-    pub dark: bool,
-    pub armed: Option<Duration>,
-    pub waiting: Vec<RelayEvent>,
+    pub started_at: Duration,
+    pub is_paused: bool,
+    pub is_powered_off: bool,
+    pub timer_at: Option<Duration>,
+    pub queued_events: Vec<RelayEvent>,
     pub busy_until: Duration,
     pub peers: BTreeSet<SocketAddr>,
-    pub seen: BTreeMap<Key, ((u64, u8), Duration)>,
+    pub newest_seen: BTreeMap<Key, ((u64, u8), Duration)>,
     pub sent: Traffic,
     pub received: Traffic,
 }
@@ -56,15 +56,15 @@
             role,
             settings,
             relay: None,
-            life: 0,
-            born: Duration::ZERO,
-            frozen: false,
-            dark: false,
-            armed: None,
-            waiting: Vec::new(),
+            incarnation: 0,
+            started_at: Duration::ZERO,
+            is_paused: false,
+            is_powered_off: false,
+            timer_at: None,
+            queued_events: Vec::new(),
             busy_until: Duration::ZERO,
             peers: BTreeSet::new(),
-            seen: BTreeMap::new(),
+            newest_seen: BTreeMap::new(),
             sent: Traffic::default(),
             received: Traffic::default(),
         }
@@ -72,32 +72,32 @@
 
     /// Whether the process is up and counts as fresh.
     pub fn is_fresh(&self, now: Duration) -> bool {
-        self.relay.as_ref().is_some_and(|relay| relay.is_fresh(now - self.born))
+        self.relay.as_ref().is_some_and(|relay| relay.is_fresh(now - self.started_at))
     }
 
     /// Whether the process is up and not frozen.
-    pub fn runs(&self) -> bool {
-        self.relay.is_some() && !self.frozen
+    pub fn is_running(&self) -> bool {
+        self.relay.is_some() && !self.is_paused
     }
 
     pub fn start(&mut self, me: SocketAddr, seed: u64, now: Duration) {
         self.stop();
-        self.dark = false;
-        self.life += 1;
-        self.born = now;
+        self.is_powered_off = false;
+        self.incarnation += 1;
+        self.started_at = now;
         self.relay = Some(Relay::new(self.settings.clone(), me, self.role == Role::Control, seed));
     }
 
     pub fn stop(&mut self) {
         self.relay = None;
-        self.frozen = false;
-        self.armed = None;
-        self.waiting.clear();
-        self.seen.clear();
+        self.is_paused = false;
+        self.timer_at = None;
+        self.queued_events.clear();
+        self.newest_seen.clear();
     }
 
     /// Spends processor time on a message.
-    pub fn work(&mut self, now: Duration, bytes: usize) {
+    pub fn charge(&mut self, now: Duration, bytes: usize) {
         let cores = if self.role == Role::Control { CONTROL_CORES } else { OTHER_CORES };
         let cost = (MESSAGE_COST + BYTE_COST * bytes as u32).div_f64(cores);
         self.busy_until = self.busy_until.max(now) + cost;
--- a/system/relay/tests/configuration.rs
+++ b/system/relay/tests/configuration.rs
@@ -38,27 +38,28 @@
 /// How a configuration was sent.
 #[derive(Clone, Debug, PartialEq)]
 enum Sent {
-    Whole(u64),
+    Full(u64),
     Updates(Vec<u64>),
 }
 
 /// A root (0), its child (1) and the child's child (2), with a clock, and how configurations went to the last two.
-struct Line {
+struct RelayLine {
     relays: Vec<Relay>,
     now: Duration,
     ticks: u64,
-    cut: bool,
+    is_link_blocked: bool,
     sent: Vec<(usize, Sent)>,
 }
 
-impl Line {
+impl RelayLine {
     fn new(first: &Entry) -> Self {
         let relay = |number: u8| {
             let role = if number == 0 { Role::Control } else { Role::Edge };
             Relay::new(RelaySettings::for_role(role, ""), address(number), number == 0, u64::from(number) + 1)
         };
         let relays = (0..3).map(relay).collect();
-        let mut line = Self { relays, now: Duration::from_secs(10), ticks: 0, cut: false, sent: Vec::new() };
+        let mut line =
+            Self { relays, now: Duration::from_secs(10), ticks: 0, is_link_blocked: false, sent: Vec::new() };
         line.handle(0, RelayEvent::EntriesLearned(vec![first.clone()]));
         line.handle(0, RelayEvent::Tick(FreshnessTick { epoch: 1, number: 1 }));
         for number in 1..3 {
@@ -75,18 +76,18 @@
         for action in actions {
             let RelayAction::Send { to, message } = action else { continue };
             let Some(receiver) = (0..3).find(|receiver| address(*receiver as u8) == to) else { continue };
-            if self.cut && number + receiver == 1 {
+            if self.is_link_blocked && number + receiver == 1 {
                 continue;
             }
-            self.note(receiver, &message);
+            self.record_sent(receiver, &message);
             self.handle(receiver, RelayEvent::Message { from: address(number as u8), message });
         }
     }
 
-    fn note(&mut self, receiver: usize, message: &RelayMessage) {
+    fn record_sent(&mut self, receiver: usize, message: &RelayMessage) {
         let RelayMessage::Update { entries, .. } = message else { return };
         self.sent.extend(entries.iter().filter_map(|entry| match &entry.value {
-            Value::Configuration(_) => Some((receiver, Sent::Whole(entry.version))),
+            Value::Configuration(_) => Some((receiver, Sent::Full(entry.version))),
             Value::ConfigurationUpdates(series) => {
                 Some((receiver, Sent::Updates(series.iter().map(|applied| applied.sequence).collect())))
             }
@@ -120,10 +121,10 @@
 }
 
 #[test]
-fn updates_go_down_the_tree_as_they_are() {
+fn configuration_updates_are_relayed_as_updates() {
     let mut known = document(500);
-    let mut line = Line::new(&entry(1, &known));
-    assert_eq!(line.sent(), [(1, Sent::Whole(1)), (2, Sent::Whole(1))]);
+    let mut line = RelayLine::new(&entry(1, &known));
+    assert_eq!(line.sent(), [(1, Sent::Full(1)), (2, Sent::Full(1))]);
     for base in 1..5 {
         known.apply(update(base)).expect("valid");
         line.handle(0, RelayEvent::EntriesLearned(vec![entry(base + 1, &known)]));
@@ -134,54 +135,57 @@
 }
 
 #[test]
-fn a_replacement_goes_whole() {
-    let mut line = Line::new(&entry(1, &document(3)));
+fn a_replaced_configuration_is_sent_in_full() {
+    let mut line = RelayLine::new(&entry(1, &document(3)));
     line.sent();
     line.handle(0, RelayEvent::EntriesLearned(vec![entry(7, &document(4))]));
     line.run();
     line.everywhere(&entry(7, &document(4)));
-    assert_eq!(line.sent(), [(1, Sent::Whole(7)), (2, Sent::Whole(7))]);
+    assert_eq!(line.sent(), [(1, Sent::Full(7)), (2, Sent::Full(7))]);
 }
 
-/// A child that was cut off for a while is sent what it missed, or everything where that is not kept any more.
+/// A child that was separated is sent the updates that it missed, or the full configuration where those are no longer kept.
 #[parameterized(a_few = { 3, false }, more_than_are_kept = { 100, true })]
-fn after_a_cut(updates: u64, whole: bool) {
+fn a_reconnected_node_gets_updates_if_they_are_still_kept_and_else_the_full_configuration(
+    updates: u64,
+    full: bool,
+) {
     let mut known = document(50);
-    let mut line = Line::new(&entry(1, &known));
+    let mut line = RelayLine::new(&entry(1, &known));
     line.sent();
-    line.cut = true;
+    line.is_link_blocked = true;
     line.run();
     for base in 1..=updates {
         known.apply(update(base)).expect("valid");
         line.handle(0, RelayEvent::EntriesLearned(vec![entry(base + 1, &known)]));
     }
     line.run();
-    line.cut = false;
+    line.is_link_blocked = false;
     line.run();
     line.everywhere(&entry(updates + 1, &known));
     let first = line.sent().into_iter().find(|(receiver, _)| *receiver == 1);
-    let expected = if whole { Sent::Whole(updates + 1) } else { Sent::Updates((2..=updates + 1).collect()) };
+    let expected = if full { Sent::Full(updates + 1) } else { Sent::Updates((2..=updates + 1).collect()) };
     assert_eq!(first, Some((1, expected)));
 }
 
 /// Updates that don't lead on from what a node has change nothing there, and it asks for the whole.
 #[test]
-fn updates_on_another_base_are_not_taken() {
+fn updates_on_another_base_are_not_applied() {
     let known = document(3);
-    let mut line = Line::new(&entry(5, &known));
-    let mut others = document(4);
-    others.apply(update(6)).expect("valid");
+    let mut line = RelayLine::new(&entry(5, &known));
+    let mut other_base = document(4);
+    other_base.apply(update(6)).expect("valid");
     line.sent();
-    // As if the root had been told of a change that the others lack.
-    line.handle(0, RelayEvent::EntriesLearned(vec![entry(7, &others)]));
+    // As if the root had learned a change that the others lack.
+    line.handle(0, RelayEvent::EntriesLearned(vec![entry(7, &other_base)]));
     line.run();
-    line.everywhere(&entry(7, &others));
-    let expected = [(1, Sent::Whole(7)), (2, Sent::Whole(7))];
+    line.everywhere(&entry(7, &other_base));
+    let expected = [(1, Sent::Full(7)), (2, Sent::Full(7))];
     assert_eq!(line.sent(), expected);
 }
 
 #[test]
-fn a_node_that_cannot_apply_updates_asks_for_the_whole_configuration() {
+fn a_node_that_cannot_apply_updates_requests_the_full_configuration() {
     let relay_settings = RelaySettings::for_role(Role::Edge, "");
     let mut relay = Relay::new(relay_settings, address(9), false, 3);
     let now = Duration::from_secs(10);
@@ -204,7 +208,7 @@
     relay.handle(now, RelayEvent::Message { from: address(0), message: update }, &mut actions);
     assert_eq!(relay.registry().entry(&Key::Configuration), Some(&entry(5, &document(3))));
     assert_eq!(relay.parent(), None);
-    assert!(!relay.is_fresh(now), "the tick stands for what could not be taken");
+    assert!(!relay.is_fresh(now), "the tick covers an update that was not applied");
     let mut later = now;
     while subscribed(&actions).is_none() {
         later = relay.next_timer().expect("it looks for a parent").max(later);
@@ -226,7 +230,7 @@
     assert_eq!(relay.parent(), Some(address(0)));
 }
 
-/// The last subscription among actions, with the configuration that it tells.
+/// The last subscription among actions, with the configuration that it reports.
 fn subscribed(actions: &[RelayAction]) -> Option<(u64, u64)> {
     actions.iter().rev().find_map(|action| match action {
         RelayAction::Send {
--- a/system/relay/tests/faults.rs
+++ b/system/relay/tests/faults.rs
@@ -1,14 +1,14 @@
-//! Faults at random, seed by seed. After every step of every node the world checks that no copy goes back, that the fan-out is
+//! Faults at random, seed by seed. After every step of every node the simulation checks that no copy goes back, that the fan-out is
 //! bounded and that a fresh node has what the roots had at its tick.
 
-mod world;
+mod cluster;
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
 
+use cluster::{millis, seeds, store, tombstone, Cluster};
 use gingerledge_wire::{Entry, Role};
-use world::{gone, ms, seeds, store, World};
 use yare::parameterized;
 
 const CONTROL: usize = 5;
@@ -20,251 +20,259 @@
 /// An entry reaches every node that is in touch within this time.
 const REACH: Duration = Duration::from_secs(2);
 
-/// A world in which all nodes are fresh.
-fn calm(seed: u64) -> World {
-    let mut world = World::with_nodes(seed, CONTROL, EDGES, BACKENDS, ms(300));
-    world.slack = ms(900);
-    let formed = world
-        .run_until(Duration::from_secs(5), |world| world.now > Duration::from_secs(2) && world.all_fresh());
-    world.expect(formed.is_some(), "the tree forms");
-    world
+/// A cluster in which all nodes are fresh.
+fn steady_cluster(seed: u64) -> Cluster {
+    let mut cluster = Cluster::with_nodes(seed, CONTROL, EDGES, BACKENDS, millis(300));
+    cluster.freshness_slack = millis(900);
+    let formed = cluster.run_until(Duration::from_secs(5), |cluster| {
+        cluster.now > Duration::from_secs(2) && cluster.are_all_fresh()
+    });
+    cluster.assert_holds(formed.is_some(), "the tree forms");
+    cluster
 }
 
 /// Teaches the roots something new.
-fn teach(world: &mut World, versions: &mut u64) -> Entry {
+fn learn_new_entry(cluster: &mut Cluster, versions: &mut u64) -> Entry {
     *versions += 1;
-    let number = world.rng.usize(0..STORES);
-    let entry = if world.rng.u8(0..4) == 0 { gone(number, *versions) } else { store(number, *versions) };
-    world.learn(entry.clone());
+    let number = cluster.rng.usize(0..STORES);
+    let entry =
+        if cluster.rng.u8(0..4) == 0 { tombstone(number, *versions) } else { store(number, *versions) };
+    cluster.learn_at_roots(entry.clone());
     entry
 }
 
-fn any(world: &mut World) -> SocketAddr {
-    let nodes: Vec<SocketAddr> = world.nodes.keys().copied().collect();
-    nodes[world.rng.usize(0..nodes.len())]
+fn random_node(cluster: &mut Cluster) -> SocketAddr {
+    let nodes: Vec<SocketAddr> = cluster.nodes.keys().copied().collect();
+    nodes[cluster.rng.usize(0..nodes.len())]
 }
 
 /// One fault at random.
-fn disturb(world: &mut World) {
-    let victim = any(world);
-    let pause = ms(world.rng.u64(50..3000));
-    match world.rng.u8(0..8) {
+fn inject_fault(cluster: &mut Cluster) {
+    let victim = random_node(cluster);
+    let pause = millis(cluster.rng.u64(50..3000));
+    match cluster.rng.u8(0..8) {
         0 => {
-            world.kill(victim);
-            world.start_after(pause, victim);
+            cluster.kill(victim);
+            cluster.start_after(pause, victim);
         }
         1 => {
-            world.darken(victim);
-            world.start_after(pause, victim);
+            cluster.power_off(victim);
+            cluster.start_after(pause, victim);
         }
-        2 => world.freeze(victim, pause),
+        2 => cluster.pause(victim, pause),
         3 => {
-            let other = any(world);
-            world.cut(victim, other);
+            let other = random_node(cluster);
+            cluster.block_link(victim, other);
         }
         4 => {
-            let other = any(world);
-            world.cuts.insert((victim, other));
+            let other = random_node(cluster);
+            cluster.blocked_links.insert((victim, other));
         }
         5 => {
-            for other in world.nodes.keys().copied().collect::<Vec<_>>() {
-                world.cut(victim, other);
+            for other in cluster.nodes.keys().copied().collect::<Vec<_>>() {
+                cluster.block_link(victim, other);
             }
         }
-        6 => world.chain_up = !world.chain_up,
+        6 => cluster.ticks_enabled = !cluster.ticks_enabled,
         _ => {
-            let roots = world.with_role(Role::Control);
-            let root = roots[world.rng.usize(0..roots.len())];
-            world.leave_chain(root);
+            let roots = cluster.with_role(Role::Control);
+            let root = roots[cluster.rng.usize(0..roots.len())];
+            cluster.separate_root(root);
         }
     }
 }
 
 /// Some faults end at random.
-fn mend(world: &mut World) {
-    world.chain_up |= world.rng.bool();
-    let kept: Vec<_> = world.cuts.iter().copied().filter(|_| world.rng.u8(0..4) > 0).collect();
-    world.cuts = kept.into_iter().collect();
-    for root in world.outside_chain.clone() {
-        if world.rng.bool() {
-            world.rejoin_chain(root);
+fn heal_fault(cluster: &mut Cluster) {
+    cluster.ticks_enabled |= cluster.rng.bool();
+    let kept: Vec<_> = cluster.blocked_links.iter().copied().filter(|_| cluster.rng.u8(0..4) > 0).collect();
+    cluster.blocked_links = kept.into_iter().collect();
+    for root in cluster.separated_roots.clone() {
+        if cluster.rng.bool() {
+            cluster.reconnect_root(root);
         }
     }
 }
 
-fn end_all_faults(world: &mut World) {
-    world.cuts.clear();
-    world.chain_up = true;
-    for root in world.outside_chain.clone() {
-        world.rejoin_chain(root);
+fn end_all_faults(cluster: &mut Cluster) {
+    cluster.blocked_links.clear();
+    cluster.ticks_enabled = true;
+    for root in cluster.separated_roots.clone() {
+        cluster.reconnect_root(root);
     }
-    world.run(Duration::from_secs(4));
-    world.expect(world.nodes.values().all(|node| node.runs()), "all nodes run again");
+    cluster.run(Duration::from_secs(4));
+    cluster.assert_holds(cluster.nodes.values().all(|node| node.is_running()), "all nodes run again");
 }
 
 #[test]
-fn any_faults_leave_copies_sound_and_the_tree_heals() {
+fn random_faults_leave_copies_consistent_and_the_tree_recovers() {
     for seed in seeds(SEEDS) {
-        let mut world = calm(seed);
+        let mut cluster = steady_cluster(seed);
         let mut versions = 0;
         for _ in 0..150 {
-            if world.rng.bool() {
-                disturb(&mut world);
+            if cluster.rng.bool() {
+                inject_fault(&mut cluster);
             }
-            if world.rng.u8(0..3) == 0 {
-                mend(&mut world);
+            if cluster.rng.u8(0..3) == 0 {
+                heal_fault(&mut cluster);
             }
-            teach(&mut world, &mut versions);
-            let pause = world.rng.u64(1..400);
-            world.run(ms(pause));
+            learn_new_entry(&mut cluster, &mut versions);
+            let pause = cluster.rng.u64(1..400);
+            cluster.run(millis(pause));
         }
-        end_all_faults(&mut world);
-        world.expect(world.all_fresh(), "all nodes are fresh again");
-        for (_, entry) in world.learned.clone() {
-            let lacking = world.lacking(&entry);
-            world.expect(lacking.is_empty(), &format!("{lacking:?} lack {entry:?}"));
+        end_all_faults(&mut cluster);
+        cluster.assert_holds(cluster.are_all_fresh(), "all nodes are fresh again");
+        for (_, entry) in cluster.learned.clone() {
+            let nodes_lacking = cluster.nodes_lacking(&entry);
+            cluster.assert_holds(nodes_lacking.is_empty(), &format!("{nodes_lacking:?} lack {entry:?}"));
         }
     }
 }
 
-/// How a part of the nodes fails at once.
+/// How a part of the nodes fails together.
 #[derive(Clone, Copy, Debug)]
 enum Failure {
     Killed,
-    Dark,
-    Frozen,
-    CutOff,
-    CutOffOneWay,
+    PoweredOff,
+    Paused,
+    Isolated,
+    IsolatedOneWay,
 }
 
-fn fail(world: &mut World, victim: SocketAddr, failure: Failure) {
-    let others: Vec<SocketAddr> = world.nodes.keys().copied().collect();
+fn fail(cluster: &mut Cluster, victim: SocketAddr, failure: Failure) {
+    let others: Vec<SocketAddr> = cluster.nodes.keys().copied().collect();
     match failure {
-        Failure::Killed => world.kill(victim),
-        Failure::Dark => world.darken(victim),
-        Failure::Frozen => world.freeze(victim, Duration::from_secs(3600)),
-        Failure::CutOff => others.into_iter().for_each(|other| world.cut(victim, other)),
-        Failure::CutOffOneWay => world.cuts.extend(others.into_iter().map(|other| (victim, other))),
+        Failure::Killed => cluster.kill(victim),
+        Failure::PoweredOff => cluster.power_off(victim),
+        Failure::Paused => cluster.pause(victim, Duration::from_secs(3600)),
+        Failure::Isolated => others.into_iter().for_each(|other| cluster.block_link(victim, other)),
+        Failure::IsolatedOneWay => {
+            cluster.blocked_links.extend(others.into_iter().map(|other| (victim, other)))
+        }
     }
 }
 
 #[parameterized(
     killed = { Failure::Killed },
-    dark = { Failure::Dark },
-    frozen = { Failure::Frozen },
-    cut_off = { Failure::CutOff },
-    cut_off_one_way = { Failure::CutOffOneWay },
+    is_powered_off = { Failure::PoweredOff },
+    is_paused = { Failure::Paused },
+    isolate = { Failure::Isolated },
+    cut_off_one_way = { Failure::IsolatedOneWay },
 )]
-fn what_a_fresh_root_learns_reaches_all_others_in_time(failure: Failure) {
+fn an_entry_learned_during_a_failure_reaches_all_nodes_in_time(failure: Failure) {
     for seed in seeds(SEEDS) {
-        let mut world = calm(seed);
+        let mut cluster = steady_cluster(seed);
         let mut versions = 0;
-        let mut nodes: Vec<SocketAddr> = world.nodes.keys().copied().collect();
-        world.rng.shuffle(&mut nodes);
+        let mut nodes: Vec<SocketAddr> = cluster.nodes.keys().copied().collect();
+        cluster.rng.shuffle(&mut nodes);
         // Two control nodes, and a fifth of the others.
         let (control, others): (Vec<_>, Vec<_>) =
-            nodes.into_iter().partition(|at| world.nodes[at].role == Role::Control);
+            nodes.into_iter().partition(|at| cluster.nodes[at].role == Role::Control);
         let victims: Vec<SocketAddr> =
             control.into_iter().take(2).chain(others.into_iter().take((EDGES + BACKENDS) / 5)).collect();
         for victim in &victims {
-            world.leave_chain(*victim);
-            fail(&mut world, *victim, failure);
+            cluster.separate_root(*victim);
+            fail(&mut cluster, *victim, failure);
         }
         let mut due: BTreeMap<Duration, Entry> = BTreeMap::new();
         for _ in 0..80 {
-            let entry = teach(&mut world, &mut versions);
-            due.insert(world.now + REACH, entry);
-            world.run(ms(50));
-            while let Some(first) = due.first_entry().filter(|first| *first.key() <= world.now) {
+            let entry = learn_new_entry(&mut cluster, &mut versions);
+            due.insert(cluster.now + REACH, entry);
+            cluster.run(millis(50));
+            while let Some(first) = due.first_entry().filter(|first| *first.key() <= cluster.now) {
                 let entry = first.remove();
-                let mut lacking = world.lacking(&entry);
-                lacking.retain(|at| !victims.contains(at));
-                world.expect(lacking.is_empty(), &format!("{} nodes lack {entry:?} in time", lacking.len()));
+                let mut nodes_lacking = cluster.nodes_lacking(&entry);
+                nodes_lacking.retain(|at| !victims.contains(at));
+                cluster.assert_holds(
+                    nodes_lacking.is_empty(),
+                    &format!("{} nodes lack {entry:?} in time", nodes_lacking.len()),
+                );
             }
         }
     }
 }
 
 #[test]
-fn a_standstill_of_the_control_chain_leaves_the_tree_nearly_as_it_is() {
+fn a_pause_of_the_control_chain_leaves_most_parents_unchanged() {
     for seed in seeds(SEEDS) {
-        let mut world = calm(seed);
-        world.run(Duration::from_secs(2));
-        let parents =
-            |world: &World| -> Vec<_> { world.nodes.keys().map(|at| world.relay(*at).parent()).collect() };
-        let before = parents(&world);
-        world.chain_up = false;
-        world.run(Duration::from_secs(4));
-        world.expect(!world.nodes.values().any(|node| node.is_fresh(world.now)), "none is fresh");
-        world.chain_up = true;
-        let again = world.run_until(ms(500), World::all_fresh);
-        world.expect(again.is_some(), "all are fresh soon");
+        let mut cluster = steady_cluster(seed);
+        cluster.run(Duration::from_secs(2));
+        let parents = |cluster: &Cluster| -> Vec<_> {
+            cluster.nodes.keys().map(|at| cluster.relay(*at).parent()).collect()
+        };
+        let before = parents(&cluster);
+        cluster.ticks_enabled = false;
+        cluster.run(Duration::from_secs(4));
+        cluster.assert_holds(!cluster.nodes.values().any(|node| node.is_fresh(cluster.now)), "none is fresh");
+        cluster.ticks_enabled = true;
+        let again = cluster.run_until(millis(500), Cluster::are_all_fresh);
+        cluster.assert_holds(again.is_some(), "all are fresh soon");
         // Those that happen to ask a root between its first tick and their own parent's may change.
-        let after = parents(&world);
+        let after = parents(&cluster);
         let changed = before.iter().zip(&after).filter(|(before, after)| before != after).count();
-        world.expect(changed <= before.len() / 10, &format!("{changed} nodes changed their parent"));
+        cluster.assert_holds(changed <= before.len() / 10, &format!("{changed} nodes changed their parent"));
     }
 }
 
 #[test]
-fn an_island_without_a_root_is_soon_stale_and_stays_so_until_the_cut_heals() {
+fn nodes_separated_from_all_roots_are_stale_until_the_network_partition_heals() {
     for seed in seeds(SEEDS) {
-        let mut world = calm(seed);
-        let mut edges = world.with_role(Role::Edge);
-        world.rng.shuffle(&mut edges);
+        let mut cluster = steady_cluster(seed);
+        let mut edges = cluster.with_role(Role::Edge);
+        cluster.rng.shuffle(&mut edges);
         let (island, mainland) = edges.split_at(30);
         for inside in island {
-            for outside in mainland.iter().copied().chain(world.with_role(Role::Control)) {
-                world.cut(*inside, outside);
+            for outside in mainland.iter().copied().chain(cluster.with_role(Role::Control)) {
+                cluster.block_link(*inside, outside);
             }
         }
-        world.run(ms(820));
+        cluster.run(millis(820));
         for _ in 0..200 {
-            let fresh = island.iter().filter(|at| world.nodes[*at].is_fresh(world.now)).count();
-            world.expect(fresh == 0, &format!("{fresh} nodes believe in ticks that go round"));
-            world.run(ms(20));
+            let fresh = island.iter().filter(|at| cluster.nodes[*at].is_fresh(cluster.now)).count();
+            cluster.assert_holds(fresh == 0, &format!("{fresh} nodes believe in ticks that go round"));
+            cluster.run(millis(20));
         }
-        world.cuts.clear();
-        let healed = world.run_until(ms(1500), World::all_fresh);
-        world.expect(healed.is_some(), "the island comes back in time");
+        cluster.blocked_links.clear();
+        let healed = cluster.run_until(millis(1500), Cluster::are_all_fresh);
+        cluster.assert_holds(healed.is_some(), "the island comes back in time");
     }
 }
 
 #[test]
-fn a_core_that_starts_again_with_nothing_deletes_nothing() {
+fn control_nodes_that_restart_with_empty_copies_remove_no_entry() {
     for seed in seeds(SEEDS) {
-        let mut world = calm(seed);
+        let mut cluster = steady_cluster(seed);
         for number in 0..STORES {
-            world.learn(store(number, 1));
+            cluster.learn_at_roots(store(number, 1));
         }
-        world.run(Duration::from_secs(2));
-        world.restart_core();
-        world.run(Duration::from_secs(4));
-        world.expect(world.all_fresh(), "all are fresh under the new core");
-        for at in world.with_role(Role::Edge) {
-            let held = world.relay(at).registry().stores().count();
-            world.expect(held == STORES, &format!("{at} holds {held} stores"));
+        cluster.run(Duration::from_secs(2));
+        cluster.restart_control_nodes();
+        cluster.run(Duration::from_secs(4));
+        cluster.assert_holds(cluster.are_all_fresh(), "all are fresh under the new core");
+        for at in cluster.with_role(Role::Edge) {
+            let has_entries = cluster.relay(at).registry().stores().count();
+            cluster.assert_holds(has_entries == STORES, &format!("{at} holds {has_entries} stores"));
         }
     }
 }
 
 #[test]
-fn everything_can_start_again_at_once() {
+fn all_nodes_restarted_together_become_fresh() {
     for seed in seeds(SEEDS) {
-        let mut world = calm(seed);
+        let mut cluster = steady_cluster(seed);
         for number in 0..STORES {
-            world.learn(store(number, 1));
+            cluster.learn_at_roots(store(number, 1));
         }
-        world.run(Duration::from_secs(1));
-        for at in world.nodes.keys().copied().collect::<Vec<_>>() {
-            world.kill(at);
-            let after = ms(world.rng.u64(0..300));
-            world.start_after(after, at);
+        cluster.run(Duration::from_secs(1));
+        for at in cluster.nodes.keys().copied().collect::<Vec<_>>() {
+            cluster.kill(at);
+            let after = millis(cluster.rng.u64(0..300));
+            cluster.start_after(after, at);
         }
-        world.run(ms(2300));
-        world.expect(world.nodes.values().all(|node| node.runs()), "all run");
-        world.expect(world.all_fresh(), "all are fresh");
-        let lacking = world.lacking(&store(STORES - 1, 1));
-        world.expect(lacking.is_empty(), &format!("{lacking:?} lack an entry"));
+        cluster.run(millis(2300));
+        cluster.assert_holds(cluster.nodes.values().all(|node| node.is_running()), "all run");
+        cluster.assert_holds(cluster.are_all_fresh(), "all are fresh");
+        let nodes_lacking = cluster.nodes_lacking(&store(STORES - 1, 1));
+        cluster.assert_holds(nodes_lacking.is_empty(), &format!("{nodes_lacking:?} lack an entry"));
     }
 }
--- a/system/relay/tests/machine.rs
+++ b/system/relay/tests/machine.rs
@@ -1,13 +1,13 @@
-//! One relay alone, message by message: who is taken, what is sent, and what is not believed.
+//! One relay alone, message by message: which children it accepts, what it sends, and what it ignores.
 
-mod world;
+mod cluster;
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
 
+use cluster::{millis, store, store_key, tombstone};
 use gingerledge_relay::{Relay, RelayAction, RelayEvent, RelaySettings};
 use gingerledge_wire::{Entry, FreshnessTick, RelayMessage, Role};
-use world::{gone, ms, store, store_key};
 use yare::parameterized;
 
 const ME: u16 = 1;
@@ -20,20 +20,20 @@
     FreshnessTick { epoch: 1, number }
 }
 
-/// A relay with its clock and what it has sent since one last looked.
-struct Lone {
+/// A relay with its clock and the messages that it has sent since the last query.
+struct SingleRelay {
     relay: Relay,
     now: Duration,
     sent: Vec<(SocketAddr, RelayMessage)>,
 }
 
-impl Lone {
+impl SingleRelay {
     fn new(settings: RelaySettings, root: bool) -> Self {
         let relay = Relay::new(settings, address(ME), root, 1);
-        let mut lone = Self { relay, now: Duration::from_secs(10), sent: Vec::new() };
-        lone.handle(RelayEvent::ControlNodesKnown(vec![address(2), address(3)]));
-        lone.handle(RelayEvent::Started);
-        lone
+        let mut single = Self { relay, now: Duration::from_secs(10), sent: Vec::new() };
+        single.handle(RelayEvent::ControlNodesKnown(vec![address(2), address(3)]));
+        single.handle(RelayEvent::Started);
+        single
     }
 
     /// A root that is fresh.
@@ -42,25 +42,25 @@
     }
 
     fn root_with(settings: RelaySettings) -> Self {
-        let mut lone = Self::new(settings, true);
-        lone.handle(RelayEvent::Tick(tick(1)));
-        lone
+        let mut single = Self::new(settings, true);
+        single.handle(RelayEvent::Tick(tick(1)));
+        single
     }
 
     /// An edge with the subscription that it sent first.
     fn edge() -> (Self, SocketAddr, u64) {
-        let mut lone = Self::new(RelaySettings::for_role(Role::Edge, ""), false);
-        let (parent, subscription) = lone.asked();
-        (lone, parent, subscription)
+        let mut single = Self::new(RelaySettings::for_role(Role::Edge, ""), false);
+        let (parent, subscription) = single.last_subscription();
+        (single, parent, subscription)
     }
 
     /// An edge that is fresh, with its parent and subscription.
     fn fresh_edge() -> (Self, SocketAddr, u64) {
-        let (mut lone, parent, subscription) = Self::edge();
-        lone.message(parent, RelayMessage::SubscribeAccepted { subscription });
-        lone.update(parent, subscription, 1, Vec::new(), tick(1));
-        assert!(lone.relay.is_fresh(lone.now));
-        (lone, parent, subscription)
+        let (mut single, parent, subscription) = Self::edge();
+        single.message(parent, RelayMessage::SubscribeAccepted { subscription });
+        single.update(parent, subscription, 1, Vec::new(), tick(1));
+        assert!(single.relay.is_fresh(single.now));
+        (single, parent, subscription)
     }
 
     fn handle(&mut self, event: RelayEvent) {
@@ -102,7 +102,7 @@
     fn run(&mut self, time: Duration) {
         let until = self.now + time;
         while let Some(at) = self.relay.next_timer().filter(|at| *at <= until) {
-            assert!(at > self.now, "a timer that is due at once, a busy loop");
+            assert!(at > self.now, "a timer that is due now, a busy loop");
             self.now = at;
             self.handle(RelayEvent::TimerExpired);
         }
@@ -134,24 +134,24 @@
         std::mem::take(&mut self.sent)
     }
 
-    fn takes(&mut self, number: u16, free_child_slots: u16) -> bool {
+    fn accepts(&mut self, number: u16, free_child_slots: u16) -> bool {
         self.subscribe(number, free_child_slots)
             .iter()
             .any(|(_, message)| matches!(message, RelayMessage::SubscribeAccepted { .. }))
     }
 
-    /// Whom a node is sent to that isn't taken.
-    fn others(&mut self, number: u16) -> Vec<SocketAddr> {
+    /// The alternatives named to a node that is declined.
+    fn alternatives_for(&mut self, number: u16) -> Vec<SocketAddr> {
         let sent = self.subscribe(number, 8);
-        let others = sent.into_iter().find_map(|(_, message)| match message {
+        let alternatives_for = sent.into_iter().find_map(|(_, message)| match message {
             RelayMessage::SubscribeDeclined { alternatives, .. } => Some(alternatives),
             _ => None,
         });
-        others.expect("declined")
+        alternatives_for.expect("declined")
     }
 
     /// The last subscription that was sent.
-    fn asked(&mut self) -> (SocketAddr, u64) {
+    fn last_subscription(&mut self) -> (SocketAddr, u64) {
         let last = self.sent.drain(..).rev().find_map(|(to, message)| match message {
             RelayMessage::Subscribe { subscription, .. } => Some((to, subscription)),
             _ => None,
@@ -159,7 +159,7 @@
         last.expect("a subscription")
     }
 
-    fn left(&self, peer: SocketAddr) -> bool {
+    fn has_unsubscribed(&self, peer: SocketAddr) -> bool {
         self.sent
             .iter()
             .any(|(to, message)| *to == peer && matches!(message, RelayMessage::Unsubscribe { .. }))
@@ -177,152 +177,162 @@
 }
 
 #[test]
-fn children_are_bounded_and_the_rest_is_sent_to_the_emptiest() {
-    let mut root = Lone::root();
+fn children_are_bounded_and_further_nodes_are_redirected_to_the_least_loaded() {
+    let mut root = SingleRelay::root();
     for number in 10..34 {
-        assert!(root.takes(number, 8));
+        assert!(root.accepts(number, 8));
     }
-    let first = root.others(100);
+    let first = root.alternatives_for(100);
     assert_eq!(first.len(), 4);
-    let second = root.others(101);
+    let second = root.alternatives_for(101);
     assert!(first.iter().all(|named| !second.contains(named)), "each naming counts");
     for number in 10..34 {
         let free_child_slots = if number == 20 { 3 } else { 0 };
         let received = RelayMessage::Ack { subscription: number.into(), sequence: 1, free_child_slots };
         root.message(address(number), received);
     }
-    assert_eq!(root.others(102), vec![address(20)], "only this one has room");
-    assert!(root.takes(15, 8), "one that subscribes again keeps its place");
-    assert_eq!(root.relay.children(), 24);
+    assert_eq!(root.alternatives_for(102), vec![address(20)], "only this one has room");
+    assert!(root.accepts(15, 8), "one that subscribes again keeps its place");
+    assert_eq!(root.relay.child_count(), 24);
 }
 
 #[test]
-fn nodes_that_take_no_children_leave_places_for_those_that_do() {
-    let mut root = Lone::root();
-    let taken = (10..60).filter(|number| root.takes(*number, 0)).count();
-    assert_eq!(taken, 18);
-    let taken = (100..150).filter(|number| root.takes(*number, 8)).count();
-    assert_eq!(taken, 6);
+fn some_slots_are_reserved_for_nodes_that_accept_children() {
+    let mut root = SingleRelay::root();
+    let accepted = (10..60).filter(|number| root.accepts(*number, 0)).count();
+    assert_eq!(accepted, 18);
+    let accepted = (100..150).filter(|number| root.accepts(*number, 8)).count();
+    assert_eq!(accepted, 6);
 }
 
 #[test]
-fn an_edge_whose_own_places_are_taken_still_counts_as_one_that_takes_children() {
-    let mut root = Lone::root();
+fn an_edge_without_free_slots_still_counts_as_one_that_accepts_children() {
+    let mut root = SingleRelay::root();
     for number in 10..34 {
         let sent = root.subscribe_with(number, 0, 8);
         assert!(sent.iter().any(|(_, message)| matches!(message, RelayMessage::SubscribeAccepted { .. })));
     }
-    assert!(root.others(50).is_empty(), "none of them has room");
+    assert!(root.alternatives_for(50).is_empty(), "none of them has room");
 }
 
 #[test]
-fn a_backend_takes_nobody() {
-    let mut backend = Lone::root_with(RelaySettings::for_role(Role::Backend, ""));
-    assert!(!backend.takes(10, 8));
+fn a_backend_accepts_no_children() {
+    let mut backend = SingleRelay::root_with(RelaySettings::for_role(Role::Backend, ""));
+    assert!(!backend.accepts(10, 8));
 }
 
 #[test]
-fn a_node_that_is_not_fresh_takes_nobody() {
-    let mut root = Lone::root();
-    assert!(root.takes(10, 8));
-    root.run(ms(801));
-    assert!(!root.takes(11, 8));
+fn a_node_that_is_not_fresh_accepts_no_children() {
+    let mut root = SingleRelay::root();
+    assert!(root.accepts(10, 8));
+    root.run(millis(801));
+    assert!(!root.accepts(11, 8));
     root.handle(RelayEvent::Tick(tick(2)));
-    assert!(root.takes(11, 8));
+    assert!(root.accepts(11, 8));
 }
 
 #[test]
-fn a_node_takes_neither_its_parent_nor_one_that_it_asks_nor_itself() {
-    let (mut edge, parent, _) = Lone::fresh_edge();
+fn a_node_accepts_neither_its_parent_nor_a_pending_one_nor_itself() {
+    let (mut edge, parent, _) = SingleRelay::fresh_edge();
     let number = if parent == address(2) { 2 } else { 3 };
-    assert!(!edge.takes(number, 8));
-    assert!(!edge.takes(ME, 8));
+    assert!(!edge.accepts(number, 8));
+    assert!(!edge.accepts(ME, 8));
     edge.handle(RelayEvent::PeerDisconnected { peer: parent });
-    let (asked, _) = edge.asked();
-    let number = if asked == address(2) { 2 } else { 3 };
-    assert!(!edge.takes(number, 8));
-    assert!(edge.takes(50, 8));
+    let (last_subscription, _) = edge.last_subscription();
+    let number = if last_subscription == address(2) { 2 } else { 3 };
+    assert!(!edge.accepts(number, 8));
+    assert!(edge.accepts(50, 8));
 }
 
 #[test]
 fn a_missing_update_ends_the_subscription() {
-    let (mut edge, parent, subscription) = Lone::fresh_edge();
+    let (mut edge, parent, subscription) = SingleRelay::fresh_edge();
     edge.update(parent, subscription, 3, vec![store(1, 1)], tick(2));
-    assert!(edge.left(parent));
+    assert!(edge.has_unsubscribed(parent));
     assert_eq!(edge.relay.parent(), None);
     assert_eq!(edge.relay.registry().len(), 0);
-    edge.asked();
+    edge.last_subscription();
 }
 
 #[test]
-fn what_is_older_changes_nothing() {
-    let (mut edge, parent, subscription) = Lone::fresh_edge();
-    edge.update(parent, subscription, 2, vec![store(1, 5), gone(2, 5)], tick(2));
-    edge.update(parent, subscription, 3, vec![store(1, 4), gone(1, 4), store(2, 5), store(2, 4)], tick(3));
+fn older_entries_change_nothing() {
+    let (mut edge, parent, subscription) = SingleRelay::fresh_edge();
+    edge.update(parent, subscription, 2, vec![store(1, 5), tombstone(2, 5)], tick(2));
+    edge.update(
+        parent,
+        subscription,
+        3,
+        vec![store(1, 4), tombstone(1, 4), store(2, 5), store(2, 4)],
+        tick(3),
+    );
     let known: Vec<Entry> = edge.relay.registry().entries().cloned().collect();
-    assert_eq!(known, vec![store(1, 5), gone(2, 5)]);
-    edge.update(parent, subscription, 4, vec![gone(1, 5), store(2, 6)], tick(4));
+    assert_eq!(known, vec![store(1, 5), tombstone(2, 5)]);
+    edge.update(parent, subscription, 4, vec![tombstone(1, 5), store(2, 6)], tick(4));
     let known: Vec<Entry> = edge.relay.registry().entries().cloned().collect();
-    assert_eq!(known, vec![gone(1, 5), store(2, 6)]);
+    assert_eq!(known, vec![tombstone(1, 5), store(2, 6)]);
 }
 
 #[test]
-fn a_tombstone_goes_when_its_time_is_over_wherever_it_came_from() {
-    let (mut edge, parent, subscription) = Lone::fresh_edge();
+fn a_tombstone_expires_by_its_age_wherever_it_came_from() {
+    let (mut edge, parent, subscription) = SingleRelay::fresh_edge();
     let update = |sequence, entries, tombstone_ages_ms| {
         let (tick, tick_age_ms) = (tick(sequence), 0);
         RelayMessage::Update { subscription, sequence, entries, tombstone_ages_ms, tick, tick_age_ms }
     };
     edge.message(parent, update(2, vec![store(3, 1)], Vec::new()));
-    edge.message(parent, update(3, vec![gone(1, 1), gone(2, 1), gone(3, 2)], vec![0, 100_000, 100_000]));
-    let held =
-        |edge: &Lone| [1, 2, 3].map(|number| edge.relay.registry().entry(&store_key(number)).is_some());
+    edge.message(
+        parent,
+        update(3, vec![tombstone(1, 1), tombstone(2, 1), tombstone(3, 2)], vec![0, 100_000, 100_000]),
+    );
+    let has_entries = |edge: &SingleRelay| {
+        [1, 2, 3].map(|number| edge.relay.registry().entry(&store_key(number)).is_some())
+    };
     for (seconds, expected) in
         [(19, [true, true, true]), (2, [true, false, true]), (40, [true, false, false]), (60, [false; 3])]
     {
         edge.run(Duration::from_secs(seconds));
-        assert_eq!(held(&edge), expected);
+        assert_eq!(has_entries(&edge), expected);
     }
 }
 
 #[test]
-fn a_silent_parent_is_left_and_the_other_asked_at_once() {
-    let (mut edge, parent, _) = Lone::fresh_edge();
-    edge.run(ms(599));
+fn a_parent_that_times_out_is_left_and_another_is_tried() {
+    let (mut edge, parent, _) = SingleRelay::fresh_edge();
+    edge.run(millis(599));
     assert_eq!(edge.relay.parent(), Some(parent));
-    edge.run(ms(2));
+    edge.run(millis(2));
     assert_eq!(edge.relay.parent(), None);
-    assert_ne!(edge.asked().0, parent);
+    assert_ne!(edge.last_subscription().0, parent);
 }
 
 #[test]
 fn a_parent_without_ticks_is_kept_until_another_accepts() {
-    let (mut edge, parent, subscription) = Lone::fresh_edge();
+    let (mut edge, parent, subscription) = SingleRelay::fresh_edge();
     for sequence in 2..7 {
-        edge.run(ms(200));
+        edge.run(millis(200));
         edge.update(parent, subscription, sequence, Vec::new(), tick(1));
     }
     assert!(!edge.relay.is_fresh(edge.now));
     assert_eq!(edge.relay.parent(), Some(parent));
-    let (other, subscription) = edge.asked();
+    let (other, subscription) = edge.last_subscription();
     assert_ne!(other, parent);
     edge.message(other, RelayMessage::SubscribeAccepted { subscription });
-    assert!(edge.left(parent));
+    assert!(edge.has_unsubscribed(parent));
     assert_eq!(edge.relay.parent(), Some(other));
 }
 
 #[test]
-fn what_waited_during_a_standstill_is_not_believed() {
-    let (mut edge, parent, subscription) = Lone::fresh_edge();
+fn an_update_that_waited_during_a_pause_does_not_make_a_node_fresh() {
+    let (mut edge, parent, subscription) = SingleRelay::fresh_edge();
     // No timer ran meanwhile.
-    edge.now += ms(5000);
+    edge.now += millis(5000);
     edge.update(parent, subscription, 2, Vec::new(), tick(2));
     assert!(!edge.relay.is_fresh(edge.now));
 }
 
 #[test]
-fn a_tick_of_too_great_an_age_proves_nothing() {
-    let (mut edge, parent, subscription) = Lone::edge();
+fn a_tick_older_than_the_freshness_limit_does_not_make_a_node_fresh() {
+    let (mut edge, parent, subscription) = SingleRelay::edge();
     let update = |sequence, number, tick_age_ms| {
         let (entries, tick) = (Vec::new(), tick(number));
         RelayMessage::Update {
@@ -339,22 +349,22 @@
     edge.message(parent, update(2, 2, 700));
     assert!(edge.relay.is_fresh(edge.now));
     edge.message(parent, update(3, 2, 5));
-    edge.run(ms(101));
+    edge.run(millis(101));
     assert!(!edge.relay.is_fresh(edge.now), "the same tick doesn't grow younger");
 }
 
 #[test]
 fn lower_ticks_count_only_for_a_node_that_is_no_longer_fresh() {
-    let (mut edge, parent, subscription) = Lone::edge();
+    let (mut edge, parent, subscription) = SingleRelay::edge();
     edge.update(parent, subscription, 1, Vec::new(), tick(100));
     // The parent's own parent counts anew, from here on.
     for (sequence, number) in (2..).zip(1..4) {
-        edge.run(ms(190));
+        edge.run(millis(190));
         edge.update(parent, subscription, sequence, Vec::new(), tick(number));
     }
-    edge.run(ms(224));
+    edge.run(millis(224));
     assert!(edge.relay.is_fresh(edge.now), "as long as the first tick counts");
-    edge.run(ms(2));
+    edge.run(millis(2));
     assert!(!edge.relay.is_fresh(edge.now), "lower ones meanwhile proved nothing");
     edge.update(parent, subscription, 5, Vec::new(), tick(3));
     assert!(!edge.relay.is_fresh(edge.now), "it doesn't rise");
@@ -364,22 +374,22 @@
 
 #[test]
 fn a_subscription_that_begins_without_freshness_may_begin_with_any_tick() {
-    let (mut edge, _, _) = Lone::fresh_edge();
-    edge.run(ms(900));
+    let (mut edge, _, _) = SingleRelay::fresh_edge();
+    edge.run(millis(900));
     edge.sent.clear();
     for _ in 0..100 {
         if edge.sent.is_empty() {
-            edge.run(ms(10));
+            edge.run(millis(10));
         }
     }
-    let (parent, subscription) = edge.asked();
+    let (parent, subscription) = edge.last_subscription();
     edge.update(parent, subscription, 1, Vec::new(), FreshnessTick { epoch: 0, number: 1 });
     assert!(edge.relay.is_fresh(edge.now));
 }
 
 #[test]
-fn strangers_are_told_that_their_subscription_is_over() {
-    let (mut edge, _, _) = Lone::fresh_edge();
+fn messages_of_unknown_subscriptions_are_answered_by_unsubscribe() {
+    let (mut edge, _, _) = SingleRelay::fresh_edge();
     let stranger = address(99);
     for message in [
         RelayMessage::SubscribeAccepted { subscription: 7 },
@@ -395,7 +405,7 @@
     ] {
         edge.sent.clear();
         edge.message(stranger, message);
-        assert!(edge.left(stranger));
+        assert!(edge.has_unsubscribed(stranger));
     }
     assert_eq!(edge.relay.registry().len(), 0);
     edge.sent.clear();
@@ -408,11 +418,11 @@
 }
 
 #[test]
-fn a_copy_goes_in_bounded_frames_and_the_tick_with_the_last() {
+fn a_full_copy_is_sent_in_bounded_updates_and_the_tick_with_the_last() {
     let mut settings = RelaySettings::for_role(Role::Control, "");
-    settings.update_bytes = 8 * 1024;
-    settings.window_bytes = 32 * 1024;
-    let mut root = Lone::root_with(settings);
+    settings.max_update_bytes = 8 * 1024;
+    settings.max_inflight_bytes = 32 * 1024;
+    let mut root = SingleRelay::root_with(settings);
     root.handle(RelayEvent::EntriesLearned((0..2000).map(|number| store(number, 1)).collect()));
     let mut entries = 0;
     let mut sequence = 0;
@@ -420,32 +430,32 @@
     for _ in 0..100 {
         let updates = root.updates();
         assert!(updates.len() <= 5, "no more than the window: {}", updates.len());
-        for (taken, newest) in updates {
+        for (received, newest) in updates {
             sequence += 1;
-            entries += taken.len();
+            entries += received.len();
             let bytes =
-                bincode::serde::encode_to_vec(&taken, bincode::config::standard()).expect("encodes").len();
+                bincode::serde::encode_to_vec(&received, bincode::config::standard()).expect("encodes").len();
             assert!(bytes <= 8 * 1024 + 256, "{bytes} bytes in one update");
             assert_eq!(newest == tick(1), entries == 2000, "the tick comes with the last of it");
         }
         if entries == 2000 {
             return;
         }
-        root.run(ms(5));
+        root.run(millis(5));
         root.message(address(10), RelayMessage::Ack { subscription: 10, sequence, free_child_slots: 8 });
     }
     panic!("the copy didn't arrive");
 }
 
 #[test]
-fn only_what_differs_is_sent() {
+fn only_buckets_that_differ_are_sent() {
     let entries: Vec<Entry> = (0..5000).map(|number| store(number, 1)).collect();
-    let mut root = Lone::root();
+    let mut root = SingleRelay::root();
     root.handle(RelayEvent::EntriesLearned(entries.clone()));
-    let (mut edge, parent, subscription) = Lone::edge();
+    let (mut edge, parent, subscription) = SingleRelay::edge();
     edge.update(parent, subscription, 1, entries, tick(1));
     edge.handle(RelayEvent::PeerDisconnected { peer: parent });
-    let subscribe = |edge: &mut Lone| {
+    let subscribe = |edge: &mut SingleRelay| {
         let sent = std::mem::take(&mut edge.sent);
         let last =
             sent.into_iter().rev().find(|(_, message)| matches!(message, RelayMessage::Subscribe { .. }));
@@ -462,103 +472,110 @@
 }
 
 #[test]
-fn changes_go_at_once_and_then_together() {
-    let mut root = Lone::root();
-    root.takes(10, 8);
-    root.run(ms(25));
+fn the_first_change_is_sent_without_delay_and_later_ones_are_batched() {
+    let mut root = SingleRelay::root();
+    root.accepts(10, 8);
+    root.run(millis(25));
     root.sent.clear();
     root.handle(RelayEvent::EntriesLearned(vec![store(1, 1)]));
-    assert_eq!(root.updates().len(), 1, "the first goes at once");
+    assert_eq!(root.updates().len(), 1, "the first is sent without delay");
     for version in 2..20 {
-        root.now += ms(1);
+        root.now += millis(1);
         root.handle(RelayEvent::EntriesLearned(vec![store(1, version), store(2, version)]));
     }
     assert_eq!(root.updates().len(), 0);
-    root.run(ms(20));
+    root.run(millis(20));
     let updates = root.updates();
     assert_eq!(updates.len(), 1);
     assert_eq!(updates[0].0, vec![store(1, 19), store(2, 19)], "each once, the newest");
 }
 
 #[test]
-fn a_child_too_far_behind_is_dropped() {
+fn a_child_behind_the_change_log_is_dropped() {
     let mut settings = RelaySettings::for_role(Role::Control, "");
-    settings.window_bytes = 1024;
-    settings.max_pending = 100;
-    let mut root = Lone::root_with(settings);
-    root.takes(10, 8);
+    settings.max_inflight_bytes = 1024;
+    settings.max_logged_changes = 100;
+    let mut root = SingleRelay::root_with(settings);
+    root.accepts(10, 8);
     for number in 0..300 {
-        root.run(ms(5));
+        root.run(millis(5));
         root.handle(RelayEvent::EntriesLearned(vec![store(number, 1)]));
         root.handle(RelayEvent::Tick(tick(number as u64 + 2)));
     }
-    assert!(root.left(address(10)));
-    assert_eq!(root.relay.children(), 0);
+    assert!(root.has_unsubscribed(address(10)));
+    assert_eq!(root.relay.child_count(), 0);
 }
 
 #[parameterized(
-    silent = { false, 0 },
+    no_acknowledgements = { false, 0 },
     answering = { true, 1 },
 )]
-fn a_child_that_says_nothing_is_dropped(answers: bool, children: usize) {
-    let mut root = Lone::root();
-    root.takes(10, 8);
+fn a_child_without_acknowledgements_is_dropped(answers: bool, children: usize) {
+    let mut root = SingleRelay::root();
+    root.accepts(10, 8);
     for sequence in 1..5 {
-        root.run(ms(1000));
+        root.run(millis(1000));
         if answers {
             root.message(address(10), RelayMessage::Ack { subscription: 10, sequence, free_child_slots: 8 });
         }
     }
-    assert_eq!(root.relay.children(), children);
+    assert_eq!(root.relay.child_count(), children);
 }
 
 #[test]
-fn attempts_without_answer_grow_rare_and_named_nodes_are_asked_at_once() {
-    let (mut edge, _, _) = Lone::edge();
+fn attempts_without_response_back_off_and_alternatives_are_tried_without_delay() {
+    let (mut edge, _, _) = SingleRelay::edge();
     edge.run(Duration::from_secs(10));
-    let count =
-        |edge: &Lone| edge.sent.iter().filter(|(_, m)| matches!(m, RelayMessage::Subscribe { .. })).count();
+    let count = |edge: &SingleRelay| {
+        edge.sent.iter().filter(|(_, m)| matches!(m, RelayMessage::Subscribe { .. })).count()
+    };
     let attempts = count(&edge);
     assert!((10..50).contains(&attempts), "{attempts} attempts in 10 s");
-    let (asked, subscription) = edge.asked();
-    edge.message(asked, RelayMessage::SubscribeDeclined { subscription, alternatives: vec![address(70)] });
-    assert_eq!(edge.asked().0, address(70));
+    let (last_subscription, subscription) = edge.last_subscription();
+    edge.message(
+        last_subscription,
+        RelayMessage::SubscribeDeclined { subscription, alternatives: vec![address(70)] },
+    );
+    assert_eq!(edge.last_subscription().0, address(70));
 }
 
 #[test]
-fn a_node_that_all_decline_asks_ever_more_rarely() {
-    let (mut edge, mut asked, mut subscription) = Lone::edge();
+fn a_node_that_all_decline_backs_off() {
+    let (mut edge, mut last_subscription, mut subscription) = SingleRelay::edge();
     let mut attempts = 1;
     let end = edge.now + Duration::from_secs(10);
     while edge.now < end {
-        edge.message(asked, RelayMessage::SubscribeDeclined { subscription, alternatives: Vec::new() });
+        edge.message(
+            last_subscription,
+            RelayMessage::SubscribeDeclined { subscription, alternatives: Vec::new() },
+        );
         while edge.now < end && edge.sent.is_empty() {
-            edge.run(ms(5));
+            edge.run(millis(5));
         }
         if !edge.sent.is_empty() {
             attempts += 1;
-            (asked, subscription) = edge.asked();
+            (last_subscription, subscription) = edge.last_subscription();
         }
     }
     assert!((20..80).contains(&attempts), "{attempts} attempts in 10 s");
 }
 
 #[test]
-fn a_copy_that_let_go_of_everything_describes_itself_as_empty() {
-    let (mut edge, parent, subscription) = Lone::fresh_edge();
+fn a_copy_whose_tombstones_all_expired_has_an_empty_digest() {
+    let (mut edge, parent, subscription) = SingleRelay::fresh_edge();
     edge.update(parent, subscription, 2, vec![store(1, 1), store(2, 1)], tick(2));
-    edge.update(parent, subscription, 3, vec![gone(1, 2), gone(2, 2)], tick(3));
+    edge.update(parent, subscription, 3, vec![tombstone(1, 2), tombstone(2, 2)], tick(3));
     edge.run(Duration::from_secs(121));
     assert!(edge.relay.registry().is_empty());
-    let digest = |relay: &mut Lone| {
+    let digest = |relay: &mut SingleRelay| {
         relay.sent.clear();
         relay.handle(RelayEvent::Tick(tick(9)));
-        relay.run(ms(2000));
+        relay.run(millis(2000));
         relay.sent.iter().rev().find_map(|(_, message)| match message {
             RelayMessage::Subscribe { digest, .. } if !digest.is_empty() => Some(digest.clone()),
             _ => None,
         })
     };
-    let (mut empty, _, _) = Lone::edge();
+    let (mut empty, _, _) = SingleRelay::edge();
     assert_eq!(digest(&mut edge).expect("asks"), digest(&mut empty).expect("asks"));
 }
--- a/system/relay/tests/scale.rs
+++ b/system/relay/tests/scale.rs
@@ -1,11 +1,11 @@
 //! The tree at its target size: how soon it forms, how soon it mends, and what it costs at rest.
 
-mod world;
+mod cluster;
 
 use std::time::Duration;
 
+use cluster::{millis, store, Cluster};
 use gingerledge_wire::Role;
-use world::{ms, store, World};
 
 const CONTROL: usize = 5;
 const BACKENDS: usize = 120;
@@ -13,23 +13,23 @@
 const STORES: usize = 4200;
 
 /// 840 nodes; control nodes begin to listen half a second later than the others start.
-fn target(seed: u64) -> World {
-    let mut world = World::with_nodes(seed, 0, EDGES, BACKENDS, ms(300));
-    world.processor_costs = true;
+fn target_cluster(seed: u64) -> Cluster {
+    let mut cluster = Cluster::with_nodes(seed, 0, EDGES, BACKENDS, millis(300));
+    cluster.charges_processor_time = true;
     for _ in 0..CONTROL {
-        let after = ms(500 + world.rng.u64(0..50));
-        let address = world.add(Role::Control);
-        world.start_after(after, address);
+        let after = millis(500 + cluster.rng.u64(0..50));
+        let address = cluster.add(Role::Control);
+        cluster.start_after(after, address);
     }
-    world
+    cluster
 }
 
 /// How many nodes there are at each depth, and how many hang on no root.
-fn shape(world: &World) -> (Vec<usize>, usize) {
+fn tree_shape(cluster: &Cluster) -> (Vec<usize>, usize) {
     let mut counts = Vec::new();
     let mut apart = 0;
-    for (address, _) in world.nodes.iter().filter(|(_, node)| node.runs()) {
-        match world.depth(*address) {
+    for (address, _) in cluster.nodes.iter().filter(|(_, node)| node.is_running()) {
+        match cluster.depth(*address) {
             Some(depth) => {
                 counts.resize(counts.len().max(depth + 1), 0);
                 counts[depth] += 1;
@@ -40,70 +40,71 @@
     (counts, apart)
 }
 
-/// Checks that all become fresh in time, and stay so, and tells how long it took.
-fn expect_all_fresh(world: &mut World, most: Duration, what: &str) {
-    let took = world.run_until(most, |world| {
-        world.nodes.values().all(|node| node.runs() || node.dark) && world.all_fresh()
+/// Checks that all become fresh in time, and stay so, and prints how long it took.
+fn expect_all_fresh(cluster: &mut Cluster, most: Duration, what: &str) {
+    let took = cluster.run_until(most, |cluster| {
+        cluster.nodes.values().all(|node| node.is_running() || node.is_powered_off) && cluster.are_all_fresh()
     });
-    println!("{what}: all fresh after {took:?}, nodes by depth {:?}", shape(world));
-    world.expect(took.is_some(), what);
+    println!("{what}: all fresh after {took:?}, nodes by depth {:?}", tree_shape(cluster));
+    cluster.assert_holds(took.is_some(), what);
     // Long enough for every tick from before to have lost its force.
     for _ in 0..9 {
-        world.run(ms(100));
-        world.expect(world.all_fresh(), "all stay fresh");
+        cluster.run(millis(100));
+        cluster.assert_holds(cluster.are_all_fresh(), "all stay fresh");
     }
 }
 
 #[test]
-fn a_tree_of_840_forms_and_mends_and_is_cheap_at_rest() {
-    let mut world = target(1);
-    world.run(ms(500));
-    expect_all_fresh(&mut world, ms(1500), "from when the control nodes listen");
-    report(&mut world, "at rest");
+fn a_tree_of_840_nodes_forms_and_recovers_and_costs_little_when_idle() {
+    let mut cluster = target_cluster(1);
+    cluster.run(millis(500));
+    expect_all_fresh(&mut cluster, millis(1500), "from when the control nodes listen");
+    report(&mut cluster, "at rest");
 
     for number in 0..STORES {
-        world.learn(store(number, 1));
+        cluster.learn_at_roots(store(number, 1));
     }
-    let have_all = |world: &World| world.nodes.keys().all(|at| world.relay(*at).registry().len() == STORES);
-    let took = world.run_until(Duration::from_secs(5), have_all);
+    let have_all =
+        |cluster: &Cluster| cluster.nodes.keys().all(|at| cluster.relay(*at).registry().len() == STORES);
+    let took = cluster.run_until(Duration::from_secs(5), have_all);
     println!("{STORES} stores at every node after {took:?}");
-    world.expect(took.is_some(), "stores reach every node");
-    world.run(Duration::from_secs(2));
+    cluster.assert_holds(took.is_some(), "stores reach every node");
+    cluster.run(Duration::from_secs(2));
 
-    let mut victims = world.with_role(Role::Edge);
-    world.rng.shuffle(&mut victims);
+    let mut victims = cluster.with_role(Role::Edge);
+    cluster.rng.shuffle(&mut victims);
     for victim in victims.iter().take(EDGES / 3) {
-        world.darken(*victim);
+        cluster.power_off(*victim);
     }
     // For this long a node can't know that its parent is dark.
-    world.run(ms(800));
-    expect_all_fresh(&mut world, ms(1500), "from 0.8 s after a third of the edges went dark");
-    report(&mut world, "at rest after it");
+    cluster.run(millis(800));
+    expect_all_fresh(&mut cluster, millis(1500), "from 0.8 s after a third of the edges went dark");
+    report(&mut cluster, "at rest after it");
 
-    for at in world.with_role(Role::Control) {
-        world.kill(at);
-        let after = ms(world.rng.u64(400..600));
-        world.start_after(after, at);
+    for at in cluster.with_role(Role::Control) {
+        cluster.kill(at);
+        let after = millis(cluster.rng.u64(400..600));
+        cluster.start_after(after, at);
     }
     // By then no tick of the old core counts any more.
-    world.run(ms(850));
+    cluster.run(millis(850));
     expect_all_fresh(
-        &mut world,
-        ms(1500),
+        &mut cluster,
+        millis(1500),
         "from 0.85 s after the whole core ended, 0.25 s after it runs again",
     );
 }
 
-fn report(world: &mut World, when: &str) {
-    let before: Vec<_> = world.nodes.values().map(|node| (node.sent, node.received)).collect();
+fn report(cluster: &mut Cluster, when: &str) {
+    let before: Vec<_> = cluster.nodes.values().map(|node| (node.sent, node.received)).collect();
     let seconds = 10;
-    world.run(Duration::from_secs(seconds));
+    cluster.run(Duration::from_secs(seconds));
     for role in [Role::Control, Role::Edge, Role::Backend] {
         let mut sums = [0u64; 4];
         let mut most = 0;
         let mut count = 0;
-        for (node, (sent, received)) in world.nodes.values().zip(&before) {
-            if node.role != role || !node.runs() {
+        for (node, (sent, received)) in cluster.nodes.values().zip(&before) {
+            if node.role != role || !node.is_running() {
                 continue;
             }
             count += 1;
