--- a/system/storage/src/disk.rs
+++ b/system/storage/src/disk.rs
@@ -20,7 +20,7 @@
     /// All files of the folder, in any order.
     fn list(&mut self) -> Result<Vec<DiskFile>, StorageError>;
 
-    /// Makes a file of this length that reads as zeros; one that is there already gets this length.
+    /// Creates a file of this length that reads as zeros; one that is there already gets this length.
     fn create(&mut self, name: &str, length: u64) -> Result<(), StorageError>;
 
     /// Fills the buffer with the bytes at this offset; an error if the file ends before.
--- a/system/storage/src/file.rs
+++ b/system/storage/src/file.rs
@@ -18,7 +18,11 @@
 }
 
 impl FileDisk {
-    /// Opens the folder; makes it if it is missing.
+    /// Opens the folder; creates it if it is missing.
+    ///
+    /// # Errors
+    ///
+    /// [`StorageError::Io`] if it can't be created.
     pub fn open(dir: &Path) -> Result<FileDisk, StorageError> {
         let disk = FileDisk { folder: dir.to_owned(), files: BTreeMap::new() };
         if !dir.is_dir() {
--- a/system/storage/src/forgetful.rs
+++ b/system/storage/src/forgetful.rs
@@ -10,7 +10,7 @@
 use crate::error::IoSnafu;
 use crate::{Disk, DiskFile, StorageError};
 
-use state::{Seeded, State};
+use state::{SeededRng, State};
 
 /// A folder in memory. Clones are handles on the same folder: the test keeps one, the ring gets another.
 ///
@@ -32,15 +32,15 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The power goes and comes back: only what was synced is sure to be there. The seed decides about the rest;
-    /// with every fourth seed, all of it is lost. Also ends whatever [`ForgetfulDisk::stop_after`] began.
+    /// The power fails and returns: only what was synced is certain to stay. The seed decides about the rest;
+    /// with every fourth seed, all of it is lost. Also ends the effect of [`ForgetfulDisk::stop_after`].
     pub fn power_loss(&self, seed: u64) {
         let mut state = self.state();
-        state.lose_power(&mut Seeded::new(seed), seed % 4 == 0);
+        state.lose_power(&mut SeededRng::new(seed), seed % 4 == 0);
         state.switch_on();
     }
 
-    /// The process is killed and comes back: the files stay as they were.
+    /// The process is killed and restarted: the files stay as they were.
     pub fn restart(&self) {
         self.state().switch_on();
     }
--- a/system/storage/src/forgetful/state.rs
+++ b/system/storage/src/forgetful/state.rs
@@ -1,4 +1,4 @@
-//! What the folder holds, what of it is durable, and what a loss of power leaves.
+//! The content of the folder, the durable part of it, and the effect of a loss of power.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
@@ -17,9 +17,9 @@
     /// Names as the process sees them, and as they were at the last sync of the folder.
     names: BTreeMap<String, u64>,
     durable_names: BTreeMap<String, u64>,
-    /// Operations until the power goes, if it is to go.
+    /// Operations until the power fails, if it is to fail.
     pub operations_left: Option<u64>,
-    /// The power has gone.
+    /// The power has failed.
     power_is_off: bool,
     pub operations: u64,
     pub bytes_read: u64,
@@ -85,7 +85,7 @@
         if self.full {
             return Err(io::Error::other("no space is left on the disk"));
         }
-        // The write in which the power goes may have reached the disk.
+        // The write in which the power fails may have reached the disk.
         self.file_mut(name)?.change(Change::Write(offset as usize, bytes.to_vec()));
         power
     }
@@ -95,7 +95,7 @@
         let (fail, seed) = (self.fail_syncs, self.operations);
         let file = self.file_mut(name)?;
         if fail {
-            file.abandon(&mut Seeded::new(seed));
+            file.abandon(&mut SeededRng::new(seed));
             return Err(io::Error::other("the disk refuses syncs"));
         }
         file.sync();
@@ -135,7 +135,7 @@
         Ok(())
     }
 
-    /// Counts an operation that changes something; an error if the power goes before it ends.
+    /// Counts an operation that changes something; an error if the power fails before it ends.
     fn count_operation(&mut self) -> io::Result<()> {
         self.check_power()?;
         self.operations += 1;
@@ -156,18 +156,18 @@
         }
     }
 
-    pub fn lose_power(&mut self, seeded: &mut Seeded, lose_all: bool) {
+    pub fn lose_power(&mut self, rng: &mut SeededRng, lose_all: bool) {
         let mut names = BTreeMap::new();
         let all: BTreeSet<&String> = self.names.keys().chain(self.durable_names.keys()).collect();
         for name in all {
             let (visible, durable) = (self.names.get(name), self.durable_names.get(name));
-            let kept = if lose_all || seeded.below(2) == 0 { durable } else { visible };
-            if let Some(id) = kept {
+            let surviving = if lose_all || rng.below(2) == 0 { durable } else { visible };
+            if let Some(id) = surviving {
                 names.insert(name.clone(), *id);
             }
         }
-        self.files.retain(|id, _| names.values().any(|kept| kept == id));
-        self.files.values_mut().for_each(|file| file.lose_power(seeded, lose_all));
+        self.files.retain(|id, _| names.values().any(|surviving| surviving == id));
+        self.files.values_mut().for_each(|file| file.lose_power(rng, lose_all));
         self.durable_names = names.clone();
         self.names = names;
     }
@@ -186,17 +186,17 @@
     }
 
     /// A failed sync: some of the changes became durable, and no later sync covers the others.
-    fn abandon(&mut self, seeded: &mut Seeded) {
+    fn abandon(&mut self, rng: &mut SeededRng) {
         for change in self.pending.drain(..) {
-            change.apply_some(&mut self.durable, seeded);
+            change.apply_some(&mut self.durable, rng);
         }
     }
 
-    fn lose_power(&mut self, seeded: &mut Seeded, lose_all: bool) {
+    fn lose_power(&mut self, rng: &mut SeededRng, lose_all: bool) {
         if lose_all {
             self.pending.clear();
         }
-        self.abandon(seeded);
+        self.abandon(rng);
         self.visible.clone_from(&self.durable);
     }
 }
@@ -210,22 +210,22 @@
     }
 
     /// There, missing, or torn: after some byte, before some sector, or sector by sector.
-    fn apply_some(&self, bytes: &mut Vec<u8>, seeded: &mut Seeded) {
-        match (self, seeded.below(5)) {
+    fn apply_some(&self, bytes: &mut Vec<u8>, rng: &mut SeededRng) {
+        match (self, rng.below(5)) {
             (_, 0) => {}
             (Self::Length(_), _) | (_, 1) => self.apply(bytes),
             (Self::Write(offset, written), 2) => {
-                overwrite(bytes, *offset, written, 0..seeded.below(written.len() + 1));
+                overwrite(bytes, *offset, written, 0..rng.below(written.len() + 1));
             }
             (Self::Write(offset, written), 3) => {
                 let sectors = written.len() / SECTOR_BYTES as usize;
-                let start = seeded.below(sectors + 1) * SECTOR_BYTES as usize;
+                let start = rng.below(sectors + 1) * SECTOR_BYTES as usize;
                 overwrite(bytes, *offset, written, start..written.len());
             }
             (Self::Write(offset, written), _) => {
                 for start in (0..written.len()).step_by(SECTOR_BYTES as usize) {
                     let end = written.len().min(start + SECTOR_BYTES as usize);
-                    if seeded.below(2) == 0 {
+                    if rng.below(2) == 0 {
                         overwrite(bytes, *offset, written, start..end);
                     }
                 }
@@ -234,7 +234,7 @@
     }
 }
 
-/// Writes a part of what was written; the file grows if need be.
+/// Writes a part of what was written; the file grows if necessary.
 fn overwrite(bytes: &mut Vec<u8>, offset: usize, written: &[u8], part: Range<usize>) {
     let (start, end) = (offset + part.start, offset + part.end);
     if bytes.len() < end {
@@ -245,12 +245,12 @@
     }
 }
 
-/// A small generator of random numbers (SplitMix64), so that a seed decides all.
-pub(super) struct Seeded {
+/// A small generator of random numbers (SplitMix64), so that the seed determines everything.
+pub(super) struct SeededRng {
     state: u64,
 }
 
-impl Seeded {
+impl SeededRng {
     pub fn new(seed: u64) -> Self {
         Self { state: seed }
     }
--- a/system/storage/src/frame.rs
+++ b/system/storage/src/frame.rs
@@ -24,7 +24,7 @@
 pub(crate) enum BatchKind {
     /// Follows them.
     Append,
-    /// Takes their place.
+    /// Replaces them.
     Snapshot,
 }
 
@@ -32,8 +32,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Batch {
     pub kind: BatchKind,
-    /// Which opening of the ring wrote it. Never falls along the log; tells a batch from the remains of an
-    /// unfinished one at the same place.
+    /// Which opening of the ring wrote it. Never falls along the log; distinguishes a batch from the remains of an
+    /// unfinished one at the same position.
     pub epoch: u64,
     /// Counts the batches of the log. A batch is written only after the one before it was synced.
     pub number: u64,
@@ -73,7 +73,7 @@
         bytes
     }
 
-    /// The header at the start of these bytes; nothing unless it is whole and makes sense.
+    /// The header at the start of these bytes; none unless it is intact and consistent.
     pub fn decode(bytes: &[u8]) -> Option<Self> {
         let header = bytes.first_chunk::<FRAME_HEADER_BYTES>()?;
         if read_u32(header, 0)? != MAGIC || read_u32(header, 4)? != crc32fast::hash(&header[8..]) {
@@ -118,7 +118,7 @@
     }
 }
 
-/// Bytes of log that a batch of these records takes; nothing if a record is too long for its prefix.
+/// Bytes of log that a batch of these records takes; none if a record is too long for its prefix.
 pub(crate) fn batch_bytes(records: &[Vec<u8>]) -> Option<u64> {
     let mut content = 0;
     for record in records {
--- a/system/storage/src/layout.rs
+++ b/system/storage/src/layout.rs
@@ -1,8 +1,8 @@
-//! Where a position of the log lies: the mapping of one endless address space onto a ring of files.
+//! The layout of the log on the disk: the mapping of one endless address space onto a ring of files.
 //!
-//! Positions count bytes from the first batch ever and never repeat, so a batch left from an earlier round cannot
-//! pass for one of this round. Each file starts with a header block, in which only superblocks are kept; the rest
-//! of the files, one after the other and round again, holds the log. A batch may cross from a file to the next.
+//! Positions count bytes from the first batch ever and never repeat, so a batch left from an earlier pass over the ring
+//! cannot be mistaken for one of this pass. Each file starts with a header block, in which only superblocks are kept; the rest
+//! of the files, one after the other and again from the first, holds the log. A batch may cross from a file to the next.
 
 use std::ops::Range;
 
@@ -23,7 +23,7 @@
 const MAX_FILE_BYTES: u64 = 1 << 40;
 const FILE_PREFIX: &str = "ring-";
 
-/// The shape of a new ring. A ring that is on the disk already keeps the shape it was made with.
+/// The layout of a new ring. A ring that is on the disk already keeps the layout it was created with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RingSettings {
     /// Number of files, from 2 to 256.
@@ -32,7 +32,7 @@
     pub file_bytes: u64,
 }
 
-/// The shape of a ring, checked.
+/// The layout of a ring, checked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Layout {
     files: u64,
@@ -41,7 +41,7 @@
 
 /// A part of a range of positions that lies in one file.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Piece {
+pub(crate) struct Segment {
     /// Index of the file.
     pub file: u64,
     /// Offset in the file.
@@ -87,17 +87,17 @@
     }
 
     /// The parts of a range of positions, in order; each lies in one file.
-    pub fn pieces(self, position: u64, length: usize) -> impl Iterator<Item = Piece> {
+    pub fn segments(self, position: u64, length: usize) -> impl Iterator<Item = Segment> {
         let mut done = 0;
         std::iter::from_fn(move || {
             if done == length {
                 return None;
             }
             let (file, offset) = self.locate(position + done as u64);
-            let room = usize::try_from(self.file_bytes - offset).unwrap_or(usize::MAX);
-            let range = done..done + room.min(length - done);
+            let free_bytes = usize::try_from(self.file_bytes - offset).unwrap_or(usize::MAX);
+            let range = done..done + free_bytes.min(length - done);
             done = range.end;
-            Some(Piece { file, offset, range })
+            Some(Segment { file, offset, range })
         })
     }
 }
--- a/system/storage/src/recovery.rs
+++ b/system/storage/src/recovery.rs
@@ -1,4 +1,4 @@
-//! Recovery: reads the log from its start to its end, and tells an unfinished batch from damage.
+//! Recovery: reads the log from its start to its end, and distinguishes an unfinished batch from damage.
 
 mod assembly;
 mod reader;
@@ -11,14 +11,14 @@
 use crate::volume::Volume;
 use crate::{Disk, StorageError};
 
-use assembly::Assembly;
+use assembly::RecordAssembly;
 use reader::Reader;
 
 /// How far behind an unreadable frame another one is looked for: more than the longest frame, so that damage to
 /// one header does not hide what follows.
 const SEARCH_BYTES: u64 = 2 * FRAME_BYTES as u64;
 
-/// The log as it was found.
+/// The log as it was read.
 pub(crate) struct Log {
     pub snapshot: Vec<Vec<u8>>,
     pub records: Vec<Vec<u8>>,
@@ -34,7 +34,7 @@
     pub last: Option<Batch>,
 }
 
-/// Reads all whole batches from the start that the superblock names.
+/// Reads all complete batches from the start that the superblock names.
 pub(crate) fn read_log<D: Disk>(
     volume: &mut Volume<D>,
     superblock: &Superblock,
@@ -43,8 +43,8 @@
     let mut reader = Reader::new(volume, superblock.start);
     loop {
         match read_batch(&mut reader, &log)? {
-            Found::Whole(batch, records) => log.add(batch, records),
-            Found::Unreadable(unreadable) => {
+            BatchRead::Complete(batch, records) => log.add(batch, records),
+            BatchRead::Unreadable(unreadable) => {
                 check_is_unfinished(&mut reader, &log, superblock, &unreadable)?;
                 return Ok(log);
             }
@@ -89,32 +89,32 @@
     }
 }
 
-/// What stands at the end of the log read so far.
-enum Found {
-    Whole(Batch, Vec<Vec<u8>>),
+/// The next batch after the log read so far.
+enum BatchRead {
+    Complete(Batch, Vec<Vec<u8>>),
     Unreadable(Unreadable),
 }
 
 /// A frame that does not continue the log.
 struct Unreadable {
     position: u64,
-    /// The end of its batch, if an earlier frame of the batch told it.
+    /// The end of its batch, if an earlier frame of the batch holds it.
     batch_end: Option<u64>,
 }
 
-fn read_batch<D: Disk>(reader: &mut Reader<'_, D>, log: &Log) -> Result<Found, StorageError> {
-    let unreadable = |position, batch_end| Ok(Found::Unreadable(Unreadable { position, batch_end }));
+fn read_batch<D: Disk>(reader: &mut Reader<'_, D>, log: &Log) -> Result<BatchRead, StorageError> {
+    let unreadable = |position, batch_end| Ok(BatchRead::Unreadable(Unreadable { position, batch_end }));
     let Some(FrameHeader { batch, .. }) = reader.header(log.head)? else {
         return unreadable(log.head, None);
     };
-    let continues = batch.start == log.head
+    let is_next = batch.start == log.head
         && batch.number == log.next_batch
         && batch.epoch >= log.epoch()
         && batch.end - batch.start <= reader.capacity();
-    if !continues {
+    if !is_next {
         return unreadable(log.head, None);
     }
-    let mut assembly = Assembly::new(batch.end - batch.start);
+    let mut assembly = RecordAssembly::new(batch.end - batch.start);
     let mut position = batch.start;
     while position < batch.end {
         let Some((_, body)) = reader.frame(position)?.filter(|(header, _)| header.batch == batch) else {
@@ -126,7 +126,7 @@
         position += (FRAME_BYTES as u64).min(batch.end - position);
     }
     match assembly.finish() {
-        Some(records) => Ok(Found::Whole(batch, records)),
+        Some(records) => Ok(BatchRead::Complete(batch, records)),
         None => Err(reader.corrupt(batch.start, "the last record of the batch is cut off")),
     }
 }
@@ -149,8 +149,8 @@
 
 /// Whether a batch was written after the unreadable one, which happens only once that one is durable.
 ///
-/// Frames of the unreadable batch itself prove nothing: its writes may have been kept in any order. But they tell
-/// where it ends.
+/// Frames of the unreadable batch itself prove nothing: its writes may have been kept in any order. But they hold
+/// its end.
 fn later_batch_exists<D: Disk>(
     reader: &mut Reader<'_, D>,
     log: &Log,
@@ -180,7 +180,7 @@
     Ok(false)
 }
 
-/// A header that may belong to this log: remains of earlier epochs and rounds do not.
+/// A header that may belong to this log: remains of earlier epochs and passes do not.
 fn header_at<D: Disk>(
     reader: &mut Reader<'_, D>,
     log: &Log,
--- a/system/storage/src/recovery/assembly.rs
+++ b/system/storage/src/recovery/assembly.rs
@@ -1,9 +1,9 @@
-//! Putting records together from the frames of a batch.
+//! Assembles records from the frames of a batch.
 
 use crate::frame::LENGTH_BYTES;
 
 /// The records of a batch, as far as its frames have been read.
-pub(super) struct Assembly {
+pub(super) struct RecordAssembly {
     records: Vec<Vec<u8>>,
     prefix: Vec<u8>,
     /// The record being filled and its length.
@@ -12,22 +12,22 @@
     batch_bytes: u64,
 }
 
-impl Assembly {
+impl RecordAssembly {
     pub fn new(batch_bytes: u64) -> Self {
         Self { records: Vec::new(), prefix: Vec::with_capacity(LENGTH_BYTES), current: None, batch_bytes }
     }
 
-    /// Takes the body of the next frame; false if a record would be longer than its batch.
+    /// Adds the body of the next frame; returns false if a record would be longer than its batch.
     pub fn push(&mut self, mut bytes: &[u8]) -> bool {
         while !bytes.is_empty() {
             match &mut self.current {
                 None => {
-                    take(&mut self.prefix, LENGTH_BYTES, &mut bytes);
+                    fill(&mut self.prefix, LENGTH_BYTES, &mut bytes);
                     if !self.start_record() {
                         return false;
                     }
                 }
-                Some((record, length)) => take(record, *length, &mut bytes),
+                Some((record, length)) => fill(record, *length, &mut bytes),
             }
             self.end_record();
         }
@@ -51,15 +51,15 @@
         }
     }
 
-    /// All records, if the last one is whole.
+    /// All records, if the last one is complete.
     pub fn finish(self) -> Option<Vec<Vec<u8>>> {
         (self.current.is_none() && self.prefix.is_empty()).then_some(self.records)
     }
 }
 
 /// Moves bytes until the target has this length.
-fn take(target: &mut Vec<u8>, length: usize, bytes: &mut &[u8]) {
-    let (now, later) = bytes.split_at((length - target.len()).min(bytes.len()));
-    target.extend_from_slice(now);
-    *bytes = later;
+fn fill(target: &mut Vec<u8>, length: usize, bytes: &mut &[u8]) {
+    let (head, rest) = bytes.split_at((length - target.len()).min(bytes.len()));
+    target.extend_from_slice(head);
+    *bytes = rest;
 }
--- a/system/storage/src/recovery/reader.rs
+++ b/system/storage/src/recovery/reader.rs
@@ -4,7 +4,7 @@
 use crate::volume::Volume;
 use crate::{Disk, StorageError};
 
-/// What is read at once. Several frames, so that many small batches do not cost a read each.
+/// Length of one read. Several frames, so that many small batches do not cost a read each.
 const READ_BYTES: usize = 4 * FRAME_BYTES;
 
 /// Reads the ring from a start on, never more than its capacity.
@@ -31,30 +31,30 @@
 
     /// The bytes at a position; fewer at the end of the ring.
     fn bytes(&mut self, position: u64, length: usize) -> Result<&[u8], StorageError> {
-        let wanted = length.min(self.left(position));
-        if position < self.buffer_start || self.buffered(position) < wanted {
+        let available = length.min(self.remaining(position));
+        if position < self.buffer_start || self.buffered(position) < available {
             self.fill(position)?;
         }
         let from = (position - self.buffer_start) as usize;
-        Ok(self.buffer.get(from..from + wanted).unwrap_or_default())
+        Ok(self.buffer.get(from..from + available).unwrap_or_default())
     }
 
-    /// The header of a frame that belongs at a position; nothing if there is none.
+    /// The header of a frame that belongs at a position; none if there is no valid one.
     pub fn header(&mut self, position: u64) -> Result<Option<FrameHeader>, StorageError> {
         let header = FrameHeader::decode(self.bytes(position, FRAME_HEADER_BYTES)?);
         Ok(header.filter(|header| header.position == position))
     }
 
-    /// The frame at a position, and its body; nothing unless both are whole.
+    /// The frame at a position, and its body; none unless both are intact.
     pub fn frame(&mut self, position: u64) -> Result<Option<(FrameHeader, &[u8])>, StorageError> {
         let Some(header) = self.header(position)? else { return Ok(None) };
         let frame = self.bytes(position, FRAME_HEADER_BYTES + header.body_bytes as usize)?;
         let body = frame.get(FRAME_HEADER_BYTES..).unwrap_or_default();
-        let whole = body.len() == header.body_bytes as usize && crc32fast::hash(body) == header.body_crc;
-        Ok(whole.then_some((header, body)))
+        let is_intact = body.len() == header.body_bytes as usize && crc32fast::hash(body) == header.body_crc;
+        Ok(is_intact.then_some((header, body)))
     }
 
-    fn left(&self, position: u64) -> usize {
+    fn remaining(&self, position: u64) -> usize {
         usize::try_from(self.end.saturating_sub(position)).unwrap_or(usize::MAX)
     }
 
@@ -64,7 +64,7 @@
     }
 
     fn fill(&mut self, position: u64) -> Result<(), StorageError> {
-        let length = READ_BYTES.min(self.left(position));
+        let length = READ_BYTES.min(self.remaining(position));
         self.buffer.clear();
         self.buffer.resize(length, 0);
         self.buffer_start = position;
--- a/system/storage/src/ring.rs
+++ b/system/storage/src/ring.rs
@@ -1,7 +1,7 @@
 //! [`Ring`]: the log of records in its files.
 //!
 //! The log is a sequence of batches. A batch is written only after the one before it was synced. A snapshot is a
-//! batch that takes the place of all before it; once it is durable, a superblock that starts with it is written, and
+//! batch that replaces all before it; once it is durable, a superblock that starts with it is written, and
 //! only once that is durable too, the space before it is used again.
 
 use snafu::ensure;
@@ -15,7 +15,7 @@
 use crate::volume::Volume;
 use crate::{Disk, StorageError};
 
-/// What was on the disk.
+/// The content of the disk.
 #[derive(Debug, Default)]
 pub struct Recovered {
     /// The records of the last snapshot.
@@ -38,13 +38,18 @@
     head: u64,
     next_batch: u64,
     /// A write or a sync failed: what stands at the head is unknown.
-    broken: bool,
+    is_broken: bool,
     buffer: Vec<u8>,
 }
 
 impl<D: Disk> Ring<D> {
-    /// Opens the ring of a folder, or makes one if there is none. A ring that is there keeps its shape, whatever
-    /// the settings say.
+    /// Opens the ring of a folder, or creates one if there is none. A ring that exists keeps its layout, whatever the
+    /// settings are.
+    ///
+    /// # Errors
+    ///
+    /// [`StorageError::Corrupt`] if synced bytes are damaged, [`StorageError::Io`] if the disk fails, and
+    /// [`StorageError::Settings`] if a new ring can't have this layout.
     pub fn open(mut disk: D, settings: RingSettings) -> Result<(Self, Recovered), StorageError> {
         match read_slots(&mut disk)? {
             Slots::Newest(superblock) => Self::recover(disk, superblock),
@@ -95,8 +100,8 @@
         Ok((ring, Recovered { snapshot, records, empty: false }))
     }
 
-    /// Starts a new epoch, so that the remains of an unfinished batch behind the head are never taken for a part of
-    /// what is written there now.
+    /// Starts a new epoch, so that the remains of an unfinished batch behind the head are never mistaken for a part
+    /// of what is written there now.
     fn start(mut volume: Volume<D>, found: Superblock, log: Log) -> Result<Self, StorageError> {
         let superblock = Superblock {
             generation: found.generation + 1,
@@ -114,17 +119,20 @@
             snapshot_end: log.snapshot_end.unwrap_or(log.start),
             head: log.head,
             next_batch: log.next_batch,
-            broken: false,
+            is_broken: false,
             buffer: Vec::new(),
         })
     }
 
     /// Appends records; they are durable when this returns. One write and one sync, if they fit in one file.
     ///
-    /// After an error other than [`StorageError::Full`] the records may or may not be there after a recovery, and the
-    /// ring takes no more of them until a snapshot has succeeded.
+    /// # Errors
+    ///
+    /// [`StorageError::Full`] if the records don't fit, [`StorageError::Broken`] after a failed write, and
+    /// [`StorageError::Io`] if the disk fails. After an error other than [`StorageError::Full`] the records may or may not be there after a recovery, and the
+    /// ring accepts no more of them until a snapshot has succeeded.
     pub fn append(&mut self, records: &[Vec<u8>]) -> Result<(), StorageError> {
-        ensure!(!self.broken, BrokenSnafu);
+        ensure!(!self.is_broken, BrokenSnafu);
         if records.is_empty() {
             return Ok(());
         }
@@ -137,28 +145,32 @@
     /// Whether a snapshot should be taken soon: about half of the ring is used, or the ring waits for one after a
     /// failed write.
     pub fn needs_snapshot(&self) -> bool {
-        let between = (self.snapshot_bytes() + self.append_limit()) / 2;
-        self.broken || self.used() >= between.max(self.capacity() / 2)
+        let midpoint = (self.snapshot_bytes() + self.append_limit()) / 2;
+        self.is_broken || self.used() >= midpoint.max(self.capacity() / 2)
     }
 
-    /// Puts these records in the place of all that stood before. The old ones are valid until the new ones are
-    /// durable; then their space is free. A snapshot may take up to 7/16 of the ring.
+    /// Replaces all records before by these. The old ones are valid until the new ones are durable; then their space is
+    /// free. A snapshot may take up to 7/16 of the ring.
+    ///
+    /// # Errors
+    ///
+    /// [`StorageError::Full`] if the records don't fit, and [`StorageError::Io`] if the disk fails.
     pub fn snapshot(&mut self, records: &[Vec<u8>]) -> Result<(), StorageError> {
         let needed = batch_bytes(records).unwrap_or(u64::MAX);
         let free = (self.capacity() - self.used()).min(self.snapshot_limit());
         ensure!(needed <= free, FullSnafu { needed, free });
-        if self.broken {
+        if self.is_broken {
             let epoch = self.superblock.epoch + 1;
             self.write_superblock(Superblock { epoch, synced_to: self.head, ..self.superblock })?;
         }
         let (start, start_batch) = (self.head, self.next_batch);
         self.write(BatchKind::Snapshot, records, needed)?;
-        self.broken = true;
+        self.is_broken = true;
         let synced_to = self.head;
         let next = Superblock { start, start_batch, has_snapshot: true, synced_to, ..self.superblock };
         self.write_superblock(next)?;
         self.snapshot_end = self.head;
-        self.broken = false;
+        self.is_broken = false;
         Ok(())
     }
 
@@ -166,9 +178,9 @@
         let end = self.head + bytes;
         let batch =
             Batch { kind, epoch: self.superblock.epoch, number: self.next_batch, start: self.head, end };
-        self.broken = true;
+        self.is_broken = true;
         write_batch(&mut self.volume, batch, records, &mut self.buffer)?;
-        self.broken = false;
+        self.is_broken = false;
         self.head = end;
         self.next_batch += 1;
         Ok(())
@@ -193,12 +205,12 @@
         self.snapshot_end - self.superblock.start
     }
 
-    /// Appends leave room for a snapshot of the length of the last one, and of an eighth of the ring at least.
+    /// Appends leave space for a snapshot of the length of the last one, and of an eighth of the ring at least.
     fn append_limit(&self) -> u64 {
         self.capacity() - self.snapshot_bytes().max(self.capacity() / 8)
     }
 
-    /// Two snapshots have to fit, with room for appends between them.
+    /// Two snapshots have to fit, with space for appends between them.
     fn snapshot_limit(&self) -> u64 {
         self.capacity() / 16 * 7
     }
@@ -207,11 +219,11 @@
 /// Removes the files of a creation that was interrupted before anything could be written to them.
 fn remove_unfinished<D: Disk>(disk: &mut D) -> Result<(), StorageError> {
     let files = disk.list()?;
-    let mut left = files.iter().filter(|file| is_ring_file(&file.name)).peekable();
-    if left.peek().is_none() {
+    let mut unfinished = files.iter().filter(|file| is_ring_file(&file.name)).peekable();
+    if unfinished.peek().is_none() {
         return Ok(());
     }
-    for file in left {
+    for file in unfinished {
         disk.remove(&file.name)?;
     }
     disk.sync_folder()
@@ -232,11 +244,11 @@
 
 /// Writes a batch again as it was read, and syncs it.
 fn rewrite<D: Disk>(volume: &mut Volume<D>, batch: &Batch) -> Result<(), StorageError> {
-    const PIECE_BYTES: u64 = 256 * 1024;
+    const CHUNK_BYTES: u64 = 256 * 1024;
     let mut buffer = Vec::new();
     let mut position = batch.start;
     while position < batch.end {
-        let length = PIECE_BYTES.min(batch.end - position);
+        let length = CHUNK_BYTES.min(batch.end - position);
         buffer.resize(length as usize, 0);
         volume.read(position, &mut buffer)?;
         volume.write(position, &buffer)?;
--- a/system/storage/src/superblock.rs
+++ b/system/storage/src/superblock.rs
@@ -1,6 +1,6 @@
 //! The superblock: the small record from which recovery starts.
 //!
-//! It is kept in two slots, each in a file of its own, that are written in turn: the new one takes the place of the
+//! It is kept in two slots, each in a file of its own, that are written in turn: the new one replaces the
 //! older one, once the newer one is known to be durable. The older one is as good a start as the newer one, as long
 //! as the log behind it has not been reused: everything the newer one knows stands in the log too.
 
@@ -12,17 +12,17 @@
 const SLOT_COUNT: u64 = 2;
 const SUPERBLOCK_BYTES: usize = 80;
 /// Names the format of the ring and of the records that the programs keep in it. It is raised whenever one of them changes, so that a
-/// disk of another version is refused and never misread.
+/// disk of another version is rejected and never misread.
 const MAGIC: u64 = u64::from_le_bytes(*b"ringsup3");
 
-/// What recovery has to know beforehand.
+/// What recovery starts from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Superblock {
     /// Counts the superblocks; the highest is the newest.
     pub generation: u64,
     /// The epoch of the batches that are written from now on.
     pub epoch: u64,
-    /// The shape of the ring.
+    /// The layout of the ring.
     pub layout: Layout,
     /// Position of the first batch that counts.
     pub start: u64,
@@ -40,7 +40,7 @@
     Newest(Superblock),
     /// The disk holds no ring, or one whose creation was interrupted before anything could be written to it.
     Empty,
-    /// A ring was made here, but no superblock is readable.
+    /// A ring was created here, but no superblock is readable.
     Unreadable,
 }
 
--- a/system/storage/src/volume.rs
+++ b/system/storage/src/volume.rs
@@ -14,17 +14,17 @@
 
 impl<D: Disk> Volume<D> {
     pub fn read(&mut self, position: u64, buffer: &mut [u8]) -> Result<(), StorageError> {
-        for piece in self.layout.pieces(position, buffer.len()) {
-            let Some(part) = buffer.get_mut(piece.range) else { continue };
-            self.disk.read_at(&file_name(piece.file), piece.offset, part)?;
+        for segment in self.layout.segments(position, buffer.len()) {
+            let Some(part) = buffer.get_mut(segment.range) else { continue };
+            self.disk.read_at(&file_name(segment.file), segment.offset, part)?;
         }
         Ok(())
     }
 
     pub fn write(&mut self, position: u64, bytes: &[u8]) -> Result<(), StorageError> {
-        for piece in self.layout.pieces(position, bytes.len()) {
-            let Some(part) = bytes.get(piece.range) else { continue };
-            self.disk.write_at(&file_name(piece.file), piece.offset, part)?;
+        for segment in self.layout.segments(position, bytes.len()) {
+            let Some(part) = bytes.get(segment.range) else { continue };
+            self.disk.write_at(&file_name(segment.file), segment.offset, part)?;
         }
         Ok(())
     }
@@ -32,7 +32,7 @@
     /// Syncs each file in which a part of the range lies.
     pub fn sync(&mut self, start: u64, end: u64) -> Result<(), StorageError> {
         let length = usize::try_from(end.saturating_sub(start)).unwrap_or(usize::MAX);
-        let files: BTreeSet<u64> = self.layout.pieces(start, length).map(|piece| piece.file).collect();
+        let files: BTreeSet<u64> = self.layout.segments(start, length).map(|segment| segment.file).collect();
         for file in files {
             self.disk.sync_file(&file_name(file))?;
         }
--- a/system/storage/tests/damage.rs
+++ b/system/storage/tests/damage.rs
@@ -73,7 +73,7 @@
 
 /// A record may hold anything, also the files of another ring. Frames in it prove nothing about the log.
 #[test]
-fn a_ring_inside_a_record_is_not_taken_for_the_log() {
+fn a_ring_inside_a_record_is_not_mistaken_for_the_log() {
     let inner = ForgetfulDisk::new();
     let (mut ring, _) = open(inner.clone(), SMALL);
     for number in 0..20 {
@@ -98,7 +98,7 @@
 
 /// Whatever bit is damaged, no record is lost without a report, and none is made up; only the last may be dropped.
 #[test]
-fn no_damaged_bit_makes_up_or_hides_records() {
+fn no_damaged_bit_invents_or_hides_records() {
     let batches = [record(1, 700), record(2, 100), record(3, 900), record(4, 10)];
     let model = Model::default().with_appended(&batches);
     let shortened = Model::default().with_appended(&batches[..3]);
@@ -200,14 +200,14 @@
 }
 
 #[test]
-fn a_cut_file_is_reported() {
+fn a_truncated_file_is_reported() {
     let mut disk = disk_with(&[record(1, 100)]);
     disk.create("ring-002", 5_000).unwrap();
     assert_eq!(damage(disk, MIDDLE), Some(("ring-002".to_owned(), 5_000)));
 }
 
 #[test]
-fn other_files_in_the_folder_are_left_alone() {
+fn other_files_in_the_folder_are_unchanged() {
     let mut disk = ForgetfulDisk::new();
     disk.create("identity", 7).unwrap();
     let (_, recovered) = Ring::open(disk.clone(), SMALL).unwrap();
--- a/system/storage/tests/faults.rs
+++ b/system/storage/tests/faults.rs
@@ -13,7 +13,7 @@
 const FULL: Fault = ForgetfulDisk::set_full;
 
 #[parameterized(writes = { WRITES }, syncs = { SYNCS }, full = { FULL })]
-fn after_a_failure_only_a_snapshot_is_taken(fault: Fault) {
+fn after_a_failed_write_only_a_snapshot_is_accepted(fault: Fault) {
     for seed in 0..50 {
         let disk = ForgetfulDisk::new();
         let (mut ring, _) = open(disk.clone(), SMALL);
@@ -31,7 +31,7 @@
 }
 
 #[parameterized(writes = { WRITES }, syncs = { SYNCS }, full = { FULL })]
-fn a_failed_snapshot_leaves_the_old_one(fault: Fault) {
+fn a_failed_snapshot_keeps_the_old_one(fault: Fault) {
     for seed in 0..50 {
         let disk = ForgetfulDisk::new();
         let (mut ring, _) = open(disk.clone(), MIDDLE);
@@ -42,9 +42,9 @@
         assert!(matches!(ring.snapshot(&[record(4, 100_000)]), Err(StorageError::Io { .. })));
         fault(&disk, false);
         disk.power_loss(seed);
-        let held = open(disk, MIDDLE).1.numbers();
+        let found = open(disk, MIDDLE).1.numbers();
         let possible = [(vec![1], vec![2]), (vec![3], vec![])];
-        assert!(possible.contains(&held), "seed {seed}: {held:?}");
+        assert!(possible.contains(&found), "seed {seed}: {found:?}");
     }
 }
 
@@ -68,7 +68,7 @@
 /// The sync of a batch failed, the process ended, and the next one read the batch from memory. It gave it back, so it
 /// has to write it again: the sync that comes next covers nothing.
 #[test]
-fn what_was_recovered_after_a_failed_sync_lasts() {
+fn records_recovered_after_a_failed_sync_are_durable() {
     for seed in 0..100 {
         let disk = ForgetfulDisk::new();
         let (mut ring, _) = open(disk.clone(), SMALL);
@@ -76,8 +76,8 @@
         disk.fail_syncs(true);
         ring.append(&[record(2, 3_000)]).unwrap_err();
         disk.fail_syncs(false);
-        let (mut ring, held) = open(disk.clone(), SMALL);
-        assert_eq!(held.numbers().1, [1, 2]);
+        let (mut ring, found) = open(disk.clone(), SMALL);
+        assert_eq!(found.numbers().1, [1, 2]);
         ring.append(&[record(3, 100)]).unwrap();
         disk.power_loss(seed);
         assert_eq!(open(disk, SMALL).1.numbers().1, [1, 2, 3], "seed {seed}");
@@ -108,26 +108,26 @@
 
 /// Random faults, snapshots that heal, and losses of power: what was acknowledged is there.
 #[test]
-fn faults_and_losses_in_a_row() {
+fn acknowledged_records_survive_repeated_faults_and_losses_of_power() {
     for seed in 0..500 {
-        let mut random = fastrand::Rng::with_seed(seed);
+        let mut rng = fastrand::Rng::with_seed(seed);
         let disk = ForgetfulDisk::new();
         let mut possible = vec![Model::default()];
         let mut number = 0;
         for _ in 0..6 {
-            let (mut ring, held) = open(disk.clone(), MIDDLE);
-            assert!(possible.contains(&held), "seed {seed}: {:?}", held.numbers());
-            let mut model = held;
+            let (mut ring, found) = open(disk.clone(), MIDDLE);
+            assert!(possible.contains(&found), "seed {seed}: {:?}", found.numbers());
+            let mut model = found;
             possible = vec![model.clone()];
             for _ in 0..15 {
                 number += 1;
-                let fault = [WRITES, SYNCS, FULL][random.usize(0..3)];
-                let longest = if random.bool() { 300 } else { 70_000 };
-                let records = [record(number, random.usize(8..longest))];
+                let fault = [WRITES, SYNCS, FULL][rng.usize(0..3)];
+                let max_record_bytes = if rng.bool() { 300 } else { 70_000 };
+                let records = [record(number, rng.usize(8..max_record_bytes))];
                 let snapshot = ring.needs_snapshot();
                 let after =
                     if snapshot { Model::with_snapshot(&records) } else { model.with_appended(&records) };
-                fault(&disk, random.u8(0..5) == 0);
+                fault(&disk, rng.u8(0..5) == 0);
                 let result = if snapshot { ring.snapshot(&records) } else { ring.append(&records) };
                 fault(&disk, false);
                 match result {
@@ -140,7 +140,7 @@
                     Err(error) => panic!("seed {seed}: {error}"),
                 }
             }
-            disk.power_loss(random.u64(..));
+            disk.power_loss(rng.u64(..));
         }
     }
 }
--- a/system/storage/tests/file_disk.rs
+++ b/system/storage/tests/file_disk.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn records_come_back_in_order() {
+fn records_are_recovered_in_order() {
     let folder = Folder::new("order");
     let mut model = Model::default();
     for round in 0..4 {
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn the_folder_is_made_with_files_of_full_length() {
+fn a_new_folder_is_created_with_files_of_full_length() {
     let folder = Folder::new("made");
     let nested = folder.path.join("data").join("ring");
     let (_, recovered) = Ring::open(FileDisk::open(&nested).unwrap(), SMALL).unwrap();
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn a_folder_that_cannot_be_made_is_reported() {
+fn a_folder_that_cannot_be_created_is_reported() {
     let folder = Folder::new("not-a-folder");
     fs::write(&folder.path, b"a file").unwrap();
     let error = FileDisk::open(&folder.path.join("ring")).unwrap_err();
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn an_error_names_the_file_and_what_was_tried() {
+fn an_error_names_the_file_and_the_operation() {
     let folder = Folder::new("error");
     let error = folder.disk().read_at("ring-007", 0, &mut [0; 4]).unwrap_err();
     assert!(error.to_string().starts_with("cannot open ring-007: "), "{error}");
--- a/system/storage/tests/power_loss.rs
+++ b/system/storage/tests/power_loss.rs
@@ -13,55 +13,55 @@
 const TWO_WRITES: usize = ONE_WRITE + 100_000;
 
 /// A disk, and what may be on it: what was acknowledged, and the same with the operation that was interrupted.
-struct World {
+struct CrashSimulation {
     seed: u64,
-    random: fastrand::Rng,
+    rng: fastrand::Rng,
     disk: ForgetfulDisk,
     settings: RingSettings,
-    longest: usize,
+    max_record_bytes: usize,
     next_record: u64,
     /// The ring was opened with success before, so it must be found.
-    made: bool,
+    was_created: bool,
     possible: Vec<Model>,
 }
 
-impl World {
-    fn new(seed: u64, settings: RingSettings, longest: usize) -> Self {
+impl CrashSimulation {
+    fn new(seed: u64, settings: RingSettings, max_record_bytes: usize) -> Self {
         Self {
             seed,
-            random: fastrand::Rng::with_seed(seed),
+            rng: fastrand::Rng::with_seed(seed),
             disk: ForgetfulDisk::new(),
             settings,
-            longest,
+            max_record_bytes,
             next_record: 1,
-            made: false,
+            was_created: false,
             possible: vec![Model::default()],
         }
     }
 
-    /// Opens the ring and holds what it gives against what may be there. What it gave once must stay.
+    /// Opens the ring and compares what it recovers with what may be there. What was found once must stay.
     fn open(&mut self) -> Result<Ring<ForgetfulDisk>, StorageError> {
         let (ring, recovered) = Ring::open(self.disk.clone(), self.settings)?;
-        assert!(!(self.made && recovered.empty), "seed {}: the ring is gone", self.seed);
-        self.made = true;
-        let held = Model::from(recovered);
+        assert!(!(self.was_created && recovered.empty), "seed {}: the ring is missing", self.seed);
+        self.was_created = true;
+        let found = Model::from(recovered);
         assert!(
-            self.possible.contains(&held),
+            self.possible.contains(&found),
             "seed {}: {:?} was found, possible are {:?}",
             self.seed,
-            held.numbers(),
+            found.numbers(),
             self.possible.iter().map(Model::numbers).collect::<Vec<_>>()
         );
-        self.possible = vec![held];
+        self.possible = vec![found];
         Ok(ring)
     }
 
     fn records(&mut self) -> Vec<Vec<u8>> {
-        (0..self.random.usize(1..4))
+        (0..self.rng.usize(1..4))
             .map(|_| {
                 self.next_record += 1;
-                let longest = if self.random.u8(0..4) == 0 { self.longest } else { 600 };
-                record(self.next_record, self.random.usize(8..longest))
+                let max_record_bytes = if self.rng.u8(0..4) == 0 { self.max_record_bytes } else { 600 };
+                record(self.next_record, self.rng.usize(8..max_record_bytes))
             })
             .collect()
     }
@@ -71,7 +71,7 @@
         for _ in 0..operations {
             let before = self.possible[0].clone();
             let records = self.records();
-            let snapshot = ring.needs_snapshot() || self.random.u8(0..12) == 0;
+            let snapshot = ring.needs_snapshot() || self.rng.u8(0..12) == 0;
             let after =
                 if snapshot { Model::with_snapshot(&records) } else { before.with_appended(&records) };
             self.possible = vec![before.clone(), after.clone()];
@@ -92,10 +92,10 @@
 
     /// The power goes, or the process is killed.
     fn end(&mut self) {
-        if self.random.u8(0..3) == 0 {
+        if self.rng.u8(0..3) == 0 {
             self.disk.restart();
         } else {
-            self.disk.power_loss(self.random.u64(..));
+            self.disk.power_loss(self.rng.u64(..));
         }
     }
 
@@ -105,7 +105,7 @@
     }
 }
 
-fn must_be_off(result: Result<(), StorageError>, seed: u64) {
+fn assert_power_is_off(result: Result<(), StorageError>, seed: u64) {
     match result {
         Ok(()) | Err(StorageError::Io { .. }) => {}
         Err(error) => panic!("seed {seed}: {error}"),
@@ -117,17 +117,21 @@
     several_frames = { MIDDLE, 80_000, 300 },
     several_writes = { WIDE, 180_000, 100 },
 )]
-fn many_losses_in_a_row(settings: RingSettings, longest: usize, seeds: u64) {
+fn acknowledged_records_survive_repeated_losses_of_power(
+    settings: RingSettings,
+    max_record_bytes: usize,
+    seeds: u64,
+) {
     for seed in 0..seeds {
-        let mut world = World::new(seed, settings, longest);
+        let mut simulation = CrashSimulation::new(seed, settings, max_record_bytes);
         for _ in 0..8 {
-            let steps = if world.random.bool() { 8 } else { 60 };
-            world.disk.stop_after(world.random.u64(0..steps));
-            let result = world.open_and_work(40);
-            must_be_off(result, seed);
-            world.end();
+            let steps = if simulation.rng.bool() { 8 } else { 60 };
+            simulation.disk.stop_after(simulation.rng.u64(0..steps));
+            let result = simulation.open_and_work(40);
+            assert_power_is_off(result, seed);
+            simulation.end();
         }
-        world.must_open();
+        simulation.must_open();
     }
 }
 
@@ -137,43 +141,46 @@
     one_frame = { SMALL, 3_000 },
     several_frames = { MIDDLE, 90_000 },
 )]
-fn a_loss_at_each_step(settings: RingSettings, longest: usize) {
-    let life = |seed| World::new(seed, settings, longest);
+fn a_loss_of_power_at_each_step_loses_no_acknowledged_record(
+    settings: RingSettings,
+    max_record_bytes: usize,
+) {
+    let life = |seed| CrashSimulation::new(seed, settings, max_record_bytes);
     let mut whole = life(1);
     whole.open_and_work(30).unwrap();
     for step in 0..whole.disk.operations() {
         for outcome in 0..12 {
-            let mut world = life(1);
-            world.disk.stop_after(step);
-            must_be_off(world.open_and_work(30), step);
-            world.disk.power_loss(outcome);
-            let mut ring = world.must_open();
-            world.random.seed(step * 100 + outcome);
-            world.work(&mut ring, 2).unwrap();
-            world.disk.power_loss(outcome + 1);
-            world.must_open();
+            let mut simulation = life(1);
+            simulation.disk.stop_after(step);
+            assert_power_is_off(simulation.open_and_work(30), step);
+            simulation.disk.power_loss(outcome);
+            let mut ring = simulation.must_open();
+            simulation.rng.seed(step * 100 + outcome);
+            simulation.work(&mut ring, 2).unwrap();
+            simulation.disk.power_loss(outcome + 1);
+            simulation.must_open();
         }
     }
 }
 
 #[test]
-fn a_loss_at_each_step_of_a_recovery() {
+fn a_loss_of_power_at_each_step_of_a_recovery_loses_no_record() {
     for seed in 0..60 {
-        let mut world = World::new(seed, MIDDLE, 60_000);
-        world.disk.stop_after(20 + seed);
-        must_be_off(world.open_and_work(40), seed);
+        let mut simulation = CrashSimulation::new(seed, MIDDLE, 60_000);
+        simulation.disk.stop_after(20 + seed);
+        assert_power_is_off(simulation.open_and_work(40), seed);
         for step in 0..8 {
-            world.disk.power_loss(seed + step);
-            world.disk.stop_after(step);
-            must_be_off(world.open().map(|_| ()), seed);
+            simulation.disk.power_loss(seed + step);
+            simulation.disk.stop_after(step);
+            assert_power_is_off(simulation.open().map(|_| ()), seed);
         }
-        world.disk.power_loss(seed);
-        world.must_open();
+        simulation.disk.power_loss(seed);
+        simulation.must_open();
     }
 }
 
 /// Whether each of the two writes of a batch that starts at this position left its beginning in the first file.
-fn kept_writes(disk: &ForgetfulDisk, position: usize) -> (bool, bool) {
+fn surviving_writes(disk: &ForgetfulDisk, position: usize) -> (bool, bool) {
     let file = disk.contents("ring-000").unwrap();
     let kept = |offset: usize| file[offset..offset + 8].iter().any(|byte| *byte != 0);
     let first = 4_096 + position;
@@ -181,7 +188,7 @@
 }
 
 /// A record is appended, and the power goes before the next batch is synced.
-fn cut_off(attempt: &[u8], loss: u64) -> ForgetfulDisk {
+fn interrupted(attempt: &[u8], loss: u64) -> ForgetfulDisk {
     let disk = ForgetfulDisk::new();
     let (mut ring, _) = open(disk.clone(), WIDE);
     ring.append(&[record(1, 100)]).unwrap();
@@ -198,25 +205,26 @@
 )]
 fn unfinished_batches_are_not_mixed(damaged: bool) {
     let attempts = [record(2, TWO_WRITES), record(3, TWO_WRITES)];
-    let second_is_left = |loss: &u64| kept_writes(&cut_off(&attempts[0], *loss), 512) == (false, true);
+    let second_is_left =
+        |loss: &u64| surviving_writes(&interrupted(&attempts[0], *loss), 512) == (false, true);
     let first_losses: Vec<u64> = (0..60).filter(second_is_left).collect();
     assert!(!first_losses.is_empty());
     for (first_loss, second_loss) in
         first_losses.iter().flat_map(|first| (0..40).map(move |second| (first, second)))
     {
-        let disk = cut_off(&attempts[0], *first_loss);
+        let disk = interrupted(&attempts[0], *first_loss);
         if damaged {
             // The creation wrote the superblocks 0 and 1.
             disk.flip_bit("ring-001", 20, 1);
         }
-        let (mut ring, held) = open(disk.clone(), WIDE);
-        assert_eq!(held.numbers().1, [1]);
+        let (mut ring, found) = open(disk.clone(), WIDE);
+        assert_eq!(found.numbers().1, [1]);
         disk.stop_after(2);
         ring.append(&attempts[1..]).unwrap_err();
         disk.power_loss(second_loss);
-        let held = open(disk, WIDE).1;
-        let whole = held.records.iter().skip(1).all(|record| *record == attempts[1]);
-        assert!(whole, "losses {first_loss}, {second_loss}: {:?}", held.numbers());
+        let found = open(disk, WIDE).1;
+        let whole = found.records.iter().skip(1).all(|record| *record == attempts[1]);
+        assert!(whole, "losses {first_loss}, {second_loss}: {:?}", found.numbers());
     }
 }
 
@@ -243,7 +251,7 @@
     let second_is_left = |appends: &u64| {
         let (disk, _) = failed_snapshot(*appends, &attempts[0]);
         disk.power_loss(0);
-        kept_writes(&disk, position(*appends)) == (false, true)
+        surviving_writes(&disk, position(*appends)) == (false, true)
     };
     let left: Vec<u64> = (0..60).filter(second_is_left).collect();
     assert!(!left.is_empty());
@@ -252,24 +260,24 @@
         disk.stop_after(4);
         ring.snapshot(&attempts[1..]).unwrap_err();
         disk.power_loss(loss);
-        let held = open(disk, WIDE).1;
-        let whole = held.snapshot == [record(1, 100)] || held.snapshot == attempts[1..];
-        assert!(whole, "{appends} appends, loss {loss}: {:?}", held.numbers());
+        let found = open(disk, WIDE).1;
+        let whole = found.snapshot == [record(1, 100)] || found.snapshot == attempts[1..];
+        assert!(whole, "{appends} appends, loss {loss}: {:?}", found.numbers());
     }
 }
 
 /// The second write of an unfinished batch stays behind. The next batch ends just before it, where a frame of the
 /// unfinished one now stands in the place of the next batch.
 #[test]
-fn remains_of_a_longer_batch_are_not_taken_for_the_next() {
+fn remains_of_a_longer_batch_are_not_mistaken_for_the_next() {
     for loss in 0..40 {
         let disk = ForgetfulDisk::new();
         let (mut ring, _) = open(disk.clone(), WIDE);
         disk.stop_after(2);
         ring.append(&[record(1, TWO_WRITES)]).unwrap_err();
         disk.power_loss(loss);
-        let (mut ring, held) = open(disk.clone(), WIDE);
-        if !held.records.is_empty() {
+        let (mut ring, found) = open(disk.clone(), WIDE);
+        if !found.records.is_empty() {
             continue;
         }
         ring.append(&[record(2, ONE_WRITE)]).unwrap();
@@ -281,7 +289,7 @@
 
 /// A batch that was written and not synced is found after a kill. It was given back, so it must last.
 #[test]
-fn what_was_recovered_after_a_kill_lasts() {
+fn records_recovered_after_a_kill_are_durable() {
     for seed in 0..200 {
         let disk = ForgetfulDisk::new();
         let (mut ring, _) = open(disk.clone(), SMALL);
@@ -289,8 +297,8 @@
         disk.stop_after(1);
         ring.append(&[record(2, 3_000)]).unwrap_err();
         disk.restart();
-        let (_, held) = open(disk.clone(), SMALL);
-        assert_eq!(held.numbers().1, [1, 2]);
+        let (_, found) = open(disk.clone(), SMALL);
+        assert_eq!(found.numbers().1, [1, 2]);
         disk.power_loss(seed);
         assert_eq!(open(disk, SMALL).1.numbers().1, [1, 2], "seed {seed}");
     }
@@ -301,15 +309,15 @@
 fn an_interrupted_creation_starts_again() {
     for seed in 0..200 {
         let disk = ForgetfulDisk::new();
-        let mut world = World::new(seed, SMALL, 1_000);
-        world.disk = disk.clone();
+        let mut simulation = CrashSimulation::new(seed, SMALL, 1_000);
+        simulation.disk = disk.clone();
         disk.stop_after(seed % 16);
-        must_be_off(world.open().map(|_| ()), seed);
+        assert_power_is_off(simulation.open().map(|_| ()), seed);
         disk.power_loss(seed / 16);
-        let mut ring = world.must_open();
-        world.work(&mut ring, 3).unwrap();
+        let mut ring = simulation.must_open();
+        simulation.work(&mut ring, 3).unwrap();
         disk.power_loss(0);
-        world.must_open();
+        simulation.must_open();
     }
 }
 
@@ -326,7 +334,7 @@
 }
 
 #[test]
-fn the_disk_forgets_what_was_not_synced() {
+fn the_disk_loses_what_was_not_synced() {
     let outcomes: Vec<Option<Vec<u8>>> = (0..400)
         .map(|seed| {
             let mut disk = ForgetfulDisk::new();
--- a/system/storage/tests/ring.rs
+++ b/system/storage/tests/ring.rs
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn an_empty_snapshot_leaves_nothing() {
+fn an_empty_snapshot_removes_all_records() {
     let disk = ForgetfulDisk::new();
     let (mut ring, _) = open(disk.clone(), SMALL);
     ring.append(&[record(1, 100)]).unwrap();
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn files_are_reused_over_many_rounds() {
+fn files_are_reused_over_many_passes() {
     let disk = ForgetfulDisk::new();
     let (mut ring, mut model) = open(disk.clone(), SMALL);
     for number in 0..3000 {
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn a_full_ring_refuses_records_and_still_takes_a_snapshot() {
+fn a_full_ring_rejects_records_and_still_accepts_a_snapshot() {
     let disk = ForgetfulDisk::new();
     let (mut ring, mut model) = open(disk.clone(), SMALL);
     let error = loop {
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn a_snapshot_is_wanted_at_about_half_of_the_ring() {
+fn a_snapshot_is_needed_at_about_half_of_the_ring() {
     let (mut ring, _) = open(ForgetfulDisk::new(), SMALL);
     let mut appended = 0;
     while !ring.needs_snapshot() {
@@ -130,7 +130,7 @@
     several_frames = { 180_000 },
     none = { 0 },
 )]
-fn records_of_any_length_come_back(length: usize) {
+fn records_of_any_length_are_recovered(length: usize) {
     let disk = ForgetfulDisk::new();
     let (mut ring, _) = open(disk.clone(), MIDDLE);
     let records = [record(1, length), record(2, 5), record(3, 300)];
@@ -174,7 +174,7 @@
 }
 
 #[test]
-fn a_ring_keeps_the_shape_it_was_made_with() {
+fn a_ring_keeps_the_layout_it_was_created_with() {
     let disk = ForgetfulDisk::new();
     let (mut ring, _) = open(disk.clone(), SMALL);
     ring.append(&[record(1, 100)]).unwrap();
@@ -191,7 +191,7 @@
     no_bytes = { RingSettings { files: 4, file_bytes: 0 } },
     huge = { RingSettings { files: 4, file_bytes: u64::MAX } },
 )]
-fn unusable_settings_are_refused(settings: RingSettings) {
+fn unusable_settings_are_rejected(settings: RingSettings) {
     let error = Ring::open(ForgetfulDisk::new(), settings).map(|_| ()).unwrap_err();
     assert!(matches!(error, StorageError::Settings { .. }), "{error}");
 }
--- a/system/storage/tests/writer.rs
+++ b/system/storage/tests/writer.rs
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn batches_that_wait_are_committed_together_and_in_order() {
+fn queued_batches_are_committed_together_and_in_order() {
     let disk = GatedDisk::new();
     let (writer, events) = start(&disk, MIDDLE);
     disk.shut(true);
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn a_snapshot_keeps_its_place_between_batches() {
+fn a_snapshot_keeps_its_order_among_batches() {
     let disk = GatedDisk::new();
     let (writer, events) = start(&disk, MIDDLE);
     disk.shut(true);
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn a_snapshot_is_asked_for_when_the_ring_is_half_used() {
+fn a_snapshot_is_requested_when_the_ring_is_half_used() {
     let disk = GatedDisk::new();
     let (writer, events) = start(&disk, SMALL);
     // Ten sectors with the header and the length of the record; of each file, 4 KiB hold no log.
@@ -198,7 +198,7 @@
 
 /// A full ring refuses a long batch; a short one that would still fit must not be taken behind it.
 #[test]
-fn a_batch_that_does_not_fit_leaves_no_hole() {
+fn a_batch_that_does_not_fit_fails_those_behind_it() {
     let disk = GatedDisk::new();
     let (writer, events) = start(&disk, SMALL);
     writer.append(1, vec![record(1, 100)]).unwrap();
@@ -252,7 +252,7 @@
 }
 
 #[test]
-fn a_writer_whose_thread_is_gone_says_so() {
+fn a_writer_whose_thread_has_ended_rejects_writes() {
     let disk = GatedDisk::new();
     let (ring, _) = Ring::open(disk, MIDDLE).unwrap();
     let (events, received) = channel::<u64>();
