--- a/system/control/src/coordinator/backends.rs
+++ b/system/control/src/coordinator/backends.rs
@@ -8,45 +8,45 @@
 
 use super::partitions::{Backend, Condition};
 
-/// How long backends may be silent.
+/// Time-outs of the reports of backends.
 #[derive(Clone, Copy, Debug)]
 pub struct BackendSettings {
-    /// A backend that has reported nothing for this long is lost.
-    pub silence: Duration,
+    /// A backend without a report for this long is lost.
+    pub report_timeout: Duration,
     /// One that has not reported yet to a new coordinator has this long.
-    pub grace: Duration,
+    pub grace_period: Duration,
     /// The first partitions wait this long after the first report, so that they are spread over all backends.
-    pub gather: Duration,
+    pub settling_time: Duration,
 }
 
 impl Default for BackendSettings {
     fn default() -> Self {
         Self {
-            silence: Duration::from_millis(1_500),
-            grace: Duration::from_millis(1_500),
-            gather: Duration::from_millis(700),
+            report_timeout: Duration::from_millis(1_500),
+            grace_period: Duration::from_millis(1_500),
+            settling_time: Duration::from_millis(700),
         }
     }
 }
 
-/// Most backends that reports are kept of.
+/// Most backends whose reports are retained.
 const MAX_BACKENDS: usize = 4_096;
-/// Reports of backends that are long silent are let go.
-const FORGET_AFTER: Duration = Duration::from_secs(120);
+/// A report is dropped this long after it came.
+const RETENTION: Duration = Duration::from_secs(120);
 
 #[derive(Clone, Debug)]
-struct Reported {
+struct ReportedBackend {
     record: NodeRecord,
     report: BackendReport,
-    heard: Duration,
+    last_report: Duration,
 }
 
-/// One member's word that it holds everything of a partition.
+/// A member that has reported itself in sync with a partition.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Fullness {
+pub struct ReplicaInSync {
     /// The partition.
     pub partition: u16,
-    /// The epoch in which it became full.
+    /// The epoch in which it became in sync.
     pub epoch: u64,
     /// The member.
     pub member: u64,
@@ -56,8 +56,8 @@
 #[derive(Clone, Debug, Default)]
 pub struct BackendReports {
     settings: BackendSettings,
-    backends: BTreeMap<u64, Reported>,
-    first_heard: Option<Duration>,
+    backends: BTreeMap<u64, ReportedBackend>,
+    first_report: Option<Duration>,
 }
 
 impl BackendReports {
@@ -66,26 +66,27 @@
         Self { settings, ..Self::default() }
     }
 
-    /// A backend reports.
-    pub fn reported(&mut self, now: Duration, record: &NodeRecord, report: BackendReport) {
-        self.backends.retain(|_, backend| now.saturating_sub(backend.heard) < FORGET_AFTER);
+    /// Records the report of a backend.
+    pub fn on_report(&mut self, now: Duration, record: &NodeRecord, report: BackendReport) {
+        self.backends.retain(|_, backend| now.saturating_sub(backend.last_report) < RETENTION);
         if self.backends.len() >= MAX_BACKENDS && !self.backends.contains_key(&record.member) {
             return;
         }
-        self.first_heard.get_or_insert(now);
-        self.backends.insert(record.member, Reported { record: record.clone(), report, heard: now });
+        self.first_report.get_or_insert(now);
+        self.backends
+            .insert(record.member, ReportedBackend { record: record.clone(), report, last_report: now });
     }
 
-    /// This process did not run for a while, so it could not hear anybody.
-    pub fn resumed(&mut self, now: Duration) {
+    /// Restarts the time-outs of all backends, after this process stood still and received nothing.
+    pub fn restart_timeouts(&mut self, now: Duration) {
         for backend in self.backends.values_mut() {
-            backend.heard = now;
+            backend.last_report = now;
         }
     }
 
-    /// Whether enough time has passed since the first report to spread the first partitions.
-    pub fn gathered(&self, now: Duration) -> bool {
-        self.first_heard.is_some_and(|first| now >= first + self.settings.gather)
+    /// Whether `settling_time` has passed since the first report, so that the first partitions may be placed.
+    pub fn has_settled(&self, now: Duration) -> bool {
+        self.first_report.is_some_and(|first| now >= first + self.settings.settling_time)
     }
 
     /// All backends that have reported, or that are in `chains`, and whether they can be used. The coordinator has been one since
@@ -98,10 +99,11 @@
         address_of: impl Fn(u64) -> Option<SocketAddr>,
         is_retiring: impl Fn(u64) -> bool,
     ) -> Vec<Backend> {
-        let unheard = if now < since + self.settings.grace { Condition::Unknown } else { Condition::Lost };
+        let unreported =
+            if now < since + self.settings.grace_period { Condition::Unknown } else { Condition::Lost };
         let mut backends: BTreeMap<u64, Backend> = chains
             .flat_map(|record| record.chain.iter().copied())
-            .map(|member| (member, Backend { member, zone: String::new(), condition: unheard }))
+            .map(|member| (member, Backend { member, zone: String::new(), condition: unreported }))
             .collect();
         for (&member, reported) in &self.backends {
             let condition = self.condition(now, since, reported, is_retiring(member));
@@ -116,25 +118,31 @@
     }
 
     /// Whether another disk has reported from a backend's address since the backend itself did: one process runs there, so the disk
-    /// before is gone for good.
+    /// before is lost.
     fn is_replaced(&self, member: u64, address: SocketAddr) -> bool {
-        let heard = self.backends.get(&member).map(|backend| backend.heard);
+        let last_report = self.backends.get(&member).map(|backend| backend.last_report);
         self.backends.iter().any(|(&other, backend)| {
-            other != member && backend.record.address == address && Some(backend.heard) > heard
+            other != member && backend.record.address == address && Some(backend.last_report) > last_report
         })
     }
 
-    /// Backends whose disks are known here and not yet noted to be where they report from.
-    pub fn to_note(&self, noted: impl Fn(u64) -> Option<SocketAddr>) -> Vec<(u64, SocketAddr)> {
+    /// Backends that report from another address than the registered one, with the address of the report.
+    pub fn unregistered(&self, registered: impl Fn(u64) -> Option<SocketAddr>) -> Vec<(u64, SocketAddr)> {
         let all = self.backends.iter().map(|(&member, backend)| (member, backend.record.address));
-        all.filter(|&(member, address)| noted(member) != Some(address)).collect()
+        all.filter(|&(member, address)| registered(member) != Some(address)).collect()
     }
 
-    fn condition(&self, now: Duration, since: Duration, backend: &Reported, retiring: bool) -> Condition {
-        let silent = now.saturating_sub(backend.heard) > self.settings.silence;
-        if silent && now < since + self.settings.grace {
+    fn condition(
+        &self,
+        now: Duration,
+        since: Duration,
+        backend: &ReportedBackend,
+        retiring: bool,
+    ) -> Condition {
+        let is_overdue = now.saturating_sub(backend.last_report) > self.settings.report_timeout;
+        if is_overdue && now < since + self.settings.grace_period {
             Condition::Unknown
-        } else if silent || backend.report.disk_stalled {
+        } else if is_overdue || backend.report.disk_stalled {
             Condition::Lost
         } else if retiring {
             Condition::Retiring
@@ -143,19 +151,22 @@
         }
     }
 
-    /// Members that say they are full where the chain does not know it yet.
-    pub fn newly_full<'a>(&self, current: impl Fn(u16) -> Option<&'a PartitionRecord>) -> Vec<Fullness> {
-        let mut full = Vec::new();
+    /// Members that report themselves in sync where the partition's record does not show it yet.
+    pub fn newly_in_sync<'a>(
+        &self,
+        current: impl Fn(u16) -> Option<&'a PartitionRecord>,
+    ) -> Vec<ReplicaInSync> {
+        let mut in_sync = Vec::new();
         for (&member, backend) in &self.backends {
             for &(partition, epoch) in &backend.report.in_sync {
-                let news = current(partition).is_some_and(|record| {
+                let is_new = current(partition).is_some_and(|record| {
                     record.epoch == epoch && record.chain.get(record.in_sync.len()) == Some(&member)
                 });
-                if news {
-                    full.push(Fullness { partition, epoch, member });
+                if is_new {
+                    in_sync.push(ReplicaInSync { partition, epoch, member });
                 }
             }
         }
-        full
+        in_sync
     }
 }
--- a/system/control/src/coordinator/loads.rs
+++ b/system/control/src/coordinator/load_schedule.rs
@@ -11,7 +11,7 @@
 
 /// Bounds and times of loads.
 #[derive(Clone, Copy, Debug)]
-pub struct LoadSettings {
+pub struct LoadScheduleSettings {
     /// How long a load is taken to last before one was seen. A store that was asked to let its requests run to their end counts as
     /// loading for as long as a load usually lasts. After that it is taken to be waiting for them, which slows no other store down.
     pub assumed_load: Duration,
@@ -21,7 +21,7 @@
     pub failed_retry: Duration,
 }
 
-impl Default for LoadSettings {
+impl Default for LoadScheduleSettings {
     fn default() -> Self {
         Self {
             assumed_load: Duration::from_millis(500),
@@ -33,7 +33,7 @@
 
 /// How an order to load ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LoadEnd {
+pub enum LoadOutcome {
     /// The store has the version.
     Done,
     /// Another order is under way there.
@@ -46,7 +46,7 @@
 
 /// A load under way.
 #[derive(Clone, Debug)]
-struct UnderWay {
+struct InFlightLoad {
     service: String,
     began: Duration,
     method: LoadMethod,
@@ -57,9 +57,9 @@
 
 /// The loads under way, by store; a store takes one order at a time.
 #[derive(Clone, Debug, Default)]
-pub struct Loads {
-    settings: LoadSettings,
-    under_way: BTreeMap<String, UnderWay>,
+pub struct LoadSchedule {
+    settings: LoadScheduleSettings,
+    in_flight: BTreeMap<String, InFlightLoad>,
     not_before: BTreeMap<String, Duration>,
     /// Services of which a load was due that had to wait for those under way.
     crowded: BTreeSet<String>,
@@ -75,9 +75,9 @@
     pub usual: Option<Duration>,
 }
 
-impl Loads {
+impl LoadSchedule {
     /// None under way.
-    pub fn new(settings: LoadSettings) -> Self {
+    pub fn new(settings: LoadScheduleSettings) -> Self {
         Self { settings, ..Self::default() }
     }
 
@@ -87,14 +87,14 @@
             self.windows.clear();
         }
         let window = self.windows.entry(service.to_owned()).or_default();
-        let (at_once, usual) = (window.at_once(), window.usual());
+        let (at_once, usual) = (window.limit(), window.usual());
         self.not_before.retain(|_, at| *at > now);
-        let counts = |other: &&UnderWay| other.service == service && other.counts_until > now;
-        let mut running = self.under_way.values().filter(counts).count();
+        let counts = |other: &&InFlightLoad| other.service == service && other.counts_until > now;
+        let mut running = self.in_flight.values().filter(counts).count();
         let mut started = Vec::new();
         self.crowded.remove(service);
         for load in due {
-            if self.under_way.contains_key(&load.id) || self.not_before.contains_key(&load.id) {
+            if self.in_flight.contains_key(&load.id) || self.not_before.contains_key(&load.id) {
                 continue;
             }
             if running >= at_once {
@@ -106,61 +106,61 @@
                 LoadMethod::Preserve => Duration::MAX,
             };
             running += 1;
-            let under_way = UnderWay {
+            let in_flight = InFlightLoad {
                 service: service.to_owned(),
                 began: now,
                 method: load.method,
                 among: running,
                 counts_until,
             };
-            self.under_way.insert(load.id.clone(), under_way);
+            self.in_flight.insert(load.id.clone(), in_flight);
             started.push(StartedLoad { load: load.clone(), usual });
         }
         started
     }
 
     /// A load has ended.
-    pub fn ended(&mut self, now: Duration, id: &str, end: LoadEnd) {
-        let load = self.under_way.remove(id);
+    pub fn on_load_ended(&mut self, now: Duration, id: &str, end: LoadOutcome) {
+        let load = self.in_flight.remove(id);
         let pause = match end {
-            LoadEnd::Done => {
+            LoadOutcome::Done => {
                 load.into_iter().for_each(|load| self.succeeded(now, &load));
                 return;
             }
-            LoadEnd::Fenced => return,
-            LoadEnd::Busy => self.settings.busy_retry,
-            LoadEnd::Failed => self.settings.failed_retry,
+            LoadOutcome::Fenced => return,
+            LoadOutcome::Busy => self.settings.busy_retry,
+            LoadOutcome::Failed => self.settings.failed_retry,
         };
         self.not_before.insert(id.to_owned(), now + pause);
     }
 
-    fn succeeded(&mut self, now: Duration, load: &UnderWay) {
+    fn succeeded(&mut self, now: Duration, load: &InFlightLoad) {
         let Some(window) = self.windows.get_mut(&load.service) else { return };
         let may_have_waited = load.method == LoadMethod::Blocking;
-        window.finished(now, FinishedLoad { began: load.began, may_have_waited, among: load.among });
+        window.on_load_finished(now, FinishedLoad { began: load.began, may_have_waited, among: load.among });
     }
 
     /// How many stores of a service may load at once now.
     pub fn at_once(&self, service: &str) -> usize {
-        self.windows.get(service).cloned().unwrap_or_default().at_once()
+        self.windows.get(service).cloned().unwrap_or_default().limit()
     }
 
     /// When a load may start that could not before, though nothing has ended: a store that failed may be asked again, or one that
     /// is under way counts no more.
-    pub fn next_look(&self) -> Option<Duration> {
-        let crowding = self.under_way.values().filter(|load| self.crowded.contains(&load.service));
+    pub fn next_evaluation(&self) -> Option<Duration> {
+        let crowding = self.in_flight.values().filter(|load| self.crowded.contains(&load.service));
         let counting = crowding.map(|load| load.counts_until);
         self.not_before.values().copied().chain(counting).min()
     }
 
     /// How many are under way.
-    pub fn under_way(&self) -> usize {
-        self.under_way.len()
+    pub fn in_flight(&self) -> usize {
+        self.in_flight.len()
     }
 
     /// Nothing is under way any more. How loads have gone is still known.
     pub fn clear(&mut self) {
-        self.under_way.clear();
+        self.in_flight.clear();
         self.not_before.clear();
         self.crowded.clear();
     }
--- a/system/control/src/coordinator/mod.rs
+++ b/system/control/src/coordinator/mod.rs
@@ -1,14 +1,14 @@
 //! The work of the one control node that holds the lease: planners that compare what is wanted with what is, sans I/O.
 //!
 //! [`backends`] says which backends can be used, [`partitions`] which chains of the partitions of batch jobs should change,
-//! [`weights`] which stores should load which version, [`uses`] how their running requests may end, and [`loads`] how far that is.
+//! [`weights`] which stores should load which version, [`model_usage`] how their running requests may end, and [`load_schedule`] how far that is.
 //! Each is a function of what is known now; whoever calls them carries the result out, and calls them again.
 
 pub mod backends;
+pub mod load_schedule;
 pub mod load_window;
-pub mod loads;
+pub mod model_usage;
 pub mod partitions;
-pub mod uses;
 pub mod weights;
 
 /// The score of a candidate for a subject; the highest wins, and a candidate that goes changes nothing for the others.
--- a/system/control/src/coordinator/uses.rs
+++ b/system/control/src/coordinator/model_usage.rs
@@ -10,18 +10,18 @@
 
 use super::weights::LoadMethod;
 
-/// Most models that uses are remembered of.
+/// Most models whose usage is retained.
 pub const MAX_MODELS: usize = 1_024;
-/// Most places that are remembered for one model.
-pub const MAX_PLACES: usize = 64;
+/// Most routes that are retained for one model.
+pub const MAX_ROUTES: usize = 64;
 
 /// Host and path prefix of a route: what stays when its other properties change.
-type Place = (String, String);
+type RouteKey = (String, String);
 
 /// What is known of one model.
 #[derive(Clone, Debug, Default)]
-struct ModelUse {
-    places: BTreeSet<Place>,
+struct ObservedUsage {
+    routes_seen: BTreeSet<RouteKey>,
     /// The oldest version that the newest batch job allows; none before one was seen.
     min_version: Option<u64>,
     /// The newest version named at the last look, and the oldest that was wanted with it.
@@ -36,13 +36,13 @@
 
 /// How batch jobs use each model.
 #[derive(Clone, Debug, Default)]
-pub struct ModelUses {
-    models: BTreeMap<String, ModelUse>,
+pub struct ModelUsage {
+    models: BTreeMap<String, ObservedUsage>,
 }
 
-impl ModelUses {
+impl ModelUsage {
     /// A batch job for a model has come to a host and path, which allows versions from this one on. Says whether that is new.
-    pub fn seen(
+    pub fn on_job_seen(
         &mut self,
         configuration: &Configuration,
         model: &str,
@@ -52,11 +52,11 @@
     ) -> bool {
         let Some(route) = configuration.route(host, path) else { return false };
         let Some(known) = self.entry(model) else { return false };
-        let risen = known.min_version < Some(min_version);
+        let has_risen = known.min_version < Some(min_version);
         known.min_version = known.min_version.max(Some(min_version));
-        let place = (route.host.clone(), route.path_prefix.clone());
-        let new_place = known.places.len() < MAX_PLACES && known.places.insert(place);
-        risen || new_place
+        let route_key = (route.host.clone(), route.path_prefix.clone());
+        let is_new_route = known.routes_seen.len() < MAX_ROUTES && known.routes_seen.insert(route_key);
+        has_risen || is_new_route
     }
 
     /// The oldest version of a model that the next batch job may use, given the newest named version.
@@ -78,7 +78,7 @@
         floor
     }
 
-    fn entry(&mut self, model: &str) -> Option<&mut ModelUse> {
+    fn entry(&mut self, model: &str) -> Option<&mut ObservedUsage> {
         if self.models.len() >= MAX_MODELS && !self.models.contains_key(model) {
             return None;
         }
@@ -92,8 +92,8 @@
             .models
             .get(model)
             .into_iter()
-            .flat_map(|known| &known.places)
-            .filter_map(|place| configuration.routes.iter().find(|route| is_at(route, place)))
+            .flat_map(|known| &known.routes_seen)
+            .filter_map(|route_key| configuration.routes.iter().find(|route| is_at(route, route_key)))
             .collect();
         let strict = if known.is_empty() {
             configuration.routes.iter().any(|route| route.single_version && leads_to(route, service))
@@ -108,7 +108,7 @@
     }
 }
 
-fn is_at(route: &Route, (host, prefix): &Place) -> bool {
+fn is_at(route: &Route, (host, prefix): &RouteKey) -> bool {
     route.host == *host && route.path_prefix == *prefix
 }
 
--- a/system/control/src/coordinator/weights.rs
+++ b/system/control/src/coordinator/weights.rs
@@ -86,7 +86,7 @@
 
 impl LoadMethod {
     /// The word that stores know.
-    pub fn word(self) -> &'static str {
+    pub fn wire_name(self) -> &'static str {
         match self {
             LoadMethod::Blocking => "blocking",
             LoadMethod::Preserve => "preserve",
--- a/system/control/src/node/announcements.rs
+++ b/system/control/src/node/announcements.rs
@@ -1,4 +1,4 @@
-//! Acknowledges ends of stores once the whole chain holds them: the driver of [`Announcements`].
+//! Acknowledges ends of stores once the whole chain holds them: the driver of [`PendingAcknowledgements`].
 
 use std::time::Duration;
 
@@ -9,10 +9,10 @@
 use super::request::Accepted;
 use super::requests::Read;
 use super::Node;
-use crate::sessions::{Announcements, Confirmation};
+use crate::sessions::{Confirmation, PendingAcknowledgements};
 
 /// Announcements with the callers that wait for them.
-pub(super) type WaitingAnnouncements = Announcements<Sender<Accepted>>;
+pub(super) type WaitingAnnouncements = PendingAcknowledgements<Sender<Accepted>>;
 
 impl Node {
     /// Acknowledges a change, which is learned and shared already, once it may. If it can't in time, dropping the reply says so.
@@ -23,16 +23,18 @@
 
     /// Gives up what has waited for too long, and has the chain confirm what its members hold.
     pub(super) fn look_after_announcements(&mut self, now: Duration) {
-        drop(self.announcements.expired(now));
+        drop(self.announcements.expire(now));
         let Some(epoch) = self.chain.members().map(|members| members.epoch) else { return };
         let mut announcements = std::mem::take(&mut self.announcements);
-        if announcements.wants_confirmation(|key| self.is_held_by_members(key)) {
+        if announcements.needs_confirmation(|key| self.is_held_by_members(key)) {
             match self.add_read(Read::Announcements) {
                 Some(token) => {
-                    announcements.asked(Confirmation { token, epoch }, |key| self.is_held_by_members(key));
+                    announcements.on_confirmation_requested(Confirmation { token, epoch }, |key| {
+                        self.is_held_by_members(key)
+                    });
                     self.chain_event(ChainEvent::Read { token });
                 }
-                None => announcements.look_again(),
+                None => announcements.reevaluate(),
             }
         }
         self.announcements = announcements;
@@ -43,12 +45,12 @@
         let mut announcements = std::mem::take(&mut self.announcements);
         match self.chain.members().map(|members| members.epoch).filter(|_| confirmed) {
             Some(epoch) => {
-                for reply in announcements.confirmed(token, epoch, |key| self.is_held_by_members(key)) {
+                for reply in announcements.on_confirmed(token, epoch, |key| self.is_held_by_members(key)) {
                     // The store may have given up.
                     let _ = reply.send(Accepted { chain_is_fresh: true });
                 }
             }
-            None => announcements.not_confirmed(token),
+            None => announcements.on_confirmation_failed(token),
         }
         self.announcements = announcements;
     }
@@ -59,7 +61,7 @@
         let Some(members) = self.chain.members() else { return false };
         let mut others = members.chain.iter().filter(|member| member.0 != self.me.member);
         others.all(|member| {
-            self.book.address(member.0).is_some_and(|address| self.sharing.is_held_by(address, key))
+            self.book.address(member.0).is_some_and(|address| self.sharing.is_replicated_to(address, key))
         })
     }
 }
--- a/system/control/src/node/coordinate.rs
+++ b/system/control/src/node/coordinate.rs
@@ -14,8 +14,8 @@
 use super::submit::Waiter;
 use super::Node;
 use crate::coordinator::backends::{BackendReports, BackendSettings};
-use crate::coordinator::loads::{LoadSettings, Loads};
-use crate::coordinator::uses::ModelUses;
+use crate::coordinator::load_schedule::{LoadSchedule, LoadScheduleSettings};
+use crate::coordinator::model_usage::ModelUsage;
 
 use weights::Engines;
 
@@ -66,8 +66,8 @@
     completion_under_way: bool,
     settlement_under_way: bool,
     engines: Engines,
-    uses: ModelUses,
-    loads: Loads,
+    uses: ModelUsage,
+    loads: LoadSchedule,
     weights_dirty: bool,
     gate: OrderGate,
     news: UnboundedSender<OrderNews>,
@@ -83,8 +83,8 @@
             completion_under_way: false,
             settlement_under_way: false,
             engines: Engines::default(),
-            uses: ModelUses::default(),
-            loads: Loads::new(LoadSettings::default()),
+            uses: ModelUsage::default(),
+            loads: LoadSchedule::new(LoadScheduleSettings::default()),
             weights_dirty: true,
             gate,
             news,
@@ -92,11 +92,11 @@
     }
 
     pub(super) fn backend_reported(&mut self, now: Duration, node: &NodeRecord, report: BackendReport) {
-        self.backends.reported(now, node, report);
+        self.backends.on_report(now, node, report);
     }
 
     pub(super) fn resumed(&mut self, now: Duration) {
-        self.backends.resumed(now);
+        self.backends.restart_timeouts(now);
     }
 
     /// Something that the weights depend on has changed.
@@ -138,7 +138,7 @@
             Leadership::TakingFence { .. } => {}
             Leadership::Fenced { token, held_since } => self.begin_coordinating(now, token, held_since),
             Leadership::Active { token, since, orders_from } => {
-                if self.state.fence_token() > token {
+                if self.state.fencing_token() > token {
                     log::info!("another coordinator has taken a newer fencing token");
                     self.coordination.end();
                     return;
@@ -172,7 +172,7 @@
     /// Notes for whoever follows on this machine that the machine before needs to be waited for no more.
     fn settle_fence(&mut self, token: u64) {
         let unsettled =
-            self.state.fence().is_some_and(|fence| fence.token == token && fence.previous.is_some());
+            self.state.fencing().is_some_and(|fence| fence.token == token && fence.previous_owner.is_some());
         if unsettled && !self.coordination.settlement_under_way {
             self.coordination.settlement_under_way = true;
             self.submit_own(Command::CompleteHandover { token }, Waiter::Settlement);
@@ -194,7 +194,7 @@
     }
 
     fn begin_coordinating(&mut self, now: Duration, token: u64, held_since: Duration) {
-        let Some(fence) = self.state.fence() else { return };
+        let Some(fence) = self.state.fencing() else { return };
         if fence.token > token {
             self.coordination.end();
             return;
@@ -202,7 +202,7 @@
         if fence.token < token {
             return;
         }
-        let orders_from = if self.must_wait_for(fence.previous.as_ref(), now) {
+        let orders_from = if self.must_wait_for(fence.previous_owner.as_ref(), now) {
             held_since + Duration::from_millis(self.settings.bounds.lease_ms) + ORDER_TRAVEL
         } else {
             now
--- a/system/control/src/node/coordinate/weights.rs
+++ b/system/control/src/node/coordinate/weights.rs
@@ -11,7 +11,7 @@
 use super::super::orders::{LoadTask, OrderNews};
 use super::super::Node;
 use super::Coordination;
-use crate::coordinator::loads::{LoadEnd, StartedLoad};
+use crate::coordinator::load_schedule::{LoadOutcome, StartedLoad};
 use crate::coordinator::weights::{due, EngineService, EngineStore, WantedModel};
 
 /// The configuration as read for the weights, as of one change.
@@ -36,7 +36,7 @@
 
 impl Node {
     pub(super) fn keep_weights(&mut self, now: Duration, token: u64) {
-        let retry_due = self.coordination.loads.next_look().is_some_and(|at| at <= now);
+        let retry_due = self.coordination.loads.next_evaluation().is_some_and(|at| at <= now);
         if !self.coordination.weights_dirty && !retry_due {
             return;
         }
@@ -62,7 +62,7 @@
     pub(in crate::node) fn model_used(&mut self, model: &str, host: &str, path: &str, min_version: u64) {
         self.read_engines();
         let Coordination { uses, engines, .. } = &mut self.coordination;
-        if uses.seen(&engines.configuration(), model, host, path, min_version) {
+        if uses.on_job_seen(&engines.configuration(), model, host, path, min_version) {
             self.coordination.weights_changed();
         }
     }
@@ -103,7 +103,7 @@
         let Some(address) = self.store_address(&load.id) else {
             let (id, model, version) = (load.id.clone(), load.model.clone(), load.version);
             // The node owns the receiver too.
-            let _ = self.coordination.news.send(OrderNews { id, model, version, end: LoadEnd::Failed });
+            let _ = self.coordination.news.send(OrderNews { id, model, version, end: LoadOutcome::Failed });
             return;
         };
         log::info!("orders version {} of {} at store {}", load.version, load.model, load.id);
@@ -111,7 +111,7 @@
             operation: "version".to_owned(),
             model: load.model.clone(),
             version: load.version,
-            method: load.method.word().to_owned(),
+            method: load.method.wire_name().to_owned(),
             holder: self.me.name.clone(),
             fencing_token: token,
             if_revision: None,
@@ -130,15 +130,15 @@
     pub(in crate::node) fn take_order_news(&mut self, news: OrderNews) {
         let now = self.now();
         let OrderNews { id, model, version, end } = news;
-        self.coordination.loads.ended(now, &id, end);
+        self.coordination.loads.on_load_ended(now, &id, end);
         self.coordination.weights_changed();
         match end {
-            LoadEnd::Done => {
+            LoadOutcome::Done => {
                 let key = Key::Weights(id, model);
                 self.learn_and_share(Entry { key, version, value: Value::Version(version) });
             }
-            LoadEnd::Fenced => self.coordination.end(),
-            LoadEnd::Busy | LoadEnd::Failed => {}
+            LoadOutcome::Fenced => self.coordination.end(),
+            LoadOutcome::Busy | LoadOutcome::Failed => {}
         }
     }
 }
--- a/system/control/src/node/introductions.rs
+++ b/system/control/src/node/introductions.rs
@@ -60,10 +60,10 @@
         }
         if introduced.new_incarnation || !self.reachable.contains_key(&from) {
             let keys: Vec<Key> = self.relay.registry().entries().map(|entry| entry.key.clone()).collect();
-            self.sharing.peer_up(from, keys.into_iter().filter(is_shared));
+            self.sharing.on_peer_connected(from, keys.into_iter().filter(is_shared));
         }
         self.reachable.insert(from, now);
-        self.announcements.look_again();
+        self.announcements.reevaluate();
         let member = MemberId(node.member);
         self.chain_event(ChainEvent::View(MembershipEvent::MemberAnnounced {
             member,
@@ -108,8 +108,8 @@
         log::info!("the control node at {peer} is silent");
         let now = self.now();
         self.reachable.remove(&peer);
-        self.sharing.peer_down(peer);
-        self.sessions.adopt(now, peer);
+        self.sharing.on_peer_lost(peer);
+        self.sessions.take_over(now, peer);
     }
 
     /// Where control nodes that live take internal messages.
@@ -132,11 +132,11 @@
         let entry =
             Entry { key: key.clone(), version: self.own_sequence, value: Value::Node(self.me.clone()) };
         self.learn(vec![entry]);
-        self.sharing.changed(&key);
+        self.sharing.mark_dirty(&key);
     }
 
     pub(super) fn view_installed(&mut self, members: &Membership) {
-        self.announcements.look_again();
+        self.announcements.reevaluate();
         self.lease_voters(members);
     }
 }
--- a/system/control/src/node/lease.rs
+++ b/system/control/src/node/lease.rs
@@ -103,7 +103,7 @@
         if self.stopping {
             return;
         }
-        let last = self.state.fence().and_then(|fence| self.address_member(fence.holder.address));
+        let last = self.state.fencing().and_then(|fence| self.address_member(fence.owner.address));
         let mut order = self.lease.members.clone();
         order.sort_by_key(|member| Some(*member) != last);
         self.lease_event(LeaseEvent::Candidates { order });
--- a/system/control/src/node/messages.rs
+++ b/system/control/src/node/messages.rs
@@ -61,8 +61,8 @@
                 self.take_share(from, sequence, entries)
             }
             ControlMessage::ReplicateSessionsAck { sequence } => {
-                self.sharing.acknowledged(from, sequence);
-                self.announcements.look_again();
+                self.sharing.on_acknowledged(from, sequence);
+                self.announcements.reevaluate();
             }
             ControlMessage::ModelUsed { model, host, path, min_version } => {
                 self.model_used(&model, &host, &path, min_version);
--- a/system/control/src/node/mod.rs
+++ b/system/control/src/node/mod.rs
@@ -34,7 +34,7 @@
 use tokio::sync::mpsc::{Receiver, UnboundedReceiver};
 use tokio::time::Instant;
 
-use crate::sessions::{Sessions, Sharing};
+use crate::sessions::{SessionReplication, Sessions};
 use crate::state::{ControlState, SnapshotError};
 
 pub use book::{AddressBook, Introduced, MAX_MEMBERS};
@@ -91,7 +91,7 @@
     disk_retry: Duration,
     relay: Relay,
     sessions: Sessions,
-    sharing: Sharing,
+    sharing: SessionReplication,
     own_sequence: u64,
     book: AddressBook,
     next_introduction: Duration,
@@ -204,7 +204,7 @@
     fn keep_house(&mut self, now: Duration) {
         if now.saturating_sub(self.last_housekeeping) > PROCESS_PAUSE {
             log::warn!("this process did not run for {:?}", now - self.last_housekeeping);
-            self.sessions.resumed(now);
+            self.sessions.restart_timeouts(now);
             self.coordination.resumed(now);
             self.reachable.values_mut().for_each(|heard| *heard = now);
         }
--- a/system/control/src/node/orders.rs
+++ b/system/control/src/node/orders.rs
@@ -20,7 +20,7 @@
 use tokio::sync::mpsc::UnboundedSender;
 use tokio::time::{sleep, timeout, Instant};
 
-use crate::coordinator::loads::LoadEnd;
+use crate::coordinator::load_schedule::LoadOutcome;
 use crate::coordinator::weights::LoadMethod;
 
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(700);
@@ -69,7 +69,7 @@
     pub id: String,
     pub model: String,
     pub version: u64,
-    pub end: LoadEnd,
+    pub end: LoadOutcome,
 }
 
 /// One load to be carried out.
@@ -86,13 +86,13 @@
 
 impl LoadTask {
     pub(super) async fn run(self) {
-        let end = self.load().await.unwrap_or(LoadEnd::Failed);
+        let end = self.load().await.unwrap_or(LoadOutcome::Failed);
         let Order { model, version, .. } = self.order;
         // Nobody listens any more while the process ends.
         let _ = self.news.send(OrderNews { id: self.id, model, version, end });
     }
 
-    async fn load(&self) -> Option<LoadEnd> {
+    async fn load(&self) -> Option<LoadOutcome> {
         let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(self.address)).await.ok()?.ok()?;
         stream.set_nodelay(true).ok()?;
         let (mut sender, connection) = handshake(TokioIo::new(stream)).await.ok()?;
@@ -102,19 +102,19 @@
         end
     }
 
-    async fn order_and_watch(&self, sender: &mut SendRequest<Full<Bytes>>) -> Option<LoadEnd> {
+    async fn order_and_watch(&self, sender: &mut SendRequest<Full<Bytes>>) -> Option<LoadOutcome> {
         match self.send_order(sender).await? {
-            StatusCode::ACCEPTED if self.order.method == LoadMethod::Blocking.word() => {
+            StatusCode::ACCEPTED if self.order.method == LoadMethod::Blocking.wire_name() => {
                 self.watch_reports(sender).await
             }
             StatusCode::ACCEPTED => self.watch(sender).await,
-            StatusCode::CONFLICT => Some(LoadEnd::Busy),
+            StatusCode::CONFLICT => Some(LoadOutcome::Busy),
             status => Some(self.end_of(status)),
         }
     }
 
     /// Sends the order again until the store says that it holds.
-    async fn watch(&self, sender: &mut SendRequest<Full<Bytes>>) -> Option<LoadEnd> {
+    async fn watch(&self, sender: &mut SendRequest<Full<Bytes>>) -> Option<LoadOutcome> {
         let begun = Instant::now();
         let usual = self.usual.map(|usual| usual * FIRST_QUESTION_PERCENT / 100);
         sleep(usual.unwrap_or(FIRST_QUESTION)).await;
@@ -132,7 +132,7 @@
     }
 
     /// Asks for reports until one shows the version.
-    async fn watch_reports(&self, sender: &mut SendRequest<Full<Bytes>>) -> Option<LoadEnd> {
+    async fn watch_reports(&self, sender: &mut SendRequest<Full<Bytes>>) -> Option<LoadOutcome> {
         let begun = Instant::now();
         let mut pause = FIRST_REPORT;
         while begun.elapsed() < LONGEST_LOAD && self.gate.is_open() {
@@ -145,20 +145,20 @@
             let report: Report = serde_json::from_slice(&body).ok()?;
             let loaded = report.models.iter().find(|loaded| loaded.name == self.order.model);
             if loaded.is_some_and(|loaded| loaded.version >= self.order.version) {
-                return Some(LoadEnd::Done);
+                return Some(LoadOutcome::Done);
             }
         }
         None
     }
 
     /// What it means that an order is not under way.
-    fn end_of(&self, status: StatusCode) -> LoadEnd {
+    fn end_of(&self, status: StatusCode) -> LoadOutcome {
         match status {
-            StatusCode::OK => LoadEnd::Done,
-            StatusCode::PRECONDITION_FAILED => LoadEnd::Fenced,
+            StatusCode::OK => LoadOutcome::Done,
+            StatusCode::PRECONDITION_FAILED => LoadOutcome::Fenced,
             other => {
                 log::info!("store {} refused an order: {other}", self.id);
-                LoadEnd::Failed
+                LoadOutcome::Failed
             }
         }
     }
--- a/system/control/src/node/requests.rs
+++ b/system/control/src/node/requests.rs
@@ -75,7 +75,7 @@
                 let _ = reply.send(confirmed.then_some(json));
             }
             Read::Retire(name, reply) => {
-                let state = self.state.retiring().get(&name).map(|retiring| retiring.state);
+                let state = self.state.retirements().get(&name).map(|retiring| retiring.state);
                 let _ = reply.send(confirmed.then_some(state));
             }
             Read::BeginRetire(name, reply) if confirmed => self.begin_retire(name, reply),
@@ -122,7 +122,7 @@
             .filter(|other| other != key)
             .collect();
         for other in former {
-            if let Some(entry) = self.sessions.superseded(other) {
+            if let Some(entry) = self.sessions.supersede(other) {
                 self.learn_and_share(entry);
             }
         }
@@ -136,7 +136,7 @@
 
     fn begin_retire(&mut self, name: String, reply: Sender<BeginRetire>) {
         let here = self.backend_named(&name).map(|backend| backend.member);
-        let before = self.state.retiring().get(&name).map(|retiring| retiring.member);
+        let before = self.state.retirements().get(&name).map(|retiring| retiring.member);
         if let Some(member) = before.filter(|member| here.is_none_or(|here| here == *member)) {
             self.submit_retire(Command::BeginRetirement { name, member }, reply);
             return;
@@ -174,7 +174,7 @@
     }
 
     fn backends_left_without(&self, member: u64) -> BTreeSet<u64> {
-        let retiring = self.state.retiring();
+        let retiring = self.state.retirements();
         let others = self.relay.registry().nodes().filter(|node| {
             node.role == Role::Backend && node.member != member && !retiring.contains_member(node.member)
         });
--- a/system/control/src/node/sharing.rs
+++ b/system/control/src/node/sharing.rs
@@ -6,30 +6,30 @@
 use gingerledge_wire::{BackendReport, ControlMessage, Entry, Envelope, Key, NodeRecord, Role, Value};
 
 use super::Node;
-use crate::sessions::{is_session, Heard};
+use crate::sessions::{is_session, HeartbeatOutcome};
 
 impl Node {
     /// A store or node has said something itself. Says whether it is the newest word of that source.
     pub(super) fn hear(&mut self, key: Key, sequence: u64, value: Value) -> bool {
         let now = self.now();
         let known = self.relay.registry().entry(&key);
-        match self.sessions.heard(now, key, sequence, value, known) {
-            Heard::Changed(entry) => {
+        match self.sessions.on_heartbeat(now, key, sequence, value, known) {
+            HeartbeatOutcome::Changed(entry) => {
                 self.learn_and_share(entry);
                 true
             }
-            Heard::Unchanged => true,
-            Heard::Late => false,
+            HeartbeatOutcome::Unchanged => true,
+            HeartbeatOutcome::Stale => false,
         }
     }
 
     pub(super) fn end_session(&mut self, key: Key) {
-        let entry = self.sessions.ended(key);
+        let entry = self.sessions.end(key);
         self.learn_and_share(entry);
     }
 
     pub(super) fn learn_and_share(&mut self, entry: Entry) {
-        self.sharing.changed(&entry.key);
+        self.sharing.mark_dirty(&entry.key);
         self.learn(vec![entry]);
     }
 
@@ -84,7 +84,7 @@
                 continue;
             }
             if is_session(&entry.key) {
-                self.sessions.shared(now, from, &entry);
+                self.sessions.on_replicated(now, from, &entry);
             }
             news.push(entry);
         }
@@ -95,7 +95,7 @@
     pub(super) fn send_shares(&mut self, now: Duration) {
         for share in self.sharing.poll(now, self.relay.registry()) {
             let message =
-                ControlMessage::ReplicateSessions { sequence: share.number, entries: share.entries };
+                ControlMessage::ReplicateSessions { sequence: share.sequence, entries: share.entries };
             self.send(share.to, Envelope::Control(message));
         }
     }
@@ -104,7 +104,7 @@
     pub(super) fn expire_sessions(&mut self, now: Duration) {
         self.announce_self();
         if self.is_member() && !self.relay.is_fresh(now) {
-            self.sessions.resumed(now);
+            self.sessions.restart_timeouts(now);
             return;
         }
         for entry in self.sessions.expire(now) {
--- a/system/control/src/node/start.rs
+++ b/system/control/src/node/start.rs
@@ -24,7 +24,7 @@
 use super::request::Request;
 use super::submissions::{SubmissionSettings, Submissions};
 use super::{Node, Sources};
-use crate::sessions::{SessionSettings, Sessions, Sharing, SharingSettings};
+use crate::sessions::{ReplicationSettings, SessionReplication, SessionSettings, Sessions};
 use crate::state::ControlState;
 
 /// Most questions of the HTTP side that wait.
@@ -32,7 +32,7 @@
 /// Time between the heartbeats of the system's own nodes.
 const NODE_INTERVAL: Duration = Duration::from_millis(500);
 /// A source is gone after so many silent intervals.
-const SILENT_INTERVALS: u32 = 3;
+const MISSED_HEARTBEATS: u32 = 3;
 /// Descriptors that are left to HTTP connections and files.
 const DESCRIPTORS_KEPT: u64 = 600;
 const MOST_CONNECTIONS: usize = 2_048;
@@ -122,7 +122,7 @@
             draw("relay"),
         ),
         sessions: Sessions::new(session_settings(&settings), me.address),
-        sharing: Sharing::new(SharingSettings::default()),
+        sharing: SessionReplication::new(ReplicationSettings::default()),
         own_sequence: 0,
         next_introduction: Duration::ZERO,
         reachable: BTreeMap::new(),
@@ -211,7 +211,7 @@
     SessionSettings {
         store_interval: Duration::from_millis(settings.heartbeat_ms),
         node_interval: NODE_INTERVAL,
-        silent_intervals: SILENT_INTERVALS,
+        missed_heartbeats: MISSED_HEARTBEATS,
     }
 }
 
--- a/system/control/src/node/status.rs
+++ b/system/control/src/node/status.rs
@@ -56,7 +56,7 @@
             "applied": self.chain.applied_index(),
             "configurationVersion": self.state.configuration().version(),
             "namedVersions": self.state.versions(),
-            "fencingToken": self.state.fence_token(),
+            "fencingToken": self.state.fencing_token(),
             "leadership": format!("{:?}", self.coordination.leadership),
             "holdsLease": self.lease.held_until(now).is_some(),
             "sessions": sessions,
--- a/system/control/src/sessions/mod.rs
+++ b/system/control/src/sessions/mod.rs
@@ -1,12 +1,12 @@
 //! Sessions of stores and of the system's own nodes, sans I/O.
 //!
-//! A session is kept by every control node. The one that heard its source last owns it, and declares it gone after a few silent
-//! intervals; the others take over the sessions of an owner that they lose, with a new grace. What is known of a source is an entry
-//! of the registry, whose version is the sequence number of the heartbeat that changed it last; heartbeats that change nothing
-//! stay where they arrive. A source that is declared gone by mistake is back with its next heartbeat.
+//! Every control node has every session. The node that received the last heartbeat owns it, and lets it expire after a few missed
+//! heartbeats; the others take over the sessions of an owner that they lose, with a new time-out. What is known of a source is an
+//! entry of the registry, whose version is the sequence number of the heartbeat that changed it last; heartbeats that change nothing
+//! are not replicated. A source whose session expired by mistake is back with its next heartbeat.
 
-mod announcements;
-mod sharing;
+mod acknowledgements;
+mod replication;
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -14,41 +14,41 @@
 
 use gingerledge_wire::{Entry, Key, Value, FINAL_VERSION, MAX_ENTRIES};
 
-pub use announcements::{Announcements, Confirmation, MAX_ANNOUNCEMENTS};
-pub use sharing::{Share, Sharing, SharingSettings};
+pub use acknowledgements::{Confirmation, PendingAcknowledgements, MAX_PENDING_ACKNOWLEDGEMENTS};
+pub use replication::{ReplicationBatch, ReplicationSettings, SessionReplication};
 
-/// How long sources may be silent.
+/// Intervals of heartbeats, and how many may be missed.
 #[derive(Clone, Copy, Debug)]
 pub struct SessionSettings {
     /// Time between the heartbeats of a store.
     pub store_interval: Duration,
     /// Time between the heartbeats of a node of the system.
     pub node_interval: Duration,
-    /// A source is gone after so many silent intervals.
-    pub silent_intervals: u32,
+    /// A session expires after so many intervals without a heartbeat.
+    pub missed_heartbeats: u32,
 }
 
-/// What a heartbeat means.
+/// The effect of a heartbeat.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Heard {
-    /// It is older than another one, or its source has ended.
-    Late,
-    /// Nothing new.
+pub enum HeartbeatOutcome {
+    /// It is older than a known one, or its source has ended.
+    Stale,
+    /// It is the newest, and changes nothing.
     Unchanged,
-    /// The entry is to be learned and shared.
+    /// The entry is to be merged into the registry and replicated.
     Changed(Entry),
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Session {
     owner: SocketAddr,
-    heard: Duration,
+    last_heartbeat: Duration,
     sequence: u64,
-    /// Whether the others know that this node owns it.
-    announced: bool,
+    /// Whether the other control nodes know its owner.
+    is_ownership_replicated: bool,
 }
 
-/// The sessions that one control node knows of.
+/// The sessions known to one control node.
 #[derive(Debug)]
 pub struct Sessions {
     settings: SessionSettings,
@@ -62,55 +62,57 @@
         Self { settings, me, sessions: HashMap::new() }
     }
 
-    /// A source has said `value` here itself, in the heartbeat numbered `sequence`. `known` is the registry's entry.
-    pub fn heard(
+    /// Processes a heartbeat that a source sent to this node: `value` under the number `sequence`. `known` is the registry's entry.
+    pub fn on_heartbeat(
         &mut self,
         now: Duration,
         key: Key,
         sequence: u64,
         value: Value,
         known: Option<&Entry>,
-    ) -> Heard {
-        if known.is_some_and(|entry| is_over(entry, sequence)) {
-            return Heard::Late;
+    ) -> HeartbeatOutcome {
+        if known.is_some_and(|entry| overrules(entry, sequence)) {
+            return HeartbeatOutcome::Stale;
         }
         let full = self.sessions.len() >= MAX_ENTRIES;
-        let moved = match self.sessions.get_mut(&key) {
-            Some(session) if sequence < session.sequence => return Heard::Late,
+        let is_new_owner = match self.sessions.get_mut(&key) {
+            Some(session) if sequence < session.sequence => return HeartbeatOutcome::Stale,
             Some(session) => {
-                let moved = session.owner != self.me || !session.announced;
-                *session = Session { owner: self.me, heard: now, sequence, announced: true };
-                moved
+                let is_new_owner = session.owner != self.me || !session.is_ownership_replicated;
+                *session =
+                    Session { owner: self.me, last_heartbeat: now, sequence, is_ownership_replicated: true };
+                is_new_owner
             }
-            None if full => return Heard::Late,
+            None if full => return HeartbeatOutcome::Stale,
             None => {
-                let session = Session { owner: self.me, heard: now, sequence, announced: true };
+                let session =
+                    Session { owner: self.me, last_heartbeat: now, sequence, is_ownership_replicated: true };
                 self.sessions.insert(key.clone(), session);
                 true
             }
         };
         let known_value = known.map(|entry| &entry.value);
-        let newer = known.is_none_or(|entry| entry.version < sequence);
-        if newer && (moved || known_value != Some(&value)) {
-            return Heard::Changed(Entry { key, version: sequence, value });
+        let is_newer = known.is_none_or(|entry| entry.version < sequence);
+        if is_newer && (is_new_owner || known_value != Some(&value)) {
+            return HeartbeatOutcome::Changed(Entry { key, version: sequence, value });
         }
-        Heard::Unchanged
+        HeartbeatOutcome::Unchanged
     }
 
-    /// A source has said itself that it ends.
-    pub fn ended(&mut self, key: Key) -> Entry {
+    /// Ends a session because its source has deregistered; the tombstone overrules every heartbeat.
+    pub fn end(&mut self, key: Key) -> Entry {
         self.sessions.remove(&key);
         Entry { key, version: FINAL_VERSION, value: Value::Tombstone }
     }
 
-    /// Another source has taken the place of this one. If it lives all the same, it is back with its next heartbeat.
-    pub fn superseded(&mut self, key: Key) -> Option<Entry> {
+    /// Ends a session because another source runs at its address. A source that is alive all the same comes back with its next heartbeat.
+    pub fn supersede(&mut self, key: Key) -> Option<Entry> {
         let session = self.sessions.remove(&key)?;
         Some(Entry { key, version: session.sequence, value: Value::Tombstone })
     }
 
-    /// Another control node shares an entry that is new here.
-    pub fn shared(&mut self, now: Duration, from: SocketAddr, entry: &Entry) {
+    /// Processes an entry, new here, that another control node has replicated: it owns the session from now on.
+    pub fn on_replicated(&mut self, now: Duration, from: SocketAddr, entry: &Entry) {
         if !is_session(&entry.key) {
             return;
         }
@@ -122,49 +124,54 @@
         if known > entry.version || (known == 0 && self.sessions.len() >= MAX_ENTRIES) {
             return;
         }
-        let session = Session { owner: from, heard: now, sequence: entry.version, announced: true };
+        let session = Session {
+            owner: from,
+            last_heartbeat: now,
+            sequence: entry.version,
+            is_ownership_replicated: true,
+        };
         self.sessions.insert(entry.key.clone(), session);
     }
 
-    /// The sessions of a control node that is lost are this one's from now on, until somebody hears their sources.
-    pub fn adopt(&mut self, now: Duration, lost: SocketAddr) {
+    /// Takes over the sessions of a control node that is lost, until another node receives a heartbeat from their sources.
+    pub fn take_over(&mut self, now: Duration, lost: SocketAddr) {
         for session in self.sessions.values_mut().filter(|session| session.owner == lost) {
             session.owner = self.me;
-            session.heard = now;
-            session.announced = false;
+            session.last_heartbeat = now;
+            session.is_ownership_replicated = false;
         }
     }
 
-    /// This process did not run for a while, or was cut off, so it could not hear anybody.
-    pub fn resumed(&mut self, now: Duration) {
+    /// Restarts all time-outs: this process stood still or was partitioned from the network, and received nothing.
+    pub fn restart_timeouts(&mut self, now: Duration) {
         for session in self.sessions.values_mut() {
-            session.heard = now;
+            session.last_heartbeat = now;
         }
     }
 
-    /// Own sessions whose sources have been silent for too long; they end here.
+    /// Removes the own sessions without a heartbeat for longer than the time-out, and returns their tombstones.
     pub fn expire(&mut self, now: Duration) -> Vec<Entry> {
-        let silent = |key: &Key, session: &Session| {
-            session.owner == self.me && now.saturating_sub(session.heard) > self.grace(key)
+        let has_expired = |key: &Key, session: &Session| {
+            session.owner == self.me && now.saturating_sub(session.last_heartbeat) > self.session_timeout(key)
         };
-        let gone: Vec<(Key, u64)> = self
+        let expired: Vec<(Key, u64)> = self
             .sessions
             .iter()
-            .filter(|(key, session)| silent(key, session))
+            .filter(|(key, session)| has_expired(key, session))
             .map(|(key, session)| (key.clone(), session.sequence))
             .collect();
-        for (key, _) in &gone {
+        for (key, _) in &expired {
             self.sessions.remove(key);
         }
-        gone.into_iter().map(|(key, version)| Entry { key, version, value: Value::Tombstone }).collect()
+        expired.into_iter().map(|(key, version)| Entry { key, version, value: Value::Tombstone }).collect()
     }
 
-    fn grace(&self, key: &Key) -> Duration {
+    fn session_timeout(&self, key: &Key) -> Duration {
         let interval = match key {
             Key::Store(_) => self.settings.store_interval,
             _ => self.settings.node_interval,
         };
-        interval * self.settings.silent_intervals
+        interval * self.settings.missed_heartbeats
     }
 
     /// Who owns a session, if there is one.
@@ -179,10 +186,10 @@
     }
 }
 
-/// Whether a heartbeat of that sequence can't change the entry any more.
-fn is_over(entry: &Entry, sequence: u64) -> bool {
-    let gone = matches!(entry.value, Value::Tombstone);
-    entry.version > sequence || (gone && entry.version >= sequence)
+/// Whether the entry has a newer version than a heartbeat of that sequence, or a tombstone that overrules it.
+fn overrules(entry: &Entry, sequence: u64) -> bool {
+    let is_tombstone = matches!(entry.value, Value::Tombstone);
+    entry.version > sequence || (is_tombstone && entry.version >= sequence)
 }
 
 /// Whether an entry is about a source of heartbeats.
--- a/system/control/src/state/backends.rs
+++ b/system/control/src/state/backends.rs
@@ -22,7 +22,7 @@
     }
 
     /// Notes where a disk is. Disks that keep no partition are forgotten where there is no room.
-    pub(super) fn note(
+    pub(super) fn register(
         &mut self,
         member: u64,
         address: SocketAddr,
--- a/system/control/src/state/configuration.rs
+++ b/system/control/src/state/configuration.rs
@@ -4,10 +4,10 @@
 //! and what became of a change hangs on its base alone:
 //!
 //! - Base is the current version: it is taken, or invalid for good, since a version that does not rise now never will.
-//! - Base is older: the change that was taken on it is remembered for the newest [`TAKEN_HISTORY`] bases. The very same change is
+//! - Base is older: the change that was taken on it is remembered for the newest [`APPLIED_HISTORY`] bases. The very same change is
 //!   answered as taken, any other as in conflict. For a base that is older still, nobody knows: no clear answer.
 //! - Base is still to come: it is refused, and remembered until the version has passed its base, so that a second copy of the same
-//!   call is never taken after the first was answered. Where [`REFUSED_HISTORY`] are remembered already: no clear answer.
+//!   call is never taken after the first was answered. Where [`REJECTED_HISTORY`] are remembered already: no clear answer.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -18,9 +18,9 @@
 use sha2::{Digest as _, Sha256};
 
 /// How many of the newest taken changes are remembered, so that a repeated call is answered as taken.
-pub const TAKEN_HISTORY: usize = 4_096;
+pub const APPLIED_HISTORY: usize = 4_096;
 /// How many changes that were refused on top of a version still to come are remembered.
-pub const REFUSED_HISTORY: usize = 1_024;
+pub const REJECTED_HISTORY: usize = 1_024;
 
 /// The first half of the SHA-256 of a configuration's bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
@@ -48,11 +48,11 @@
     version: u64,
     document: Option<ConfigurationDocument>,
     /// The newest changes that were taken, by base.
-    taken: BTreeMap<u64, Change>,
+    applied: BTreeMap<u64, Change>,
     /// Whether changes on bases before all of these were taken, and are forgotten.
-    forgets: bool,
+    has_evicted: bool,
     /// Changes that were refused on bases that are still to come.
-    refused: BTreeSet<(u64, Change)>,
+    rejected: BTreeSet<(u64, Change)>,
 }
 
 impl ConfigurationState {
@@ -79,10 +79,10 @@
         json: &Arc<Vec<u8>>,
     ) -> CommandOutcome {
         let change = Change { kind: ChangeKind::Replacement, version, digest: digest(json) };
-        if let Some(outcome) = self.outcome_without_a_look_inside(base, change) {
+        if let Some(outcome) = self.outcome_by_version(base, change) {
             return outcome;
         }
-        self.take(sequence, base, change, ConfigurationDocument::from_text(Arc::clone(json)));
+        self.apply(sequence, base, change, ConfigurationDocument::from_text(Arc::clone(json)));
         CommandOutcome::Applied
     }
 
@@ -94,7 +94,7 @@
         json: &Arc<Vec<u8>>,
     ) -> CommandOutcome {
         let change = Change { kind: ChangeKind::Update, version, digest: digest(json) };
-        if let Some(outcome) = self.outcome_without_a_look_inside(base, change) {
+        if let Some(outcome) = self.outcome_by_version(base, change) {
             return outcome;
         }
         let Some(mut document) = self.document.clone() else {
@@ -103,7 +103,7 @@
         // The configuration of a base never changes, so what is invalid on it now is invalid for good.
         match document.apply(AppliedUpdate { base: self.sequence, sequence, json: Arc::clone(json) }) {
             Ok(()) => {
-                self.take(sequence, base, change, document);
+                self.apply(sequence, base, change, document);
                 CommandOutcome::Applied
             }
             Err(error) => CommandOutcome::Invalid { reason: error.to_string() },
@@ -111,14 +111,14 @@
     }
 
     /// What becomes of a change, as far as its base and version decide it.
-    fn outcome_without_a_look_inside(&mut self, base: u64, change: Change) -> Option<CommandOutcome> {
+    fn outcome_by_version(&mut self, base: u64, change: Change) -> Option<CommandOutcome> {
         if base < self.version {
-            return Some(self.outcome_on_older(base, change));
+            return Some(self.outcome_on_older_base(base, change));
         }
         if base > self.version {
-            return Some(self.refuse(base, change));
+            return Some(self.reject(base, change));
         }
-        if self.refused.contains(&(base, change)) {
+        if self.rejected.contains(&(base, change)) {
             return Some(self.conflict());
         }
         if change.version <= self.version {
@@ -129,40 +129,40 @@
         None
     }
 
-    fn take(&mut self, sequence: u64, base: u64, change: Change, document: ConfigurationDocument) {
+    fn apply(&mut self, sequence: u64, base: u64, change: Change, document: ConfigurationDocument) {
         self.sequence = sequence;
         self.version = change.version;
         self.document = Some(document);
-        self.taken.insert(base, change);
-        if self.taken.len() > TAKEN_HISTORY {
-            self.taken.pop_first();
-            self.forgets = true;
+        self.applied.insert(base, change);
+        if self.applied.len() > APPLIED_HISTORY {
+            self.applied.pop_first();
+            self.has_evicted = true;
         }
         // What was refused on a base that is passed by now can't be taken any more.
-        self.refused.retain(|(base, _)| *base >= change.version);
+        self.rejected.retain(|(base, _)| *base >= change.version);
     }
 
     /// What became of a change on a version that is not current any more.
-    fn outcome_on_older(&self, base: u64, change: Change) -> CommandOutcome {
-        match self.taken.get(&base) {
-            Some(taken) if *taken == change => CommandOutcome::Applied,
+    fn outcome_on_older_base(&self, base: u64, change: Change) -> CommandOutcome {
+        match self.applied.get(&base) {
+            Some(applied) if *applied == change => CommandOutcome::Applied,
             Some(_) => self.conflict(),
-            None if self.is_forgotten(base) => CommandOutcome::Indeterminate,
+            None if self.is_evicted(base) => CommandOutcome::Indeterminate,
             None => self.conflict(),
         }
     }
 
-    fn is_forgotten(&self, base: u64) -> bool {
-        let oldest = self.taken.first_key_value().map(|(oldest, _)| *oldest);
-        self.forgets && oldest.is_some_and(|oldest| base < oldest)
+    fn is_evicted(&self, base: u64) -> bool {
+        let oldest = self.applied.first_key_value().map(|(oldest, _)| *oldest);
+        self.has_evicted && oldest.is_some_and(|oldest| base < oldest)
     }
 
-    fn refuse(&mut self, base: u64, change: Change) -> CommandOutcome {
-        let refused = (base, change);
-        if !self.refused.contains(&refused) && self.refused.len() >= REFUSED_HISTORY {
+    fn reject(&mut self, base: u64, change: Change) -> CommandOutcome {
+        let rejected = (base, change);
+        if !self.rejected.contains(&rejected) && self.rejected.len() >= REJECTED_HISTORY {
             return CommandOutcome::Indeterminate;
         }
-        self.refused.insert(refused);
+        self.rejected.insert(rejected);
         self.conflict()
     }
 
--- a/system/control/src/state/mod.rs
+++ b/system/control/src/state/mod.rs
@@ -1,14 +1,14 @@
 //! The durable state of the control plane: a deterministic machine that every control node feeds the same commands in the same
 //! order. It holds the operator's configuration, the named versions of weights, the coordinator's fencing token, the chains of
-//! the partitions of batch jobs, and the backends that are being emptied.
+//! the partitions of batch jobs, and the retirements of backends.
 //!
-//! It promises: a command that was taken is answered [`CommandOutcome::Taken`] whenever it comes again; of two configurations on one
-//! base one is taken at most; versions, epochs and fencing tokens only rise. It does no I/O and knows no time.
+//! It promises: a command that was applied is answered [`CommandOutcome::Applied`] whenever it comes again; of two configurations on one
+//! base at most one is applied; versions, epochs and fencing tokens only rise. It does no I/O and knows no time.
 
 mod backends;
 mod configuration;
 mod partitions;
-mod retiring;
+mod retirements;
 
 use std::collections::BTreeMap;
 
@@ -17,9 +17,9 @@
 use snafu::{ensure, ResultExt, Snafu};
 
 pub use backends::{BackendAddresses, MAX_BACKENDS};
-pub use configuration::{ConfigurationState, REFUSED_HISTORY, TAKEN_HISTORY};
+pub use configuration::{ConfigurationState, APPLIED_HISTORY, REJECTED_HISTORY};
 pub use partitions::PartitionState;
-pub use retiring::{Retiring, RetiringState, MAX_RETIRING};
+pub use retirements::{Retirement, Retirements, MAX_RETIREMENTS};
 
 /// Most models that versions are kept for.
 pub const MAX_MODELS: usize = 4_096;
@@ -47,15 +47,15 @@
     },
 }
 
-/// The holder of the newest fencing token.
+/// The newest fencing token and its owner.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Fence {
+pub struct FencingState {
     /// The token.
     pub token: u64,
-    /// Who took it.
-    pub holder: Coordinator,
-    /// The newest holder on another machine, whose turn may not be far enough away: none once a holder since then has waited for that.
-    pub previous: Option<Coordinator>,
+    /// The coordinator that owns it.
+    pub owner: Coordinator,
+    /// The newest owner on another machine, whose orders may still be in flight: none once an owner since then has waited for them.
+    pub previous_owner: Option<Coordinator>,
 }
 
 /// The durable state of the control plane.
@@ -63,9 +63,9 @@
 pub struct ControlState {
     configuration: ConfigurationState,
     versions: BTreeMap<String, u64>,
-    fence: Option<Fence>,
+    fencing: Option<FencingState>,
     partitions: PartitionState,
-    retiring: RetiringState,
+    retirements: Retirements,
     backends: BackendAddresses,
 }
 
@@ -82,24 +82,25 @@
             }
             Command::NameVersion { model, version } => self.name_version(model, *version),
             Command::AllocateFencingToken { incarnation, address } => {
-                self.take_fence(Coordinator { incarnation: *incarnation, address: *address })
+                self.allocate_fencing_token(Coordinator { incarnation: *incarnation, address: *address })
             }
-            Command::CompleteHandover { token } => self.settle_fence(*token),
+            Command::CompleteHandover { token } => self.complete_handover(*token),
             Command::SetPartition { partition, record, fencing_token } => {
-                let newest = self.fence_token();
+                let newest = self.fencing_token();
                 self.partitions.set(*partition, record, *fencing_token, newest)
             }
             Command::ReplicaInSync { partition, epoch, member } => {
-                self.partitions.mark_full(*partition, *epoch, *member)
+                self.partitions.mark_in_sync(*partition, *epoch, *member)
             }
             Command::RegisterBackend { member, address } => {
                 let partitions = &self.partitions;
-                self.backends.note(*member, *address, |member| partitions.is_used(member))
+                self.backends.register(*member, *address, |member| partitions.is_member(member))
             }
-            Command::BeginRetirement { name, member } => self.retiring.begin(name, *member),
+            Command::BeginRetirement { name, member } => self.retirements.begin(name, *member),
             Command::CompleteRetirement { name, member, replicas } => {
-                let needed = self.partitions.is_used(*member) || !self.partitions.have_copies(*replicas);
-                self.retiring.complete(name, *member, needed)
+                let needed =
+                    self.partitions.is_member(*member) || !self.partitions.all_have_replicas(*replicas);
+                self.retirements.complete(name, *member, needed)
             }
         }
     }
@@ -115,34 +116,34 @@
         CommandOutcome::Applied
     }
 
-    fn take_fence(&mut self, holder: Coordinator) -> CommandOutcome {
-        let token = self.fence_token() + 1;
-        let previous = match &self.fence {
-            Some(fence) if fence.holder.address == holder.address => fence.previous.clone(),
-            other => other.as_ref().map(|fence| fence.holder.clone()),
+    fn allocate_fencing_token(&mut self, owner: Coordinator) -> CommandOutcome {
+        let token = self.fencing_token() + 1;
+        let previous_owner = match &self.fencing {
+            Some(fencing) if fencing.owner.address == owner.address => fencing.previous_owner.clone(),
+            other => other.as_ref().map(|fencing| fencing.owner.clone()),
         };
-        self.fence = Some(Fence { token, holder, previous });
+        self.fencing = Some(FencingState { token, owner, previous_owner });
         CommandOutcome::FencingToken(token)
     }
 
-    fn settle_fence(&mut self, token: u64) -> CommandOutcome {
-        match &mut self.fence {
-            Some(fence) if fence.token == token => {
-                fence.previous = None;
+    fn complete_handover(&mut self, token: u64) -> CommandOutcome {
+        match &mut self.fencing {
+            Some(fencing) if fencing.token == token => {
+                fencing.previous_owner = None;
                 CommandOutcome::Applied
             }
-            _ => CommandOutcome::Conflict { current: self.fence_token() },
+            _ => CommandOutcome::Conflict { current: self.fencing_token() },
         }
     }
 
     /// The newest fencing token; 0 before the first.
-    pub fn fence_token(&self) -> u64 {
-        self.fence.as_ref().map_or(0, |fence| fence.token)
+    pub fn fencing_token(&self) -> u64 {
+        self.fencing.as_ref().map_or(0, |fencing| fencing.token)
     }
 
-    /// The newest fencing token and who took it.
-    pub fn fence(&self) -> Option<&Fence> {
-        self.fence.as_ref()
+    /// The newest fencing token and its owner.
+    pub fn fencing(&self) -> Option<&FencingState> {
+        self.fencing.as_ref()
     }
 
     /// The operator's configuration.
@@ -160,9 +161,9 @@
         &self.partitions
     }
 
-    /// The backends that are being emptied, or are empty.
-    pub fn retiring(&self) -> &RetiringState {
-        &self.retiring
+    /// The retirements of backends.
+    pub fn retirements(&self) -> &Retirements {
+        &self.retirements
     }
 
     /// Where the disks of backends are.
@@ -170,13 +171,13 @@
         &self.backends
     }
 
-    /// Everything that all nodes are to know, as entries of the registry.
+    /// The parts of the state that all nodes follow, as entries of the registry.
     pub fn registry_entries(&self) -> Vec<Entry> {
         let mut entries = Vec::new();
         entries.extend(self.configuration.entry());
         entries.extend(self.versions.iter().map(|(model, version)| version_entry(model, *version)));
         entries.extend(self.partitions.all().map(|(partition, record)| partition_entry(partition, record)));
-        entries.extend(self.fence.as_ref().map(coordinator_entry));
+        entries.extend(self.fencing.as_ref().map(coordinator_entry));
         entries
     }
 
@@ -189,7 +190,7 @@
             Command::NameVersion { model, .. } => {
                 self.versions.get(model).map(|version| version_entry(model, *version))
             }
-            Command::AllocateFencingToken { .. } => self.fence.as_ref().map(coordinator_entry),
+            Command::AllocateFencingToken { .. } => self.fencing.as_ref().map(coordinator_entry),
             Command::SetPartition { partition, .. } | Command::ReplicaInSync { partition, .. } => {
                 self.partitions.get(*partition).map(|record| partition_entry(*partition, record))
             }
@@ -235,6 +236,6 @@
     }
 }
 
-fn coordinator_entry(fence: &Fence) -> Entry {
-    Entry { key: Key::Coordinator, version: fence.token, value: Value::Coordinator(fence.holder.clone()) }
+fn coordinator_entry(fencing: &FencingState) -> Entry {
+    Entry { key: Key::Coordinator, version: fencing.token, value: Value::Coordinator(fencing.owner.clone()) }
 }
--- a/system/control/src/state/partitions.rs
+++ b/system/control/src/state/partitions.rs
@@ -26,12 +26,12 @@
     }
 
     /// Whether a member is in any chain.
-    pub fn is_used(&self, member: u64) -> bool {
+    pub fn is_member(&self, member: u64) -> bool {
         self.records.values().any(|record| record.chain.contains(&member))
     }
 
     /// Whether every partition has so many members that hold everything.
-    pub fn have_copies(&self, copies: u64) -> bool {
+    pub fn all_have_replicas(&self, copies: u64) -> bool {
         self.records.values().all(|record| record.in_sync.len() as u64 >= copies)
     }
 
@@ -53,14 +53,14 @@
         if next.epoch != epoch + 1 {
             return CommandOutcome::Conflict { current: epoch };
         }
-        if let Some(reason) = flaw(partition, current, next) {
+        if let Some(reason) = rejection_reason(partition, current, next) {
             return CommandOutcome::Invalid { reason: reason.to_owned() };
         }
         self.records.insert(partition, next.clone());
         CommandOutcome::Applied
     }
 
-    pub(super) fn mark_full(&mut self, partition: u16, epoch: u64, member: u64) -> CommandOutcome {
+    pub(super) fn mark_in_sync(&mut self, partition: u16, epoch: u64, member: u64) -> CommandOutcome {
         let Some(record) = self.records.get_mut(&partition) else {
             return CommandOutcome::Invalid { reason: "the partition has no chain".to_owned() };
         };
@@ -83,7 +83,11 @@
 }
 
 /// What is wrong with a new chain: it would lose data, or is none.
-fn flaw(partition: u16, current: Option<&PartitionRecord>, next: &PartitionRecord) -> Option<&'static str> {
+fn rejection_reason(
+    partition: u16,
+    current: Option<&PartitionRecord>,
+    next: &PartitionRecord,
+) -> Option<&'static str> {
     if partition >= PARTITION_COUNT {
         return Some("no such partition");
     }
--- a/system/control/src/state/retiring.rs
+++ b/system/control/src/state/retirements.rs
@@ -6,11 +6,11 @@
 use serde::{Deserialize, Serialize};
 
 /// Most backends whose emptying is remembered.
-pub const MAX_RETIRING: usize = 4_096;
+pub const MAX_RETIREMENTS: usize = 4_096;
 
 /// One backend that is being emptied, or is empty.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Retiring {
+pub struct Retirement {
     /// The identity of its disk when the emptying was asked for.
     pub member: u64,
     /// How far it is.
@@ -19,34 +19,34 @@
 
 /// All of them, by the machine's name.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RetiringState {
-    machines: BTreeMap<String, Retiring>,
+pub struct Retirements {
+    machines: BTreeMap<String, Retirement>,
 }
 
-impl RetiringState {
+impl Retirements {
     /// How far the emptying of a machine is; none if it was never asked for.
-    pub fn get(&self, name: &str) -> Option<&Retiring> {
+    pub fn get(&self, name: &str) -> Option<&Retirement> {
         self.machines.get(name)
     }
 
     /// All machines.
-    pub fn all(&self) -> impl Iterator<Item = (&str, &Retiring)> {
-        self.machines.iter().map(|(name, retiring)| (name.as_str(), retiring))
+    pub fn all(&self) -> impl Iterator<Item = (&str, &Retirement)> {
+        self.machines.iter().map(|(name, retirement)| (name.as_str(), retirement))
     }
 
     /// Whether a member must not be given partitions.
     pub fn contains_member(&self, member: u64) -> bool {
-        self.machines.values().any(|retiring| retiring.member == member)
+        self.machines.values().any(|retirement| retirement.member == member)
     }
 
     pub(super) fn begin(&mut self, name: &str, member: u64) -> CommandOutcome {
-        if self.machines.get(name).is_some_and(|retiring| retiring.member == member) {
+        if self.machines.get(name).is_some_and(|retirement| retirement.member == member) {
             return CommandOutcome::Applied;
         }
-        if self.machines.len() >= MAX_RETIRING && !self.machines.contains_key(name) {
+        if self.machines.len() >= MAX_RETIREMENTS && !self.machines.contains_key(name) {
             return CommandOutcome::Invalid { reason: "too many machines are being emptied".to_owned() };
         }
-        self.machines.insert(name.to_owned(), Retiring { member, state: RetirementState::Active });
+        self.machines.insert(name.to_owned(), Retirement { member, state: RetirementState::Active });
         CommandOutcome::Applied
     }
 
@@ -54,11 +54,11 @@
     /// former one of a chain whose other members do not hold everything yet.
     pub(super) fn complete(&mut self, name: &str, member: u64, needed: bool) -> CommandOutcome {
         match self.machines.get_mut(name) {
-            Some(retiring) if retiring.member == member && !needed => {
-                retiring.state = RetirementState::Completed;
+            Some(retirement) if retirement.member == member && !needed => {
+                retirement.state = RetirementState::Completed;
                 CommandOutcome::Applied
             }
-            Some(retiring) if retiring.member == member => CommandOutcome::Invalid {
+            Some(retirement) if retirement.member == member => CommandOutcome::Invalid {
                 reason: "the machine may still be needed for partitions".to_owned(),
             },
             _ => CommandOutcome::Invalid { reason: "the machine is not being emptied".to_owned() },
--- a/system/control/tests/golden_disk.rs
+++ b/system/control/tests/golden_disk.rs
@@ -287,7 +287,7 @@
     assert!(chain.members() == Some(&members(2, &[SECOND, ME])), "the membership");
     assert_eq!(chain.applied_index(), LAST_COMMITTED);
     assert!(state == state_after(LAST_COMMITTED), "the state");
-    assert_eq!(state.fence_token(), 2);
+    assert_eq!(state.fencing_token(), 2);
     assert_eq!(state.versions()["model-b"], u64::MAX);
     assert!(
         state.partitions().get(3)
--- a/system/control/tests/partitions.rs
+++ b/system/control/tests/partitions.rs
@@ -217,9 +217,9 @@
 }
 
 const REPORTS: BackendSettings = BackendSettings {
-    silence: Duration::from_millis(1_500),
-    grace: Duration::from_millis(3_000),
-    gather: Duration::from_millis(700),
+    report_timeout: Duration::from_millis(1_500),
+    grace_period: Duration::from_millis(3_000),
+    settling_time: Duration::from_millis(700),
 };
 
 fn node(member: u64) -> NodeRecord {
@@ -251,16 +251,16 @@
 fn conditions_of_a_settled_coordinator(member: u64, now: u64, expected: Condition) {
     let mut reports = BackendReports::new(REPORTS);
     let at = Duration::from_millis(10_000);
-    reports.reported(at, &node(1), BackendReport::default());
-    reports.reported(at, &node(3), BackendReport { disk_stalled: true, ..BackendReport::default() });
-    reports.reported(at, &node(9), BackendReport::default());
+    reports.on_report(at, &node(1), BackendReport::default());
+    reports.on_report(at, &node(3), BackendReport { disk_stalled: true, ..BackendReport::default() });
+    reports.on_report(at, &node(9), BackendReport::default());
     assert_eq!(condition_at(&reports, now, 0, member), Some(expected));
 }
 
 #[parameterized(never_heard = { 2 }, heard_long_ago = { 1 })]
 fn a_new_coordinator_calls_nobody_lost_before_all_could_report(member: u64) {
     let mut reports = BackendReports::new(REPORTS);
-    reports.reported(Duration::from_millis(1_000), &node(1), BackendReport::default());
+    reports.on_report(Duration::from_millis(1_000), &node(1), BackendReport::default());
     assert_eq!(condition_at(&reports, 12_900, 10_000, member), Some(Unknown));
     assert_eq!(condition_at(&reports, 13_100, 10_000, member), Some(Lost));
 }
@@ -279,7 +279,7 @@
     let mut reports = BackendReports::new(REPORTS);
     for (at, &(member, place)) in (10_010u64..).zip(heard) {
         let record = NodeRecord { address: node(place).address, ..node(member) };
-        reports.reported(Duration::from_millis(at), &record, BackendReport::default());
+        reports.on_report(Duration::from_millis(at), &record, BackendReport::default());
     }
     assert_eq!(condition_at(&reports, 10_100, 10_000, 1), Some(expected));
 }
@@ -288,31 +288,31 @@
 fn disks_are_noted_where_they_report_from() {
     let mut reports = BackendReports::new(REPORTS);
     for member in [1, 2, 3] {
-        reports.reported(Duration::ZERO, &node(member), BackendReport::default());
+        reports.on_report(Duration::ZERO, &node(member), BackendReport::default());
     }
     let noted = |member| match member {
         1 => Some(node(1).address),
         2 => Some(node(7).address),
         _ => None,
     };
-    assert_eq!(reports.to_note(noted), [(2, node(2).address), (3, node(3).address)]);
+    assert_eq!(reports.unregistered(noted), [(2, node(2).address), (3, node(3).address)]);
 }
 
 #[test]
 fn a_process_that_stood_still_calls_nobody_lost() {
     let mut reports = BackendReports::new(REPORTS);
-    reports.reported(Duration::from_millis(1_000), &node(1), BackendReport::default());
-    reports.resumed(Duration::from_millis(20_000));
+    reports.on_report(Duration::from_millis(1_000), &node(1), BackendReport::default());
+    reports.restart_timeouts(Duration::from_millis(20_000));
     assert_eq!(condition_at(&reports, 20_100, 0, 1), Some(Usable));
 }
 
 #[test]
 fn the_first_partitions_wait_for_more_backends() {
     let mut reports = BackendReports::new(REPORTS);
-    assert!(!reports.gathered(Duration::from_secs(9)));
-    reports.reported(Duration::from_secs(9), &node(1), BackendReport::default());
-    assert!(!reports.gathered(Duration::from_millis(9_600)));
-    assert!(reports.gathered(Duration::from_millis(9_700)));
+    assert!(!reports.has_settled(Duration::from_secs(9)));
+    reports.on_report(Duration::from_secs(9), &node(1), BackendReport::default());
+    assert!(!reports.has_settled(Duration::from_millis(9_600)));
+    assert!(reports.has_settled(Duration::from_millis(9_700)));
 }
 
 #[parameterized(
@@ -322,9 +322,9 @@
 fn full_members_are_noted_once_and_in_the_order_of_the_chain(epoch: u64, member: u64, expected: usize) {
     let mut reports = BackendReports::new(REPORTS);
     let report = BackendReport { in_sync: vec![(4, epoch)], ..BackendReport::default() };
-    reports.reported(Duration::ZERO, &node(member), report);
+    reports.on_report(Duration::ZERO, &node(member), report);
     let current = record(2, &[1, 3, 4], &[1]);
-    let full = reports.newly_full(|partition| (partition == 4).then_some(&current));
+    let full = reports.newly_in_sync(|partition| (partition == 4).then_some(&current));
     assert_eq!(full.len(), expected);
 }
 
--- a/system/control/tests/sessions.rs
+++ b/system/control/tests/sessions.rs
@@ -3,7 +3,9 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use gingerledge_control::sessions::{Heard, SessionSettings, Sessions, Sharing, SharingSettings};
+use gingerledge_control::sessions::{
+    HeartbeatOutcome, ReplicationSettings, SessionReplication, SessionSettings, Sessions,
+};
 use gingerledge_protocol::StoreState;
 use gingerledge_wire::{Entry, Key, Registry, StoreRecord, Value, FINAL_VERSION};
 use yare::parameterized;
@@ -12,7 +14,7 @@
 const SETTINGS: SessionSettings = SessionSettings {
     store_interval: INTERVAL,
     node_interval: Duration::from_millis(500),
-    silent_intervals: 3,
+    missed_heartbeats: 3,
 };
 
 fn control(last: u8) -> SocketAddr {
@@ -52,18 +54,18 @@
 
     /// A heartbeat; the entry that is to be shared, if any.
     fn hear(&mut self, now: Duration, sequence: u64, value: Value) -> Option<Entry> {
-        match self.sessions.heard(now, key(), sequence, value, self.registry.entry(&key())) {
-            Heard::Changed(entry) => {
+        match self.sessions.on_heartbeat(now, key(), sequence, value, self.registry.entry(&key())) {
+            HeartbeatOutcome::Changed(entry) => {
                 assert!(self.registry.merge(entry.clone()), "what changed must be new here");
                 Some(entry)
             }
-            Heard::Late | Heard::Unchanged => None,
+            HeartbeatOutcome::Stale | HeartbeatOutcome::Unchanged => None,
         }
     }
 
     fn take(&mut self, now: Duration, from: u8, entry: &Entry) {
         if self.registry.merge(entry.clone()) {
-            self.sessions.shared(now, control(from), entry);
+            self.sessions.on_replicated(now, control(from), entry);
         }
     }
 
@@ -138,7 +140,7 @@
 fn a_source_that_ended_itself_stays_gone() {
     let mut node = Node::new(1);
     node.hear(Duration::ZERO, 4, ready());
-    let entry = node.sessions.ended(key());
+    let entry = node.sessions.end(key());
     assert_eq!((entry.version, entry.value.clone()), (FINAL_VERSION, Value::Tombstone));
     node.registry.merge(entry);
     assert_eq!(node.hear(INTERVAL, 7, ready()), None);
@@ -150,7 +152,7 @@
 fn one_that_was_superseded_by_mistake_is_back_with_its_next_heartbeat() {
     let mut node = Node::new(1);
     node.hear(Duration::ZERO, 4, ready());
-    let gone = node.sessions.superseded(key()).expect("a session");
+    let gone = node.sessions.supersede(key()).expect("a session");
     assert!(node.registry.merge(gone));
     assert_eq!(node.hear(INTERVAL, 4, ready()), None, "a late heartbeat is no sign of life");
     assert!(!node.is_there());
@@ -196,7 +198,7 @@
     let entry = owner.hear(Duration::ZERO, 4, ready()).expect("news");
     heir.take(Duration::ZERO, 1, &entry);
     let lost_at = INTERVAL * 10;
-    heir.sessions.adopt(lost_at, control(1));
+    heir.sessions.take_over(lost_at, control(1));
     assert!(heir.expire(lost_at + INTERVAL * 3).is_empty());
     assert_eq!(heir.expire(lost_at + INTERVAL * 4).len(), 1);
 }
@@ -207,7 +209,7 @@
     let entry = owner.hear(Duration::ZERO, 4, ready()).expect("news");
     for node in [&mut heir, &mut other] {
         node.take(Duration::ZERO, 1, &entry);
-        node.sessions.adopt(INTERVAL, control(1));
+        node.sessions.take_over(INTERVAL, control(1));
     }
     let heard = heir.hear(INTERVAL * 2, 6, ready()).expect("the others must learn who owns it now");
     other.take(INTERVAL * 2, 2, &heard);
@@ -218,7 +220,7 @@
 fn a_process_that_stood_still_ends_nothing_at_once() {
     let mut node = Node::new(1);
     node.hear(Duration::ZERO, 4, ready());
-    node.sessions.resumed(INTERVAL * 20);
+    node.sessions.restart_timeouts(INTERVAL * 20);
     assert!(node.expire(INTERVAL * 21).is_empty());
     assert_eq!(node.expire(INTERVAL * 24).len(), 1);
 }
@@ -234,10 +236,11 @@
 
 const BATCH: usize = 2;
 
-fn sharing() -> Sharing {
-    let settings = SharingSettings { resend: Duration::from_millis(250), batch_entries: BATCH, max_peers: 2 };
-    let mut sharing = Sharing::new(settings);
-    sharing.peer_up(control(2), std::iter::empty());
+fn sharing() -> SessionReplication {
+    let settings =
+        ReplicationSettings { resend: Duration::from_millis(250), batch_entries: BATCH, max_peers: 2 };
+    let mut sharing = SessionReplication::new(settings);
+    sharing.on_peer_connected(control(2), std::iter::empty());
     sharing
 }
 
@@ -245,24 +248,24 @@
 fn a_change_is_held_once_the_peer_has_answered() {
     let (registry, keys) = registry_with(1);
     let mut sharing = sharing();
-    sharing.changed(&keys[0]);
-    assert!(!sharing.is_held_by(control(2), &keys[0]));
+    sharing.mark_dirty(&keys[0]);
+    assert!(!sharing.is_replicated_to(control(2), &keys[0]));
     let shares = sharing.poll(Duration::ZERO, &registry);
     assert_eq!((shares.len(), shares[0].to, shares[0].entries.len()), (1, control(2), 1));
-    assert!(!sharing.is_held_by(control(2), &keys[0]));
-    sharing.acknowledged(control(2), shares[0].number);
-    assert!(sharing.is_held_by(control(2), &keys[0]));
+    assert!(!sharing.is_replicated_to(control(2), &keys[0]));
+    sharing.on_acknowledged(control(2), shares[0].sequence);
+    assert!(sharing.is_replicated_to(control(2), &keys[0]));
 }
 
 #[test]
 fn what_changes_again_under_way_is_sent_again() {
     let (registry, keys) = registry_with(1);
     let mut sharing = sharing();
-    sharing.changed(&keys[0]);
+    sharing.mark_dirty(&keys[0]);
     let first = sharing.poll(Duration::ZERO, &registry);
-    sharing.changed(&keys[0]);
-    sharing.acknowledged(control(2), first[0].number);
-    assert!(!sharing.is_held_by(control(2), &keys[0]));
+    sharing.mark_dirty(&keys[0]);
+    sharing.on_acknowledged(control(2), first[0].sequence);
+    assert!(!sharing.is_replicated_to(control(2), &keys[0]));
     assert_eq!(sharing.poll(Duration::ZERO, &registry).len(), 1);
 }
 
@@ -270,14 +273,14 @@
 fn a_message_without_answer_is_repeated_under_a_new_number() {
     let (registry, keys) = registry_with(1);
     let mut sharing = sharing();
-    sharing.changed(&keys[0]);
+    sharing.mark_dirty(&keys[0]);
     let first = sharing.poll(Duration::ZERO, &registry);
     assert!(sharing.poll(Duration::from_millis(200), &registry).is_empty());
     let second = sharing.poll(Duration::from_millis(250), &registry);
     assert_eq!(second[0].entries, first[0].entries);
-    sharing.acknowledged(control(2), first[0].number);
+    sharing.on_acknowledged(control(2), first[0].sequence);
     assert!(
-        !sharing.is_held_by(control(2), &keys[0]),
+        !sharing.is_replicated_to(control(2), &keys[0]),
         "an answer to the lost copy says nothing of the newest"
     );
 }
@@ -286,15 +289,15 @@
 fn a_peer_that_is_lost_is_told_all_when_it_is_back() {
     let (registry, keys) = registry_with(3);
     let mut sharing = sharing();
-    sharing.changed(&keys[0]);
-    sharing.peer_down(control(2));
-    assert!(!sharing.is_held_by(control(2), &keys[0]), "nothing is known of a peer that is lost");
-    sharing.peer_up(control(2), keys.iter().cloned());
+    sharing.mark_dirty(&keys[0]);
+    sharing.on_peer_lost(control(2));
+    assert!(!sharing.is_replicated_to(control(2), &keys[0]), "nothing is known of a peer that is lost");
+    sharing.on_peer_connected(control(2), keys.iter().cloned());
     let mut told = 0;
     while let Some(share) = sharing.poll(Duration::ZERO, &registry).pop() {
         assert!(share.entries.len() <= BATCH);
         told += share.entries.len();
-        sharing.acknowledged(control(2), share.number);
+        sharing.on_acknowledged(control(2), share.sequence);
     }
     assert_eq!(told, 3);
 }
--- a/system/control/tests/state.rs
+++ b/system/control/tests/state.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use gingerledge_control::state::{ControlState, MAX_BACKENDS, REFUSED_HISTORY, TAKEN_HISTORY};
+use gingerledge_control::state::{ControlState, APPLIED_HISTORY, MAX_BACKENDS, REJECTED_HISTORY};
 use gingerledge_protocol::ConfigurationDocument;
 use gingerledge_wire::{
     Command, CommandOutcome, Key, PartitionRecord, RetirementState, Value, PARTITION_COUNT,
@@ -166,7 +166,7 @@
 #[test]
 fn a_day_of_changes_is_remembered_and_bounded() {
     let mut state = ControlState::default();
-    let changes = TAKEN_HISTORY as u64 + 10;
+    let changes = APPLIED_HISTORY as u64 + 10;
     for version in 1..=changes {
         assert_eq!(state.apply(version, &replace(version - 1, version, "text")), CommandOutcome::Applied);
     }
@@ -184,7 +184,7 @@
 fn what_is_refused_on_a_base_to_come_is_never_taken_however_many_are() {
     let mut state = ControlState::default();
     let change = |number: u64| replace(7, 9, &format!("change {number}"));
-    let refused = REFUSED_HISTORY as u64;
+    let refused = REJECTED_HISTORY as u64;
     for number in 1..=refused {
         assert_eq!(state.apply(number, &change(number)), CommandOutcome::Conflict { current: 0 });
     }
@@ -279,15 +279,17 @@
             state.apply(at as u64 + 1, &take_fence(machine, incarnation)),
             CommandOutcome::FencingToken(at as u64 + 1)
         );
-        previous
-            .push(state.fence().and_then(|fence| fence.previous.as_ref()).map(|holder| holder.incarnation));
+        previous.push(
+            state.fencing().and_then(|fence| fence.previous_owner.as_ref()).map(|holder| holder.incarnation),
+        );
     }
     assert_eq!(previous, [None, None, None, Some(11), Some(11), Some(11), Some(21)]);
 }
 
 #[test]
 fn a_machine_that_has_waited_for_the_one_before_need_not_again_after_a_restart() {
-    let previous = |state: &ControlState| state.fence().and_then(|fence| fence.previous.clone()).is_some();
+    let previous =
+        |state: &ControlState| state.fencing().and_then(|fence| fence.previous_owner.clone()).is_some();
     let settle = |token: u64| Command::CompleteHandover { token };
     let (mut state, _) = outcome(&[take_fence(1, 10), take_fence(2, 20)]);
     assert_eq!(state.apply(3, &settle(1)), CommandOutcome::Conflict { current: 2 }, "an older token");
@@ -368,7 +370,7 @@
     let (mut state, last) =
         outcome(&[take_fence(1, 1), set(1, &[1, 2], &[1, 2], 1), begin.clone(), complete.clone()]);
     assert!(matches!(last, CommandOutcome::Invalid { .. }));
-    assert_eq!(state.retiring().get("b-1").map(|retiring| retiring.state), Some(RetirementState::Active));
+    assert_eq!(state.retirements().get("b-1").map(|retiring| retiring.state), Some(RetirementState::Active));
     // It was silent for a moment and lost its place; only one member holds everything until its replacement is filled.
     assert_eq!(state.apply(8, &set(2, &[2, 3], &[2], 1)), CommandOutcome::Applied);
     assert!(matches!(state.apply(9, &complete), CommandOutcome::Invalid { .. }));
@@ -376,7 +378,10 @@
     assert_eq!(state.apply(10, &full), CommandOutcome::Applied);
     assert_eq!(state.apply(11, &complete), CommandOutcome::Applied);
     assert_eq!(state.apply(12, &begin), CommandOutcome::Applied);
-    assert_eq!(state.retiring().get("b-1").map(|retiring| retiring.state), Some(RetirementState::Completed));
+    assert_eq!(
+        state.retirements().get("b-1").map(|retiring| retiring.state),
+        Some(RetirementState::Completed)
+    );
 }
 
 #[test]
--- a/system/control/tests/weights.rs
+++ b/system/control/tests/weights.rs
@@ -3,8 +3,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use gingerledge_control::coordinator::loads::{LoadEnd, LoadSettings, Loads};
-use gingerledge_control::coordinator::uses::{ModelUses, MAX_MODELS, MAX_PLACES};
+use gingerledge_control::coordinator::load_schedule::{LoadOutcome, LoadSchedule, LoadScheduleSettings};
+use gingerledge_control::coordinator::model_usage::{ModelUsage, MAX_MODELS, MAX_ROUTES};
 use gingerledge_control::coordinator::weights::{
     due, EngineService, EngineStore, Load, LoadMethod, WantedModel,
 };
@@ -150,17 +150,17 @@
 
 /// One trainer's steps: each is asked `ahead` versions early and allows versions from so many below it on.
 struct Trainer {
-    uses: ModelUses,
+    uses: ModelUsage,
     configuration: Configuration,
 }
 
 impl Trainer {
     fn new() -> Self {
-        Self { uses: ModelUses::default(), configuration: configuration() }
+        Self { uses: ModelUsage::default(), configuration: configuration() }
     }
 
     fn asks(&mut self, min_version: u64) {
-        self.uses.seen(&self.configuration, "a", LOOSE.0, "/many/1", min_version);
+        self.uses.on_job_seen(&self.configuration, "a", LOOSE.0, "/many/1", min_version);
     }
 
     fn floor(&mut self, named: u64) -> u64 {
@@ -207,7 +207,7 @@
     assert_eq!(Trainer::new().floor(7), 7);
 }
 
-const LOADS: LoadSettings = LoadSettings {
+const LOADS: LoadScheduleSettings = LoadScheduleSettings {
     assumed_load: Duration::from_millis(500),
     busy_retry: Duration::from_millis(300),
     failed_retry: Duration::from_millis(1_200),
@@ -218,11 +218,11 @@
     ids.iter().map(load).collect()
 }
 
-fn started(loads: &mut Loads, now: u64, ids: &[&str]) -> Vec<String> {
+fn started(loads: &mut LoadSchedule, now: u64, ids: &[&str]) -> Vec<String> {
     started_by(loads, now, ids, LoadMethod::Preserve)
 }
 
-fn started_by(loads: &mut Loads, now: u64, ids: &[&str], method: LoadMethod) -> Vec<String> {
+fn started_by(loads: &mut LoadSchedule, now: u64, ids: &[&str], method: LoadMethod) -> Vec<String> {
     let started = loads.start(Duration::from_millis(now), "s", &loads_of(ids, method));
     started.into_iter().map(|started| started.load.id).collect()
 }
@@ -240,31 +240,31 @@
 
 #[test]
 fn a_bounded_number_of_stores_loads_at_once() {
-    let mut loads = Loads::new(LOADS);
+    let mut loads = LoadSchedule::new(LOADS);
     let all = ids(0..NEUTRAL + 2);
     assert_eq!(started(&mut loads, 0, &names(&all)), all[..NEUTRAL]);
     assert!(started(&mut loads, 10, &names(&all)).is_empty());
-    loads.ended(Duration::from_millis(20), &all[0], LoadEnd::Done);
+    loads.on_load_ended(Duration::from_millis(20), &all[0], LoadOutcome::Done);
     assert_eq!(started(&mut loads, 20, &names(&all[1..])), all[NEUTRAL..NEUTRAL + 1]);
 }
 
 #[test]
 fn a_store_that_waits_for_its_requests_to_end_holds_up_no_other_store_for_long() {
-    let mut loads = Loads::new(LOADS);
+    let mut loads = LoadSchedule::new(LOADS);
     let all = ids(0..2 * NEUTRAL + 1);
-    let start = |loads: &mut Loads, now| started_by(loads, now, &names(&all), LoadMethod::Blocking);
+    let start = |loads: &mut LoadSchedule, now| started_by(loads, now, &names(&all), LoadMethod::Blocking);
     assert_eq!(start(&mut loads, 0), all[..NEUTRAL]);
     assert!(start(&mut loads, 499).is_empty());
-    assert_eq!(loads.next_look(), Some(Duration::from_millis(500)));
+    assert_eq!(loads.next_evaluation(), Some(Duration::from_millis(500)));
     assert_eq!(start(&mut loads, 500), all[NEUTRAL..2 * NEUTRAL]);
     assert_eq!(start(&mut loads, 1_000), all[2 * NEUTRAL..]);
-    assert_eq!(loads.under_way(), 2 * NEUTRAL + 1, "none of them has ended");
-    assert_eq!(loads.next_look(), None, "and none waits");
+    assert_eq!(loads.in_flight(), 2 * NEUTRAL + 1, "none of them has ended");
+    assert_eq!(loads.next_evaluation(), None, "and none waits");
 }
 
 #[test]
 fn a_store_that_loads_beside_its_requests_counts_until_it_has_loaded() {
-    let mut loads = Loads::new(LOADS);
+    let mut loads = LoadSchedule::new(LOADS);
     let all = ids(0..NEUTRAL + 1);
     assert_eq!(started(&mut loads, 0, &names(&all)), all[..NEUTRAL]);
     assert!(started(&mut loads, 60_000, &names(&all)).is_empty());
@@ -278,7 +278,7 @@
 
 impl Engines {
     /// Lets every one of `stores` stores load a version; gives how long that took, and the most that loaded at once.
-    fn load_all(&self, loads: &mut Loads, begin: Duration, stores: usize) -> (Duration, usize) {
+    fn load_all(&self, loads: &mut LoadSchedule, begin: Duration, stores: usize) -> (Duration, usize) {
         let mut waiting = ids(0..stores);
         let mut loading: Vec<(Duration, String)> = Vec::new();
         let (mut now, mut most) = (begin, 0);
@@ -296,7 +296,7 @@
             }
             let (at, id) = loading.remove(0);
             now = at;
-            loads.ended(now, &id, LoadEnd::Done);
+            loads.on_load_ended(now, &id, LoadOutcome::Done);
         }
     }
 }
@@ -306,7 +306,7 @@
 )]
 fn as_many_load_at_once_as_slow_one_another_down_little(beside_one_another: usize, load: u64, stores: usize) {
     let engines = Engines { beside_one_another, load: Duration::from_millis(load) };
-    let mut loads = Loads::new(LOADS);
+    let mut loads = LoadSchedule::new(LOADS);
     let mut now = Duration::ZERO;
     let mut last = (Duration::ZERO, 0);
     for _ in 0..12 {
@@ -321,9 +321,9 @@
 
 #[test]
 fn how_many_load_at_once_follows_the_engines() {
-    let mut loads = Loads::new(LOADS);
+    let mut loads = LoadSchedule::new(LOADS);
     let mut now = Duration::ZERO;
-    let mut after = |loads: &mut Loads, beside_one_another: usize| {
+    let mut after = |loads: &mut LoadSchedule, beside_one_another: usize| {
         let engines = Engines { beside_one_another, load: Duration::from_millis(300) };
         for _ in 0..10 {
             now += engines.load_all(loads, now, 120).0 + Duration::from_secs(5);
@@ -339,45 +339,45 @@
 /// A store that waits for its requests takes long for another reason.
 #[test]
 fn loads_that_may_have_waited_make_no_others_wait() {
-    let mut loads = Loads::new(LOADS);
+    let mut loads = LoadSchedule::new(LOADS);
     let all = ids(0..40);
     let mut now = 0;
     for id in &all[..4] {
         started(&mut loads, now, &[id]);
         now += 300;
-        loads.ended(Duration::from_millis(now), id, LoadEnd::Done);
+        loads.on_load_ended(Duration::from_millis(now), id, LoadOutcome::Done);
     }
     let before = loads.at_once("s");
     for id in &all {
         started_by(&mut loads, now, &[id], LoadMethod::Blocking);
         now += 4_000;
-        loads.ended(Duration::from_millis(now), id, LoadEnd::Done);
+        loads.on_load_ended(Duration::from_millis(now), id, LoadOutcome::Done);
     }
     assert_eq!(loads.at_once("s"), before);
 }
 
 #[test]
 fn services_load_beside_one_another() {
-    let mut loads = Loads::new(LOADS);
+    let mut loads = LoadSchedule::new(LOADS);
     let first = ids(0..NEUTRAL + 1);
     loads.start(Duration::ZERO, "s", &loads_of(&names(&first), LoadMethod::Blocking));
     loads.start(Duration::ZERO, "t", &loads_of(&["j-1"], LoadMethod::Blocking));
-    assert_eq!(loads.under_way(), NEUTRAL + 1);
-    assert_eq!(loads.next_look(), Some(Duration::from_millis(500)), "a store of the first still waits");
+    assert_eq!(loads.in_flight(), NEUTRAL + 1);
+    assert_eq!(loads.next_evaluation(), Some(Duration::from_millis(500)), "a store of the first still waits");
 }
 
 #[test]
 fn a_store_takes_one_order_at_a_time() {
-    let mut loads = Loads::new(LOADS);
+    let mut loads = LoadSchedule::new(LOADS);
     assert_eq!(started(&mut loads, 0, &["i-1", "i-1"]), ["i-1"]);
 }
 
-#[parameterized(busy = { LoadEnd::Busy, 300 }, failed = { LoadEnd::Failed, 1_200 })]
-fn a_store_that_did_not_load_is_asked_again_later(end: LoadEnd, pause: u64) {
-    let mut loads = Loads::new(LOADS);
+#[parameterized(busy = { LoadOutcome::Busy, 300 }, failed = { LoadOutcome::Failed, 1_200 })]
+fn a_store_that_did_not_load_is_asked_again_later(end: LoadOutcome, pause: u64) {
+    let mut loads = LoadSchedule::new(LOADS);
     started(&mut loads, 0, &["i-1"]);
-    loads.ended(Duration::ZERO, "i-1", end);
-    assert_eq!(loads.next_look(), Some(Duration::from_millis(pause)));
+    loads.on_load_ended(Duration::ZERO, "i-1", end);
+    assert_eq!(loads.next_evaluation(), Some(Duration::from_millis(pause)));
     assert!(started(&mut loads, pause - 1, &["i-1"]).is_empty());
     assert_eq!(started(&mut loads, pause, &["i-1"]), ["i-1"]);
 }
@@ -407,9 +407,9 @@
     places: &[(&str, &str)],
     expected: LoadMethod,
 ) {
-    let (mut uses, configuration) = (ModelUses::default(), configuration());
+    let (mut uses, configuration) = (ModelUsage::default(), configuration());
     for (host, prefix) in places {
-        uses.seen(&configuration, "a", host, &format!("{prefix}7c41e0"), 1);
+        uses.on_job_seen(&configuration, "a", host, &format!("{prefix}7c41e0"), 1);
     }
     assert_eq!(uses.method(&configuration, "s", "a"), expected);
     assert_eq!(uses.method(&configuration, "s", "b"), LoadMethod::Blocking, "another model");
@@ -422,8 +422,8 @@
 
 #[test]
 fn a_route_that_becomes_strict_or_goes_counts_as_it_is_now() {
-    let (mut uses, mut configuration) = (ModelUses::default(), configuration());
-    uses.seen(&configuration, "a", LOOSE.0, "/many/1", 1);
+    let (mut uses, mut configuration) = (ModelUsage::default(), configuration());
+    uses.on_job_seen(&configuration, "a", LOOSE.0, "/many/1", 1);
     configuration.routes[1].single_version = true;
     assert_eq!(uses.method(&configuration, "s", "a"), LoadMethod::Blocking);
     configuration.routes.remove(1);
@@ -432,14 +432,14 @@
 
 #[test]
 fn uses_are_bounded() {
-    let (mut uses, mut configuration) = (ModelUses::default(), configuration());
-    for at in 0..MAX_PLACES + 5 {
+    let (mut uses, mut configuration) = (ModelUsage::default(), configuration());
+    for at in 0..MAX_ROUTES + 5 {
         let route = Route { path_prefix: format!("/p{at}/"), ..configuration.routes[1].clone() };
         configuration.routes.push(route);
-        uses.seen(&configuration, "a", LOOSE.0, &format!("/p{at}/x"), 1);
+        uses.on_job_seen(&configuration, "a", LOOSE.0, &format!("/p{at}/x"), 1);
     }
     for at in 0..MAX_MODELS + 5 {
-        uses.seen(&configuration, &format!("m{at}"), LOOSE.0, "/many/1", 1);
+        uses.on_job_seen(&configuration, &format!("m{at}"), LOOSE.0, "/many/1", 1);
     }
     assert_eq!(uses.method(&configuration, "s", "m5"), LoadMethod::Preserve);
     let beyond = format!("m{}", MAX_MODELS + 4);
