--- a/system/control/src/node/announcements.rs
+++ b/system/control/src/node/announcements.rs
@@ -17,7 +17,7 @@
 impl Node {
     /// Acknowledges a change, which is learned and shared already, once it may. If it can't in time, dropping the reply says so.
     pub(super) fn announce(&mut self, key: Key, reply: Sender<Accepted>) {
-        let now = self.now();
+        let now = self.clock.now();
         drop(self.announcements.add(now, key, reply));
     }
 
@@ -59,7 +59,7 @@
     /// itself to this process is not known to hold anything.
     fn is_held_by_members(&self, key: &Key) -> bool {
         let Some(members) = self.chain.members() else { return false };
-        let mut others = members.chain.iter().filter(|member| member.0 != self.me.member);
+        let mut others = members.chain.iter().filter(|member| member.0 != self.messenger.own().member);
         others.all(|member| {
             self.book.address(member.0).is_some_and(|address| self.sharing.is_replicated_to(address, key))
         })
--- a/system/control/src/node/chain.rs
+++ b/system/control/src/node/chain.rs
@@ -18,12 +18,12 @@
 
 impl Node {
     pub(super) fn chain_event(&mut self, event: ChainEvent) {
-        let now = self.now();
+        let now = self.clock.now();
         self.chain.handle(now, event, &mut self.chain_actions);
     }
 
     pub(super) fn take_chain_message(&mut self, from: u64, message: ChainMessage) {
-        self.book.heard(self.now(), from);
+        self.book.heard(self.clock.now(), from);
         self.chain_event(ChainEvent::Message { from: MemberId(from), message });
     }
 
@@ -53,7 +53,7 @@
             ChainAction::NotHead { command, .. } | ChainAction::Busy { command } => self.not_taken(&command),
             ChainAction::View(MembershipAction::Installed { members }) => {
                 log::info!("view {}: chain {:?}", members.epoch, names(&members.chain));
-                let now = self.now();
+                let now = self.clock.now();
                 self.submissions.view_changed(now);
                 self.view_installed(&members);
             }
@@ -67,7 +67,9 @@
 
     fn send_to_member(&mut self, to: MemberId, message: ChainMessage) {
         match self.book.address(to.0) {
-            Some(address) => self.send(address, Envelope::Chain { from: self.me.member, message }),
+            Some(address) => {
+                self.messenger.send(address, Envelope::Chain { from: self.messenger.own().member, message })
+            }
             None => log::debug!("member {:x} has no known address", to.0),
         }
     }
@@ -83,13 +85,13 @@
         }
         if !matches!(command, Command::Noop) {
             let entries = self.state.changed_entries(&command);
-            self.learn(entries);
+            self.relay.learn(entries);
         }
         if matches!(command, Command::AllocateFencingToken { .. }) {
             self.lease_candidates();
         }
         self.pass_ticks_on();
-        if reply_to == self.me.address {
+        if reply_to == self.messenger.own().address {
             self.finish_submission(request, Some(outcome));
         } else if reply {
             self.reply_outcome(reply_to, request, outcome);
@@ -110,7 +112,7 @@
             Err(source) => return self.fail(NodeError::Snapshot { source }),
         }
         let entries = self.state.registry_entries();
-        self.learn(entries);
+        self.relay.learn(entries);
         self.lease_candidates();
         self.pass_ticks_on();
     }
@@ -134,7 +136,7 @@
             self.unapplied_ticks.pop_front();
         }
         if let Some(tick) = newest {
-            self.relay_event(gingerledge_relay::RelayEvent::Tick(tick));
+            self.relay.handle_event(gingerledge_relay::RelayEvent::Tick(tick));
         }
     }
 
@@ -170,7 +172,7 @@
     /// What the node itself keeps on the disk.
     pub(super) fn own_records(&self) -> Vec<DiskRecord> {
         vec![
-            DiskRecord::Identity { member: self.me.member, founders: self.founders.clone() },
+            DiskRecord::Identity { member: self.messenger.own().member, founders: self.founders.clone() },
             DiskRecord::Book(self.book.records()),
         ]
     }
--- a/system/control/src/node/coordinate.rs
+++ b/system/control/src/node/coordinate.rs
@@ -115,7 +115,7 @@
     /// The lease is held until then. The work begins with the next look.
     pub(super) fn lease_held(&mut self, until: Duration) {
         if let Leadership::Active { orders_from, .. } = self.coordination.leadership {
-            if self.now() >= orders_from {
+            if self.clock.now() >= orders_from {
                 self.coordination.gate.open_until(until);
             }
         }
@@ -156,8 +156,10 @@
 
     fn take_fence(&mut self, now: Duration) {
         self.coordination.leadership = Leadership::TakingFence { held_since: now };
-        let command =
-            Command::AllocateFencingToken { incarnation: self.me.incarnation, address: self.me.address };
+        let command = Command::AllocateFencingToken {
+            incarnation: self.messenger.own().incarnation,
+            address: self.messenger.own().address,
+        };
         self.submit_own(command, Waiter::Fence);
     }
 
@@ -186,7 +188,8 @@
     /// Whether the holder before may still be at work: it may have sent orders until its lease ended. Stores that check fencing
     /// tokens refuse it from now on, so there only a process that is known to live is waited for.
     fn must_wait_for(&self, previous: Option<&Coordinator>, now: Duration) -> bool {
-        let Some(previous) = previous.filter(|previous| previous.address != self.me.address) else {
+        let Some(previous) = previous.filter(|previous| previous.address != self.messenger.own().address)
+        else {
             return false;
         };
         let heard_since = now.saturating_sub(HOLDER_SILENCE);
--- a/system/control/src/node/coordinate/weights.rs
+++ b/system/control/src/node/coordinate/weights.rs
@@ -37,6 +37,9 @@
 impl Node {
     pub(super) fn keep_weights(&mut self, now: Duration, token: u64) {
         let retry_due = self.coordination.loads.next_evaluation().is_some_and(|at| at <= now);
+        if self.relay.poll_new_weight_inputs() {
+            self.coordination.weights_changed();
+        }
         if !self.coordination.weights_dirty && !retry_due {
             return;
         }
@@ -112,7 +115,7 @@
             model: load.model.clone(),
             version: load.version,
             method: load.method.wire_name().to_owned(),
-            holder: self.me.name.clone(),
+            holder: self.messenger.own().name.clone(),
             fencing_token: token,
             if_revision: None,
         };
@@ -128,7 +131,7 @@
     }
 
     pub(in crate::node) fn take_order_news(&mut self, news: OrderNews) {
-        let now = self.now();
+        let now = self.clock.now();
         let OrderNews { id, model, version, end } = news;
         self.coordination.loads.on_load_ended(now, &id, end);
         self.coordination.weights_changed();
--- a/system/control/src/node/introductions.rs
+++ b/system/control/src/node/introductions.rs
@@ -33,13 +33,16 @@
             self.introduce_to(to, known.clone(), answer);
         }
         let control = self.control_addresses();
-        self.relay_event(gingerledge_relay::RelayEvent::ControlNodesKnown(control));
+        self.relay.handle_event(gingerledge_relay::RelayEvent::ControlNodesKnown(control));
     }
 
     fn introduce_to(&mut self, to: SocketAddr, known: Vec<NodeRecord>, answer: bool) {
-        let message =
-            ControlMessage::Hello { node: self.me.clone(), known_peers: known, wants_reply: answer };
-        self.send(to, Envelope::Control(message));
+        let message = ControlMessage::Hello {
+            node: self.messenger.own().clone(),
+            known_peers: known,
+            wants_reply: answer,
+        };
+        self.messenger.send(to, Envelope::Control(message));
     }
 
     pub(super) fn take_introduction(
@@ -49,7 +52,7 @@
         known: Vec<NodeRecord>,
         answer: bool,
     ) {
-        let now = self.now();
+        let now = self.clock.now();
         if node.role != Role::Control || node.address != from {
             return;
         }
@@ -81,7 +84,7 @@
 
     /// Any message shows that a control node lives.
     pub(super) fn peer_heard(&mut self, from: SocketAddr) {
-        let now = self.now();
+        let now = self.clock.now();
         if let Some(heard) = self.reachable.get_mut(&from) {
             *heard = now;
         }
@@ -106,7 +109,7 @@
     /// Its sessions are taken over; when it is back it is told everything.
     fn lose_peer(&mut self, peer: SocketAddr) {
         log::info!("the control node at {peer} is silent");
-        let now = self.now();
+        let now = self.clock.now();
         self.reachable.remove(&peer);
         self.sharing.on_peer_lost(peer);
         self.sessions.take_over(now, peer);
@@ -116,22 +119,25 @@
     pub(super) fn control_addresses(&self) -> Vec<SocketAddr> {
         let mut addresses: Vec<SocketAddr> = self.reachable.keys().copied().collect();
         if !self.stopping {
-            addresses.push(self.me.address);
+            addresses.push(self.messenger.own().address);
         }
         addresses
     }
 
     /// This node's own entry, so that all others know it. One that says it is gone is overruled.
     pub(super) fn announce_self(&mut self) {
-        let key = Key::Node(self.me.incarnation);
+        let key = Key::Node(self.messenger.own().incarnation);
         let known = self.relay.registry().entry(&key);
         if known.is_some_and(|entry| matches!(entry.value, Value::Node(_))) {
             return;
         }
         self.own_sequence = self.own_sequence.max(known.map_or(0, |entry| entry.version)) + 1;
-        let entry =
-            Entry { key: key.clone(), version: self.own_sequence, value: Value::Node(self.me.clone()) };
-        self.learn(vec![entry]);
+        let entry = Entry {
+            key: key.clone(),
+            version: self.own_sequence,
+            value: Value::Node(self.messenger.own().clone()),
+        };
+        self.relay.learn(vec![entry]);
         self.sharing.mark_dirty(&key);
     }
 
--- a/system/control/src/node/lease.rs
+++ b/system/control/src/node/lease.rs
@@ -44,7 +44,7 @@
 
 impl Node {
     fn lease_event(&mut self, event: LeaseEvent) {
-        let now = self.now();
+        let now = self.clock.now();
         self.lease.lease.handle(now, event, &mut self.lease.actions);
         self.carry_out_lease_actions();
     }
@@ -54,7 +54,8 @@
             match action {
                 LeaseAction::Send { to, message } => {
                     if let Some(address) = self.book.address(to.0) {
-                        self.send(address, Envelope::Lease { from: self.me.member, message });
+                        self.messenger
+                            .send(address, Envelope::Lease { from: self.messenger.own().member, message });
                     }
                 }
                 LeaseAction::Acquired { generation, held_until } => {
@@ -111,8 +112,11 @@
 
     /// The control node's member at an address.
     fn address_member(&self, address: SocketAddr) -> Option<VoterId> {
-        let member =
-            if address == self.me.address { Some(self.me.member) } else { self.book.member_at(address) };
+        let member = if address == self.messenger.own().address {
+            Some(self.messenger.own().member)
+        } else {
+            self.book.member_at(address)
+        };
         member.map(VoterId)
     }
 }
--- a/system/control/src/node/messages.rs
+++ b/system/control/src/node/messages.rs
@@ -2,9 +2,9 @@
 
 use std::net::SocketAddr;
 
-use gingerledge_relay::{RelayAction, RelayEvent};
+use gingerledge_relay::RelayEvent;
 use gingerledge_transport::{Inbox, Incoming};
-use gingerledge_wire::{ControlMessage, Entry, Envelope, Key};
+use gingerledge_wire::{ControlMessage, Envelope};
 
 use super::{Node, EVENTS_AT_ONCE};
 
@@ -23,7 +23,7 @@
         match event {
             Incoming::Message { from, message } => self.take_message(from, message),
             Incoming::Lost { peer, refused } => {
-                self.relay_event(RelayEvent::PeerDisconnected { peer });
+                self.relay.handle_event(RelayEvent::PeerDisconnected { peer });
                 if refused {
                     self.peer_refused(peer);
                 }
@@ -37,7 +37,7 @@
             Envelope::Chain { from, message } => self.take_chain_message(from, message),
             Envelope::Lease { from, message } => self.take_lease_message(from, message),
             Envelope::Control(message) => self.take_control_message(from, message),
-            Envelope::Relay(message) => self.relay_event(RelayEvent::Message { from, message }),
+            Envelope::Relay(message) => self.relay.handle_event(RelayEvent::Message { from, message }),
             Envelope::Jobs(_) | Envelope::Partition { .. } => {
                 log::debug!("a message for another plane came from {from}");
             }
@@ -70,32 +70,4 @@
             ControlMessage::HeartbeatAck { .. } => {}
         }
     }
-
-    pub(super) fn relay_event(&mut self, event: RelayEvent) {
-        let now = self.now();
-        let mut actions = Vec::new();
-        self.relay.handle(now, event, &mut actions);
-        for action in actions {
-            match action {
-                RelayAction::Send { to, message } => self.send(to, Envelope::Relay(message)),
-                RelayAction::EntriesChanged(entries) => {
-                    if entries.iter().any(|entry| moves_weights(&entry.key)) {
-                        self.coordination.weights_changed();
-                    }
-                }
-            }
-        }
-    }
-
-    /// Entries that are new here go down the tree.
-    pub(super) fn learn(&mut self, entries: Vec<Entry>) {
-        if !entries.is_empty() {
-            self.relay_event(RelayEvent::EntriesLearned(entries));
-        }
-    }
-}
-
-/// Whether the versions that stores should load depend on it.
-fn moves_weights(key: &Key) -> bool {
-    matches!(key, Key::Configuration | Key::NamedVersion(_) | Key::Store(_) | Key::Weights(..))
 }
--- a/system/control/src/node/mod.rs
+++ b/system/control/src/node/mod.rs
@@ -5,12 +5,15 @@
 mod announcements;
 mod book;
 mod chain;
+mod clock;
 mod coordinate;
 mod disk;
 mod introductions;
 mod lease;
 mod messages;
+mod messenger;
 mod orders;
+mod relay_host;
 mod request;
 mod requests;
 mod sharing;
@@ -26,13 +29,11 @@
 
 use gingerledge_chain::{ChainAction, ControlChain};
 use gingerledge_protocol::Settings;
-use gingerledge_relay::Relay;
 use gingerledge_storage::WriterEvent;
-use gingerledge_transport::{Inbox, Network};
-use gingerledge_wire::{ControlMessage, Envelope, FreshnessTick, NodeRecord};
+use gingerledge_transport::Inbox;
+use gingerledge_wire::{ControlMessage, Envelope, FreshnessTick};
 use snafu::Snafu;
 use tokio::sync::mpsc::{Receiver, UnboundedReceiver};
-use tokio::time::Instant;
 
 use crate::sessions::{SessionReplication, Sessions};
 use crate::state::{ControlState, SnapshotError};
@@ -43,9 +44,12 @@
 pub use submissions::{KnownOutcome, SubmissionSettings, Submissions};
 
 use announcements::WaitingAnnouncements;
+use clock::Clock;
 use coordinate::Coordination;
 use disk::DiskDriver;
 use lease::LeaseDriver;
+use messenger::Messenger;
+use relay_host::RelayHost;
 use submit::Waiter;
 
 /// Time between looks at what has no timer of its own.
@@ -77,9 +81,8 @@
 /// One control node.
 pub struct Node {
     settings: Arc<Settings>,
-    me: NodeRecord,
-    started: Instant,
-    network: Network<Envelope>,
+    clock: Clock,
+    messenger: Messenger,
     chain: ControlChain,
     chain_actions: Vec<ChainAction>,
     unapplied_ticks: VecDeque<(FreshnessTick, u64)>,
@@ -89,7 +92,7 @@
     founders: Vec<u64>,
     disk: DiskDriver,
     disk_retry: Duration,
-    relay: Relay,
+    relay: RelayHost,
     sessions: Sessions,
     sharing: SessionReplication,
     own_sequence: u64,
@@ -130,10 +133,10 @@
             if let Some(failure) = self.failure.take() {
                 return Err(failure);
             }
-            if stopped_at.is_some_and(|at| self.now() >= at + LONGEST_STOP) {
+            if stopped_at.is_some_and(|at| self.clock.now() >= at + LONGEST_STOP) {
                 break;
             }
-            let timer = tokio::time::sleep_until(self.started + self.next_timer());
+            let timer = tokio::time::sleep_until(self.clock.instant(self.next_timer()));
             tokio::select! {
                 event = sources.inbox.next() => match event {
                     Some(event) => self.take_messages(event, &mut sources.inbox),
@@ -146,7 +149,7 @@
                 Some(event) = sources.disk.recv() => self.take_disk_event(event),
                 Some(news) = sources.orders.recv() => self.take_order_news(news),
                 () = &mut stop, if stopped_at.is_none() => {
-                    stopped_at = Some(self.now());
+                    stopped_at = Some(self.clock.now());
                     self.begin_stop();
                 }
                 () = timer => {}
@@ -162,10 +165,6 @@
         self.failure.get_or_insert(failure);
     }
 
-    fn now(&self) -> Duration {
-        self.started.elapsed()
-    }
-
     fn take_requests(&mut self, first: Request, requests: &mut Receiver<Request>) {
         self.take_request(first);
         for _ in 1..EVENTS_AT_ONCE {
@@ -178,7 +177,7 @@
 
     /// Runs whatever is due, until the machines have nothing more to do now.
     fn settle(&mut self) {
-        let now = self.now();
+        let now = self.clock.now();
         self.run_timers(now);
         self.carry_out_chain_actions();
         self.send_submissions(now);
@@ -192,9 +191,7 @@
         if self.chain.next_timer().is_some_and(|due| due <= now) {
             self.chain_event(gingerledge_chain::ChainEvent::TimerExpired);
         }
-        if self.relay.next_timer().is_some_and(|due| due <= now) {
-            self.relay_event(gingerledge_relay::RelayEvent::TimerExpired);
-        }
+        self.relay.handle_timeout(now);
         self.run_lease_timer(now);
         if now >= self.last_housekeeping + HOUSEKEEPING {
             self.keep_house(now);
@@ -230,22 +227,15 @@
         timers.into_iter().flatten().fold(housekeeping, Duration::min)
     }
 
-    fn send(&self, to: SocketAddr, message: Envelope) {
-        if to != self.me.address {
-            // A message that is dropped is one that is lost: whoever sends it sends it again.
-            let _ = self.network.send(to, &message);
-        }
-    }
-
     fn begin_stop(&mut self) {
         self.stopping = true;
         self.release_lease();
     }
 
     fn say_farewell(&mut self) {
-        let farewell = ControlMessage::Goodbye { incarnation: self.me.incarnation };
+        let farewell = ControlMessage::Goodbye { incarnation: self.messenger.own().incarnation };
         for record in self.book.records() {
-            self.send(record.address, Envelope::Control(farewell.clone()));
+            self.messenger.send(record.address, Envelope::Control(farewell.clone()));
         }
     }
 }
--- a/system/control/src/node/orders.rs
+++ b/system/control/src/node/orders.rs
@@ -20,6 +20,7 @@
 use tokio::sync::mpsc::UnboundedSender;
 use tokio::time::{sleep, timeout, Instant};
 
+use super::clock::Clock;
 use crate::coordinator::load_schedule::LoadOutcome;
 use crate::coordinator::weights::LoadMethod;
 
@@ -41,13 +42,13 @@
 /// Until when orders may be sent, shared with the tasks that send them.
 #[derive(Clone, Debug)]
 pub(super) struct OrderGate {
-    started: Instant,
+    clock: Clock,
     open_until_ms: Arc<AtomicU64>,
 }
 
 impl OrderGate {
-    pub(super) fn new(started: Instant) -> Self {
-        Self { started, open_until_ms: Arc::new(AtomicU64::new(0)) }
+    pub(super) fn new(clock: Clock) -> Self {
+        Self { clock, open_until_ms: Arc::new(AtomicU64::new(0)) }
     }
 
     pub(super) fn open_until(&self, until: Duration) {
@@ -59,7 +60,7 @@
     }
 
     fn is_open(&self) -> bool {
-        self.started.elapsed().as_millis() < u128::from(self.open_until_ms.load(Ordering::Relaxed))
+        self.clock.now().as_millis() < u128::from(self.open_until_ms.load(Ordering::Relaxed))
     }
 }
 
--- a/system/control/src/node/requests.rs
+++ b/system/control/src/node/requests.rs
@@ -15,8 +15,6 @@
 
 /// Before this, the sessions may lack backends that live.
 const SESSIONS_SETTLED: Duration = Duration::from_secs(5);
-/// A node that has had no confirmed tick for this long sends stores to other control nodes.
-const CUT_OFF_AFTER: Duration = Duration::from_millis(1_800);
 /// Most reads that wait for the chain.
 const MAX_READS: usize = 256;
 
@@ -103,8 +101,8 @@
         match draining {
             // What a later heartbeat said is shared by whoever heard that one, so nothing is known of who holds it.
             true if newest => self.announce(key, reply),
-            false if !self.is_cut_off() => {
-                let _ = reply.send(Accepted { chain_is_fresh: self.relay.is_fresh(self.now()) });
+            false if !self.relay.is_isolated(self.clock.now()) => {
+                let _ = reply.send(Accepted { chain_is_fresh: self.relay.is_fresh(self.clock.now()) });
             }
             // Dropping it answers that another control node should be called.
             _ => {}
@@ -128,12 +126,6 @@
         }
     }
 
-    /// Whether the chain has confirmed nothing here for a while. Stores that kept to this node would be lost to the others; what they
-    /// say is taken all the same.
-    fn is_cut_off(&self) -> bool {
-        self.now().saturating_sub(self.relay.last_tick_at().unwrap_or_default()) > CUT_OFF_AFTER
-    }
-
     fn begin_retire(&mut self, name: String, reply: Sender<BeginRetire>) {
         let here = self.backend_named(&name).map(|backend| backend.member);
         let before = self.state.retirements().get(&name).map(|retiring| retiring.member);
@@ -151,7 +143,7 @@
 
     /// The identity of the disk that would be emptied, or why not.
     fn judge_retire(&self, name: &str) -> Result<u64, BeginRetire> {
-        let settled = self.now() >= SESSIONS_SETTLED;
+        let settled = self.clock.now() >= SESSIONS_SETTLED;
         let unless_unsettled = |refusal| if settled { refusal } else { BeginRetire::Unavailable };
         let Some(backend) = self.backend_named(name) else {
             return Err(unless_unsettled(BeginRetire::Unknown));
--- a/system/control/src/node/sharing.rs
+++ b/system/control/src/node/sharing.rs
@@ -11,7 +11,7 @@
 impl Node {
     /// A store or node has said something itself. Says whether it is the newest word of that source.
     pub(super) fn hear(&mut self, key: Key, sequence: u64, value: Value) -> bool {
-        let now = self.now();
+        let now = self.clock.now();
         let known = self.relay.registry().entry(&key);
         match self.sessions.on_heartbeat(now, key, sequence, value, known) {
             HeartbeatOutcome::Changed(entry) => {
@@ -30,7 +30,7 @@
 
     pub(super) fn learn_and_share(&mut self, entry: Entry) {
         self.sharing.mark_dirty(&entry.key);
-        self.learn(vec![entry]);
+        self.relay.learn(vec![entry]);
     }
 
     pub(super) fn take_node_heartbeat(
@@ -43,7 +43,7 @@
         if node.role == Role::Control || node.address != from {
             return;
         }
-        let now = self.now();
+        let now = self.clock.now();
         if let Some(report) = report {
             self.coordination.backend_reported(now, &node, report);
         }
@@ -54,7 +54,8 @@
             self.end_former_lives(&node);
         }
         let control = self.control_addresses();
-        self.send(from, Envelope::Control(ControlMessage::HeartbeatAck { sequence, control_nodes: control }));
+        self.messenger
+            .send(from, Envelope::Control(ControlMessage::HeartbeatAck { sequence, control_nodes: control }));
     }
 
     /// One process runs at an address: those before it are gone.
@@ -76,7 +77,7 @@
     }
 
     pub(super) fn take_share(&mut self, from: SocketAddr, number: u64, entries: Vec<Entry>) {
-        let now = self.now();
+        let now = self.clock.now();
         let mut news = Vec::new();
         for entry in entries {
             let known = self.relay.registry().entry(&entry.key);
@@ -88,15 +89,16 @@
             }
             news.push(entry);
         }
-        self.learn(news);
-        self.send(from, Envelope::Control(ControlMessage::ReplicateSessionsAck { sequence: number }));
+        self.relay.learn(news);
+        self.messenger
+            .send(from, Envelope::Control(ControlMessage::ReplicateSessionsAck { sequence: number }));
     }
 
     pub(super) fn send_shares(&mut self, now: Duration) {
         for share in self.sharing.poll(now, self.relay.registry()) {
             let message =
                 ControlMessage::ReplicateSessions { sequence: share.sequence, entries: share.entries };
-            self.send(share.to, Envelope::Control(message));
+            self.messenger.send(share.to, Envelope::Control(message));
         }
     }
 
@@ -116,13 +118,13 @@
     fn is_member(&self) -> bool {
         self.chain
             .members()
-            .is_some_and(|members| members.chain.iter().any(|member| member.0 == self.me.member))
+            .is_some_and(|members| members.chain.iter().any(|member| member.0 == self.messenger.own().member))
     }
 
     /// Whether the sharing knows all members of the chain: one that has not introduced itself yet would be passed over.
     pub(super) fn members_shared_with(&self) -> bool {
         let Some(members) = self.chain.members() else { return false };
-        let mut others = members.chain.iter().filter(|member| member.0 != self.me.member);
+        let mut others = members.chain.iter().filter(|member| member.0 != self.messenger.own().member);
         others.all(|member| self.book.address(member.0).is_some_and(|address| self.sharing.has_peer(address)))
     }
 }
--- a/system/control/src/node/start.rs
+++ b/system/control/src/node/start.rs
@@ -13,14 +13,16 @@
 use gingerledge_wire::{stable_hash, NodeRecord, Role};
 use snafu::{OptionExt, ResultExt, Snafu};
 use tokio::sync::mpsc;
-use tokio::time::Instant;
 
 use super::announcements::WaitingAnnouncements;
 use super::book::AddressBook;
+use super::clock::Clock;
 use super::coordinate::Coordination;
 use super::disk::{self, DiskDriver, DiskError, DiskRecord, Kept};
 use super::lease::LeaseDriver;
+use super::messenger::Messenger;
 use super::orders::OrderGate;
+use super::relay_host::RelayHost;
 use super::request::Request;
 use super::submissions::{SubmissionSettings, Submissions};
 use super::{Node, Sources};
@@ -88,7 +90,7 @@
         appended.context(disk::StorageSnafu).context(DiskSnafu)?;
     }
     let (network, inbox) = Network::bind(network_settings(&settings)).await.context(NetworkSnafu)?;
-    let started = Instant::now();
+    let clock = Clock::start();
     let (disk_events, disk_source) = mpsc::unbounded_channel();
     let (order_news, order_source) = mpsc::unbounded_channel();
     let (requests, request_source) = mpsc::channel(REQUEST_QUEUE);
@@ -104,7 +106,10 @@
     let lease_time = Duration::from_millis(settings.bounds.lease_ms);
     let lease = LeaseDriver::start(identity.member, lease_time, identity.founding, draw("lease"));
     let chain = make_chain(&settings, &identity, &mut kept, draw("chain"));
-    let gate = OrderGate::new(started);
+    let gate = OrderGate::new(clock);
+    let messenger = Messenger::new(network, me);
+    let relay_settings = RelaySettings::for_role(Role::Control, &settings.zone);
+    let relay = Relay::new(relay_settings, messenger.own().address, true, draw("relay"));
     let mut node = Node {
         book: AddressBook::new(identity.member, founder_records(&settings, &identity, kept.book)),
         chain,
@@ -115,13 +120,8 @@
         founders: identity.founders,
         disk,
         disk_retry: Duration::ZERO,
-        relay: Relay::new(
-            RelaySettings::for_role(Role::Control, &settings.zone),
-            me.address,
-            true,
-            draw("relay"),
-        ),
-        sessions: Sessions::new(session_settings(&settings), me.address),
+        relay: RelayHost::new(clock, messenger.clone(), relay),
+        sessions: Sessions::new(session_settings(&settings), messenger.own().address),
         sharing: SessionReplication::new(ReplicationSettings::default()),
         own_sequence: 0,
         next_introduction: Duration::ZERO,
@@ -135,9 +135,8 @@
         last_housekeeping: Duration::ZERO,
         stopping: false,
         failure: None,
-        network,
-        started,
-        me,
+        clock,
+        messenger,
         settings,
     };
     node.begin();
@@ -147,8 +146,8 @@
 
 impl Node {
     fn begin(&mut self) {
-        log::info!("control node {:x} at {}", self.me.member, self.me.address);
-        self.relay_event(gingerledge_relay::RelayEvent::Started);
+        log::info!("control node {:x} at {}", self.messenger.own().member, self.messenger.own().address);
+        self.relay.handle_event(gingerledge_relay::RelayEvent::Started);
         self.chain_event(ChainEvent::Started);
         if let Some(members) = self.chain.members().cloned() {
             self.view_installed(&members);
--- a/system/control/src/node/status.rs
+++ b/system/control/src/node/status.rs
@@ -8,7 +8,7 @@
 impl Node {
     /// The node's view of the system, as JSON.
     pub(super) fn status(&self) -> String {
-        let now = self.now();
+        let now = self.clock.now();
         let registry = self.relay.registry();
         let (sessions, own_sessions) = self.sessions.count();
         let members = self.chain.members();
@@ -47,8 +47,8 @@
             })
             .collect();
         json!({
-            "node": self.me.name,
-            "member": format!("{:x}", self.me.member),
+            "node": self.messenger.own().name,
+            "member": format!("{:x}", self.messenger.own().member),
             "view": members.map(|members| members.epoch),
             "voters": members.map(|members| names(&members.voters)),
             "chain": members.map(|members| names(&members.chain)),
--- a/system/control/src/node/submit.rs
+++ b/system/control/src/node/submit.rs
@@ -67,7 +67,7 @@
     }
 
     fn submit(&mut self, command: Command, patience: Duration, waiter: Waiter) {
-        let now = self.now();
+        let now = self.clock.now();
         if let Err(waiter) = self.submissions.add(now, command, patience, waiter) {
             self.tell_waiter(waiter, None);
         }
@@ -75,7 +75,7 @@
 
     pub(super) fn send_submissions(&mut self, now: Duration) {
         for (request, command) in self.submissions.due(now) {
-            let reply_to = self.me.address;
+            let reply_to = self.messenger.own().address;
             if !self.forward(Submission { request, reply_to, command }) {
                 self.submissions.not_sent(now, request);
             }
@@ -85,19 +85,19 @@
     /// Gives a command to the head: this node, or another one.
     fn forward(&mut self, submission: Submission) -> bool {
         let Some(head) = self.chain.head() else { return false };
-        if head.0 == self.me.member {
+        if head.0 == self.messenger.own().member {
             self.chain_event(ChainEvent::Submit { command: encode_submission(&submission) });
             return true;
         }
         let Some(address) = self.book.address(head.0) else { return false };
         let Submission { request, reply_to, command } = submission;
         let message = Envelope::Control(ControlMessage::Submit { request, reply_to, command });
-        self.network.send(address, &message).is_queued()
+        self.messenger.try_send(address, &message)
     }
 
     /// Another control node wants a command committed, and takes this one for the head.
     pub(super) fn take_submission(&mut self, request: u64, reply_to: SocketAddr, command: Command) {
-        if self.chain.head().is_some_and(|head| head.0 == self.me.member) {
+        if self.chain.head().is_some_and(|head| head.0 == self.messenger.own().member) {
             let command = encode_submission(&Submission { request, reply_to, command });
             self.chain_event(ChainEvent::Submit { command });
         } else {
@@ -108,8 +108,8 @@
     /// The chain did not take a command: whoever asked tries again.
     pub(super) fn not_taken(&mut self, bytes: &[u8]) {
         let Some(Submission { request, reply_to, .. }) = decode_submission(bytes) else { return };
-        if reply_to == self.me.address {
-            let now = self.now();
+        if reply_to == self.messenger.own().address {
+            let now = self.clock.now();
             self.submissions.not_sent(now, request);
         } else {
             self.reply(reply_to, request, None);
@@ -121,7 +121,7 @@
     }
 
     fn reply(&mut self, to: SocketAddr, request: u64, outcome: Option<CommandOutcome>) {
-        self.send(to, Envelope::Control(ControlMessage::SubmitResponse { request, outcome }));
+        self.messenger.send(to, Envelope::Control(ControlMessage::SubmitResponse { request, outcome }));
     }
 
     /// An outcome has come, or the news that a command was not taken.
@@ -133,7 +133,7 @@
                 }
             }
             None => {
-                let now = self.now();
+                let now = self.clock.now();
                 self.submissions.not_sent(now, request);
             }
         }
