--- a/system/control/src/node/announcements.rs
+++ b/system/control/src/node/announcements.rs
@@ -24,7 +24,7 @@
     /// Gives up what has waited for too long, and has the chain confirm what its members hold.
     pub(super) fn look_after_announcements(&mut self, now: Duration) {
         drop(self.announcements.expire(now));
-        let Some(epoch) = self.chain.members().map(|members| members.epoch) else { return };
+        let Some(epoch) = self.chain.membership().map(|members| members.epoch) else { return };
         let mut announcements = std::mem::take(&mut self.announcements);
         if announcements.needs_confirmation(|key| self.is_held_by_members(key)) {
             match self.add_read(Read::Announcements) {
@@ -32,7 +32,7 @@
                     announcements.on_confirmation_requested(Confirmation { token, epoch }, |key| {
                         self.is_held_by_members(key)
                     });
-                    self.chain_event(ChainEvent::Read { token });
+                    self.chain.handle_event(ChainEvent::Read { token });
                 }
                 None => announcements.reevaluate(),
             }
@@ -43,7 +43,7 @@
     /// The chain has confirmed its membership, or could not.
     pub(super) fn finish_announcements(&mut self, token: u64, confirmed: bool) {
         let mut announcements = std::mem::take(&mut self.announcements);
-        match self.chain.members().map(|members| members.epoch).filter(|_| confirmed) {
+        match self.chain.membership().map(|members| members.epoch).filter(|_| confirmed) {
             Some(epoch) => {
                 for reply in announcements.on_confirmed(token, epoch, |key| self.is_held_by_members(key)) {
                     // The store may have given up.
@@ -58,7 +58,7 @@
     /// Whether all other members of the chain have answered that they hold the newest form of an entry. One that has not introduced
     /// itself to this process is not known to hold anything.
     fn is_held_by_members(&self, key: &Key) -> bool {
-        let Some(members) = self.chain.members() else { return false };
+        let Some(members) = self.chain.membership() else { return false };
         let mut others = members.chain.iter().filter(|member| member.0 != self.messenger.own().member);
         others.all(|member| {
             self.book.address(member.0).is_some_and(|address| self.sharing.is_replicated_to(address, key))
--- /dev/null
+++ b/system/control/src/node/chain_actions.rs
@@ -0,0 +1,132 @@
+//! Routes the actions of the control chain to the components that carry them out, and the events of the disk back to the chain.
+
+use gingerledge_chain::{ChainAction, ChainEvent, ChainMessage, MemberId, Membership, MembershipAction};
+use gingerledge_relay::RelayEvent;
+use gingerledge_storage::WriterEvent;
+use gingerledge_wire::{Command, Envelope, FreshnessTick};
+
+use super::disk::DiskOutput;
+use super::{Node, NodeError};
+
+impl Node {
+    pub(super) fn on_chain_message(&mut self, from: u64, message: ChainMessage) {
+        self.book.heard(self.clock.now(), from);
+        self.chain.on_message(from, message);
+    }
+
+    /// Carries out the chain's actions until there are none: carrying one out may lead to more.
+    pub(super) fn process_chain_actions(&mut self) {
+        loop {
+            let actions = self.chain.poll_actions();
+            if actions.is_empty() {
+                return;
+            }
+            for action in actions {
+                if self.failure.is_some() {
+                    continue;
+                }
+                if let Err(failure) = self.process_chain_action(action) {
+                    self.fail(failure);
+                }
+            }
+        }
+    }
+
+    fn process_chain_action(&mut self, action: ChainAction) -> Result<(), NodeError> {
+        match action {
+            ChainAction::Send { to, message } => self.send_to_member(to, message),
+            ChainAction::Persist { token, records } => self.disk.append_chain(records, token),
+            ChainAction::Apply { index, command, reply } => self.apply(index, &command, reply)?,
+            ChainAction::TakeSnapshot => self.chain.provide_snapshot()?,
+            ChainAction::InstallSnapshot { index, bytes } => self.install_snapshot(index, &bytes)?,
+            ChainAction::ReadReady { token, .. } => self.finish_read(token, true),
+            ChainAction::ReadFailed { token } => self.finish_read(token, false),
+            ChainAction::NotHead { command, .. } | ChainAction::Busy { command } => self.not_taken(&command),
+            ChainAction::View(MembershipAction::Installed { members }) => {
+                log::info!(epoch = members.epoch, chain:? = hex_members(&members.chain); "view installed");
+                let now = self.clock.now();
+                self.submissions.view_changed(now);
+                self.on_view_installed(&members);
+            }
+            ChainAction::View(MembershipAction::Sealed { epoch }) => self.lease_sealed(epoch),
+            ChainAction::BecameInSync { epoch } => log::info!(epoch; "replica in sync"),
+            ChainAction::BarrierCommitted { epoch, number, commit_index } => {
+                self.chain.on_barrier_committed(FreshnessTick { epoch, number }, commit_index);
+                self.send_applied_tick();
+            }
+        }
+        Ok(())
+    }
+
+    fn send_to_member(&mut self, to: MemberId, message: ChainMessage) {
+        match self.book.address(to.0) {
+            Some(address) => {
+                let from = self.messenger.own().member;
+                self.messenger.send(address, Envelope::Chain { from, message });
+            }
+            None => log::debug!(member:% = hex(to); "member without a known address"),
+        }
+    }
+
+    fn apply(&mut self, index: u64, bytes: &[u8], reply: bool) -> Result<(), NodeError> {
+        let applied = self.chain.apply(index, bytes)?;
+        self.relay.learn(applied.entries);
+        if matches!(applied.submission.command, Command::AllocateFencingToken { .. }) {
+            self.lease_candidates();
+        }
+        self.send_applied_tick();
+        let (request, reply_to) = (applied.submission.request, applied.submission.reply_to);
+        if reply_to == self.messenger.own().address {
+            self.finish_submission(request, Some(applied.outcome));
+        } else if reply {
+            self.reply_outcome(reply_to, request, applied.outcome);
+        }
+        Ok(())
+    }
+
+    fn install_snapshot(&mut self, index: u64, bytes: &[u8]) -> Result<(), NodeError> {
+        self.chain.install_snapshot(index, bytes)?;
+        self.relay.learn(self.chain.state().registry_entries());
+        self.lease_candidates();
+        self.send_applied_tick();
+        Ok(())
+    }
+
+    /// A tick goes down the relay's tree once everything committed before it is applied here, and so is in the registry.
+    fn send_applied_tick(&mut self) {
+        if let Some(tick) = self.chain.poll_applied_tick() {
+            self.relay.handle_event(RelayEvent::Tick(tick));
+        }
+    }
+
+    pub(super) fn on_view_installed(&mut self, membership: &Membership) {
+        self.announcements.reevaluate();
+        self.lease_voters(membership);
+    }
+
+    pub(super) fn on_disk_event(&mut self, event: WriterEvent) {
+        for output in self.disk.handle_event(event) {
+            match output {
+                DiskOutput::Durable { token } => self.chain.handle_event(ChainEvent::Durable { token }),
+                DiskOutput::SnapshotNeeded => self.write_snapshot(),
+            }
+        }
+    }
+
+    pub(super) fn write_snapshot(&mut self) {
+        self.process_chain_actions();
+        match self.chain.checkpoint() {
+            Ok(Some(records)) => self.disk.write_snapshot(self.book.records(), records),
+            Ok(None) => {}
+            Err(failure) => self.fail(failure),
+        }
+    }
+}
+
+fn hex(member: MemberId) -> String {
+    format!("{:x}", member.0)
+}
+
+fn hex_members(members: &[MemberId]) -> Vec<String> {
+    members.iter().copied().map(hex).collect()
+}
--- a/system/control/src/node/coordinate.rs
+++ b/system/control/src/node/coordinate.rs
@@ -138,7 +138,7 @@
             Leadership::TakingFence { .. } => {}
             Leadership::Fenced { token, held_since } => self.begin_coordinating(now, token, held_since),
             Leadership::Active { token, since, orders_from } => {
-                if self.state.fencing_token() > token {
+                if self.chain.state().fencing_token() > token {
                     log::info!("another coordinator has taken a newer fencing token");
                     self.coordination.end();
                     return;
@@ -173,8 +173,11 @@
 
     /// Notes for whoever follows on this machine that the machine before needs to be waited for no more.
     fn settle_fence(&mut self, token: u64) {
-        let unsettled =
-            self.state.fencing().is_some_and(|fence| fence.token == token && fence.previous_owner.is_some());
+        let unsettled = self
+            .chain
+            .state()
+            .fencing()
+            .is_some_and(|fence| fence.token == token && fence.previous_owner.is_some());
         if unsettled && !self.coordination.settlement_under_way {
             self.coordination.settlement_under_way = true;
             self.submit_own(Command::CompleteHandover { token }, Waiter::Settlement);
@@ -197,7 +200,7 @@
     }
 
     fn begin_coordinating(&mut self, now: Duration, token: u64, held_since: Duration) {
-        let Some(fence) = self.state.fencing() else { return };
+        let Some(fence) = self.chain.state().fencing() else { return };
         if fence.token > token {
             self.coordination.end();
             return;
--- a/system/control/src/node/coordinate/partitions.rs
+++ b/system/control/src/node/coordinate/partitions.rs
@@ -21,11 +21,11 @@
     }
 
     fn partition_changes(&self, now: Duration, since: Duration) -> Vec<Change> {
-        let partitions = self.state.partitions();
+        let partitions = self.chain.state().partitions();
         let reports = &self.coordination.backends;
         let chains = partitions.all().map(|(_, record)| record);
-        let is_retiring = |member| self.state.retirements().contains_member(member);
-        let address_of = |member| self.state.backends().get(member);
+        let is_retiring = |member| self.chain.state().retirements().contains_member(member);
+        let address_of = |member| self.chain.state().backends().get(member);
         let conditions = reports.conditions(now, since, chains, address_of, is_retiring);
         let backends = Backends::new(conditions, self.settings.fault_tolerance.machines);
         let gathered = reports.has_settled(now);
@@ -35,7 +35,7 @@
     }
 
     fn note_full_members(&mut self) {
-        let partitions = self.state.partitions();
+        let partitions = self.chain.state().partitions();
         for full in self.coordination.backends.newly_in_sync(|partition| partitions.get(partition)) {
             if self.coordination.partitions_under_way.insert(full.partition) {
                 let (partition, epoch, member) = (full.partition, full.epoch, full.member);
@@ -48,7 +48,7 @@
     /// Keeps where the disks are: the next coordinator may know nothing but that.
     fn note_backends(&mut self) {
         for (member, address) in
-            self.coordination.backends.unregistered(|member| self.state.backends().get(member))
+            self.coordination.backends.unregistered(|member| self.chain.state().backends().get(member))
         {
             if self.coordination.backends_under_way.insert(member) {
                 self.submit_own(Command::RegisterBackend { member, address }, Waiter::Backend(member));
@@ -72,11 +72,14 @@
     /// may still be filling its replacement: until then the machine's going would be a second loss.
     pub(super) fn keep_retiring(&mut self) {
         let copies = self.settings.fault_tolerance.machines as u64 + 1;
-        if self.coordination.completion_under_way || !self.state.partitions().all_have_replicas(copies) {
+        if self.coordination.completion_under_way
+            || !self.chain.state().partitions().all_have_replicas(copies)
+        {
             return;
         }
-        let empty = self.state.retirements().all().find(|(_, retiring)| {
-            retiring.state == RetirementState::Active && !self.state.partitions().is_member(retiring.member)
+        let empty = self.chain.state().retirements().all().find(|(_, retiring)| {
+            retiring.state == RetirementState::Active
+                && !self.chain.state().partitions().is_member(retiring.member)
         });
         let Some((name, member)) = empty.map(|(name, retiring)| (name.to_owned(), retiring.member)) else {
             return;
--- a/system/control/src/node/coordinate/weights.rs
+++ b/system/control/src/node/coordinate/weights.rs
@@ -54,7 +54,7 @@
     }
 
     fn read_engines(&mut self) {
-        let configuration = self.state.configuration();
+        let configuration = self.chain.state().configuration();
         let Some(document) = configuration.document() else { return };
         if let Err(error) = self.coordination.engines.followed.follow(configuration.sequence(), document) {
             log::error!("the configuration of change {} can't be read: {error}", configuration.sequence());
@@ -72,7 +72,7 @@
 
     /// What is known of the services whose stores hold models.
     fn engine_services(&mut self) -> BTreeMap<String, EngineService> {
-        let versions = self.state.versions();
+        let versions = self.chain.state().versions();
         let Coordination { uses, engines, .. } = &mut self.coordination;
         let configuration = engines.configuration();
         let mut wanted = |service: &Service, model: &Model| {
--- a/system/control/src/node/disk.rs
+++ b/system/control/src/node/disk.rs
@@ -1,8 +1,11 @@
-//! The disk of a control node: its identity, the founding, the address book and the chain's records, in one ring of files. Writes
-//! run on the storage thread; the chain is told of each batch when it is durable.
+//! The disk of a control node: its identity, the founders, the known peers and the chain's records, in one ring of files. Writes run on
+//! the storage thread, which reports each batch when it is durable.
+//!
+//! A write that fails leaves the disk without what came after it, so nothing more is appended until a snapshot has replaced everything.
 
 use std::collections::VecDeque;
 use std::path::Path;
+use std::time::Duration;
 
 use gingerledge_chain::LogRecord;
 use gingerledge_storage::{FileDisk, Recovered, Ring, RingSettings, StorageError, Writer, WriterEvent};
@@ -12,13 +15,15 @@
 use tokio::sync::mpsc::UnboundedSender;
 
 const MEBIBYTE: u64 = 1024 * 1024;
-/// The ring takes this share of the disk.
-const RING_SHARE: u64 = 4;
-const LEAST_RING_BYTES: u64 = 16 * MEBIBYTE;
-const MOST_RING_BYTES: u64 = 64 * MEBIBYTE;
+/// The ring takes this fraction of the disk.
+const RING_DIVISOR: u64 = 4;
+const MIN_RING_BYTES: u64 = 16 * MEBIBYTE;
+const MAX_RING_BYTES: u64 = 64 * MEBIBYTE;
 const RING_FILES: u64 = 8;
+/// Time between attempts to replace everything on a disk that refuses writes.
+const REWRITE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// One record in the ring.
+/// One record in the ring. Encoded by the order of the variants.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum DiskRecord {
     /// The identity of this disk.
@@ -28,19 +33,35 @@
         /// All founders, if this member is one of them.
         founders: Vec<u64>,
     },
-    /// The control nodes known.
-    Book(Vec<NodeRecord>),
+    /// The known control nodes.
+    Peers(Vec<NodeRecord>),
     /// A record of the chain.
     Chain(LogRecord),
 }
 
-/// What was on the disk.
+/// Who the member on a disk is.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct DiskIdentity {
+    /// The identity of the disk.
+    pub member: u64,
+    /// All founders, if this member is one of them.
+    pub founders: Vec<u64>,
+}
+
+impl DiskIdentity {
+    /// The record that stores it.
+    pub fn to_record(&self) -> DiskRecord {
+        DiskRecord::Identity { member: self.member, founders: self.founders.clone() }
+    }
+}
+
+/// The recovered contents of a disk.
 #[derive(Debug, Default)]
-pub struct Kept {
-    /// The identity and the founders, if the disk was used before.
-    pub identity: Option<(u64, Vec<u64>)>,
-    /// The control nodes known.
-    pub book: Vec<NodeRecord>,
+pub struct DiskContents {
+    /// The identity, if the disk was used before.
+    pub identity: Option<DiskIdentity>,
+    /// The known control nodes.
+    pub peers: Vec<NodeRecord>,
     /// The chain's records, in order.
     pub chain: Vec<LogRecord>,
 }
@@ -55,7 +76,7 @@
         /// What the storage said.
         source: StorageError,
     },
-    /// A record has the right checksum and can't be read. It may be a promise, so the disk is not used without it.
+    /// A record has the right checksum and can't be read. It may be a promise of the vote on memberships, so the disk is not used without it.
     #[snafu(display("a record on the disk is unreadable: {source}"))]
     Record {
         /// What the decoder met.
@@ -63,27 +84,33 @@
     },
 }
 
-/// Opens the ring in a folder, and reads what it holds.
-pub fn open(folder: &Path, disk_mb: u64) -> Result<(Ring<FileDisk>, Kept), DiskError> {
-    let bytes = (disk_mb * MEBIBYTE / RING_SHARE).clamp(LEAST_RING_BYTES, MOST_RING_BYTES);
+/// Opens the ring in a folder, and reads its contents.
+///
+/// # Errors
+///
+/// The ring can't be opened, or one of its records can't be decoded.
+pub fn open(folder: &Path, disk_mb: u64) -> Result<(Ring<FileDisk>, DiskContents), DiskError> {
+    let bytes = (disk_mb * MEBIBYTE / RING_DIVISOR).clamp(MIN_RING_BYTES, MAX_RING_BYTES);
     let settings = RingSettings { files: RING_FILES as usize, file_bytes: bytes / RING_FILES };
     let disk = FileDisk::open(folder).context(StorageSnafu)?;
     let (ring, recovered) = Ring::open(disk, settings).context(StorageSnafu)?;
     Ok((ring, read(recovered)?))
 }
 
-fn read(recovered: Recovered) -> Result<Kept, DiskError> {
-    let mut kept = Kept::default();
+fn read(recovered: Recovered) -> Result<DiskContents, DiskError> {
+    let mut contents = DiskContents::default();
     for bytes in recovered.snapshot.iter().chain(&recovered.records) {
         let decoded = bincode::serde::decode_from_slice(bytes, bincode::config::standard());
         let (record, _) = decoded.context(RecordSnafu)?;
         match record {
-            DiskRecord::Identity { member, founders } => kept.identity = Some((member, founders)),
-            DiskRecord::Book(book) => kept.book = book,
-            DiskRecord::Chain(record) => kept.chain.push(record),
+            DiskRecord::Identity { member, founders } => {
+                contents.identity = Some(DiskIdentity { member, founders });
+            }
+            DiskRecord::Peers(peers) => contents.peers = peers,
+            DiskRecord::Chain(record) => contents.chain.push(record),
         }
     }
-    Ok(kept)
+    Ok(contents)
 }
 
 /// Encodes a record for the ring.
@@ -91,123 +118,168 @@
     bincode::serde::encode_to_vec(record, bincode::config::standard()).unwrap_or_default()
 }
 
-/// What the disk has done.
+/// An effect of an event of the storage thread.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum DiskNews {
+pub enum DiskOutput {
     /// The chain's records up to this token are durable.
-    Durable(u64),
-    /// Everything should be written anew, in place of all before.
-    WantsSnapshot,
+    Durable {
+        /// The chain's token.
+        token: u64,
+    },
+    /// The ring is filling up: everything should be replaced by a snapshot.
+    SnapshotNeeded,
+}
+
+/// A write that the storage thread has not finished.
+#[derive(Clone, Copy, Debug)]
+struct PendingWrite {
+    id: u64,
+    /// The newest of the chain's tokens that it covers.
+    chain_token: Option<u64>,
 }
 
-/// The queue of writes.
+/// A write that the storage thread has finished.
+#[derive(Clone, Copy, Debug)]
+struct FinishedWrite {
+    was_snapshot: bool,
+    /// The newest of the chain's tokens that is covered by now.
+    chain_token: Option<u64>,
+}
+
+/// The queue of writes to the disk of one member.
 #[derive(Debug)]
-pub struct DiskDriver {
+pub struct Disk {
     writer: Writer,
-    next: u64,
-    /// Writes under way, with the newest of the chain's tokens that each covers.
-    under_way: VecDeque<(u64, Option<u64>)>,
+    identity: DiskIdentity,
+    next_id: u64,
+    /// In the order of their ids.
+    pending: VecDeque<PendingWrite>,
     newest_chain_token: Option<u64>,
-    snapshot: Option<u64>,
-    /// A write failed or was refused; only a snapshot helps.
-    broken: bool,
+    pending_snapshot: Option<u64>,
+    /// A write failed or was refused: nothing is appended until a snapshot replaces everything.
+    has_failed: bool,
+    next_rewrite: Duration,
 }
 
-impl DiskDriver {
-    /// Starts the storage thread; its events go to `events`.
-    pub fn start(ring: Ring<FileDisk>, events: UnboundedSender<WriterEvent>) -> Result<Self, StorageError> {
+impl Disk {
+    /// Starts the storage thread, whose events go to `events`.
+    ///
+    /// # Errors
+    ///
+    /// The thread can't be started.
+    pub fn start(
+        ring: Ring<FileDisk>,
+        identity: DiskIdentity,
+        events: UnboundedSender<WriterEvent>,
+    ) -> Result<Self, StorageError> {
         let on_event = Box::new(move |event| {
-            // Nobody listens any more while the process ends.
+            // The receiver is gone while the process ends.
             let _ = events.send(event);
         });
         Ok(Self {
             writer: Writer::start(ring, on_event)?,
-            next: 0,
-            under_way: VecDeque::new(),
+            identity,
+            next_id: 0,
+            pending: VecDeque::new(),
             newest_chain_token: None,
-            snapshot: None,
-            broken: false,
+            pending_snapshot: None,
+            has_failed: false,
+            next_rewrite: Duration::ZERO,
         })
     }
 
-    /// Writes records; `chain_token` names the chain's own among them.
-    pub fn append(&mut self, records: &[DiskRecord], chain_token: Option<u64>) {
-        self.newest_chain_token = chain_token.or(self.newest_chain_token);
-        if self.broken {
+    /// Appends records of the chain, which are reported durable under `token`.
+    pub fn append_chain(&mut self, records: Vec<LogRecord>, token: u64) {
+        self.newest_chain_token = Some(token);
+        let records: Vec<DiskRecord> = records.into_iter().map(DiskRecord::Chain).collect();
+        self.append(&records, Some(token));
+    }
+
+    /// Appends the known peers, in place of those before.
+    pub fn append_peers(&mut self, peers: Vec<NodeRecord>) {
+        self.append(&[DiskRecord::Peers(peers)], None);
+    }
+
+    fn append(&mut self, records: &[DiskRecord], chain_token: Option<u64>) {
+        if self.has_failed {
             return;
         }
-        self.next += 1;
+        self.next_id += 1;
         let encoded = records.iter().map(encode).collect();
-        if let Err(error) = self.writer.append(self.next, encoded) {
-            log::warn!("the disk takes no records: {error}");
-            self.broken = true;
+        if let Err(error) = self.writer.append(self.next_id, encoded) {
+            log::warn!(error:% = error; "disk refused an append");
+            self.has_failed = true;
             return;
         }
-        self.under_way.push_back((self.next, chain_token));
+        self.pending.push_back(PendingWrite { id: self.next_id, chain_token });
     }
 
-    /// Writes everything anew, unless that is being done.
-    pub fn snapshot(&mut self, records: &[DiskRecord]) {
-        if self.snapshot.is_some() {
+    /// Replaces everything on the disk by the identity, the peers and a checkpoint of the chain, unless that is in progress.
+    pub fn write_snapshot(&mut self, peers: Vec<NodeRecord>, chain: Vec<LogRecord>) {
+        if self.pending_snapshot.is_some() {
             return;
         }
-        self.next += 1;
+        self.next_id += 1;
+        let mut records = vec![self.identity.to_record(), DiskRecord::Peers(peers)];
+        records.extend(chain.into_iter().map(DiskRecord::Chain));
         let encoded = records.iter().map(encode).collect();
-        if let Err(error) = self.writer.snapshot(self.next, encoded) {
-            log::warn!("the disk takes no snapshot: {error}");
+        if let Err(error) = self.writer.snapshot(self.next_id, encoded) {
+            log::warn!(error:% = error; "disk refused a snapshot");
             return;
         }
-        self.snapshot = Some(self.next);
-        self.under_way.push_back((self.next, self.newest_chain_token));
-        self.broken = false;
+        self.pending_snapshot = Some(self.next_id);
+        self.pending.push_back(PendingWrite { id: self.next_id, chain_token: self.newest_chain_token });
+        self.has_failed = false;
     }
 
-    /// Whether a snapshot must be written before anything else is.
-    pub fn is_broken(&self) -> bool {
-        self.broken && self.snapshot.is_none()
+    /// Whether a snapshot should be written now because a write has failed. Returns true once in [`REWRITE_INTERVAL`].
+    pub fn poll_rewrite(&mut self, now: Duration) -> bool {
+        let is_due = self.has_failed && self.pending_snapshot.is_none() && now >= self.next_rewrite;
+        if is_due {
+            self.next_rewrite = now + REWRITE_INTERVAL;
+        }
+        is_due
     }
 
-    /// How many writes are under way.
-    pub fn waiting(&self) -> usize {
-        self.under_way.len()
+    /// How many writes are pending.
+    pub fn pending_writes(&self) -> usize {
+        self.pending.len()
     }
 
-    /// Takes an event of the storage thread.
-    pub fn handle(&mut self, event: WriterEvent) -> Vec<DiskNews> {
+    /// Processes an event of the storage thread.
+    pub fn handle_event(&mut self, event: WriterEvent) -> Vec<DiskOutput> {
         match event {
             WriterEvent::Durable { token, wants_snapshot } => {
-                let was_snapshot = self.finish(token);
-                let mut news: Vec<DiskNews> = was_snapshot.1.map(DiskNews::Durable).into_iter().collect();
-                if wants_snapshot && !was_snapshot.0 && self.snapshot.is_none() {
-                    news.push(DiskNews::WantsSnapshot);
+                let finished = self.finish(token);
+                let durable = finished.chain_token.map(|token| DiskOutput::Durable { token });
+                let mut outputs: Vec<DiskOutput> = durable.into_iter().collect();
+                if wants_snapshot && !finished.was_snapshot && self.pending_snapshot.is_none() {
+                    outputs.push(DiskOutput::SnapshotNeeded);
                 }
-                news
+                outputs
             }
             WriterEvent::Failed { token, error } => {
-                log::warn!("the disk has failed a write: {error}");
+                log::warn!(error:% = error; "disk write failed");
                 self.finish(token);
-                if self.snapshot.is_none() {
-                    self.broken = true;
+                if self.pending_snapshot.is_none() {
+                    self.has_failed = true;
                 }
                 Vec::new()
             }
         }
     }
 
-    /// Forgets a write; says whether it was the snapshot, and which of the chain's tokens it covered.
-    fn finish(&mut self, token: u64) -> (bool, Option<u64>) {
-        let was_snapshot = self.snapshot == Some(token);
+    /// Removes a write and those before it.
+    fn finish(&mut self, id: u64) -> FinishedWrite {
+        let was_snapshot = self.pending_snapshot == Some(id);
         if was_snapshot {
-            self.snapshot = None;
+            self.pending_snapshot = None;
         }
-        let mut covered = None;
-        while let Some(&(first, chain_token)) = self.under_way.front() {
-            if first > token {
-                break;
-            }
-            covered = chain_token.or(covered);
-            self.under_way.pop_front();
+        let mut chain_token = None;
+        while let Some(first) = self.pending.front().filter(|first| first.id <= id) {
+            chain_token = first.chain_token.or(chain_token);
+            self.pending.pop_front();
         }
-        (was_snapshot, covered)
+        FinishedWrite { was_snapshot, chain_token }
     }
 }
--- a/system/control/src/node/introductions.rs
+++ b/system/control/src/node/introductions.rs
@@ -4,10 +4,9 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use gingerledge_chain::{ChainEvent, MemberId, Membership, MembershipEvent};
+use gingerledge_chain::{ChainEvent, MemberId, MembershipEvent};
 use gingerledge_wire::{ControlMessage, Entry, Envelope, Key, NodeRecord, Role, Value};
 
-use super::disk::DiskRecord;
 use super::Node;
 
 /// Time between introductions while no view, or not all members of it, are known.
@@ -68,13 +67,13 @@
         self.reachable.insert(from, now);
         self.announcements.reevaluate();
         let member = MemberId(node.member);
-        self.chain_event(ChainEvent::View(MembershipEvent::MemberAnnounced {
+        self.chain.handle_event(ChainEvent::View(MembershipEvent::MemberAnnounced {
             member,
             replaces: introduced.replaces.map(MemberId),
         }));
         if changed {
             log::info!("control node {} is at {}", node.name, node.address);
-            self.disk.append(&[DiskRecord::Book(self.book.records())], None);
+            self.disk.append_peers(self.book.records());
         }
         if answer {
             let known = self.book.records();
@@ -140,11 +139,6 @@
         self.relay.learn(vec![entry]);
         self.sharing.mark_dirty(&key);
     }
-
-    pub(super) fn view_installed(&mut self, members: &Membership) {
-        self.announcements.reevaluate();
-        self.lease_voters(members);
-    }
 }
 
 /// Whether control nodes tell each other of such an entry; the chain brings the others.
--- a/system/control/src/node/lease.rs
+++ b/system/control/src/node/lease.rs
@@ -104,7 +104,7 @@
         if self.stopping {
             return;
         }
-        let last = self.state.fencing().and_then(|fence| self.address_member(fence.owner.address));
+        let last = self.chain.state().fencing().and_then(|fence| self.address_member(fence.owner.address));
         let mut order = self.lease.members.clone();
         order.sort_by_key(|member| Some(*member) != last);
         self.lease_event(LeaseEvent::Candidates { order });
--- a/system/control/src/node/messages.rs
+++ b/system/control/src/node/messages.rs
@@ -34,7 +34,7 @@
     fn take_message(&mut self, from: SocketAddr, message: Envelope) {
         self.peer_heard(from);
         match message {
-            Envelope::Chain { from, message } => self.take_chain_message(from, message),
+            Envelope::Chain { from, message } => self.on_chain_message(from, message),
             Envelope::Lease { from, message } => self.take_lease_message(from, message),
             Envelope::Control(message) => self.take_control_message(from, message),
             Envelope::Relay(message) => self.relay.handle_event(RelayEvent::Message { from, message }),
--- a/system/control/src/node/mod.rs
+++ b/system/control/src/node/mod.rs
@@ -4,7 +4,8 @@
 
 mod announcements;
 mod book;
-mod chain;
+mod chain_actions;
+mod chain_host;
 mod clock;
 mod coordinate;
 mod disk;
@@ -22,21 +23,20 @@
 mod submissions;
 mod submit;
 
-use std::collections::{BTreeMap, HashMap, VecDeque};
+use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
 
-use gingerledge_chain::{ChainAction, ControlChain};
 use gingerledge_protocol::Settings;
 use gingerledge_storage::WriterEvent;
 use gingerledge_transport::Inbox;
-use gingerledge_wire::{ControlMessage, Envelope, FreshnessTick};
+use gingerledge_wire::{ControlMessage, Envelope};
 use snafu::Snafu;
 use tokio::sync::mpsc::{Receiver, UnboundedReceiver};
 
 use crate::sessions::{SessionReplication, Sessions};
-use crate::state::{ControlState, SnapshotError};
+use crate::state::SnapshotError;
 
 pub use book::{AddressBook, Introduced, MAX_MEMBERS};
 pub use request::{Accepted, BeginRetire, Confirmed, Request};
@@ -44,9 +44,10 @@
 pub use submissions::{KnownOutcome, SubmissionSettings, Submissions};
 
 use announcements::WaitingAnnouncements;
+use chain_host::ChainHost;
 use clock::Clock;
 use coordinate::Coordination;
-use disk::DiskDriver;
+use disk::Disk;
 use lease::LeaseDriver;
 use messenger::Messenger;
 use relay_host::RelayHost;
@@ -83,15 +84,8 @@
     settings: Arc<Settings>,
     clock: Clock,
     messenger: Messenger,
-    chain: ControlChain,
-    chain_actions: Vec<ChainAction>,
-    unapplied_ticks: VecDeque<(FreshnessTick, u64)>,
-    /// The last entry of the chain in `state`; the chain itself may have given out more by now.
-    applied: u64,
-    state: ControlState,
-    founders: Vec<u64>,
-    disk: DiskDriver,
-    disk_retry: Duration,
+    chain: ChainHost,
+    disk: Disk,
     relay: RelayHost,
     sessions: Sessions,
     sharing: SessionReplication,
@@ -146,7 +140,7 @@
                     Some(request) => self.take_requests(request, &mut sources.requests),
                     None => break,
                 },
-                Some(event) = sources.disk.recv() => self.take_disk_event(event),
+                Some(event) = sources.disk.recv() => self.on_disk_event(event),
                 Some(news) = sources.orders.recv() => self.take_order_news(news),
                 () = &mut stop, if stopped_at.is_none() => {
                     stopped_at = Some(self.clock.now());
@@ -179,18 +173,16 @@
     fn settle(&mut self) {
         let now = self.clock.now();
         self.run_timers(now);
-        self.carry_out_chain_actions();
+        self.process_chain_actions();
         self.send_submissions(now);
-        self.carry_out_chain_actions();
+        self.process_chain_actions();
         self.send_shares(now);
         self.look_after_announcements(now);
-        self.carry_out_chain_actions();
+        self.process_chain_actions();
     }
 
     fn run_timers(&mut self, now: Duration) {
-        if self.chain.next_timer().is_some_and(|due| due <= now) {
-            self.chain_event(gingerledge_chain::ChainEvent::TimerExpired);
-        }
+        self.chain.handle_timeout(now);
         self.relay.handle_timeout(now);
         self.run_lease_timer(now);
         if now >= self.last_housekeeping + HOUSEKEEPING {
@@ -206,7 +198,9 @@
             self.reachable.values_mut().for_each(|heard| *heard = now);
         }
         self.last_housekeeping = now;
-        self.repair_disk(now);
+        if self.disk.poll_rewrite(now) {
+            self.write_snapshot();
+        }
         self.introduce(now);
         self.expire_peers(now);
         self.expire_sessions(now);
--- a/system/control/src/node/requests.rs
+++ b/system/control/src/node/requests.rs
@@ -51,7 +51,7 @@
     fn begin_read(&mut self, read: Read) {
         // Dropping it answers that the read can't be confirmed.
         if let Some(token) = self.add_read(read) {
-            self.chain_event(ChainEvent::Read { token });
+            self.chain.handle_event(ChainEvent::Read { token });
         }
     }
 
@@ -69,11 +69,11 @@
         let Some(read) = self.reads.remove(&token) else { return };
         match read {
             Read::Configuration(reply) => {
-                let json = self.state.configuration().document().map(ConfigurationDocument::to_json);
+                let json = self.chain.state().configuration().document().map(ConfigurationDocument::to_json);
                 let _ = reply.send(confirmed.then_some(json));
             }
             Read::Retire(name, reply) => {
-                let state = self.state.retirements().get(&name).map(|retiring| retiring.state);
+                let state = self.chain.state().retirements().get(&name).map(|retiring| retiring.state);
                 let _ = reply.send(confirmed.then_some(state));
             }
             Read::BeginRetire(name, reply) if confirmed => self.begin_retire(name, reply),
@@ -128,7 +128,7 @@
 
     fn begin_retire(&mut self, name: String, reply: Sender<BeginRetire>) {
         let here = self.backend_named(&name).map(|backend| backend.member);
-        let before = self.state.retirements().get(&name).map(|retiring| retiring.member);
+        let before = self.chain.state().retirements().get(&name).map(|retiring| retiring.member);
         if let Some(member) = before.filter(|member| here.is_none_or(|here| here == *member)) {
             self.submit_retire(Command::BeginRetirement { name, member }, reply);
             return;
@@ -156,7 +156,7 @@
             record.chain.iter().all(|member| *member == backend.member || left.contains(member))
         };
         // A member of a chain that is silent now may be back at once.
-        let all_there = self.state.partitions().all().all(|(_, record)| kept(record));
+        let all_there = self.chain.state().partitions().all().all(|(_, record)| kept(record));
         Err(if all_there { unless_unsettled(BeginRetire::TooFew) } else { BeginRetire::Unavailable })
     }
 
@@ -166,7 +166,7 @@
     }
 
     fn backends_left_without(&self, member: u64) -> BTreeSet<u64> {
-        let retiring = self.state.retirements();
+        let retiring = self.chain.state().retirements();
         let others = self.relay.registry().nodes().filter(|node| {
             node.role == Role::Backend && node.member != member && !retiring.contains_member(node.member)
         });
--- a/system/control/src/node/sharing.rs
+++ b/system/control/src/node/sharing.rs
@@ -105,7 +105,7 @@
     /// A member that is cut off from the chain hears nobody, and lets no session end: it is the sources' silence only to itself.
     pub(super) fn expire_sessions(&mut self, now: Duration) {
         self.announce_self();
-        if self.is_member() && !self.relay.is_fresh(now) {
+        if self.chain.is_in_chain(self.messenger.own().member) && !self.relay.is_fresh(now) {
             self.sessions.restart_timeouts(now);
             return;
         }
@@ -115,15 +115,9 @@
         }
     }
 
-    fn is_member(&self) -> bool {
-        self.chain
-            .members()
-            .is_some_and(|members| members.chain.iter().any(|member| member.0 == self.messenger.own().member))
-    }
-
     /// Whether the sharing knows all members of the chain: one that has not introduced itself yet would be passed over.
     pub(super) fn members_shared_with(&self) -> bool {
-        let Some(members) = self.chain.members() else { return false };
+        let Some(members) = self.chain.membership() else { return false };
         let mut others = members.chain.iter().filter(|member| member.0 != self.messenger.own().member);
         others.all(|member| self.book.address(member.0).is_some_and(|address| self.sharing.has_peer(address)))
     }
--- a/system/control/src/node/start.rs
+++ b/system/control/src/node/start.rs
@@ -1,12 +1,12 @@
 //! How a control node starts: opens its disk, finds out who it is, and either founds the system, joins it, or goes on where its disk
 //! left off.
 
-use std::collections::{BTreeMap, HashMap, VecDeque};
+use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
 
-use gingerledge_chain::{ChainEvent, ControlChain, ControlChainSettings, MemberId};
+use gingerledge_chain::{ChainEvent, ControlChain, ControlChainSettings, LogRecord, MemberId};
 use gingerledge_protocol::Settings;
 use gingerledge_relay::{Relay, RelaySettings};
 use gingerledge_transport::{identity, Network, NetworkSettings, TransportError};
@@ -16,9 +16,10 @@
 
 use super::announcements::WaitingAnnouncements;
 use super::book::AddressBook;
+use super::chain_host::ChainHost;
 use super::clock::Clock;
 use super::coordinate::Coordination;
-use super::disk::{self, DiskDriver, DiskError, DiskRecord, Kept};
+use super::disk::{self, Disk, DiskContents, DiskError, DiskIdentity};
 use super::lease::LeaseDriver;
 use super::messenger::Messenger;
 use super::orders::OrderGate;
@@ -27,7 +28,6 @@
 use super::submissions::{SubmissionSettings, Submissions};
 use super::{Node, Sources};
 use crate::sessions::{ReplicationSettings, SessionReplication, SessionSettings, Sessions};
-use crate::state::ControlState;
 
 /// Most questions of the HTTP side that wait.
 const REQUEST_QUEUE: usize = 1_024;
@@ -70,23 +70,21 @@
     pub requests: mpsc::Sender<Request>,
 }
 
-/// Who a node is, by its disk.
+/// Who a node is.
 struct Identity {
-    member: u64,
-    founders: Vec<u64>,
-    /// This is the first life of the node, and of the whole system.
-    founding: bool,
+    disk: DiskIdentity,
+    /// This is the first incarnation of the node, and of the whole system.
+    is_founding: bool,
 }
 
 /// Opens everything that a control node needs.
 pub async fn start(settings: Arc<Settings>) -> Result<Handles, StartError> {
     let folder = settings.data_dir.clone().context(NoDiskSnafu)?;
-    let (mut ring, mut kept) = disk::open(&folder, settings.limits.disk_mb).context(DiskSnafu)?;
+    let (mut ring, mut contents) = disk::open(&folder, settings.limits.disk_mb).context(DiskSnafu)?;
     let draw = |purpose| identity::draw(&settings.node_name, settings.internal_address(), purpose);
-    let identity = identify(&settings, &kept, draw("member"));
-    if kept.identity.is_none() {
-        let record = DiskRecord::Identity { member: identity.member, founders: identity.founders.clone() };
-        let appended = ring.append(&[disk::encode(&record)]);
+    let identity = identify(&settings, &contents, draw("member"));
+    if contents.identity.is_none() {
+        let appended = ring.append(&[disk::encode(&identity.disk.to_record())]);
         appended.context(disk::StorageSnafu).context(DiskSnafu)?;
     }
     let (network, inbox) = Network::bind(network_settings(&settings)).await.context(NetworkSnafu)?;
@@ -94,32 +92,28 @@
     let (disk_events, disk_source) = mpsc::unbounded_channel();
     let (order_news, order_source) = mpsc::unbounded_channel();
     let (requests, request_source) = mpsc::channel(REQUEST_QUEUE);
-    let disk = DiskDriver::start(ring, disk_events).context(disk::StorageSnafu).context(DiskSnafu)?;
+    let disk = Disk::start(ring, identity.disk.clone(), disk_events)
+        .context(disk::StorageSnafu)
+        .context(DiskSnafu)?;
     let me = NodeRecord {
         role: Role::Control,
         name: settings.node_name.clone(),
         incarnation: draw("incarnation"),
-        member: identity.member,
+        member: identity.disk.member,
         address: settings.internal_address(),
         zone: settings.zone.clone(),
     };
     let lease_time = Duration::from_millis(settings.bounds.lease_ms);
-    let lease = LeaseDriver::start(identity.member, lease_time, identity.founding, draw("lease"));
-    let chain = make_chain(&settings, &identity, &mut kept, draw("chain"));
+    let lease = LeaseDriver::start(identity.disk.member, lease_time, identity.is_founding, draw("lease"));
+    let chain = make_chain(&settings, &identity, std::mem::take(&mut contents.chain), draw("chain"));
     let gate = OrderGate::new(clock);
     let messenger = Messenger::new(network, me);
     let relay_settings = RelaySettings::for_role(Role::Control, &settings.zone);
     let relay = Relay::new(relay_settings, messenger.own().address, true, draw("relay"));
     let mut node = Node {
-        book: AddressBook::new(identity.member, founder_records(&settings, &identity, kept.book)),
-        chain,
-        chain_actions: Vec::new(),
-        unapplied_ticks: VecDeque::new(),
-        applied: 0,
-        state: ControlState::default(),
-        founders: identity.founders,
+        book: AddressBook::new(identity.disk.member, founder_records(&settings, &identity, contents.peers)),
+        chain: ChainHost::new(clock, chain),
         disk,
-        disk_retry: Duration::ZERO,
         relay: RelayHost::new(clock, messenger.clone(), relay),
         sessions: Sessions::new(session_settings(&settings), messenger.own().address),
         sharing: SessionReplication::new(ReplicationSettings::default()),
@@ -148,19 +142,19 @@
     fn begin(&mut self) {
         log::info!("control node {:x} at {}", self.messenger.own().member, self.messenger.own().address);
         self.relay.handle_event(gingerledge_relay::RelayEvent::Started);
-        self.chain_event(ChainEvent::Started);
-        if let Some(members) = self.chain.members().cloned() {
-            self.view_installed(&members);
+        self.chain.handle_event(ChainEvent::Started);
+        if let Some(members) = self.chain.membership().cloned() {
+            self.on_view_installed(&members);
         }
-        self.carry_out_chain_actions();
+        self.process_chain_actions();
     }
 }
 
 /// A disk that was used before says who it is. An empty one founds the system if the whole system starts and this node is among its
 /// seeds; any other is new.
-fn identify(settings: &Settings, kept: &Kept, drawn: u64) -> Identity {
-    if let Some((member, founders)) = kept.identity.clone() {
-        return Identity { member, founders, founding: false };
+fn identify(settings: &Settings, contents: &DiskContents, drawn: u64) -> Identity {
+    if let Some(disk) = contents.identity.clone() {
+        return Identity { disk, is_founding: false };
     }
     let own = settings.listen.control_plane;
     if settings.bootstrap && own.is_some_and(|own| settings.seeds.contains(&own)) {
@@ -168,9 +162,9 @@
         founders.sort_unstable();
         founders.dedup();
         let member = own.map_or(0, founder_identity);
-        return Identity { member, founders, founding: true };
+        return Identity { disk: DiskIdentity { member, founders }, is_founding: true };
     }
-    Identity { member: drawn, founders: Vec::new(), founding: false }
+    Identity { disk: DiskIdentity { member: drawn, founders: Vec::new() }, is_founding: false }
 }
 
 /// Founders derive their identities from their seed addresses, so that each knows all.
@@ -179,9 +173,9 @@
 }
 
 /// A founder knows the others by their seed addresses before it has heard of them.
-fn founder_records(settings: &Settings, identity: &Identity, kept: Vec<NodeRecord>) -> Vec<NodeRecord> {
-    let mut records = kept;
-    if identity.founding {
+fn founder_records(settings: &Settings, identity: &Identity, recovered: Vec<NodeRecord>) -> Vec<NodeRecord> {
+    let mut records = recovered;
+    if identity.is_founding {
         let seeds = settings.seeds.iter().zip(settings.internal_seeds());
         records.extend(seeds.map(|(seed, address)| NodeRecord {
             role: Role::Control,
@@ -195,12 +189,11 @@
     records
 }
 
-fn make_chain(settings: &Settings, identity: &Identity, kept: &mut Kept, seed: u64) -> ControlChain {
-    let me = MemberId(identity.member);
+fn make_chain(settings: &Settings, identity: &Identity, records: Vec<LogRecord>, seed: u64) -> ControlChain {
+    let me = MemberId(identity.disk.member);
     let chain_settings = ControlChainSettings::new(settings.fault_tolerance.machines);
-    let records = std::mem::take(&mut kept.chain);
-    if records.is_empty() && !identity.founders.is_empty() {
-        let founders = identity.founders.iter().copied().map(MemberId).collect();
+    if records.is_empty() && !identity.disk.founders.is_empty() {
+        let founders = identity.disk.founders.iter().copied().map(MemberId).collect();
         return ControlChain::found(me, founders, chain_settings, seed);
     }
     ControlChain::recover(me, records, chain_settings, seed)
--- a/system/control/src/node/status.rs
+++ b/system/control/src/node/status.rs
@@ -11,7 +11,7 @@
         let now = self.clock.now();
         let registry = self.relay.registry();
         let (sessions, own_sessions) = self.sessions.count();
-        let members = self.chain.members();
+        let members = self.chain.membership();
         let names = |members: &[gingerledge_chain::MemberId]| -> Vec<String> {
             members.iter().map(|member| format!("{:x}", member.0)).collect()
         };
@@ -23,7 +23,8 @@
                 .collect::<Vec<_>>()
         };
         let partitions: Vec<_> = self
-            .state
+            .chain
+            .state()
             .partitions()
             .all()
             .map(|(partition, record)| {
@@ -53,10 +54,10 @@
             "voters": members.map(|members| names(&members.voters)),
             "chain": members.map(|members| names(&members.chain)),
             "serving": self.chain.is_serving(),
-            "applied": self.chain.applied_index(),
-            "configurationVersion": self.state.configuration().version(),
-            "namedVersions": self.state.versions(),
-            "fencingToken": self.state.fencing_token(),
+            "applied": self.chain.handed_out_index(),
+            "configurationVersion": self.chain.state().configuration().version(),
+            "namedVersions": self.chain.state().versions(),
+            "fencingToken": self.chain.state().fencing_token(),
             "leadership": format!("{:?}", self.coordination.leadership),
             "holdsLease": self.lease.held_until(now).is_some(),
             "sessions": sessions,
@@ -66,7 +67,7 @@
             "backends": nodes(Role::Backend),
             "partitions": partitions,
             "stores": stores,
-            "diskQueue": self.disk.waiting(),
+            "diskQueue": self.disk.pending_writes(),
         })
         .to_string()
     }
--- a/system/control/src/node/submit.rs
+++ b/system/control/src/node/submit.rs
@@ -86,7 +86,7 @@
     fn forward(&mut self, submission: Submission) -> bool {
         let Some(head) = self.chain.head() else { return false };
         if head.0 == self.messenger.own().member {
-            self.chain_event(ChainEvent::Submit { command: encode_submission(&submission) });
+            self.chain.handle_event(ChainEvent::Submit { command: encode_submission(&submission) });
             return true;
         }
         let Some(address) = self.book.address(head.0) else { return false };
@@ -99,7 +99,7 @@
     pub(super) fn take_submission(&mut self, request: u64, reply_to: SocketAddr, command: Command) {
         if self.chain.head().is_some_and(|head| head.0 == self.messenger.own().member) {
             let command = encode_submission(&Submission { request, reply_to, command });
-            self.chain_event(ChainEvent::Submit { command });
+            self.chain.handle_event(ChainEvent::Submit { command });
         } else {
             self.reply(reply_to, request, None);
         }
--- a/system/control/tests/golden_disk.rs
+++ b/system/control/tests/golden_disk.rs
@@ -13,7 +13,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use disk::{encode, DiskRecord, Kept};
+use disk::{encode, DiskContents, DiskIdentity, DiskRecord};
 use gingerledge_chain::{
     ChainAction, ChainEvent, ControlChain, ControlChainSettings, LogRecord, MemberId, Membership,
     ProposalNumber, View,
@@ -49,7 +49,7 @@
     vec![ME, SECOND, THIRD]
 }
 
-fn book() -> Vec<NodeRecord> {
+fn peers() -> Vec<NodeRecord> {
     let record = |member, port, role, zone: &str| NodeRecord {
         role,
         name: format!("node-{port}"),
@@ -167,10 +167,10 @@
 /// What the write in the middle of which the power goes would have added.
 fn last_records() -> Vec<DiskRecord> {
     let large = LogRecord::Entry { epoch: 2, index: 14, commit_index: 13, command: vec![0x5a; 3000] };
-    vec![DiskRecord::Chain(large), DiskRecord::Book(Vec::new())]
+    vec![DiskRecord::Chain(large), DiskRecord::Peers(Vec::new())]
 }
 
-fn open(folder: &Path) -> (Ring<FileDisk>, Kept) {
+fn open(folder: &Path) -> (Ring<FileDisk>, DiskContents) {
     disk::open(folder, DISK_MB).unwrap()
 }
 
@@ -181,11 +181,11 @@
 /// A log of a first life; then a snapshot, and what came after it.
 fn write_disk(folder: &Path) -> Ring<FileDisk> {
     DiskImage::default().lay_out(folder);
-    let (mut ring, kept) = open(folder);
-    assert!(kept.identity.is_none() && kept.book.is_empty() && kept.chain.is_empty());
+    let (mut ring, contents) = open(folder);
+    assert!(contents.identity.is_none() && contents.peers.is_empty() && contents.chain.is_empty());
     let identity = DiskRecord::Identity { member: ME, founders: founders() };
     ring.append(&encoded(std::slice::from_ref(&identity))).unwrap();
-    ring.append(&encoded(&[DiskRecord::Book(book()[..1].to_vec())])).unwrap();
+    ring.append(&encoded(&[DiskRecord::Peers(peers()[..1].to_vec())])).unwrap();
     let first_life = [
         LogRecord::Membership { members: members(1, &founders()) },
         LogRecord::View { view: view(1, &founders()), in_sync: true },
@@ -196,9 +196,9 @@
     }
     let chain: Vec<DiskRecord> = chain_records().into_iter().map(DiskRecord::Chain).collect();
     let (in_snapshot, after) = chain.split_at(CHAIN_RECORDS_IN_SNAPSHOT);
-    let own = [identity, DiskRecord::Book(book()[..2].to_vec())];
+    let own = [identity, DiskRecord::Peers(peers()[..2].to_vec())];
     ring.snapshot(&encoded(&[&own[..], in_snapshot].concat())).unwrap();
-    ring.append(&encoded(&[DiskRecord::Book(book())])).unwrap();
+    ring.append(&encoded(&[DiskRecord::Peers(peers())])).unwrap();
     for records in after.chunks(2) {
         ring.append(&encoded(records)).unwrap();
     }
@@ -212,14 +212,14 @@
     folder
 }
 
-fn assert_is_the_recorded_content(kept: &Kept) {
-    assert!(kept.identity == Some((ME, founders())), "the identity");
-    assert!(kept.book == book(), "the address book");
+fn assert_is_the_recorded_content(contents: &DiskContents) {
+    assert!(contents.identity == Some(DiskIdentity { member: ME, founders: founders() }), "the identity");
+    assert!(contents.peers == peers(), "the known peers");
     let expected = chain_records();
-    for (number, (found, expected)) in kept.chain.iter().zip(&expected).enumerate() {
+    for (number, (found, expected)) in contents.chain.iter().zip(&expected).enumerate() {
         assert!(found == expected, "record {number} of the chain");
     }
-    assert_eq!(kept.chain.len(), expected.len());
+    assert_eq!(contents.chain.len(), expected.len());
 }
 
 /// Starts the chain from its records as a node does; gives the state of the node after all that is known to be committed.
@@ -263,27 +263,27 @@
 
 #[test]
 fn a_recorded_disk_is_recovered() {
-    let (_, kept) = open(&laid_out("control.txt", "recovered"));
-    assert_is_the_recorded_content(&kept);
+    let (_, contents) = open(&laid_out("control.txt", "recovered"));
+    assert_is_the_recorded_content(&contents);
 }
 
 #[test]
 fn a_recorded_disk_with_a_torn_tail_is_recovered_without_the_unfinished_write() {
     let folder = laid_out("control_torn.txt", "recovered-torn");
-    let (mut ring, kept) = open(&folder);
-    assert_is_the_recorded_content(&kept);
+    let (mut ring, contents) = open(&folder);
+    assert_is_the_recorded_content(&contents);
     ring.append(&encoded(&last_records())).unwrap();
     drop(ring);
-    let (_, kept) = open(&folder);
-    assert!(kept.book.is_empty(), "the address book of the repeated write");
-    assert_eq!(kept.chain.len(), chain_records().len() + 1);
+    let (_, contents) = open(&folder);
+    assert!(contents.peers.is_empty(), "the known peers of the repeated write");
+    assert_eq!(contents.chain.len(), chain_records().len() + 1);
 }
 
 #[test]
 fn the_recorded_chain_goes_on_where_it_was() {
     const LAST_COMMITTED: u64 = 12;
-    let (_, kept) = open(&laid_out("control.txt", "chain"));
-    let (chain, state) = start_chain(kept.chain);
+    let (_, contents) = open(&laid_out("control.txt", "chain"));
+    let (chain, state) = start_chain(contents.chain);
     assert!(chain.members() == Some(&members(2, &[SECOND, ME])), "the membership");
     assert_eq!(chain.applied_index(), LAST_COMMITTED);
     assert!(state == state_after(LAST_COMMITTED), "the state");
@@ -317,10 +317,10 @@
 #[test]
 fn the_code_of_the_day_rewrites_the_recorded_disk_as_recorded() {
     let folder = laid_out("control.txt", "rewritten");
-    let (mut ring, kept) = open(&folder);
-    let (member, founders) = kept.identity.unwrap();
-    let (chain, state) = start_chain(kept.chain);
-    let mut records = vec![DiskRecord::Identity { member, founders }, DiskRecord::Book(kept.book)];
+    let (mut ring, contents) = open(&folder);
+    let identity = contents.identity.unwrap();
+    let (chain, state) = start_chain(contents.chain);
+    let mut records = vec![identity.to_record(), DiskRecord::Peers(contents.peers)];
     let checkpoint = chain.checkpoint(state.snapshot().unwrap()).unwrap();
     records.extend(checkpoint.into_iter().map(DiskRecord::Chain));
     ring.snapshot(&encoded(&records)).unwrap();
