--- a/system/control/src/node/announcements.rs
+++ b/system/control/src/node/announcements.rs
@@ -61,7 +61,10 @@
         let Some(members) = self.chain.membership() else { return false };
         let mut others = members.chain.iter().filter(|member| member.0 != self.messenger.own().member);
         others.all(|member| {
-            self.book.address(member.0).is_some_and(|address| self.sharing.is_replicated_to(address, key))
+            self.peers
+                .directory()
+                .address(member.0)
+                .is_some_and(|address| self.sharing.is_replicated_to(address, key))
         })
     }
 }
--- a/system/control/src/node/chain_actions.rs
+++ b/system/control/src/node/chain_actions.rs
@@ -10,7 +10,7 @@
 
 impl Node {
     pub(super) fn on_chain_message(&mut self, from: u64, message: ChainMessage) {
-        self.book.heard(self.clock.now(), from);
+        self.peers.on_chain_message(self.clock.now(), from);
         self.chain.on_message(from, message);
     }
 
@@ -59,7 +59,7 @@
     }
 
     fn send_to_member(&mut self, to: MemberId, message: ChainMessage) {
-        match self.book.address(to.0) {
+        match self.peers.directory().address(to.0) {
             Some(address) => {
                 let from = self.messenger.own().member;
                 self.messenger.send(address, Envelope::Chain { from, message });
@@ -116,7 +116,7 @@
     pub(super) fn write_snapshot(&mut self) {
         self.process_chain_actions();
         match self.chain.checkpoint() {
-            Ok(Some(records)) => self.disk.write_snapshot(self.book.records(), records),
+            Ok(Some(records)) => self.disk.write_snapshot(self.peers.directory().records(), records),
             Ok(None) => {}
             Err(failure) => self.fail(failure),
         }
--- a/system/control/src/node/coordinate.rs
+++ b/system/control/src/node/coordinate.rs
@@ -196,7 +196,8 @@
             return false;
         };
         let heard_since = now.saturating_sub(HOLDER_SILENCE);
-        !self.settings.bounds.fencing || self.book.lives(previous.address, previous.incarnation, heard_since)
+        !self.settings.bounds.fencing
+            || self.peers.directory().is_alive(previous.address, previous.incarnation, heard_since)
     }
 
     fn begin_coordinating(&mut self, now: Duration, token: u64, held_since: Duration) {
--- a/system/control/src/node/lease.rs
+++ b/system/control/src/node/lease.rs
@@ -20,6 +20,8 @@
     /// The members of the chain, head first.
     members: Vec<VoterId>,
     actions: Vec<LeaseAction>,
+    /// This node stops, so it is no candidate any more.
+    is_released: bool,
 }
 
 impl LeaseDriver {
@@ -27,7 +29,7 @@
     pub(super) fn start(member: u64, lease_time: Duration, founding: bool, seed: u64) -> Self {
         let settings = LeaseSettings::new(lease_time / TERM_DIVISOR);
         let lease = Lease::new(VoterId(member), settings, seed);
-        let mut driver = Self { lease, members: Vec::new(), actions: Vec::new() };
+        let mut driver = Self { lease, members: Vec::new(), actions: Vec::new(), is_released: false };
         driver.lease.handle(Duration::ZERO, LeaseEvent::Started { founding }, &mut driver.actions);
         driver
     }
@@ -53,7 +55,7 @@
         for action in std::mem::take(&mut self.lease.actions) {
             match action {
                 LeaseAction::Send { to, message } => {
-                    if let Some(address) = self.book.address(to.0) {
+                    if let Some(address) = self.peers.directory().address(to.0) {
                         self.messenger
                             .send(address, Envelope::Lease { from: self.messenger.own().member, message });
                     }
@@ -87,6 +89,7 @@
     }
 
     pub(super) fn release_lease(&mut self) {
+        self.lease.is_released = true;
         self.lease_event(LeaseEvent::Candidates { order: Vec::new() });
     }
 
@@ -101,7 +104,7 @@
     /// The members of the chain may hold the lease, before all others the machine that held it last: it goes on at once, where another
     /// one may have to wait until its first order is far enough from the last order of the one before.
     pub(super) fn lease_candidates(&mut self) {
-        if self.stopping {
+        if self.lease.is_released {
             return;
         }
         let last = self.chain.state().fencing().and_then(|fence| self.address_member(fence.owner.address));
@@ -115,7 +118,7 @@
         let member = if address == self.messenger.own().address {
             Some(self.messenger.own().member)
         } else {
-            self.book.member_at(address)
+            self.peers.directory().member_at(address)
         };
         member.map(VoterId)
     }
--- a/system/control/src/node/messages.rs
+++ b/system/control/src/node/messages.rs
@@ -2,9 +2,10 @@
 
 use std::net::SocketAddr;
 
+use gingerledge_chain::{ChainEvent, MemberId, MembershipEvent};
 use gingerledge_relay::RelayEvent;
 use gingerledge_transport::{Inbox, Incoming};
-use gingerledge_wire::{ControlMessage, Envelope};
+use gingerledge_wire::{ControlMessage, Envelope, NodeRecord};
 
 use super::{Node, EVENTS_AT_ONCE};
 
@@ -24,15 +25,15 @@
             Incoming::Message { from, message } => self.take_message(from, message),
             Incoming::Lost { peer, refused } => {
                 self.relay.handle_event(RelayEvent::PeerDisconnected { peer });
-                if refused {
-                    self.peer_refused(peer);
+                if refused && self.peers.on_refused(peer) {
+                    self.on_peer_lost(peer);
                 }
             }
         }
     }
 
     fn take_message(&mut self, from: SocketAddr, message: Envelope) {
-        self.peer_heard(from);
+        self.peers.on_message(self.clock.now(), from);
         match message {
             Envelope::Chain { from, message } => self.on_chain_message(from, message),
             Envelope::Lease { from, message } => self.take_lease_message(from, message),
@@ -51,7 +52,7 @@
             }
             ControlMessage::Goodbye { incarnation } => self.take_farewell(incarnation),
             ControlMessage::Hello { node, known_peers, wants_reply } => {
-                self.take_introduction(from, node, known_peers, wants_reply);
+                self.on_hello(from, &node, known_peers, wants_reply);
             }
             ControlMessage::Submit { request, reply_to, command } => {
                 self.take_submission(request, reply_to, command);
@@ -70,4 +71,29 @@
             ControlMessage::HeartbeatAck { .. } => {}
         }
     }
+
+    fn on_hello(
+        &mut self,
+        from: SocketAddr,
+        node: &NodeRecord,
+        known_peers: Vec<NodeRecord>,
+        wants_reply: bool,
+    ) {
+        let now = self.clock.now();
+        let Some(hello) = self.peers.on_hello(now, from, node, known_peers) else { return };
+        if hello.is_new_connection {
+            self.on_peer_connected(from);
+        }
+        self.announcements.reevaluate();
+        let member = MemberId(node.member);
+        let replaces = hello.replaces.map(MemberId);
+        self.chain.handle_event(ChainEvent::View(MembershipEvent::MemberAnnounced { member, replaces }));
+        if hello.is_directory_changed {
+            log::info!(name:% = node.name, address:% = node.address; "control peer discovered");
+            self.disk.append_peers(self.peers.directory().records());
+        }
+        if wants_reply {
+            self.peers.reply_to_hello(from);
+        }
+    }
 }
--- a/system/control/src/node/mod.rs
+++ b/system/control/src/node/mod.rs
@@ -3,17 +3,16 @@
 //! through a bounded queue of [`Request`]s.
 
 mod announcements;
-mod book;
 mod chain_actions;
 mod chain_host;
 mod clock;
 mod coordinate;
 mod disk;
-mod introductions;
 mod lease;
 mod messages;
 mod messenger;
 mod orders;
+mod peers;
 mod relay_host;
 mod request;
 mod requests;
@@ -23,22 +22,22 @@
 mod submissions;
 mod submit;
 
-use std::collections::{BTreeMap, HashMap};
-use std::net::SocketAddr;
+use std::collections::HashMap;
 use std::sync::Arc;
 use std::time::Duration;
 
 use gingerledge_protocol::Settings;
+use gingerledge_relay::RelayEvent;
 use gingerledge_storage::WriterEvent;
 use gingerledge_transport::Inbox;
-use gingerledge_wire::{ControlMessage, Envelope};
+use gingerledge_wire::Envelope;
 use snafu::Snafu;
 use tokio::sync::mpsc::{Receiver, UnboundedReceiver};
 
 use crate::sessions::{SessionReplication, Sessions};
 use crate::state::SnapshotError;
 
-pub use book::{AddressBook, Introduced, MAX_MEMBERS};
+pub use peers::{HelloOutcome, PeerDirectory, MAX_PEERS};
 pub use request::{Accepted, BeginRetire, Confirmed, Request};
 pub use start::{start, Handles, StartError};
 pub use submissions::{KnownOutcome, SubmissionSettings, Submissions};
@@ -50,6 +49,7 @@
 use disk::Disk;
 use lease::LeaseDriver;
 use messenger::Messenger;
+use peers::Peers;
 use relay_host::RelayHost;
 use submit::Waiter;
 
@@ -90,9 +90,7 @@
     sessions: Sessions,
     sharing: SessionReplication,
     own_sequence: u64,
-    book: AddressBook,
-    next_introduction: Duration,
-    reachable: BTreeMap<SocketAddr, Duration>,
+    peers: Peers,
     submissions: Submissions<Waiter>,
     reads: HashMap<u64, requests::Read>,
     next_read: u64,
@@ -100,7 +98,6 @@
     lease: LeaseDriver,
     coordination: Coordination,
     last_housekeeping: Duration,
-    stopping: bool,
     /// Why this node takes part in nothing more.
     failure: Option<NodeError>,
 }
@@ -149,7 +146,7 @@
                 () = timer => {}
             }
         }
-        self.say_farewell();
+        self.peers.send_goodbyes();
         tokio::time::sleep(Duration::from_millis(20)).await;
         Ok(())
     }
@@ -195,13 +192,13 @@
             log::warn!("this process did not run for {:?}", now - self.last_housekeeping);
             self.sessions.restart_timeouts(now);
             self.coordination.resumed(now);
-            self.reachable.values_mut().for_each(|heard| *heard = now);
+            self.peers.restart_timeouts(now);
         }
         self.last_housekeeping = now;
         if self.disk.poll_rewrite(now) {
             self.write_snapshot();
         }
-        self.introduce(now);
+        self.send_hellos(now);
         self.expire_peers(now);
         self.expire_sessions(now);
         self.expire_submissions(now);
@@ -221,15 +218,16 @@
         timers.into_iter().flatten().fold(housekeeping, Duration::min)
     }
 
-    fn begin_stop(&mut self) {
-        self.stopping = true;
-        self.release_lease();
+    fn send_hellos(&mut self, now: Duration) {
+        let are_members_connected = self.members_shared_with();
+        if self.peers.send_due_hellos(now, are_members_connected) {
+            let control_nodes = self.peers.advertised_addresses();
+            self.relay.handle_event(RelayEvent::ControlNodesKnown(control_nodes));
+        }
     }
 
-    fn say_farewell(&mut self) {
-        let farewell = ControlMessage::Goodbye { incarnation: self.messenger.own().incarnation };
-        for record in self.book.records() {
-            self.messenger.send(record.address, Envelope::Control(farewell.clone()));
-        }
+    fn begin_stop(&mut self) {
+        self.peers.stop();
+        self.release_lease();
     }
 }
--- a/system/control/src/node/sharing.rs
+++ b/system/control/src/node/sharing.rs
@@ -53,7 +53,7 @@
         if is_new {
             self.end_former_lives(&node);
         }
-        let control = self.control_addresses();
+        let control = self.peers.advertised_addresses();
         self.messenger
             .send(from, Envelope::Control(ControlMessage::HeartbeatAck { sequence, control_nodes: control }));
     }
@@ -104,7 +104,7 @@
 
     /// A member that is cut off from the chain hears nobody, and lets no session end: it is the sources' silence only to itself.
     pub(super) fn expire_sessions(&mut self, now: Duration) {
-        self.announce_self();
+        self.publish_own_record();
         if self.chain.is_in_chain(self.messenger.own().member) && !self.relay.is_fresh(now) {
             self.sessions.restart_timeouts(now);
             return;
@@ -119,6 +119,45 @@
     pub(super) fn members_shared_with(&self) -> bool {
         let Some(members) = self.chain.membership() else { return false };
         let mut others = members.chain.iter().filter(|member| member.0 != self.messenger.own().member);
-        others.all(|member| self.book.address(member.0).is_some_and(|address| self.sharing.has_peer(address)))
+        others.all(|member| {
+            self.peers.directory().address(member.0).is_some_and(|address| self.sharing.has_peer(address))
+        })
     }
+
+    pub(super) fn on_peer_connected(&mut self, peer: SocketAddr) {
+        let keys: Vec<Key> = self.relay.registry().entries().map(|entry| entry.key.clone()).collect();
+        self.sharing.on_peer_connected(peer, keys.into_iter().filter(is_replicated));
+    }
+
+    /// Its sessions are taken over; when it is back it gets everything again.
+    pub(super) fn on_peer_lost(&mut self, peer: SocketAddr) {
+        log::info!(address:% = peer; "control peer lost");
+        self.sharing.on_peer_lost(peer);
+        self.sessions.take_over(self.clock.now(), peer);
+    }
+
+    pub(super) fn expire_peers(&mut self, now: Duration) {
+        for peer in self.peers.expire(now) {
+            self.on_peer_lost(peer);
+        }
+    }
+
+    /// This node's own entry, so that all others know it. A tombstone of it is overruled.
+    fn publish_own_record(&mut self) {
+        let own = self.messenger.own();
+        let key = Key::Node(own.incarnation);
+        let known = self.relay.registry().entry(&key);
+        if known.is_some_and(|entry| matches!(entry.value, Value::Node(_))) {
+            return;
+        }
+        self.own_sequence = self.own_sequence.max(known.map_or(0, |entry| entry.version)) + 1;
+        let entry = Entry { key: key.clone(), version: self.own_sequence, value: Value::Node(own.clone()) };
+        self.relay.learn(vec![entry]);
+        self.sharing.mark_dirty(&key);
+    }
+}
+
+/// Whether control nodes replicate such an entry to each other; the chain brings the others.
+fn is_replicated(key: &Key) -> bool {
+    matches!(key, Key::Store(_) | Key::Node(_) | Key::Weights(..))
 }
--- a/system/control/src/node/start.rs
+++ b/system/control/src/node/start.rs
@@ -1,7 +1,7 @@
 //! How a control node starts: opens its disk, finds out who it is, and either founds the system, joins it, or goes on where its disk
 //! left off.
 
-use std::collections::{BTreeMap, HashMap};
+use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,7 +15,6 @@
 use tokio::sync::mpsc;
 
 use super::announcements::WaitingAnnouncements;
-use super::book::AddressBook;
 use super::chain_host::ChainHost;
 use super::clock::Clock;
 use super::coordinate::Coordination;
@@ -23,6 +22,7 @@
 use super::lease::LeaseDriver;
 use super::messenger::Messenger;
 use super::orders::OrderGate;
+use super::peers::{PeerDirectory, Peers};
 use super::relay_host::RelayHost;
 use super::request::Request;
 use super::submissions::{SubmissionSettings, Submissions};
@@ -108,18 +108,18 @@
     let chain = make_chain(&settings, &identity, std::mem::take(&mut contents.chain), draw("chain"));
     let gate = OrderGate::new(clock);
     let messenger = Messenger::new(network, me);
+    let records = founder_records(&settings, &identity, contents.peers);
+    let directory = PeerDirectory::new(identity.disk.member, records);
     let relay_settings = RelaySettings::for_role(Role::Control, &settings.zone);
     let relay = Relay::new(relay_settings, messenger.own().address, true, draw("relay"));
     let mut node = Node {
-        book: AddressBook::new(identity.disk.member, founder_records(&settings, &identity, contents.peers)),
+        peers: Peers::new(messenger.clone(), settings.internal_seeds(), directory),
         chain: ChainHost::new(clock, chain),
         disk,
         relay: RelayHost::new(clock, messenger.clone(), relay),
         sessions: Sessions::new(session_settings(&settings), messenger.own().address),
         sharing: SessionReplication::new(ReplicationSettings::default()),
         own_sequence: 0,
-        next_introduction: Duration::ZERO,
-        reachable: BTreeMap::new(),
         submissions: Submissions::new(SubmissionSettings::default(), draw("submissions") >> 1),
         reads: HashMap::new(),
         next_read: 0,
@@ -127,7 +127,6 @@
         lease,
         coordination: Coordination::new(gate, order_news),
         last_housekeeping: Duration::ZERO,
-        stopping: false,
         failure: None,
         clock,
         messenger,
--- a/system/control/src/node/status.rs
+++ b/system/control/src/node/status.rs
@@ -62,7 +62,7 @@
             "holdsLease": self.lease.held_until(now).is_some(),
             "sessions": sessions,
             "ownSessions": own_sessions,
-            "reachable": self.reachable.keys().map(ToString::to_string).collect::<Vec<_>>(),
+            "reachable": self.peers.reachable().map(ToString::to_string).collect::<Vec<_>>(),
             "edges": nodes(Role::Edge),
             "backends": nodes(Role::Backend),
             "partitions": partitions,
--- a/system/control/src/node/submit.rs
+++ b/system/control/src/node/submit.rs
@@ -89,7 +89,7 @@
             self.chain.handle_event(ChainEvent::Submit { command: encode_submission(&submission) });
             return true;
         }
-        let Some(address) = self.book.address(head.0) else { return false };
+        let Some(address) = self.peers.directory().address(head.0) else { return false };
         let Submission { request, reply_to, command } = submission;
         let message = Envelope::Control(ControlMessage::Submit { request, reply_to, command });
         self.messenger.try_send(address, &message)
