--- a/system/control/src/node/chain_actions.rs
+++ b/system/control/src/node/chain_actions.rs
@@ -39,8 +39,8 @@
             ChainAction::Apply { index, command, reply } => self.apply(index, &command, reply)?,
             ChainAction::TakeSnapshot => self.chain.provide_snapshot()?,
             ChainAction::InstallSnapshot { index, bytes } => self.install_snapshot(index, &bytes)?,
-            ChainAction::ReadReady { token, .. } => self.finish_read(token, true),
-            ChainAction::ReadFailed { token } => self.finish_read(token, false),
+            ChainAction::ReadReady { token, .. } => self.on_read_finished(token, true),
+            ChainAction::ReadFailed { token } => self.on_read_finished(token, false),
             ChainAction::NotHead { command, .. } | ChainAction::Busy { command } => self.not_taken(&command),
             ChainAction::View(MembershipAction::Installed { members }) => {
                 log::info!(epoch = members.epoch, chain:? = hex_members(&members.chain); "view installed");
@@ -100,7 +100,7 @@
     }
 
     pub(super) fn on_view_installed(&mut self, membership: &Membership) {
-        self.announcements.reevaluate();
+        self.acknowledgements.reevaluate();
         self.lease_voters(membership);
     }
 
--- a/system/control/src/node/chain_host.rs
+++ b/system/control/src/node/chain_host.rs
@@ -184,8 +184,19 @@
         self.chain.applied_index()
     }
 
-    /// Whether a member is in the chain of the membership in force.
-    pub(super) fn is_in_chain(&self, member: u64) -> bool {
-        self.membership().is_some_and(|membership| membership.chain.iter().any(|other| other.0 == member))
+    /// The identity of this member.
+    pub(super) fn own_member(&self) -> MemberId {
+        self.chain.me()
+    }
+
+    /// Whether this member is in the chain of the membership in force.
+    pub(super) fn is_in_chain(&self) -> bool {
+        let own = self.own_member();
+        self.membership().is_some_and(|membership| membership.chain.contains(&own))
+    }
+
+    /// Whether this member is the head of the chain.
+    pub(super) fn is_head(&self) -> bool {
+        self.head() == Some(self.own_member())
     }
 }
--- a/system/control/src/node/coordinate/weights.rs
+++ b/system/control/src/node/coordinate/weights.rs
@@ -138,7 +138,8 @@
         match end {
             LoadOutcome::Done => {
                 let key = Key::Weights(id, model);
-                self.learn_and_share(Entry { key, version, value: Value::Version(version) });
+                let entry = Entry { key, version, value: Value::Version(version) };
+                self.sessions.publish(entry, &mut self.relay);
             }
             LoadOutcome::Fenced => self.coordination.end(),
             LoadOutcome::Busy | LoadOutcome::Failed => {}
--- a/system/control/src/node/messages.rs
+++ b/system/control/src/node/messages.rs
@@ -5,7 +5,7 @@
 use gingerledge_chain::{ChainEvent, MemberId, MembershipEvent};
 use gingerledge_relay::RelayEvent;
 use gingerledge_transport::{Inbox, Incoming};
-use gingerledge_wire::{ControlMessage, Envelope, NodeRecord};
+use gingerledge_wire::{BackendReport, ControlMessage, Envelope, Key, NodeRecord, Role};
 
 use super::{Node, EVENTS_AT_ONCE};
 
@@ -48,9 +48,11 @@
     fn take_control_message(&mut self, from: SocketAddr, message: ControlMessage) {
         match message {
             ControlMessage::Heartbeat { node, sequence, report } => {
-                self.take_node_heartbeat(from, node, sequence, report);
+                self.on_node_heartbeat(from, &node, sequence, report);
+            }
+            ControlMessage::Goodbye { incarnation } => {
+                self.sessions.end(Key::Node(incarnation), &mut self.relay);
             }
-            ControlMessage::Goodbye { incarnation } => self.take_farewell(incarnation),
             ControlMessage::Hello { node, known_peers, wants_reply } => {
                 self.on_hello(from, &node, known_peers, wants_reply);
             }
@@ -59,11 +61,12 @@
             }
             ControlMessage::SubmitResponse { request, outcome } => self.finish_submission(request, outcome),
             ControlMessage::ReplicateSessions { sequence, entries } => {
-                self.take_share(from, sequence, entries)
+                let now = self.clock.now();
+                self.sessions.on_batch(now, from, sequence, entries, &mut self.relay);
             }
             ControlMessage::ReplicateSessionsAck { sequence } => {
-                self.sharing.on_acknowledged(from, sequence);
-                self.announcements.reevaluate();
+                self.sessions.on_batch_acknowledged(from, sequence);
+                self.acknowledgements.reevaluate();
             }
             ControlMessage::ModelUsed { model, host, path, min_version } => {
                 self.model_used(&model, &host, &path, min_version);
@@ -72,6 +75,31 @@
         }
     }
 
+    fn on_node_heartbeat(
+        &mut self,
+        from: SocketAddr,
+        node: &NodeRecord,
+        sequence: u64,
+        report: Option<BackendReport>,
+    ) {
+        if node.role == Role::Control || node.address != from {
+            return;
+        }
+        if let Some(report) = report {
+            self.coordination.backend_reported(self.clock.now(), node, report);
+        }
+        self.sessions.on_node_heartbeat(self.clock.now(), node, sequence, &mut self.relay);
+        let control_nodes = self.peers.advertised_addresses();
+        let reply = ControlMessage::HeartbeatAck { sequence, control_nodes };
+        self.messenger.send(from, Envelope::Control(reply));
+    }
+
+    /// A control node has ended or is unreachable: its sessions are taken over, and when it is back it gets everything again.
+    pub(super) fn on_peer_lost(&mut self, peer: SocketAddr) {
+        log::info!(address:% = peer; "control peer lost");
+        self.sessions.on_peer_lost(self.clock.now(), peer);
+    }
+
     fn on_hello(
         &mut self,
         from: SocketAddr,
@@ -82,9 +110,9 @@
         let now = self.clock.now();
         let Some(hello) = self.peers.on_hello(now, from, node, known_peers) else { return };
         if hello.is_new_connection {
-            self.on_peer_connected(from);
+            self.sessions.on_peer_connected(from, self.relay.registry());
         }
-        self.announcements.reevaluate();
+        self.acknowledgements.reevaluate();
         let member = MemberId(node.member);
         let replaces = hello.replaces.map(MemberId);
         self.chain.handle_event(ChainEvent::View(MembershipEvent::MemberAnnounced { member, replaces }));
--- a/system/control/src/node/mod.rs
+++ b/system/control/src/node/mod.rs
@@ -2,9 +2,10 @@
 //! actions out. It owns the internal network, the disk and the timers, and runs as one task; whatever else the process does asks it
 //! through a bounded queue of [`Request`]s.
 
-mod announcements;
+mod acknowledgements;
 mod chain_actions;
 mod chain_host;
+mod chain_replicas;
 mod clock;
 mod coordinate;
 mod disk;
@@ -13,19 +14,21 @@
 mod messenger;
 mod orders;
 mod peers;
+mod reads;
 mod relay_host;
 mod request;
 mod requests;
-mod sharing;
+mod retirement;
+mod session_host;
 mod start;
 mod status;
 mod submissions;
 mod submit;
 
-use std::collections::HashMap;
 use std::sync::Arc;
 use std::time::Duration;
 
+use gingerledge_chain::ChainEvent;
 use gingerledge_protocol::Settings;
 use gingerledge_relay::RelayEvent;
 use gingerledge_storage::WriterEvent;
@@ -34,7 +37,6 @@
 use snafu::Snafu;
 use tokio::sync::mpsc::{Receiver, UnboundedReceiver};
 
-use crate::sessions::{SessionReplication, Sessions};
 use crate::state::SnapshotError;
 
 pub use peers::{HelloOutcome, PeerDirectory, MAX_PEERS};
@@ -42,15 +44,18 @@
 pub use start::{start, Handles, StartError};
 pub use submissions::{KnownOutcome, SubmissionSettings, Submissions};
 
-use announcements::WaitingAnnouncements;
+use acknowledgements::EndAcknowledgements;
 use chain_host::ChainHost;
+use chain_replicas::ChainReplicas;
 use clock::Clock;
 use coordinate::Coordination;
 use disk::Disk;
 use lease::LeaseDriver;
 use messenger::Messenger;
 use peers::Peers;
+use reads::PendingReads;
 use relay_host::RelayHost;
+use session_host::SessionHost;
 use submit::Waiter;
 
 /// Time between looks at what has no timer of its own.
@@ -87,14 +92,11 @@
     chain: ChainHost,
     disk: Disk,
     relay: RelayHost,
-    sessions: Sessions,
-    sharing: SessionReplication,
-    own_sequence: u64,
+    sessions: SessionHost,
     peers: Peers,
     submissions: Submissions<Waiter>,
-    reads: HashMap<u64, requests::Read>,
-    next_read: u64,
-    announcements: WaitingAnnouncements,
+    reads: PendingReads,
+    acknowledgements: EndAcknowledgements,
     lease: LeaseDriver,
     coordination: Coordination,
     last_housekeeping: Duration,
@@ -134,7 +136,7 @@
                     None => break,
                 },
                 request = sources.requests.recv() => match request {
-                    Some(request) => self.take_requests(request, &mut sources.requests),
+                    Some(request) => self.on_requests(request, &mut sources.requests),
                     None => break,
                 },
                 Some(event) = sources.disk.recv() => self.on_disk_event(event),
@@ -156,11 +158,11 @@
         self.failure.get_or_insert(failure);
     }
 
-    fn take_requests(&mut self, first: Request, requests: &mut Receiver<Request>) {
-        self.take_request(first);
+    fn on_requests(&mut self, first: Request, requests: &mut Receiver<Request>) {
+        self.on_request(first);
         for _ in 1..EVENTS_AT_ONCE {
             match requests.try_recv() {
-                Ok(request) => self.take_request(request),
+                Ok(request) => self.on_request(request),
                 Err(_) => break,
             }
         }
@@ -173,8 +175,8 @@
         self.process_chain_actions();
         self.send_submissions(now);
         self.process_chain_actions();
-        self.send_shares(now);
-        self.look_after_announcements(now);
+        self.sessions.send_due_batches(now, self.relay.registry());
+        self.process_acknowledgements(now);
         self.process_chain_actions();
     }
 
@@ -211,21 +213,53 @@
             self.relay.next_timer(),
             self.lease.next_timer(),
             self.submissions.next_timer(),
-            self.sharing.next_timer(),
-            self.announcements.next_timer(),
+            self.sessions.next_timer(),
+            self.acknowledgements.next_timer(),
         ];
         let housekeeping = self.last_housekeeping + HOUSEKEEPING;
         timers.into_iter().flatten().fold(housekeeping, Duration::min)
     }
 
     fn send_hellos(&mut self, now: Duration) {
-        let are_members_connected = self.members_shared_with();
+        let replicas = ChainReplicas::new(&self.chain, self.peers.directory(), self.sessions.replication());
+        let are_members_connected = replicas.are_all_connected();
         if self.peers.send_due_hellos(now, are_members_connected) {
             let control_nodes = self.peers.advertised_addresses();
             self.relay.handle_event(RelayEvent::ControlNodesKnown(control_nodes));
         }
     }
 
+    /// Loses the peers that have become unreachable.
+    fn expire_peers(&mut self, now: Duration) {
+        for peer in self.peers.expire(now) {
+            self.on_peer_lost(peer);
+        }
+    }
+
+    /// Expires sessions. An isolated member of the chain receives no heartbeats, and expires none: the sources are alive to the others.
+    fn expire_sessions(&mut self, now: Duration) {
+        self.sessions.publish_own_record(&mut self.relay);
+        if self.chain.is_in_chain() && !self.relay.is_fresh(now) {
+            self.sessions.restart_timeouts(now);
+        } else {
+            self.sessions.expire(now, &mut self.relay);
+        }
+    }
+
+    /// Has the chain confirm its membership where an end of a store waits for that.
+    fn process_acknowledgements(&mut self, now: Duration) {
+        self.acknowledgements.expire(now);
+        let replicas = ChainReplicas::new(&self.chain, self.peers.directory(), self.sessions.replication());
+        if let Some(token) = self.acknowledgements.request_confirmation(&replicas, &mut self.reads) {
+            self.chain.handle_event(ChainEvent::Read { token });
+        }
+    }
+
+    fn on_membership_confirmed(&mut self, token: u64, is_confirmed: bool) {
+        let replicas = ChainReplicas::new(&self.chain, self.peers.directory(), self.sessions.replication());
+        self.acknowledgements.on_read_finished(token, is_confirmed, &replicas);
+    }
+
     fn begin_stop(&mut self) {
         self.peers.stop();
         self.release_lease();
--- /dev/null
+++ b/system/control/src/node/retirement.rs
@@ -0,0 +1,79 @@
+//! Whether a backend may be retired: it is known, and enough others would be left.
+
+use std::collections::BTreeSet;
+use std::time::Duration;
+
+use gingerledge_wire::{NodeRecord, PartitionRecord, Registry, Role};
+
+use super::request::BeginRetire;
+use crate::state::ControlState;
+
+/// Before this, the registry may lack backends that are alive.
+const REGISTRY_COMPLETE_AFTER: Duration = Duration::from_secs(5);
+
+/// What the decision on a retirement rests on.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct RetirementCheck<'a> {
+    /// The time since this process started.
+    pub now: Duration,
+    /// How many machines may be lost at a time.
+    pub fault_tolerance: usize,
+    pub state: &'a ControlState,
+    pub registry: &'a Registry,
+}
+
+impl RetirementCheck<'_> {
+    /// The member to be retired under a machine's name: the same one as before if it is being retired already.
+    ///
+    /// # Errors
+    ///
+    /// Why it can't be retired, as the caller is answered.
+    pub(super) fn member_to_retire(&self, name: &str) -> Result<u64, BeginRetire> {
+        let running = self.backend_named(name).map(|backend| backend.member);
+        let before = self.state.retirements().get(name).map(|retirement| retirement.member);
+        match before.filter(|member| running.is_none_or(|running| running == *member)) {
+            Some(member) => Ok(member),
+            None => self.check_new(name),
+        }
+    }
+
+    fn check_new(&self, name: &str) -> Result<u64, BeginRetire> {
+        let Some(backend) = self.backend_named(name) else {
+            return Err(self.unless_registry_incomplete(BeginRetire::Unknown));
+        };
+        let remaining = self.remaining_without(backend.member);
+        if remaining.len() > self.fault_tolerance {
+            return Ok(backend.member);
+        }
+        let is_present = |record: &PartitionRecord| {
+            record.chain.iter().all(|member| *member == backend.member || remaining.contains(member))
+        };
+        // A member of a chain that is missing now may come back soon.
+        let are_all_present = self.state.partitions().all().all(|(_, record)| is_present(record));
+        if are_all_present {
+            Err(self.unless_registry_incomplete(BeginRetire::TooFew))
+        } else {
+            Err(BeginRetire::Unavailable)
+        }
+    }
+
+    fn unless_registry_incomplete(&self, refusal: BeginRetire) -> BeginRetire {
+        if self.now >= REGISTRY_COMPLETE_AFTER {
+            refusal
+        } else {
+            BeginRetire::Unavailable
+        }
+    }
+
+    fn backend_named(&self, name: &str) -> Option<&NodeRecord> {
+        self.registry.nodes().find(|node| node.role == Role::Backend && node.name == name)
+    }
+
+    fn remaining_without(&self, member: u64) -> BTreeSet<u64> {
+        let retirements = self.state.retirements();
+        let others = self.registry.nodes().filter(|node| {
+            node.role == Role::Backend && node.member != member && !retirements.contains_member(node.member)
+        });
+        others.map(|node| node.member).collect()
+    }
+}
--- a/system/control/src/node/start.rs
+++ b/system/control/src/node/start.rs
@@ -1,7 +1,6 @@
 //! How a control node starts: opens its disk, finds out who it is, and either founds the system, joins it, or goes on where its disk
 //! left off.
 
-use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,7 +13,7 @@
 use snafu::{OptionExt, ResultExt, Snafu};
 use tokio::sync::mpsc;
 
-use super::announcements::WaitingAnnouncements;
+use super::acknowledgements::EndAcknowledgements;
 use super::chain_host::ChainHost;
 use super::clock::Clock;
 use super::coordinate::Coordination;
@@ -23,8 +22,10 @@
 use super::messenger::Messenger;
 use super::orders::OrderGate;
 use super::peers::{PeerDirectory, Peers};
+use super::reads::PendingReads;
 use super::relay_host::RelayHost;
 use super::request::Request;
+use super::session_host::SessionHost;
 use super::submissions::{SubmissionSettings, Submissions};
 use super::{Node, Sources};
 use crate::sessions::{ReplicationSettings, SessionReplication, SessionSettings, Sessions};
@@ -112,18 +113,17 @@
     let directory = PeerDirectory::new(identity.disk.member, records);
     let relay_settings = RelaySettings::for_role(Role::Control, &settings.zone);
     let relay = Relay::new(relay_settings, messenger.own().address, true, draw("relay"));
+    let sessions = Sessions::new(session_settings(&settings), messenger.own().address);
+    let replication = SessionReplication::new(ReplicationSettings::default());
     let mut node = Node {
         peers: Peers::new(messenger.clone(), settings.internal_seeds(), directory),
         chain: ChainHost::new(clock, chain),
         disk,
         relay: RelayHost::new(clock, messenger.clone(), relay),
-        sessions: Sessions::new(session_settings(&settings), messenger.own().address),
-        sharing: SessionReplication::new(ReplicationSettings::default()),
-        own_sequence: 0,
+        sessions: SessionHost::new(messenger.clone(), sessions, replication),
         submissions: Submissions::new(SubmissionSettings::default(), draw("submissions") >> 1),
-        reads: HashMap::new(),
-        next_read: 0,
-        announcements: WaitingAnnouncements::default(),
+        reads: PendingReads::default(),
+        acknowledgements: EndAcknowledgements::default(),
         lease,
         coordination: Coordination::new(gate, order_news),
         last_housekeeping: Duration::ZERO,
--- a/system/control/src/node/status.rs
+++ b/system/control/src/node/status.rs
@@ -10,7 +10,7 @@
     pub(super) fn status(&self) -> String {
         let now = self.clock.now();
         let registry = self.relay.registry();
-        let (sessions, own_sessions) = self.sessions.count();
+        let (sessions, own_sessions) = self.sessions.counts();
         let members = self.chain.membership();
         let names = |members: &[gingerledge_chain::MemberId]| -> Vec<String> {
             members.iter().map(|member| format!("{:x}", member.0)).collect()
