--- a/system/control/src/node/chain_actions.rs
+++ b/system/control/src/node/chain_actions.rs
@@ -3,8 +3,9 @@
 use gingerledge_chain::{ChainAction, ChainEvent, ChainMessage, MemberId, Membership, MembershipAction};
 use gingerledge_relay::RelayEvent;
 use gingerledge_storage::WriterEvent;
-use gingerledge_wire::{Command, Envelope, FreshnessTick};
+use gingerledge_wire::{Command, CommandOutcome, Envelope, FreshnessTick};
 
+use super::commands::SubmittedCommand;
 use super::disk::DiskOutput;
 use super::{Node, NodeError};
 
@@ -41,11 +42,12 @@
             ChainAction::InstallSnapshot { index, bytes } => self.install_snapshot(index, &bytes)?,
             ChainAction::ReadReady { token, .. } => self.on_read_finished(token, true),
             ChainAction::ReadFailed { token } => self.on_read_finished(token, false),
-            ChainAction::NotHead { command, .. } | ChainAction::Busy { command } => self.not_taken(&command),
+            ChainAction::NotHead { command, .. } | ChainAction::Busy { command } => {
+                self.commands.on_rejected(&command);
+            }
             ChainAction::View(MembershipAction::Installed { members }) => {
                 log::info!(epoch = members.epoch, chain:? = hex_members(&members.chain); "view installed");
-                let now = self.clock.now();
-                self.submissions.view_changed(now);
+                self.commands.on_view_installed();
                 self.on_view_installed(&members);
             }
             ChainAction::View(MembershipAction::Sealed { epoch }) => self.lease_sealed(epoch),
@@ -71,19 +73,25 @@
     fn apply(&mut self, index: u64, bytes: &[u8], reply: bool) -> Result<(), NodeError> {
         let applied = self.chain.apply(index, bytes)?;
         self.relay.learn(applied.entries);
-        if matches!(applied.submission.command, Command::AllocateFencingToken { .. }) {
+        if matches!(applied.submitted.command, Command::AllocateFencingToken { .. }) {
             self.lease_candidates();
         }
         self.send_applied_tick();
-        let (request, reply_to) = (applied.submission.request, applied.submission.reply_to);
+        let SubmittedCommand { request, reply_to, .. } = applied.submitted;
         if reply_to == self.messenger.own().address {
-            self.finish_submission(request, Some(applied.outcome));
+            self.on_command_outcome(request, Some(applied.outcome));
         } else if reply {
-            self.reply_outcome(reply_to, request, applied.outcome);
+            self.commands.reply(reply_to, request, Some(applied.outcome));
         }
         Ok(())
     }
 
+    pub(super) fn on_command_outcome(&mut self, request: u64, outcome: Option<CommandOutcome>) {
+        if let Some(outcome) = self.commands.on_outcome(request, outcome) {
+            self.on_coordinator_outcome(outcome);
+        }
+    }
+
     fn install_snapshot(&mut self, index: u64, bytes: &[u8]) -> Result<(), NodeError> {
         self.chain.install_snapshot(index, bytes)?;
         self.relay.learn(self.chain.state().registry_entries());
--- a/system/control/src/node/chain_host.rs
+++ b/system/control/src/node/chain_host.rs
@@ -10,7 +10,7 @@
 use gingerledge_wire::{Command, CommandOutcome, Entry, FreshnessTick};
 
 use super::clock::Clock;
-use super::submit::{decode_submission, Submission};
+use super::commands::SubmittedCommand;
 use super::NodeError;
 use crate::state::ControlState;
 
@@ -28,7 +28,7 @@
 #[derive(Debug)]
 pub(super) struct AppliedCommand {
     /// The command, with who submitted it.
-    pub submission: Submission,
+    pub submitted: SubmittedCommand,
     /// Its outcome.
     pub outcome: CommandOutcome,
     /// The entries of the registry that it may have changed.
@@ -91,15 +91,15 @@
     /// The entry can't be decoded. All other members applied it, so this one must not go on.
     pub(super) fn apply(&mut self, index: u64, bytes: &[u8]) -> Result<AppliedCommand, NodeError> {
         self.applied_index = index;
-        let submission = decode_submission(bytes).ok_or(NodeError::Entry { sequence: index })?;
-        let command = &submission.command;
+        let submitted = SubmittedCommand::decode(bytes).map_err(|_| NodeError::Entry { sequence: index })?;
+        let command = &submitted.command;
         let outcome = self.state.apply(index, command);
         if let Command::NameVersion { model, version } = command {
             log::info!(model:% = model, version = version; "weight version named");
         }
         let entries =
             if matches!(command, Command::Noop) { Vec::new() } else { self.state.changed_entries(command) };
-        Ok(AppliedCommand { submission, outcome, entries })
+        Ok(AppliedCommand { submitted, outcome, entries })
     }
 
     /// Replaces the state by a snapshot of another member.
--- /dev/null
+++ b/system/control/src/node/commands/entry.rs
@@ -0,0 +1,34 @@
+//! The entries of the control chain: a command, and who submitted it.
+
+use std::net::SocketAddr;
+
+use bincode::error::DecodeError;
+use gingerledge_wire::Command;
+use serde::{Deserialize, Serialize};
+
+/// One entry of the control chain. Encoded by the order of the fields.
+#[derive(Debug, Serialize, Deserialize)]
+pub(in crate::node) struct SubmittedCommand {
+    /// The number under which the submitter waits for the outcome.
+    pub request: u64,
+    /// Where the outcome goes.
+    pub reply_to: SocketAddr,
+    /// The command.
+    pub command: Command,
+}
+
+impl SubmittedCommand {
+    /// Decodes an entry.
+    ///
+    /// # Errors
+    ///
+    /// The bytes are no entry.
+    pub(in crate::node) fn decode(bytes: &[u8]) -> Result<Self, DecodeError> {
+        bincode::serde::decode_from_slice(bytes, bincode::config::standard()).map(|(entry, _)| entry)
+    }
+
+    /// Encodes the entry.
+    pub(super) fn encode(&self) -> Vec<u8> {
+        bincode::serde::encode_to_vec(self, bincode::config::standard()).unwrap_or_default()
+    }
+}
--- a/system/control/src/node/coordinate.rs
+++ b/system/control/src/node/coordinate.rs
@@ -10,8 +10,8 @@
 use gingerledge_wire::{BackendReport, Command, CommandOutcome, Coordinator, NodeRecord};
 use tokio::sync::mpsc::UnboundedSender;
 
+use super::commands::CoordinatorCommand;
 use super::orders::{OrderGate, OrderNews};
-use super::submit::Waiter;
 use super::Node;
 use crate::coordinator::backends::{BackendReports, BackendSettings};
 use crate::coordinator::load_schedule::{LoadSchedule, LoadScheduleSettings};
@@ -160,7 +160,7 @@
             incarnation: self.messenger.own().incarnation,
             address: self.messenger.own().address,
         };
-        self.submit_own(command, Waiter::Fence);
+        self.submit_own(command, CoordinatorCommand::FencingToken);
     }
 
     pub(super) fn fence_taken(&mut self, outcome: Option<CommandOutcome>) {
@@ -180,7 +180,7 @@
             .is_some_and(|fence| fence.token == token && fence.previous_owner.is_some());
         if unsettled && !self.coordination.settlement_under_way {
             self.coordination.settlement_under_way = true;
-            self.submit_own(Command::CompleteHandover { token }, Waiter::Settlement);
+            self.submit_own(Command::CompleteHandover { token }, CoordinatorCommand::Handover);
         }
     }
 
--- a/system/control/src/node/coordinate/partitions.rs
+++ b/system/control/src/node/coordinate/partitions.rs
@@ -4,7 +4,7 @@
 
 use gingerledge_wire::{Command, CommandOutcome, RetirementState};
 
-use super::super::submit::Waiter;
+use super::super::commands::CoordinatorCommand;
 use super::super::Node;
 use crate::coordinator::partitions::{Backends, Change};
 
@@ -15,7 +15,7 @@
         for Change { partition, record } in self.partition_changes(now, since) {
             if self.coordination.partitions_under_way.insert(partition) {
                 let command = Command::SetPartition { partition, record, fencing_token: fence };
-                self.submit_own(command, Waiter::Partition(partition));
+                self.submit_own(command, CoordinatorCommand::Partition(partition));
             }
         }
     }
@@ -40,7 +40,7 @@
             if self.coordination.partitions_under_way.insert(full.partition) {
                 let (partition, epoch, member) = (full.partition, full.epoch, full.member);
                 let command = Command::ReplicaInSync { partition, epoch, member };
-                self.submit_own(command, Waiter::Partition(partition));
+                self.submit_own(command, CoordinatorCommand::Partition(partition));
             }
         }
     }
@@ -51,7 +51,10 @@
             self.coordination.backends.unregistered(|member| self.chain.state().backends().get(member))
         {
             if self.coordination.backends_under_way.insert(member) {
-                self.submit_own(Command::RegisterBackend { member, address }, Waiter::Backend(member));
+                self.submit_own(
+                    Command::RegisterBackend { member, address },
+                    CoordinatorCommand::Backend(member),
+                );
             }
         }
     }
@@ -85,7 +88,10 @@
             return;
         };
         self.coordination.completion_under_way = true;
-        self.submit_own(Command::CompleteRetirement { name, member, replicas: copies }, Waiter::Completion);
+        self.submit_own(
+            Command::CompleteRetirement { name, member, replicas: copies },
+            CoordinatorCommand::Retirement,
+        );
     }
 
     pub(in crate::node) fn completion_submitted(&mut self) {
--- a/system/control/src/node/messages.rs
+++ b/system/control/src/node/messages.rs
@@ -7,6 +7,7 @@
 use gingerledge_transport::{Inbox, Incoming};
 use gingerledge_wire::{BackendReport, ControlMessage, Envelope, Key, NodeRecord, Role};
 
+use super::commands::SubmittedCommand;
 use super::{Node, EVENTS_AT_ONCE};
 
 impl Node {
@@ -57,9 +58,10 @@
                 self.on_hello(from, &node, known_peers, wants_reply);
             }
             ControlMessage::Submit { request, reply_to, command } => {
-                self.take_submission(request, reply_to, command);
+                let submitted = SubmittedCommand { request, reply_to, command };
+                self.commands.on_forwarded(submitted, &mut self.chain);
             }
-            ControlMessage::SubmitResponse { request, outcome } => self.finish_submission(request, outcome),
+            ControlMessage::SubmitResponse { request, outcome } => self.on_command_outcome(request, outcome),
             ControlMessage::ReplicateSessions { sequence, entries } => {
                 let now = self.clock.now();
                 self.sessions.on_batch(now, from, sequence, entries, &mut self.relay);
--- a/system/control/src/node/mod.rs
+++ b/system/control/src/node/mod.rs
@@ -7,6 +7,7 @@
 mod chain_host;
 mod chain_replicas;
 mod clock;
+mod commands;
 mod coordinate;
 mod disk;
 mod lease;
@@ -22,8 +23,6 @@
 mod session_host;
 mod start;
 mod status;
-mod submissions;
-mod submit;
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -39,15 +38,16 @@
 
 use crate::state::SnapshotError;
 
+pub use commands::{SubmissionSettings, Submissions};
 pub use peers::{HelloOutcome, PeerDirectory, MAX_PEERS};
 pub use request::{Accepted, BeginRetire, Confirmed, Request};
 pub use start::{start, Handles, StartError};
-pub use submissions::{KnownOutcome, SubmissionSettings, Submissions};
 
 use acknowledgements::EndAcknowledgements;
 use chain_host::ChainHost;
 use chain_replicas::ChainReplicas;
 use clock::Clock;
+use commands::{CommandClient, CoordinatorCommand, CoordinatorOutcome};
 use coordinate::Coordination;
 use disk::Disk;
 use lease::LeaseDriver;
@@ -56,7 +56,6 @@
 use reads::PendingReads;
 use relay_host::RelayHost;
 use session_host::SessionHost;
-use submit::Waiter;
 
 /// Time between looks at what has no timer of its own.
 const HOUSEKEEPING: Duration = Duration::from_millis(100);
@@ -94,7 +93,7 @@
     relay: RelayHost,
     sessions: SessionHost,
     peers: Peers,
-    submissions: Submissions<Waiter>,
+    commands: CommandClient,
     reads: PendingReads,
     acknowledgements: EndAcknowledgements,
     lease: LeaseDriver,
@@ -173,7 +172,7 @@
         let now = self.clock.now();
         self.run_timers(now);
         self.process_chain_actions();
-        self.send_submissions(now);
+        self.commands.send_due(now, &mut self.chain, self.peers.directory());
         self.process_chain_actions();
         self.sessions.send_due_batches(now, self.relay.registry());
         self.process_acknowledgements(now);
@@ -203,7 +202,9 @@
         self.send_hellos(now);
         self.expire_peers(now);
         self.expire_sessions(now);
-        self.expire_submissions(now);
+        for outcome in self.commands.expire(now) {
+            self.on_coordinator_outcome(outcome);
+        }
         self.coordinate(now);
     }
 
@@ -212,7 +213,7 @@
             self.chain.next_timer(),
             self.relay.next_timer(),
             self.lease.next_timer(),
-            self.submissions.next_timer(),
+            self.commands.next_timer(),
             self.sessions.next_timer(),
             self.acknowledgements.next_timer(),
         ];
@@ -229,6 +230,23 @@
         }
     }
 
+    fn on_coordinator_outcome(&mut self, outcome: CoordinatorOutcome) {
+        let CoordinatorOutcome { command, outcome } = outcome;
+        match command {
+            CoordinatorCommand::FencingToken => self.fence_taken(outcome),
+            CoordinatorCommand::Handover => self.fence_settled(),
+            CoordinatorCommand::Partition(partition) => self.partition_submitted(partition, outcome.as_ref()),
+            CoordinatorCommand::Backend(member) => self.backend_noted(member),
+            CoordinatorCommand::Retirement => self.completion_submitted(),
+        }
+    }
+
+    fn submit_own(&mut self, command: gingerledge_wire::Command, id: CoordinatorCommand) {
+        if self.commands.submit_for_coordinator(command, id).is_err() {
+            self.on_coordinator_outcome(CoordinatorOutcome { command: id, outcome: None });
+        }
+    }
+
     /// Loses the peers that have become unreachable.
     fn expire_peers(&mut self, now: Duration) {
         for peer in self.peers.expire(now) {
--- a/system/control/src/node/requests.rs
+++ b/system/control/src/node/requests.rs
@@ -13,7 +13,7 @@
 impl Node {
     pub(super) fn on_request(&mut self, request: Request) {
         match request {
-            Request::Submit { command, reply } => self.submit_call(command, reply),
+            Request::Submit { command, reply } => self.commands.submit_call(command, reply),
             Request::ReadConfiguration { reply } => self.begin_read(PendingRead::Configuration { reply }),
             Request::ReadRetire { name, reply } => {
                 self.begin_read(PendingRead::RetirementState { name, reply });
@@ -70,7 +70,9 @@
             registry: self.relay.registry(),
         };
         match check.member_to_retire(&name) {
-            Ok(member) => self.submit_retire(Command::BeginRetirement { name, member }, reply),
+            Ok(member) => {
+                self.commands.submit_retirement(Command::BeginRetirement { name, member }, reply);
+            }
             Err(refusal) => {
                 let _ = reply.send(refusal);
             }
--- a/system/control/src/node/start.rs
+++ b/system/control/src/node/start.rs
@@ -16,6 +16,7 @@
 use super::acknowledgements::EndAcknowledgements;
 use super::chain_host::ChainHost;
 use super::clock::Clock;
+use super::commands::CommandClient;
 use super::coordinate::Coordination;
 use super::disk::{self, Disk, DiskContents, DiskError, DiskIdentity};
 use super::lease::LeaseDriver;
@@ -26,7 +27,6 @@
 use super::relay_host::RelayHost;
 use super::request::Request;
 use super::session_host::SessionHost;
-use super::submissions::{SubmissionSettings, Submissions};
 use super::{Node, Sources};
 use crate::sessions::{ReplicationSettings, SessionReplication, SessionSettings, Sessions};
 
@@ -121,7 +121,7 @@
         disk,
         relay: RelayHost::new(clock, messenger.clone(), relay),
         sessions: SessionHost::new(messenger.clone(), sessions, replication),
-        submissions: Submissions::new(SubmissionSettings::default(), draw("submissions") >> 1),
+        commands: CommandClient::new(clock, messenger.clone(), draw("submissions") >> 1),
         reads: PendingReads::default(),
         acknowledgements: EndAcknowledgements::default(),
         lease,
--- a/system/control/tests/submissions.rs
+++ b/system/control/tests/submissions.rs
@@ -7,7 +7,7 @@
 
 const SETTINGS: SubmissionSettings =
     SubmissionSettings { resend: Duration::from_millis(600), retry: Duration::from_millis(60), capacity: 2 };
-const PATIENCE: Duration = Duration::from_millis(1_500);
+const LIMIT: Duration = Duration::from_millis(1_500);
 
 fn ms(time: u64) -> Duration {
     Duration::from_millis(time)
@@ -15,7 +15,7 @@
 
 fn submissions() -> (Submissions<&'static str>, u64) {
     let mut submissions = Submissions::new(SETTINGS, 100);
-    let request = submissions.add(ms(0), Command::Noop, PATIENCE, "caller").expect("room");
+    let request = submissions.add(ms(0), Command::Noop, LIMIT, "caller").expect("room");
     assert_eq!(submissions.due(ms(0)).len(), 1);
     (submissions, request)
 }
@@ -39,7 +39,7 @@
 #[test]
 fn a_change_of_view_sends_it_at_once() {
     let (mut submissions, _) = submissions();
-    submissions.view_changed(ms(200));
+    submissions.on_view_installed(ms(200));
     assert_eq!(submissions.due(ms(200)).len(), 1);
 }
 
@@ -54,14 +54,14 @@
 #[test]
 fn one_without_outcome_is_given_up_in_time() {
     let (mut submissions, _) = submissions();
-    assert!(submissions.expired(ms(1_499)).is_empty());
-    assert_eq!(submissions.expired(ms(1_500)), ["caller"]);
+    assert!(submissions.expire(ms(1_499)).is_empty());
+    assert_eq!(submissions.expire(ms(1_500)), ["caller"]);
     assert!(submissions.is_empty());
 }
 
 #[test]
 fn too_many_are_refused() {
     let (mut submissions, _) = submissions();
-    assert!(submissions.add(ms(0), Command::Noop, PATIENCE, "second").is_ok());
-    assert_eq!(submissions.add(ms(0), Command::Noop, PATIENCE, "third"), Err("third"));
+    assert!(submissions.add(ms(0), Command::Noop, LIMIT, "second").is_ok());
+    assert_eq!(submissions.add(ms(0), Command::Noop, LIMIT, "third"), Err("third"));
 }
