--- a/system/control/src/node/chain_actions.rs
+++ b/system/control/src/node/chain_actions.rs
@@ -50,7 +50,9 @@
                 self.commands.on_view_installed();
                 self.on_view_installed(&members);
             }
-            ChainAction::View(MembershipAction::Sealed { epoch }) => self.lease_sealed(epoch),
+            ChainAction::View(MembershipAction::Sealed { epoch }) => {
+                self.lease.on_view_sealed(epoch, self.peers.directory(), &mut self.coordinator);
+            }
             ChainAction::BecameInSync { epoch } => log::info!(epoch; "replica in sync"),
             ChainAction::BarrierCommitted { epoch, number, commit_index } => {
                 self.chain.on_barrier_committed(FreshnessTick { epoch, number }, commit_index);
@@ -74,7 +76,7 @@
         let applied = self.chain.apply(index, bytes)?;
         self.relay.learn(applied.entries);
         if matches!(applied.submitted.command, Command::AllocateFencingToken { .. }) {
-            self.lease_candidates();
+            self.update_lease_candidates();
         }
         self.send_applied_tick();
         let SubmittedCommand { request, reply_to, .. } = applied.submitted;
@@ -88,14 +90,14 @@
 
     pub(super) fn on_command_outcome(&mut self, request: u64, outcome: Option<CommandOutcome>) {
         if let Some(outcome) = self.commands.on_outcome(request, outcome) {
-            self.on_coordinator_outcome(outcome);
+            self.coordinator.on_command_outcome(outcome);
         }
     }
 
     fn install_snapshot(&mut self, index: u64, bytes: &[u8]) -> Result<(), NodeError> {
         self.chain.install_snapshot(index, bytes)?;
         self.relay.learn(self.chain.state().registry_entries());
-        self.lease_candidates();
+        self.update_lease_candidates();
         self.send_applied_tick();
         Ok(())
     }
@@ -109,7 +111,26 @@
 
     pub(super) fn on_view_installed(&mut self, membership: &Membership) {
         self.acknowledgements.reevaluate();
-        self.lease_voters(membership);
+        let last_coordinator = self.last_coordinator();
+        let directory = self.peers.directory();
+        self.lease.on_view_installed(membership, last_coordinator, directory, &mut self.coordinator);
+    }
+
+    fn update_lease_candidates(&mut self) {
+        let last_coordinator = self.last_coordinator();
+        let directory = self.peers.directory();
+        self.lease.update_candidates(last_coordinator, directory, &mut self.coordinator);
+    }
+
+    /// The member on the machine that allocated the newest fencing token.
+    fn last_coordinator(&self) -> Option<u64> {
+        let own = self.messenger.own();
+        let address = self.chain.state().fencing()?.owner.address;
+        if address == own.address {
+            Some(own.member)
+        } else {
+            self.peers.directory().member_at(address)
+        }
     }
 
     pub(super) fn on_disk_event(&mut self, event: WriterEvent) {
--- a/system/control/src/node/lease.rs
+++ b/system/control/src/node/lease.rs
@@ -1,125 +1,160 @@
-//! The coordinator's lease: its driver, and who may hold it. The voters of the control chain grant it, and the members of the chain
-//! may hold it.
+//! The driver of the coordinator lease. The voters of the control chain grant it, and the members of the chain are its candidates.
 
-use std::net::SocketAddr;
 use std::time::Duration;
 
-use gingerledge_chain::Membership;
+use gingerledge_chain::{MemberId, Membership};
 use gingerledge_lease::{Lease, LeaseAction, LeaseEvent, LeaseSettings, VoterId};
 use gingerledge_wire::{Envelope, LeaseMessage};
 
-use super::Node;
+use super::clock::Clock;
+use super::coordinator_tasks::CoordinatorTasks;
+use super::messenger::Messenger;
+use super::peers::PeerDirectory;
 
-/// A grant lasts for this part of the time that holders must not take turns in.
+/// A grant lasts for this fraction of the time for which the orders of two coordinators keep apart.
 const TERM_DIVISOR: u32 = 2;
 
-/// The lease, and who wants to know about it.
+/// The coordinator lease at this node, as voter and as candidate. It sends its messages to the addresses in the directory, and tells the
+/// coordinator tasks when it is held or lost.
 #[derive(Debug)]
 pub(super) struct LeaseDriver {
+    clock: Clock,
+    messenger: Messenger,
     lease: Lease,
-    /// The members of the chain, head first.
-    members: Vec<VoterId>,
     actions: Vec<LeaseAction>,
+    /// The members of the chain, head first.
+    chain: Vec<VoterId>,
     /// This node stops, so it is no candidate any more.
     is_released: bool,
 }
 
 impl LeaseDriver {
-    /// The driver of a process that has just started; `founding` says that no process of the system has run before.
-    pub(super) fn start(member: u64, lease_time: Duration, founding: bool, seed: u64) -> Self {
+    /// Starts the lease of a new process. `lease_time` is the time for which the orders of two coordinators keep apart; `is_founding`
+    /// says that no process of the system has run before.
+    pub(super) fn start(
+        clock: Clock,
+        messenger: Messenger,
+        lease_time: Duration,
+        is_founding: bool,
+        seed: u64,
+    ) -> Self {
         let settings = LeaseSettings::new(lease_time / TERM_DIVISOR);
-        let lease = Lease::new(VoterId(member), settings, seed);
-        let mut driver = Self { lease, members: Vec::new(), actions: Vec::new(), is_released: false };
-        driver.lease.handle(Duration::ZERO, LeaseEvent::Started { founding }, &mut driver.actions);
-        driver
+        let mut lease = Lease::new(VoterId(messenger.own().member), settings, seed);
+        let mut actions = Vec::new();
+        lease.handle(Duration::ZERO, LeaseEvent::Started { founding: is_founding }, &mut actions);
+        Self { clock, messenger, lease, actions, chain: Vec::new(), is_released: false }
     }
 
     pub(super) fn next_timer(&self) -> Option<Duration> {
         self.lease.next_timer()
     }
 
-    /// Until when the lease is held, if it is.
+    /// Until when this node holds the lease, if it does.
     pub(super) fn held_until(&self, now: Duration) -> Option<Duration> {
         self.lease.held_until(now)
     }
-}
 
-impl Node {
-    fn lease_event(&mut self, event: LeaseEvent) {
-        let now = self.clock.now();
-        self.lease.lease.handle(now, event, &mut self.lease.actions);
-        self.carry_out_lease_actions();
+    /// Processes a message of another voter or candidate.
+    pub(super) fn on_message(
+        &mut self,
+        from: u64,
+        message: LeaseMessage,
+        directory: &PeerDirectory,
+        coordinator: &mut CoordinatorTasks,
+    ) {
+        self.handle_event(LeaseEvent::Message { from: VoterId(from), message }, directory, coordinator);
     }
 
-    fn carry_out_lease_actions(&mut self) {
-        for action in std::mem::take(&mut self.lease.actions) {
-            match action {
-                LeaseAction::Send { to, message } => {
-                    if let Some(address) = self.peers.directory().address(to.0) {
-                        self.messenger
-                            .send(address, Envelope::Lease { from: self.messenger.own().member, message });
-                    }
-                }
-                LeaseAction::Acquired { generation, held_until } => {
-                    log::info!("holds the coordinator's lease, generation {generation}");
-                    self.lease_held(held_until);
-                }
-                LeaseAction::Renewed { held_until, .. } => self.lease_held(held_until),
-                LeaseAction::Lost { generation } => {
-                    log::info!("lost the coordinator's lease, generation {generation}");
-                    self.lease_lost();
-                }
-            }
+    /// Runs the lease's timer if it is due.
+    pub(super) fn handle_timeout(
+        &mut self,
+        now: Duration,
+        directory: &PeerDirectory,
+        coordinator: &mut CoordinatorTasks,
+    ) {
+        if self.lease.next_timer().is_some_and(|due| due <= now) {
+            self.handle_event(LeaseEvent::TimerExpired, directory, coordinator);
         }
     }
 
-    pub(super) fn take_lease_message(&mut self, from: u64, message: LeaseMessage) {
-        self.lease_event(LeaseEvent::Message { from: VoterId(from), message });
+    /// This node has sealed a view, so it grants nothing in it any more.
+    pub(super) fn on_view_sealed(
+        &mut self,
+        epoch: u64,
+        directory: &PeerDirectory,
+        coordinator: &mut CoordinatorTasks,
+    ) {
+        self.handle_event(LeaseEvent::Sealed { epoch }, directory, coordinator);
     }
 
-    pub(super) fn run_lease_timer(&mut self, now: Duration) {
-        if self.lease.next_timer().is_some_and(|due| due <= now) {
-            self.lease_event(LeaseEvent::TimerExpired);
-        }
+    /// The voters of a new view grant, and the members of its chain are the candidates.
+    pub(super) fn on_view_installed(
+        &mut self,
+        membership: &Membership,
+        last_coordinator: Option<u64>,
+        directory: &PeerDirectory,
+        coordinator: &mut CoordinatorTasks,
+    ) {
+        let voters = voter_ids(&membership.voters);
+        let event = LeaseEvent::Voters { epoch: membership.epoch, voters };
+        self.handle_event(event, directory, coordinator);
+        self.chain = voter_ids(&membership.chain);
+        self.update_candidates(last_coordinator, directory, coordinator);
     }
 
-    /// This node has sealed a view, so it grants nothing in it any more.
-    pub(super) fn lease_sealed(&mut self, epoch: u64) {
-        self.lease_event(LeaseEvent::Sealed { epoch });
+    /// The members of the chain are the candidates, first of all the machine that coordinated last: it continues without a handover,
+    /// where another one may have to wait until orders of the one before can't arrive any more.
+    pub(super) fn update_candidates(
+        &mut self,
+        last_coordinator: Option<u64>,
+        directory: &PeerDirectory,
+        coordinator: &mut CoordinatorTasks,
+    ) {
+        if self.is_released {
+            return;
+        }
+        let mut order = self.chain.clone();
+        order.sort_by_key(|member| Some(member.0) != last_coordinator);
+        self.handle_event(LeaseEvent::Candidates { order }, directory, coordinator);
     }
 
-    pub(super) fn release_lease(&mut self) {
-        self.lease.is_released = true;
-        self.lease_event(LeaseEvent::Candidates { order: Vec::new() });
+    /// Releases the lease for ever, because this node stops.
+    pub(super) fn release(&mut self, directory: &PeerDirectory, coordinator: &mut CoordinatorTasks) {
+        self.is_released = true;
+        self.handle_event(LeaseEvent::Candidates { order: Vec::new() }, directory, coordinator);
     }
 
-    /// The voters of a new view grant, and its chain's members may hold.
-    pub(super) fn lease_voters(&mut self, members: &Membership) {
-        let voters = members.voters.iter().map(|member| VoterId(member.0)).collect();
-        self.lease_event(LeaseEvent::Voters { epoch: members.epoch, voters });
-        self.lease.members = members.chain.iter().map(|member| VoterId(member.0)).collect();
-        self.lease_candidates();
+    fn handle_event(
+        &mut self,
+        event: LeaseEvent,
+        directory: &PeerDirectory,
+        coordinator: &mut CoordinatorTasks,
+    ) {
+        self.lease.handle(self.clock.now(), event, &mut self.actions);
+        for action in std::mem::take(&mut self.actions) {
+            match action {
+                LeaseAction::Send { to, message } => self.send(to, message, directory),
+                LeaseAction::Acquired { generation, held_until } => {
+                    log::info!(generation; "coordinator lease acquired");
+                    coordinator.on_lease_held(held_until);
+                }
+                LeaseAction::Renewed { held_until, .. } => coordinator.on_lease_held(held_until),
+                LeaseAction::Lost { generation } => {
+                    log::info!(generation; "coordinator lease lost");
+                    coordinator.on_lease_lost();
+                }
+            }
+        }
     }
 
-    /// The members of the chain may hold the lease, before all others the machine that held it last: it goes on at once, where another
-    /// one may have to wait until its first order is far enough from the last order of the one before.
-    pub(super) fn lease_candidates(&mut self) {
-        if self.lease.is_released {
-            return;
+    fn send(&self, to: VoterId, message: LeaseMessage, directory: &PeerDirectory) {
+        if let Some(address) = directory.address(to.0) {
+            let from = self.messenger.own().member;
+            self.messenger.send(address, Envelope::Lease { from, message });
         }
-        let last = self.chain.state().fencing().and_then(|fence| self.address_member(fence.owner.address));
-        let mut order = self.lease.members.clone();
-        order.sort_by_key(|member| Some(*member) != last);
-        self.lease_event(LeaseEvent::Candidates { order });
     }
+}
 
-    /// The control node's member at an address.
-    fn address_member(&self, address: SocketAddr) -> Option<VoterId> {
-        let member = if address == self.messenger.own().address {
-            Some(self.messenger.own().member)
-        } else {
-            self.peers.directory().member_at(address)
-        };
-        member.map(VoterId)
-    }
+fn voter_ids(members: &[MemberId]) -> Vec<VoterId> {
+    members.iter().map(|member| VoterId(member.0)).collect()
 }
--- a/system/control/src/node/messages.rs
+++ b/system/control/src/node/messages.rs
@@ -37,7 +37,10 @@
         self.peers.on_message(self.clock.now(), from);
         match message {
             Envelope::Chain { from, message } => self.on_chain_message(from, message),
-            Envelope::Lease { from, message } => self.take_lease_message(from, message),
+            Envelope::Lease { from, message } => {
+                let directory = self.peers.directory();
+                self.lease.on_message(from, message, directory, &mut self.coordinator);
+            }
             Envelope::Control(message) => self.take_control_message(from, message),
             Envelope::Relay(message) => self.relay.handle_event(RelayEvent::Message { from, message }),
             Envelope::Jobs(_) | Envelope::Partition { .. } => {
@@ -71,7 +74,8 @@
                 self.acknowledgements.reevaluate();
             }
             ControlMessage::ModelUsed { model, host, path, min_version } => {
-                self.model_used(&model, &host, &path, min_version);
+                let configuration = self.chain.state().configuration();
+                self.coordinator.on_model_used(configuration, &model, &host, &path, min_version);
             }
             ControlMessage::HeartbeatAck { .. } => {}
         }
@@ -88,7 +92,7 @@
             return;
         }
         if let Some(report) = report {
-            self.coordination.backend_reported(self.clock.now(), node, report);
+            self.coordinator.on_backend_report(self.clock.now(), node, report);
         }
         self.sessions.on_node_heartbeat(self.clock.now(), node, sequence, &mut self.relay);
         let control_nodes = self.peers.advertised_addresses();
--- a/system/control/src/node/mod.rs
+++ b/system/control/src/node/mod.rs
@@ -8,12 +8,11 @@
 mod chain_replicas;
 mod clock;
 mod commands;
-mod coordinate;
+mod coordinator_tasks;
 mod disk;
 mod lease;
 mod messages;
 mod messenger;
-mod orders;
 mod peers;
 mod reads;
 mod relay_host;
@@ -47,8 +46,8 @@
 use chain_host::ChainHost;
 use chain_replicas::ChainReplicas;
 use clock::Clock;
-use commands::{CommandClient, CoordinatorCommand, CoordinatorOutcome};
-use coordinate::Coordination;
+use commands::CommandClient;
+use coordinator_tasks::{CoordinatorTasks, CoordinatorView, LoadResult};
 use disk::Disk;
 use lease::LeaseDriver;
 use messenger::Messenger;
@@ -97,7 +96,7 @@
     reads: PendingReads,
     acknowledgements: EndAcknowledgements,
     lease: LeaseDriver,
-    coordination: Coordination,
+    coordinator: CoordinatorTasks,
     last_housekeeping: Duration,
     /// Why this node takes part in nothing more.
     failure: Option<NodeError>,
@@ -108,7 +107,7 @@
     inbox: Inbox<Envelope>,
     requests: Receiver<Request>,
     disk: UnboundedReceiver<WriterEvent>,
-    orders: UnboundedReceiver<orders::OrderNews>,
+    load_results: UnboundedReceiver<LoadResult>,
 }
 
 impl Node {
@@ -139,7 +138,7 @@
                     None => break,
                 },
                 Some(event) = sources.disk.recv() => self.on_disk_event(event),
-                Some(news) = sources.orders.recv() => self.take_order_news(news),
+                Some(result) = sources.load_results.recv() => self.on_load_result(result),
                 () = &mut stop, if stopped_at.is_none() => {
                     stopped_at = Some(self.clock.now());
                     self.begin_stop();
@@ -182,7 +181,7 @@
     fn run_timers(&mut self, now: Duration) {
         self.chain.handle_timeout(now);
         self.relay.handle_timeout(now);
-        self.run_lease_timer(now);
+        self.lease.handle_timeout(now, self.peers.directory(), &mut self.coordinator);
         if now >= self.last_housekeeping + HOUSEKEEPING {
             self.keep_house(now);
         }
@@ -192,7 +191,7 @@
         if now.saturating_sub(self.last_housekeeping) > PROCESS_PAUSE {
             log::warn!("this process did not run for {:?}", now - self.last_housekeeping);
             self.sessions.restart_timeouts(now);
-            self.coordination.resumed(now);
+            self.coordinator.restart_timeouts(now);
             self.peers.restart_timeouts(now);
         }
         self.last_housekeeping = now;
@@ -203,9 +202,9 @@
         self.expire_peers(now);
         self.expire_sessions(now);
         for outcome in self.commands.expire(now) {
-            self.on_coordinator_outcome(outcome);
+            self.coordinator.on_command_outcome(outcome);
         }
-        self.coordinate(now);
+        self.run_coordinator(now);
     }
 
     fn next_timer(&self) -> Duration {
@@ -230,21 +229,22 @@
         }
     }
 
-    fn on_coordinator_outcome(&mut self, outcome: CoordinatorOutcome) {
-        let CoordinatorOutcome { command, outcome } = outcome;
-        match command {
-            CoordinatorCommand::FencingToken => self.fence_taken(outcome),
-            CoordinatorCommand::Handover => self.fence_settled(),
-            CoordinatorCommand::Partition(partition) => self.partition_submitted(partition, outcome.as_ref()),
-            CoordinatorCommand::Backend(member) => self.backend_noted(member),
-            CoordinatorCommand::Retirement => self.completion_submitted(),
+    fn run_coordinator(&mut self, now: Duration) {
+        if self.relay.poll_new_weight_inputs() {
+            self.coordinator.on_weight_inputs_changed();
         }
+        let view = CoordinatorView {
+            state: self.chain.state(),
+            registry: self.relay.registry(),
+            directory: self.peers.directory(),
+        };
+        let lease_until = self.lease.held_until(now);
+        self.coordinator.run(now, lease_until, view, &mut self.commands);
     }
 
-    fn submit_own(&mut self, command: gingerledge_wire::Command, id: CoordinatorCommand) {
-        if self.commands.submit_for_coordinator(command, id).is_err() {
-            self.on_coordinator_outcome(CoordinatorOutcome { command: id, outcome: None });
-        }
+    fn on_load_result(&mut self, result: LoadResult) {
+        let now = self.clock.now();
+        self.coordinator.on_load_result(now, result, &mut self.sessions, &mut self.relay);
     }
 
     /// Loses the peers that have become unreachable.
@@ -280,6 +280,6 @@
 
     fn begin_stop(&mut self) {
         self.peers.stop();
-        self.release_lease();
+        self.lease.release(self.peers.directory(), &mut self.coordinator);
     }
 }
--- a/system/control/src/node/start.rs
+++ b/system/control/src/node/start.rs
@@ -17,11 +17,10 @@
 use super::chain_host::ChainHost;
 use super::clock::Clock;
 use super::commands::CommandClient;
-use super::coordinate::Coordination;
+use super::coordinator_tasks::{CoordinatorSettings, CoordinatorTasks};
 use super::disk::{self, Disk, DiskContents, DiskError, DiskIdentity};
 use super::lease::LeaseDriver;
 use super::messenger::Messenger;
-use super::orders::OrderGate;
 use super::peers::{PeerDirectory, Peers};
 use super::reads::PendingReads;
 use super::relay_host::RelayHost;
@@ -91,7 +90,7 @@
     let (network, inbox) = Network::bind(network_settings(&settings)).await.context(NetworkSnafu)?;
     let clock = Clock::start();
     let (disk_events, disk_source) = mpsc::unbounded_channel();
-    let (order_news, order_source) = mpsc::unbounded_channel();
+    let (load_results, load_result_source) = mpsc::unbounded_channel();
     let (requests, request_source) = mpsc::channel(REQUEST_QUEUE);
     let disk = Disk::start(ring, identity.disk.clone(), disk_events)
         .context(disk::StorageSnafu)
@@ -104,11 +103,10 @@
         address: settings.internal_address(),
         zone: settings.zone.clone(),
     };
-    let lease_time = Duration::from_millis(settings.bounds.lease_ms);
-    let lease = LeaseDriver::start(identity.disk.member, lease_time, identity.is_founding, draw("lease"));
     let chain = make_chain(&settings, &identity, std::mem::take(&mut contents.chain), draw("chain"));
-    let gate = OrderGate::new(clock);
     let messenger = Messenger::new(network, me);
+    let lease_time = Duration::from_millis(settings.bounds.lease_ms);
+    let lease = LeaseDriver::start(clock, messenger.clone(), lease_time, identity.is_founding, draw("lease"));
     let records = founder_records(&settings, &identity, contents.peers);
     let directory = PeerDirectory::new(identity.disk.member, records);
     let relay_settings = RelaySettings::for_role(Role::Control, &settings.zone);
@@ -125,7 +123,12 @@
         reads: PendingReads::default(),
         acknowledgements: EndAcknowledgements::default(),
         lease,
-        coordination: Coordination::new(gate, order_news),
+        coordinator: CoordinatorTasks::new(
+            clock,
+            messenger.own().clone(),
+            CoordinatorSettings::from(&*settings),
+            load_results,
+        ),
         last_housekeeping: Duration::ZERO,
         failure: None,
         clock,
@@ -133,7 +136,8 @@
         settings,
     };
     node.begin();
-    let sources = Sources { inbox, requests: request_source, disk: disk_source, orders: order_source };
+    let sources =
+        Sources { inbox, requests: request_source, disk: disk_source, load_results: load_result_source };
     Ok(Handles { node, sources, requests })
 }
 
--- a/system/control/src/node/status.rs
+++ b/system/control/src/node/status.rs
@@ -58,7 +58,7 @@
             "configurationVersion": self.chain.state().configuration().version(),
             "namedVersions": self.chain.state().versions(),
             "fencingToken": self.chain.state().fencing_token(),
-            "leadership": format!("{:?}", self.coordination.leadership),
+            "leadership": self.coordinator.leadership().to_string(),
             "holdsLease": self.lease.held_until(now).is_some(),
             "sessions": sessions,
             "ownSessions": own_sessions,
