--- a/system/control/src/http/instances.rs
+++ b/system/control/src/http/instances.rs
@@ -25,7 +25,7 @@
         let Some(heartbeat) = body::read_json::<Heartbeat>(request, response).await else { return };
         match self.node.ask(|reply| node::Request::Heartbeat { id, heartbeat, reply }).await {
             Some(accepted) => {
-                let stay = here.filter(|_| accepted.chain_is_fresh);
+                let stay = here.filter(|_| accepted.is_chain_fresh);
                 let reply = HeartbeatReply { heartbeat_address: stay.map(|address| address.to_string()) };
                 response.render(Text::Json(serde_json::to_string(&reply).unwrap_or_default()));
             }
--- a/system/control/src/http/retire.rs
+++ b/system/control/src/http/retire.rs
@@ -7,7 +7,7 @@
 use serde_json::json;
 
 use super::{body, refuse, unavailable, NodeHandle};
-use crate::node::{self, BeginRetire};
+use crate::node::{self, BeginRetirementOutcome};
 
 /// `POST /retire/NODE/begin`
 pub(super) struct Begin {
@@ -22,17 +22,17 @@
             return;
         }
         let name = request.param::<String>("name").unwrap_or_default();
-        match self.node.ask(|reply| node::Request::BeginRetire { name, reply }).await {
-            Some(BeginRetire::Taken) => {
+        match self.node.ask(|reply| node::Request::BeginRetirement { name, reply }).await {
+            Some(BeginRetirementOutcome::Accepted) => {
                 response.status_code(StatusCode::OK);
             }
-            Some(BeginRetire::Unknown) => {
+            Some(BeginRetirementOutcome::UnknownBackend) => {
                 refuse(response, StatusCode::NOT_FOUND, "no backend has this name".to_owned());
             }
-            Some(BeginRetire::TooFew) => {
+            Some(BeginRetirementOutcome::TooFewBackends) => {
                 refuse(response, StatusCode::CONFLICT, "too few backends would be left".to_owned());
             }
-            Some(BeginRetire::Unavailable) | None => unavailable(response),
+            Some(BeginRetirementOutcome::Unavailable) | None => unavailable(response),
         }
     }
 }
@@ -46,7 +46,7 @@
 impl Read {
     async fn handle(&self, request: &mut Request, response: &mut Response) {
         let name = request.param::<String>("name").unwrap_or_default();
-        match self.node.ask(|reply| node::Request::ReadRetire { name, reply }).await.flatten() {
+        match self.node.ask(|reply| node::Request::ReadRetirement { name, reply }).await.flatten() {
             Some(Some(state)) => {
                 let word = match state {
                     RetirementState::Active => "active",
--- a/system/control/src/node/acknowledgements.rs
+++ b/system/control/src/node/acknowledgements.rs
@@ -7,18 +7,18 @@
 
 use super::chain_replicas::ChainReplicas;
 use super::reads::{PendingRead, PendingReads};
-use super::request::Accepted;
+use super::request::Acknowledged;
 use crate::sessions::{Confirmation, PendingAcknowledgements};
 
 /// The ends of stores whose callers wait. Dropping a reply tells its caller that the change could not be acknowledged.
 #[derive(Debug, Default)]
 pub(super) struct EndAcknowledgements {
-    pending: PendingAcknowledgements<Sender<Accepted>>,
+    pending: PendingAcknowledgements<Sender<Acknowledged>>,
 }
 
 impl EndAcknowledgements {
     /// Adds a change that is published already.
-    pub(super) fn add(&mut self, now: Duration, key: Key, reply: Sender<Accepted>) {
+    pub(super) fn add(&mut self, now: Duration, key: Key, reply: Sender<Acknowledged>) {
         drop(self.pending.add(now, key, reply));
     }
 
@@ -62,7 +62,7 @@
         };
         for reply in self.pending.on_confirmed(token, epoch, |key| replicas.all_have(key)) {
             // The store may have given up.
-            let _ = reply.send(Accepted { chain_is_fresh: true });
+            let _ = reply.send(Acknowledged { is_chain_fresh: true });
         }
     }
 }
--- a/system/control/src/node/chain_host.rs
+++ b/system/control/src/node/chain_host.rs
@@ -91,7 +91,7 @@
     /// The entry can't be decoded. All other members applied it, so this one must not go on.
     pub(super) fn apply(&mut self, index: u64, bytes: &[u8]) -> Result<AppliedCommand, NodeError> {
         self.applied_index = index;
-        let submitted = SubmittedCommand::decode(bytes).map_err(|_| NodeError::Entry { sequence: index })?;
+        let submitted = SubmittedCommand::decode(bytes).map_err(|_| NodeError::Entry { index })?;
         let command = &submitted.command;
         let outcome = self.state.apply(index, command);
         if let Command::NameVersion { model, version } = command {
--- a/system/control/src/node/commands/mod.rs
+++ b/system/control/src/node/commands/mod.rs
@@ -15,7 +15,7 @@
 use super::clock::Clock;
 use super::messenger::Messenger;
 use super::peers::PeerDirectory;
-use super::request::BeginRetire;
+use super::request::BeginRetirementOutcome;
 
 pub(super) use entry::SubmittedCommand;
 pub use submissions::{SubmissionSettings, Submissions};
@@ -53,7 +53,7 @@
     /// A call of the operator or a trainer.
     Call(Sender<Option<CommandOutcome>>),
     /// A call that begins a retirement.
-    RetirementCall(Sender<BeginRetire>),
+    RetirementCall(Sender<BeginRetirementOutcome>),
     /// The coordinator tasks of this node.
     Coordinator(CoordinatorCommand),
 }
@@ -69,7 +69,11 @@
             }
             Self::RetirementCall(reply) => {
                 let is_applied = outcome == Some(CommandOutcome::Applied);
-                let _ = reply.send(if is_applied { BeginRetire::Taken } else { BeginRetire::Unavailable });
+                let _ = reply.send(if is_applied {
+                    BeginRetirementOutcome::Accepted
+                } else {
+                    BeginRetirementOutcome::Unavailable
+                });
                 None
             }
             Self::Coordinator(command) => Some(CoordinatorOutcome { command, outcome }),
@@ -103,7 +107,7 @@
     }
 
     /// Submits the command of a call that begins a retirement.
-    pub(super) fn submit_retirement(&mut self, command: Command, reply: Sender<BeginRetire>) {
+    pub(super) fn submit_retirement(&mut self, command: Command, reply: Sender<BeginRetirementOutcome>) {
         self.submit(command, CALL_TIMEOUT, Origin::RetirementCall(reply));
     }
 
--- a/system/control/src/node/mod.rs
+++ b/system/control/src/node/mod.rs
@@ -1,9 +1,13 @@
-//! One control node: the driver that gives events to the machines (chain, relay, lease, sessions, coordinator) and carries their
-//! actions out. It owns the internal network, the disk and the timers, and runs as one task; whatever else the process does asks it
-//! through a bounded queue of [`Request`]s.
+//! One control node: its components, and the event loop that passes events and outputs between them.
+//!
+//! The machines do no I/O: the chain replicates the commands, the relay distributes the registry, the lease elects the coordinator, sessions
+//! follow stores and nodes, and the planners say what the coordinator should change. Each has a component here that drives it, and that
+//! owns whatever state the driving needs. The loop runs as one task: it waits for a message, a request, an event of the storage thread, the
+//! result of a load, or a timer; gives it to a component ([`routing`]); and carries out what follows from it, until nothing does.
+//!
+//! Everything else in the process sends its [`Request`]s through a bounded queue.
 
 mod acknowledgements;
-mod chain_actions;
 mod chain_host;
 mod chain_replicas;
 mod clock;
@@ -11,23 +15,20 @@
 mod coordinator_tasks;
 mod disk;
 mod lease;
-mod messages;
 mod messenger;
 mod peers;
 mod reads;
 mod relay_host;
 mod request;
-mod requests;
 mod retirement;
+mod routing;
 mod session_host;
 mod start;
 mod status;
 
-use std::sync::Arc;
 use std::time::Duration;
 
 use gingerledge_chain::ChainEvent;
-use gingerledge_protocol::Settings;
 use gingerledge_relay::RelayEvent;
 use gingerledge_storage::WriterEvent;
 use gingerledge_transport::Inbox;
@@ -39,7 +40,7 @@
 
 pub use commands::{SubmissionSettings, Submissions};
 pub use peers::{HelloOutcome, PeerDirectory, MAX_PEERS};
-pub use request::{Accepted, BeginRetire, Confirmed, Request};
+pub use request::{Acknowledged, BeginRetirementOutcome, Confirmed, Request};
 pub use start::{start, Handles, StartError};
 
 use acknowledgements::EndAcknowledgements;
@@ -56,53 +57,58 @@
 use relay_host::RelayHost;
 use session_host::SessionHost;
 
-/// Time between looks at what has no timer of its own.
-const HOUSEKEEPING: Duration = Duration::from_millis(100);
-/// Most events that are taken from one source before the machines' actions are carried out.
-const EVENTS_AT_ONCE: usize = 64;
-/// A pause of the whole process longer than this is told to the sessions.
-const PROCESS_PAUSE: Duration = Duration::from_millis(700);
-/// What is under way when the process is told to stop has this long.
-const LONGEST_STOP: Duration = Duration::from_millis(1_500);
-/// Why a control node can't go on. What all nodes hold alike can't be read or written here: going on could only make this copy
-/// differ from the others, so the process ends.
+/// Time between the checks of what has no timer of its own.
+const HOUSEKEEPING_INTERVAL: Duration = Duration::from_millis(100);
+/// Most events of one source in one pass of the event loop.
+const MAX_EVENTS_PER_PASS: usize = 64;
+/// If a pass comes later than this, the process stood still and received nothing, so time-outs start anew.
+const STALL_THRESHOLD: Duration = Duration::from_millis(700);
+/// Requests in progress are answered within this time after the process was asked to stop.
+const MAX_SHUTDOWN: Duration = Duration::from_millis(1_500);
+/// Goodbyes leave the process within this time.
+const GOODBYE_FLUSH: Duration = Duration::from_millis(20);
+
+/// Why a control node can't continue: replicated state can't be read or written here. Continuing could only make this replica differ from
+/// the others, so the process ends.
 #[derive(Debug, Snafu)]
 pub enum NodeError {
-    /// The whole state.
+    /// A snapshot of the state.
     #[snafu(display("{source}"))]
     Snapshot {
         /// Why.
         source: SnapshotError,
     },
     /// A committed command.
-    #[snafu(display("entry {sequence} of the control chain is unreadable"))]
+    #[snafu(display("entry {index} of the control chain is unreadable"))]
     Entry {
-        /// Its number.
-        sequence: u64,
+        /// Its index in the chain.
+        index: u64,
     },
 }
 
-/// One control node.
+/// One control node: its components, and the event loop between them. Each component owns its state; a handler names what else it
+/// touches among its arguments.
 pub struct Node {
-    settings: Arc<Settings>,
     clock: Clock,
     messenger: Messenger,
     chain: ChainHost,
     disk: Disk,
     relay: RelayHost,
-    sessions: SessionHost,
     peers: Peers,
+    sessions: SessionHost,
+    acknowledgements: EndAcknowledgements,
     commands: CommandClient,
     reads: PendingReads,
-    acknowledgements: EndAcknowledgements,
     lease: LeaseDriver,
     coordinator: CoordinatorTasks,
+    /// How many machines may be lost at a time.
+    fault_tolerance: usize,
     last_housekeeping: Duration,
-    /// Why this node takes part in nothing more.
+    /// Why the event loop has to end.
     failure: Option<NodeError>,
 }
 
-/// Where a node's events come from.
+/// The sources of a node's events.
 pub struct Sources {
     inbox: Inbox<Envelope>,
     requests: Receiver<Request>,
@@ -111,7 +117,11 @@
 }
 
 impl Node {
-    /// Runs until `stop` resolves, and then until nobody asks any more, but not for long. Ends at once when it can't go on.
+    /// Runs until `stop` resolves, and then until the request queue is closed, or for [`MAX_SHUTDOWN`].
+    ///
+    /// # Errors
+    ///
+    /// The replicated state can't be read or written here.
     pub async fn run(
         mut self,
         mut sources: Sources,
@@ -120,17 +130,17 @@
         tokio::pin!(stop);
         let mut stopped_at = None;
         loop {
-            self.settle();
+            self.process_outputs();
             if let Some(failure) = self.failure.take() {
                 return Err(failure);
             }
-            if stopped_at.is_some_and(|at| self.clock.now() >= at + LONGEST_STOP) {
+            if stopped_at.is_some_and(|at| self.clock.now() >= at + MAX_SHUTDOWN) {
                 break;
             }
             let timer = tokio::time::sleep_until(self.clock.instant(self.next_timer()));
             tokio::select! {
                 event = sources.inbox.next() => match event {
-                    Some(event) => self.take_messages(event, &mut sources.inbox),
+                    Some(event) => self.on_messages(event, &mut sources.inbox),
                     None => break,
                 },
                 request = sources.requests.recv() => match request {
@@ -147,7 +157,7 @@
             }
         }
         self.peers.send_goodbyes();
-        tokio::time::sleep(Duration::from_millis(20)).await;
+        tokio::time::sleep(GOODBYE_FLUSH).await;
         Ok(())
     }
 
@@ -156,18 +166,8 @@
         self.failure.get_or_insert(failure);
     }
 
-    fn on_requests(&mut self, first: Request, requests: &mut Receiver<Request>) {
-        self.on_request(first);
-        for _ in 1..EVENTS_AT_ONCE {
-            match requests.try_recv() {
-                Ok(request) => self.on_request(request),
-                Err(_) => break,
-            }
-        }
-    }
-
-    /// Runs whatever is due, until the machines have nothing more to do now.
-    fn settle(&mut self) {
+    /// One pass of the event loop after an event: runs the timers that are due, and processes the outputs of all components.
+    fn process_outputs(&mut self) {
         let now = self.clock.now();
         self.run_timers(now);
         self.process_chain_actions();
@@ -182,14 +182,15 @@
         self.chain.handle_timeout(now);
         self.relay.handle_timeout(now);
         self.lease.handle_timeout(now, self.peers.directory(), &mut self.coordinator);
-        if now >= self.last_housekeeping + HOUSEKEEPING {
-            self.keep_house(now);
+        if now >= self.last_housekeeping + HOUSEKEEPING_INTERVAL {
+            self.run_housekeeping(now);
         }
     }
 
-    fn keep_house(&mut self, now: Duration) {
-        if now.saturating_sub(self.last_housekeeping) > PROCESS_PAUSE {
-            log::warn!("this process did not run for {:?}", now - self.last_housekeeping);
+    fn run_housekeeping(&mut self, now: Duration) {
+        let since_last = now.saturating_sub(self.last_housekeeping);
+        if since_last > STALL_THRESHOLD {
+            log::warn!(duration:? = since_last; "process stalled");
             self.sessions.restart_timeouts(now);
             self.coordinator.restart_timeouts(now);
             self.peers.restart_timeouts(now);
@@ -216,7 +217,7 @@
             self.sessions.next_timer(),
             self.acknowledgements.next_timer(),
         ];
-        let housekeeping = self.last_housekeeping + HOUSEKEEPING;
+        let housekeeping = self.last_housekeeping + HOUSEKEEPING_INTERVAL;
         timers.into_iter().flatten().fold(housekeeping, Duration::min)
     }
 
@@ -242,11 +243,6 @@
         self.coordinator.run(now, lease_until, view, &mut self.commands);
     }
 
-    fn on_load_result(&mut self, result: LoadResult) {
-        let now = self.clock.now();
-        self.coordinator.on_load_result(now, result, &mut self.sessions, &mut self.relay);
-    }
-
     /// Loses the peers that have become unreachable.
     fn expire_peers(&mut self, now: Duration) {
         for peer in self.peers.expire(now) {
@@ -273,11 +269,6 @@
         }
     }
 
-    fn on_membership_confirmed(&mut self, token: u64, is_confirmed: bool) {
-        let replicas = ChainReplicas::new(&self.chain, self.peers.directory(), self.sessions.replication());
-        self.acknowledgements.on_read_finished(token, is_confirmed, &replicas);
-    }
-
     fn begin_stop(&mut self) {
         self.peers.stop();
         self.lease.release(self.peers.directory(), &mut self.coordinator);
--- a/system/control/src/node/reads.rs
+++ b/system/control/src/node/reads.rs
@@ -6,7 +6,7 @@
 use gingerledge_wire::RetirementState;
 use tokio::sync::oneshot::Sender;
 
-use super::request::{BeginRetire, Confirmed};
+use super::request::{BeginRetirementOutcome, Confirmed};
 
 /// Most reads that wait for the chain.
 const MAX_PENDING_READS: usize = 256;
@@ -31,7 +31,7 @@
         /// The machine.
         name: String,
         /// Gets the decision.
-        reply: Sender<BeginRetire>,
+        reply: Sender<BeginRetirementOutcome>,
     },
     /// The chain confirms its membership for the acknowledgements that wait for this token.
     MembershipConfirmation,
--- a/system/control/src/node/request.rs
+++ b/system/control/src/node/request.rs
@@ -1,4 +1,4 @@
-//! What the HTTP side asks of the node, each with where the answer goes.
+//! The requests of the HTTP side to the node, each with the channel for its response.
 
 use std::sync::Arc;
 
@@ -6,77 +6,77 @@
 use gingerledge_wire::{Command, CommandOutcome, RetirementState};
 use tokio::sync::oneshot::Sender;
 
-/// The answer to a read that passed the chain; `None` if it could not be confirmed.
+/// The result of a read through the control chain; `None` if it could not be confirmed.
 pub type Confirmed<T> = Option<T>;
 
-/// What became of the wish to empty a backend.
+/// The result of a call that begins a retirement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum BeginRetire {
-    /// It is under way, or done.
-    Taken,
+pub enum BeginRetirementOutcome {
+    /// The retirement has begun, or is completed.
+    Accepted,
     /// No backend has this name.
-    Unknown,
-    /// Too few would be left.
-    TooFew,
-    /// It can't be said now.
+    UnknownBackend,
+    /// Too few backends would be left.
+    TooFewBackends,
+    /// The outcome is not known now.
     Unavailable,
 }
 
-/// What a store says is taken, and may be acknowledged.
+/// The change that a store has sent may be acknowledged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Accepted {
-    /// The control chain has confirmed this node a moment ago, so the store may keep to it.
-    pub chain_is_fresh: bool,
+pub struct Acknowledged {
+    /// The control chain has confirmed this node a moment ago, so the store may send its next heartbeats here too.
+    pub is_chain_fresh: bool,
 }
 
-/// One question of the HTTP side.
+/// One request of the HTTP side. Dropping the reply says that there is no response.
 #[derive(Debug)]
 pub enum Request {
     /// Pass a command through the chain; `None` if its outcome is not known in time.
     Submit {
         /// The command.
         command: Command,
-        /// The outcome.
+        /// Gets the outcome.
         reply: Sender<Option<CommandOutcome>>,
     },
-    /// The newest configuration's bytes.
+    /// Read the newest configuration.
     ReadConfiguration {
-        /// The bytes, if there is one.
+        /// Gets its bytes, if there is one.
         reply: Sender<Confirmed<Option<Arc<Vec<u8>>>>>,
     },
-    /// How far the emptying of a backend is.
-    ReadRetire {
+    /// Read the state of a backend's retirement.
+    ReadRetirement {
         /// The machine.
         name: String,
-        /// The state, if it was ever asked for.
+        /// Gets the state, if a retirement was ever begun.
         reply: Sender<Confirmed<Option<RetirementState>>>,
     },
-    /// Empty a backend.
-    BeginRetire {
+    /// Begin the retirement of a backend.
+    BeginRetirement {
         /// The machine.
         name: String,
-        /// What became of it.
-        reply: Sender<BeginRetire>,
+        /// Gets the result.
+        reply: Sender<BeginRetirementOutcome>,
     },
-    /// A store's heartbeat.
+    /// Process the heartbeat of a store.
     Heartbeat {
         /// The store's id.
         id: String,
-        /// What it says.
+        /// Its contents.
         heartbeat: Heartbeat,
-        /// Answered once it may be acknowledged.
-        reply: Sender<Accepted>,
+        /// Gets the acknowledgement.
+        reply: Sender<Acknowledged>,
     },
-    /// A store has ended.
+    /// End the session of a store.
     Deregister {
         /// The store's id.
         id: String,
-        /// Answered once it may be acknowledged.
-        reply: Sender<Accepted>,
+        /// Gets the acknowledgement.
+        reply: Sender<Acknowledged>,
     },
-    /// For operators.
+    /// Report the status of this node.
     Status {
-        /// JSON.
+        /// Gets the status as JSON.
         reply: Sender<String>,
     },
 }
--- a/system/control/src/node/retirement.rs
+++ b/system/control/src/node/retirement.rs
@@ -5,7 +5,7 @@
 
 use gingerledge_wire::{NodeRecord, PartitionRecord, Registry, Role};
 
-use super::request::BeginRetire;
+use super::request::BeginRetirementOutcome;
 use crate::state::ControlState;
 
 /// Before this, the registry may lack backends that are alive.
@@ -28,7 +28,7 @@
     /// # Errors
     ///
     /// Why it can't be retired, as the caller is answered.
-    pub(super) fn member_to_retire(&self, name: &str) -> Result<u64, BeginRetire> {
+    pub(super) fn member_to_retire(&self, name: &str) -> Result<u64, BeginRetirementOutcome> {
         let running = self.backend_named(name).map(|backend| backend.member);
         let before = self.state.retirements().get(name).map(|retirement| retirement.member);
         match before.filter(|member| running.is_none_or(|running| running == *member)) {
@@ -37,9 +37,9 @@
         }
     }
 
-    fn check_new(&self, name: &str) -> Result<u64, BeginRetire> {
+    fn check_new(&self, name: &str) -> Result<u64, BeginRetirementOutcome> {
         let Some(backend) = self.backend_named(name) else {
-            return Err(self.unless_registry_incomplete(BeginRetire::Unknown));
+            return Err(self.unless_registry_incomplete(BeginRetirementOutcome::UnknownBackend));
         };
         let remaining = self.remaining_without(backend.member);
         if remaining.len() > self.fault_tolerance {
@@ -51,17 +51,17 @@
         // A member of a chain that is missing now may come back soon.
         let are_all_present = self.state.partitions().all().all(|(_, record)| is_present(record));
         if are_all_present {
-            Err(self.unless_registry_incomplete(BeginRetire::TooFew))
+            Err(self.unless_registry_incomplete(BeginRetirementOutcome::TooFewBackends))
         } else {
-            Err(BeginRetire::Unavailable)
+            Err(BeginRetirementOutcome::Unavailable)
         }
     }
 
-    fn unless_registry_incomplete(&self, refusal: BeginRetire) -> BeginRetire {
+    fn unless_registry_incomplete(&self, refusal: BeginRetirementOutcome) -> BeginRetirementOutcome {
         if self.now >= REGISTRY_COMPLETE_AFTER {
             refusal
         } else {
-            BeginRetire::Unavailable
+            BeginRetirementOutcome::Unavailable
         }
     }
 
--- a/system/control/src/node/chain_actions.rs
+++ b/system/control/src/node/routing/chain_actions.rs
@@ -5,18 +5,18 @@
 use gingerledge_storage::WriterEvent;
 use gingerledge_wire::{Command, CommandOutcome, Envelope, FreshnessTick};
 
-use super::commands::SubmittedCommand;
-use super::disk::DiskOutput;
-use super::{Node, NodeError};
+use crate::node::commands::SubmittedCommand;
+use crate::node::disk::DiskOutput;
+use crate::node::{Node, NodeError};
 
 impl Node {
-    pub(super) fn on_chain_message(&mut self, from: u64, message: ChainMessage) {
+    pub(in crate::node) fn on_chain_message(&mut self, from: u64, message: ChainMessage) {
         self.peers.on_chain_message(self.clock.now(), from);
         self.chain.on_message(from, message);
     }
 
     /// Carries out the chain's actions until there are none: carrying one out may lead to more.
-    pub(super) fn process_chain_actions(&mut self) {
+    pub(in crate::node) fn process_chain_actions(&mut self) {
         loop {
             let actions = self.chain.poll_actions();
             if actions.is_empty() {
@@ -88,7 +88,7 @@
         Ok(())
     }
 
-    pub(super) fn on_command_outcome(&mut self, request: u64, outcome: Option<CommandOutcome>) {
+    pub(in crate::node) fn on_command_outcome(&mut self, request: u64, outcome: Option<CommandOutcome>) {
         if let Some(outcome) = self.commands.on_outcome(request, outcome) {
             self.coordinator.on_command_outcome(outcome);
         }
@@ -109,7 +109,7 @@
         }
     }
 
-    pub(super) fn on_view_installed(&mut self, membership: &Membership) {
+    pub(in crate::node) fn on_view_installed(&mut self, membership: &Membership) {
         self.acknowledgements.reevaluate();
         let last_coordinator = self.last_coordinator();
         let directory = self.peers.directory();
@@ -133,7 +133,7 @@
         }
     }
 
-    pub(super) fn on_disk_event(&mut self, event: WriterEvent) {
+    pub(in crate::node) fn on_disk_event(&mut self, event: WriterEvent) {
         for output in self.disk.handle_event(event) {
             match output {
                 DiskOutput::Durable { token } => self.chain.handle_event(ChainEvent::Durable { token }),
@@ -142,7 +142,7 @@
         }
     }
 
-    pub(super) fn write_snapshot(&mut self) {
+    pub(in crate::node) fn write_snapshot(&mut self) {
         self.process_chain_actions();
         match self.chain.checkpoint() {
             Ok(Some(records)) => self.disk.write_snapshot(self.peers.directory().records(), records),
--- a/system/control/src/node/messages.rs
+++ b/system/control/src/node/routing/messages.rs
@@ -1,4 +1,4 @@
-//! Internal messages, by whom they are for.
+//! Routes internal messages and the results of loads to the components that process them.
 
 use std::net::SocketAddr;
 
@@ -7,23 +7,25 @@
 use gingerledge_transport::{Inbox, Incoming};
 use gingerledge_wire::{BackendReport, ControlMessage, Envelope, Key, NodeRecord, Role};
 
-use super::commands::SubmittedCommand;
-use super::{Node, EVENTS_AT_ONCE};
+use crate::node::commands::SubmittedCommand;
+use crate::node::coordinator_tasks::LoadResult;
+use crate::node::{Node, MAX_EVENTS_PER_PASS};
 
 impl Node {
-    pub(super) fn take_messages(&mut self, first: Incoming<Envelope>, inbox: &mut Inbox<Envelope>) {
-        self.take_incoming(first);
-        for _ in 1..EVENTS_AT_ONCE {
+    /// Processes a message, and those behind it in the inbox.
+    pub(in crate::node) fn on_messages(&mut self, first: Incoming<Envelope>, inbox: &mut Inbox<Envelope>) {
+        self.on_incoming(first);
+        for _ in 1..MAX_EVENTS_PER_PASS {
             match inbox.try_next() {
-                Some(event) => self.take_incoming(event),
+                Some(event) => self.on_incoming(event),
                 None => break,
             }
         }
     }
 
-    fn take_incoming(&mut self, event: Incoming<Envelope>) {
+    fn on_incoming(&mut self, event: Incoming<Envelope>) {
         match event {
-            Incoming::Message { from, message } => self.take_message(from, message),
+            Incoming::Message { from, message } => self.on_message(from, message),
             Incoming::Lost { peer, refused } => {
                 self.relay.handle_event(RelayEvent::PeerDisconnected { peer });
                 if refused && self.peers.on_refused(peer) {
@@ -33,7 +35,7 @@
         }
     }
 
-    fn take_message(&mut self, from: SocketAddr, message: Envelope) {
+    fn on_message(&mut self, from: SocketAddr, message: Envelope) {
         self.peers.on_message(self.clock.now(), from);
         match message {
             Envelope::Chain { from, message } => self.on_chain_message(from, message),
@@ -41,15 +43,15 @@
                 let directory = self.peers.directory();
                 self.lease.on_message(from, message, directory, &mut self.coordinator);
             }
-            Envelope::Control(message) => self.take_control_message(from, message),
+            Envelope::Control(message) => self.on_control_message(from, message),
             Envelope::Relay(message) => self.relay.handle_event(RelayEvent::Message { from, message }),
             Envelope::Jobs(_) | Envelope::Partition { .. } => {
-                log::debug!("a message for another plane came from {from}");
+                log::debug!(from:% = from; "message for another plane ignored");
             }
         }
     }
 
-    fn take_control_message(&mut self, from: SocketAddr, message: ControlMessage) {
+    fn on_control_message(&mut self, from: SocketAddr, message: ControlMessage) {
         match message {
             ControlMessage::Heartbeat { node, sequence, report } => {
                 self.on_node_heartbeat(from, &node, sequence, report);
@@ -101,7 +103,7 @@
     }
 
     /// A control node has ended or is unreachable: its sessions are taken over, and when it is back it gets everything again.
-    pub(super) fn on_peer_lost(&mut self, peer: SocketAddr) {
+    pub(in crate::node) fn on_peer_lost(&mut self, peer: SocketAddr) {
         log::info!(address:% = peer; "control peer lost");
         self.sessions.on_peer_lost(self.clock.now(), peer);
     }
@@ -130,4 +132,10 @@
             self.peers.reply_to_hello(from);
         }
     }
+
+    /// Processes the result of a load at a store.
+    pub(in crate::node) fn on_load_result(&mut self, result: LoadResult) {
+        let now = self.clock.now();
+        self.coordinator.on_load_result(now, result, &mut self.sessions, &mut self.relay);
+    }
 }
--- a/system/control/src/node/requests.rs
+++ b/system/control/src/node/routing/requests.rs
@@ -3,22 +3,36 @@
 use gingerledge_chain::ChainEvent;
 use gingerledge_protocol::{ConfigurationDocument, Heartbeat, StoreState};
 use gingerledge_wire::{Command, Key, StoreRecord};
+use tokio::sync::mpsc::Receiver;
 use tokio::sync::oneshot::Sender;
 
-use super::reads::PendingRead;
-use super::request::{Accepted, BeginRetire, Request};
-use super::retirement::RetirementCheck;
-use super::Node;
+use crate::node::chain_replicas::ChainReplicas;
+use crate::node::reads::PendingRead;
+use crate::node::request::{Acknowledged, BeginRetirementOutcome, Request};
+use crate::node::retirement::RetirementCheck;
+use crate::node::status::StatusReport;
+use crate::node::{Node, MAX_EVENTS_PER_PASS};
 
 impl Node {
-    pub(super) fn on_request(&mut self, request: Request) {
+    /// Processes a request, and those behind it in the queue.
+    pub(in crate::node) fn on_requests(&mut self, first: Request, requests: &mut Receiver<Request>) {
+        self.on_request(first);
+        for _ in 1..MAX_EVENTS_PER_PASS {
+            match requests.try_recv() {
+                Ok(request) => self.on_request(request),
+                Err(_) => break,
+            }
+        }
+    }
+
+    fn on_request(&mut self, request: Request) {
         match request {
             Request::Submit { command, reply } => self.commands.submit_call(command, reply),
             Request::ReadConfiguration { reply } => self.begin_read(PendingRead::Configuration { reply }),
-            Request::ReadRetire { name, reply } => {
+            Request::ReadRetirement { name, reply } => {
                 self.begin_read(PendingRead::RetirementState { name, reply });
             }
-            Request::BeginRetire { name, reply } => {
+            Request::BeginRetirement { name, reply } => {
                 self.begin_read(PendingRead::BeginRetirement { name, reply });
             }
             Request::Heartbeat { id, heartbeat, reply } => self.on_store_heartbeat(id, heartbeat, reply),
@@ -28,11 +42,25 @@
                 self.acknowledgements.add(self.clock.now(), key, reply);
             }
             Request::Status { reply } => {
-                let _ = reply.send(self.status());
+                let _ = reply.send(self.status_json());
             }
         }
     }
 
+    fn status_json(&self) -> String {
+        let report = StatusReport {
+            own: self.messenger.own(),
+            chain: &self.chain,
+            registry: self.relay.registry(),
+            peers: &self.peers,
+            sessions: self.sessions.counts(),
+            leadership: self.coordinator.leadership(),
+            is_lease_held: self.lease.held_until(self.clock.now()).is_some(),
+            pending_disk_writes: self.disk.pending_writes(),
+        };
+        report.to_json()
+    }
+
     fn begin_read(&mut self, read: PendingRead) {
         if let Some(token) = self.reads.add(read) {
             self.chain.handle_event(ChainEvent::Read { token });
@@ -40,7 +68,7 @@
     }
 
     /// The chain has confirmed that the state here was up to date when the read came, or could not.
-    pub(super) fn on_read_finished(&mut self, token: u64, is_confirmed: bool) {
+    pub(in crate::node) fn on_read_finished(&mut self, token: u64, is_confirmed: bool) {
         let Some(read) = self.reads.remove(token) else { return };
         match read {
             PendingRead::Configuration { reply } => {
@@ -56,16 +84,20 @@
                 self.begin_retirement(name, reply);
             }
             PendingRead::BeginRetirement { reply, .. } => {
-                let _ = reply.send(BeginRetire::Unavailable);
+                let _ = reply.send(BeginRetirementOutcome::Unavailable);
+            }
+            PendingRead::MembershipConfirmation => {
+                let directory = self.peers.directory();
+                let replicas = ChainReplicas::new(&self.chain, directory, self.sessions.replication());
+                self.acknowledgements.on_read_finished(token, is_confirmed, &replicas);
             }
-            PendingRead::MembershipConfirmation => self.on_membership_confirmed(token, is_confirmed),
         }
     }
 
-    fn begin_retirement(&mut self, name: String, reply: Sender<BeginRetire>) {
+    fn begin_retirement(&mut self, name: String, reply: Sender<BeginRetirementOutcome>) {
         let check = RetirementCheck {
             now: self.clock.now(),
-            fault_tolerance: self.settings.fault_tolerance.machines,
+            fault_tolerance: self.fault_tolerance,
             state: self.chain.state(),
             registry: self.relay.registry(),
         };
@@ -81,12 +113,12 @@
 
     /// An end of a store is acknowledged once the chain has it, other heartbeats at once unless this node is isolated: stores that used
     /// it would be lost to the others. Dropping the reply sends the store to another control node.
-    fn on_store_heartbeat(&mut self, id: String, heartbeat: Heartbeat, reply: Sender<Accepted>) {
+    fn on_store_heartbeat(&mut self, id: String, heartbeat: Heartbeat, reply: Sender<Acknowledged>) {
         let is_draining = heartbeat.state == StoreState::Draining;
         let sequence = heartbeat.sequence;
         let key = Key::Store(id);
         let Some(record) = store_record(heartbeat) else {
-            let _ = reply.send(Accepted { chain_is_fresh: false });
+            let _ = reply.send(Acknowledged { is_chain_fresh: false });
             return;
         };
         let now = self.clock.now();
@@ -98,7 +130,7 @@
                 self.acknowledgements.add(now, key, reply);
             }
         } else if !self.relay.is_isolated(now) {
-            let _ = reply.send(Accepted { chain_is_fresh: self.relay.is_fresh(now) });
+            let _ = reply.send(Acknowledged { is_chain_fresh: self.relay.is_fresh(now) });
         }
     }
 }
--- a/system/control/src/node/session_host.rs
+++ b/system/control/src/node/session_host.rs
@@ -8,7 +8,7 @@
 
 use super::messenger::Messenger;
 use super::relay_host::RelayHost;
-use crate::sessions::{is_session, HeartbeatOutcome, SessionReplication, Sessions};
+use crate::sessions::{is_session, HeartbeatOutcome, SessionCounts, SessionReplication, Sessions};
 
 /// The sessions, and their replication.
 #[derive(Debug)]
@@ -30,9 +30,9 @@
         &self.replication
     }
 
-    /// How many sessions there are, and how many of them this node owns.
-    pub(super) fn counts(&self) -> (usize, usize) {
-        self.sessions.count()
+    /// How many sessions there are.
+    pub(super) fn counts(&self) -> SessionCounts {
+        self.sessions.counts()
     }
 
     pub(super) fn next_timer(&self) -> Option<Duration> {
--- a/system/control/src/node/start.rs
+++ b/system/control/src/node/start.rs
@@ -1,5 +1,4 @@
-//! How a control node starts: opens its disk, finds out who it is, and either founds the system, joins it, or goes on where its disk
-//! left off.
+//! Starts a control node: opens its disk, identifies the member, and founds the system, joins it, or recovers from the disk.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -7,7 +6,7 @@
 
 use gingerledge_chain::{ChainEvent, ControlChain, ControlChainSettings, LogRecord, MemberId};
 use gingerledge_protocol::Settings;
-use gingerledge_relay::{Relay, RelaySettings};
+use gingerledge_relay::{Relay, RelayEvent, RelaySettings};
 use gingerledge_transport::{identity, Network, NetworkSettings, TransportError};
 use gingerledge_wire::{stable_hash, NodeRecord, Role};
 use snafu::{OptionExt, ResultExt, Snafu};
@@ -29,44 +28,44 @@
 use super::{Node, Sources};
 use crate::sessions::{ReplicationSettings, SessionReplication, SessionSettings, Sessions};
 
-/// Most questions of the HTTP side that wait.
+/// Most requests of the HTTP side that wait.
 const REQUEST_QUEUE: usize = 1_024;
 /// Time between the heartbeats of the system's own nodes.
 const NODE_INTERVAL: Duration = Duration::from_millis(500);
-/// A source is gone after so many silent intervals.
+/// A session expires after so many intervals without a heartbeat.
 const MISSED_HEARTBEATS: u32 = 3;
-/// Descriptors that are left to HTTP connections and files.
-const DESCRIPTORS_KEPT: u64 = 600;
-const MOST_CONNECTIONS: usize = 2_048;
-const LEAST_CONNECTIONS: usize = 64;
+/// File descriptors that are reserved for HTTP connections and files.
+const RESERVED_DESCRIPTORS: u64 = 600;
+const MAX_CONNECTIONS: usize = 2_048;
+const MIN_CONNECTIONS: usize = 64;
 
 /// Why a control node does not start.
 #[derive(Debug, Snafu)]
 pub enum StartError {
-    /// It has no folder for its disk.
+    /// The settings name no folder for its disk.
     #[snafu(display("settings: dataDir: a control node needs a disk"))]
     NoDisk,
     /// The disk can't be used.
     #[snafu(display("disk: {source}"))]
     Disk {
-        /// What it met.
+        /// Why.
         source: DiskError,
     },
     /// The internal network can't be used.
     #[snafu(display("internal network: {source}"))]
     Network {
-        /// What the transport said.
+        /// Why.
         source: TransportError,
     },
 }
 
-/// What starting gives: the node, where its events come from, and where it is asked.
+/// A started node, the sources of its events, and the queue of its requests.
 pub struct Handles {
     /// The node.
     pub node: Node,
-    /// Where its events come from.
+    /// The sources of its events.
     pub sources: Sources,
-    /// Where it is asked.
+    /// The queue of its requests.
     pub requests: mpsc::Sender<Request>,
 }
 
@@ -77,7 +76,11 @@
     is_founding: bool,
 }
 
-/// Opens everything that a control node needs.
+/// Starts a control node with its disk and its network.
+///
+/// # Errors
+///
+/// The disk or the internal network can't be used.
 pub async fn start(settings: Arc<Settings>) -> Result<Handles, StartError> {
     let folder = settings.data_dir.clone().context(NoDiskSnafu)?;
     let (mut ring, mut contents) = disk::open(&folder, settings.limits.disk_mb).context(DiskSnafu)?;
@@ -95,7 +98,7 @@
     let disk = Disk::start(ring, identity.disk.clone(), disk_events)
         .context(disk::StorageSnafu)
         .context(DiskSnafu)?;
-    let me = NodeRecord {
+    let own = NodeRecord {
         role: Role::Control,
         name: settings.node_name.clone(),
         incarnation: draw("incarnation"),
@@ -104,7 +107,7 @@
         zone: settings.zone.clone(),
     };
     let chain = make_chain(&settings, &identity, std::mem::take(&mut contents.chain), draw("chain"));
-    let messenger = Messenger::new(network, me);
+    let messenger = Messenger::new(network, own);
     let lease_time = Duration::from_millis(settings.bounds.lease_ms);
     let lease = LeaseDriver::start(clock, messenger.clone(), lease_time, identity.is_founding, draw("lease"));
     let records = founder_records(&settings, &identity, contents.peers);
@@ -129,11 +132,11 @@
             CoordinatorSettings::from(&*settings),
             load_results,
         ),
+        fault_tolerance: settings.fault_tolerance.machines,
         last_housekeeping: Duration::ZERO,
         failure: None,
         clock,
         messenger,
-        settings,
     };
     node.begin();
     let sources =
@@ -143,8 +146,9 @@
 
 impl Node {
     fn begin(&mut self) {
-        log::info!("control node {:x} at {}", self.messenger.own().member, self.messenger.own().address);
-        self.relay.handle_event(gingerledge_relay::RelayEvent::Started);
+        let own = self.messenger.own();
+        log::info!(member:% = format_args!("{:x}", own.member), address:% = own.address; "control node started");
+        self.relay.handle_event(RelayEvent::Started);
         self.chain.handle_event(ChainEvent::Started);
         if let Some(members) = self.chain.membership().cloned() {
             self.on_view_installed(&members);
@@ -153,8 +157,8 @@
     }
 }
 
-/// A disk that was used before says who it is. An empty one founds the system if the whole system starts and this node is among its
-/// seeds; any other is new.
+/// The identity on the disk. A node with an empty disk founds the system if the whole system starts and the node is among its seeds;
+/// any other is a new member, under the identity `drawn`.
 fn identify(settings: &Settings, contents: &DiskContents, drawn: u64) -> Identity {
     if let Some(disk) = contents.identity.clone() {
         return Identity { disk, is_founding: false };
@@ -170,12 +174,12 @@
     Identity { disk: DiskIdentity { member: drawn, founders: Vec::new() }, is_founding: false }
 }
 
-/// Founders derive their identities from their seed addresses, so that each knows all.
+/// Founders derive their identities from their seed addresses, so that each knows those of all.
 fn founder_identity(seed: SocketAddr) -> u64 {
     stable_hash(&seed.to_string())
 }
 
-/// A founder knows the others by their seed addresses before it has heard of them.
+/// The recovered records; for a founder also those of the other founders, by their seed addresses.
 fn founder_records(settings: &Settings, identity: &Identity, recovered: Vec<NodeRecord>) -> Vec<NodeRecord> {
     let mut records = recovered;
     if identity.is_founding {
@@ -211,9 +215,10 @@
 }
 
 fn network_settings(settings: &Settings) -> NetworkSettings {
-    let connections = usize::try_from(settings.limits.file_descriptors.saturating_sub(DESCRIPTORS_KEPT) / 4)
-        .unwrap_or(MOST_CONNECTIONS)
-        .clamp(LEAST_CONNECTIONS, MOST_CONNECTIONS);
+    let connections =
+        usize::try_from(settings.limits.file_descriptors.saturating_sub(RESERVED_DESCRIPTORS) / 4)
+            .unwrap_or(MAX_CONNECTIONS)
+            .clamp(MIN_CONNECTIONS, MAX_CONNECTIONS);
     NetworkSettings {
         max_inbound: connections,
         max_outbound: connections,
--- a/system/control/src/node/status.rs
+++ b/system/control/src/node/status.rs
@@ -1,74 +1,86 @@
-//! What a node says of itself to operators.
+//! The status of a node, as operators read it. The keys are part of its interface, and keep their names.
 
-use serde_json::json;
+use gingerledge_chain::MemberId;
+use gingerledge_wire::{NodeRecord, Registry, Role};
+use serde_json::{json, Map, Value};
 
-use super::Node;
-use gingerledge_wire::Role;
+use super::chain_host::ChainHost;
+use super::coordinator_tasks::Leadership;
+use super::peers::Peers;
+use crate::sessions::SessionCounts;
+use crate::state::ControlState;
 
-impl Node {
-    /// The node's view of the system, as JSON.
-    pub(super) fn status(&self) -> String {
-        let now = self.clock.now();
-        let registry = self.relay.registry();
-        let (sessions, own_sessions) = self.sessions.counts();
-        let members = self.chain.membership();
-        let names = |members: &[gingerledge_chain::MemberId]| -> Vec<String> {
-            members.iter().map(|member| format!("{:x}", member.0)).collect()
-        };
-        let nodes = |role: Role| {
-            registry
-                .nodes()
-                .filter(|node| node.role == role)
-                .map(|node| node.name.clone())
-                .collect::<Vec<_>>()
-        };
-        let partitions: Vec<_> = self
-            .chain
-            .state()
-            .partitions()
-            .all()
-            .map(|(partition, record)| {
-                json!({
-                    "partition": partition,
-                    "epoch": record.epoch,
-                    "chain": record.chain.iter().map(|member| format!("{member:x}")).collect::<Vec<_>>(),
-                    "full": record.in_sync.len(),
-                })
-            })
-            .collect();
-        let stores: Vec<_> = registry
-            .stores()
-            .map(|(id, store)| {
-                let versions: serde_json::Map<_, _> = store
-                    .models
-                    .iter()
-                    .map(|model| (model.name.clone(), registry.loaded_version(id, store, &model.name).into()))
-                    .collect();
-                json!({"id": id, "service": store.service, "state": store.state, "versions": versions})
-            })
-            .collect();
+/// What a status is made from.
+pub(super) struct StatusReport<'a> {
+    pub own: &'a NodeRecord,
+    pub chain: &'a ChainHost,
+    pub registry: &'a Registry,
+    pub peers: &'a Peers,
+    pub sessions: SessionCounts,
+    pub leadership: Leadership,
+    pub is_lease_held: bool,
+    pub pending_disk_writes: usize,
+}
+
+impl StatusReport<'_> {
+    /// The status as JSON.
+    pub(super) fn to_json(&self) -> String {
+        let state = self.chain.state();
+        let membership = self.chain.membership();
         json!({
-            "node": self.messenger.own().name,
-            "member": format!("{:x}", self.messenger.own().member),
-            "view": members.map(|members| members.epoch),
-            "voters": members.map(|members| names(&members.voters)),
-            "chain": members.map(|members| names(&members.chain)),
+            "node": self.own.name,
+            "member": format!("{:x}", self.own.member),
+            "view": membership.map(|membership| membership.epoch),
+            "voters": membership.map(|membership| hex_members(&membership.voters)),
+            "chain": membership.map(|membership| hex_members(&membership.chain)),
             "serving": self.chain.is_serving(),
             "applied": self.chain.handed_out_index(),
-            "configurationVersion": self.chain.state().configuration().version(),
-            "namedVersions": self.chain.state().versions(),
-            "fencingToken": self.chain.state().fencing_token(),
-            "leadership": self.coordinator.leadership().to_string(),
-            "holdsLease": self.lease.held_until(now).is_some(),
-            "sessions": sessions,
-            "ownSessions": own_sessions,
+            "configurationVersion": state.configuration().version(),
+            "namedVersions": state.versions(),
+            "fencingToken": state.fencing_token(),
+            "leadership": self.leadership.to_string(),
+            "holdsLease": self.is_lease_held,
+            "sessions": self.sessions.all,
+            "ownSessions": self.sessions.owned,
             "reachable": self.peers.reachable().map(ToString::to_string).collect::<Vec<_>>(),
-            "edges": nodes(Role::Edge),
-            "backends": nodes(Role::Backend),
-            "partitions": partitions,
-            "stores": stores,
-            "diskQueue": self.disk.pending_writes(),
+            "edges": node_names(self.registry, Role::Edge),
+            "backends": node_names(self.registry, Role::Backend),
+            "partitions": partitions(state),
+            "stores": stores(self.registry),
+            "diskQueue": self.pending_disk_writes,
         })
         .to_string()
     }
 }
+
+fn hex_members(members: &[MemberId]) -> Vec<String> {
+    members.iter().map(|member| format!("{:x}", member.0)).collect()
+}
+
+fn node_names(registry: &Registry, role: Role) -> Vec<&str> {
+    registry.nodes().filter(|node| node.role == role).map(|node| node.name.as_str()).collect()
+}
+
+fn partitions(state: &ControlState) -> Vec<Value> {
+    let partitions = state.partitions().all().map(|(partition, record)| {
+        json!({
+            "partition": partition,
+            "epoch": record.epoch,
+            "chain": record.chain.iter().map(|member| format!("{member:x}")).collect::<Vec<_>>(),
+            "full": record.in_sync.len(),
+        })
+    });
+    partitions.collect()
+}
+
+fn stores(registry: &Registry) -> Vec<Value> {
+    let stores = registry.stores().map(|(id, store)| {
+        let versions: Map<_, _> = store
+            .models
+            .iter()
+            .map(|model| (model.name.clone(), registry.loaded_version(id, store, &model.name).into()))
+            .collect();
+        json!({"id": id, "service": store.service, "state": store.state, "versions": versions})
+    });
+    stores.collect()
+}
--- a/system/control/src/sessions/mod.rs
+++ b/system/control/src/sessions/mod.rs
@@ -48,6 +48,15 @@
     is_ownership_replicated: bool,
 }
 
+/// How many sessions there are at a control node.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct SessionCounts {
+    /// All sessions.
+    pub all: usize,
+    /// The sessions that the node owns.
+    pub owned: usize,
+}
+
 /// The sessions known to one control node.
 #[derive(Debug)]
 pub struct Sessions {
@@ -179,10 +188,10 @@
         self.sessions.get(key).map(|session| session.owner)
     }
 
-    /// How many sessions there are, and how many of them this node owns.
-    pub fn count(&self) -> (usize, usize) {
-        let own = self.sessions.values().filter(|session| session.owner == self.me).count();
-        (self.sessions.len(), own)
+    /// How many sessions there are.
+    pub fn counts(&self) -> SessionCounts {
+        let owned = self.sessions.values().filter(|session| session.owner == self.me).count();
+        SessionCounts { all: self.sessions.len(), owned }
     }
 }
 
