--- a/system/control/src/http/configuration.rs
+++ b/system/control/src/http/configuration.rs
@@ -9,17 +9,17 @@
 use salvo::{Request, Response};
 use tokio::sync::Semaphore;
 
-use super::{answer, body, refuse, unavailable, NodeHandle};
+use super::{body, reject, respond, unavailable, NodeHandle};
 use crate::node;
 
 const BASE_VERSION: &str = "Base-Version";
-/// Bodies that are read at once, so that large ones fit into memory.
-const BODIES_AT_ONCE: usize = 3;
+/// Most bodies that are read at the same time, so that large ones fit into memory.
+const MAX_CONCURRENT_BODIES: usize = 3;
 
-/// What a call that changes the configuration sends.
+/// The form of a change of the configuration.
 #[derive(Clone, Copy)]
 enum ChangeForm {
-    /// A whole configuration.
+    /// A complete configuration.
     Replacement,
     /// Named items.
     Update,
@@ -34,9 +34,9 @@
 }
 
 impl Change {
-    /// The handlers of replacements and of updates, which share their room.
-    pub(super) fn both(node: &NodeHandle) -> (Self, Self) {
-        let bodies = Arc::new(Semaphore::new(BODIES_AT_ONCE));
+    /// The handlers of replacements and of updates, which share the bound on concurrent bodies.
+    pub(super) fn handlers(node: &NodeHandle) -> (Self, Self) {
+        let bodies = Arc::new(Semaphore::new(MAX_CONCURRENT_BODIES));
         let replacement = Self { node: node.clone(), form: ChangeForm::Replacement, bodies };
         let update = Self { form: ChangeForm::Update, ..replacement.clone() };
         (replacement, update)
@@ -44,7 +44,11 @@
 }
 
 impl ChangeForm {
-    /// The command for what was sent, if it is valid in itself.
+    /// The command for a body.
+    ///
+    /// # Errors
+    ///
+    /// The body is invalid whatever configuration it is applied to.
     fn command(self, base: u64, bytes: &[u8]) -> Result<Command, Invalid> {
         let json = Arc::new(bytes.to_vec());
         match self {
@@ -65,14 +69,14 @@
     async fn handle(&self, request: &mut Request, response: &mut Response) {
         let Ok(_permit) = self.bodies.acquire().await else { return unavailable(response) };
         let base = request.header::<String>(BASE_VERSION).and_then(|value| value.trim().parse::<u64>().ok());
-        let Some(bytes) = body::read(request, response, body::LARGE_BODY_BYTES).await else { return };
+        let Some(bytes) = body::read(request, response, body::MAX_CONFIGURATION_BYTES).await else { return };
         let Some(base) = base else {
             let reason = format!("{BASE_VERSION}: missing, or no version");
-            return refuse(response, StatusCode::BAD_REQUEST, reason);
+            return reject(response, StatusCode::BAD_REQUEST, reason);
         };
         match self.form.command(base, &bytes) {
-            Ok(command) => answer(response, self.node.submit(command).await),
-            Err(error) => refuse(response, StatusCode::BAD_REQUEST, error.to_string()),
+            Ok(command) => respond(response, self.node.submit(command).await),
+            Err(error) => reject(response, StatusCode::BAD_REQUEST, error.to_string()),
         }
     }
 }
@@ -85,12 +89,12 @@
 #[salvo::handler]
 impl Read {
     async fn handle(&self, response: &mut Response) {
-        match self.node.ask(|reply| node::Request::ReadConfiguration { reply }).await.flatten() {
+        match self.node.request(|reply| node::Request::ReadConfiguration { reply }).await.flatten() {
             Some(Some(json)) => {
                 response.render(Text::Json(""));
                 response.body(salvo::http::ResBody::Once(json.to_vec().into()));
             }
-            Some(None) => refuse(response, StatusCode::NOT_FOUND, "there is no configuration yet".to_owned()),
+            Some(None) => reject(response, StatusCode::NOT_FOUND, "there is no configuration yet".to_owned()),
             None => unavailable(response),
         }
     }
--- a/system/control/src/http/instances.rs
+++ b/system/control/src/http/instances.rs
@@ -1,4 +1,4 @@
-//! Heartbeats of stores.
+//! Heartbeats and deregistrations of stores.
 
 use std::net::SocketAddr;
 
@@ -11,22 +11,23 @@
 use crate::node;
 
 /// `POST /instances/ID/heartbeat`
-pub(super) struct Beat {
+pub(super) struct SendHeartbeat {
     pub(super) node: NodeHandle,
 }
 
 #[salvo::handler]
-impl Beat {
-    /// Later heartbeats are asked to come here too: a session that stays with its owner is not shared again and again, and stores
-    /// choose at random before their first heartbeat, which spreads them. A node that the chain may have lost asks nobody to stay.
+impl SendHeartbeat {
+    /// The response asks for the next heartbeats to come here too: a session that stays with its owner is not replicated again and again,
+    /// and stores choose a node at random before their first heartbeat, which spreads them. A node that may be partitioned from the
+    /// chain does not ask for them.
     async fn handle(&self, request: &mut Request, response: &mut Response) {
         let id = request.param::<String>("id").unwrap_or_default();
-        let here = own_address(request);
+        let own_address = own_address(request);
         let Some(heartbeat) = body::read_json::<Heartbeat>(request, response).await else { return };
-        match self.node.ask(|reply| node::Request::Heartbeat { id, heartbeat, reply }).await {
-            Some(accepted) => {
-                let stay = here.filter(|_| accepted.is_chain_fresh);
-                let reply = HeartbeatReply { heartbeat_address: stay.map(|address| address.to_string()) };
+        match self.node.request(|reply| node::Request::Heartbeat { id, heartbeat, reply }).await {
+            Some(acknowledged) => {
+                let next = own_address.filter(|_| acknowledged.is_chain_fresh);
+                let reply = HeartbeatReply { heartbeat_address: next.map(|address| address.to_string()) };
                 response.render(Text::Json(serde_json::to_string(&reply).unwrap_or_default()));
             }
             None => unavailable(response),
@@ -47,7 +48,7 @@
 impl Deregister {
     async fn handle(&self, request: &mut Request, response: &mut Response) {
         let id = request.param::<String>("id").unwrap_or_default();
-        match self.node.ask(|reply| node::Request::Deregister { id, reply }).await {
+        match self.node.request(|reply| node::Request::Deregister { id, reply }).await {
             Some(_) => {
                 response.status_code(StatusCode::OK);
             }
--- a/system/control/src/http/mod.rs
+++ b/system/control/src/http/mod.rs
@@ -1,5 +1,5 @@
-//! The HTTP side, for stores, trainers and the operator: reads calls, asks the node, and answers. A proper call is never answered
-//! with a 4xx because of trouble of our own; an outcome that is not known is a 503.
+//! The HTTP side, for stores, trainers and the operator: reads calls, sends requests to the node, and responds. A valid call is never
+//! answered with a 4xx because of a fault on this side; an outcome that is not known is a 503.
 
 mod body;
 mod configuration;
@@ -18,20 +18,20 @@
 
 pub use server::{serve, ServerSettings};
 
-/// Where handlers ask the node.
+/// The handlers' access to the node.
 #[derive(Clone, Debug)]
 pub struct NodeHandle {
     requests: mpsc::Sender<Request>,
 }
 
 impl NodeHandle {
-    /// A handle that puts its questions into this queue.
+    /// A handle that puts its requests into this queue.
     pub fn new(requests: mpsc::Sender<Request>) -> Self {
         Self { requests }
     }
 
-    /// Asks the node; none if it has no room, ends, or can't say.
-    async fn ask<T>(&self, request: impl FnOnce(oneshot::Sender<T>) -> Request) -> Option<T> {
+    /// Sends a request to the node; none if its queue is full, it ends, or it has no response.
+    async fn request<T>(&self, request: impl FnOnce(oneshot::Sender<T>) -> Request) -> Option<T> {
         let (reply, answer) = oneshot::channel();
         self.requests.try_send(request(reply)).ok()?;
         answer.await.ok()
@@ -39,14 +39,14 @@
 
     /// Passes a command through the chain; none if its outcome is not known.
     async fn submit(&self, command: Command) -> Option<CommandOutcome> {
-        self.ask(|reply| Request::Submit { command, reply }).await.flatten()
+        self.request(|reply| Request::Submit { command, reply }).await.flatten()
     }
 }
 
 /// All routes.
 pub fn router(node: &NodeHandle) -> Router {
     let node = node.clone();
-    let (replacement, update) = configuration::Change::both(&node);
+    let (replacement, update) = configuration::Change::handlers(&node);
     Router::new()
         .push(Router::with_path("configuration/replace").post(replacement))
         .push(Router::with_path("configuration/update").post(update))
@@ -54,7 +54,10 @@
         .push(Router::with_path("version-put").post(versions::Put { node: node.clone() }))
         .push(Router::with_path("retire/{name}/begin").post(retire::Begin { node: node.clone() }))
         .push(Router::with_path("retire/{name}/read").get(retire::Read { node: node.clone() }))
-        .push(Router::with_path("instances/{id}/heartbeat").post(instances::Beat { node: node.clone() }))
+        .push(
+            Router::with_path("instances/{id}/heartbeat")
+                .post(instances::SendHeartbeat { node: node.clone() }),
+        )
         .push(
             Router::with_path("instances/{id}/deregister").post(instances::Deregister { node: node.clone() }),
         )
@@ -68,36 +71,36 @@
 #[salvo::handler]
 impl Status {
     async fn handle(&self, response: &mut Response) {
-        match self.node.ask(|reply| Request::Status { reply }).await {
+        match self.node.request(|reply| Request::Status { reply }).await {
             Some(json) => response.render(Text::Json(json)),
             None => unavailable(response),
         }
     }
 }
 
-/// The outcome is not known, or the node can't say now: nothing is promised.
+/// The outcome is not known, or the node has no response now.
 fn unavailable(response: &mut Response) {
     response.status_code(StatusCode::SERVICE_UNAVAILABLE);
     response.render(Text::Plain("not known now; the call may be repeated\n"));
 }
 
-/// The call itself is wrong.
-fn refuse(response: &mut Response, status: StatusCode, reason: String) {
+/// The call itself is invalid.
+fn reject(response: &mut Response, status: StatusCode, reason: String) {
     response.status_code(status);
     response.render(Text::Plain(reason + "\n"));
 }
 
-/// Answers with the outcome of a command.
-fn answer(response: &mut Response, outcome: Option<CommandOutcome>) {
+/// Responds with the outcome of a command.
+fn respond(response: &mut Response, outcome: Option<CommandOutcome>) {
     match outcome {
         Some(CommandOutcome::Applied | CommandOutcome::FencingToken(_)) => {
             response.status_code(StatusCode::OK);
         }
         Some(CommandOutcome::Conflict { current }) => {
             let reason = format!("version {current} is current");
-            refuse(response, StatusCode::PRECONDITION_FAILED, reason);
+            reject(response, StatusCode::PRECONDITION_FAILED, reason);
         }
-        Some(CommandOutcome::Invalid { reason }) => refuse(response, StatusCode::BAD_REQUEST, reason),
+        Some(CommandOutcome::Invalid { reason }) => reject(response, StatusCode::BAD_REQUEST, reason),
         Some(CommandOutcome::Indeterminate) | None => unavailable(response),
     }
 }
--- a/system/control/src/http/retire.rs
+++ b/system/control/src/http/retire.rs
@@ -1,4 +1,4 @@
-//! Backends that the operator wants emptied.
+//! Retirements of backends.
 
 use gingerledge_wire::RetirementState;
 use salvo::http::StatusCode;
@@ -6,7 +6,7 @@
 use salvo::{Request, Response};
 use serde_json::json;
 
-use super::{body, refuse, unavailable, NodeHandle};
+use super::{body, reject, unavailable, NodeHandle};
 use crate::node::{self, BeginRetirementOutcome};
 
 /// `POST /retire/NODE/begin`
@@ -17,20 +17,20 @@
 #[salvo::handler]
 impl Begin {
     async fn handle(&self, request: &mut Request, response: &mut Response) {
-        // The deadline changes nothing: a backend is emptied as fast as may be.
-        if body::read(request, response, body::SMALL_BODY_BYTES).await.is_none() {
+        // The deadline in the body changes nothing: a backend is retired as fast as possible.
+        if body::read(request, response, body::MAX_SMALL_BODY_BYTES).await.is_none() {
             return;
         }
         let name = request.param::<String>("name").unwrap_or_default();
-        match self.node.ask(|reply| node::Request::BeginRetirement { name, reply }).await {
+        match self.node.request(|reply| node::Request::BeginRetirement { name, reply }).await {
             Some(BeginRetirementOutcome::Accepted) => {
                 response.status_code(StatusCode::OK);
             }
             Some(BeginRetirementOutcome::UnknownBackend) => {
-                refuse(response, StatusCode::NOT_FOUND, "no backend has this name".to_owned());
+                reject(response, StatusCode::NOT_FOUND, "no backend has this name".to_owned());
             }
             Some(BeginRetirementOutcome::TooFewBackends) => {
-                refuse(response, StatusCode::CONFLICT, "too few backends would be left".to_owned());
+                reject(response, StatusCode::CONFLICT, "too few backends would be left".to_owned());
             }
             Some(BeginRetirementOutcome::Unavailable) | None => unavailable(response),
         }
@@ -46,15 +46,15 @@
 impl Read {
     async fn handle(&self, request: &mut Request, response: &mut Response) {
         let name = request.param::<String>("name").unwrap_or_default();
-        match self.node.ask(|reply| node::Request::ReadRetirement { name, reply }).await.flatten() {
+        match self.node.request(|reply| node::Request::ReadRetirement { name, reply }).await.flatten() {
             Some(Some(state)) => {
-                let word = match state {
+                let text = match state {
                     RetirementState::Active => "active",
                     RetirementState::Completed => "completed",
                 };
-                response.render(Text::Json(json!({ "state": word }).to_string()));
+                response.render(Text::Json(json!({ "state": text }).to_string()));
             }
-            Some(None) => refuse(response, StatusCode::NOT_FOUND, "nobody asked to empty it".to_owned()),
+            Some(None) => reject(response, StatusCode::NOT_FOUND, "nobody asked to empty it".to_owned()),
             None => unavailable(response),
         }
     }
--- a/system/control/src/http/server.rs
+++ b/system/control/src/http/server.rs
@@ -1,4 +1,4 @@
-//! Accepts connections, a bounded number at a time, and closes those that rest once the process is told to stop.
+//! Accepts a bounded number of connections, and shuts them down gracefully when the process stops.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,16 +12,19 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{watch, OwnedSemaphorePermit, Semaphore};
 
+/// Time before the next attempt after accepting a connection has failed.
+const ACCEPT_RETRY: Duration = Duration::from_millis(50);
+
 /// Bounds of the server.
 #[derive(Clone, Copy, Debug)]
 pub struct ServerSettings {
     /// Most connections at a time.
     pub connections: usize,
-    /// A connection that sends no head for this long is closed.
+    /// A connection that sends no request head for this long is closed.
     pub idle: Duration,
 }
 
-/// Serves until `stop` says so, and then until the calls under way are answered.
+/// Serves until `stop` is true, and then until the calls in progress are answered.
 pub async fn serve(
     listener: TcpListener,
     router: Router,
@@ -42,8 +45,8 @@
                 tokio::spawn(connection.run(stream, peer, permit));
             }
             Err(error) => {
-                log::warn!("accepting failed: {error}");
-                tokio::time::sleep(Duration::from_millis(50)).await;
+                log::warn!(error:% = error; "accept failed");
+                tokio::time::sleep(ACCEPT_RETRY).await;
             }
         }
     }
@@ -87,6 +90,6 @@
 
 fn log_end(ended: Result<(), hyper::Error>) {
     if let Err(error) = ended {
-        log::debug!("a connection broke: {error}");
+        log::debug!(error:% = error; "connection failed");
     }
 }
--- a/system/control/src/http/versions.rs
+++ b/system/control/src/http/versions.rs
@@ -1,11 +1,11 @@
-//! Versions of weights that trainers name.
+//! Named versions of weights.
 
 use gingerledge_wire::Command;
 use salvo::http::StatusCode;
 use salvo::{Request, Response};
 use serde::Deserialize;
 
-use super::{answer, body, refuse, NodeHandle};
+use super::{body, reject, respond, NodeHandle};
 
 /// The body of `POST /version-put`.
 #[derive(Debug, Deserialize)]
@@ -24,8 +24,8 @@
     async fn handle(&self, request: &mut Request, response: &mut Response) {
         let Some(NamedVersion { model, version }) = body::read_json(request, response).await else { return };
         if model.is_empty() {
-            return refuse(response, StatusCode::BAD_REQUEST, "model: is empty".to_owned());
+            return reject(response, StatusCode::BAD_REQUEST, "model: is empty".to_owned());
         }
-        answer(response, self.node.submit(Command::NameVersion { model, version }).await);
+        respond(response, self.node.submit(Command::NameVersion { model, version }).await);
     }
 }
--- a/system/control/src/lib.rs
+++ b/system/control/src/lib.rs
@@ -1,10 +1,10 @@
 //! The control plane: configuration, sessions of stores and nodes, versions of weights, and the map of the partitions of batch jobs.
 //!
-//! - [`state`] is the durable state, which the control chain keeps alike on all control nodes;
-//! - [`sessions`] says which stores and nodes are there, without a disk: their sources announce them again;
-//! - [`coordinator`] holds the planners of the one control node that has the lease;
+//! - [`state`] is the durable state, which the control chain replicates to all control nodes;
+//! - [`sessions`] follows the stores and nodes by their heartbeats; it needs no disk, since heartbeats come again;
+//! - [`coordinator`] has the planners of the one control node that holds the coordinator lease;
 //! - [`node`] drives all machines of one control node;
-//! - [`http`] answers stores, trainers and the operator.
+//! - [`http`] serves stores, trainers and the operator.
 //!
 //! The first three do no I/O. [`run`] assembles the whole.
 
@@ -25,17 +25,17 @@
 
 use http::{NodeHandle, ServerSettings};
 
-/// Descriptors that HTTP connections leave to the internal network and to files.
-const DESCRIPTORS_KEPT: u64 = 800;
-const LEAST_CONNECTIONS: u64 = 64;
-const MOST_CONNECTIONS: u64 = 8_192;
-/// A connection of a store or the operator that rests longer is closed.
+/// File descriptors that HTTP connections leave to the internal network and to files.
+const RESERVED_DESCRIPTORS: u64 = 800;
+const MIN_CONNECTIONS: u64 = 64;
+const MAX_CONNECTIONS: u64 = 8_192;
+/// A connection of a store or the operator that is idle for longer is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
-/// Calls under way are waited for at most this long when the process ends.
-const LAST_CALLS: Duration = Duration::from_millis(1_500);
+/// Calls in progress are waited for at most this long when the process ends.
+const MAX_CALL_DRAIN: Duration = Duration::from_millis(1_500);
 const LISTEN_BACKLOG: u32 = 1_024;
 
-/// Why the control program ends at once.
+/// Why the control program ends.
 #[derive(Debug, Snafu)]
 pub enum RunError {
     /// The settings name no address for stores and the operator.
@@ -44,7 +44,7 @@
     /// The address can't be listened on.
     #[snafu(display("listen.controlPlane: {source}"))]
     Listen {
-        /// What the system said.
+        /// Why.
         source: std::io::Error,
     },
     /// The node does not start.
@@ -53,7 +53,7 @@
         /// Why.
         source: node::StartError,
     },
-    /// The node can't go on.
+    /// The node can't continue.
     #[snafu(display("{source}"))]
     Node {
         /// Why.
@@ -62,10 +62,14 @@
 }
 
 /// Runs a control node until `stop` resolves.
+///
+/// # Errors
+///
+/// The settings lack an address, the node can't start, or it can't continue.
 pub async fn run(settings: Settings, stop: impl Future<Output = ()>) -> Result<(), RunError> {
     let address = settings.listen.control_plane.context(NoAddressSnafu)?;
-    let connections = settings.limits.file_descriptors.saturating_sub(DESCRIPTORS_KEPT) / 2;
-    let connections = connections.clamp(LEAST_CONNECTIONS, MOST_CONNECTIONS);
+    let connections = settings.limits.file_descriptors.saturating_sub(RESERVED_DESCRIPTORS) / 2;
+    let connections = connections.clamp(MIN_CONNECTIONS, MAX_CONNECTIONS);
     let server_settings = ServerSettings {
         connections: usize::try_from(connections).unwrap_or(usize::MAX),
         idle: IDLE_TIMEOUT,
@@ -77,11 +81,11 @@
     let server = tokio::spawn(http::serve(listener, router, server_settings, server_stop));
     let stopping = async {
         stop.await;
-        // The node goes on until what the server asked is answered.
+        // The node runs on until the server's requests are answered.
         let _ = stop_server.send(true);
     };
     handles.node.run(handles.sources, stopping).await.context(NodeSnafu)?;
-    let _ = tokio::time::timeout(LAST_CALLS, server).await;
+    let _ = tokio::time::timeout(MAX_CALL_DRAIN, server).await;
     Ok(())
 }
 
--- a/system/control/src/state/backends.rs
+++ b/system/control/src/state/backends.rs
@@ -6,7 +6,7 @@
 use gingerledge_wire::CommandOutcome;
 use serde::{Deserialize, Serialize};
 
-/// Most backends that are remembered.
+/// Most registered backends.
 pub const MAX_BACKENDS: usize = 4_096;
 
 /// The address of each backend's disk, by its identity.
@@ -16,20 +16,20 @@
 }
 
 impl BackendAddresses {
-    /// Where the backend with this disk takes messages, as far as known.
+    /// Where the backend with this disk receives messages, if it is registered.
     pub fn get(&self, member: u64) -> Option<SocketAddr> {
         self.addresses.get(&member).copied()
     }
 
-    /// Notes where a disk is. Disks that keep no partition are forgotten where there is no room.
+    /// Registers the address of a disk. Where the register is full, disks without partitions are removed.
     pub(super) fn register(
         &mut self,
         member: u64,
         address: SocketAddr,
-        keeps_partitions: impl Fn(u64) -> bool,
+        has_partitions: impl Fn(u64) -> bool,
     ) -> CommandOutcome {
         if self.addresses.len() >= MAX_BACKENDS {
-            self.addresses.retain(|member, _| keeps_partitions(*member));
+            self.addresses.retain(|member, _| has_partitions(*member));
         }
         if self.addresses.len() >= MAX_BACKENDS && !self.addresses.contains_key(&member) {
             return CommandOutcome::Invalid { reason: "too many backends".to_owned() };
--- a/system/control/src/state/configuration.rs
+++ b/system/control/src/state/configuration.rs
@@ -1,13 +1,14 @@
-//! The operator's configuration, and what became of the changes before it.
+//! The operator's configuration, and the outcomes of the changes before it.
 //!
-//! Each change names the version that it builds on, its base. Versions only rise, so one change at most is ever taken on a base,
-//! and what became of a change hangs on its base alone:
+//! Each change names the version that it builds on, its base. Versions only rise, so at most one change is ever applied on a base, and the
+//! outcome of a change depends on its base alone:
 //!
-//! - Base is the current version: it is taken, or invalid for good, since a version that does not rise now never will.
-//! - Base is older: the change that was taken on it is remembered for the newest [`APPLIED_HISTORY`] bases. The very same change is
-//!   answered as taken, any other as in conflict. For a base that is older still, nobody knows: no clear answer.
-//! - Base is still to come: it is refused, and remembered until the version has passed its base, so that a second copy of the same
-//!   call is never taken after the first was answered. Where [`REJECTED_HISTORY`] are remembered already: no clear answer.
+//! - The base is the current version: the change is applied, or it is invalid and stays so, since a version that does not rise now never
+//!   will.
+//! - The base is older: the change that was applied on it is remembered for the newest [`APPLIED_HISTORY`] bases. A repetition of it is
+//!   answered as applied, any other change as a conflict. For a base that is older still the outcome is indeterminate.
+//! - The base is newer: the change is rejected, and remembered until the version has passed its base, so that a repetition of the call is
+//!   never applied after the first was answered. Where [`REJECTED_HISTORY`] are remembered already, the outcome is indeterminate.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -17,23 +18,23 @@
 use serde::{Deserialize, Serialize};
 use sha2::{Digest as _, Sha256};
 
-/// How many of the newest taken changes are remembered, so that a repeated call is answered as taken.
+/// How many of the newest applied changes are remembered, so that a repeated call is answered as applied.
 pub const APPLIED_HISTORY: usize = 4_096;
-/// How many changes that were refused on top of a version still to come are remembered.
+/// How many changes that were rejected because of a newer base are remembered.
 pub const REJECTED_HISTORY: usize = 1_024;
 
 /// The first half of the SHA-256 of a configuration's bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 struct Digest([u8; 16]);
 
-/// What a change sends: a replacement and an update are never the same change.
+/// The form of a change: a replacement and an update are never the same change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 enum ChangeKind {
     Replacement,
     Update,
 }
 
-/// What tells a change from any other on the same base.
+/// Identifies a change among all on the same base.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 struct Change {
     kind: ChangeKind,
@@ -47,11 +48,11 @@
     sequence: u64,
     version: u64,
     document: Option<ConfigurationDocument>,
-    /// The newest changes that were taken, by base.
+    /// The newest changes that were applied, by base.
     applied: BTreeMap<u64, Change>,
-    /// Whether changes on bases before all of these were taken, and are forgotten.
+    /// Whether changes on bases before all of these were applied, and are not remembered any more.
     has_evicted: bool,
-    /// Changes that were refused on bases that are still to come.
+    /// Changes that were rejected on bases that are newer than the version.
     rejected: BTreeSet<(u64, Change)>,
 }
 
@@ -66,7 +67,7 @@
         self.document.as_ref()
     }
 
-    /// The number of the change that put it in force.
+    /// The index of the entry of the control chain that put it in force.
     pub fn sequence(&self) -> u64 {
         self.sequence
     }
@@ -100,7 +101,7 @@
         let Some(mut document) = self.document.clone() else {
             return CommandOutcome::Invalid { reason: "there is no configuration yet to update".to_owned() };
         };
-        // The configuration of a base never changes, so what is invalid on it now is invalid for good.
+        // The configuration of a base never changes, so what is invalid on it now stays invalid.
         match document.apply(AppliedUpdate { base: self.sequence, sequence, json: Arc::clone(json) }) {
             Ok(()) => {
                 self.apply(sequence, base, change, document);
@@ -110,7 +111,7 @@
         }
     }
 
-    /// What becomes of a change, as far as its base and version decide it.
+    /// The outcome of a change, as far as its base and version decide it.
     fn outcome_by_version(&mut self, base: u64, change: Change) -> Option<CommandOutcome> {
         if base < self.version {
             return Some(self.outcome_on_older_base(base, change));
@@ -138,11 +139,11 @@
             self.applied.pop_first();
             self.has_evicted = true;
         }
-        // What was refused on a base that is passed by now can't be taken any more.
+        // What was rejected on a base that is passed by now can't be applied any more.
         self.rejected.retain(|(base, _)| *base >= change.version);
     }
 
-    /// What became of a change on a version that is not current any more.
+    /// The outcome of a change on a version that is not current any more.
     fn outcome_on_older_base(&self, base: u64, change: Change) -> CommandOutcome {
         match self.applied.get(&base) {
             Some(applied) if *applied == change => CommandOutcome::Applied,
@@ -177,8 +178,8 @@
 }
 
 fn digest(bytes: &[u8]) -> Digest {
-    let whole: [u8; 32] = Sha256::digest(bytes).into();
-    let mut half = [0; 16];
-    half.copy_from_slice(&whole[..16]);
-    Digest(half)
+    let full: [u8; 32] = Sha256::digest(bytes).into();
+    let mut first_half = [0; 16];
+    first_half.copy_from_slice(&full[..16]);
+    Digest(first_half)
 }
--- a/system/control/src/state/mod.rs
+++ b/system/control/src/state/mod.rs
@@ -21,27 +21,27 @@
 pub use partitions::PartitionState;
 pub use retirements::{Retirement, Retirements, MAX_RETIREMENTS};
 
-/// Most models that versions are kept for.
+/// Most models with a named version.
 pub const MAX_MODELS: usize = 4_096;
 
-/// Why a state and its snapshot don't fit each other.
+/// Why a state can't be encoded or a snapshot can't be decoded.
 #[derive(Debug, Snafu)]
 pub enum SnapshotError {
     /// The state can't be encoded.
     #[snafu(display("the control state can't be encoded: {source}"))]
     Unwritable {
-        /// What the encoder met.
+        /// Why.
         source: bincode::error::EncodeError,
     },
-    /// The bytes are no state.
+    /// The snapshot can't be decoded.
     #[snafu(display("the snapshot of the control state is unreadable: {source}"))]
     Unreadable {
-        /// What the decoder met.
+        /// Why.
         source: bincode::error::DecodeError,
     },
     /// Bytes follow the state.
     #[snafu(display("the snapshot of the control state has {bytes} bytes too many"))]
-    LeftOver {
+    TrailingBytes {
         /// How many.
         bytes: usize,
     },
@@ -70,15 +70,15 @@
 }
 
 impl ControlState {
-    /// Applies the command that the chain numbered `sequence`; numbers rise.
-    pub fn apply(&mut self, sequence: u64, command: &Command) -> CommandOutcome {
+    /// Applies the command of the chain's entry `index`; indexes rise.
+    pub fn apply(&mut self, index: u64, command: &Command) -> CommandOutcome {
         match command {
             Command::Noop => CommandOutcome::Applied,
             Command::ReplaceConfiguration { base, version, json } => {
-                self.configuration.replace(sequence, *base, *version, json)
+                self.configuration.replace(index, *base, *version, json)
             }
             Command::UpdateConfiguration { base, version, json } => {
-                self.configuration.update(sequence, *base, *version, json)
+                self.configuration.update(index, *base, *version, json)
             }
             Command::NameVersion { model, version } => self.name_version(model, *version),
             Command::AllocateFencingToken { incarnation, address } => {
@@ -86,8 +86,8 @@
             }
             Command::CompleteHandover { token } => self.complete_handover(*token),
             Command::SetPartition { partition, record, fencing_token } => {
-                let newest = self.fencing_token();
-                self.partitions.set(*partition, record, *fencing_token, newest)
+                let newest_token = self.fencing_token();
+                self.partitions.set(*partition, record, *fencing_token, newest_token)
             }
             Command::ReplicaInSync { partition, epoch, member } => {
                 self.partitions.mark_in_sync(*partition, *epoch, *member)
@@ -98,9 +98,9 @@
             }
             Command::BeginRetirement { name, member } => self.retirements.begin(name, *member),
             Command::CompleteRetirement { name, member, replicas } => {
-                let needed =
+                let is_needed =
                     self.partitions.is_member(*member) || !self.partitions.all_have_replicas(*replicas);
-                self.retirements.complete(name, *member, needed)
+                self.retirements.complete(name, *member, is_needed)
             }
         }
     }
@@ -166,7 +166,7 @@
         &self.retirements
     }
 
-    /// Where the disks of backends are.
+    /// The registered addresses of the disks of backends.
     pub fn backends(&self) -> &BackendAddresses {
         &self.backends
     }
@@ -203,19 +203,27 @@
         entry.into_iter().collect()
     }
 
-    /// The whole state, encoded.
+    /// Encodes the state.
+    ///
+    /// # Errors
+    ///
+    /// The state can't be encoded.
     pub fn snapshot(&self) -> Result<Vec<u8>, SnapshotError> {
         bincode::serde::encode_to_vec(self, bincode::config::standard()).context(UnwritableSnafu)
     }
 
-    /// Reads a state that [`ControlState::snapshot`] encoded.
+    /// Decodes a state from the bytes of [`ControlState::snapshot`]; the initial one from none.
+    ///
+    /// # Errors
+    ///
+    /// The bytes are no snapshot.
     pub fn restore(bytes: &[u8]) -> Result<Self, SnapshotError> {
         if bytes.is_empty() {
             return Ok(Self::default());
         }
         let (state, read) =
             bincode::serde::decode_from_slice(bytes, bincode::config::standard()).context(UnreadableSnafu)?;
-        ensure!(read == bytes.len(), LeftOverSnafu { bytes: bytes.len() - read });
+        ensure!(read == bytes.len(), TrailingBytesSnafu { bytes: bytes.len() - read });
         Ok(state)
     }
 }
@@ -224,14 +232,14 @@
     Entry { key: Key::NamedVersion(model.to_owned()), version, value: Value::Version(version) }
 }
 
-/// How many members of a chain can become full within one epoch, at most; the entry's version counts them.
-const FULL_MEMBERS_PER_EPOCH: u64 = 256;
+/// More members than this can't become in sync within one epoch; the entry's version counts them.
+const IN_SYNC_PER_EPOCH: u64 = 256;
 
 fn partition_entry(partition: u16, record: &PartitionRecord) -> Entry {
-    let in_sync = (record.in_sync.len() as u64).min(FULL_MEMBERS_PER_EPOCH - 1);
+    let in_sync = (record.in_sync.len() as u64).min(IN_SYNC_PER_EPOCH - 1);
     Entry {
         key: Key::Partition(partition),
-        version: record.epoch * FULL_MEMBERS_PER_EPOCH + in_sync,
+        version: record.epoch * IN_SYNC_PER_EPOCH + in_sync,
         value: Value::Partition(record.clone()),
     }
 }
--- a/system/control/src/state/partitions.rs
+++ b/system/control/src/state/partitions.rs
@@ -5,7 +5,7 @@
 use gingerledge_wire::{CommandOutcome, PartitionRecord, PARTITION_COUNT};
 use serde::{Deserialize, Serialize};
 
-/// Longest chain of a partition.
+/// Most members of the chain of a partition.
 const MAX_CHAIN: usize = 16;
 
 /// The chain of each partition.
@@ -30,24 +30,24 @@
         self.records.values().any(|record| record.chain.contains(&member))
     }
 
-    /// Whether every partition has so many members that hold everything.
-    pub fn all_have_replicas(&self, copies: u64) -> bool {
-        self.records.values().all(|record| record.in_sync.len() as u64 >= copies)
+    /// Whether every partition has so many replicas in sync.
+    pub fn all_have_replicas(&self, replicas: u64) -> bool {
+        self.records.values().all(|record| record.in_sync.len() as u64 >= replicas)
     }
 
     pub(super) fn set(
         &mut self,
         partition: u16,
         next: &PartitionRecord,
-        fence: u64,
-        newest: u64,
+        fencing_token: u64,
+        newest_token: u64,
     ) -> CommandOutcome {
         let current = self.records.get(&partition);
         if current.is_some_and(|current| current.epoch == next.epoch && current.chain == next.chain) {
             return CommandOutcome::Applied;
         }
-        if fence != newest {
-            return CommandOutcome::Conflict { current: newest };
+        if fencing_token != newest_token {
+            return CommandOutcome::Conflict { current: newest_token };
         }
         let epoch = current.map_or(0, |record| record.epoch);
         if next.epoch != epoch + 1 {
@@ -73,7 +73,7 @@
         if record.in_sync.contains(&member) {
             return CommandOutcome::Applied;
         }
-        // A member is filled by the one before it, so that one is full too, but may not have said so yet.
+        // A member is brought in sync by the one before it, which is in sync too then, but may not have reported so yet.
         if record.chain.get(record.in_sync.len()) != Some(&member) {
             return CommandOutcome::Conflict { current: epoch };
         }
@@ -82,7 +82,7 @@
     }
 }
 
-/// What is wrong with a new chain: it would lose data, or is none.
+/// Why a new chain is invalid: it would lose data, or is no chain.
 fn rejection_reason(
     partition: u16,
     current: Option<&PartitionRecord>,
@@ -102,8 +102,9 @@
         return Some("the full members do not stand first");
     }
     let current = current?;
-    let stay: Vec<u64> = current.chain.iter().copied().filter(|member| next.chain.contains(member)).collect();
-    if !next.chain.starts_with(&stay) {
+    let staying: Vec<u64> =
+        current.chain.iter().copied().filter(|member| next.chain.contains(member)).collect();
+    if !next.chain.starts_with(&staying) {
         return Some("the members that stay do not keep their order before the new ones");
     }
     if !next.in_sync.iter().all(|member| current.in_sync.contains(member)) {
--- a/system/control/src/state/retirements.rs
+++ b/system/control/src/state/retirements.rs
@@ -1,40 +1,40 @@
-//! Backends that the operator wants emptied.
+//! Retirements of backends, which the operator begins and the coordinator completes.
 
 use std::collections::BTreeMap;
 
 use gingerledge_wire::{CommandOutcome, RetirementState};
 use serde::{Deserialize, Serialize};
 
-/// Most backends whose emptying is remembered.
+/// Most retirements that are remembered.
 pub const MAX_RETIREMENTS: usize = 4_096;
 
-/// One backend that is being emptied, or is empty.
+/// The retirement of one backend.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Retirement {
-    /// The identity of its disk when the emptying was asked for.
+    /// The identity of its disk when the retirement began.
     pub member: u64,
-    /// How far it is.
+    /// Its state.
     pub state: RetirementState,
 }
 
-/// All of them, by the machine's name.
+/// All retirements, by the machine's name.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Retirements {
     machines: BTreeMap<String, Retirement>,
 }
 
 impl Retirements {
-    /// How far the emptying of a machine is; none if it was never asked for.
+    /// The retirement of a machine; none if it was never begun.
     pub fn get(&self, name: &str) -> Option<&Retirement> {
         self.machines.get(name)
     }
 
-    /// All machines.
+    /// All retirements.
     pub fn all(&self) -> impl Iterator<Item = (&str, &Retirement)> {
         self.machines.iter().map(|(name, retirement)| (name.as_str(), retirement))
     }
 
-    /// Whether a member must not be given partitions.
+    /// Whether a member is being retired, and so must not get partitions.
     pub fn contains_member(&self, member: u64) -> bool {
         self.machines.values().any(|retirement| retirement.member == member)
     }
@@ -50,11 +50,11 @@
         CommandOutcome::Applied
     }
 
-    /// The machine is empty. It is taken away at once with its disk, so it must not be `needed`: neither a member of a chain, nor a
-    /// former one of a chain whose other members do not hold everything yet.
-    pub(super) fn complete(&mut self, name: &str, member: u64, needed: bool) -> CommandOutcome {
+    /// Completes a retirement. The machine is removed then, with its disk, so it must not be needed: neither as a member of a chain, nor
+    /// as a former one of a chain whose other members are not in sync yet.
+    pub(super) fn complete(&mut self, name: &str, member: u64, is_needed: bool) -> CommandOutcome {
         match self.machines.get_mut(name) {
-            Some(retirement) if retirement.member == member && !needed => {
+            Some(retirement) if retirement.member == member && !is_needed => {
                 retirement.state = RetirementState::Completed;
                 CommandOutcome::Applied
             }
