--- a/system/control/src/coordinator/load_window.rs
+++ b/system/control/src/coordinator/load_window.rs
@@ -6,29 +6,29 @@
 
 use std::time::Duration;
 
-/// Stores that load at once before anything was seen.
+/// The limit before any load was measured.
 const INITIAL_LIMIT: f64 = 6.0;
 const MIN_LIMIT: f64 = 2.0;
-/// However quick loads are, no more stores than this load at once.
+/// The limit however quick loads are.
 const MAX_LIMIT: f64 = 256.0;
-/// A load that takes no more than this many times the quickest is not slowed down by others.
+/// A load that takes no more than this many times the quickest is not slowed down by others, so the limit may grow.
 const GROWTH_THRESHOLD: f64 = 1.35;
-/// One that takes more than this many times the quickest is.
+/// A load that takes more than this many times the quickest is slowed down, so the limit shrinks.
 const SHRINK_THRESHOLD: f64 = 1.8;
 const SHRINK_FACTOR: f64 = 0.8;
-/// Only what began among this part of as many as allowed shows that more could load.
+/// Only a load that began beside so many others, as a part of the limit, shows that the limit may grow.
 const SATURATED: f64 = 0.75;
-/// The quickest load is that of the present span of this length and the one before it.
+/// The quickest load is that of the current window of this length and the one before it.
 const WINDOW: Duration = Duration::from_secs(20);
 
 /// The loads of one service.
 #[derive(Clone, Debug)]
 pub struct LoadWindow {
     limit: f64,
-    window_began: Duration,
+    window_start: Duration,
     quickest_in_window: Option<Duration>,
-    quickest_before: Option<Duration>,
-    shrunk_at: Duration,
+    quickest_in_previous_window: Option<Duration>,
+    last_shrink: Duration,
 }
 
 /// A load that succeeded.
@@ -38,59 +38,60 @@
     pub began: Duration,
     /// It may have waited for requests first, so that a long time says nothing.
     pub may_have_waited: bool,
-    /// With how many it loaded when it began, itself counted.
-    pub among: usize,
+    /// How many loads were in flight when it began, this one included.
+    pub concurrency: usize,
 }
 
 impl Default for LoadWindow {
     fn default() -> Self {
         Self {
             limit: INITIAL_LIMIT,
-            window_began: Duration::ZERO,
+            window_start: Duration::ZERO,
             quickest_in_window: None,
-            quickest_before: None,
-            shrunk_at: Duration::ZERO,
+            quickest_in_previous_window: None,
+            last_shrink: Duration::ZERO,
         }
     }
 }
 
 impl LoadWindow {
-    /// How many stores may load at once.
+    /// How many stores may load concurrently.
     pub fn limit(&self) -> usize {
         self.limit as usize
     }
 
-    /// How long a load takes that others don't slow down; none before one was seen.
+    /// How long a load takes that others don't slow down; none before one was measured.
     pub fn usual(&self) -> Option<Duration> {
-        self.quickest_in_window.into_iter().chain(self.quickest_before).min()
+        self.quickest_in_window.into_iter().chain(self.quickest_in_previous_window).min()
     }
 
-    /// Takes in that a load has succeeded.
+    /// Adapts the limit to a load that has succeeded.
     pub fn on_load_finished(&mut self, now: Duration, load: FinishedLoad) {
-        let took = now.saturating_sub(load.began);
+        let duration = now.saturating_sub(load.began);
         let known = self.usual();
-        if !load.may_have_waited || known.is_some_and(|quickest| took < quickest) {
-            self.record_duration(now, took);
+        if !load.may_have_waited || known.is_some_and(|quickest| duration < quickest) {
+            self.record_duration(now, duration);
         }
         let Some(quickest) = known else { return };
-        if took <= quickest.mul_f64(GROWTH_THRESHOLD) {
-            if load.among as f64 >= self.limit * SATURATED {
+        if duration <= quickest.mul_f64(GROWTH_THRESHOLD) {
+            if load.concurrency as f64 >= self.limit * SATURATED {
                 self.limit = (self.limit + 1.0).min(MAX_LIMIT);
             }
-        } else if took > quickest.mul_f64(SHRINK_THRESHOLD)
+        } else if duration > quickest.mul_f64(SHRINK_THRESHOLD)
             && !load.may_have_waited
-            && load.began >= self.shrunk_at
+            && load.began >= self.last_shrink
         {
             self.limit = (self.limit * SHRINK_FACTOR).max(MIN_LIMIT);
-            self.shrunk_at = now;
+            self.last_shrink = now;
         }
     }
 
-    fn record_duration(&mut self, now: Duration, took: Duration) {
-        if now.saturating_sub(self.window_began) >= WINDOW {
-            self.window_began = now;
-            self.quickest_before = self.quickest_in_window.take();
+    fn record_duration(&mut self, now: Duration, duration: Duration) {
+        if now.saturating_sub(self.window_start) >= WINDOW {
+            self.window_start = now;
+            self.quickest_in_previous_window = self.quickest_in_window.take();
         }
-        self.quickest_in_window = Some(self.quickest_in_window.map_or(took, |quickest| quickest.min(took)));
+        self.quickest_in_window =
+            Some(self.quickest_in_window.map_or(duration, |quickest| quickest.min(duration)));
     }
 }
--- a/system/control/src/coordinator/mod.rs
+++ b/system/control/src/coordinator/mod.rs
@@ -1,8 +1,8 @@
 //! The work of the one control node that holds the lease: planners that compare what is wanted with what is, sans I/O.
 //!
 //! [`backends`] says which backends can be used, [`partitions`] which chains of the partitions of batch jobs should change,
-//! [`weights`] which stores should load which version, [`model_usage`] how their running requests may end, and [`load_schedule`] how far that is.
-//! Each is a function of what is known now; whoever calls them carries the result out, and calls them again.
+//! [`weights`] which stores should load which version, [`model_usage`] how their running requests may end, and and [`load_schedule`]
+//! when loads start. Each is a function of what is known now; the caller carries the result out, and calls them again.
 
 pub mod backends;
 pub mod load_schedule;
@@ -11,7 +11,8 @@
 pub mod partitions;
 pub mod weights;
 
-/// The score of a candidate for a subject; the highest wins, and a candidate that goes changes nothing for the others.
+/// The score of a candidate for a subject in rendezvous hashing (Thaler & Ravishankar 1998): the highest wins, and a candidate that goes
+/// changes nothing for the others.
 pub fn rendezvous(subject: u64, candidate: u64) -> u64 {
     mix(subject.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ mix(candidate))
 }
--- a/system/control/src/coordinator/model_usage.rs
+++ b/system/control/src/coordinator/model_usage.rs
@@ -1,8 +1,8 @@
-//! How batch jobs use models, as edges have seen it: it decides how requests that run end when a store loads a new version, and
-//! which versions the next batch job may use.
+//! How batch jobs use models, as edges have reported it. It decides how running requests end when a store loads a new version, and which
+//! versions the next batch job may use.
 //!
-//! A route that wants each text made under one version lets requests run to their end first; where all known routes of a model
-//! take texts of several versions, nothing has to wait.
+//! Where a route requires that each text is generated under one version, running requests end before a load; where all known routes of a
+//! model accept texts of several versions, nothing has to wait.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -15,7 +15,7 @@
 /// Most routes that are retained for one model.
 pub const MAX_ROUTES: usize = 64;
 
-/// Host and path prefix of a route: what stays when its other properties change.
+/// Host and path prefix, which identify a route when its other properties change.
 type RouteKey = (String, String);
 
 /// What is known of one model.
@@ -24,7 +24,7 @@
     routes_seen: BTreeSet<RouteKey>,
     /// The oldest version that the newest batch job allows; none before one was seen.
     min_version: Option<u64>,
-    /// The newest version named at the last look, and the oldest that was wanted with it.
+    /// The newest named version at the last evaluation, and the oldest that was wanted with it.
     wanted: Option<Wanted>,
 }
 
@@ -41,7 +41,8 @@
 }
 
 impl ModelUsage {
-    /// A batch job for a model has come to a host and path, which allows versions from this one on. Says whether that is new.
+    /// A batch job for a model has come to a host and path, which allows versions from `min_version` on. Returns whether
+    /// that changes what should be loaded.
     pub fn on_job_seen(
         &mut self,
         configuration: &Configuration,
@@ -61,7 +62,7 @@
 
     /// The oldest version of a model that the next batch job may use, given the newest named version.
     ///
-    /// Each step of a trainer allows versions from one higher on than the step before, and asks once a further version is named. So
+    /// Each step of a trainer allows versions from one higher on than the step before, and begins once a further version is named. So
     /// the oldest version that is wanted rises by one above that of the newest batch job when a version is named, and not before:
     /// until then the batch job may still use the stores that are at its oldest version. While no batch job was seen, only the
     /// newest version is sure to do.
--- a/system/control/src/coordinator/partitions.rs
+++ b/system/control/src/coordinator/partitions.rs
@@ -1,8 +1,9 @@
 //! Which chains of the partitions of batch jobs should change, given which backends can be used.
 //!
 //! Every chain keeps `fault_tolerance + 1` members that can be used, zones apart where that is possible, and never loses its last
-//! full member: a member that can't be used leaves, a replacement joins at the tail, and a member that is to be emptied stays as a
-//! source until enough others are full.
+//! member in sync: a member that can't be used leaves, a replacement joins at the tail, and a retiring member stays as a source until
+//! enough others are in sync. In a chain each member has at least what its successor has (van Renesse & Schneider, Chain Replication,
+//! 2004), so members in sync keep their order before all others.
 
 use std::collections::BTreeMap;
 
@@ -24,13 +25,13 @@
 /// Whether a backend can be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Condition {
-    /// It lives, and its disk answers.
+    /// It is alive, and its disk is responsive.
     Usable,
-    /// It lives, but is to be emptied.
+    /// It is alive, but being retired.
     Retiring,
-    /// It may live: too little time has passed to say.
+    /// It may be alive: too little time has passed to tell.
     Unknown,
-    /// It is silent, its disk is gone, or its disk does not answer.
+    /// Its reports timed out, its disk is lost, or its disk is stalled.
     Lost,
 }
 
@@ -51,7 +52,7 @@
 }
 
 impl Backends {
-    /// Backends of which one copy of each partition must outlive the loss of `fault_tolerance`.
+    /// The backends, where one replica of each partition must survive the loss of `fault_tolerance` of them.
     pub fn new(backends: impl IntoIterator<Item = Backend>, fault_tolerance: usize) -> Self {
         let members = backends.into_iter().map(|backend| (backend.member, backend)).collect();
         Self { members, chain_length: fault_tolerance + 1 }
@@ -65,7 +66,7 @@
         self.members.get(&member).map_or("", |backend| backend.zone.as_str())
     }
 
-    /// How many backends can be given partitions.
+    /// How many backends can get partitions.
     pub fn usable(&self) -> usize {
         self.members.values().filter(|backend| backend.condition == Condition::Usable).count()
     }
@@ -82,85 +83,90 @@
 
     /// The chains that should change. `current` gives the chain of a partition, if it has one.
     pub fn plan<'a>(&self, current: impl Fn(u16) -> Option<&'a PartitionRecord>) -> Vec<Change> {
-        let mut load = Load::default();
+        let mut counts = ChainCounts::default();
         for record in (0..PARTITION_COUNT).filter_map(&current) {
-            load.add_all(&record.chain);
+            counts.add_all(&record.chain);
         }
         let mut changes = Vec::new();
         for partition in 0..PARTITION_COUNT {
             let next = match current(partition) {
-                Some(record) => self.repair(partition, record, &mut load),
-                None => self.found(partition, &mut load),
+                Some(record) => self.repair(partition, record, &mut counts),
+                None => self.create(partition, &mut counts),
             };
             changes.extend(next.map(|record| Change { partition, record }));
         }
         changes
     }
 
-    /// The first chain of a partition: all its members are full, since there is nothing yet.
-    fn found(&self, partition: u16, load: &mut Load) -> Option<PartitionRecord> {
-        let chain = self.extend(partition, &[], self.chain_length, load);
+    /// The first chain of a partition: all its members are in sync, since there is no data yet.
+    fn create(&self, partition: u16, counts: &mut ChainCounts) -> Option<PartitionRecord> {
+        let chain = self.extend(partition, &[], self.chain_length, counts);
         if chain.len() < self.chain_length {
             return None;
         }
         Some(PartitionRecord { epoch: 1, in_sync: chain.clone(), chain })
     }
 
-    fn repair(&self, partition: u16, record: &PartitionRecord, load: &mut Load) -> Option<PartitionRecord> {
-        let kept: Vec<u64> = record
+    fn repair(
+        &self,
+        partition: u16,
+        record: &PartitionRecord,
+        counts: &mut ChainCounts,
+    ) -> Option<PartitionRecord> {
+        let usable: Vec<u64> = record
             .chain
             .iter()
             .copied()
             .filter(|&member| self.condition(member) != Condition::Lost)
             .collect();
-        let is_full = |member: &u64| record.in_sync.contains(member);
-        let (in_sync, filling): (Vec<u64>, Vec<u64>) = kept.into_iter().partition(is_full);
+        let is_in_sync = |member: &u64| record.in_sync.contains(member);
+        let (in_sync, filling): (Vec<u64>, Vec<u64>) = usable.into_iter().partition(is_in_sync);
         if in_sync.is_empty() {
             return None;
         }
         let staying = |member: &u64| self.condition(*member) != Condition::Retiring;
-        let mut keep: Vec<u64> = in_sync.iter().chain(&filling).copied().filter(staying).collect();
-        let replaced = self.extend(partition, &keep, self.chain_length, load);
+        let mut next: Vec<u64> = in_sync.iter().chain(&filling).copied().filter(staying).collect();
+        let replaced = self.extend(partition, &next, self.chain_length, counts);
         let in_sync_staying = in_sync.iter().copied().filter(staying).count();
         if in_sync_staying < self.chain_length {
-            // Those that leave on purpose serve until enough of the others have everything. Full members keep their
-            // order: each holds all that the next one does, and would not after it.
-            keep = in_sync.clone();
-            keep.extend(replaced.iter().copied().filter(|member| !in_sync.contains(member)));
+            // Retiring members serve until enough of the others are in sync. Members in sync next their order: each has
+            // everything that its successor has, and might not if they changed places.
+            next = in_sync.clone();
+            next.extend(replaced.iter().copied().filter(|member| !in_sync.contains(member)));
         } else {
-            keep = replaced;
-            keep.truncate(self.chain_length);
+            next = replaced;
+            next.truncate(self.chain_length);
         }
-        keep.truncate(self.longest());
-        if keep.len() < self.chain_length || keep == record.chain {
+        next.truncate(self.max_length());
+        if next.len() < self.chain_length || next == record.chain {
             return None;
         }
-        let in_sync = keep.iter().copied().filter(is_full).collect();
-        Some(PartitionRecord { epoch: record.epoch + 1, chain: keep, in_sync })
+        let in_sync = next.iter().copied().filter(is_in_sync).collect();
+        Some(PartitionRecord { epoch: record.epoch + 1, chain: next, in_sync })
     }
 
-    /// Members that leave on purpose come on top of the usual length.
-    fn longest(&self) -> usize {
+    /// The longest chain: retiring members come on top of the usual length.
+    fn max_length(&self) -> usize {
         2 * self.chain_length
     }
 
-    /// The chain with members added until it has `length`: other zones first, then those with the least to keep, then by
+    /// The chain with members added until it has `length`: other zones first, then the members of the fewest chains, then by
     /// rendezvous.
-    fn extend(&self, partition: u16, chain: &[u64], length: usize, load: &mut Load) -> Vec<u64> {
+    fn extend(&self, partition: u16, chain: &[u64], length: usize, counts: &mut ChainCounts) -> Vec<u64> {
         let mut chain = chain.to_vec();
         while chain.len() < length {
             let zones: Vec<&str> = chain.iter().map(|&member| self.zone(member)).collect();
             let rank = |backend: &&Backend| {
                 let same_zone = zones.contains(&backend.zone.as_str());
                 let score = rendezvous(u64::from(partition), backend.member);
-                (same_zone, load.of(backend.member), std::cmp::Reverse(score))
+                (same_zone, counts.of(backend.member), std::cmp::Reverse(score))
             };
             let candidates = self
                 .members
                 .values()
                 .filter(|backend| backend.condition == Condition::Usable && !chain.contains(&backend.member));
             let Some(best) = candidates.min_by_key(rank).map(|backend| backend.member) else { break };
-            load.add(best);
+            counts.add(best);
             chain.push(best);
         }
         chain
@@ -169,11 +175,11 @@
 
 /// How many chains each member is in.
 #[derive(Debug, Default)]
-struct Load {
+struct ChainCounts {
     chains: BTreeMap<u64, usize>,
 }
 
-impl Load {
+impl ChainCounts {
     fn of(&self, member: u64) -> usize {
         self.chains.get(&member).copied().unwrap_or(0)
     }
--- a/system/control/src/coordinator/weights.rs
+++ b/system/control/src/coordinator/weights.rs
@@ -1,9 +1,9 @@
 //! Which stores should load which version of a model's weights.
 //!
-//! Each store keeps three models at a version that the next batch job may use, on the average: where there are no more, all stores
-//! keep all of them, and of six models each has half of the stores. So the next step of a trainer waits for fewer loads, and the
-//! trainers of one service are less in one another's way: each model has stores that it prefers, the same ones with each version.
-//! A store whose version is still allowed is left alone, since each load costs something and stops the store for a moment. Where
+//! On average, each store has three models at a version that the next batch job may use: where a service has no more, all its stores have
+//! all of them, and of six models each has half of the stores. So the next step of a trainer waits for fewer loads, and the trainers of
+//! one service interfere less: each model prefers the same stores with each version, by rendezvous hashing (Thaler & Ravishankar 1998).
+//! A store whose version is still allowed is not loaded, since each load costs time and interrupts the store for a moment. Where
 //! batch jobs allow the version before the newest too, each store loads every other version, half of the stores for each: the other
 //! half serves the next batch job at once.
 
@@ -13,13 +13,13 @@
 
 use super::rendezvous;
 
-/// So many models are kept up to date at each store, on the average: with fewer, one whose trainer asks for much has too few stores;
-/// with more, each step waits for more loads, and trainers are in one another's way.
+/// So many models are up to date at each store, on average: with fewer, a model in high demand has too few stores; with more, each step
+/// waits for more loads, and trainers interfere with one another.
 const MODELS_OF_A_STORE: usize = 3;
 /// The version of the weights that stores begin with.
 const FIRST_VERSION: u64 = 1;
 
-/// A store that can be ordered about.
+/// A store that accepts orders.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineStore {
     /// Its instance id.
@@ -34,12 +34,12 @@
     }
 }
 
-/// One service whose stores hold models.
+/// One service whose stores have models.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineService {
     /// The models.
     pub models: BTreeMap<String, WantedModel>,
-    /// Its stores that take requests.
+    /// Its stores that are ready.
     pub stores: Vec<EngineStore>,
 }
 
@@ -78,14 +78,14 @@
 /// How requests that run under the version before end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum LoadMethod {
-    /// They run to their end first.
+    /// They end first.
     Blocking,
-    /// They go on under the new version.
+    /// They continue under the new version.
     Preserve,
 }
 
 impl LoadMethod {
-    /// The word that stores know.
+    /// The name of the method in an order.
     pub fn wire_name(self) -> &'static str {
         match self {
             LoadMethod::Blocking => "blocking",
@@ -96,7 +96,7 @@
 
 /// The loads that are due at the stores of one service, the most urgent first: those of the model that the fewest stores can
 /// serve now. The stores of one model come in an order of its own, so that models don't all wait for the same ones.
-pub fn due(service: &EngineService) -> Vec<Load> {
+pub fn due_loads(service: &EngineService) -> Vec<Load> {
     let mut models: Vec<_> = service
         .models
         .iter()
@@ -106,20 +106,20 @@
         })
         .collect();
     models.sort_by_key(|(serving, name, _)| (*serving, *name));
-    models.into_iter().flat_map(|(_, name, wanted)| due_of(service, name, *wanted)).collect()
+    models.into_iter().flat_map(|(_, name, wanted)| due_loads_of(service, name, *wanted)).collect()
 }
 
-fn due_of(service: &EngineService, model: &str, wanted: WantedModel) -> Vec<Load> {
+fn due_loads_of(service: &EngineService, model: &str, wanted: WantedModel) -> Vec<Load> {
     let mut behind: Vec<&EngineStore> =
         service.stores.iter().filter(|store| store.version(model) < wanted.version).collect();
-    let useless = |store: &EngineStore| store.version(model) < wanted.floor;
-    behind.sort_by_key(|store| (!useless(store), rendezvous(stable_hash(model), stable_hash(&store.id))));
+    let is_outdated = |store: &EngineStore| store.version(model) < wanted.floor;
+    behind.sort_by_key(|store| (!is_outdated(store), rendezvous(stable_hash(model), stable_hash(&store.id))));
     // Those that the next version leaves behind, as far as they are more than half of all.
     let next_behind = behind.iter().filter(|store| store.version(model) <= wanted.floor).count();
-    let too_many = next_behind.saturating_sub(service.stores.len().div_ceil(2));
-    let useful = service.stores.iter().filter(|store| !useless(store)).count();
-    let must = service.stores_for_a_model().saturating_sub(useful);
-    behind.truncate(must.max(too_many));
+    let excess = next_behind.saturating_sub(service.stores.len().div_ceil(2));
+    let up_to_date = service.stores.iter().filter(|store| !is_outdated(store)).count();
+    let missing = service.stores_for_a_model().saturating_sub(up_to_date);
+    behind.truncate(missing.max(excess));
     let load = |store: &EngineStore| Load {
         id: store.id.clone(),
         model: model.to_owned(),
--- a/system/control/src/node/coordinator_tasks/weights.rs
+++ b/system/control/src/node/coordinator_tasks/weights.rs
@@ -13,7 +13,7 @@
 use super::order_gate::OrderGate;
 use crate::coordinator::load_schedule::{LoadOutcome, LoadSchedule, LoadScheduleSettings, StartedLoad};
 use crate::coordinator::model_usage::ModelUsage;
-use crate::coordinator::weights::{due, EngineService, EngineStore, WantedModel};
+use crate::coordinator::weights::{due_loads, EngineService, EngineStore, WantedModel};
 use crate::node::clock::Clock;
 use crate::node::relay_host::RelayHost;
 use crate::node::session_host::SessionHost;
@@ -71,7 +71,7 @@
         self.is_dirty = false;
         self.follow(state.configuration());
         for (name, service) in &self.engine_services(state.versions(), registry) {
-            for started in self.schedule.start(now, name, &due(service)) {
+            for started in self.schedule.start(now, name, &due_loads(service)) {
                 self.send_order(started, token, registry);
             }
         }
--- a/system/control/tests/nodes/common/mod.rs
+++ b/system/control/tests/nodes/common/mod.rs
@@ -20,13 +20,13 @@
 const CONTROL_PORT: u16 = 8144;
 const INTERNAL_PORT: u16 = 7380;
 /// A test waits for a condition at most this long.
-pub const PATIENCE: Duration = Duration::from_secs(60);
+pub const TIMEOUT: Duration = Duration::from_secs(60);
 const NODES: u8 = 3;
 /// The number of a node that is no founder.
 pub const NEWCOMER: u8 = NODES;
 
 /// Three control nodes.
-pub struct World {
+pub struct Cluster {
     folder: PathBuf,
     octets: (u8, u8),
     nodes: Vec<Option<Running>>,
@@ -37,7 +37,7 @@
     task: JoinHandle<()>,
 }
 
-impl World {
+impl Cluster {
     /// Three founders with empty disks. `number` differs from test to test.
     pub fn start(number: u8) -> Self {
         let process = std::process::id();
@@ -45,12 +45,12 @@
         let _ = std::fs::remove_dir_all(&folder);
         // Always three digits, so that lengths in transcripts do not vary.
         let octets = ((process % 150) as u8 + 100, number);
-        let mut world = Self { folder, octets, nodes: Vec::new() };
-        world.nodes.resize_with(usize::from(NEWCOMER) + 1, || None);
+        let mut cluster = Self { folder, octets, nodes: Vec::new() };
+        cluster.nodes.resize_with(usize::from(NEWCOMER) + 1, || None);
         for node in 0..NODES {
-            world.start_node(node, true);
+            cluster.start_node(node, true);
         }
-        world
+        cluster
     }
 
     /// Ends a node; its disk is lost.
@@ -77,7 +77,7 @@
     pub async fn status_until(&self, node: u8, wanted: impl Fn(&Value) -> bool) -> Value {
         let begun = Instant::now();
         let mut status = Value::Null;
-        while begun.elapsed() < PATIENCE {
+        while begun.elapsed() < TIMEOUT {
             let answer = self.call(node, &Call::get("/status"), None).await;
             status = answer.and_then(|answer| serde_json::from_str(answer.body()).ok()).unwrap_or_default();
             if wanted(&status) {
@@ -114,7 +114,7 @@
     pub async fn stop(&mut self, node: u8) {
         if let Some(running) = self.nodes[usize::from(node)].take() {
             let _ = running.stop.send(());
-            timeout(PATIENCE, running.task).await.expect("stops in time").expect("stops well");
+            timeout(TIMEOUT, running.task).await.expect("stops in time").expect("stops well");
         }
     }
 
@@ -143,7 +143,7 @@
     /// Makes one call, and writes it down if a transcript is given.
     pub async fn call(&self, node: u8, call: &Call<'_>, transcript: Option<&Transcript>) -> Option<Answer> {
         let address = self.address(node);
-        let answer = timeout(PATIENCE, exchange(address, call)).await.ok().flatten();
+        let answer = timeout(TIMEOUT, exchange(address, call)).await.ok().flatten();
         if let Some(transcript) = transcript {
             transcript.note(&format!("client to node {node}"), &call.text());
             let said = answer.as_ref().map_or("(nothing)", |answer| answer.text.as_str());
@@ -157,7 +157,7 @@
     pub async fn until(&self, node: u8, call: &Call<'_>, status: u16) -> Answer {
         let begun = Instant::now();
         let mut last = None;
-        while begun.elapsed() < PATIENCE {
+        while begun.elapsed() < TIMEOUT {
             last = self.call(node, call, None).await;
             if let Some(answer) = last.take_if(|answer| answer.status == status) {
                 return answer;
@@ -168,7 +168,7 @@
     }
 }
 
-impl Drop for World {
+impl Drop for Cluster {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.folder);
     }
@@ -218,7 +218,7 @@
     let mut stream = TcpStream::connect(address).await.ok()?;
     stream.write_all(call.text().as_bytes()).await.ok()?;
     let mut bytes = Vec::new();
-    while !is_whole(&bytes) {
+    while !is_complete(&bytes) {
         if stream.read_buf(&mut bytes).await.ok()? == 0 {
             break;
         }
@@ -228,7 +228,7 @@
     Some(Answer { status, text })
 }
 
-fn is_whole(bytes: &[u8]) -> bool {
+fn is_complete(bytes: &[u8]) -> bool {
     let text = String::from_utf8_lossy(bytes);
     let Some((head, body)) = text.split_once("\r\n\r\n") else { return false };
     let length = head.lines().find_map(|line| line.strip_prefix("content-length: "));
--- a/system/control/tests/nodes/coordination.rs
+++ b/system/control/tests/nodes/coordination.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use crate::common::{run, Call, World};
+use crate::common::{run, Call, Cluster};
 use gingerledge_system_standin::{Store, StoreSettings};
 use gingerledge_transport::{Network, NetworkSettings};
 use gingerledge_wire::{BackendReport, ControlMessage, Envelope, NodeRecord, Role};
@@ -23,8 +23,8 @@
 }
 
 impl Backend {
-    async fn start(world: &World, number: u8) -> Self {
-        let address = world.other_internal_address(FIRST_BACKEND + number);
+    async fn start(cluster: &Cluster, number: u8) -> Self {
+        let address = cluster.other_internal_address(FIRST_BACKEND + number);
         let member = u64::from(number) + 1;
         let in_sync: Arc<Mutex<Vec<(u16, u64)>>> = Arc::default();
         let node = NodeRecord {
@@ -36,7 +36,7 @@
             zone: format!("zone-{number}"),
         };
         let task =
-            tokio::task::spawn_local(report(address, node, world.internal_addresses(), in_sync.clone()));
+            tokio::task::spawn_local(report(address, node, cluster.internal_addresses(), in_sync.clone()));
         Self { member, in_sync, task }
     }
 
@@ -93,20 +93,20 @@
     partitions(status).len() == usize::from(gingerledge_wire::PARTITION_COUNT)
 }
 
-async fn backends(world: &World, count: u8) -> Vec<Backend> {
+async fn backends(cluster: &Cluster, count: u8) -> Vec<Backend> {
     let mut backends = Vec::new();
     for number in 0..count {
-        backends.push(Backend::start(world, number).await);
+        backends.push(Backend::start(cluster, number).await);
     }
     backends
 }
 
 #[test]
-fn partitions_are_spread_over_all_backends_and_leave_one_that_falls_silent() {
+fn partitions_are_spread_over_all_backends_and_leave_one_whose_reports_time_out() {
     run(async {
-        let world = World::start(21);
-        let mut all = backends(&world, 3).await;
-        let status = world.status_until(0, all_founded).await;
+        let cluster = Cluster::start(21);
+        let mut all = backends(&cluster, 3).await;
+        let status = cluster.status_until(0, all_founded).await;
         for backend in &all {
             let chains =
                 partitions(&status).into_iter().filter(|(_, _, chain, _)| chain.contains(&backend.name()));
@@ -116,70 +116,70 @@
         let left = |status: &Value| {
             partitions(status).iter().all(|(_, _, chain, _)| chain.len() == 2 && !chain.contains(&lost))
         };
-        let status = world.status_until(1, left).await;
+        let status = cluster.status_until(1, left).await;
         assert!(partitions(&status).iter().any(|(_, epoch, _, full)| (*epoch, *full) == (2, 1)));
         all.iter().for_each(|backend| backend.fill(&status));
-        world.status_until(2, |status| partitions(status).iter().all(|(_, _, _, full)| *full == 2)).await;
+        cluster.status_until(2, |status| partitions(status).iter().all(|(_, _, _, full)| *full == 2)).await;
     });
 }
 
 #[test]
-fn a_backend_is_emptied_only_once_the_others_have_everything() {
+fn a_backend_is_retired_only_once_the_others_are_in_sync() {
     run(async {
-        let world = World::start(22);
-        let all = backends(&world, 3).await;
-        world.status_until(0, all_founded).await;
+        let cluster = Cluster::start(22);
+        let all = backends(&cluster, 3).await;
+        cluster.status_until(0, all_founded).await;
         let begin = Call::post("/retire/backend-0/begin", "", "{\"deadlineS\":10}");
-        world.until(0, &begin, 200).await;
-        world.until(1, &begin, 200).await;
+        cluster.until(0, &begin, 200).await;
+        cluster.until(1, &begin, 200).await;
         let joined = |status: &Value| {
             partitions(status)
                 .iter()
                 .filter(|(_, _, chain, _)| chain.contains(&all[0].name()))
                 .all(|(_, epoch, chain, _)| *epoch == 2 && chain.len() == 3)
         };
-        let status = world.status_until(0, joined).await;
+        let status = cluster.status_until(0, joined).await;
         let read = Call::get("/retire/backend-0/read");
-        assert_eq!(world.until(2, &read, 200).await.body(), r#"{"state":"active"}"#);
+        assert_eq!(cluster.until(2, &read, 200).await.body(), r#"{"state":"active"}"#);
         all.iter().for_each(|backend| backend.fill(&status));
         let empty = |status: &Value| {
             partitions(status)
                 .iter()
                 .all(|(_, _, chain, _)| chain.len() == 2 && !chain.contains(&all[0].name()))
         };
-        world.status_until(1, empty).await;
-        while world.until(2, &read, 200).await.body() != r#"{"state":"completed"}"# {}
+        cluster.status_until(1, empty).await;
+        while cluster.until(2, &read, 200).await.body() != r#"{"state":"completed"}"# {}
         let second = Call::post("/retire/backend-1/begin", "", "{\"deadlineS\":10}");
-        world.until(0, &second, 409).await;
+        cluster.until(0, &second, 409).await;
     });
 }
 
 #[test]
-fn the_operator_is_told_how_far_the_emptying_of_a_backend_is() {
+fn the_state_of_a_retirement_is_read_by_the_operator() {
     run(async {
-        let world = World::start(24);
-        let all = backends(&world, 3).await;
-        world.status_until(0, all_founded).await;
+        let cluster = Cluster::start(24);
+        let all = backends(&cluster, 3).await;
+        cluster.status_until(0, all_founded).await;
         let begin = Call::post("/retire/backend-0/begin", "", "{\"deadlineS\":10}");
         let read = Call::get("/retire/backend-0/read");
         let transcript = crate::common::transcript();
-        world.until(0, &begin, 200).await;
-        world.call(1, &begin, Some(&transcript)).await;
+        cluster.until(0, &begin, 200).await;
+        cluster.call(1, &begin, Some(&transcript)).await;
         let joined = |status: &Value| {
             partitions(status)
                 .iter()
                 .filter(|(_, _, chain, _)| chain.contains(&all[0].name()))
                 .all(|(_, epoch, chain, _)| *epoch == 2 && chain.len() == 3)
         };
-        let status = world.status_until(0, joined).await;
-        world.call(2, &read, Some(&transcript)).await;
+        let status = cluster.status_until(0, joined).await;
+        cluster.call(2, &read, Some(&transcript)).await;
         all.iter().for_each(|backend| backend.fill(&status));
-        while world.until(2, &read, 200).await.body() != r#"{"state":"completed"}"# {}
-        world.call(2, &read, Some(&transcript)).await;
-        world.call(0, &begin, Some(&transcript)).await;
+        while cluster.until(2, &read, 200).await.body() != r#"{"state":"completed"}"# {}
+        cluster.call(2, &read, Some(&transcript)).await;
+        cluster.call(0, &begin, Some(&transcript)).await;
         let second = Call::post("/retire/backend-1/begin", "", "{\"deadlineS\":10}");
-        world.until(0, &second, 409).await;
-        world.call(0, &second, Some(&transcript)).await;
+        cluster.until(0, &second, 409).await;
+        cluster.call(0, &second, Some(&transcript)).await;
         transcript.check("retire");
     });
 }
@@ -190,7 +190,7 @@
         .to_owned()
 }
 
-async fn store(world: &World, number: u8) -> Store {
+async fn store(cluster: &Cluster, number: u8) -> Store {
     let settings = StoreSettings {
         id: format!("i-{number}"),
         service: "s".to_owned(),
@@ -201,7 +201,7 @@
         pause: Duration::from_millis(1),
         heartbeat: Duration::from_millis(300),
     };
-    Store::start(settings, (0..3).map(|node| world.address(node)).collect()).await.expect("a store")
+    Store::start(settings, (0..3).map(|node| cluster.address(node)).collect()).await.expect("a store")
 }
 
 /// Stores of the engine.
@@ -214,23 +214,23 @@
 }
 
 #[test]
-fn a_named_version_is_loaded_at_all_stores_by_one_holder_under_rising_fences() {
+fn a_named_version_is_loaded_at_all_stores_by_one_coordinator_under_rising_tokens() {
     run(async {
-        let mut world = World::start(23);
+        let mut cluster = Cluster::start(23);
         let mut stores = Vec::new();
         for number in 0..STORES as u8 {
-            stores.push(store(&world, number).await);
+            stores.push(store(&cluster, number).await);
         }
-        world.until(0, &Call::post("/configuration/replace", "Base-Version: 0\r\n", &engine()), 200).await;
-        world.until(1, &Call::post("/version-put", "", r#"{"model":"a","version":2}"#), 200).await;
-        let status = world.status_until(2, |status| loaded(status, "a", 2) == STORES).await;
+        cluster.until(0, &Call::post("/configuration/replace", "Base-Version: 0\r\n", &engine()), 200).await;
+        cluster.until(1, &Call::post("/version-put", "", r#"{"model":"a","version":2}"#), 200).await;
+        let status = cluster.status_until(2, |status| loaded(status, "a", 2) == STORES).await;
         assert_eq!(loaded(&status, "b", 1), STORES, "the other model stays");
         // The coordinator goes, and another one takes over after the time that holders keep apart.
-        let holder = holder(&world).await;
-        world.kill(holder).await;
-        let other = (holder + 1) % 3;
-        world.until(other, &Call::post("/version-put", "", r#"{"model":"a","version":3}"#), 200).await;
-        world.status_until(other, |status| loaded(status, "a", 3) == STORES).await;
+        let active = coordinator(&cluster).await;
+        cluster.kill(active).await;
+        let other = (active + 1) % 3;
+        cluster.until(other, &Call::post("/version-put", "", r#"{"model":"a","version":3}"#), 200).await;
+        cluster.status_until(other, |status| loaded(status, "a", 3) == STORES).await;
         for store in &stores {
             let orders = store.ledger().orders.clone();
             let fences: Vec<u64> = orders.iter().map(|(_, fence, _, _)| *fence).collect();
@@ -243,9 +243,9 @@
 }
 
 /// The node that coordinates.
-async fn holder(world: &World) -> u8 {
+async fn coordinator(cluster: &Cluster) -> u8 {
     for node in [0, 1, 2].into_iter().cycle() {
-        let status = world.status_until(node, |status| status["serving"] == true).await;
+        let status = cluster.status_until(node, |status| status["serving"] == true).await;
         if status["leadership"].as_str().is_some_and(|leadership| leadership.starts_with("Active")) {
             return node;
         }
--- a/system/control/tests/nodes/exchanges.rs
+++ b/system/control/tests/nodes/exchanges.rs
@@ -2,12 +2,13 @@
 
 use yare::parameterized;
 
-use crate::common::{run, Call, World, NEWCOMER};
+use crate::common::{run, Call, Cluster, NEWCOMER};
 
 const REPLACE: &str = "/configuration/replace";
 const READ: &str = "/configuration/read";
 /// A store that is silent for so long is taken to be gone: three of its intervals.
-const SILENCE: std::time::Duration = std::time::Duration::from_millis(3 * crate::common::HEARTBEAT_MS);
+const SESSION_TIMEOUT: std::time::Duration =
+    std::time::Duration::from_millis(3 * crate::common::HEARTBEAT_MS);
 const HEARTBEAT: &str = "/instances/i-1/heartbeat";
 
 fn configuration(version: u64) -> String {
@@ -21,18 +22,18 @@
 }
 
 /// Waits until the nodes take writes.
-pub async fn ready(world: &World) {
+pub async fn ready(cluster: &Cluster) {
     let named = Call::post("/version-put", "", r#"{"model":"warm","version":2}"#);
     for node in 0..3 {
-        world.until(node, &named, 200).await;
+        cluster.until(node, &named, 200).await;
     }
 }
 
 #[test]
-fn configurations_are_taken_refused_and_read_back() {
+fn configurations_are_applied_rejected_and_read_back() {
     run(async {
-        let world = World::start(1);
-        ready(&world).await;
+        let cluster = Cluster::start(1);
+        ready(&cluster).await;
         let transcript = crate::common::transcript();
         let (first, second, rival) = (configuration(5), configuration(9), configuration(7));
         let calls = [
@@ -49,17 +50,17 @@
             (0, Call::get(READ)),
         ];
         for (node, call) in &calls {
-            world.call(*node, call, Some(&transcript)).await;
+            cluster.call(*node, call, Some(&transcript)).await;
         }
         transcript.check("configurations");
     });
 }
 
 #[test]
-fn versions_are_noted_whenever_they_come() {
+fn versions_are_named_whenever_they_come() {
     run(async {
-        let world = World::start(2);
-        ready(&world).await;
+        let cluster = Cluster::start(2);
+        ready(&cluster).await;
         let transcript = crate::common::transcript();
         let bodies = [
             r#"{"model":"m","version":2}"#,
@@ -71,28 +72,28 @@
             r#"{"model":"m","#,
         ];
         for (at, body) in bodies.iter().enumerate() {
-            world.call((at % 3) as u8, &Call::post("/version-put", "", body), Some(&transcript)).await;
+            cluster.call((at % 3) as u8, &Call::post("/version-put", "", body), Some(&transcript)).await;
         }
         transcript.check("versions");
     });
 }
 
 /// Waits until a node asks stores to stay: the chain has confirmed it a moment ago.
-async fn confirmed_a_moment_ago(world: &World, node: u8) {
+async fn confirmed_a_moment_ago(cluster: &Cluster, node: u8) {
     let warm = heartbeat(1, "ready").replace("10.1.0.9", "10.1.0.8");
     let stays = |answer: &crate::common::Answer| answer.body().contains("heartbeatAddress");
     let call = Call::post("/instances/i-warm/heartbeat", "", &warm);
-    while !stays(&world.until(node, &call, 200).await) {
-        world.call(node, &Call::get(READ), None).await;
+    while !stays(&cluster.until(node, &call, 200).await) {
+        cluster.call(node, &Call::get(READ), None).await;
     }
 }
 
 #[test]
-fn a_store_lives_and_leaves() {
+fn a_store_sends_heartbeats_and_deregisters() {
     run(async {
-        let world = World::start(3);
-        ready(&world).await;
-        confirmed_a_moment_ago(&world, 0).await;
+        let cluster = Cluster::start(3);
+        ready(&cluster).await;
+        confirmed_a_moment_ago(&cluster, 0).await;
         let transcript = crate::common::transcript();
         let (alive, leaving) = (heartbeat(4, "ready"), heartbeat(5, "draining"));
         let calls = [
@@ -104,15 +105,15 @@
             (2, Call::post("/instances/i-1/deregister", "", "")),
         ];
         for (node, call) in &calls {
-            world.call(*node, call, Some(&transcript)).await;
+            cluster.call(*node, call, Some(&transcript)).await;
         }
         transcript.check("store");
     });
 }
 
 /// The store's state at a node, from its status.
-async fn state_at(world: &World, node: u8) -> Option<String> {
-    let answer = world.call(node, &Call::get("/status"), None).await?;
+async fn state_at(cluster: &Cluster, node: u8) -> Option<String> {
+    let answer = cluster.call(node, &Call::get("/status"), None).await?;
     let status: serde_json::Value = serde_json::from_str(answer.body()).ok()?;
     let stores = status["stores"].as_array()?;
     stores.iter().find(|store| store["id"] == "i-1")?["state"].as_str().map(str::to_owned)
@@ -121,33 +122,33 @@
 #[test]
 fn every_node_knows_of_a_draining_store_once_it_is_acknowledged() {
     run(async {
-        let world = World::start(4);
-        ready(&world).await;
+        let cluster = Cluster::start(4);
+        ready(&cluster).await;
         for (sequence, state) in [(4, "ready"), (5, "draining")] {
             let body = heartbeat(sequence, state);
-            world.until(0, &Call::post(HEARTBEAT, "", &body), 200).await;
+            cluster.until(0, &Call::post(HEARTBEAT, "", &body), 200).await;
         }
         for node in 0..3 {
-            assert_eq!(state_at(&world, node).await.as_deref(), Some("draining"), "node {node}");
+            assert_eq!(state_at(&cluster, node).await.as_deref(), Some("draining"), "node {node}");
         }
-        world.until(2, &Call::post("/instances/i-1/deregister", "", ""), 200).await;
+        cluster.until(2, &Call::post("/instances/i-1/deregister", "", ""), 200).await;
         for node in 0..3 {
-            assert_eq!(state_at(&world, node).await, None, "node {node}");
+            assert_eq!(state_at(&cluster, node).await, None, "node {node}");
         }
     });
 }
 
 #[test]
-fn nodes_that_are_not_asked_to_retire_are_told_apart() {
+fn retirements_that_were_never_begun_are_not_found() {
     run(async {
-        let world = World::start(5);
-        ready(&world).await;
+        let cluster = Cluster::start(5);
+        ready(&cluster).await;
         let transcript = crate::common::transcript();
         let begin = Call::post("/retire/nobody/begin", "", "{\"deadlineS\":10}");
         // A node that has just started can't be sure.
-        world.until(1, &begin, 404).await;
-        world.call(1, &begin, Some(&transcript)).await;
-        world.call(2, &Call::get("/retire/nobody/read"), Some(&transcript)).await;
+        cluster.until(1, &begin, 404).await;
+        cluster.call(1, &begin, Some(&transcript)).await;
+        cluster.call(2, &Call::get("/retire/nobody/read"), Some(&transcript)).await;
         transcript.check("retire-unknown");
     });
 }
@@ -155,81 +156,81 @@
 #[test]
 fn what_was_acknowledged_outlives_the_head_the_tail_and_all_at_once() {
     run(async {
-        let mut world = World::start(6);
-        ready(&world).await;
+        let mut cluster = Cluster::start(6);
+        ready(&cluster).await;
         let mut base = 0;
         for (round, victim) in [0u8, 1, 2, 0].into_iter().enumerate() {
             let version = base + 3;
             let headers = format!("Base-Version: {base}\r\n");
             let text = configuration(version);
-            world.until((victim + 1) % 3, &Call::post(REPLACE, &headers, &text), 200).await;
-            world.kill(victim).await;
-            let read = world.until((victim + 2) % 3, &Call::get(READ), 200).await;
+            cluster.until((victim + 1) % 3, &Call::post(REPLACE, &headers, &text), 200).await;
+            cluster.kill(victim).await;
+            let read = cluster.until((victim + 2) % 3, &Call::get(READ), 200).await;
             assert_eq!(read.body(), text, "round {round}");
-            world.start_node(victim, false);
-            let read = world.until(victim, &Call::get(READ), 200).await;
+            cluster.start_node(victim, false);
+            let read = cluster.until(victim, &Call::get(READ), 200).await;
             assert_eq!(read.body(), text, "round {round}");
             base = version;
         }
         for node in 0..3 {
-            world.kill(node).await;
+            cluster.kill(node).await;
         }
         for node in 0..3 {
-            world.start_node(node, false);
+            cluster.start_node(node, false);
         }
-        let read = world.until(1, &Call::get(READ), 200).await;
+        let read = cluster.until(1, &Call::get(READ), 200).await;
         assert_eq!(read.body(), configuration(base));
         let (headers, text) = (format!("Base-Version: {base}\r\n"), configuration(base + 1));
-        world.until(2, &Call::post(REPLACE, &headers, &text), 200).await;
+        cluster.until(2, &Call::post(REPLACE, &headers, &text), 200).await;
     });
 }
 
 #[test]
-fn a_node_that_is_told_to_stop_ends_and_the_others_go_on() {
+fn a_node_that_stops_ends_and_the_others_continue() {
     run(async {
-        let mut world = World::start(7);
-        ready(&world).await;
+        let mut cluster = Cluster::start(7);
+        ready(&cluster).await;
         let (first, second) = (configuration(5), configuration(9));
-        world.until(0, &Call::post(REPLACE, "Base-Version: 0\r\n", &first), 200).await;
-        world.stop(0).await;
-        assert!(world.call(0, &Call::get(READ), None).await.is_none(), "nobody listens any more");
-        world.until(1, &Call::post(REPLACE, "Base-Version: 5\r\n", &second), 200).await;
-        assert_eq!(world.until(2, &Call::get(READ), 200).await.body(), second);
+        cluster.until(0, &Call::post(REPLACE, "Base-Version: 0\r\n", &first), 200).await;
+        cluster.stop(0).await;
+        assert!(cluster.call(0, &Call::get(READ), None).await.is_none(), "nobody listens any more");
+        cluster.until(1, &Call::post(REPLACE, "Base-Version: 5\r\n", &second), 200).await;
+        assert_eq!(cluster.until(2, &Call::get(READ), 200).await.body(), second);
     });
 }
 
 #[test]
-fn without_a_majority_nothing_is_promised() {
+fn without_a_majority_nothing_is_acknowledged() {
     run(async {
-        let mut world = World::start(8);
-        ready(&world).await;
+        let mut cluster = Cluster::start(8);
+        ready(&cluster).await;
         let (first, second) = (configuration(5), configuration(9));
-        world.until(0, &Call::post(REPLACE, "Base-Version: 0\r\n", &first), 200).await;
-        world.kill(1).await;
-        world.kill(2).await;
+        cluster.until(0, &Call::post(REPLACE, "Base-Version: 0\r\n", &first), 200).await;
+        cluster.kill(1).await;
+        cluster.kill(2).await;
         let transcript = crate::common::transcript();
-        world.call(0, &Call::post(REPLACE, "Base-Version: 5\r\n", &second), Some(&transcript)).await;
-        world.call(0, &Call::get(READ), Some(&transcript)).await;
+        cluster.call(0, &Call::post(REPLACE, "Base-Version: 5\r\n", &second), Some(&transcript)).await;
+        cluster.call(0, &Call::get(READ), Some(&transcript)).await;
         transcript.check("no-majority");
         // Stores are sent on to other control nodes; what they say is kept all the same.
         let alive = heartbeat(4, "ready");
-        world.until(0, &Call::post(HEARTBEAT, "", &alive), 503).await;
-        assert_eq!(state_at(&world, 0).await.as_deref(), Some("ready"));
-        world.start_node(1, false);
-        world.until(0, &Call::post(REPLACE, "Base-Version: 5\r\n", &second), 200).await;
-        world.until(0, &Call::post(HEARTBEAT, "", &alive), 200).await;
+        cluster.until(0, &Call::post(HEARTBEAT, "", &alive), 503).await;
+        assert_eq!(state_at(&cluster, 0).await.as_deref(), Some("ready"));
+        cluster.start_node(1, false);
+        cluster.until(0, &Call::post(REPLACE, "Base-Version: 5\r\n", &second), 200).await;
+        cluster.until(0, &Call::post(HEARTBEAT, "", &alive), 200).await;
     });
 }
 
 #[test]
 fn without_a_majority_no_other_call_is_acknowledged() {
     run(async {
-        let mut world = World::start(13);
-        ready(&world).await;
-        world.kill(1).await;
-        world.kill(2).await;
+        let mut cluster = Cluster::start(13);
+        ready(&cluster).await;
+        cluster.kill(1).await;
+        cluster.kill(2).await;
         let (alive, leaving) = (heartbeat(4, "ready"), heartbeat(5, "draining"));
-        world.until(0, &Call::post(HEARTBEAT, "", &alive), 503).await;
+        cluster.until(0, &Call::post(HEARTBEAT, "", &alive), 503).await;
         let update = r#"{"version":9,"upsert":{"services":[{"name":"s"}]}}"#;
         let calls = [
             Call::post(HEARTBEAT, "", &alive),
@@ -242,7 +243,7 @@
         ];
         let transcript = crate::common::transcript();
         for call in &calls {
-            world.call(0, call, Some(&transcript)).await;
+            cluster.call(0, call, Some(&transcript)).await;
         }
         transcript.check("no-majority-others");
     });
@@ -252,15 +253,15 @@
 #[parameterized(draining = { HEARTBEAT, 40 }, deregistered = { "/instances/i-1/deregister", 41 })]
 fn the_end_of_a_store_is_never_acknowledged_by_a_node_that_is_alone(path: &str, number: u8) {
     run(async {
-        let mut world = World::start(number);
-        ready(&world).await;
-        confirmed_a_moment_ago(&world, 0).await;
-        world.until(0, &Call::post(HEARTBEAT, "", &heartbeat(4, "ready")), 200).await;
-        world.kill(1).await;
-        world.kill(2).await;
+        let mut cluster = Cluster::start(number);
+        ready(&cluster).await;
+        confirmed_a_moment_ago(&cluster, 0).await;
+        cluster.until(0, &Call::post(HEARTBEAT, "", &heartbeat(4, "ready")), 200).await;
+        cluster.kill(1).await;
+        cluster.kill(2).await;
         for sequence in 5..8 {
             let body = heartbeat(sequence, "draining");
-            let answer = world.call(0, &Call::post(path, "", &body), None).await.expect("an answer");
+            let answer = cluster.call(0, &Call::post(path, "", &body), None).await.expect("an answer");
             assert_eq!(answer.status, 503, "try {sequence}");
         }
     });
@@ -269,76 +270,76 @@
 #[test]
 fn the_end_of_a_store_is_acknowledged_once_the_chain_is_without_the_lost_member() {
     run(async {
-        let mut world = World::start(42);
-        ready(&world).await;
-        confirmed_a_moment_ago(&world, 0).await;
-        world.until(0, &Call::post(HEARTBEAT, "", &heartbeat(4, "ready")), 200).await;
-        world.kill(2).await;
+        let mut cluster = Cluster::start(42);
+        ready(&cluster).await;
+        confirmed_a_moment_ago(&cluster, 0).await;
+        cluster.until(0, &Call::post(HEARTBEAT, "", &heartbeat(4, "ready")), 200).await;
+        cluster.kill(2).await;
         let leaving = heartbeat(5, "draining");
-        world.until(0, &Call::post(HEARTBEAT, "", &leaving), 200).await;
-        assert_eq!(state_at(&world, 1).await.as_deref(), Some("draining"));
-        let status = world.status_until(0, |_| true).await;
+        cluster.until(0, &Call::post(HEARTBEAT, "", &leaving), 200).await;
+        assert_eq!(state_at(&cluster, 1).await.as_deref(), Some("draining"));
+        let status = cluster.status_until(0, |_| true).await;
         assert_eq!(status["chain"].as_array().map(Vec::len), Some(2), "{status:#}");
     });
 }
 
 #[test]
-fn a_node_that_is_cut_off_takes_nobody_to_be_silent() {
+fn a_node_partitioned_from_the_others_expires_no_session() {
     run(async {
-        let mut world = World::start(12);
-        ready(&world).await;
-        world.until(0, &Call::post(HEARTBEAT, "", &heartbeat(4, "ready")), 200).await;
-        world.kill(1).await;
-        world.kill(2).await;
+        let mut cluster = Cluster::start(12);
+        ready(&cluster).await;
+        cluster.until(0, &Call::post(HEARTBEAT, "", &heartbeat(4, "ready")), 200).await;
+        cluster.kill(1).await;
+        cluster.kill(2).await;
         // Far longer than a store may be silent.
         let began = std::time::Instant::now();
-        while began.elapsed() < 2 * SILENCE {
-            assert_eq!(state_at(&world, 0).await.as_deref(), Some("ready"));
+        while began.elapsed() < 2 * SESSION_TIMEOUT {
+            assert_eq!(state_at(&cluster, 0).await.as_deref(), Some("ready"));
         }
         // Back in a chain, it waits anew, and then lets go of the store, which never comes again.
-        world.start_node(1, false);
-        world.status_until(0, |status| status["serving"] == true).await;
+        cluster.start_node(1, false);
+        cluster.status_until(0, |status| status["serving"] == true).await;
         let gone = |status: &serde_json::Value| status["stores"].as_array().is_some_and(Vec::is_empty);
-        world.status_until(0, gone).await;
+        cluster.status_until(0, gone).await;
     });
 }
 
 #[test]
 fn a_node_whose_disk_was_lost_comes_back_as_another_member() {
     run(async {
-        let mut world = World::start(9);
-        ready(&world).await;
+        let mut cluster = Cluster::start(9);
+        ready(&cluster).await;
         let (first, second, third) = (configuration(5), configuration(9), configuration(12));
-        world.until(0, &Call::post(REPLACE, "Base-Version: 0\r\n", &first), 200).await;
-        world.wipe(0).await;
-        world.until(1, &Call::post(REPLACE, "Base-Version: 5\r\n", &second), 200).await;
-        world.start_node(0, false);
-        world.status_until(0, |status| status["serving"] == true).await;
-        world
+        cluster.until(0, &Call::post(REPLACE, "Base-Version: 0\r\n", &first), 200).await;
+        cluster.wipe(0).await;
+        cluster.until(1, &Call::post(REPLACE, "Base-Version: 5\r\n", &second), 200).await;
+        cluster.start_node(0, false);
+        cluster.status_until(0, |status| status["serving"] == true).await;
+        cluster
             .status_until(1, |status| status["chain"].as_array().is_some_and(|chain| chain.len() == 3))
             .await;
-        assert_eq!(world.until(0, &Call::get(READ), 200).await.body(), second);
+        assert_eq!(cluster.until(0, &Call::get(READ), 200).await.body(), second);
         // Now it counts: without one of the others, it and the last one go on.
-        world.kill(1).await;
-        world.until(0, &Call::post(REPLACE, "Base-Version: 9\r\n", &third), 200).await;
-        assert_eq!(world.until(2, &Call::get(READ), 200).await.body(), third);
+        cluster.kill(1).await;
+        cluster.until(0, &Call::post(REPLACE, "Base-Version: 9\r\n", &third), 200).await;
+        assert_eq!(cluster.until(2, &Call::get(READ), 200).await.body(), third);
     });
 }
 
 #[test]
-fn a_machine_at_another_address_takes_the_place_of_one_that_is_gone() {
+fn a_machine_at_another_address_replaces_one_that_is_lost() {
     run(async {
-        let mut world = World::start(10);
-        ready(&world).await;
+        let mut cluster = Cluster::start(10);
+        ready(&cluster).await;
         let (first, second, third) = (configuration(5), configuration(9), configuration(12));
-        world.until(0, &Call::post(REPLACE, "Base-Version: 0\r\n", &first), 200).await;
-        world.kill(0).await;
-        world.start_node(NEWCOMER, false);
-        world.until(1, &Call::post(REPLACE, "Base-Version: 5\r\n", &second), 200).await;
-        world.status_until(NEWCOMER, |status| status["serving"] == true).await;
-        assert_eq!(world.until(NEWCOMER, &Call::get(READ), 200).await.body(), second);
-        world.kill(2).await;
-        world.until(NEWCOMER, &Call::post(REPLACE, "Base-Version: 9\r\n", &third), 200).await;
-        assert_eq!(world.until(1, &Call::get(READ), 200).await.body(), third);
+        cluster.until(0, &Call::post(REPLACE, "Base-Version: 0\r\n", &first), 200).await;
+        cluster.kill(0).await;
+        cluster.start_node(NEWCOMER, false);
+        cluster.until(1, &Call::post(REPLACE, "Base-Version: 5\r\n", &second), 200).await;
+        cluster.status_until(NEWCOMER, |status| status["serving"] == true).await;
+        assert_eq!(cluster.until(NEWCOMER, &Call::get(READ), 200).await.body(), second);
+        cluster.kill(2).await;
+        cluster.until(NEWCOMER, &Call::post(REPLACE, "Base-Version: 9\r\n", &third), 200).await;
+        assert_eq!(cluster.until(1, &Call::get(READ), 200).await.body(), third);
     });
 }
--- a/system/control/tests/nodes/orders.rs
+++ b/system/control/tests/nodes/orders.rs
@@ -5,7 +5,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-use crate::common::{run, transcript, Call, World};
+use crate::common::{run, transcript, Call, Cluster};
 use crate::exchanges::ready;
 
 const LOADED_REPORT: &str = r#"{"stage":"both","models":[{"name":"a","version":2,"adapters":[]}],"utilization":false,"sequence":1,"waiting":0,"running":0,"kvCacheUsed":0,"kvCacheTotal":1,"handles":0}"#;
@@ -47,10 +47,10 @@
     }
 }
 
-/// A world whose only store has a version that is not the newest.
+/// A cluster whose only store has a version that is not the newest.
 async fn ordered(number: u8, single_version: bool, answers: &[(&str, &str)], name: &str) {
-    let world = World::start(number);
-    ready(&world).await;
+    let cluster = Cluster::start(number);
+    ready(&cluster).await;
     let transcript = transcript();
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
     let address = listener.local_addr().expect("an address");
@@ -59,12 +59,12 @@
         "services":[{{"name":"s","healthPath":"/healthz","engine":{{"slots":4,"models":[{{"name":"a"}}]}}}}]}}"#
     );
     let replace = Call::post("/configuration/replace", "Base-Version: 0\r\n", &configuration);
-    world.until(0, &replace, 200).await;
+    cluster.until(0, &replace, 200).await;
     let heartbeat = format!(
         r#"{{"service":"s","address":"{address}","zone":"z","version":"v1","slots":4,"state":"ready","coldRemainingMs":0,"stage":"both","models":[{{"name":"a","version":1,"adapters":[]}}],"sequence":1}}"#
     );
-    world.until(0, &Call::post("/instances/i-1/heartbeat", "", &heartbeat), 200).await;
-    world.until(1, &Call::post("/version-put", "", r#"{"model":"a","version":2}"#), 200).await;
+    cluster.until(0, &Call::post("/instances/i-1/heartbeat", "", &heartbeat), 200).await;
+    cluster.until(1, &Call::post("/version-put", "", r#"{"model":"a","version":2}"#), 200).await;
     follow(listener, answers, &transcript).await;
     transcript.check(name);
 }
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn a_store_that_waits_for_its_requests_is_asked_for_reports() {
+fn a_store_that_waits_for_its_requests_is_polled_by_reports() {
     let answers = [("202 Accepted", ""), ("200 OK", EARLIER_REPORT), ("200 OK", LOADED_REPORT)];
     run(ordered(26, true, &answers, "order-and-reports"));
 }
@@ -98,12 +98,12 @@
 ];
 
 #[test]
-fn a_node_tells_operators_of_itself_under_the_keys_that_they_read() {
+fn the_status_of_a_node_has_the_keys_that_operators_read() {
     run(async {
-        let world = World::start(27);
-        ready(&world).await;
-        world.status_until(0, |status| status["serving"] == true).await;
-        let answer = world.call(0, &Call::get("/status"), None).await.expect("an answer");
+        let cluster = Cluster::start(27);
+        ready(&cluster).await;
+        cluster.status_until(0, |status| status["serving"] == true).await;
+        let answer = cluster.call(0, &Call::get("/status"), None).await.expect("an answer");
         let (head, body) = answer.text.split_once("\r\n\r\n").expect("a head");
         let mut status: Value = serde_json::from_str(body).expect("JSON");
         let fields = status.as_object_mut().expect("an object");
--- a/system/control/tests/nodes/updates.rs
+++ b/system/control/tests/nodes/updates.rs
@@ -1,6 +1,6 @@
 //! Updates of the configuration with three control nodes on loopback.
 
-use crate::common::{run, Call, World};
+use crate::common::{run, Call, Cluster};
 use crate::exchanges::ready;
 
 const REPLACE: &str = "/configuration/replace";
@@ -8,10 +8,10 @@
 const READ: &str = "/configuration/read";
 
 #[test]
-fn updates_are_taken_refused_and_read_back() {
+fn updates_are_applied_rejected_and_read_back() {
     run(async {
-        let world = World::start(11);
-        ready(&world).await;
+        let cluster = Cluster::start(11);
+        ready(&cluster).await;
         let transcript = crate::common::transcript();
         let whole = concat!(
             r#"{"version":5,"routes":[{"name":"r","host":"h","pathPrefix":"/r/","routeKind":"idempotent","#,
@@ -36,7 +36,7 @@
             (2, Call::get(READ)),
         ];
         for (node, call) in &calls {
-            world.call(*node, call, Some(&transcript)).await;
+            cluster.call(*node, call, Some(&transcript)).await;
         }
         transcript.check("updates");
     });
--- a/system/control/tests/partitions.rs
+++ b/system/control/tests/partitions.rs
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn the_last_full_member_is_never_given_up() {
+fn the_last_member_in_sync_is_never_removed() {
     let current = record(5, &[1, 3], &[1]);
     assert_eq!(change_of(&backends(&[Lost, Usable, Usable]), &current), None);
 }
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn one_that_retires_leaves_once_enough_others_are_full() {
+fn a_retiring_member_leaves_once_enough_others_are_in_sync() {
     let filling = record(5, &[1, 2, 3], &[1, 2]);
     let conditions = backends(&[Usable, Retiring, Usable]);
     assert_eq!(change_of(&conditions, &filling), None, "nothing changes while the third fills");
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn one_that_retires_keeps_its_place_before_the_full_members_behind_it() {
+fn a_retiring_member_keeps_its_position_before_the_members_in_sync_behind_it() {
     let current = record(4, &[2, 1], &[2, 1]);
     let next = change_of(&backends(&[Usable, Retiring, Usable]), &current).expect("a change");
     assert_eq!((next.chain, next.in_sync), (vec![2, 1, 3], vec![2, 1]));
@@ -285,17 +285,17 @@
 }
 
 #[test]
-fn disks_are_noted_where_they_report_from() {
+fn disks_are_registered_at_the_address_they_report_from() {
     let mut reports = BackendReports::new(REPORTS);
     for member in [1, 2, 3] {
         reports.on_report(Duration::ZERO, &node(member), BackendReport::default());
     }
-    let noted = |member| match member {
+    let registered = |member| match member {
         1 => Some(node(1).address),
         2 => Some(node(7).address),
         _ => None,
     };
-    assert_eq!(reports.unregistered(noted), [(2, node(2).address), (3, node(3).address)]);
+    assert_eq!(reports.unregistered(registered), [(2, node(2).address), (3, node(3).address)]);
 }
 
 #[test]
@@ -319,7 +319,7 @@
     news = { 2, 3, 1 }, of_an_older_epoch = { 1, 3, 0 }, known = { 2, 1, 0 }, outside_the_chain = { 2, 7, 0 },
     behind_one_that_is_not_known_to_be_full = { 2, 4, 0 }
 )]
-fn full_members_are_noted_once_and_in_the_order_of_the_chain(epoch: u64, member: u64, expected: usize) {
+fn members_in_sync_are_reported_once_and_in_the_order_of_the_chain(epoch: u64, member: u64, expected: usize) {
     let mut reports = BackendReports::new(REPORTS);
     let report = BackendReport { in_sync: vec![(4, epoch)], ..BackendReport::default() };
     reports.on_report(Duration::ZERO, &node(member), report);
--- a/system/control/tests/sessions.rs
+++ b/system/control/tests/sessions.rs
@@ -1,4 +1,4 @@
-//! Sessions: who owns them, when they end, and what is shared.
+//! Sessions: who owns them, when they expire, and what is replicated.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -52,8 +52,8 @@
         Self { sessions: Sessions::new(SETTINGS, control(last)), registry: Registry::default() }
     }
 
-    /// A heartbeat; the entry that is to be shared, if any.
-    fn hear(&mut self, now: Duration, sequence: u64, value: Value) -> Option<Entry> {
+    /// A heartbeat; the entry that is to be replicated, if any.
+    fn on_heartbeat(&mut self, now: Duration, sequence: u64, value: Value) -> Option<Entry> {
         match self.sessions.on_heartbeat(now, key(), sequence, value, self.registry.entry(&key())) {
             HeartbeatOutcome::Changed(entry) => {
                 assert!(self.registry.merge(entry.clone()), "what changed must be new here");
@@ -63,108 +63,108 @@
         }
     }
 
-    fn take(&mut self, now: Duration, from: u8, entry: &Entry) {
+    fn on_replicated(&mut self, now: Duration, from: u8, entry: &Entry) {
         if self.registry.merge(entry.clone()) {
             self.sessions.on_replicated(now, control(from), entry);
         }
     }
 
     fn expire(&mut self, now: Duration) -> Vec<Entry> {
-        let gone = self.sessions.expire(now);
-        for entry in &gone {
+        let expired = self.sessions.expire(now);
+        for entry in &expired {
             assert!(self.registry.merge(entry.clone()), "an end must be new here");
         }
-        gone
+        expired
     }
 
-    fn is_there(&self) -> bool {
+    fn is_present(&self) -> bool {
         self.registry.stores().count() == 1
     }
 }
 
 #[test]
-fn heartbeats_that_change_nothing_are_not_shared() {
+fn heartbeats_that_change_nothing_are_not_replicated() {
     let mut node = Node::new(1);
-    assert!(node.hear(INTERVAL, 4, ready()).is_some());
-    assert_eq!(node.hear(INTERVAL * 2, 5, ready()), None);
-    assert_eq!(node.hear(INTERVAL * 3, 6, ready()), None);
+    assert!(node.on_heartbeat(INTERVAL, 4, ready()).is_some());
+    assert_eq!(node.on_heartbeat(INTERVAL * 2, 5, ready()), None);
+    assert_eq!(node.on_heartbeat(INTERVAL * 3, 6, ready()), None);
 }
 
 #[test]
-fn a_change_of_state_is_shared_with_its_own_sequence() {
+fn a_change_of_state_is_replicated_with_its_own_sequence() {
     let mut node = Node::new(1);
-    node.hear(INTERVAL, 4, ready());
-    let entry = node.hear(INTERVAL * 2, 9, store(StoreState::Draining)).expect("a change");
+    node.on_heartbeat(INTERVAL, 4, ready());
+    let entry = node.on_heartbeat(INTERVAL * 2, 9, store(StoreState::Draining)).expect("a change");
     assert_eq!(entry.version, 9);
 }
 
 #[test]
 fn a_heartbeat_that_is_late_behind_one_that_changed_nothing_changes_nothing_either() {
     let mut node = Node::new(1);
-    node.hear(INTERVAL, 4, ready());
-    node.hear(INTERVAL * 2, 9, ready());
-    assert_eq!(node.hear(INTERVAL * 3, 8, store(StoreState::Draining)), None);
+    node.on_heartbeat(INTERVAL, 4, ready());
+    node.on_heartbeat(INTERVAL * 2, 9, ready());
+    assert_eq!(node.on_heartbeat(INTERVAL * 3, 8, store(StoreState::Draining)), None);
 }
 
 #[test]
 fn a_late_heartbeat_changes_nothing() {
     let mut node = Node::new(1);
-    node.hear(INTERVAL, 9, store(StoreState::Draining));
-    assert_eq!(node.hear(INTERVAL * 2, 8, ready()), None);
+    node.on_heartbeat(INTERVAL, 9, store(StoreState::Draining));
+    assert_eq!(node.on_heartbeat(INTERVAL * 2, 8, ready()), None);
     assert!(node.registry.stores().all(|(_, store)| store.state == StoreState::Draining));
     node.expire(INTERVAL * 9);
-    assert!(!node.is_there(), "the end goes behind the newest heartbeat, not behind the late one");
+    assert!(!node.is_present(), "the end goes behind the newest heartbeat, not behind the late one");
 }
 
 #[parameterized(within = { 3, true }, beyond = { 4, false })]
-fn a_source_is_gone_after_three_silent_intervals(intervals: u32, there: bool) {
+fn a_session_expires_after_three_missed_heartbeats(intervals: u32, there: bool) {
     let mut node = Node::new(1);
-    node.hear(Duration::ZERO, 4, ready());
+    node.on_heartbeat(Duration::ZERO, 4, ready());
     node.expire(INTERVAL * intervals);
-    assert_eq!(node.is_there(), there);
+    assert_eq!(node.is_present(), there);
 }
 
 #[test]
-fn a_source_that_was_only_silent_is_back_with_its_next_heartbeat() {
+fn a_source_whose_session_expired_is_back_with_its_next_heartbeat() {
     let mut node = Node::new(1);
-    node.hear(Duration::ZERO, 4, ready());
-    node.hear(INTERVAL, 5, ready());
+    node.on_heartbeat(Duration::ZERO, 4, ready());
+    node.on_heartbeat(INTERVAL, 5, ready());
     node.expire(INTERVAL * 6);
-    assert!(!node.is_there());
-    let entry = node.hear(INTERVAL * 7, 6, ready()).expect("news");
+    assert!(!node.is_present());
+    let entry = node.on_heartbeat(INTERVAL * 7, 6, ready()).expect("a change");
     assert_eq!(entry.version, 6);
-    assert!(node.is_there());
+    assert!(node.is_present());
 }
 
 #[test]
-fn a_source_that_ended_itself_stays_gone() {
+fn a_source_that_deregistered_stays_removed() {
     let mut node = Node::new(1);
-    node.hear(Duration::ZERO, 4, ready());
+    node.on_heartbeat(Duration::ZERO, 4, ready());
     let entry = node.sessions.end(key());
     assert_eq!((entry.version, entry.value.clone()), (FINAL_VERSION, Value::Tombstone));
     node.registry.merge(entry);
-    assert_eq!(node.hear(INTERVAL, 7, ready()), None);
-    assert!(!node.is_there());
+    assert_eq!(node.on_heartbeat(INTERVAL, 7, ready()), None);
+    assert!(!node.is_present());
     assert!(node.expire(INTERVAL * 9).is_empty(), "a late heartbeat opens no session");
 }
 
 #[test]
 fn one_that_was_superseded_by_mistake_is_back_with_its_next_heartbeat() {
     let mut node = Node::new(1);
-    node.hear(Duration::ZERO, 4, ready());
-    let gone = node.sessions.supersede(key()).expect("a session");
-    assert!(node.registry.merge(gone));
-    assert_eq!(node.hear(INTERVAL, 4, ready()), None, "a late heartbeat is no sign of life");
-    assert!(!node.is_there());
-    assert!(node.hear(INTERVAL, 5, ready()).is_some());
-    assert!(node.is_there());
+    node.on_heartbeat(Duration::ZERO, 4, ready());
+    let expired = node.sessions.supersede(key()).expect("a session");
+    assert!(node.registry.merge(expired));
+    assert_eq!(node.on_heartbeat(INTERVAL, 4, ready()), None, "a late heartbeat is no sign of life");
+    assert!(!node.is_present());
+    assert!(node.on_heartbeat(INTERVAL, 5, ready()).is_some());
+    assert!(node.is_present());
 }
 
 #[test]
 fn only_the_owner_ends_a_session() {
     let (mut owner, mut other) = (Node::new(1), Node::new(2));
-    let entry = owner.hear(Duration::ZERO, 4, ready()).expect("news");
-    other.take(Duration::ZERO, 1, &entry);
+    let entry = owner.on_heartbeat(Duration::ZERO, 4, ready()).expect("a change");
+    other.on_replicated(Duration::ZERO, 1, &entry);
     assert!(other.expire(INTERVAL * 100).is_empty());
     assert_eq!(owner.expire(INTERVAL * 100).len(), 1);
 }
@@ -172,10 +172,10 @@
 #[test]
 fn a_source_that_moves_takes_its_session_along() {
     let (mut first, mut second) = (Node::new(1), Node::new(2));
-    let entry = first.hear(Duration::ZERO, 4, ready()).expect("news");
-    second.take(Duration::ZERO, 1, &entry);
-    let moved = second.hear(INTERVAL, 5, ready()).expect("a new owner is news");
-    first.take(INTERVAL, 2, &moved);
+    let entry = first.on_heartbeat(Duration::ZERO, 4, ready()).expect("a change");
+    second.on_replicated(Duration::ZERO, 1, &entry);
+    let moved = second.on_heartbeat(INTERVAL, 5, ready()).expect("a new owner is a change");
+    first.on_replicated(INTERVAL, 2, &moved);
     assert_eq!(first.sessions.owner(&key()), Some(control(2)));
     assert!(first.expire(INTERVAL * 100).is_empty());
 }
@@ -183,43 +183,44 @@
 #[test]
 fn the_end_declared_by_a_former_owner_does_not_beat_a_later_heartbeat_elsewhere() {
     let (mut first, mut second) = (Node::new(1), Node::new(2));
-    let entry = first.hear(Duration::ZERO, 4, ready()).expect("news");
-    second.take(Duration::ZERO, 1, &entry);
-    second.hear(INTERVAL, 5, ready());
-    // The two are cut off from each other: the first has heard nothing of the move.
-    let gone = first.expire(INTERVAL * 6);
-    second.take(INTERVAL * 6, 1, &gone[0]);
-    assert!(second.is_there());
+    let entry = first.on_heartbeat(Duration::ZERO, 4, ready()).expect("a change");
+    second.on_replicated(Duration::ZERO, 1, &entry);
+    second.on_heartbeat(INTERVAL, 5, ready());
+    // The two are cut off from each other: the first has received nothing of the move.
+    let expired = first.expire(INTERVAL * 6);
+    second.on_replicated(INTERVAL * 6, 1, &expired[0]);
+    assert!(second.is_present());
 }
 
 #[test]
-fn sessions_of_a_lost_owner_get_a_new_grace_and_end_after_it() {
-    let (mut owner, mut heir) = (Node::new(1), Node::new(2));
-    let entry = owner.hear(Duration::ZERO, 4, ready()).expect("news");
-    heir.take(Duration::ZERO, 1, &entry);
+fn sessions_of_a_lost_owner_get_a_new_timeout_and_expire_after_it() {
+    let (mut owner, mut successor) = (Node::new(1), Node::new(2));
+    let entry = owner.on_heartbeat(Duration::ZERO, 4, ready()).expect("a change");
+    successor.on_replicated(Duration::ZERO, 1, &entry);
     let lost_at = INTERVAL * 10;
-    heir.sessions.take_over(lost_at, control(1));
-    assert!(heir.expire(lost_at + INTERVAL * 3).is_empty());
-    assert_eq!(heir.expire(lost_at + INTERVAL * 4).len(), 1);
+    successor.sessions.take_over(lost_at, control(1));
+    assert!(successor.expire(lost_at + INTERVAL * 3).is_empty());
+    assert_eq!(successor.expire(lost_at + INTERVAL * 4).len(), 1);
 }
 
 #[test]
-fn whoever_hears_an_adopted_source_tells_the_other_heirs() {
-    let (mut owner, mut heir, mut other) = (Node::new(1), Node::new(2), Node::new(3));
-    let entry = owner.hear(Duration::ZERO, 4, ready()).expect("news");
-    for node in [&mut heir, &mut other] {
-        node.take(Duration::ZERO, 1, &entry);
+fn the_node_that_receives_a_heartbeat_of_a_taken_over_session_replicates_it() {
+    let (mut owner, mut successor, mut other) = (Node::new(1), Node::new(2), Node::new(3));
+    let entry = owner.on_heartbeat(Duration::ZERO, 4, ready()).expect("a change");
+    for node in [&mut successor, &mut other] {
+        node.on_replicated(Duration::ZERO, 1, &entry);
         node.sessions.take_over(INTERVAL, control(1));
     }
-    let heard = heir.hear(INTERVAL * 2, 6, ready()).expect("the others must learn who owns it now");
-    other.take(INTERVAL * 2, 2, &heard);
+    let received =
+        successor.on_heartbeat(INTERVAL * 2, 6, ready()).expect("the others must learn who owns it now");
+    other.on_replicated(INTERVAL * 2, 2, &received);
     assert!(other.expire(INTERVAL * 100).is_empty());
 }
 
 #[test]
-fn a_process_that_stood_still_ends_nothing_at_once() {
+fn a_process_that_stood_still_expires_no_session_before_a_new_timeout() {
     let mut node = Node::new(1);
-    node.hear(Duration::ZERO, 4, ready());
+    node.on_heartbeat(Duration::ZERO, 4, ready());
     node.sessions.restart_timeouts(INTERVAL * 20);
     assert!(node.expire(INTERVAL * 21).is_empty());
     assert_eq!(node.expire(INTERVAL * 24).len(), 1);
@@ -236,68 +237,68 @@
 
 const BATCH: usize = 2;
 
-fn sharing() -> SessionReplication {
+fn replication() -> SessionReplication {
     let settings =
         ReplicationSettings { resend: Duration::from_millis(250), batch_entries: BATCH, max_peers: 2 };
-    let mut sharing = SessionReplication::new(settings);
-    sharing.on_peer_connected(control(2), std::iter::empty());
-    sharing
+    let mut replication = SessionReplication::new(settings);
+    replication.on_peer_connected(control(2), std::iter::empty());
+    replication
 }
 
 #[test]
-fn a_change_is_held_once_the_peer_has_answered() {
+fn a_change_is_replicated_once_the_peer_has_acknowledged_it() {
     let (registry, keys) = registry_with(1);
-    let mut sharing = sharing();
-    sharing.mark_dirty(&keys[0]);
-    assert!(!sharing.is_replicated_to(control(2), &keys[0]));
-    let shares = sharing.poll(Duration::ZERO, &registry);
-    assert_eq!((shares.len(), shares[0].to, shares[0].entries.len()), (1, control(2), 1));
-    assert!(!sharing.is_replicated_to(control(2), &keys[0]));
-    sharing.on_acknowledged(control(2), shares[0].sequence);
-    assert!(sharing.is_replicated_to(control(2), &keys[0]));
+    let mut replication = replication();
+    replication.mark_dirty(&keys[0]);
+    assert!(!replication.is_replicated_to(control(2), &keys[0]));
+    let batches = replication.poll(Duration::ZERO, &registry);
+    assert_eq!((batches.len(), batches[0].to, batches[0].entries.len()), (1, control(2), 1));
+    assert!(!replication.is_replicated_to(control(2), &keys[0]));
+    replication.on_acknowledged(control(2), batches[0].sequence);
+    assert!(replication.is_replicated_to(control(2), &keys[0]));
 }
 
 #[test]
-fn what_changes_again_under_way_is_sent_again() {
+fn an_entry_that_changes_while_in_flight_is_sent_again() {
     let (registry, keys) = registry_with(1);
-    let mut sharing = sharing();
-    sharing.mark_dirty(&keys[0]);
-    let first = sharing.poll(Duration::ZERO, &registry);
-    sharing.mark_dirty(&keys[0]);
-    sharing.on_acknowledged(control(2), first[0].sequence);
-    assert!(!sharing.is_replicated_to(control(2), &keys[0]));
-    assert_eq!(sharing.poll(Duration::ZERO, &registry).len(), 1);
+    let mut replication = replication();
+    replication.mark_dirty(&keys[0]);
+    let first = replication.poll(Duration::ZERO, &registry);
+    replication.mark_dirty(&keys[0]);
+    replication.on_acknowledged(control(2), first[0].sequence);
+    assert!(!replication.is_replicated_to(control(2), &keys[0]));
+    assert_eq!(replication.poll(Duration::ZERO, &registry).len(), 1);
 }
 
 #[test]
-fn a_message_without_answer_is_repeated_under_a_new_number() {
+fn a_batch_without_an_acknowledgement_is_resent_under_a_new_sequence() {
     let (registry, keys) = registry_with(1);
-    let mut sharing = sharing();
-    sharing.mark_dirty(&keys[0]);
-    let first = sharing.poll(Duration::ZERO, &registry);
-    assert!(sharing.poll(Duration::from_millis(200), &registry).is_empty());
-    let second = sharing.poll(Duration::from_millis(250), &registry);
+    let mut replication = replication();
+    replication.mark_dirty(&keys[0]);
+    let first = replication.poll(Duration::ZERO, &registry);
+    assert!(replication.poll(Duration::from_millis(200), &registry).is_empty());
+    let second = replication.poll(Duration::from_millis(250), &registry);
     assert_eq!(second[0].entries, first[0].entries);
-    sharing.on_acknowledged(control(2), first[0].sequence);
+    replication.on_acknowledged(control(2), first[0].sequence);
     assert!(
-        !sharing.is_replicated_to(control(2), &keys[0]),
+        !replication.is_replicated_to(control(2), &keys[0]),
         "an answer to the lost copy says nothing of the newest"
     );
 }
 
 #[test]
-fn a_peer_that_is_lost_is_told_all_when_it_is_back() {
+fn a_lost_peer_gets_all_entries_when_it_is_back() {
     let (registry, keys) = registry_with(3);
-    let mut sharing = sharing();
-    sharing.mark_dirty(&keys[0]);
-    sharing.on_peer_lost(control(2));
-    assert!(!sharing.is_replicated_to(control(2), &keys[0]), "nothing is known of a peer that is lost");
-    sharing.on_peer_connected(control(2), keys.iter().cloned());
-    let mut told = 0;
-    while let Some(share) = sharing.poll(Duration::ZERO, &registry).pop() {
-        assert!(share.entries.len() <= BATCH);
-        told += share.entries.len();
-        sharing.on_acknowledged(control(2), share.sequence);
+    let mut replication = replication();
+    replication.mark_dirty(&keys[0]);
+    replication.on_peer_lost(control(2));
+    assert!(!replication.is_replicated_to(control(2), &keys[0]), "nothing is known of a peer that is lost");
+    replication.on_peer_connected(control(2), keys.iter().cloned());
+    let mut sent = 0;
+    while let Some(batch) = replication.poll(Duration::ZERO, &registry).pop() {
+        assert!(batch.entries.len() <= BATCH);
+        sent += batch.entries.len();
+        replication.on_acknowledged(control(2), batch.sequence);
     }
-    assert_eq!(told, 3);
+    assert_eq!(sent, 3);
 }
--- a/system/control/tests/state.rs
+++ b/system/control/tests/state.rs
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn the_newest_configuration_stays_whole() {
+fn the_newest_configuration_stays_complete() {
     let (state, _) =
         outcome(&[replace(0, 5, "a"), replace(5, 9, "b"), replace(5, 8, "c"), replace(0, 5, "a")]);
     assert_eq!(state.configuration().version(), 9);
@@ -181,7 +181,7 @@
 }
 
 #[test]
-fn what_is_refused_on_a_base_to_come_is_never_taken_however_many_are() {
+fn a_change_rejected_on_a_newer_base_is_never_applied_however_many_are_rejected() {
     let mut state = ControlState::default();
     let change = |number: u64| replace(7, 9, &format!("change {number}"));
     let refused = REJECTED_HISTORY as u64;
@@ -270,7 +270,7 @@
 
 /// Which machine has to be waited for is known through any number of restarts of the one that follows, until that one has waited.
 #[test]
-fn fencing_tokens_rise_by_one_and_tell_which_other_machine_had_one_before() {
+fn fencing_tokens_rise_by_one_and_name_the_previous_owner_on_another_machine() {
     let mut state = ControlState::default();
     let mut previous = Vec::new();
     let takes = [(1, 10), (1, 10), (1, 11), (2, 20), (2, 20), (2, 21), (1, 12)];
@@ -287,7 +287,7 @@
 }
 
 #[test]
-fn a_machine_that_has_waited_for_the_one_before_need_not_again_after_a_restart() {
+fn a_machine_that_has_completed_its_handover_needs_no_other_after_a_restart() {
     let previous =
         |state: &ControlState| state.fencing().and_then(|fence| fence.previous_owner.clone()).is_some();
     let settle = |token: u64| Command::CompleteHandover { token };
@@ -350,7 +350,7 @@
 }
 
 #[test]
-fn a_full_member_raises_the_entry_that_all_nodes_see() {
+fn a_member_in_sync_raises_the_version_of_the_partitions_entry() {
     let (state, _) = outcome(&[take_fence(1, 1), set(1, &[1, 2], &[1, 2], 1), set(2, &[1, 3], &[1], 1)]);
     let before = state.changed_entries(&set(2, &[1, 3], &[1], 1));
     let mut state = state;
@@ -385,7 +385,7 @@
 }
 
 #[test]
-fn where_disks_are_is_kept_and_bounded() {
+fn registered_backends_are_kept_and_bounded() {
     let note = |member: u64, last: u8| Command::RegisterBackend { member, address: address(last) };
     let (mut state, last) = outcome(&[take_fence(1, 1), set(1, &[1, 2], &[1, 2], 1), note(1, 1), note(1, 2)]);
     assert_eq!(last, CommandOutcome::Applied);
--- a/system/control/tests/submissions.rs
+++ b/system/control/tests/submissions.rs
@@ -1,4 +1,4 @@
-//! Commands on their way to the head: sent again when they may be lost, and given up in time.
+//! Commands in flight to the head: resent when they may be lost, and expired at their deadlines.
 
 use std::time::Duration;
 
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_command_without_outcome_is_sent_again() {
+fn a_command_without_an_outcome_is_sent_again() {
     let (mut submissions, request) = submissions();
     assert!(submissions.due(ms(599)).is_empty());
     let again = submissions.due(ms(600));
@@ -37,14 +37,14 @@
 }
 
 #[test]
-fn a_change_of_view_sends_it_at_once() {
+fn a_command_in_flight_is_sent_again_when_a_view_is_installed() {
     let (mut submissions, _) = submissions();
     submissions.on_view_installed(ms(200));
     assert_eq!(submissions.due(ms(200)).len(), 1);
 }
 
 #[test]
-fn one_that_reached_no_head_is_tried_soon() {
+fn a_command_that_reached_no_head_is_retried_soon() {
     let (mut submissions, request) = submissions();
     submissions.not_sent(ms(10), request);
     assert_eq!(submissions.next_timer(), Some(ms(70)));
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn one_without_outcome_is_given_up_in_time() {
+fn a_command_without_an_outcome_expires_at_its_deadline() {
     let (mut submissions, _) = submissions();
     assert!(submissions.expire(ms(1_499)).is_empty());
     assert_eq!(submissions.expire(ms(1_500)), ["caller"]);
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn too_many_are_refused() {
+fn commands_beyond_the_capacity_are_rejected() {
     let (mut submissions, _) = submissions();
     assert!(submissions.add(ms(0), Command::Noop, LIMIT, "second").is_ok());
     assert_eq!(submissions.add(ms(0), Command::Noop, LIMIT, "third"), Err("third"));
--- a/system/control/tests/weights.rs
+++ b/system/control/tests/weights.rs
@@ -6,7 +6,7 @@
 use gingerledge_control::coordinator::load_schedule::{LoadOutcome, LoadSchedule, LoadScheduleSettings};
 use gingerledge_control::coordinator::model_usage::{ModelUsage, MAX_MODELS, MAX_ROUTES};
 use gingerledge_control::coordinator::weights::{
-    due, EngineService, EngineStore, Load, LoadMethod, WantedModel,
+    due_loads, EngineService, EngineStore, Load, LoadMethod, WantedModel,
 };
 use gingerledge_protocol::{Configuration, Route};
 use yare::parameterized;
@@ -49,11 +49,11 @@
     expected: usize,
 ) {
     let mut service = service(stores(12), models, method);
-    let loads = due(&service);
+    let loads = due_loads(&service);
     assert_eq!(loaded_at(&loads).len(), expected);
     assert!(loads.iter().all(|load| load.model == "a" && load.version == 2 && load.method == method));
     load_all(&mut service, &loads);
-    assert!(due(&service).is_empty(), "what is loaded is not loaded again");
+    assert!(due_loads(&service).is_empty(), "what is loaded is not loaded again");
 }
 
 #[test]
@@ -61,10 +61,10 @@
     let mut service = service(stores(4), &[("a", 3, 2)], LoadMethod::Blocking);
     service.stores[0].versions.insert("a".to_owned(), 2);
     service.stores[1].versions.insert("a".to_owned(), 3);
-    assert_eq!(loaded_at(&due(&service)), BTreeSet::from(["i-02", "i-03"]));
-    let loads = due(&service);
+    assert_eq!(loaded_at(&due_loads(&service)), BTreeSet::from(["i-02", "i-03"]));
+    let loads = due_loads(&service);
     load_all(&mut service, &loads);
-    assert!(due(&service).is_empty());
+    assert!(due_loads(&service).is_empty());
 }
 
 #[parameterized(even = { 12, 6 }, odd = { 11, 6 }, few = { 3, 2 }, one = { 1, 1 })]
@@ -73,10 +73,10 @@
     for version in 2..9 {
         let wanted = WantedModel { version, floor: version - 1, method: LoadMethod::Blocking };
         service.models.insert("a".to_owned(), wanted);
-        let loads = due(&service);
+        let loads = due_loads(&service);
         assert!(loads.len() <= most, "version {version}: {}", loads.len());
         load_all(&mut service, &loads);
-        assert!(due(&service).is_empty());
+        assert!(due_loads(&service).is_empty());
         let left_behind = service.stores.iter().filter(|store| store.versions.get("a") != Some(&version));
         assert!(left_behind.count() <= most, "the next version has to replace no more");
     }
@@ -88,7 +88,7 @@
     for (store, version) in service.stores.iter_mut().zip([4, 2, 4, 4, 3, 4, 4, 4]) {
         store.versions.insert("a".to_owned(), version);
     }
-    let loads = due(&service);
+    let loads = due_loads(&service);
     assert_eq!(loaded_at(&loads[..2]), BTreeSet::from(["i-01", "i-04"]));
     assert_eq!(loads.len(), 4, "the next version leaves no more than half behind");
 }
@@ -102,7 +102,7 @@
         service
             .models
             .insert("a".to_owned(), WantedModel { version, floor: version, method: LoadMethod::Preserve });
-        let loads = due(&service);
+        let loads = due_loads(&service);
         let ids: BTreeSet<String> =
             loads.iter().filter(|load| load.model == "a").map(|load| load.id.clone()).collect();
         assert_eq!(ids.len(), 6);
@@ -113,12 +113,12 @@
     // Where one of them goes, one takes its place.
     let gone = before.as_ref().and_then(|ids| ids.first()).cloned().expect("a store");
     service.stores.retain(|store| store.id != gone);
-    let loads = due(&service);
+    let loads = due_loads(&service);
     let of_a = loads.iter().filter(|load| load.model == "a");
     assert_eq!(of_a.count(), 0, "five of ten are half");
     service.stores.truncate(8);
     service.models.insert("a".to_owned(), WantedModel { version: 6, floor: 6, method: LoadMethod::Preserve });
-    assert_eq!(due(&service).iter().filter(|load| load.model == "a").count(), 4);
+    assert_eq!(due_loads(&service).iter().filter(|load| load.model == "a").count(), 4);
 }
 
 #[test]
@@ -127,14 +127,14 @@
     for store in service.stores.iter_mut().take(2) {
         store.versions.insert("a".to_owned(), 2);
     }
-    let models: Vec<String> = due(&service).into_iter().map(|load| load.model).collect();
+    let models: Vec<String> = due_loads(&service).into_iter().map(|load| load.model).collect();
     assert_eq!(models, ["b", "b", "b", "b", "b", "b", "b", "b", "a", "a", "a", "a", "a", "a"]);
 }
 
 #[test]
 fn models_begin_at_stores_of_their_own() {
     let service = service(stores(12), &[("a", 2, 2), ("b", 2, 2), ("c", 2, 2)], LoadMethod::Preserve);
-    let loads = due(&service);
+    let loads = due_loads(&service);
     let order = |model: &str| -> Vec<&str> {
         loads.iter().filter(|load| load.model == model).map(|load| load.id.as_str()).collect()
     };
@@ -144,8 +144,8 @@
 
 #[test]
 fn a_service_without_stores_or_models_loads_nothing() {
-    assert!(due(&service(Vec::new(), &[("a", 2, 2)], LoadMethod::Preserve)).is_empty());
-    assert!(due(&service(stores(3), &[], LoadMethod::Preserve)).is_empty());
+    assert!(due_loads(&service(Vec::new(), &[("a", 2, 2)], LoadMethod::Preserve)).is_empty());
+    assert!(due_loads(&service(stores(3), &[], LoadMethod::Preserve)).is_empty());
 }
 
 /// One trainer's steps: each is asked `ahead` versions early and allows versions from so many below it on.
@@ -328,7 +328,7 @@
         for _ in 0..10 {
             now += engines.load_all(loads, now, 120).0 + Duration::from_secs(5);
         }
-        loads.at_once("s")
+        loads.limit("s")
     };
     let many = after(&mut loads, 40);
     let few = after(&mut loads, 8);
@@ -347,13 +347,13 @@
         now += 300;
         loads.on_load_ended(Duration::from_millis(now), id, LoadOutcome::Done);
     }
-    let before = loads.at_once("s");
+    let before = loads.limit("s");
     for id in &all {
         started_by(&mut loads, now, &[id], LoadMethod::Blocking);
         now += 4_000;
         loads.on_load_ended(Duration::from_millis(now), id, LoadOutcome::Done);
     }
-    assert_eq!(loads.at_once("s"), before);
+    assert_eq!(loads.limit("s"), before);
 }
 
 #[test]
@@ -373,7 +373,7 @@
 }
 
 #[parameterized(busy = { LoadOutcome::Busy, 300 }, failed = { LoadOutcome::Failed, 1_200 })]
-fn a_store_that_did_not_load_is_asked_again_later(end: LoadOutcome, pause: u64) {
+fn a_load_that_failed_is_retried_later(end: LoadOutcome, pause: u64) {
     let mut loads = LoadSchedule::new(LOADS);
     started(&mut loads, 0, &["i-1"]);
     loads.on_load_ended(Duration::ZERO, "i-1", end);
@@ -431,7 +431,7 @@
 }
 
 #[test]
-fn uses_are_bounded() {
+fn model_usage_is_bounded() {
     let (mut uses, mut configuration) = (ModelUsage::default(), configuration());
     for at in 0..MAX_ROUTES + 5 {
         let route = Route { path_prefix: format!("/p{at}/"), ..configuration.routes[1].clone() };
