--- a/system/bin/tests/control_faults.rs
+++ b/system/bin/tests/control_faults.rs
@@ -220,7 +220,7 @@
 /// The identity that a backend runs under: the last that it has logged.
 fn member_of(world: &World, backend: &str) -> String {
     let log = world.fleet.log(backend);
-    let (_, last) = log.rsplit_once("node: member ").expect("a backend logs its identity");
+    let (_, last) = log.rsplit_once("node: backend started member=").expect("a backend logs its identity");
     let padded = last.split_whitespace().next().expect("an identity");
     // The status writes it without the zeros in front.
     padded.trim_start_matches('0').to_owned()
--- a/system/jobs/src/backend/record.rs
+++ b/system/jobs/src/backend/record.rs
@@ -1,4 +1,6 @@
-//! What a backend keeps on its disk: its identity, and the records of all its partitions in one log.
+//! The records on a backend's disk: its identity, and the records of all its partitions in one log.
+//!
+//! Encoded by bincode: never reorder the variants.
 
 use std::collections::BTreeMap;
 
@@ -13,20 +15,24 @@
 /// One record on the disk.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum DiskRecord {
-    /// The identity of the disk. It comes first.
+    /// The identity of the disk; the first record.
     Identity(u64),
     /// A record of a partition's replica.
     Partition(u16, LogRecord),
 }
 
 impl DiskRecord {
-    /// The bytes that the disk holds.
+    /// The bytes of the record on the disk.
+    ///
+    /// # Errors
+    ///
+    /// The record can't be encoded.
     pub fn encode(&self) -> Result<Vec<u8>, JobsError> {
         codec::encode(self).context(RecordSnafu)
     }
 }
 
-/// All that a disk holds.
+/// The content of a disk.
 #[derive(Debug, Default)]
 pub struct DiskContent {
     /// The identity of the disk, if it has one.
@@ -36,7 +42,11 @@
 }
 
 impl DiskContent {
-    /// Reads the records of a disk in order.
+    /// Reads the records of a disk, in order.
+    ///
+    /// # Errors
+    ///
+    /// A record can't be decoded.
     pub fn read(records: impl IntoIterator<Item = Vec<u8>>) -> Result<Self, JobsError> {
         let mut content = Self::default();
         for bytes in records {
@@ -45,7 +55,9 @@
                 DiskRecord::Partition(partition, record) if partition < PARTITION_COUNT => {
                     content.partitions.entry(partition).or_default().push(record);
                 }
-                DiskRecord::Partition(partition, _) => log::warn!("no partition has the number {partition}"),
+                DiskRecord::Partition(partition, _) => {
+                    log::warn!(partition; "record of an unknown partition ignored")
+                }
             }
         }
         Ok(content)
--- a/system/jobs/src/error.rs
+++ b/system/jobs/src/error.rs
@@ -1,4 +1,4 @@
-//! What can go wrong in the backend plane.
+//! Errors of the backend plane.
 
 use gingerledge_storage::StorageError;
 use gingerledge_transport::TransportError;
@@ -6,47 +6,47 @@
 
 pub use crate::codec::CodecError;
 
-/// Why the backend can't go on, or can't take something.
+/// Why a backend can't start, or can't read or write something.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum JobsError {
-    /// A command of a partition's chain.
+    /// A command of a partition can't be encoded or decoded.
     #[snafu(display("a command {source}"))]
     Command {
-        /// What is wrong with it.
+        /// The cause.
         source: CodecError,
     },
-    /// The state of a partition.
+    /// The state of a partition can't be encoded or decoded.
     #[snafu(display("the state of a partition {source}"))]
     State {
-        /// What is wrong with it.
+        /// The cause.
         source: CodecError,
     },
-    /// A record on the disk.
+    /// A record of the disk can't be encoded or decoded.
     #[snafu(display("a record on the disk {source}"))]
     Record {
-        /// What is wrong with it.
+        /// The cause.
         source: CodecError,
     },
-    /// The settings name no folder for data.
+    /// The settings name no data directory.
     #[snafu(display("dataDir: is missing; a backend needs a disk"))]
     NoDisk,
-    /// The disk.
+    /// The disk can't be opened or written.
     #[snafu(display("the disk: {source}"))]
     Disk {
-        /// What is wrong with it.
+        /// The cause.
         source: StorageError,
     },
     /// The network could not be set up.
     #[snafu(display("the network: {source}"))]
     Network {
-        /// What is wrong with it.
+        /// The cause.
         source: TransportError,
     },
-    /// The signals of the system can't be heard.
+    /// Signals of the operating system can't be received.
     #[snafu(display("signals: {source}"))]
     Signals {
-        /// What the system said.
+        /// The cause.
         source: std::io::Error,
     },
 }
--- a/system/jobs/src/lib.rs
+++ b/system/jobs/src/lib.rs
@@ -1,7 +1,7 @@
 //! The backend plane: batch jobs, their items and results, replicated by partition.
 //!
-//! [`store`] is the state of one partition, [`partition`] adds its replica and its duties as head and tail, [`backend`] holds
-//! all partitions over one disk; none of them does I/O. [`node`] owns the sockets, the disk and the time.
+//! [`store`] is the replicated state of one partition, [`partition`] adds its replica and the duties of head and tail, [`backend`]
+//! has all partitions on one disk; none of them does I/O. [`node`] owns the sockets, the disk and the clock.
 
 mod codec;
 mod error;
--- a/system/jobs/src/node/disk.rs
+++ b/system/jobs/src/node/disk.rs
@@ -1,7 +1,7 @@
 //! The disk of a backend: a ring of files, written on a thread of its own.
 //!
-//! After a failed write the ring takes nothing but a snapshot. Records that come meanwhile are not queued: the snapshot that
-//! ends this state holds them all.
+//! After a failed write the ring accepts nothing but a snapshot. Records that are appended meanwhile are not queued: the snapshot
+//! that ends this state contains them all.
 
 use std::collections::VecDeque;
 use std::path::Path;
@@ -15,35 +15,40 @@
 use crate::error::{DiskSnafu, JobsError};
 use crate::settings::JobsSettings;
 
-/// The pause before a refused snapshot is tried again.
+/// Time from a failed snapshot to the next attempt.
 const SNAPSHOT_RETRY: Duration = Duration::from_millis(500);
-/// Batches and bytes given to the writer at once; both below its own bounds.
-const MOST_QUEUED: usize = 2048;
-const MOST_QUEUED_BYTES: usize = 8 * 1024 * 1024;
+/// Bounds the batches and bytes that the writer has at a time; both are below its own bounds.
+const MAX_QUEUED: usize = 2048;
+const MAX_QUEUED_BYTES: usize = 8 * 1024 * 1024;
 
-/// What was on the disk, and the ring to go on with.
+/// The content of the disk, and the ring for further writes.
 pub(super) struct Opened {
     pub member: u64,
     pub content: DiskContent,
     pub ring: Ring<FileDisk>,
 }
 
-/// Opens the ring of a folder. A disk without a ring gets the new identity, durably, before anybody hears of it; so does
-/// one whose synced bytes are damaged, since it can't be told what it has lost.
+/// Opens the ring of a directory. A disk without a ring gets the new identity, which is durable before it is used; so does one
+/// whose synced bytes are corrupt: what it has lost is unknown, so that it must not count as the member that it was.
+///
+/// # Errors
+///
+/// The disk can't be read or written, or a record on it can't be decoded.
 pub(super) fn open(folder: &Path, settings: &JobsSettings, new_member: u64) -> Result<Opened, JobsError> {
     let shape = RingSettings { files: settings.ring_files, file_bytes: settings.ring_file_bytes };
     let disk = FileDisk::open(folder).context(DiskSnafu)?;
     let (ring, recovered) = match Ring::open(disk, shape) {
         Err(error @ StorageError::Corrupt { .. }) => {
-            log::error!("the disk starts anew as another member: {error}");
-            Ring::open(emptied(folder)?, shape).context(DiskSnafu)?
+            log::error!("disk corrupt, erased for a new member: {error}");
+            Ring::open(erase(folder)?, shape).context(DiskSnafu)?
         }
         opened => opened.context(DiskSnafu)?,
     };
     identify(ring, recovered, new_member)
 }
 
-fn emptied(folder: &Path) -> Result<FileDisk, JobsError> {
+/// Removes all files of a directory.
+fn erase(folder: &Path) -> Result<FileDisk, JobsError> {
     let mut disk = FileDisk::open(folder).context(DiskSnafu)?;
     for file in disk.list().context(DiskSnafu)? {
         disk.remove(&file.name).context(DiskSnafu)?;
@@ -52,6 +57,7 @@
     Ok(disk)
 }
 
+/// Reads the identity of the disk, or gives it the new one.
 fn identify(mut ring: Ring<FileDisk>, recovered: Recovered, new_member: u64) -> Result<Opened, JobsError> {
     let content = DiskContent::read(recovered.snapshot.into_iter().chain(recovered.records))?;
     let member = match content.member {
@@ -64,7 +70,7 @@
     Ok(Opened { member, content, ring })
 }
 
-/// Something that the writer works on.
+/// A write that is queued at the writer.
 #[derive(Debug)]
 struct Queued {
     /// The backend's token.
@@ -73,30 +79,35 @@
     is_snapshot: bool,
 }
 
-/// The writing side.
+/// Queues writes for the writer's thread, and follows them until they are durable.
 pub(super) struct DiskWriter {
     writer: Writer,
     events: UnboundedReceiver<WriterEvent>,
-    /// What the writer works on, in order, and the number of the first.
+    /// Writes at the writer, in order.
     queued: VecDeque<Queued>,
+    /// The writer's number of the first one.
     first: u64,
     queued_bytes: usize,
-    /// What waits until the writer has room.
+    /// Batches that wait until the writer has capacity.
     backlog: VecDeque<(u64, Vec<Vec<u8>>)>,
-    /// A write failed; only a snapshot mends that.
-    broken: bool,
-    snapshot_queued: bool,
+    /// A write has failed; only a snapshot recovers from that.
+    has_failed: bool,
+    is_snapshot_queued: bool,
     wants_snapshot: bool,
     /// No snapshot before this time.
     retry_at: Duration,
 }
 
 impl DiskWriter {
-    /// Starts the thread.
+    /// Starts the thread of the writer.
+    ///
+    /// # Errors
+    ///
+    /// The thread can't be started.
     pub fn start(ring: Ring<FileDisk>) -> Result<Self, JobsError> {
         let (sender, events) = unbounded_channel();
         let on_event = Box::new(move |event| {
-            // Nobody listens any more once the process ends.
+            // The receiver is dropped when the process shuts down.
             let _ = sender.send(event);
         });
         Ok(Self {
@@ -106,20 +117,20 @@
             first: 0,
             queued_bytes: 0,
             backlog: VecDeque::new(),
-            broken: false,
-            snapshot_queued: false,
+            has_failed: false,
+            is_snapshot_queued: false,
             wants_snapshot: false,
             retry_at: Duration::ZERO,
         })
     }
 
-    /// Waits for what the thread has to say.
+    /// Waits for the next event of the writer.
     pub async fn next(&mut self) -> Option<WriterEvent> {
         self.events.recv().await
     }
 
-    /// Takes what the thread said; gives the token up to which all is durable.
-    pub fn heard(&mut self, now: Duration, event: WriterEvent) -> Option<u64> {
+    /// Handles an event of the writer; returns the token up to which all is durable now.
+    pub fn handle_event(&mut self, now: Duration, event: WriterEvent) -> Option<u64> {
         let done = self.queued.pop_front()?;
         self.first += 1;
         self.queued_bytes -= done.bytes;
@@ -127,49 +138,50 @@
             WriterEvent::Durable { wants_snapshot, .. } => {
                 self.wants_snapshot = wants_snapshot;
                 if done.is_snapshot {
-                    self.snapshot_queued = false;
-                    self.broken = false;
+                    self.is_snapshot_queued = false;
+                    self.has_failed = false;
                 }
-                self.drain();
+                self.fill_writer();
                 Some(done.token)
             }
             WriterEvent::Failed { error, .. } => {
-                self.failed(now, &done, &error);
+                self.on_failure(now, &done, &error);
                 None
             }
         }
     }
 
-    fn failed(&mut self, now: Duration, done: &Queued, error: &StorageError) {
+    fn on_failure(&mut self, now: Duration, done: &Queued, error: &StorageError) {
         if done.is_snapshot {
-            log::error!("the disk refused a snapshot: {error}");
-            self.snapshot_queued = false;
+            log::error!("snapshot failed: {error}");
+            self.is_snapshot_queued = false;
             self.retry_at = now + SNAPSHOT_RETRY;
-        } else if !self.broken {
-            log::error!("the disk refused records: {error}");
-            self.broken = true;
+        } else if !self.has_failed {
+            log::error!("disk write failed: {error}");
+            self.has_failed = true;
             self.backlog.clear();
         }
     }
 
-    /// Writes records as one batch.
+    /// Writes records as one batch, durable as a whole or not at all.
     pub fn append(&mut self, token: u64, records: Vec<Vec<u8>>) {
-        if self.broken && !self.snapshot_queued {
+        if self.has_failed && !self.is_snapshot_queued {
             return;
         }
         self.backlog.push_back((token, records));
-        self.drain();
+        self.fill_writer();
     }
 
-    fn drain(&mut self) {
-        while self.queued.len() < MOST_QUEUED && self.queued_bytes < MOST_QUEUED_BYTES {
+    /// Gives the writer batches of the backlog, as many as it has capacity for.
+    fn fill_writer(&mut self) {
+        while self.queued.len() < MAX_QUEUED && self.queued_bytes < MAX_QUEUED_BYTES {
             let Some((token, records)) = self.backlog.pop_front() else { return };
             let bytes = records.iter().map(Vec::len).sum();
             match self.writer.append(self.next_number(), records) {
                 Ok(()) => self.push(Queued { token, bytes, is_snapshot: false }),
                 Err(error) => {
-                    log::error!("records are not written: {error}");
-                    self.broken = true;
+                    log::error!("records not written: {error}");
+                    self.has_failed = true;
                     self.backlog.clear();
                 }
             }
@@ -185,34 +197,34 @@
         self.queued.push_back(queued);
     }
 
-    /// Whether a snapshot is due.
+    /// Whether a snapshot is to be written now.
     pub fn is_snapshot_due(&self, now: Duration) -> bool {
-        let wanted = self.broken || (self.wants_snapshot && self.backlog.is_empty());
-        wanted && !self.snapshot_queued && now >= self.retry_at
+        let wanted = self.has_failed || (self.wants_snapshot && self.backlog.is_empty());
+        wanted && !self.is_snapshot_queued && now >= self.retry_at
     }
 
-    /// When a snapshot will be due without any other event.
+    /// When [`DiskWriter::is_snapshot_due`] becomes true without any other event.
     pub fn next_timer(&self) -> Option<Duration> {
-        (self.broken && !self.snapshot_queued).then_some(self.retry_at)
+        (self.has_failed && !self.is_snapshot_queued).then_some(self.retry_at)
     }
 
-    /// Puts these records in the place of all before, up to this token.
+    /// Replaces all records up to this token by these.
     pub fn snapshot(&mut self, now: Duration, token: u64, records: Vec<Vec<u8>>) {
         let bytes = records.iter().map(Vec::len).sum();
         match self.writer.snapshot(self.next_number(), records) {
             Ok(()) => {
-                self.snapshot_queued = true;
+                self.is_snapshot_queued = true;
                 self.push(Queued { token, bytes, is_snapshot: true });
             }
             Err(error) => {
-                log::warn!("the snapshot is put off: {error}");
-                self.put_off(now);
+                log::warn!("snapshot postponed: {error}");
+                self.postpone_snapshot(now);
             }
         }
     }
 
-    /// A snapshot can't be taken right now.
-    pub fn put_off(&mut self, now: Duration) {
+    /// No snapshot is available now; the next attempt follows after a pause.
+    pub fn postpone_snapshot(&mut self, now: Duration) {
         self.retry_at = now + SNAPSHOT_RETRY;
     }
 }
--- a/system/jobs/src/node/mod.rs
+++ b/system/jobs/src/node/mod.rs
@@ -1,4 +1,4 @@
-//! The process around a [`Backend`]: its sockets, disk, clocks and signals, on one thread beside that of the disk.
+//! The process around a [`Backend`]: its sockets, disk, clock and signals, on one thread beside that of the disk.
 
 mod disk;
 mod heartbeats;
@@ -19,24 +19,30 @@
 
 use crate::backend::{Backend, BackendAction, BackendEvent};
 use crate::error::{JobsError, NetworkSnafu, NoDiskSnafu, SignalsSnafu};
-use crate::partition::EdgeState;
+use crate::partition::{ClientRequest, EdgeState};
 use crate::settings::JobsSettings;
-use crate::store::Asker;
+use crate::store::Caller;
 use disk::DiskWriter;
 use heartbeats::Heartbeats;
 
-/// A disk that refuses to be opened is tried again after this pause.
+/// Time from a failed attempt to open the disk to the next one.
 const OPEN_RETRY: Duration = Duration::from_millis(500);
-/// How long a process that ends waits for its disk.
-const LAST_SYNC: Duration = Duration::from_secs(1);
-/// Messages taken in a row before signals and timers are looked at.
-const MESSAGES_IN_A_ROW: usize = 64;
-/// The most members of chains whose addresses are remembered.
-const MOST_MEMBERS: usize = 16_384;
+/// Bounds the time for which a shutdown waits for the disk.
+const LAST_SYNC_TIMEOUT: Duration = Duration::from_secs(1);
+/// Messages handled one after the other before signals and timers are checked.
+const MAX_MESSAGES_IN_A_ROW: usize = 64;
+/// Time from the announcements of a shutdown to the end of the process.
+const GOODBYE_DELAY: Duration = Duration::from_millis(100);
+/// Bounds the members whose addresses are remembered.
+const MAX_MEMBERS: usize = 16_384;
 /// Without any timer the process wakes up this often.
-const LONGEST_SLEEP: Duration = Duration::from_secs(1);
+const MAX_SLEEP: Duration = Duration::from_secs(1);
 
-/// Runs a backend until the platform stops it.
+/// Runs a backend until it receives SIGTERM.
+///
+/// # Errors
+///
+/// The settings are incomplete, or the network, the disk or signals can't be set up.
 pub async fn run(settings: Settings) -> Result<(), JobsError> {
     let mut terminate = signal(SignalKind::terminate()).context(SignalsSnafu)?;
     // A changed settings file changes nothing here, but must not end the process.
@@ -47,15 +53,15 @@
         tokio::select! {
             _ = terminate.recv() => break,
             incoming = node.inbox.next() => match incoming {
-                Some(incoming) => node.receive_many(incoming),
+                Some(incoming) => node.handle_messages(incoming),
                 None => return Ok(()),
             },
-            Some(event) = node.disk.next() => node.heard_disk(event),
+            Some(event) = node.disk.next() => node.handle_disk_event(event),
             () = tokio::time::sleep_until(deadline) => {}
         }
-        node.pass_time();
+        node.handle_timeouts();
     }
-    node.end().await;
+    node.shut_down().await;
     Ok(())
 }
 
@@ -68,6 +74,7 @@
     backend: Backend,
     relay: Relay,
     heartbeats: Heartbeats,
+    /// Addresses of other backends.
     members: BTreeMap<MemberId, SocketAddr>,
     /// The last token given to the disk.
     last_token: u64,
@@ -84,7 +91,7 @@
         let opened = loop {
             match disk::open(&folder, &jobs, draw("member")) {
                 Ok(opened) => break opened,
-                Err(error) => log::warn!("tried again: {error}"),
+                Err(error) => log::warn!("disk not opened, retrying: {error}"),
             }
             tokio::time::sleep(OPEN_RETRY).await;
         };
@@ -96,7 +103,7 @@
             address,
             zone: settings.zone.clone(),
         };
-        log::info!("member {:016x} of {}", node.member, node.name);
+        log::info!(member:% = format_args!("{:016x}", node.member), node = node.name.as_str(); "backend started");
         let relay_settings = RelaySettings::for_role(Role::Backend, &settings.zone);
         let backend = Backend::new(MemberId(opened.member), opened.content, jobs.clone(), draw("chain"));
         let mut node = Self {
@@ -111,9 +118,9 @@
             members: BTreeMap::new(),
             last_token: 0,
         };
-        node.drive(BackendEvent::Started);
-        node.drive_relay(RelayEvent::ControlNodesKnown(settings.internal_seeds()));
-        node.drive_relay(RelayEvent::Started);
+        node.handle_backend_event(BackendEvent::Started);
+        node.handle_relay_event(RelayEvent::ControlNodesKnown(settings.internal_seeds()));
+        node.handle_relay_event(RelayEvent::Started);
         Ok(node)
     }
 
@@ -121,27 +128,27 @@
         self.started.elapsed()
     }
 
-    /// When something is to be done without any event from outside.
+    /// When the next timer expires.
     fn deadline(&self) -> Instant {
         let timers = [self.backend.next_timer(), self.relay.next_timer(), self.disk.next_timer()];
         let next = timers.into_iter().flatten().fold(self.heartbeats.next_timer(), Duration::min);
-        let latest = self.now() + LONGEST_SLEEP;
+        let latest = self.now() + MAX_SLEEP;
         self.started + next.min(latest)
     }
 
-    /// Does what is due by the time.
-    fn pass_time(&mut self) {
+    /// Handles all timers that have expired.
+    fn handle_timeouts(&mut self) {
         let now = self.now();
         if self.backend.next_timer().is_some_and(|timer| timer <= now) {
-            self.drive(BackendEvent::Tick);
+            self.handle_backend_event(BackendEvent::TimerExpired);
         }
         if self.relay.next_timer().is_some_and(|timer| timer <= now) {
-            self.drive_relay(RelayEvent::TimerExpired);
+            self.handle_relay_event(RelayEvent::TimerExpired);
         }
         if self.heartbeats.next_timer() <= now {
             let coordinator = self.coordinator();
             let backend = &self.backend;
-            for (to, message) in self.heartbeats.due(now, coordinator, || backend.report(now)) {
+            for (to, message) in self.heartbeats.poll_messages(now, coordinator, || backend.report(now)) {
                 self.send(to, &Envelope::Control(message));
             }
         }
@@ -157,53 +164,60 @@
     fn take_snapshot(&mut self, now: Duration) {
         match self.backend.checkpoint() {
             Ok(Some(records)) => self.disk.snapshot(now, self.last_token, records),
-            Ok(None) => self.disk.put_off(now),
+            Ok(None) => self.disk.postpone_snapshot(now),
             Err(error) => {
-                log::error!("no snapshot: {error}");
-                self.disk.put_off(now);
+                log::error!("state not encoded, snapshot postponed: {error}");
+                self.disk.postpone_snapshot(now);
             }
         }
     }
 
-    fn receive_many(&mut self, first: Incoming<Envelope>) {
-        self.receive(first);
-        for _ in 1..MESSAGES_IN_A_ROW {
+    fn handle_messages(&mut self, first: Incoming<Envelope>) {
+        self.handle_message(first);
+        for _ in 1..MAX_MESSAGES_IN_A_ROW {
             let Some(next) = self.inbox.try_next() else { return };
-            self.receive(next);
+            self.handle_message(next);
         }
     }
 
-    fn receive(&mut self, incoming: Incoming<Envelope>) {
+    fn handle_message(&mut self, incoming: Incoming<Envelope>) {
         let (from, message) = match incoming {
             Incoming::Message { from, message } => (from, message),
-            Incoming::Lost { peer, .. } => return self.drive_relay(RelayEvent::PeerDisconnected { peer }),
+            Incoming::Lost { peer, .. } => {
+                return self.handle_relay_event(RelayEvent::PeerDisconnected { peer })
+            }
         };
         match message {
             Envelope::Partition { partition, from: member, message } => {
-                self.know_member(member, from);
-                self.drive(BackendEvent::Replica { partition, from: MemberId(member), message });
+                self.remember_member(member, from);
+                self.handle_backend_event(BackendEvent::ReplicaMessage {
+                    partition,
+                    from: MemberId(member),
+                    message,
+                });
             }
             Envelope::Jobs(JobsMessage::Request { request, reply_to, edge, partition, epoch, body }) => {
-                let asker = Asker { request, reply_to, edge };
-                self.drive(BackendEvent::Ask { asker, partition, epoch, request: body });
+                let caller = Caller { request, reply_to, edge };
+                let request = ClientRequest { caller, epoch, body };
+                self.handle_backend_event(BackendEvent::Request { partition, request });
             }
-            Envelope::Relay(message) => self.drive_relay(RelayEvent::Message { from, message }),
+            Envelope::Relay(message) => self.handle_relay_event(RelayEvent::Message { from, message }),
             Envelope::Control(ControlMessage::HeartbeatAck { control_nodes, .. }) => {
                 let now = self.now();
-                self.heartbeats.taken(now, from, control_nodes);
+                self.heartbeats.on_acknowledged(now, from, control_nodes);
             }
             Envelope::Jobs(_) | Envelope::Control(_) | Envelope::Chain { .. } | Envelope::Lease { .. } => {}
         }
     }
 
-    fn heard_disk(&mut self, event: WriterEvent) {
+    fn handle_disk_event(&mut self, event: WriterEvent) {
         let now = self.now();
-        if let Some(token) = self.disk.heard(now, event) {
-            self.drive(BackendEvent::Durable { token });
+        if let Some(token) = self.disk.handle_event(now, event) {
+            self.handle_backend_event(BackendEvent::Durable { token });
         }
     }
 
-    fn drive(&mut self, event: BackendEvent) {
+    fn handle_backend_event(&mut self, event: BackendEvent) {
         let mut actions = Vec::new();
         let now = self.now();
         self.backend.handle(now, event, &mut actions);
@@ -224,73 +238,78 @@
         }
     }
 
-    fn drive_relay(&mut self, event: RelayEvent) {
+    fn handle_relay_event(&mut self, event: RelayEvent) {
         let mut actions = Vec::new();
         let now = self.now();
         self.relay.handle(now, event, &mut actions);
         for action in actions {
             match action {
                 RelayAction::Send { to, message } => self.send(to, &Envelope::Relay(message)),
-                RelayAction::EntriesChanged(entries) => self.learn(entries),
+                RelayAction::EntriesChanged(entries) => self.apply_registry(entries),
             }
         }
     }
 
-    /// Takes up what is new in the registry: nodes first, since chains consist of them.
-    fn learn(&mut self, entries: Vec<Entry>) {
+    /// Applies changed entries of the registry: nodes first, since chains consist of them.
+    fn apply_registry(&mut self, entries: Vec<Entry>) {
         let (nodes, others): (Vec<_>, Vec<_>) =
             entries.into_iter().partition(|entry| matches!(entry.key, Key::Node(_)));
         for entry in nodes {
-            self.learn_node(entry);
+            self.apply_node(entry);
         }
         for entry in others {
             if let (Key::Partition(partition), Value::Partition(record)) = (entry.key, entry.value) {
-                self.drive(BackendEvent::Chain { partition, record });
+                self.handle_backend_event(BackendEvent::ChainDecided { partition, record });
             }
         }
     }
 
-    fn learn_node(&mut self, entry: Entry) {
+    fn apply_node(&mut self, entry: Entry) {
         let Key::Node(incarnation) = entry.key else { return };
         let ended = entry.is_ended();
         match entry.value {
             Value::Node(node) if node.role == Role::Edge => {
-                self.drive(BackendEvent::Edge { incarnation, state: EdgeState::There(node.address) });
+                self.handle_backend_event(BackendEvent::EdgeChanged {
+                    incarnation,
+                    state: EdgeState::Reachable(node.address),
+                });
+            }
+            Value::Node(node) if node.role == Role::Backend => {
+                self.remember_member(node.member, node.address)
             }
-            Value::Node(node) if node.role == Role::Backend => self.know_member(node.member, node.address),
             Value::Tombstone => {
-                let state = if ended { EdgeState::Ended } else { EdgeState::Silent };
-                self.drive(BackendEvent::Edge { incarnation, state });
+                let state = if ended { EdgeState::Ended } else { EdgeState::Unreachable };
+                self.handle_backend_event(BackendEvent::EdgeChanged { incarnation, state });
             }
             _ => {}
         }
     }
 
-    fn know_member(&mut self, member: u64, address: SocketAddr) {
+    fn remember_member(&mut self, member: u64, address: SocketAddr) {
         let member = MemberId(member);
-        if self.members.len() < MOST_MEMBERS || self.members.contains_key(&member) {
+        if self.members.len() < MAX_MEMBERS || self.members.contains_key(&member) {
             self.members.insert(member, address);
         }
     }
 
     fn send(&self, to: SocketAddr, message: &Envelope) {
-        // What is dropped is sent again by whoever needs it.
+        // Messages may be lost: senders retry what has to arrive.
         let _ = self.network.send(to, message);
     }
 
-    /// Says farewell, and waits a little for what is on its way to the disk.
-    async fn end(&mut self) {
-        for (to, message) in self.heartbeats.farewells(self.coordinator()) {
+    /// Announces the shutdown, and waits for a bounded time until all writes are durable.
+    async fn shut_down(&mut self) {
+        for (to, message) in self.heartbeats.goodbyes(self.coordinator()) {
             self.send(to, &Envelope::Control(message));
         }
-        let deadline = Instant::now() + LAST_SYNC.min(self.settings.driver_timeout);
+        let deadline = Instant::now() + LAST_SYNC_TIMEOUT.min(self.settings.driver_timeout);
         while !self.backend.is_synced() {
             match tokio::time::timeout_at(deadline, self.disk.next()).await {
-                Ok(Some(event)) => self.heard_disk(event),
+                Ok(Some(event)) => self.handle_disk_event(event),
                 Ok(None) | Err(_) => return,
             }
         }
-        // The farewells are on their way once the connections have had a moment.
-        tokio::time::sleep(Duration::from_millis(100)).await;
+        // Gives the connections time to send the announcements.
+        tokio::time::sleep(GOODBYE_DELAY).await;
     }
 }
--- a/system/jobs/src/partition/mod.rs
+++ b/system/jobs/src/partition/mod.rs
@@ -1,179 +1,186 @@
-//! One partition at one backend: its replica, its state, and what its head and its tail keep beside them. Sans I/O.
+//! One partition at one backend: a chain replica, the state that it replicates, and the duties of its head and tail. Sans I/O.
 //!
-//! The head takes questions that write and proposes commands; the tail answers them once they are committed. The tail
-//! answers reads. A replica that is neither, or that does not count in its view, answers [`JobsResponse::Unavailable`].
-
-mod ages;
-mod asks;
-mod creations;
-mod driving;
-mod holds;
-mod output;
-mod reads;
-
-use std::collections::VecDeque;
+//! The head accepts requests that write and proposes commands; the tail responds once they are committed (van Renesse &
+//! Schneider 2004). The tail serves reads. A replica that is neither, or that is not in sync, responds with
+//! [`JobsResponse::Unavailable`].
+//!
+//! [`Partition`] passes events and outputs between components with private state; it decides nothing itself:
+//!
+//! | component | owns |
+//! | --- | --- |
+//! | [`replica_host`] | the replica, its role, its tokens |
+//! | [`applied_state`] | the replicated state |
+//! | [`requests`] | decisions about requests that write (no state) |
+//! | [`pending_creations`] | creations proposed and not applied, with their memory budget (head) |
+//! | [`pending_renewals`], [`driver_leases`] | the leases of drivers (head) |
+//! | [`driver_assignment`] | messages to drivers (no state) |
+//! | [`retention`] | ages of batch jobs, deletion of ended ones (ages: every replica; deletion: head) |
+//! | [`pending_reads`] | reads that wait (tail) |
+
+mod applied_state;
+mod context;
+mod driver_assignment;
+mod driver_leases;
+mod edges;
+mod pending_creations;
+mod pending_reads;
+mod pending_renewals;
+mod read_token;
+mod replica_host;
+mod requests;
+mod retention;
+
+use std::sync::Arc;
 use std::time::Duration;
 
 use gingerledge_chain::{
-    LogRecord, MemberId, Replica, ReplicaAction, ReplicaEvent, ReplicaMessage, View, ViewAction, ViewEvent,
+    LogRecord, MemberId, ReplicaAction, ReplicaEvent, ReplicaMessage, View, ViewAction, ViewEvent,
 };
-use gingerledge_wire::{JobsResponse, PartitionRecord};
+use gingerledge_wire::{DriverTerm, JobId, JobRecord, JobsRequest, JobsResponse, PartitionRecord};
 
-pub use holds::{EdgeState, Edges};
-pub use output::{Context, PartitionAction};
+pub use context::{Context, PartitionAction};
+pub use edges::{EdgeState, Edges};
+pub use requests::{Capacity, ClientRequest};
 
 use crate::error::JobsError;
 use crate::settings::JobsSettings;
-use crate::store::{Asker, Command, Proposal, Store};
-use ages::Ages;
-use asks::Renewals;
-pub use asks::Room;
-use creations::Creations;
-use holds::Holds;
-use output::answer;
-use reads::Reads;
-
-/// More views than these are not gone through one by one; a replica that missed more catches up anew.
-const MOST_SKIPPED_VIEWS: u64 = 4096;
+use crate::store::{Caller, Command, Outcome, Proposal, Store};
+use applied_state::AppliedState;
+use driver_leases::{DriverLeases, LeaseAction, LeaseTimeouts};
+use pending_creations::PendingCreations;
+use pending_reads::{PendingReads, Read, ReadTarget};
+use pending_renewals::{PendingRenewals, Renewal};
+use read_token::{ReadToken, ReadTokens};
+use replica_host::{DurableWrite, ReplicaHost, Role};
+use requests::WriteDecision;
+use retention::Retention;
 
 /// One partition at one backend.
 #[derive(Debug)]
 pub struct Partition {
-    me: MemberId,
-    settings: JobsSettings,
-    seed: u64,
-    replica: Replica,
-    store: Store,
-    /// The last entry in `store`.
-    applied: u64,
-    /// The last token given out, and the one after which those of the present replica start.
-    last_token: u64,
-    first_token: u64,
-    /// The state could not be read; this replica takes part in nothing.
-    broken: bool,
-    is_head: bool,
-    is_tail: bool,
-    reads: Reads,
-    renewals: Renewals,
-    creations: Creations,
-    holds: Holds,
-    ages: Ages,
-    next_read: u64,
-    next_forget: Duration,
-    next_keep_ages: Duration,
-    actions: VecDeque<ReplicaAction>,
+    replica: ReplicaHost,
+    state: AppliedState,
+    /// The role for which the components below are set up.
+    role: Role,
+    read_tokens: ReadTokens,
+    reads: PendingReads,
+    renewals: PendingRenewals,
+    creations: PendingCreations,
+    driver_leases: DriverLeases,
+    retention: Retention,
 }
 
 impl Partition {
-    /// A partition that nothing is known of.
-    pub fn new(me: MemberId, settings: JobsSettings, seed: u64) -> Self {
-        let replica = Replica::new(me, settings.replica.clone(), seed);
-        Self::with_replica(me, settings, replica, seed)
+    /// A partition without any history.
+    pub fn new(me: MemberId, settings: &JobsSettings, seed: u64) -> Self {
+        Self::with_replica(ReplicaHost::new(me, settings.replica.clone(), seed), settings)
     }
 
-    /// A partition with what the disk holds of it.
-    pub fn recover(me: MemberId, records: &[LogRecord], settings: JobsSettings, seed: u64) -> Self {
-        let replica = Replica::recover(me, records, settings.replica.clone(), seed);
-        Self::with_replica(me, settings, replica, seed)
+    /// A partition with the records that the disk holds of it.
+    pub fn recover(me: MemberId, records: &[LogRecord], settings: &JobsSettings, seed: u64) -> Self {
+        Self::with_replica(ReplicaHost::recover(me, records, settings.replica.clone(), seed), settings)
     }
 
-    fn with_replica(me: MemberId, settings: JobsSettings, replica: Replica, seed: u64) -> Self {
+    fn with_replica(replica: ReplicaHost, settings: &JobsSettings) -> Self {
+        let timeouts =
+            LeaseTimeouts { driver: settings.driver_timeout, resend: settings.assignment_resend_interval };
         Self {
-            me,
-            settings,
-            seed,
             replica,
-            store: Store::default(),
-            applied: 0,
-            last_token: 0,
-            first_token: 0,
-            broken: false,
-            is_head: false,
-            is_tail: false,
-            reads: Reads::default(),
-            renewals: Renewals::default(),
-            creations: Creations::default(),
-            holds: Holds::default(),
-            ages: Ages::default(),
-            next_read: 0,
-            next_forget: Duration::ZERO,
-            next_keep_ages: Duration::ZERO,
-            actions: VecDeque::new(),
-        }
-    }
-
-    /// The process has started; given once, first.
+            state: AppliedState::default(),
+            role: Role::default(),
+            read_tokens: ReadTokens::default(),
+            reads: PendingReads::new(settings),
+            renewals: PendingRenewals::default(),
+            creations: PendingCreations::new(settings.reserved_bytes_per_result),
+            driver_leases: DriverLeases::new(timeouts),
+            retention: Retention::new(settings),
+        }
+    }
+
+    /// The process has started; called once, first.
     pub fn start(&mut self, context: &mut Context<'_>) {
-        self.replicate(context, ReplicaEvent::Started);
+        self.handle_replica_event(context, ReplicaEvent::Started);
     }
 
-    /// A chain has been decided.
+    /// The control plane has decided a chain.
     pub fn install(&mut self, context: &mut Context<'_>, record: &PartitionRecord) {
-        if record.epoch <= self.replica.epoch() {
-            return;
-        }
-        if self.is_certainly_full(record) {
-            let mut before: Vec<_> = members(record).take_while(|member| *member != self.me).collect();
-            before.push(self.me);
-            for epoch in self.replica.epoch() + 1..record.epoch {
-                let view = View { epoch, chain: before.clone() };
-                self.replicate(context, ReplicaEvent::View(ViewEvent::Install { view }));
-            }
+        for view in self.replica.views_to_install(record) {
+            self.handle_replica_event(context, ReplicaEvent::View(ViewEvent::Install { view }));
         }
-        let view = View { epoch: record.epoch, chain: members(record).collect() };
-        self.replicate(context, ReplicaEvent::View(ViewEvent::Install { view }));
     }
 
-    /// Whether this replica holds all that was committed before a chain, though it never heard of some chains before it.
-    ///
-    /// The map of partitions keeps a member as full only from one chain to the next, and no chain commits without all its
-    /// members. So nothing was committed in the missed chains that this member would not hold. The missed views are then
-    /// gone through one after the other, as if only this member and those before it had stayed: they were before it all the
-    /// time, since new members join at the end. All are on the disk in one batch, and none of them is ever in force here.
-    fn is_certainly_full(&self, record: &PartitionRecord) -> bool {
-        let missed = record.epoch.saturating_sub(self.replica.epoch() + 1);
-        let counted = match self.replica.view() {
-            None => self.replica.last_index() == 0,
-            Some(_) => self.replica.is_in_sync(),
-        };
-        counted && (1..=MOST_SKIPPED_VIEWS).contains(&missed) && record.in_sync.contains(&self.me.0)
+    /// Another replica has sent a message.
+    pub fn handle_message(&mut self, context: &mut Context<'_>, from: MemberId, message: ReplicaMessage) {
+        self.handle_replica_event(context, ReplicaEvent::Message { from, message });
     }
 
-    /// A message from another replica.
-    pub fn receive(&mut self, context: &mut Context<'_>, from: MemberId, message: ReplicaMessage) {
-        self.replicate(context, ReplicaEvent::Message { from, message });
+    /// All records up to those of this token are durable.
+    pub fn on_durable(&mut self, context: &mut Context<'_>, token: u64) {
+        if let Some(event) = self.replica.durable_event(token) {
+            self.handle_replica_event(context, event);
+        }
     }
 
-    /// All records up to those of this token are synced.
-    pub fn durable(&mut self, context: &mut Context<'_>, token: u64) {
-        // A replica that was given up since waits for nothing any more.
-        if let Some(token) = token.checked_sub(self.first_token).filter(|token| *token > 0) {
-            self.replicate(context, ReplicaEvent::Durable { token });
+    /// The time of [`Partition::next_timer`] has come, or the state of an edge has changed.
+    pub fn handle_timeout(&mut self, context: &mut Context<'_>) {
+        if self.replica.next_timer().is_some_and(|timer| timer <= context.now) {
+            self.handle_replica_event(context, ReplicaEvent::TimerExpired);
+        }
+        self.send_read_responses(context);
+        if self.role.is_head {
+            self.check_driver_leases(context);
+            self.enforce_retention(context);
         }
     }
 
-    /// The time of [`Partition::next_timer`] has come.
-    pub fn tick(&mut self, context: &mut Context<'_>) {
-        if self.replica.next_timer().is_some_and(|timer| timer <= context.now) {
-            self.replicate(context, ReplicaEvent::TimerExpired);
+    /// A client has sent a request.
+    pub fn handle_request(&mut self, context: &mut Context<'_>, request: ClientRequest, capacity: Capacity) {
+        let has_role = if request.is_for_tail() { self.role.is_tail } else { self.role.is_head };
+        let ClientRequest { caller, epoch, body } = request;
+        if !has_role || epoch > self.replica.epoch() {
+            context.respond(caller, JobsResponse::Unavailable);
+            return;
         }
-        self.answer_reads(context);
-        if self.is_head {
-            self.look_after_holds(context);
-            self.look_for_forgotten(context);
+        let store = self.state.store();
+        match body {
+            JobsRequest::CreateJob { job } => self.create(context, caller, job, capacity),
+            JobsRequest::AppendResults { job, term, results } => {
+                let decision = requests::decide_append(store, capacity, job, term, results);
+                self.write(context, caller, decision);
+            }
+            JobsRequest::SaveCheckpoint { job, term, texts } => {
+                let decision = requests::decide_checkpoint(store, capacity, job, term, texts);
+                self.write(context, caller, decision);
+            }
+            JobsRequest::EndJob { job } => {
+                let decision = requests::decide_end(store, capacity, job);
+                self.write(context, caller, decision);
+            }
+            JobsRequest::ReadResults { job, start_after, wait_ms, max_bytes } => {
+                let max_bytes = self.reads.bounded_bytes(max_bytes);
+                let target = ReadTarget::Results { start_after, max_bytes };
+                let wait_until = self.reads.wait_until(context.now, Duration::from_millis(wait_ms));
+                self.read(context, Read { caller, job, target, wait_until });
+            }
+            JobsRequest::ReadItemBody { job, item } => {
+                let target = ReadTarget::ItemBody { item };
+                self.read(context, Read { caller, job, target, wait_until: context.now });
+            }
+            JobsRequest::RenewDriverLeases { jobs } => self.renew_driver_leases(context, caller, jobs),
         }
     }
 
-    /// When [`Partition::tick`] is wanted next.
+    /// When [`Partition::handle_timeout`] is to be called next.
     pub fn next_timer(&self) -> Option<Duration> {
-        let holds = self.holds.next_timer(self.timeouts()).filter(|_| self.is_head);
-        let forget = (self.is_head && self.store.bytes() > 0).then_some(self.next_forget);
-        [self.replica.next_timer(), self.reads.next_timer(), holds, forget].into_iter().flatten().min()
+        let leases = self.driver_leases.next_timer().filter(|_| self.role.is_head);
+        let has_jobs = self.state.store().bytes() > 0;
+        let expiry = (self.role.is_head && has_jobs).then_some(self.retention.next_expiry_check());
+        [self.replica.next_timer(), self.reads.next_timer(), leases, expiry].into_iter().flatten().min()
     }
 
-    /// The state.
+    /// The replicated state, as far as it is applied here.
     pub fn store(&self) -> &Store {
-        &self.store
+        self.state.store()
     }
 
     /// The newest view known.
@@ -181,201 +188,273 @@
         self.replica.view()
     }
 
-    /// The epoch in which this replica counts, if it does.
-    pub fn full_epoch(&self) -> Option<u64> {
-        (self.replica.is_in_sync() && !self.broken).then(|| self.replica.epoch())
+    /// The epoch in which this replica is in sync, if it is.
+    pub fn in_sync_epoch(&self) -> Option<u64> {
+        self.replica.in_sync_epoch()
     }
 
-    /// Bytes of batch jobs, those on their way too.
+    /// Bytes of batch jobs, those of pending creations included.
     pub fn bytes(&self) -> u64 {
-        self.store.bytes() + self.creations.bytes()
+        self.state.store().bytes() + self.creations.bytes()
     }
 
-    /// Everything that must stay on the disk; none while it can't be told, ask again later.
+    /// All records that must stay on the disk; none while that is not known, to be retried later.
+    ///
+    /// # Errors
+    ///
+    /// The state can't be encoded.
     pub fn checkpoint(&self) -> Result<Option<Vec<LogRecord>>, JobsError> {
-        Ok(self.replica.checkpoint(self.store.encode()?))
+        Ok(self.replica.checkpoint(self.state.store().encode()?))
     }
 
-    /// Gives the replica an event, and carries out all that follows.
-    fn replicate(&mut self, context: &mut Context<'_>, event: ReplicaEvent) {
-        if self.broken {
+    /// Passes an event to the replica, and carries out all that follows from it.
+    fn handle_replica_event(&mut self, context: &mut Context<'_>, event: ReplicaEvent) {
+        if self.replica.has_failed() {
             return;
         }
-        self.feed(context.now, event);
-        while let Some(action) = self.actions.pop_front() {
-            self.act(context, action);
-            if self.broken {
-                self.actions.clear();
-            }
+        self.replica.handle_event(context.now, event);
+        while let Some(action) = self.replica.poll_action() {
+            self.handle_replica_action(context, action);
         }
-        self.follow_role(context);
-        self.answer_reads(context);
+        self.update_role(context);
+        self.send_read_responses(context);
     }
 
-    fn feed(&mut self, now: Duration, event: ReplicaEvent) {
-        let mut actions = Vec::new();
-        self.replica.handle(now, event, &mut actions);
-        self.actions.extend(actions);
-    }
-
-    fn act(&mut self, context: &mut Context<'_>, action: ReplicaAction) {
+    fn handle_replica_action(&mut self, context: &mut Context<'_>, action: ReplicaAction) {
         match action {
             ReplicaAction::Send { to, message } => {
                 context.out.push(PartitionAction::SendMember { to, message })
             }
-            ReplicaAction::Persist { token, records } => self.persist(context, token, records),
+            ReplicaAction::Persist { token, records } => {
+                let write = self.replica.register_write(token, records);
+                persist(context, write);
+            }
             ReplicaAction::Apply { index, command, reply } => self.apply(context, index, &command, reply),
             ReplicaAction::TakeSnapshot => self.take_snapshot(context),
             ReplicaAction::InstallSnapshot { index, bytes } => self.install_snapshot(context, index, &bytes),
-            ReplicaAction::ReadReady { token, .. } => self.read_ready(context, token),
-            ReplicaAction::ReadFailed { token } => self.read_failed(context, token),
+            ReplicaAction::ReadReady { token, .. } => self.on_read_confirmed(context, token),
+            ReplicaAction::ReadFailed { token } => self.on_read_failed(context, token),
             ReplicaAction::NotHead { command, .. } | ReplicaAction::Busy { command } => {
-                self.not_taken(context, &command)
+                self.on_proposal_rejected(context, &command)
+            }
+            ReplicaAction::View(ViewAction::Installed { .. }) => {
+                if let Some(write) = self.replica.reset_if_removed(context.now) {
+                    persist(context, write);
+                }
             }
-            ReplicaAction::View(ViewAction::Installed { .. }) => self.drop_copy_if_left(context),
             ReplicaAction::BecameInSync { .. }
             | ReplicaAction::View(_)
             | ReplicaAction::BarrierCommitted { .. } => {}
         }
     }
 
+    /// Applies a committed command; the tail (`reply`) responds to its caller.
     fn apply(&mut self, context: &mut Context<'_>, index: u64, command: &[u8], reply: bool) {
-        self.applied = index;
-        let proposal = match Proposal::decode(command) {
+        let Proposal { caller, age, command } = match Proposal::decode(command) {
             Ok(proposal) => proposal,
-            Err(error) => return self.fail(&error),
+            Err(error) => return self.fail(context, &error),
         };
-        let id = proposal.command.job().cloned();
-        let created = matches!(proposal.command, Command::Create { .. });
-        let outcome = self.store.apply(proposal.command);
-        let Some(id) = id else { return self.ages.observe_all(context.now, &self.store) };
-        self.observe_age(context, &id, proposal.age);
-        if let Some(asker) = proposal.asker.filter(|_| reply) {
-            context.out.push(answer(asker, outcome.answer(asker.edge)));
+        let job = command.job().cloned();
+        let is_creation = matches!(command, Command::Create { .. });
+        let outcome = self.state.apply(index, command, age);
+        let Some(id) = job else { return self.retention.observe_all(context.now, self.state.store()) };
+        self.retention.observe(context.now, &id, self.state.store());
+        if let Some(caller) = caller.filter(|_| reply) {
+            context.respond(caller, outcome.response(caller.edge));
         }
-        if created {
-            let askers = self.creations.remove(&id);
-            context.out.extend(askers.into_iter().map(|asker| answer(asker, outcome.answer(asker.edge))));
+        if is_creation {
+            for caller in self.creations.remove(&id) {
+                context.respond(caller, outcome.response(caller.edge));
+            }
         }
-        if self.is_head {
-            self.follow_driver(context, &id, &outcome);
+        if self.role.is_head {
+            self.update_driver(context, &id, &outcome);
         }
     }
 
-    fn observe_age(&mut self, context: &Context<'_>, id: &str, age: Duration) {
-        self.store.reach_age(id, age);
-        match self.store.job(id) {
-            Some(job) => self.ages.observe(context.now, id, job),
-            None => self.ages.forget(id),
-        }
-    }
-
-    fn take_snapshot(&mut self, context: &mut Context<'_>) {
-        match self.store.encode() {
-            Ok(bytes) => self.feed(context.now, ReplicaEvent::SnapshotReady { index: self.applied, bytes }),
-            Err(error) => self.fail(&error),
+    fn take_snapshot(&mut self, context: &Context<'_>) {
+        match self.state.store().encode() {
+            Ok(bytes) => {
+                let event = ReplicaEvent::SnapshotReady { index: self.state.index(), bytes };
+                self.replica.handle_event(context.now, event);
+            }
+            Err(error) => self.fail(context, &error),
         }
     }
 
     fn install_snapshot(&mut self, context: &Context<'_>, index: u64, bytes: &[u8]) {
-        self.applied = index;
-        let store = if bytes.is_empty() { Ok(Store::default()) } else { Store::decode(bytes) };
-        match store {
-            Ok(store) => self.store = store,
-            Err(error) => return self.fail(&error),
+        match self.state.install_snapshot(index, bytes) {
+            Ok(()) => self.retention.observe_all(context.now, self.state.store()),
+            Err(error) => self.fail(context, &error),
         }
-        self.ages.observe_all(context.now, &self.store);
     }
 
-    fn persist(&mut self, context: &mut Context<'_>, token: u64, records: Vec<LogRecord>) {
-        self.last_token = self.first_token + token;
-        context.out.push(PartitionAction::Persist { token: self.last_token, records });
+    /// What every replica holds alike can't be read here.
+    fn fail(&mut self, context: &Context<'_>, error: &JobsError) {
+        log::error!(partition = context.partition; "replica stopped: {error}");
+        self.replica.fail();
     }
 
-    /// Outside the chain a copy is worth nothing: whoever comes back into it catches up anew. The view stays known, so that
-    /// an older chain never brings this member back.
-    fn drop_copy_if_left(&mut self, context: &mut Context<'_>) {
-        let Some(view) = self.replica.view().filter(|view| !view.contains(self.me)).cloned() else { return };
-        if self.replica.last_index() == 0 {
-            return;
+    /// Sets up or clears what only a head or only a tail keeps.
+    fn update_role(&mut self, context: &mut Context<'_>) {
+        let role = self.replica.role();
+        let previous = std::mem::replace(&mut self.role, role);
+        if role.is_head && !previous.is_head {
+            self.driver_leases.restart(context.now, self.state.store());
+            self.retention.restart_timers(context.now);
         }
-        let records = vec![
-            LogRecord::Snapshot { index: 0, bytes: Vec::new() },
-            LogRecord::View { view, in_sync: false },
-        ];
-        let seed = self.seed.wrapping_add(self.last_token);
-        self.replica = Replica::recover(self.me, &records, self.settings.replica.clone(), seed);
-        self.actions.clear();
-        self.persist(context, self.last_token + 1 - self.first_token, records);
-        self.first_token = self.last_token;
-        self.feed(context.now, ReplicaEvent::Started);
-    }
-
-    /// What every replica holds alike can't be read here: going on could only make this copy differ from the others.
-    fn fail(&mut self, error: &JobsError) {
-        log::error!("a partition stops here: {error}");
-        self.broken = true;
-    }
-
-    /// Takes up or gives up what only a head or only a tail keeps.
-    fn follow_role(&mut self, context: &mut Context<'_>) {
-        let serving = self.replica.is_serving() && !self.broken;
-        let view = self.replica.view();
-        let is_head = serving && view.is_some_and(|view| view.head() == Some(self.me));
-        let is_tail = serving && view.is_some_and(|view| view.tail() == Some(self.me));
-        let begins_as_head = is_head && !self.is_head;
-        if begins_as_head {
-            self.holds.restart(context.now, &self.store);
-            self.next_forget = context.now + self.settings.forget_every;
-            self.next_keep_ages = context.now + self.settings.keep_ages_every;
-        }
-        if !is_head && self.is_head {
-            self.holds.clear();
+        if previous.is_head && !role.is_head {
+            self.driver_leases.clear();
             self.creations.clear();
-            let askers = self.renewals.fail_all();
-            context.out.extend(askers.into_iter().map(|asker| answer(asker, JobsResponse::Unavailable)));
+            context.respond_all(self.renewals.remove_all(), &JobsResponse::Unavailable);
         }
-        if !is_tail && self.is_tail {
-            let askers = self.reads.fail_all();
-            context.out.extend(askers.into_iter().map(|asker| answer(asker, JobsResponse::Unavailable)));
+        if previous.is_tail && !role.is_tail {
+            context.respond_all(self.reads.remove_all(), &JobsResponse::Unavailable);
         }
-        self.is_head = is_head;
-        self.is_tail = is_tail;
-        if begins_as_head {
-            // Drivers that have ended while there was no head are replaced at once.
-            self.look_after_holds(context);
+        if role.is_head && !previous.is_head {
+            // Drivers that ended while there was no head are replaced without waiting for a time-out.
+            self.check_driver_leases(context);
+        }
+    }
+
+    fn create(&mut self, context: &mut Context<'_>, caller: Caller, job: Arc<JobRecord>, capacity: Capacity) {
+        let decision = self.creations.admit(self.state.store(), capacity, caller, job);
+        self.write(context, caller, decision);
+    }
+
+    fn write(&mut self, context: &mut Context<'_>, caller: Caller, decision: WriteDecision) {
+        match decision {
+            WriteDecision::Respond(response) => context.respond(caller, response),
+            WriteDecision::Propose(command) => self.propose(context, Some(caller), command),
+            WriteDecision::AwaitPending => {}
         }
     }
 
     /// Proposes a command at the head.
-    fn propose(&mut self, context: &mut Context<'_>, asker: Option<Asker>, command: Command) {
-        let age = command.job().map_or(Duration::ZERO, |id| self.ages.age(context.now, id));
-        match (Proposal { asker, age, command }).encode() {
-            Ok(command) => self.replicate(context, ReplicaEvent::Submit { command }),
-            Err(error) => log::error!("a command was not proposed: {error}"),
+    fn propose(&mut self, context: &mut Context<'_>, caller: Option<Caller>, command: Command) {
+        let age = command.job().map_or(Duration::ZERO, |id| self.retention.age(context.now, id));
+        match (Proposal { caller, age, command }).encode() {
+            Ok(command) => self.handle_replica_event(context, ReplicaEvent::Submit { command }),
+            Err(error) => log::error!(partition = context.partition; "command not proposed: {error}"),
         }
     }
 
-    /// A command was refused by the replica here.
-    fn not_taken(&mut self, context: &mut Context<'_>, command: &[u8]) {
+    /// The replica has rejected a proposal: it is not the head, or has too many pending.
+    fn on_proposal_rejected(&mut self, context: &mut Context<'_>, command: &[u8]) {
         let Ok(proposal) = Proposal::decode(command) else { return };
-        let mut askers: Vec<_> = proposal.asker.into_iter().collect();
+        let mut callers: Vec<_> = proposal.caller.into_iter().collect();
         match &proposal.command {
-            Command::Create { job, .. } => askers.extend(self.creations.remove(&job.id)),
-            Command::Drive { job, .. } => self.holds.not_replaced(job),
+            Command::Create { job, .. } => callers.extend(self.creations.remove(&job.id)),
+            Command::AssignDriver { job, .. } => self.driver_leases.on_reassignment_rejected(job),
             _ => {}
         }
-        context.out.extend(askers.into_iter().map(|asker| answer(asker, JobsResponse::Unavailable)));
+        context.respond_all(callers, &JobsResponse::Unavailable);
+    }
+
+    fn read(&mut self, context: &mut Context<'_>, read: Read) {
+        if let Some(response) = read.stable_response(self.state.store()) {
+            context.respond(read.caller, response);
+            return;
+        }
+        if self.reads.is_full() {
+            context.respond(read.caller, JobsResponse::Unavailable);
+            return;
+        }
+        let token = self.read_tokens.allocate();
+        self.reads.insert(token, read);
+        self.handle_replica_event(context, ReplicaEvent::Read { token });
+    }
+
+    fn renew_driver_leases(
+        &mut self,
+        context: &mut Context<'_>,
+        caller: Caller,
+        leases: Vec<(JobId, DriverTerm)>,
+    ) {
+        if self.renewals.is_full() {
+            context.respond(caller, JobsResponse::Unavailable);
+            return;
+        }
+        let token = self.read_tokens.allocate();
+        self.renewals.insert(token, Renewal { caller, leases });
+        self.handle_replica_event(context, ReplicaEvent::Read { token });
     }
 
-    fn answer_reads(&mut self, context: &mut Context<'_>) {
-        if self.reads.len() > 0 {
-            let answers = self.reads.answers(context.now, &self.store);
-            context.out.extend(answers.into_iter().map(|(asker, body)| answer(asker, body)));
+    /// The chain has confirmed a read: what is applied here is the newest state.
+    fn on_read_confirmed(&mut self, context: &mut Context<'_>, token: ReadToken) {
+        self.reads.confirm(token);
+        if let Some(Renewal { caller, leases }) = self.renewals.remove(token) {
+            let (now, store) = (context.now, self.state.store());
+            let states = leases.iter().map(|(id, term)| self.driver_leases.renew(now, id, *term, store));
+            let states = states.collect();
+            context.respond(caller, JobsResponse::Renewed(states));
+        }
+    }
+
+    /// The chain could not confirm a read.
+    fn on_read_failed(&mut self, context: &mut Context<'_>, token: ReadToken) {
+        let renewal = self.renewals.remove(token).map(|renewal| renewal.caller);
+        let callers = renewal.into_iter().chain(self.reads.remove(token));
+        context.respond_all(callers, &JobsResponse::Unavailable);
+    }
+
+    fn send_read_responses(&mut self, context: &mut Context<'_>) {
+        if self.reads.is_empty() {
+            return;
+        }
+        for (caller, response) in self.reads.poll_responses(context.now, self.state.store()) {
+            context.respond(caller, response);
+        }
+    }
+
+    /// What the head does about a batch job's driver once a command is committed.
+    fn update_driver(&mut self, context: &mut Context<'_>, id: &str, outcome: &Outcome) {
+        match (self.state.store().job(id), outcome) {
+            (Some(job), Outcome::Ended { stopped: Some((_, term)) }) => {
+                self.driver_leases.remove(id);
+                context.send_edge(job.driver().address, driver_assignment::stop(id, *term));
+            }
+            (Some(job), _) => {
+                if self.driver_leases.update(context.now, id, job) {
+                    self.send_assignment(context, id);
+                }
+            }
+            (None, _) => self.driver_leases.remove(id),
+        }
+    }
+
+    fn check_driver_leases(&mut self, context: &mut Context<'_>) {
+        for action in self.driver_leases.handle_timeout(context.now, context.edges) {
+            match action {
+                LeaseAction::Reassign { job, term, edge } => {
+                    self.propose(context, None, Command::AssignDriver { job, term, edge });
+                }
+                LeaseAction::ResendAssignment { job } => self.send_assignment(context, &job),
+            }
+        }
+    }
+
+    fn send_assignment(&mut self, context: &mut Context<'_>, id: &str) {
+        let Some(job) = self.state.store().job(id) else { return };
+        self.driver_leases.on_assignment_sent(context.now, id);
+        if let Some(to) = context.edges.address(job.driver().incarnation) {
+            let age = self.retention.age(context.now, id);
+            context.send_edge(to, driver_assignment::assignment(job, age));
+        }
+    }
+
+    /// Deletes ended batch jobs whose retention is over, and replicates the ages of the others.
+    fn enforce_retention(&mut self, context: &mut Context<'_>) {
+        let Some(expired) = self.retention.check_expiry(context.now, self.state.store()) else { return };
+        for job in expired {
+            self.propose(context, None, Command::Delete { job });
+        }
+        if let Some(ages) = self.retention.ages_to_record(context.now, self.state.store()) {
+            self.propose(context, None, Command::RecordAges { ages });
         }
     }
 }
 
-fn members(record: &PartitionRecord) -> impl Iterator<Item = MemberId> + '_ {
-    record.chain.iter().copied().map(MemberId)
+fn persist(context: &mut Context<'_>, write: DurableWrite) {
+    context.out.push(PartitionAction::Persist { token: write.token, records: write.records });
 }
--- /dev/null
+++ b/system/jobs/src/partition/pending_renewals.rs
@@ -0,0 +1,45 @@
+//! Renewals of driver leases that wait until the chain confirms that this replica is still the head.
+
+use std::collections::BTreeMap;
+
+use gingerledge_wire::{DriverTerm, JobId};
+
+use super::read_token::ReadToken;
+use crate::store::Caller;
+
+/// Bounds the renewals that wait at the same time.
+const MAX_PENDING: usize = 256;
+
+/// One request to renew driver leases.
+#[derive(Debug)]
+pub(super) struct Renewal {
+    pub caller: Caller,
+    /// Batch jobs with the terms of their driver.
+    pub leases: Vec<(JobId, DriverTerm)>,
+}
+
+/// All renewals that wait, by the token of their read through the chain.
+#[derive(Debug, Default)]
+pub(super) struct PendingRenewals {
+    by_token: BTreeMap<ReadToken, Renewal>,
+}
+
+impl PendingRenewals {
+    pub fn is_full(&self) -> bool {
+        self.by_token.len() >= MAX_PENDING
+    }
+
+    pub fn insert(&mut self, token: ReadToken, renewal: Renewal) {
+        self.by_token.insert(token, renewal);
+    }
+
+    /// The chain has confirmed the read with this token, or could not.
+    pub fn remove(&mut self, token: ReadToken) -> Option<Renewal> {
+        self.by_token.remove(&token)
+    }
+
+    /// The replica is not the head any more. Returns the callers, which are to be told.
+    pub fn remove_all(&mut self) -> Vec<Caller> {
+        std::mem::take(&mut self.by_token).into_values().map(|renewal| renewal.caller).collect()
+    }
+}
--- /dev/null
+++ b/system/jobs/src/partition/read_token.rs
@@ -0,0 +1,17 @@
+//! Tokens that tell the reads through the chain of one partition apart.
+
+/// Identifies a read through the chain ([`gingerledge_chain::ReplicaEvent::Read`]).
+pub(super) type ReadToken = u64;
+
+/// Gives out tokens in rising order.
+#[derive(Debug, Default)]
+pub(super) struct ReadTokens {
+    last: ReadToken,
+}
+
+impl ReadTokens {
+    pub fn allocate(&mut self) -> ReadToken {
+        self.last += 1;
+        self.last
+    }
+}
--- a/system/jobs/src/settings.rs
+++ b/system/jobs/src/settings.rs
@@ -1,4 +1,4 @@
-//! Bounds and time spans of the backend plane, worked out from the settings of the process.
+//! Bounds and time spans of the backend plane, derived from the settings of the process.
 
 use std::time::Duration;
 
@@ -6,83 +6,83 @@
 use gingerledge_protocol::Settings;
 
 const MEBIBYTE: u64 = 1024 * 1024;
-/// Batch jobs are kept that much longer than they must be, for steady clocks that run fast.
+/// Batch jobs are stored that much longer than required, in case the monotonic clock runs fast.
 const RETENTION_MARGIN: Duration = Duration::from_secs(30);
-/// Of the memory of the process, how much batch jobs may take: a snapshot for the disk holds them a second time.
+/// Share of the process's memory for batch jobs: while a snapshot is written they are in memory twice.
 const MEMORY_SHARE_PERCENT: u64 = 28;
-/// Of the disk, how much the ring takes.
+/// Share of the disk for the storage ring.
 const RING_SHARE_PERCENT: u64 = 60;
-/// Smallest ring.
-const RING_LEAST_BYTES: u64 = 64 * MEBIBYTE;
-/// Files of the ring.
+/// The smallest storage ring.
+const MIN_RING_BYTES: u64 = 64 * MEBIBYTE;
+/// Files of the storage ring.
 const RING_FILES: usize = 8;
-/// Of the ring, how much the state may take; the ring takes snapshots of up to 7/16 of itself.
+/// Share of the ring for the state; a ring accepts snapshots of up to 7/16 of its length.
 const RING_STATE_PERCENT: u64 = 35;
 
-/// Bounds and time spans.
+/// Bounds and time spans of one backend.
 #[derive(Clone, Debug)]
 pub struct JobsSettings {
-    /// Those of the chains.
+    /// Settings of the partitions' replicas.
     pub replica: ReplicaSettings,
-    /// A driver that hasn't renewed for this long is replaced.
+    /// A driver that has not renewed its lease for this long is replaced.
     pub driver_timeout: Duration,
-    /// A new driver that hasn't shown itself for this long is told again.
-    pub drive_again: Duration,
-    /// An ended batch job is dropped once it is surely this old.
+    /// An assignment that its driver has not confirmed by a renewal is sent again after this long.
+    pub assignment_resend_interval: Duration,
+    /// An ended batch job is deleted once it is certainly older.
     pub retention: Duration,
-    /// How often the head looks for batch jobs to drop.
-    pub forget_every: Duration,
-    /// How often the head keeps the ages of ended batch jobs on the disks.
-    pub keep_ages_every: Duration,
-    /// Bytes of batch jobs in all partitions; beyond them no batch job is taken.
-    pub state_bytes: u64,
-    /// Bytes set aside for each result of a new batch job.
-    pub result_room_bytes: u64,
-    /// Bytes on their way to the disk beyond which nothing new is proposed.
-    pub unsynced_bytes: u64,
-    /// The disk counts as stalled when it hasn't answered for this long.
-    pub disk_stall: Duration,
-    /// Reads that wait at once in one partition.
-    pub waiting_reads: usize,
-    /// The longest wait of a read.
-    pub longest_wait: Duration,
-    /// The most bytes of results in one page.
-    pub page_bytes: u64,
-    /// Files of the ring.
+    /// How often the head looks for batch jobs to delete.
+    pub expiry_check_interval: Duration,
+    /// How often the head replicates the ages of ended batch jobs.
+    pub age_record_interval: Duration,
+    /// Bounds the bytes of batch jobs in all partitions; beyond it new ones are rejected.
+    pub max_state_bytes: u64,
+    /// Bytes reserved for each result of a new batch job.
+    pub reserved_bytes_per_result: u64,
+    /// Bytes written and not yet durable beyond which nothing new is proposed.
+    pub max_unsynced_bytes: u64,
+    /// The disk counts as stalled when a write takes longer.
+    pub disk_stall_timeout: Duration,
+    /// Bounds the reads that wait at the same time in one partition.
+    pub max_pending_reads: usize,
+    /// Bounds the time for which a read waits for a result.
+    pub max_read_wait: Duration,
+    /// Bounds the bytes of results in one response.
+    pub max_read_bytes: u64,
+    /// Files of the storage ring.
     pub ring_files: usize,
-    /// Length of each file of the ring.
+    /// Length of each file of the storage ring, in bytes.
     pub ring_file_bytes: u64,
 }
 
 impl JobsSettings {
-    /// Works them out from the settings of the process.
+    /// Derives them from the settings of the process.
     pub fn new(settings: &Settings) -> Self {
         let memory = settings.limits.memory_mb * MEBIBYTE;
-        let ring = (settings.limits.disk_mb * MEBIBYTE * RING_SHARE_PERCENT / 100).max(RING_LEAST_BYTES);
-        let state_bytes = (memory * MEMORY_SHARE_PERCENT / 100).min(ring * RING_STATE_PERCENT / 100);
+        let ring = (settings.limits.disk_mb * MEBIBYTE * RING_SHARE_PERCENT / 100).max(MIN_RING_BYTES);
+        let max_state_bytes = (memory * MEMORY_SHARE_PERCENT / 100).min(ring * RING_STATE_PERCENT / 100);
         let retention = Duration::try_from_secs_f64(settings.bounds.status_s).unwrap_or(Duration::MAX);
         let replica = ReplicaSettings {
             min_chain_length: settings.fault_tolerance.machines + 1,
             max_uncommitted_bytes: 16 * MEBIBYTE as usize,
             retain_entries: 128,
             retain_bytes: 256 * 1024,
-            max_snapshot_bytes: usize::try_from(state_bytes).unwrap_or(usize::MAX),
+            max_snapshot_bytes: usize::try_from(max_state_bytes).unwrap_or(usize::MAX),
             ..ReplicaSettings::default()
         };
         Self {
             replica,
             driver_timeout: Duration::from_millis(settings.bounds.cancel_ms / 2),
-            drive_again: Duration::from_millis(600),
+            assignment_resend_interval: Duration::from_millis(600),
             retention: retention.saturating_add(RETENTION_MARGIN),
-            forget_every: Duration::from_secs(5),
-            keep_ages_every: Duration::from_secs(30),
-            state_bytes,
-            result_room_bytes: 8 * 1024,
-            unsynced_bytes: 24 * MEBIBYTE,
-            disk_stall: Duration::from_secs(1),
-            waiting_reads: 256,
-            longest_wait: Duration::from_secs(2),
-            page_bytes: MEBIBYTE,
+            expiry_check_interval: Duration::from_secs(5),
+            age_record_interval: Duration::from_secs(30),
+            max_state_bytes,
+            reserved_bytes_per_result: 8 * 1024,
+            max_unsynced_bytes: 24 * MEBIBYTE,
+            disk_stall_timeout: Duration::from_secs(1),
+            max_pending_reads: 256,
+            max_read_wait: Duration::from_secs(2),
+            max_read_bytes: MEBIBYTE,
             ring_files: RING_FILES,
             ring_file_bytes: ring / RING_FILES as u64,
         }
--- a/system/jobs/src/store/command.rs
+++ b/system/jobs/src/store/command.rs
@@ -1,4 +1,10 @@
-//! The commands of one partition, in the form in which its chain carries them, and what becomes of them.
+//! The commands of one partition, in the form in which its chain replicates them, and their outcomes.
+//!
+//! [`Command`] resembles [`gingerledge_wire::JobsRequest`] and is a type of its own on purpose. A request is what an edge sends,
+//! and its encoding changes with the protocol between edges and backends; a command is what the log of a partition holds, on disks
+//! and between replicas of different versions. Requests also contain reads and renewals, which are never replicated, and commands
+//! contain changes that only the head makes. A command names the edge that becomes the driver, which the request's envelope does.
+//! Both are encoded with the variants' positions: never reorder variants or fields here.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,41 +17,41 @@
 use crate::codec;
 use crate::error::{CommandSnafu, JobsError};
 
-/// One life of an edge process.
+/// One incarnation of an edge.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EdgeProcess {
-    /// Drawn anew at each start.
+    /// Drawn at each start of the process.
     pub incarnation: u64,
-    /// Where it takes messages; the next process of the machine takes them there too.
+    /// Its internal address, which the next incarnation of the same edge has too.
     pub address: SocketAddr,
 }
 
-/// A change of a partition's state, applied at every replica in the chain's order.
+/// A change of a partition's state, applied by every replica in the order of the chain's log.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Command {
-    /// Keep a batch job; the edge drives it with the first term.
+    /// Create a batch job; the edge becomes its driver with the first term.
     Create {
         /// The batch job.
         job: Arc<JobRecord>,
-        /// The edge.
+        /// The first driver.
         edge: EdgeProcess,
     },
-    /// Keep results.
-    Append {
+    /// Append results. Those of items that have one already are ignored.
+    AppendResults {
         /// The batch job.
         job: JobId,
         /// The driver's term.
         term: DriverTerm,
-        /// The results, in order.
+        /// The results, in the order of their positions.
         results: Vec<ResultRecord>,
     },
-    /// Keep parts of texts.
-    Save {
+    /// Save texts of items that have no result yet.
+    SaveCheckpoint {
         /// The batch job.
         job: JobId,
         /// The driver's term.
         term: DriverTerm,
-        /// The parts, in order.
+        /// The texts, in order.
         texts: Vec<PartialText>,
     },
     /// End a batch job.
@@ -53,8 +59,8 @@
         /// The batch job.
         job: JobId,
     },
-    /// Give a batch job another driver; taken only on top of the term before.
-    Drive {
+    /// Give a batch job another driver; applies only if the term is the one after the present term.
+    AssignDriver {
         /// The batch job.
         job: JobId,
         /// The new term.
@@ -62,34 +68,34 @@
         /// The new driver.
         edge: EdgeProcess,
     },
-    /// Drop an ended batch job whose retention is over.
-    Forget {
+    /// Delete an ended batch job whose retention is over.
+    Delete {
         /// The batch job.
         job: JobId,
     },
-    /// Keep the ages that batch jobs have reached, so that they outlast a restart.
-    KeepAges {
+    /// Record the ages that batch jobs have reached, so that they survive a restart.
+    RecordAges {
         /// Batch jobs with their ages.
         ages: Vec<(JobId, Duration)>,
     },
 }
 
-/// Who waits for the outcome of a command.
+/// The client that waits for the response to a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Asker {
-    /// The edge's number for its question.
+pub struct Caller {
+    /// The client's number for its request.
     pub request: u64,
-    /// Where the answer goes.
+    /// The client's internal address.
     pub reply_to: SocketAddr,
-    /// The edge's incarnation.
+    /// The client's incarnation.
     pub edge: u64,
 }
 
-/// A command as it goes through the chain, with whoever is answered by the tail.
+/// A command as the chain replicates it, with the caller to whom the tail responds.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Proposal {
-    /// Who asked; none for commands of the head itself.
-    pub asker: Option<Asker>,
+    /// Who requested it; none for commands that the head proposes itself.
+    pub caller: Option<Caller>,
     /// The age that the command's batch job has certainly reached.
     pub age: Duration,
     /// The command.
@@ -97,70 +103,80 @@
 }
 
 impl Proposal {
-    /// The bytes that the chain carries.
+    /// The bytes of an entry in the log.
+    ///
+    /// # Errors
+    ///
+    /// The proposal can't be encoded.
     pub fn encode(&self) -> Result<Vec<u8>, JobsError> {
         codec::encode(self).context(CommandSnafu)
     }
 
-    /// Reads the bytes that the chain carries.
+    /// Reads the bytes of an entry in the log.
+    ///
+    /// # Errors
+    ///
+    /// The bytes are not exactly one proposal.
     pub fn decode(bytes: &[u8]) -> Result<Self, JobsError> {
         codec::decode(bytes).context(CommandSnafu)
     }
 }
 
-/// What became of a command: the same at every replica.
+/// The outcome of a command: the same at every replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The batch job is kept, now or before.
+    /// The batch job exists, by this command or an earlier one.
     Created {
-        /// Its driver and term; none once it has ended or all its results are there.
+        /// Incarnation and term of its driver; none once it has ended or all its items have results.
         driver: Option<(u64, DriverTerm)>,
     },
-    /// The results are kept, now or before; or the parts of texts that fitted.
+    /// The results are stored, by this command or an earlier one; or the texts that continue the stored ones are.
     Appended,
-    /// The term is not the current one.
+    /// The term is not the present one.
     Fenced,
-    /// The batch job is ended, now or before.
+    /// The batch job is ended, by this command or an earlier one.
     Ended {
-        /// The driver that it had until now; none if it was ended before.
+        /// Incarnation and term of the driver that this command has stopped; none if the batch job was ended before.
         stopped: Option<(u64, DriverTerm)>,
     },
-    /// The new driver holds it.
-    Driven,
-    /// It is dropped.
-    Forgotten,
-    /// The ages are kept.
-    Kept,
-    /// Nothing changed, because there is no such batch job or the command does not apply any more.
-    Unknown,
+    /// The new driver is assigned.
+    DriverAssigned,
+    /// The batch job is deleted.
+    Deleted,
+    /// The ages are recorded.
+    AgesRecorded,
+    /// Nothing has changed: there is no such batch job, or the command does not apply to its present state.
+    NotApplicable,
 }
 
 impl Outcome {
-    /// What an edge is told.
-    pub fn answer(&self, edge: u64) -> JobsResponse {
+    /// The response to the edge with this incarnation.
+    pub fn response(&self, edge: u64) -> JobsResponse {
         match self {
             Self::Created { driver } => JobsResponse::Created {
-                driver_term: driver.filter(|(holder, _)| *holder == edge).map(|(_, term)| term),
+                driver_term: driver.filter(|(incarnation, _)| *incarnation == edge).map(|(_, term)| term),
             },
             Self::Appended => JobsResponse::Appended,
             Self::Fenced => JobsResponse::Fenced,
             Self::Ended { .. } => JobsResponse::Ended,
-            Self::Driven | Self::Forgotten | Self::Kept | Self::Unknown => JobsResponse::NotFound,
+            Self::DriverAssigned | Self::Deleted | Self::AgesRecorded | Self::NotApplicable => {
+                JobsResponse::NotFound
+            }
         }
     }
 }
 
 impl Command {
-    /// The batch job that it is about, if it is about one.
+    /// The batch job that it changes, if it changes just one.
     pub fn job(&self) -> Option<&JobId> {
         match self {
-            Self::KeepAges { .. } => None,
+            Self::RecordAges { .. } => None,
             Self::Create { job, .. } => Some(&job.id),
-            Self::Append { job, .. }
-            | Self::Save { job, .. }
+            Self::AppendResults { job, .. }
+            | Self::SaveCheckpoint { job, .. }
             | Self::End { job }
-            | Self::Drive { job, .. }
-            | Self::Forget { job } => Some(job),
+            | Self::AssignDriver { job, .. }
+            | Self::Delete { job } => Some(job),
         }
     }
 }
--- a/system/jobs/src/store/mod.rs
+++ b/system/jobs/src/store/mod.rs
@@ -1,6 +1,7 @@
 //! The state of one partition: batch jobs by id. Deterministic: replicas that apply the same commands in the same order are equal.
 //!
-//! A position, once given, never changes; an item has one at most; nothing but [`Command::Forget`] drops a batch job.
+//! The position of a result never changes; an item has one result at most; only [`Command::Delete`] removes a batch job.
+//! Snapshots hold the state as bincode writes it: never reorder the fields of [`Store`] or [`Job`].
 
 mod command;
 mod job;
@@ -13,7 +14,7 @@
 use serde::{Deserialize, Serialize};
 use snafu::ResultExt;
 
-pub use command::{Asker, Command, EdgeProcess, Outcome, Proposal};
+pub use command::{Caller, Command, EdgeProcess, Outcome, Proposal};
 pub use job::{record_bytes, result_bytes, Job};
 
 use crate::codec;
@@ -27,27 +28,27 @@
 }
 
 impl Store {
-    /// Applies a command.
+    /// Applies a command, and returns its outcome.
     pub fn apply(&mut self, command: Command) -> Outcome {
         match command {
             Command::Create { job, edge } => self.create(job, edge),
-            Command::Append { job, term, results } => self.append(&job, term, results),
-            Command::Save { job, term, texts } => self.save(&job, term, texts),
+            Command::AppendResults { job, term, results } => self.append_results(&job, term, results),
+            Command::SaveCheckpoint { job, term, texts } => self.save_checkpoint(&job, term, texts),
             Command::End { job } => self.end(&job),
-            Command::Drive { job, term, edge } => self.drive(&job, term, edge),
-            Command::Forget { job } => self.forget(&job),
-            Command::KeepAges { ages } => self.keep_ages(&ages),
+            Command::AssignDriver { job, term, edge } => self.assign_driver(&job, term, edge),
+            Command::Delete { job } => self.delete(&job),
+            Command::RecordAges { ages } => self.record_ages(&ages),
         }
     }
 
-    /// Keeps the age that a batch job has reached; one that is lower than what is known changes nothing.
-    pub fn reach_age(&mut self, id: &str, age: Duration) {
+    /// Records an age that a batch job has certainly reached; a lower one than the known age changes nothing.
+    pub fn raise_age(&mut self, id: &str, age: Duration) {
         if let Some(job) = self.jobs.get_mut(id) {
-            job.reach_age(age);
+            job.raise_age(age);
         }
     }
 
-    /// A batch job.
+    /// The batch job with an id.
     pub fn job(&self, id: &str) -> Option<&Job> {
         self.jobs.get(id)
     }
@@ -57,17 +58,25 @@
         self.jobs.iter()
     }
 
-    /// Bytes that they take in memory.
+    /// Estimated bytes of all batch jobs in memory.
     pub fn bytes(&self) -> u64 {
         self.bytes
     }
 
-    /// The whole state as bytes.
+    /// The whole state as bytes, for a snapshot.
+    ///
+    /// # Errors
+    ///
+    /// The state can't be encoded.
     pub fn encode(&self) -> Result<Vec<u8>, JobsError> {
         codec::encode(self).context(StateSnafu)
     }
 
-    /// Reads the whole state.
+    /// Reads the bytes of a snapshot.
+    ///
+    /// # Errors
+    ///
+    /// The bytes are not exactly one state.
     pub fn decode(bytes: &[u8]) -> Result<Self, JobsError> {
         codec::decode(bytes).context(StateSnafu)
     }
@@ -85,17 +94,19 @@
         Outcome::Created { driver }
     }
 
-    fn append(&mut self, id: &str, term: DriverTerm, results: Vec<ResultRecord>) -> Outcome {
-        self.driven(id, term, |job| results.into_iter().for_each(|result| job.list(result)))
+    fn append_results(&mut self, id: &str, term: DriverTerm, results: Vec<ResultRecord>) -> Outcome {
+        self.change_as_driver(id, term, |job| {
+            results.into_iter().for_each(|result| job.append_result(result))
+        })
     }
 
-    fn save(&mut self, id: &str, term: DriverTerm, texts: Vec<PartialText>) -> Outcome {
-        self.driven(id, term, |job| texts.into_iter().for_each(|text| job.save(text)))
+    fn save_checkpoint(&mut self, id: &str, term: DriverTerm, texts: Vec<PartialText>) -> Outcome {
+        self.change_as_driver(id, term, |job| texts.into_iter().for_each(|text| job.append_text(text)))
     }
 
-    /// Carries out what only the present driver may do.
-    fn driven(&mut self, id: &str, term: DriverTerm, change: impl FnOnce(&mut Job)) -> Outcome {
-        let Some(job) = self.jobs.get_mut(id) else { return Outcome::Unknown };
+    /// Makes a change that is reserved to the present driver. The term fences former ones (Burrows 2006: sequencers).
+    fn change_as_driver(&mut self, id: &str, term: DriverTerm, change: impl FnOnce(&mut Job)) -> Outcome {
+        let Some(job) = self.jobs.get_mut(id) else { return Outcome::NotApplicable };
         if job.is_ended() {
             return Outcome::Ended { stopped: None };
         }
@@ -109,39 +120,39 @@
     }
 
     fn end(&mut self, id: &str) -> Outcome {
-        let Some(job) = self.jobs.get_mut(id) else { return Outcome::Unknown };
+        let Some(job) = self.jobs.get_mut(id) else { return Outcome::NotApplicable };
         self.bytes -= job.bytes();
         let stopped = job.end().then(|| (job.driver().incarnation, job.term()));
         self.bytes += job.bytes();
         Outcome::Ended { stopped }
     }
 
-    fn drive(&mut self, id: &str, term: DriverTerm, edge: EdgeProcess) -> Outcome {
+    fn assign_driver(&mut self, id: &str, term: DriverTerm, edge: EdgeProcess) -> Outcome {
         match self.jobs.get_mut(id) {
             Some(job) if job.needs_driver() && term == job.term() + 1 => {
-                job.drive(edge, term);
-                Outcome::Driven
+                job.assign_driver(edge, term);
+                Outcome::DriverAssigned
             }
             Some(_) => Outcome::Fenced,
-            None => Outcome::Unknown,
+            None => Outcome::NotApplicable,
         }
     }
 
-    fn keep_ages(&mut self, ages: &[(JobId, Duration)]) -> Outcome {
+    fn record_ages(&mut self, ages: &[(JobId, Duration)]) -> Outcome {
         for (id, age) in ages {
-            self.reach_age(id, *age);
+            self.raise_age(id, *age);
         }
-        Outcome::Kept
+        Outcome::AgesRecorded
     }
 
-    fn forget(&mut self, id: &str) -> Outcome {
+    fn delete(&mut self, id: &str) -> Outcome {
         if !self.jobs.get(id).is_some_and(Job::is_ended) {
-            return Outcome::Unknown;
+            return Outcome::NotApplicable;
         }
         if let Some(job) = self.jobs.remove(id) {
             self.bytes -= job.bytes();
         }
-        Outcome::Forgotten
+        Outcome::Deleted
     }
 }
 
--- a/system/jobs/tests/backend.rs
+++ b/system/jobs/tests/backend.rs
@@ -1,12 +1,12 @@
-//! One backend alone: what its head and its tail answer, when, and what they keep.
+//! One backend alone: what its head and its tail response, when, and what they keep.
 
-mod bench;
+mod common;
 
 use std::time::Duration;
 
-use bench::{
-    address, append, create, end, listed, read, renew, save, settings, Bench, EDGE, ME, NEXT_LIFE,
-    OTHER_EDGE, PARTITION,
+use common::single_backend::{
+    address, append, create, end, read, renew, result_count, save_checkpoint, settings, SingleBackend, EDGE,
+    ME, NEXT_INCARNATION, OTHER_EDGE, PARTITION,
 };
 use gingerledge_chain::{LogRecord, MemberId};
 use gingerledge_jobs::backend::{Backend, BackendEvent, DiskContent};
@@ -15,91 +15,91 @@
 use yare::parameterized;
 
 #[test]
-fn nothing_is_acknowledged_before_it_is_on_the_disk() {
-    let mut bench = Bench::new(0);
-    bench.ask_only(EDGE, create(10));
-    assert!(bench.answers().is_empty());
-    bench.sync();
-    assert!(matches!(bench.answers()[..], [JobsResponse::Created { driver_term: Some(1) }]));
+fn a_creation_is_not_acknowledged_before_it_is_durable() {
+    let mut host = SingleBackend::new(0);
+    host.send(EDGE, create(10));
+    assert!(host.take_responses().is_empty());
+    host.sync();
+    assert!(matches!(host.take_responses()[..], [JobsResponse::Created { driver_term: Some(1) }]));
 }
 
 #[test]
-fn a_chain_that_is_too_short_acknowledges_nothing() {
-    let mut bench = Bench::new(1);
-    assert!(bench.ask(create(10)).is_empty());
-    bench.pass(5_000);
-    assert!(bench.answers().is_empty());
+fn a_chain_shorter_than_the_fault_tolerance_acknowledges_nothing() {
+    let mut host = SingleBackend::new(1);
+    assert!(host.request(create(10)).is_empty());
+    host.advance(5_000);
+    assert!(host.take_responses().is_empty());
 }
 
 #[test]
-fn a_repeated_hand_in_waits_for_the_first_and_is_answered_too() {
-    let mut bench = Bench::new(0);
-    bench.ask_only(EDGE, create(10));
-    bench.ask_only(OTHER_EDGE, create(10));
-    assert!(bench.answers().is_empty());
-    bench.sync();
-    let answers = bench.answers();
-    let drives: Vec<_> = answers
+fn a_submission_during_a_pending_creation_gets_its_response_after_the_commit() {
+    let mut host = SingleBackend::new(0);
+    host.send(EDGE, create(10));
+    host.send(OTHER_EDGE, create(10));
+    assert!(host.take_responses().is_empty());
+    host.sync();
+    let responses = host.take_responses();
+    let drives: Vec<_> = responses
         .iter()
-        .map(|answer| matches!(answer, JobsResponse::Created { driver_term: Some(_) }))
+        .map(|response| matches!(response, JobsResponse::Created { driver_term: Some(_) }))
         .collect();
-    assert_eq!(drives.iter().filter(|drives| **drives).count(), 1, "{answers:?}");
-    assert_eq!(answers.len(), 2);
+    assert_eq!(drives.iter().filter(|drives| **drives).count(), 1, "{responses:?}");
+    assert_eq!(responses.len(), 2);
 }
 
 #[parameterized(fits = { 1_000, false }, too_large = { 8 * 1024 * 1024, true })]
-fn what_does_not_fit_is_refused_before_it_is_proposed(body_bytes: usize, refused: bool) {
-    let mut bench = Bench::new(0);
-    let records = bench.records.len();
-    let answers = bench.ask(create(body_bytes));
-    assert_eq!(matches!(answers[..], [JobsResponse::CapacityExceeded]), refused, "{answers:?}");
-    assert_eq!(bench.records.len() == records, refused);
+fn a_creation_beyond_the_capacity_is_rejected_without_a_proposal(body_bytes: usize, rejected: bool) {
+    let mut host = SingleBackend::new(0);
+    let records = host.records.len();
+    let responses = host.request(create(body_bytes));
+    assert_eq!(matches!(responses[..], [JobsResponse::CapacityExceeded]), rejected, "{responses:?}");
+    assert_eq!(host.records.len() == records, rejected);
 }
 
 #[test]
-fn a_stalled_disk_takes_nothing_and_says_so() {
-    let mut bench = Bench::new(0);
-    bench.ask_only(EDGE, create(10));
-    bench.now += Duration::from_millis(1_500);
-    assert!(bench.backend.report(bench.now).disk_stalled);
-    bench.ask_only(EDGE, JobsRequest::EndJob { job: "other".to_owned() });
-    assert!(matches!(bench.answers()[..], [JobsResponse::Unavailable]));
-    bench.sync();
-    assert!(!bench.backend.report(bench.now).disk_stalled);
+fn a_stalled_disk_rejects_writes_and_is_reported() {
+    let mut host = SingleBackend::new(0);
+    host.send(EDGE, create(10));
+    host.now += Duration::from_millis(1_500);
+    assert!(host.backend.report(host.now).disk_stalled);
+    host.send(EDGE, JobsRequest::EndJob { job: "other".to_owned() });
+    assert!(matches!(host.take_responses()[..], [JobsResponse::Unavailable]));
+    host.sync();
+    assert!(!host.backend.report(host.now).disk_stalled);
 }
 
 #[test]
-fn a_read_waits_for_a_result() {
-    let mut bench = Bench::new(0);
-    bench.ask(create(10));
-    assert!(bench.ask(read(0, 1_000)).is_empty());
-    bench.pass(500);
-    let answers = bench.ask(append(1, 1));
-    assert!(answers
+fn a_read_without_results_waits_for_the_next_one() {
+    let mut host = SingleBackend::new(0);
+    host.request(create(10));
+    assert!(host.request(read(0, 1_000)).is_empty());
+    host.advance(500);
+    let responses = host.request(append(1, 1));
+    assert!(responses
         .iter()
-        .any(|answer| matches!(answer, JobsResponse::Results { results, .. } if results.len() == 1)));
+        .any(|response| matches!(response, JobsResponse::Results { results, .. } if results.len() == 1)));
 }
 
 #[test]
-fn a_read_is_answered_once_it_has_waited_long_enough() {
-    let mut bench = Bench::new(0);
-    bench.ask(create(10));
-    assert!(bench.ask(read(0, 400)).is_empty());
-    bench.pass(390);
-    assert!(bench.answers().is_empty());
-    bench.pass(20);
-    assert_eq!(listed(&bench.answers()), Some(0));
+fn a_read_without_results_returns_none_when_its_wait_is_over() {
+    let mut host = SingleBackend::new(0);
+    host.request(create(10));
+    assert!(host.request(read(0, 400)).is_empty());
+    host.advance(390);
+    assert!(host.take_responses().is_empty());
+    host.advance(20);
+    assert_eq!(result_count(&host.take_responses()), Some(0));
 }
 
 #[test]
-fn nobody_waits_for_what_cannot_come() {
-    let mut bench = Bench::new(0);
-    bench.ask(create(10));
-    bench.ask(append(1, 0));
-    bench.ask(end());
-    assert_eq!(listed(&bench.ask(read(1, 1_000))), Some(0));
+fn a_read_of_an_ended_or_unknown_job_does_not_wait() {
+    let mut host = SingleBackend::new(0);
+    host.request(create(10));
+    host.request(append(1, 0));
+    host.request(end());
+    assert_eq!(result_count(&host.request(read(1, 1_000))), Some(0));
     assert!(matches!(
-        bench.ask(JobsRequest::ReadResults {
+        host.request(JobsRequest::ReadResults {
             job: "nothing".to_owned(),
             start_after: 0,
             wait_ms: 1_000,
@@ -110,172 +110,175 @@
 }
 
 #[test]
-fn a_driver_that_renews_stays_and_a_silent_one_is_replaced() {
-    let mut bench = Bench::new(0);
-    bench.ask(create(10));
+fn a_driver_that_renews_stays_and_one_that_stops_renewing_is_replaced() {
+    let mut host = SingleBackend::new(0);
+    host.request(create(10));
     for _ in 0..10 {
-        bench.pass(1_000);
+        host.advance(1_000);
         assert!(
-            matches!(&bench.ask(renew(1))[..], [JobsResponse::Renewed(states)] if states == &[DriverLeaseState::Held])
+            matches!(&host.request(renew(1))[..], [JobsResponse::Renewed(states)] if states == &[DriverLeaseState::Held])
         );
     }
-    bench.pass(1_600);
-    let drive = bench.sent.iter().find_map(|message| match message {
+    host.advance(1_600);
+    let drive = host.sent.iter().find_map(|message| match message {
         JobsMessage::AssignDriver { term, items_with_results, job, .. } => {
             Some((*term, items_with_results.len(), job.items.len()))
         }
         _ => None,
     });
     assert_eq!(drive, Some((2, 0, 2)));
-    bench.sent.clear();
+    host.sent.clear();
     assert!(
-        matches!(&bench.ask(renew(1))[..], [JobsResponse::Renewed(states)] if states == &[DriverLeaseState::Fenced])
+        matches!(&host.request(renew(1))[..], [JobsResponse::Renewed(states)] if states == &[DriverLeaseState::Fenced])
     );
-    assert!(matches!(bench.ask(append(1, 0))[..], [JobsResponse::Fenced]));
-    assert!(matches!(bench.ask(append(2, 0))[..], [JobsResponse::Appended]));
+    assert!(matches!(host.request(append(1, 0))[..], [JobsResponse::Fenced]));
+    assert!(matches!(host.request(append(2, 0))[..], [JobsResponse::Appended]));
 }
 
 #[test]
-fn a_driver_that_is_taken_to_be_silent_by_mistake_drives_on() {
-    let mut bench = Bench::new(0);
-    bench.ask(create(10));
-    bench.handle(BackendEvent::Edge { incarnation: EDGE, state: EdgeState::Silent });
+fn an_unreachable_driver_that_still_renews_keeps_its_lease() {
+    let mut host = SingleBackend::new(0);
+    host.request(create(10));
+    host.handle(BackendEvent::EdgeChanged { incarnation: EDGE, state: EdgeState::Unreachable });
     for _ in 0..10 {
-        bench.pass(500);
-        assert!(bench.told_terms().is_empty());
+        host.advance(500);
+        assert!(host.assigned_terms().is_empty());
         assert!(
-            matches!(&bench.ask(renew(1))[..], [JobsResponse::Renewed(states)] if states == &[DriverLeaseState::Held])
+            matches!(&host.request(renew(1))[..], [JobsResponse::Renewed(states)] if states == &[DriverLeaseState::Held])
         );
-        bench.edge_is_there(EDGE, address(EDGE));
+        host.edge_is_reachable(EDGE, address(EDGE));
     }
 }
 
 #[test]
-fn nothing_is_driven_by_an_edge_that_is_silent() {
-    let mut bench = Bench::new(0);
-    bench.ask(create(10));
-    bench.handle(BackendEvent::Edge { incarnation: OTHER_EDGE, state: EdgeState::Silent });
-    bench.edge_is_there(NEXT_LIFE, address(NEXT_LIFE));
-    bench.pass(1_600);
-    let job = bench.backend.partition(PARTITION).and_then(|partition| partition.store().job("j"));
-    assert_eq!(job.map(|job| job.driver().incarnation), Some(NEXT_LIFE));
+fn an_unreachable_edge_is_not_chosen_as_driver() {
+    let mut host = SingleBackend::new(0);
+    host.request(create(10));
+    host.handle(BackendEvent::EdgeChanged { incarnation: OTHER_EDGE, state: EdgeState::Unreachable });
+    host.edge_is_reachable(NEXT_INCARNATION, address(NEXT_INCARNATION));
+    host.advance(1_600);
+    let job = host.backend.partition(PARTITION).and_then(|partition| partition.store().job("j"));
+    assert_eq!(job.map(|job| job.driver().incarnation), Some(NEXT_INCARNATION));
 }
 
 #[test]
-fn a_driver_that_said_that_it_ends_is_replaced_at_once() {
-    let mut bench = Bench::new(0);
-    bench.ask(create(10));
-    bench.handle(BackendEvent::Edge { incarnation: EDGE, state: EdgeState::Ended });
-    bench.sync();
-    assert!(bench.sent.iter().any(|message| matches!(message, JobsMessage::AssignDriver { term: 2, .. })));
+fn a_driver_that_announces_its_shutdown_is_replaced_without_a_timeout() {
+    let mut host = SingleBackend::new(0);
+    host.request(create(10));
+    host.handle(BackendEvent::EdgeChanged { incarnation: EDGE, state: EdgeState::Ended });
+    host.sync();
+    assert!(host.sent.iter().any(|message| matches!(message, JobsMessage::AssignDriver { term: 2, .. })));
 }
 
 #[test]
-fn after_everything_has_started_again_the_drivers_machine_drives_on_at_once() {
-    let mut bench = Bench::new(0);
-    bench.ask(create(10));
-    bench.restart();
-    bench.edge_is_there(OTHER_EDGE, address(OTHER_EDGE));
-    assert!(bench.told_terms().is_empty(), "the driver may still come");
-    bench.edge_is_there(NEXT_LIFE, address(EDGE));
-    assert_eq!(bench.told_terms(), [2]);
-    let job = bench.backend.partition(PARTITION).and_then(|partition| partition.store().job("j"));
-    assert_eq!(job.map(|job| job.driver().incarnation), Some(NEXT_LIFE));
-    bench.pass(500);
+fn after_a_restart_of_all_processes_the_next_incarnation_of_the_driver_is_assigned() {
+    let mut host = SingleBackend::new(0);
+    host.request(create(10));
+    host.restart();
+    host.edge_is_reachable(OTHER_EDGE, address(OTHER_EDGE));
+    assert!(host.assigned_terms().is_empty(), "the driver may still restart");
+    host.edge_is_reachable(NEXT_INCARNATION, address(EDGE));
+    assert_eq!(host.assigned_terms(), [2]);
+    let job = host.backend.partition(PARTITION).and_then(|partition| partition.store().job("j"));
+    assert_eq!(job.map(|job| job.driver().incarnation), Some(NEXT_INCARNATION));
+    host.advance(500);
     assert!(
-        matches!(&bench.ask(renew(2))[..], [JobsResponse::Renewed(states)] if states == &[DriverLeaseState::Held])
+        matches!(&host.request(renew(2))[..], [JobsResponse::Renewed(states)] if states == &[DriverLeaseState::Held])
     );
 }
 
 #[test]
-fn edges_that_were_there_before_the_head_began_are_not_forgotten() {
-    let mut bench = Bench::new(0);
-    bench.ask(create(10));
-    bench.restart_before_the_chain_is_known();
-    bench.edge_is_there(NEXT_LIFE, address(EDGE));
-    bench.learn_chain();
-    assert_eq!(bench.told_terms(), [2]);
+fn a_new_head_assigns_edges_that_it_knew_before() {
+    let mut host = SingleBackend::new(0);
+    host.request(create(10));
+    host.restart_without_chain();
+    host.edge_is_reachable(NEXT_INCARNATION, address(EDGE));
+    host.learn_chain();
+    assert_eq!(host.assigned_terms(), [2]);
 }
 
 #[test]
-fn the_next_driver_is_told_the_texts_that_were_saved() {
-    let mut bench = Bench::new(0);
-    bench.ask(create(10));
-    assert!(matches!(bench.ask(save(1, None, 3, b"one"))[..], [JobsResponse::Appended]));
-    assert!(matches!(bench.ask(save(1, Some(3), 4, b"two"))[..], [JobsResponse::Appended]));
-    bench.restart();
-    bench.edge_is_there(NEXT_LIFE, address(EDGE));
-    let texts = bench.sent.iter().find_map(|message| match message {
+fn the_next_driver_receives_the_saved_texts() {
+    let mut host = SingleBackend::new(0);
+    host.request(create(10));
+    assert!(matches!(host.request(save_checkpoint(1, None, 3, b"one"))[..], [JobsResponse::Appended]));
+    assert!(matches!(host.request(save_checkpoint(1, Some(3), 4, b"two"))[..], [JobsResponse::Appended]));
+    host.restart();
+    host.edge_is_reachable(NEXT_INCARNATION, address(EDGE));
+    let texts = host.sent.iter().find_map(|message| match message {
         JobsMessage::AssignDriver { term: 2, texts, .. } => Some(texts.clone()),
         _ => None,
     });
     let texts: Vec<_> = texts.unwrap().into_iter().map(|text| (text.last_event_id, text.data)).collect();
     assert_eq!(texts, [(4, b"onetwo".to_vec())]);
-    bench.sent.clear();
-    assert!(matches!(bench.ask(save(1, Some(4), 5, b"late"))[..], [JobsResponse::Fenced]));
-    bench.ask(end());
-    assert!(matches!(bench.ask(save(2, Some(4), 5, b"late"))[..], [JobsResponse::Ended]));
+    host.sent.clear();
+    assert!(matches!(host.request(save_checkpoint(1, Some(4), 5, b"late"))[..], [JobsResponse::Fenced]));
+    host.request(end());
+    assert!(matches!(host.request(save_checkpoint(2, Some(4), 5, b"late"))[..], [JobsResponse::Ended]));
 }
 
 #[test]
-fn a_driver_that_is_still_there_drives_on_when_the_head_has_started_again() {
-    let mut bench = Bench::new(0);
-    bench.ask(create(10));
-    bench.restart();
-    bench.edge_is_there(EDGE, address(EDGE));
-    bench.edge_is_there(OTHER_EDGE, address(OTHER_EDGE));
-    bench.pass(1_400);
-    assert!(bench.told_terms().is_empty());
+fn a_reachable_driver_keeps_its_lease_over_a_restart_of_the_head() {
+    let mut host = SingleBackend::new(0);
+    host.request(create(10));
+    host.restart();
+    host.edge_is_reachable(EDGE, address(EDGE));
+    host.edge_is_reachable(OTHER_EDGE, address(OTHER_EDGE));
+    host.advance(1_400);
+    assert!(host.assigned_terms().is_empty());
     assert!(
-        matches!(&bench.ask(renew(1))[..], [JobsResponse::Renewed(states)] if states == &[DriverLeaseState::Held])
+        matches!(&host.request(renew(1))[..], [JobsResponse::Renewed(states)] if states == &[DriverLeaseState::Held])
     );
 }
 
 #[test]
-fn the_end_stops_the_driver() {
-    let mut bench = Bench::new(0);
-    bench.ask(create(10));
-    bench.ask_only(OTHER_EDGE, end());
-    bench.sync();
-    assert!(bench.sent.iter().any(|message| matches!(message, JobsMessage::StopDriver { term: 1, .. })));
-    bench.sent.clear();
+fn ending_a_job_stops_its_driver() {
+    let mut host = SingleBackend::new(0);
+    host.request(create(10));
+    host.send(OTHER_EDGE, end());
+    host.sync();
+    assert!(host.sent.iter().any(|message| matches!(message, JobsMessage::StopDriver { term: 1, .. })));
+    host.sent.clear();
     assert!(
-        matches!(&bench.ask(renew(1))[..], [JobsResponse::Renewed(states)] if states == &[DriverLeaseState::Ended])
+        matches!(&host.request(renew(1))[..], [JobsResponse::Renewed(states)] if states == &[DriverLeaseState::Ended])
     );
-    assert!(matches!(bench.ask(append(1, 0))[..], [JobsResponse::Ended]));
+    assert!(matches!(host.request(append(1, 0))[..], [JobsResponse::Ended]));
 }
 
 #[test]
-fn a_checkpoint_holds_what_the_records_before_it_held() {
-    let mut bench = Bench::new(0);
-    bench.ask(create(10));
-    bench.ask(append(1, 1));
+fn a_checkpoint_recovers_the_same_state_as_the_records_before_it() {
+    let mut host = SingleBackend::new(0);
+    host.request(create(10));
+    host.request(append(1, 1));
     let store = |backend: &Backend| backend.partition(PARTITION).map(|partition| partition.store().clone());
-    let checkpoint = bench.backend.checkpoint().unwrap().unwrap();
-    for records in [bench.records.clone(), checkpoint] {
+    let checkpoint = host.backend.checkpoint().unwrap().unwrap();
+    for records in [host.records.clone(), checkpoint] {
         let content = DiskContent::read(records).unwrap();
         let mut again = Backend::new(MemberId(ME), content, settings(0), 2);
         let moment = Duration::ZERO;
         again.handle(moment, BackendEvent::Started, &mut Vec::new());
-        assert_eq!(store(&again), store(&bench.backend));
+        assert_eq!(store(&again), store(&host.backend));
     }
 }
 
 #[test]
-fn outside_the_chain_nothing_is_kept_in_memory_or_comes_back_from_the_disk() {
-    let mut bench = Bench::new(0);
-    bench.ask(create(10));
+fn a_member_outside_the_chain_has_no_state_in_memory_or_on_disk() {
+    let mut host = SingleBackend::new(0);
+    host.request(create(10));
     let record = PartitionRecord { epoch: 2, chain: vec![9], in_sync: vec![9] };
-    bench.handle(BackendEvent::Chain { partition: PARTITION, record });
-    bench.sync();
-    assert_eq!(bench.backend.report(bench.now).bytes, 0);
-    let again = Backend::new(MemberId(ME), DiskContent::read(bench.records).unwrap(), settings(0), 2);
-    let mut kept = DiskContent::read(again.checkpoint().unwrap().unwrap()).unwrap();
-    let kept = kept.partitions.remove(&PARTITION).unwrap();
-    assert!(kept.iter().all(|record| !matches!(record, LogRecord::Entry { .. })), "{kept:?}");
-    assert!(kept.iter().any(|record| matches!(record, LogRecord::Snapshot { index: 0, .. })), "{kept:?}");
+    host.handle(BackendEvent::ChainDecided { partition: PARTITION, record });
+    host.sync();
+    assert_eq!(host.backend.report(host.now).bytes, 0);
+    let again = Backend::new(MemberId(ME), DiskContent::read(host.records).unwrap(), settings(0), 2);
+    let mut recovered = DiskContent::read(again.checkpoint().unwrap().unwrap()).unwrap();
+    let recovered = recovered.partitions.remove(&PARTITION).unwrap();
+    assert!(recovered.iter().all(|record| !matches!(record, LogRecord::Entry { .. })), "{recovered:?}");
     assert!(
-        kept.iter().any(|record| matches!(record, LogRecord::View { view, .. } if view.epoch == 2)),
-        "{kept:?}"
+        recovered.iter().any(|record| matches!(record, LogRecord::Snapshot { index: 0, .. })),
+        "{recovered:?}"
+    );
+    assert!(
+        recovered.iter().any(|record| matches!(record, LogRecord::View { view, .. } if view.epoch == 2)),
+        "{recovered:?}"
     );
 }
--- /dev/null
+++ b/system/jobs/tests/common/clients.rs
@@ -0,0 +1,387 @@
+//! Edges that create, drive, read and end batch jobs, and check every response against those before.
+
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::time::Duration;
+
+use gingerledge_jobs::partition::ClientRequest;
+use gingerledge_jobs::store::Caller;
+use gingerledge_wire::{
+    DriverLeaseState, ItemRecord, JobRecord, JobsMessage, JobsRequest, JobsResponse, ResultRecord,
+};
+
+use super::cluster::{Cluster, PARTITION_COUNT};
+use super::observations::{Observations, ObservedJob};
+
+const EDGES: u64 = 3;
+const RESEND_MS: u64 = 250;
+const RENEW_MS: u64 = 300;
+const REQUEST_TIMEOUT_MS: u64 = 20_000;
+const MAX_JOBS: usize = 24;
+
+struct PendingRequest {
+    edge: u64,
+    job: String,
+    partition: u16,
+    request: JobsRequest,
+    first_sent: Duration,
+    last_sent: Duration,
+}
+
+struct Edge {
+    address: SocketAddr,
+    /// Batch jobs that it drives, with the term and when it renews next.
+    drives: BTreeMap<String, (u64, Duration)>,
+}
+
+/// All edges of a simulated cluster.
+pub struct Clients {
+    edges: BTreeMap<u64, Edge>,
+    pending: BTreeMap<u64, PendingRequest>,
+    next_request: u64,
+    next_edge: u64,
+    next_job: u64,
+    next_act: Duration,
+    pub observations: Observations,
+    pub is_quiescent: bool,
+}
+
+/// Few partitions are used, so that each has many events.
+pub fn partition_of(job: &str) -> u16 {
+    job.bytes().last().map_or(0, |byte| u16::from(byte) % PARTITION_COUNT)
+}
+
+impl Clients {
+    pub fn new(cluster: &mut Cluster) -> Self {
+        let mut clients = Self {
+            edges: BTreeMap::new(),
+            pending: BTreeMap::new(),
+            next_request: 0,
+            next_edge: 0,
+            next_job: 0,
+            next_act: Duration::ZERO,
+            observations: Observations::default(),
+            is_quiescent: false,
+        };
+        for _ in 0..EDGES {
+            clients.start_edge(cluster);
+        }
+        clients
+    }
+
+    fn start_edge(&mut self, cluster: &mut Cluster) {
+        self.next_edge += 1;
+        let address = SocketAddr::from(([10, 1, 0, 1], 1000 + self.next_edge as u16));
+        self.edges.insert(self.next_edge, Edge { address, drives: BTreeMap::new() });
+        cluster.set_edge(self.next_edge, Some(address));
+    }
+
+    /// Does what is due at the edges.
+    pub fn act(&mut self, cluster: &mut Cluster) {
+        if cluster.now < self.next_act {
+            return;
+        }
+        self.next_act = cluster.now + Duration::from_millis(20);
+        cluster.wake_in(20);
+        self.resend(cluster);
+        self.drive(cluster);
+        if !self.is_quiescent {
+            self.send_random_request(cluster);
+            self.replace_edge(cluster);
+        }
+    }
+
+    fn replace_edge(&mut self, cluster: &mut Cluster) {
+        if cluster.rng.u16(..400) > 0 {
+            return;
+        }
+        let ids: Vec<u64> = self.edges.keys().copied().collect();
+        if let Some(edge) = cluster.rng.choice(&ids).copied() {
+            self.edges.remove(&edge);
+            self.pending.retain(|_, pending_request| pending_request.edge != edge);
+            // Sometimes it announces its shutdown; otherwise only time-outs reveal it.
+            if cluster.rng.bool() {
+                cluster.set_edge(edge, None);
+            }
+            self.start_edge(cluster);
+        }
+    }
+
+    fn send_random_request(&mut self, cluster: &mut Cluster) {
+        let ids: Vec<u64> = self.edges.keys().copied().collect();
+        let Some(edge) = cluster.rng.choice(&ids).copied() else { return };
+        let jobs: Vec<String> = self.observations.jobs.keys().cloned().collect();
+        let job = cluster.rng.choice(&jobs).cloned();
+        match (cluster.rng.u8(..20), job) {
+            (0, _) if self.observations.jobs.len() < MAX_JOBS => self.create(cluster, edge),
+            (1..=6, Some(job)) => {
+                let start_after = cluster.rng.u64(..4);
+                let max_bytes = if cluster.rng.bool() { 300 } else { 1_000_000 };
+                let wait_ms = if cluster.rng.bool() { 400 } else { 0 };
+                let request = JobsRequest::ReadResults { job: job.clone(), start_after, wait_ms, max_bytes };
+                self.send_request(cluster, edge, &job, request);
+            }
+            (7, Some(job)) => {
+                let item = format!("{job}-{}", cluster.rng.u8(..5));
+                self.send_request(cluster, edge, &job.clone(), JobsRequest::ReadItemBody { job, item });
+            }
+            (8, Some(job)) if cluster.rng.u8(..10) == 0 => {
+                if let Some(known) = self.observations.jobs.get_mut(&job) {
+                    known.end_requested = true;
+                }
+                self.send_request(cluster, edge, &job.clone(), JobsRequest::EndJob { job });
+            }
+            (9, Some(job)) => {
+                // Submitted again, at another edge.
+                let record = Arc::clone(&self.observations.jobs[&job].record);
+                self.send_request(cluster, edge, &job, JobsRequest::CreateJob { job: record });
+            }
+            _ => {}
+        }
+    }
+
+    fn create(&mut self, cluster: &mut Cluster, edge: u64) {
+        self.next_job += 1;
+        let id = format!("job{}", self.next_job);
+        let items = (0..1 + cluster.rng.u8(..5)).map(|index| ItemRecord {
+            id: format!("{id}-{index}"),
+            path: "/p/".to_owned(),
+            headers: Vec::new(),
+            body: vec![index; 50],
+            tokens: 1,
+            group: "g".to_owned(),
+            scoring: None,
+        });
+        let record = Arc::new(JobRecord {
+            id: id.clone(),
+            host: "h".to_owned(),
+            path: "/p/".to_owned(),
+            step: 0,
+            model: "m".to_owned(),
+            min_version: 1,
+            desired_groups: 1,
+            items: items.collect(),
+        });
+        let known = ObservedJob {
+            record: Arc::clone(&record),
+            first_sent: cluster.now,
+            highest_age: Duration::ZERO,
+            created: None,
+            ended: None,
+            end_requested: false,
+            sent: Default::default(),
+            received: BTreeMap::new(),
+            acknowledged_items: Default::default(),
+            held_term: (0, Duration::ZERO),
+        };
+        self.observations.jobs.insert(id.clone(), known);
+        self.send_request(cluster, edge, &id, JobsRequest::CreateJob { job: record });
+    }
+
+    /// Renews the leases of drivers, and appends results.
+    fn drive(&mut self, cluster: &mut Cluster) {
+        let now = cluster.now;
+        let mut requests = Vec::new();
+        for (edge, state) in &mut self.edges {
+            for (job, (term, renew_at)) in &mut state.drives {
+                if now >= *renew_at {
+                    *renew_at = now + Duration::from_millis(RENEW_MS);
+                    requests.push((
+                        *edge,
+                        job.clone(),
+                        JobsRequest::RenewDriverLeases { jobs: vec![(job.clone(), *term)] },
+                    ));
+                }
+                if cluster.rng.u8(..30) == 0 {
+                    let Some(known) = self.observations.jobs.get_mut(job) else { continue };
+                    let item = cluster.rng.u32(..known.record.items.len() as u32);
+                    known.sent.insert(item);
+                    let text = format!("{job} {item} by {edge} under {term}").into_bytes();
+                    let versions = vec![*term];
+                    let result = ResultRecord { item, completed: true, text, versions, score: String::new() };
+                    let append =
+                        JobsRequest::AppendResults { job: job.clone(), term: *term, results: vec![result] };
+                    requests.push((*edge, job.clone(), append));
+                }
+            }
+        }
+        for (edge, job, request) in requests {
+            self.send_request(cluster, edge, &job, request);
+        }
+    }
+
+    fn send_request(&mut self, cluster: &mut Cluster, edge: u64, job: &str, request: JobsRequest) {
+        self.next_request += 1;
+        let pending_request = PendingRequest {
+            edge,
+            job: job.to_owned(),
+            partition: partition_of(job),
+            request,
+            first_sent: cluster.now,
+            last_sent: cluster.now,
+        };
+        self.send(cluster, self.next_request, &pending_request);
+        self.pending.insert(self.next_request, pending_request);
+    }
+
+    fn send(&self, cluster: &mut Cluster, request: u64, pending_request: &PendingRequest) {
+        let Some(edge) = self.edges.get(&pending_request.edge) else { return };
+        let caller = Caller { request, reply_to: edge.address, edge: pending_request.edge };
+        let record = cluster.chain(pending_request.partition).clone();
+        let at_tail = matches!(
+            pending_request.request,
+            JobsRequest::ReadResults { .. } | JobsRequest::ReadItemBody { .. }
+        );
+        let member = if at_tail { record.chain.last() } else { record.chain.first() };
+        // Not every edge knows the newest chain, so some send_request any_backend.
+        let any_backend: Vec<u64> = cluster.backends().map(|(member, _)| member).collect();
+        let misdirected = cluster.rng.u8(..100) < 10;
+        let member = if misdirected { cluster.rng.choice(&any_backend).copied() } else { member.copied() };
+        let epoch = if misdirected { 1 } else { record.epoch };
+        let body = pending_request.request.clone();
+        if let Some(member) = member {
+            cluster.send_request(member, pending_request.partition, ClientRequest { caller, epoch, body });
+        }
+    }
+
+    fn resend(&mut self, cluster: &mut Cluster) {
+        let now = cluster.now;
+        let age = |since: Duration| (now - since).as_millis() as u64;
+        let is_renewal = |pending_request: &PendingRequest| {
+            matches!(pending_request.request, JobsRequest::RenewDriverLeases { .. })
+        };
+        self.pending.retain(|_, pending_request| {
+            let most = if is_renewal(pending_request) { RENEW_MS } else { REQUEST_TIMEOUT_MS };
+            age(pending_request.first_sent) < most
+        });
+        let late = |pending_request: &PendingRequest| {
+            age(pending_request.last_sent) >= RESEND_MS && !is_renewal(pending_request)
+        };
+        let due: Vec<u64> = self
+            .pending
+            .iter()
+            .filter(|(_, pending_request)| late(pending_request))
+            .map(|(number, _)| *number)
+            .collect();
+        for number in due {
+            if let Some(mut pending_request) = self.pending.remove(&number) {
+                pending_request.last_sent = now;
+                self.send(cluster, number, &pending_request);
+                self.pending.insert(number, pending_request);
+            }
+        }
+    }
+
+    /// A message to an edge has arrived.
+    pub fn receive(&mut self, cluster: &Cluster, to: SocketAddr, message: JobsMessage) {
+        let now = cluster.now;
+        match message {
+            JobsMessage::Response { request, body } => self.on_response(now, request, body),
+            JobsMessage::AssignDriver { job, term, items_with_results, age_ms, .. } => {
+                self.observations.on_age_received(now, &job.id, Duration::from_millis(age_ms));
+                for item in items_with_results {
+                    assert!((item as usize) < job.items.len());
+                }
+                self.observations.count("drive");
+                let found = self.edges.values_mut().find(|edge| edge.address == to);
+                if let Some(edge) = found {
+                    let known = edge.drives.entry(job.id.clone()).or_insert((term, now));
+                    if known.0 < term {
+                        *known = (term, now);
+                    }
+                }
+            }
+            JobsMessage::StopDriver { job, .. } => {
+                self.edges.values_mut().find(|edge| edge.address == to).map(|edge| edge.drives.remove(&job));
+            }
+            JobsMessage::Request { .. } => unreachable!("backends send no requests"),
+        }
+    }
+
+    fn on_response(&mut self, now: Duration, request: u64, response: JobsResponse) {
+        if matches!(response, JobsResponse::Unavailable) {
+            return;
+        }
+        let Some(pending_request) = self.pending.remove(&request) else { return };
+        let PendingRequest { edge, job, request, first_sent: sent, .. } = pending_request;
+        match (request, response) {
+            (JobsRequest::CreateJob { .. }, JobsResponse::Created { driver_term }) => {
+                self.observations.count("created");
+                self.observations.jobs.get_mut(&job).unwrap().created.get_or_insert(now);
+                if let (Some(term), Some(state)) = (driver_term, self.edges.get_mut(&edge)) {
+                    state.drives.entry(job).or_insert((term, now));
+                }
+            }
+            (JobsRequest::AppendResults { results, .. }, JobsResponse::Appended) => {
+                self.observations.count("appended");
+                let known = self.observations.jobs.get_mut(&job).unwrap();
+                known.acknowledged_items.extend(results.iter().map(|result| result.item));
+            }
+            (JobsRequest::AppendResults { .. }, JobsResponse::Fenced | JobsResponse::Ended) => {}
+            (JobsRequest::EndJob { .. }, JobsResponse::Ended) => {
+                self.observations.count("ended");
+                self.observations.jobs.get_mut(&job).unwrap().ended.get_or_insert(now);
+            }
+            (JobsRequest::ReadResults { start_after, .. }, JobsResponse::Results { total, results, .. }) => {
+                self.observations.count(if results.is_empty() { "empty page" } else { "page" });
+                assert_eq!(total, self.observations.jobs[&job].record.items.len() as u64);
+                self.observations.on_results(now, sent, &job, start_after, &results);
+            }
+            (JobsRequest::ReadItemBody { item, .. }, JobsResponse::ItemBody(body)) => {
+                self.observations.count("body");
+                let record = &self.observations.jobs[&job].record;
+                let expected = record.items.iter().find(|known| known.id == item);
+                assert_eq!(Some(&body), expected.map(|item| &item.body));
+            }
+            (JobsRequest::ReadItemBody { item, .. }, JobsResponse::NotFound) => {
+                self.on_no_body(sent, &job, &item)
+            }
+            (JobsRequest::RenewDriverLeases { jobs }, JobsResponse::Renewed(states)) => {
+                for ((job, term), state) in jobs.into_iter().zip(states) {
+                    self.on_lease_state(now, sent, edge, &job, term, state);
+                }
+            }
+            (_, JobsResponse::NotFound) => self.observations.on_not_found(sent, &job),
+            (request, response) => panic!("{request:?} got the response {response:?}"),
+        }
+    }
+
+    /// An item without a body has a result or does not exist, or its batch job is ended or was never acknowledged.
+    fn on_no_body(&mut self, sent: Duration, job: &str, item: &str) {
+        let known = &self.observations.jobs[job];
+        let index = known.record.items.iter().position(|known| known.id == item);
+        let acknowledged = known.created.is_some_and(|at| at < sent);
+        let may_have_result = index.is_none_or(|index| known.sent.contains(&(index as u32)));
+        assert!(!acknowledged || known.end_requested || may_have_result, "{item} has no body");
+    }
+
+    fn on_lease_state(
+        &mut self,
+        now: Duration,
+        sent: Duration,
+        edge: u64,
+        job: &str,
+        term: u64,
+        state: DriverLeaseState,
+    ) {
+        match state {
+            DriverLeaseState::Held => {
+                self.observations.count("held");
+                self.observations.on_lease_held(now, sent, job, term);
+            }
+            DriverLeaseState::Ended | DriverLeaseState::Fenced => {
+                if let Some(state) = self.edges.get_mut(&edge) {
+                    if state.drives.get(job).is_some_and(|(known, _)| *known == term) {
+                        state.drives.remove(job);
+                    }
+                }
+            }
+        }
+    }
+
+    /// Whether some edge drives a batch job.
+    pub fn is_driven(&self, job: &str) -> bool {
+        self.edges.values().any(|edge| edge.drives.contains_key(job))
+    }
+}
--- a/system/jobs/tests/common/coordinator.rs
+++ b/system/jobs/tests/common/coordinator.rs
@@ -1,4 +1,4 @@
-//! The map of partitions as the control plane changes it: its own state and its own planner, over the members of a simulation.
+//! The chains of partitions as the control plane changes them: its state and its planner, over the members of a simulation.
 
 use std::collections::BTreeMap;
 
@@ -13,7 +13,7 @@
     state: ControlState,
     sequence: u64,
     partitions: u16,
-    /// The member that is being emptied.
+    /// The member that is being retired.
     pub retiring: Option<u64>,
 }
 
@@ -36,9 +36,9 @@
         (0..self.partitions).map(|partition| (partition, self.record(partition).clone())).collect()
     }
 
-    /// A member says in which epochs it is full; what says the same as before is not told again.
-    pub fn report(&mut self, member: u64, full: &[(u16, u64)]) {
-        for (partition, epoch) in full.iter().copied() {
+    /// A member reports the epochs in which it is in sync; what is known already is not applied again.
+    pub fn report(&mut self, member: u64, in_sync: &[(u16, u64)]) {
+        for (partition, epoch) in in_sync.iter().copied() {
             let known = self.state.partitions().get(partition);
             if known.is_some_and(|record| record.epoch == epoch && !record.in_sync.contains(&member)) {
                 self.sequence += 1;
@@ -47,8 +47,8 @@
         }
     }
 
-    /// Whether every member of every chain is full and lives.
-    pub fn is_whole(&self, alive: &[u64]) -> bool {
+    /// Whether every member of every chain is in sync and alive.
+    pub fn is_in_sync(&self, alive: &[u64]) -> bool {
         self.records().values().all(|record| {
             record.in_sync.len() == record.chain.len()
                 && record.chain.iter().all(|member| alive.contains(member))
--- a/system/jobs/tests/common/disk.rs
+++ b/system/jobs/tests/common/disk.rs
@@ -1,10 +1,10 @@
-//! A disk that syncs batches in order after a while, and at a loss keeps what was synced and perhaps a few batches more.
+//! A disk that syncs batches in order after a delay; after a crash it holds what was synced and perhaps a few batches more.
 
 use std::collections::VecDeque;
 
 use fastrand::Rng;
 
-struct Job {
+struct Write {
     token: u64,
     records: Vec<Vec<u8>>,
     is_snapshot: bool,
@@ -14,55 +14,55 @@
 #[derive(Default)]
 pub struct Disk {
     synced: Vec<Vec<u8>>,
-    waiting: VecDeque<Job>,
+    pending: VecDeque<Write>,
 }
 
 impl Disk {
     /// An empty disk with an identity.
     pub fn new(identity: Vec<u8>) -> Self {
-        Self { synced: vec![identity], waiting: VecDeque::new() }
+        Self { synced: vec![identity], pending: VecDeque::new() }
     }
 
     /// Queues a batch.
     pub fn append(&mut self, token: u64, records: Vec<Vec<u8>>) {
-        self.waiting.push_back(Job { token, records, is_snapshot: false });
+        self.pending.push_back(Write { token, records, is_snapshot: false });
     }
 
     /// Queues records that replace all before.
     pub fn snapshot(&mut self, token: u64, records: Vec<Vec<u8>>) {
-        self.waiting.push_back(Job { token, records, is_snapshot: true });
+        self.pending.push_back(Write { token, records, is_snapshot: true });
     }
 
-    /// Whether something waits.
+    /// Whether writes are pending.
     pub fn is_busy(&self) -> bool {
-        !self.waiting.is_empty()
+        !self.pending.is_empty()
     }
 
-    /// Syncs some of what waits; gives the token up to which all is durable.
+    /// Syncs some of the pending writes; returns the token up to which all is durable.
     pub fn sync(&mut self, rng: &mut Rng) -> Option<u64> {
-        let count = rng.usize(..=self.waiting.len());
-        self.take(count)
+        let count = rng.usize(..=self.pending.len());
+        self.sync_first(count)
     }
 
-    /// The process or the machine ends: batches that were not synced may be there or not, whole and in order.
+    /// The process or the machine crashes: batches that were not synced may be there or not, each as a whole and in order.
     pub fn crash(&mut self, rng: &mut Rng) {
         let _ = self.sync(rng);
-        self.waiting.clear();
+        self.pending.clear();
     }
 
-    /// All records, as a start finds them.
+    /// All records, as the next start reads them.
     pub fn records(&self) -> Vec<Vec<u8>> {
         self.synced.clone()
     }
 
-    fn take(&mut self, count: usize) -> Option<u64> {
+    fn sync_first(&mut self, count: usize) -> Option<u64> {
         let mut token = None;
-        for job in self.waiting.drain(..count) {
-            if job.is_snapshot {
+        for write in self.pending.drain(..count) {
+            if write.is_snapshot {
                 self.synced.clear();
             }
-            self.synced.extend(job.records);
-            token = Some(job.token);
+            self.synced.extend(write.records);
+            token = Some(write.token);
         }
         token
     }
--- a/system/jobs/tests/bench/mod.rs
+++ b/system/jobs/tests/common/single_backend.rs
@@ -1,4 +1,4 @@
-//! One backend alone on a bench: its disk is as fast as the test wants, and its edges are the test.
+//! One backend alone on a backend: its disk is as fast as the test wants, and its edges are the test.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -6,23 +6,25 @@
 
 use gingerledge_chain::MemberId;
 use gingerledge_jobs::backend::{Backend, BackendAction, BackendEvent, DiskContent};
+use gingerledge_jobs::partition::ClientRequest;
 use gingerledge_jobs::partition::EdgeState;
-use gingerledge_jobs::store::Asker;
+use gingerledge_jobs::store::Caller;
 use gingerledge_jobs::JobsSettings;
-use gingerledge_protocol::Settings;
 use gingerledge_wire::{
     ItemRecord, JobRecord, JobsMessage, JobsRequest, JobsResponse, PartialText, PartitionRecord, ResultRecord,
 };
 
+use super::settings::TestSettings;
+
 pub const ME: u64 = 5;
 pub const EDGE: u64 = 77;
 pub const OTHER_EDGE: u64 = 78;
-/// The process that runs in the place of `EDGE` once that has ended.
-pub const NEXT_LIFE: u64 = 79;
+/// The next incarnation of `EDGE`.
+pub const NEXT_INCARNATION: u64 = 79;
 pub const PARTITION: u16 = 3;
 
-/// A backend whose disk is as fast as the test wants.
-pub struct Bench {
+/// A backend, a clock, and all that the backend has written and sent.
+pub struct SingleBackend {
     pub backend: Backend,
     pub now: Duration,
     unsynced: Vec<u64>,
@@ -31,42 +33,41 @@
     next_request: u64,
 }
 
-pub fn settings(machines: usize) -> JobsSettings {
-    let text = format!(
-        r#"{{"nodeName":"n","role":"r","machineClass":"c","ip":"10.0.0.1","zone":"z","internalPorts":[1,2],
-        "seeds":["10.0.0.2:1"],"faultTolerance":{{"machines":{machines}}},"bounds":{{"statusS":100}},
-        "limits":{{"memoryMb":16,"diskMb":128}}}}"#
-    );
-    JobsSettings::new(&Settings::parse(text.as_bytes()).unwrap())
+/// Settings of a backend that tolerates the loss of some machines.
+pub fn settings(fault_tolerance: usize) -> JobsSettings {
+    TestSettings { fault_tolerance, memory_mb: 16, retention_s: Some(100) }.build()
 }
 
 pub fn address(edge: u64) -> SocketAddr {
     SocketAddr::from(([10, 1, 0, 1], edge as u16))
 }
 
-impl Bench {
+impl SingleBackend {
     /// A backend that is the whole chain of a partition.
     pub fn new(machines: usize) -> Self {
         let backend = Backend::new(MemberId(ME), DiskContent::default(), settings(machines), 1);
         let (unsynced, records, sent) = (Vec::new(), Vec::new(), Vec::new());
-        let mut bench = Self { backend, now: Duration::ZERO, unsynced, records, sent, next_request: 0 };
-        bench.handle(BackendEvent::Started);
+        let mut host = Self { backend, now: Duration::ZERO, unsynced, records, sent, next_request: 0 };
+        host.handle(BackendEvent::Started);
         for edge in [EDGE, OTHER_EDGE] {
-            bench.handle(BackendEvent::Edge { incarnation: edge, state: EdgeState::There(address(edge)) });
+            host.handle(BackendEvent::EdgeChanged {
+                incarnation: edge,
+                state: EdgeState::Reachable(address(edge)),
+            });
         }
-        bench.learn_chain();
-        bench
+        host.learn_chain();
+        host
     }
 
-    /// The process starts again with its disk; it knows no edges yet.
+    /// The process starts again with its disk; the registry is not known yet.
     pub fn restart(&mut self) {
-        self.restart_before_the_chain_is_known();
+        self.restart_without_chain();
         self.learn_chain();
-        // Askers of the life before may be answered again.
+        // Callers of the incarnation before may get a second response.
         self.sent.clear();
     }
 
-    pub fn restart_before_the_chain_is_known(&mut self) {
+    pub fn restart_without_chain(&mut self) {
         let content = DiskContent::read(self.records.clone()).unwrap();
         self.backend = Backend::new(MemberId(ME), content, settings(0), 2);
         self.unsynced.clear();
@@ -77,17 +78,17 @@
 
     pub fn learn_chain(&mut self) {
         let record = PartitionRecord { epoch: 1, chain: vec![ME], in_sync: vec![ME] };
-        self.handle(BackendEvent::Chain { partition: PARTITION, record });
+        self.handle(BackendEvent::ChainDecided { partition: PARTITION, record });
         self.sync();
     }
 
-    pub fn edge_is_there(&mut self, incarnation: u64, address: SocketAddr) {
-        self.handle(BackendEvent::Edge { incarnation, state: EdgeState::There(address) });
+    pub fn edge_is_reachable(&mut self, incarnation: u64, address: SocketAddr) {
+        self.handle(BackendEvent::EdgeChanged { incarnation, state: EdgeState::Reachable(address) });
         self.sync();
     }
 
-    /// The terms under which edges were told to drive.
-    pub fn told_terms(&self) -> Vec<u64> {
+    /// The terms of the assignments sent to drivers.
+    pub fn assigned_terms(&self) -> Vec<u64> {
         let term = |message: &JobsMessage| match message {
             JobsMessage::AssignDriver { term, .. } => Some(*term),
             _ => None,
@@ -117,36 +118,37 @@
         }
     }
 
-    /// Lets time pass, with all timers on the way.
-    pub fn pass(&mut self, milliseconds: u64) {
+    /// Advances the clock, and expires all timers on the way.
+    pub fn advance(&mut self, milliseconds: u64) {
         let end = self.now + Duration::from_millis(milliseconds);
         while let Some(timer) = self.backend.next_timer().filter(|timer| *timer <= end) {
             self.now = self.now.max(timer);
-            self.handle(BackendEvent::Tick);
+            self.handle(BackendEvent::TimerExpired);
             self.sync();
         }
         self.now = end;
     }
 
-    /// Asks without waiting for the disk.
-    pub fn ask_only(&mut self, edge: u64, request: JobsRequest) {
+    /// Sends a request without syncing the disk.
+    pub fn send(&mut self, edge: u64, request: JobsRequest) {
         self.next_request += 1;
-        let asker = Asker { request: self.next_request, reply_to: address(edge), edge };
-        self.handle(BackendEvent::Ask { asker, partition: PARTITION, epoch: 1, request });
+        let caller = Caller { request: self.next_request, reply_to: address(edge), edge };
+        let request = ClientRequest { caller, epoch: 1, body: request };
+        self.handle(BackendEvent::Request { partition: PARTITION, request });
     }
 
-    pub fn ask(&mut self, request: JobsRequest) -> Vec<JobsResponse> {
-        self.ask_only(EDGE, request);
+    pub fn request(&mut self, request: JobsRequest) -> Vec<JobsResponse> {
+        self.send(EDGE, request);
         self.sync();
-        self.answers()
+        self.take_responses()
     }
 
-    pub fn answers(&mut self) -> Vec<JobsResponse> {
-        let answer = |message| match message {
+    pub fn take_responses(&mut self) -> Vec<JobsResponse> {
+        let response = |message| match message {
             JobsMessage::Response { body, .. } => Some(body),
             _ => None,
         };
-        self.sent.drain(..).filter_map(answer).collect()
+        self.sent.drain(..).filter_map(response).collect()
     }
 }
 
@@ -192,7 +194,7 @@
 }
 
 /// A part of the text of the second item.
-pub fn save(term: u64, after: Option<u64>, last_id: u64, data: &[u8]) -> JobsRequest {
+pub fn save_checkpoint(term: u64, after: Option<u64>, last_id: u64, data: &[u8]) -> JobsRequest {
     let (data, versions) = (data.to_vec(), vec![1]);
     let part = PartialText {
         item: 1,
@@ -214,8 +216,8 @@
     JobsRequest::EndJob { job: "j".to_owned() }
 }
 
-pub fn listed(answers: &[JobsResponse]) -> Option<usize> {
-    match answers {
+pub fn result_count(responses: &[JobsResponse]) -> Option<usize> {
+    match responses {
         [JobsResponse::Results { results, .. }] => Some(results.len()),
         _ => None,
     }
--- a/system/jobs/tests/golden.rs
+++ b/system/jobs/tests/golden.rs
@@ -1,5 +1,5 @@
-//! The bytes of what a backend keeps: records on its disk, proposals of its chains, and the states of partitions. They are equal to
-//! what was recorded once.
+//! The bytes that a backend stores: records on its disk, proposals of its chains, and the states of partitions. They are equal to
+//! the recorded ones.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -10,7 +10,7 @@
 use gingerledge_chain::{LogRecord, MemberId, Membership, ProposalNumber, View};
 use gingerledge_golden::{compare, read, Sample};
 use gingerledge_jobs::backend::{DiskContent, DiskRecord};
-use gingerledge_jobs::store::{Asker, Command, EdgeProcess, Proposal, Store};
+use gingerledge_jobs::store::{Caller, Command, EdgeProcess, Proposal, Store};
 use gingerledge_wire::{ItemRecord, JobRecord, PartialText, ResultRecord, ScoringRecord};
 
 struct Golden {
@@ -96,12 +96,15 @@
     let id = || "job-1".to_owned();
     vec![
         ("create", Command::Create { job: job("job-1"), edge: edge(70) }),
-        ("append", Command::Append { job: id(), term: 1, results: vec![result(0, true), result(2, false)] }),
-        ("save", Command::Save { job: id(), term: 1, texts: vec![text()] }),
+        (
+            "append",
+            Command::AppendResults { job: id(), term: 1, results: vec![result(0, true), result(2, false)] },
+        ),
+        ("save", Command::SaveCheckpoint { job: id(), term: 1, texts: vec![text()] }),
         ("end", Command::End { job: id() }),
-        ("drive", Command::Drive { job: id(), term: 2, edge: edge(71) }),
-        ("forget", Command::Forget { job: id() }),
-        ("keep ages", Command::KeepAges { ages: vec![(id(), Duration::new(13, 14))] }),
+        ("drive", Command::AssignDriver { job: id(), term: 2, edge: edge(71) }),
+        ("forget", Command::Delete { job: id() }),
+        ("keep ages", Command::RecordAges { ages: vec![(id(), Duration::new(13, 14))] }),
     ]
 }
 
@@ -125,7 +128,7 @@
 }
 
 #[test]
-fn records_on_the_disk_are_written_and_read_as_before() {
+fn records_on_the_disk_have_the_recorded_bytes() {
     let mut golden = Golden::new("disk.txt");
     let identity = DiskRecord::Identity(70_000).encode().expect("encodes");
     if let Some(recorded) = golden.add("identity", identity) {
@@ -142,12 +145,12 @@
 }
 
 #[test]
-fn proposals_are_written_and_read_as_before() {
+fn proposals_have_the_recorded_bytes() {
     let mut golden = Golden::new("proposals.txt");
-    let asker = Asker { request: 300, reply_to: address(2), edge: 70 };
+    let caller = Caller { request: 300, reply_to: address(2), edge: 70 };
     for (name, command) in commands() {
-        for (by, asker) in [("edge", Some(asker)), ("head", None)] {
-            let proposal = Proposal { asker, age: Duration::new(2, 3), command: command.clone() };
+        for (by, caller) in [("edge", Some(caller)), ("head", None)] {
+            let proposal = Proposal { caller, age: Duration::new(2, 3), command: command.clone() };
             let bytes = proposal.encode().expect("encodes");
             if let Some(recorded) = golden.add(&format!("{name} by {by}"), bytes) {
                 let decoded = Proposal::decode(&recorded).expect("readable");
@@ -160,7 +163,7 @@
 }
 
 #[test]
-fn states_of_partitions_are_written_and_read_as_before() {
+fn states_of_partitions_have_the_recorded_bytes() {
     let mut golden = Golden::new("states.txt");
     let mut store = Store::default();
     let mut states = vec![("empty".to_owned(), store.clone())];
@@ -172,7 +175,7 @@
         store.apply(command);
         states.push((format!("after {name}"), store.clone()));
         if name == "save" {
-            store.apply(Command::Drive { job: "job-0".to_owned(), term: 2, edge: edge(72) });
+            store.apply(Command::AssignDriver { job: "job-0".to_owned(), term: 2, edge: edge(72) });
             states.push(("after another driver".to_owned(), store.clone()));
         }
     }
--- a/system/jobs/tests/golden_disk.rs
+++ b/system/jobs/tests/golden_disk.rs
@@ -1,19 +1,20 @@
 //! A later version reads the disk of a backend that an earlier one wrote, and writes it on in the same form.
 //!
-//! The recorded disks are written by hand: `GOLDEN_WRITE=1 cargo test -p gingerledge-jobs --test golden_disk -- the_code_of_the_day`,
+//! The recorded disks are written by hand: `GOLDEN_WRITE=1 cargo test -p gingerledge-jobs --test golden_disk -- the_present_code`,
 //! twice, since the rewritten disk comes from a recorded one.
 
+mod common;
+
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 use std::time::Duration;
 
+use common::settings::TestSettings;
 use gingerledge_chain::{LogRecord, MemberId, View};
 use gingerledge_golden::disk_image::DiskImage;
 use gingerledge_jobs::backend::{Backend, BackendEvent, DiskContent, DiskRecord};
-use gingerledge_jobs::store::{Asker, Command, EdgeProcess, Proposal, Store};
-use gingerledge_jobs::JobsSettings;
-use gingerledge_protocol::Settings;
+use gingerledge_jobs::store::{Caller, Command, EdgeProcess, Proposal, Store};
 use gingerledge_storage::{FileDisk, Ring, RingSettings};
 use gingerledge_wire::{ItemRecord, JobRecord, PartialText, PartitionRecord, ResultRecord, ScoringRecord};
 
@@ -39,13 +40,6 @@
     Path::new(env!("CARGO_TARGET_TMPDIR")).join("golden-disk-jobs").join(name)
 }
 
-fn settings() -> JobsSettings {
-    let text = r#"{"nodeName":"n","role":"r","machineClass":"c","ip":"10.0.0.1","zone":"z","internalPorts":[1,2],
-        "seeds":["10.0.0.2:1"],"faultTolerance":{"machines":1},"bounds":{"statusS":100},
-        "limits":{"memoryMb":16,"diskMb":128}}"#;
-    JobsSettings::new(&Settings::parse(text.as_bytes()).unwrap())
-}
-
 fn edge(incarnation: u64) -> EdgeProcess {
     EdgeProcess { incarnation, address: SocketAddr::from(([10, 1, 0, 1], 7000)) }
 }
@@ -110,28 +104,28 @@
     vec![
         Command::Create { job: Arc::new(job("open", 4)), edge: edge(71) },
         Command::Create { job: Arc::new(job("ended", 2)), edge: edge(72) },
-        Command::Append { job: open(), term: 1, results: vec![result(2, true)] },
-        Command::Save { job: open(), term: 1, texts: vec![part(0, None, 5, "first ")] },
-        Command::Drive { job: open(), term: 2, edge: edge(73) },
-        Command::Save {
+        Command::AppendResults { job: open(), term: 1, results: vec![result(2, true)] },
+        Command::SaveCheckpoint { job: open(), term: 1, texts: vec![part(0, None, 5, "first ")] },
+        Command::AssignDriver { job: open(), term: 2, edge: edge(73) },
+        Command::SaveCheckpoint {
             job: open(),
             term: 2,
             texts: vec![part(0, Some(5), 9, "second"), part(1, None, 2, "third")],
         },
-        Command::Append { job: "ended".to_owned(), term: 1, results: vec![result(0, false)] },
+        Command::AppendResults { job: "ended".to_owned(), term: 1, results: vec![result(0, false)] },
         Command::End { job: "ended".to_owned() },
-        Command::KeepAges { ages: vec![("ended".to_owned(), Duration::new(90, 5))] },
+        Command::RecordAges { ages: vec![("ended".to_owned(), Duration::new(90, 5))] },
         Command::Create { job: Arc::new(job("second", 1)), edge: edge(71) },
         Command::End { job: "second".to_owned() },
-        Command::Forget { job: "second".to_owned() },
+        Command::Delete { job: "second".to_owned() },
     ]
 }
 
 fn proposal(number: u64) -> Proposal {
     let command = commands().swap_remove(usize::try_from(number).unwrap() - 1);
-    let asker = Asker { request: number + 1000, reply_to: edge(71).address, edge: 71 };
+    let caller = Caller { request: number + 1000, reply_to: edge(71).address, edge: 71 };
     let age = Duration::from_millis(number * 10);
-    Proposal { asker: command.job().is_some().then_some(asker), age, command }
+    Proposal { caller: command.job().is_some().then_some(caller), age, command }
 }
 
 fn entry(epoch: u64, index: u64, committed: u64) -> LogRecord {
@@ -146,7 +140,7 @@
         let id = command.job().cloned();
         store.apply(command);
         if let Some(id) = id {
-            store.reach_age(&id, age);
+            store.raise_age(&id, age);
         }
     }
     store
@@ -184,7 +178,7 @@
     vec![LogRecord::View { view: view(7, &[SECOND, ME]), in_sync: false }, LogRecord::Sealed { epoch: 7 }]
 }
 
-/// What the write in the middle of which the power goes would have added.
+/// The records of a write that a power loss interrupts.
 fn last_records() -> Vec<DiskRecord> {
     let large = LogRecord::Entry { epoch: 2, index: 12, commit_index: 11, command: vec![0x5a; 3000] };
     vec![
@@ -208,7 +202,7 @@
     (ring, content)
 }
 
-/// A log of a first life; then a snapshot, and what came after it.
+/// A log of the first incarnation; then a snapshot, and the records after it.
 fn write_disk(folder: &Path) -> Ring<FileDisk> {
     DiskImage::default().lay_out(folder);
     let (mut ring, content) = open(folder);
@@ -251,20 +245,21 @@
 /// A backend that has started with what its disk holds.
 fn start(content: DiskContent) -> Backend {
     let member = MemberId(content.member.unwrap());
-    let mut backend = Backend::new(member, content, settings(), SEED);
+    let settings = TestSettings { fault_tolerance: 1, memory_mb: 16, retention_s: Some(100) }.build();
+    let mut backend = Backend::new(member, content, settings, SEED);
     backend.handle(Duration::ZERO, BackendEvent::Started, &mut Vec::new());
     backend
 }
 
 #[test]
-fn the_code_of_the_day_writes_the_recorded_disk() {
+fn the_present_code_writes_the_recorded_disk() {
     let folder = folder("writes");
     drop(write_disk(&folder));
     DiskImage::of_folder(&folder).compare(&fixture("backend.txt"));
 }
 
 #[test]
-fn the_code_of_the_day_writes_the_recorded_disk_with_a_torn_tail() {
+fn the_present_code_writes_the_recorded_disk_with_a_torn_tail() {
     let folder = folder("writes-torn");
     let mut ring = write_disk(&folder);
     let before = DiskImage::of_folder(&folder);
@@ -308,20 +303,20 @@
     let backend = start(content);
     let partition = backend.partition(PARTITION).unwrap();
     assert!(partition.view() == Some(&view(2, &[SECOND, ME])), "the view");
-    assert_eq!(partition.full_epoch(), Some(2));
+    assert_eq!(partition.in_sync_epoch(), Some(2));
     let empty = backend.partition(EMPTY_PARTITION).unwrap();
     assert!(empty.view() == Some(&view(7, &[SECOND, ME])), "the view of the empty partition");
-    assert_eq!(empty.full_epoch(), None);
+    assert_eq!(empty.in_sync_epoch(), None);
 
     let store = partition.store();
     assert!(*store == store_after(LAST_ENTRY), "the state");
     let open = store.job("open").unwrap();
     assert!(open.driver() == edge(73) && open.term() == 2 && !open.is_ended());
     assert!(open.results() == [result(2, true)], "the results");
-    assert_eq!(open.listed_items(), [2]);
+    assert_eq!(open.items_with_results(), [2]);
     assert_eq!(open.body("item-0"), Some(&b"body of item 0"[..]));
     let joined = PartialText { previous_event_id: None, ..part(0, Some(5), 9, "first second") };
-    assert!(open.texts() == [joined, part(1, None, 2, "third")], "the texts");
+    assert!(open.partial_texts() == [joined, part(1, None, 2, "third")], "the texts");
     let ended = store.job("ended").unwrap();
     assert!(ended.is_ended() && ended.results() == [result(0, false)]);
     assert_eq!(ended.age(), Duration::new(90, 5));
@@ -333,7 +328,7 @@
     let (_, content) = open(&laid_out("backend.txt", "sealed"));
     let mut backend = start(content);
     let old = PartitionRecord { epoch: 6, chain: vec![ME, SECOND], in_sync: vec![ME, SECOND] };
-    let event = BackendEvent::Chain { partition: EMPTY_PARTITION, record: old };
+    let event = BackendEvent::ChainDecided { partition: EMPTY_PARTITION, record: old };
     backend.handle(Duration::ZERO, event, &mut Vec::new());
     assert!(backend.partition(EMPTY_PARTITION).unwrap().view() == Some(&view(7, &[SECOND, ME])));
     let records = DiskContent::read(backend.checkpoint().unwrap().unwrap()).unwrap();
@@ -341,7 +336,7 @@
 }
 
 #[test]
-fn the_code_of_the_day_rewrites_the_recorded_disk_as_recorded() {
+fn the_present_code_rewrites_the_recorded_disk_as_recorded() {
     let folder = laid_out("backend.txt", "rewritten");
     let (mut ring, content) = open(&folder);
     let checkpoint = start(content).checkpoint().unwrap().unwrap();
--- a/system/jobs/tests/simulation.rs
+++ b/system/jobs/tests/simulation.rs
@@ -1,82 +1,85 @@
-//! Backends, edges and a coordinator with faults at every step: what was acknowledged stays, and stays as it was.
+//! Backends, edges and a coordinator under faults: what was acknowledged is never lost and never changes.
 
 mod common;
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use common::edges::{partition_of, Edges};
-use common::facts::Known;
-use common::world::{World, PARTITION_COUNT};
+use common::clients::{partition_of, Clients};
+use common::cluster::{Cluster, PARTITION_COUNT};
+use common::observations::ObservedJob;
 use gingerledge_jobs::store::Store;
 
-const TROUBLE: Duration = Duration::from_secs(25);
-const CALM: Duration = Duration::from_secs(12);
+const FAULT_DURATION: Duration = Duration::from_secs(25);
+const QUIESCENT_DURATION: Duration = Duration::from_secs(12);
 
-fn run_until(world: &mut World, edges: &mut Edges, end: Duration) {
-    edges.act(world);
-    while let Some(message) = world.step(end) {
+fn run_until(cluster: &mut Cluster, clients: &mut Clients, end: Duration) {
+    clients.act(cluster);
+    while let Some(message) = cluster.step(end) {
         if let Some((to, message)) = message {
-            edges.receive(world, to, message);
+            clients.receive(cluster, to, message);
         }
-        edges.act(world);
+        clients.act(cluster);
     }
 }
 
-/// Every acknowledged batch job is at every member of its chain, with what was shown where it was shown.
-fn check_copies(world: &World, edges: &Edges) {
+/// Every acknowledged batch job is at every member of its chain, with the received results at their positions.
+fn check_replicas(cluster: &Cluster, clients: &Clients) {
     for partition in 0..PARTITION_COUNT {
-        let chain = world.chain(partition);
-        let outside = world.backends().filter(|(member, _)| !chain.chain.contains(member));
-        for copy in outside.filter_map(|(_, backend)| backend.partition(partition)) {
-            assert_eq!(copy.bytes(), 0, "a copy outside the chain is kept");
+        let chain = cluster.chain(partition);
+        let outside = cluster.backends().filter(|(member, _)| !chain.chain.contains(member));
+        for replica in outside.filter_map(|(_, backend)| backend.partition(partition)) {
+            assert_eq!(replica.bytes(), 0, "a replica outside the chain is acknowledged_items");
         }
-        let in_chain = world.backends().filter(|(member, _)| chain.chain.contains(member));
-        let copies: Vec<_> = in_chain.filter_map(|(_, backend)| backend.partition(partition)).collect();
-        assert_eq!(copies.len(), chain.chain.len());
-        for copy in &copies {
-            assert_eq!(copy.full_epoch(), Some(chain.epoch), "{chain:?}, here {:?}", copy.view());
-            assert_eq!(copy.store(), copies[0].store(), "copies of partition {partition} differ");
+        let in_chain = cluster.backends().filter(|(member, _)| chain.chain.contains(member));
+        let replicas: Vec<_> = in_chain.filter_map(|(_, backend)| backend.partition(partition)).collect();
+        assert_eq!(replicas.len(), chain.chain.len());
+        for replica in &replicas {
+            assert_eq!(replica.in_sync_epoch(), Some(chain.epoch), "{chain:?}, here {:?}", replica.view());
+            assert_eq!(replica.store(), replicas[0].store(), "replicas of partition {partition} differ");
         }
-        for (id, known) in edges.facts.jobs.iter().filter(|(id, _)| partition_of(id) == partition) {
-            check_job(copies[0].store(), id, known, edges);
+        for (id, known) in clients.observations.jobs.iter().filter(|(id, _)| partition_of(id) == partition) {
+            check_job(replicas[0].store(), id, known, clients);
         }
     }
 }
 
-fn check_job(store: &Store, id: &str, known: &Known, edges: &Edges) {
+fn check_job(store: &Store, id: &str, known: &ObservedJob, clients: &Clients) {
     let Some(job) = store.job(id) else {
         assert!(known.created.is_none(), "{id} was acknowledged and is lost");
         return;
     };
-    for (position, (_, result, _)) in &known.shown {
+    for (position, (_, result, _)) in &known.received {
         assert_eq!(job.results().get(*position as usize), Some(result), "{id}: position {position}");
     }
-    assert!(known.kept.iter().all(|item| job.is_listed(*item)), "{id}: an acknowledged result is lost");
+    assert!(
+        known.acknowledged_items.iter().all(|item| job.has_result(*item)),
+        "{id}: an acknowledged result is lost"
+    );
     assert!(known.ended.is_none() || job.is_ended(), "{id}: an acknowledged end is lost");
-    assert!(!job.needs_driver() || edges.is_driven(id), "{id} has no driver");
+    assert!(!job.needs_driver() || clients.is_driven(id), "{id} has no driver");
 }
 
 fn run(seed: u64, totals: &mut BTreeMap<&'static str, u64>) {
-    let mut world = World::new(seed);
-    let mut edges = Edges::new(&mut world);
-    run_until(&mut world, &mut edges, TROUBLE);
-    world.heal();
-    edges.calm = true;
-    run_until(&mut world, &mut edges, TROUBLE + CALM);
-    check_copies(&world, &edges);
-    for (what, count) in &edges.facts.answers {
+    let mut cluster = Cluster::new(seed);
+    let mut clients = Clients::new(&mut cluster);
+    run_until(&mut cluster, &mut clients, FAULT_DURATION);
+    cluster.end_faults();
+    clients.is_quiescent = true;
+    run_until(&mut cluster, &mut clients, FAULT_DURATION + QUIESCENT_DURATION);
+    check_replicas(&cluster, &clients);
+    for (what, count) in &clients.observations.responses {
         *totals.entry(what).or_default() += count;
     }
-    let well_known = |known: &&Known| known.oldest_told > Duration::from_secs(5);
+    let well_known = |known: &&ObservedJob| known.highest_age > Duration::from_secs(5);
     *totals.entry("age of seconds").or_default() +=
-        edges.facts.jobs.values().filter(well_known).count() as u64;
+        clients.observations.jobs.values().filter(well_known).count() as u64;
 }
 
 /// Prints the seed of a run that fails.
-struct Seed(u64);
+struct PrintedSeed(u64);
 
-impl Drop for Seed {
+impl Drop for PrintedSeed {
     fn drop(&mut self) {
         if std::thread::panicking() {
             eprintln!("seed {}", self.0);
@@ -85,18 +88,18 @@
 }
 
 #[test]
-fn what_was_acknowledged_stays() {
+fn acknowledged_jobs_results_and_ends_survive_crashes_partitions_and_view_changes() {
     let first: u64 = std::env::var("SEED").ok().and_then(|it| it.parse().ok()).unwrap_or(1);
     let count: u64 = std::env::var("SEEDS").ok().and_then(|it| it.parse().ok()).unwrap_or(60);
     let mut totals = BTreeMap::new();
     for seed in first..first + count {
-        let _printed = Seed(seed);
+        let _printed = PrintedSeed(seed);
         run(seed, &mut totals);
     }
     eprintln!("{totals:?}");
     for what in
         ["created", "appended", "ended", "page", "empty page", "body", "held", "drive", "age of seconds"]
     {
-        assert!(totals.get(what).is_some_and(|it| *it > 0), "no run had an answer of the kind '{what}'");
+        assert!(totals.get(what).is_some_and(|it| *it > 0), "no run had an response of the kind '{what}'");
     }
 }
--- a/system/jobs/tests/store.rs
+++ b/system/jobs/tests/store.rs
@@ -1,4 +1,4 @@
-//! The state of one partition: positions, terms, ends, and what is kept and dropped.
+//! The state of one partition: positions, terms, ends, and what is stored and removed.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -59,20 +59,20 @@
 
 fn append(store: &mut Store, term: u64, results: &[(u32, &str)]) -> Outcome {
     let results = results.iter().map(|(item, text)| result(*item, text)).collect();
-    store.apply(Command::Append { job: "j".to_owned(), term, results })
+    store.apply(Command::AppendResults { job: "j".to_owned(), term, results })
 }
 
 fn end(store: &mut Store) -> Outcome {
     store.apply(Command::End { job: "j".to_owned() })
 }
 
-fn drive(store: &mut Store, term: u64, driver: u64) -> Outcome {
-    store.apply(Command::Drive { job: "j".to_owned(), term, edge: edge(driver) })
+fn assign_driver(store: &mut Store, term: u64, driver: u64) -> Outcome {
+    store.apply(Command::AssignDriver { job: "j".to_owned(), term, edge: edge(driver) })
 }
 
-fn listed(store: &Store) -> Vec<(String, String)> {
-    let page = store.job("j").map(|job| job.page(0, u64::MAX)).unwrap_or_default();
-    page.into_iter().map(|(id, result)| (id, String::from_utf8(result.text).unwrap())).collect()
+fn result_texts(store: &Store) -> Vec<(String, String)> {
+    let found = store.job("j").map(|job| job.results_from(0, u64::MAX)).unwrap_or_default();
+    found.into_iter().map(|(id, result)| (id, String::from_utf8(result.text).unwrap())).collect()
 }
 
 fn pairs(expected: &[(&str, &str)]) -> Vec<(String, String)> {
@@ -85,31 +85,31 @@
     one_position_within_one_batch = { &[&[(1, "first"), (1, "second")]], &[("b", "first")] },
     no_such_item = { &[&[(3, "d"), (0, "a")]], &[("a", "a")] },
 )]
-fn positions(batches: &[&[(u32, &str)]], expected: &[(&str, &str)]) {
+fn results_get_positions_once(batches: &[&[(u32, &str)]], expected: &[(&str, &str)]) {
     let mut store = Store::default();
     create(&mut store);
     for batch in batches {
         assert_eq!(append(&mut store, 1, batch), Outcome::Appended);
     }
-    assert_eq!(listed(&store), pairs(expected));
+    assert_eq!(result_texts(&store), pairs(expected));
 }
 
 #[test]
-fn a_job_is_taken_once() {
+fn a_repeated_creation_changes_nothing() {
     let mut store = Store::default();
     let driver = Some((EDGE, 1));
     assert_eq!(create(&mut store), Outcome::Created { driver });
     append(&mut store, 1, &[(0, "a")]);
     let again = store.apply(Command::Create { job: job("j"), edge: edge(99) });
     assert_eq!(again, Outcome::Created { driver });
-    assert_eq!(listed(&store), pairs(&[("a", "a")]));
+    assert_eq!(result_texts(&store), pairs(&[("a", "a")]));
 }
 
 /// A part of the text of item 1: from which beginning, after which event, up to which, and its data.
-type Part = (u64, Option<u64>, u64, &'static str);
+type TextPart = (u64, Option<u64>, u64, &'static str);
 
-fn save(store: &mut Store, term: u64, (origin, after, last_id, data): Part) -> Outcome {
-    let (data, versions, whole) = (data.as_bytes().to_vec(), vec![last_id], false);
+fn save_checkpoint(store: &mut Store, term: u64, (origin, after, last_id, data): TextPart) -> Outcome {
+    let (data, versions, is_complete) = (data.as_bytes().to_vec(), vec![last_id], false);
     let part = PartialText {
         item: 1,
         origin,
@@ -117,105 +117,105 @@
         last_event_id: last_id,
         data,
         versions,
-        is_complete: whole,
+        is_complete,
     };
-    store.apply(Command::Save { job: "j".to_owned(), term, texts: vec![part] })
+    store.apply(Command::SaveCheckpoint { job: "j".to_owned(), term, texts: vec![part] })
 }
 
-fn saved(store: &Store) -> Vec<(u64, String, Vec<u64>)> {
-    let texts = store.job("j").map(|job| job.texts()).unwrap_or_default();
+fn partial_texts(store: &Store) -> Vec<(u64, String, Vec<u64>)> {
+    let texts = store.job("j").map(|job| job.partial_texts()).unwrap_or_default();
     let parts = texts.into_iter().map(|text| (text.last_event_id, text.data, text.versions));
     parts.map(|(last, data, versions)| (last, String::from_utf8(data).unwrap(), versions)).collect()
 }
 
 #[parameterized(
-    parts_come_together = { &[(5, None, 2, "ab"), (5, Some(2), 4, "cd")], Some((4, "abcd")) },
-    one_comes_twice = { &[(5, None, 2, "ab"), (5, Some(2), 4, "cd"), (5, Some(2), 4, "cd")], Some((4, "abcd")) },
-    one_is_missing = { &[(5, None, 2, "ab"), (5, Some(3), 4, "d")], Some((2, "ab")) },
-    the_beginning_is_missing = { &[(5, Some(2), 4, "cd")], None },
-    it_began_anew = { &[(5, None, 2, "ab"), (6, None, 1, "x")], Some((1, "x")) },
-    a_part_of_another_beginning = { &[(5, None, 2, "ab"), (6, Some(2), 3, "x")], Some((2, "ab")) },
+    parts_in_sequence = { &[(5, None, 2, "ab"), (5, Some(2), 4, "cd")], Some((4, "abcd")) },
+    a_repeated_part = { &[(5, None, 2, "ab"), (5, Some(2), 4, "cd"), (5, Some(2), 4, "cd")], Some((4, "abcd")) },
+    a_missing_part = { &[(5, None, 2, "ab"), (5, Some(3), 4, "d")], Some((2, "ab")) },
+    a_missing_start = { &[(5, Some(2), 4, "cd")], None },
+    the_text_restarted = { &[(5, None, 2, "ab"), (6, None, 1, "x")], Some((1, "x")) },
+    a_part_of_another_origin = { &[(5, None, 2, "ab"), (6, Some(2), 3, "x")], Some((2, "ab")) },
 )]
-fn saved_texts(parts: &[Part], expected: Option<(u64, &str)>) {
+fn text_parts_are_joined_only_in_sequence(parts: &[TextPart], expected: Option<(u64, &str)>) {
     let mut store = Store::default();
     create(&mut store);
     for part in parts {
-        assert_eq!(save(&mut store, 1, *part), Outcome::Appended);
+        assert_eq!(save_checkpoint(&mut store, 1, *part), Outcome::Appended);
     }
     let expected: Vec<_> =
         expected.into_iter().map(|(last, data)| (last, data.to_owned(), vec![last])).collect();
-    assert_eq!(saved(&store), expected);
+    assert_eq!(partial_texts(&store), expected);
 }
 
 #[test]
-fn a_saved_text_goes_with_its_result_and_with_the_end() {
+fn a_partial_text_is_removed_by_its_result_and_by_the_end() {
     let part = (5, None, 2, "ab");
     for finish in [|store: &mut Store| append(store, 1, &[(1, "b")]), end] {
         let mut store = Store::default();
         create(&mut store);
         let before = store.bytes();
-        save(&mut store, 1, part);
+        save_checkpoint(&mut store, 1, part);
         assert!(store.bytes() > before, "it counts");
         finish(&mut store);
-        assert!(saved(&store).is_empty());
+        assert!(partial_texts(&store).is_empty());
         let after = store.bytes();
-        save(&mut store, 1, part);
-        assert_eq!((saved(&store).len(), store.bytes()), (0, after), "none is kept any more");
+        save_checkpoint(&mut store, 1, part);
+        assert_eq!((partial_texts(&store).len(), store.bytes()), (0, after), "none is stored any more");
         let again = Store::decode(&store.encode().unwrap()).unwrap();
         assert_eq!(again, store);
     }
 }
 
 #[test]
-fn only_the_present_driver_saves_texts() {
+fn texts_of_a_former_driver_are_fenced() {
     let mut store = Store::default();
     create(&mut store);
-    drive(&mut store, 2, 8);
-    assert_eq!(save(&mut store, 1, (5, None, 2, "ab")), Outcome::Fenced);
-    assert!(saved(&store).is_empty());
+    assign_driver(&mut store, 2, 8);
+    assert_eq!(save_checkpoint(&mut store, 1, (5, None, 2, "ab")), Outcome::Fenced);
+    assert!(partial_texts(&store).is_empty());
 }
 
 #[test]
-fn a_text_that_is_far_too_long_is_not_saved() {
+fn a_text_beyond_the_bound_is_not_stored() {
     let mut store = Store::default();
     create(&mut store);
     let long: &'static str = Box::leak("x".repeat(300 * 1024).into_boxed_str());
-    save(&mut store, 1, (5, None, 2, long));
-    assert!(saved(&store).is_empty());
+    save_checkpoint(&mut store, 1, (5, None, 2, long));
+    assert!(partial_texts(&store).is_empty());
 }
 
 #[parameterized(older = { 1 }, newer = { 3 })]
-fn another_term_is_fenced(term: u64) {
+fn results_under_another_term_are_fenced(term: u64) {
     let mut store = Store::default();
     create(&mut store);
-    assert_eq!(drive(&mut store, 2, 8), Outcome::Driven);
+    assert_eq!(assign_driver(&mut store, 2, 8), Outcome::DriverAssigned);
     assert_eq!(append(&mut store, term, &[(0, "a")]), Outcome::Fenced);
     assert_eq!(append(&mut store, 2, &[(0, "b")]), Outcome::Appended);
-    assert_eq!(listed(&store), pairs(&[("a", "b")]));
+    assert_eq!(result_texts(&store), pairs(&[("a", "b")]));
 }
 
 #[parameterized(same_term = { 1 }, skipped_term = { 3 })]
-fn a_driver_follows_only_on_the_term_before(term: u64) {
+fn a_driver_is_assigned_only_with_the_next_term(term: u64) {
     let mut store = Store::default();
     create(&mut store);
-    assert_eq!(drive(&mut store, term, 8), Outcome::Fenced);
+    assert_eq!(assign_driver(&mut store, term, 8), Outcome::Fenced);
     assert_eq!(store.job("j").map(|job| (job.driver(), job.term())), Some((edge(EDGE), 1)));
 }
 
 #[test]
-fn nothing_is_listed_after_the_end() {
+fn results_after_the_end_are_ignored() {
     let mut store = Store::default();
     create(&mut store);
     append(&mut store, 1, &[(0, "a")]);
     assert_eq!(end(&mut store), Outcome::Ended { stopped: Some((EDGE, 1)) });
     assert_eq!(append(&mut store, 1, &[(1, "b")]), Outcome::Ended { stopped: None });
     assert_eq!(end(&mut store), Outcome::Ended { stopped: None });
-    assert_eq!(listed(&store), pairs(&[("a", "a")]));
+    assert_eq!(result_texts(&store), pairs(&[("a", "a")]));
     assert!(!store.job("j").is_some_and(|job| job.needs_driver()));
 }
 
 #[test]
-fn a_body_goes_with_its_position_and_with_the_end() {
+fn a_body_is_removed_by_its_result_and_by_the_end() {
     let mut store = Store::default();
     create(&mut store);
     let body = |store: &Store, id: &str| store.job("j").and_then(|job| job.body(id).map(<[u8]>::to_vec));
@@ -229,13 +229,13 @@
 }
 
 #[test]
-fn only_an_ended_job_is_forgotten() {
+fn only_an_ended_job_is_deleted() {
     let mut store = Store::default();
     create(&mut store);
-    let forget = Command::Forget { job: "j".to_owned() };
-    assert_eq!(store.apply(forget.clone()), Outcome::Unknown);
+    let delete = Command::Delete { job: "j".to_owned() };
+    assert_eq!(store.apply(delete.clone()), Outcome::NotApplicable);
     end(&mut store);
-    assert_eq!(store.apply(forget), Outcome::Forgotten);
+    assert_eq!(store.apply(delete), Outcome::Deleted);
     assert_eq!((store.bytes(), store.job("j")), (0, None));
 }
 
@@ -246,20 +246,20 @@
     far_behind = { u64::MAX, u64::MAX, 0 },
     at_least_one = { 0, 1, 1 },
 )]
-fn pages(start_after: u64, max_bytes: u64, expected: usize) {
+fn results_from_a_position_are_bounded_by_bytes(start_after: u64, max_bytes: u64, expected: usize) {
     let mut store = Store::default();
     create(&mut store);
     append(&mut store, 1, &[(0, "a"), (1, "b"), (2, "c")]);
-    let page = store.job("j").map(|job| job.page(start_after, max_bytes)).unwrap_or_default();
-    assert_eq!(page.len(), expected);
+    let found = store.job("j").map(|job| job.results_from(start_after, max_bytes)).unwrap_or_default();
+    assert_eq!(found.len(), expected);
 }
 
 #[test]
-fn the_state_comes_back_from_its_bytes() {
+fn a_state_is_decoded_from_its_exact_bytes() {
     let mut store = Store::default();
     create(&mut store);
     append(&mut store, 1, &[(1, "b")]);
-    drive(&mut store, 2, 8);
+    assign_driver(&mut store, 2, 8);
     let bytes = store.encode().unwrap();
     assert_eq!(Store::decode(&bytes).unwrap(), store);
     assert!(Store::decode(&bytes[..bytes.len() - 1]).is_err());
@@ -267,7 +267,7 @@
 }
 
 #[test]
-fn bytes_fall_as_bodies_go() {
+fn bytes_fall_when_bodies_are_removed() {
     let mut store = Store::default();
     create(&mut store);
     let before = store.bytes();
