--- a/system/transport/src/backoff.rs
+++ b/system/transport/src/backoff.rs
@@ -1,53 +1,53 @@
-//! When a connection to one peer may be tried again. Sans I/O: told of connections made and broken, it says from when on the next
-//! may be opened. Delays double from failure to failure up to a limit, each shortened at random by up to a half, so that nodes
-//! that lost a peer together do not return together.
+//! When a connection to one peer may be retried: exponential backoff with jitter. Sans I/O. Delays double from failure to failure up
+//! to a limit, each shortened at random by up to a half, so that nodes that lost a peer together do not retry together.
 
 use std::time::Duration;
 
-/// The delays between attempts to reach one peer. Times are counted from one start of the caller's choice.
+/// The delays between attempts to reach one peer. Times are counted from an origin of the caller's choice.
 #[derive(Debug, Clone)]
 pub struct Backoff {
     first: Duration,
     limit: Duration,
     failures: u32,
-    connected: Option<Duration>,
-    ready: Duration,
+    connected_at: Option<Duration>,
+    ready_at: Duration,
     random: u64,
 }
 
 impl Backoff {
-    /// Starts ready. Delays go from `first` to `limit`; the seed chooses their shortening.
+    /// Ready without a delay. Delays go from `first` to `limit`; the seed chooses their shortening.
     pub fn new(first: Duration, limit: Duration, seed: u64) -> Self {
-        Self { first, limit, failures: 0, connected: None, ready: Duration::ZERO, random: seed }
+        Self { first, limit, failures: 0, connected_at: None, ready_at: Duration::ZERO, random: seed }
     }
 
     /// From when on the next attempt may be made.
     pub fn ready_at(&self) -> Duration {
-        self.ready
+        self.ready_at
     }
 
     /// Whether an attempt may be made now.
     pub fn is_ready(&self, now: Duration) -> bool {
-        now >= self.ready
+        now >= self.ready_at
     }
 
-    /// A connection was made. Earlier failures count until it has lasted.
-    pub fn connected(&mut self, now: Duration) {
-        self.connected = Some(now);
+    /// A connection is established. Earlier failures count until it has lasted.
+    pub fn on_connected(&mut self, now: Duration) {
+        self.connected_at = Some(now);
     }
 
-    /// An attempt failed, or a connection broke. One that had lasted for the longest delay was sound: the next attempt may be made
-    /// at once, and the delays start anew. Returns whether that is so.
-    pub fn failed(&mut self, now: Duration) -> bool {
-        let sound = self.connected.take().is_some_and(|since| now.saturating_sub(since) >= self.limit);
-        if sound {
+    /// An attempt failed, or a connection ended. If it had lasted for the longest delay, the delays are reset and the next attempt
+    /// may be made without one. Returns whether it had.
+    pub fn on_failed(&mut self, now: Duration) -> bool {
+        let had_lasted =
+            self.connected_at.take().is_some_and(|since| now.saturating_sub(since) >= self.limit);
+        if had_lasted {
             self.failures = 0;
-            self.ready = now;
+            self.ready_at = now;
         } else {
-            self.ready = now.saturating_add(self.next_delay());
+            self.ready_at = now.saturating_add(self.next_delay());
             self.failures = self.failures.saturating_add(1);
         }
-        sound
+        had_lasted
     }
 
     fn next_delay(&mut self) -> Duration {
--- a/system/transport/src/connection.rs
+++ b/system/transport/src/connection.rs
@@ -1,4 +1,5 @@
-//! An accepted connection: reads into a buffer, notices silence, and lets large frames arrive only one by one.
+//! An accepted connection: reads into a buffer, times out when idle, and receives large frames only one at a time over all
+//! connections.
 
 use std::io;
 use std::pin::Pin;
@@ -12,55 +13,58 @@
 use crate::receive::ReceiveBuffer;
 use crate::settings::NetworkSettings;
 
-/// A frame of which as much has arrived waits for its turn before more of it is read.
+/// A frame of which more has arrived needs the permit for large frames before more of it is read.
 const LARGE_FRAME_BYTES: usize = 1024 * 1024;
 
-/// Whose turn it is to receive a large frame: bounds what half-received frames hold over all connections.
+/// The permit to receive a large frame: bounds the memory of incomplete frames over all connections.
 #[derive(Debug, Clone)]
 pub(crate) struct LargeFrames {
-    turn: Arc<Semaphore>,
+    semaphore: Arc<Semaphore>,
 }
 
 impl LargeFrames {
     pub(crate) fn new() -> Self {
-        Self { turn: Arc::new(Semaphore::new(1)) }
+        Self { semaphore: Arc::new(Semaphore::new(1)) }
     }
 }
 
-/// An accepted connection, what it has received, and how long it may be silent.
+/// An accepted connection, what it has received, and its idle time-out.
 #[derive(Debug)]
 pub(crate) struct Connection {
     stream: TcpStream,
     buffer: ReceiveBuffer,
     large_frames: LargeFrames,
-    turn: Option<OwnedSemaphorePermit>,
-    heard: Instant,
-    usual_silence: Duration,
-    silence: Duration,
-    alarm: Pin<Box<Sleep>>,
+    /// Held while a large frame is being received.
+    large_frame_permit: Option<OwnedSemaphorePermit>,
+    last_read_at: Instant,
+    /// The idle time-out outside of large frames.
+    normal_timeout: Duration,
+    /// The present idle time-out.
+    timeout: Duration,
+    timer: Pin<Box<Sleep>>,
 }
 
 impl Connection {
-    /// A connection that may be silent for no longer than a stalled one, until it is [identified](Self::identified).
+    /// A connection with the time-out of a stalled one, until its sender is [identified](Self::on_identified).
     pub(crate) fn new(stream: TcpStream, settings: &NetworkSettings, large_frames: LargeFrames) -> Self {
-        let silence = settings.stall_limit();
+        let timeout = settings.stall_timeout();
         Self {
             stream,
             buffer: ReceiveBuffer::default(),
             large_frames,
-            turn: None,
-            heard: Instant::now(),
-            usual_silence: silence,
-            silence,
-            alarm: Box::pin(sleep(silence)),
+            large_frame_permit: None,
+            last_read_at: Instant::now(),
+            normal_timeout: timeout,
+            timeout,
+            timer: Box::pin(sleep(timeout)),
         }
     }
 
-    /// The sender is known: from now on its connection may be idle.
-    pub(crate) fn identified(&mut self, settings: &NetworkSettings) {
-        self.usual_silence = settings.inbound_idle_limit();
-        self.silence = self.usual_silence;
-        self.alarm.as_mut().reset(self.heard + self.silence);
+    /// The sender is identified: from now on its connection may be idle.
+    pub(crate) fn on_identified(&mut self, settings: &NetworkSettings) {
+        self.normal_timeout = settings.inbound_idle_timeout();
+        self.timeout = self.normal_timeout;
+        self.timer.as_mut().reset(self.last_read_at + self.timeout);
     }
 
     /// The connection's socket.
@@ -68,41 +72,41 @@
         &self.stream
     }
 
-    /// What has arrived and is not consumed.
+    /// The bytes that have arrived and are not consumed.
     pub(crate) fn received(&self) -> &ReceiveBuffer {
         &self.buffer
     }
 
-    /// Drops bytes from the front of what has arrived.
+    /// Drops bytes from the front of the buffer.
     pub(crate) fn consume(&mut self, count: usize) {
         self.buffer.consume(count);
-        if self.turn.is_some() && self.buffer.bytes().len() < LARGE_FRAME_BYTES {
-            self.turn = None;
-            self.silence = self.usual_silence;
+        if self.large_frame_permit.is_some() && self.buffer.bytes().len() < LARGE_FRAME_BYTES {
+            self.large_frame_permit = None;
+            self.timeout = self.normal_timeout;
         }
     }
 
-    /// Reads more bytes; false if the sender has closed or been silent for too long.
+    /// Reads more bytes; false if the sender has closed the connection or timed out.
     pub(crate) async fn read(&mut self, settings: &NetworkSettings) -> io::Result<bool> {
-        if self.turn.is_none() && self.buffer.bytes().len() >= LARGE_FRAME_BYTES {
-            self.turn = Arc::clone(&self.large_frames.turn).acquire_owned().await.ok();
-            self.heard = Instant::now();
-            self.silence = settings.stall_limit();
-            self.alarm.as_mut().reset(self.heard + self.silence);
+        if self.large_frame_permit.is_none() && self.buffer.bytes().len() >= LARGE_FRAME_BYTES {
+            self.large_frame_permit = Arc::clone(&self.large_frames.semaphore).acquire_owned().await.ok();
+            self.last_read_at = Instant::now();
+            self.timeout = settings.stall_timeout();
+            self.timer.as_mut().reset(self.last_read_at + self.timeout);
         }
         loop {
             tokio::select! {
                 biased;
                 count = self.buffer.read_from(&mut self.stream) => {
-                    self.heard = Instant::now();
+                    self.last_read_at = Instant::now();
                     return Ok(count? > 0);
                 }
-                () = self.alarm.as_mut() => {
-                    let end = self.heard + self.silence;
+                () = self.timer.as_mut() => {
+                    let end = self.last_read_at + self.timeout;
                     if end <= Instant::now() {
                         return Ok(false);
                     }
-                    self.alarm.as_mut().reset(end);
+                    self.timer.as_mut().reset(end);
                 }
             }
         }
--- a/system/transport/src/error.rs
+++ b/system/transport/src/error.rs
@@ -1,4 +1,4 @@
-//! What can go wrong with a network as a whole, and what becomes of one message.
+//! Errors of a network, and the outcome of sending one message.
 
 use std::io;
 use std::net::SocketAddr;
@@ -12,54 +12,54 @@
     /// The listen address could not be bound.
     #[snafu(display("cannot listen on {address}"))]
     Bind {
-        /// The address asked for.
+        /// The address in the settings.
         address: SocketAddr,
-        /// What the system said.
+        /// The cause.
         source: io::Error,
     },
-    /// The listen address is not one that peers could be told.
+    /// The listen address is not one that peers could connect to.
     #[snafu(display("{address} is no IPv4 address of one node"))]
     ListenAddress {
-        /// The address asked for.
+        /// The address in the settings.
         address: SocketAddr,
     },
-    /// The greatest length of a frame is zero, or more than frames can have.
+    /// The maximum length of a frame is zero, or more than the protocol allows.
     #[snafu(display("frames cannot be limited to {bytes} bytes"))]
     FrameLimit {
-        /// The limit asked for.
+        /// The limit in the settings.
         bytes: usize,
     },
 }
 
-/// What became of a message that was given to [`Network::send`](crate::Network::send).
+/// Outcome of [`Network::send`](crate::Network::send).
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[must_use = "a message that was dropped is not sent later"]
 pub enum SendOutcome {
-    /// It waits for, or is being written to, the peer's connection. It may still be lost.
+    /// The message is queued for the peer's connection. It may still be lost.
     Queued,
-    /// It was dropped at once.
+    /// The message was dropped.
     Dropped(DropReason),
 }
 
 impl SendOutcome {
-    /// Whether the message was taken.
+    /// Whether the message was queued.
     pub fn is_queued(self) -> bool {
         self == SendOutcome::Queued
     }
 }
 
-/// Why a message was dropped at once.
+/// Why a message was dropped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DropReason {
-    /// The last connection to the peer failed, and it is too early to try again.
+    /// The last connection to the peer failed, and the delay before the next attempt is not over.
     Backoff,
-    /// As many frames or bytes wait for the peer as may.
+    /// The queue of the peer has reached its bound.
     QueueFull,
     /// The encoded message is longer than a frame may be.
     TooLarge,
     /// The message could not be encoded.
     Encoding,
-    /// As many peers are in use as may be.
+    /// The table of peers is full, and none of them is unused.
     TooManyPeers,
     /// The peer's address is not of IPv4, or has no port.
     Address,
--- a/system/transport/src/frame.rs
+++ b/system/transport/src/frame.rs
@@ -13,27 +13,27 @@
 /// The version of the framing, the first byte of each frame.
 pub const FRAME_VERSION: u8 = 3;
 
-/// No payload may be longer than this, whatever the settings say.
-pub const FRAME_CEILING_BYTES: usize = 64 * 1024 * 1024;
+/// Bounds every payload, whatever the settings.
+pub const MAX_PAYLOAD_BYTES: usize = 64 * 1024 * 1024;
 
 /// The bytes before a payload.
 pub(crate) const HEADER_BYTES: usize = 5;
 
-/// A hello is a few numbers.
-pub(crate) const LONGEST_HELLO_BYTES: usize = 64;
+/// Bounds the payload of a hello, which consists of a few numbers.
+pub(crate) const MAX_HELLO_BYTES: usize = 64;
 
-/// Tells this protocol's connections from strangers': the first field of a [`Hello`].
+/// Identifies this protocol: the first field of a [`Hello`].
 const HELLO_MAGIC: u32 = 0x474c_4e4b;
 
 /// A decoder counts a number as its full width, up to 16 bytes, where its encoding may take one.
-const WIDEST_NUMBER_BYTES: usize = 16;
+const MAX_NUMBER_BYTES: usize = 16;
 const SMALL_PAYLOAD_BYTES: usize = 64 * 1024;
 const MEDIUM_PAYLOAD_BYTES: usize = 4 * 1024 * 1024;
-const SMALL_CLAIM_BYTES: usize = SMALL_PAYLOAD_BYTES * WIDEST_NUMBER_BYTES;
-const MEDIUM_CLAIM_BYTES: usize = MEDIUM_PAYLOAD_BYTES * WIDEST_NUMBER_BYTES;
-const LARGE_CLAIM_BYTES: usize = FRAME_CEILING_BYTES * WIDEST_NUMBER_BYTES;
+const SMALL_CLAIM_BYTES: usize = SMALL_PAYLOAD_BYTES * MAX_NUMBER_BYTES;
+const MEDIUM_CLAIM_BYTES: usize = MEDIUM_PAYLOAD_BYTES * MAX_NUMBER_BYTES;
+const LARGE_CLAIM_BYTES: usize = MAX_PAYLOAD_BYTES * MAX_NUMBER_BYTES;
 
-/// The first frame of a connection: who sends on it.
+/// The first frame of a connection, which identifies its sender.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) struct Hello {
     magic: u32,
@@ -41,14 +41,14 @@
 }
 
 impl Hello {
-    /// The greeting of the node that listens on the given address.
+    /// The hello of the node that listens on the address.
     pub(crate) fn new(listen: SocketAddr) -> Self {
         Self { magic: HELLO_MAGIC, listen }
     }
 
-    /// The sender's listen address, if this is a greeting of this protocol and the address can be answered to.
+    /// The sender's listen address, if this is a hello of this protocol and the address can be that of a node.
     pub(crate) fn sender(&self) -> Result<SocketAddr, FrameError> {
-        snafu::ensure!(self.magic == HELLO_MAGIC, StrangerSnafu);
+        snafu::ensure!(self.magic == HELLO_MAGIC, UnknownProtocolSnafu);
         snafu::ensure!(is_reachable(self.listen), SenderSnafu { address: self.listen });
         Ok(self.listen)
     }
@@ -59,7 +59,7 @@
     address.is_ipv4() && address.port() != 0 && !address.ip().is_unspecified()
 }
 
-/// Why bytes that arrived were not taken.
+/// Why received bytes are not a frame of this protocol.
 #[derive(Debug, Snafu)]
 pub(crate) enum FrameError {
     #[snafu(display("a frame of version {version}, where {FRAME_VERSION} is known"))]
@@ -68,15 +68,15 @@
     Oversize { length: usize, limit: usize },
     #[snafu(display("a payload that does not decode: {source}"))]
     Payload { source: bincode::error::DecodeError },
-    #[snafu(display("a payload with {bytes} bytes to spare"))]
+    #[snafu(display("a payload followed by {bytes} more bytes"))]
     Trailing { bytes: usize },
-    #[snafu(display("a first frame that is not this protocol's"))]
-    Stranger,
-    #[snafu(display("a sender that claims to listen on {address}"))]
+    #[snafu(display("a first frame of another protocol"))]
+    UnknownProtocol,
+    #[snafu(display("a sender with the invalid address {address}"))]
     Sender { address: SocketAddr },
 }
 
-/// Why a message could not be made a frame.
+/// Why a message could not be encoded as a frame.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum EncodeFailure {
     TooLarge,
@@ -91,7 +91,7 @@
 ) -> Result<(), EncodeFailure> {
     let start = buffer.len();
     buffer.extend_from_slice(&[FRAME_VERSION, 0, 0, 0, 0]);
-    let mut writer = PayloadWriter { buffer, room: max_payload, overflowed: false };
+    let mut writer = PayloadWriter { buffer, bytes_left: max_payload, overflowed: false };
     let encoded = bincode::serde::encode_into_writer(message, &mut writer, config::standard());
     let overflowed = writer.overflowed;
     let length = buffer.len() - start;
@@ -111,17 +111,17 @@
 /// Appends to a buffer until the payload's limit is reached.
 struct PayloadWriter<'a> {
     buffer: &'a mut Vec<u8>,
-    room: usize,
+    bytes_left: usize,
     overflowed: bool,
 }
 
 impl Writer for PayloadWriter<'_> {
     fn write(&mut self, bytes: &[u8]) -> Result<(), EncodeError> {
-        let Some(room) = self.room.checked_sub(bytes.len()) else {
+        let Some(bytes_left) = self.bytes_left.checked_sub(bytes.len()) else {
             self.overflowed = true;
             return Err(EncodeError::Other("the message is longer than a frame may be"));
         };
-        self.room = room;
+        self.bytes_left = bytes_left;
         self.buffer.extend_from_slice(bytes);
         Ok(())
     }
@@ -129,9 +129,9 @@
 
 /// The payload's length according to the header at the front of the bytes, or nothing if the header is not complete.
 fn payload_length(bytes: &[u8], max_payload: usize) -> Result<Option<usize>, FrameError> {
-    let Some((&version, rest)) = bytes.split_first() else { return Ok(None) };
+    let Some((&version, after_version)) = bytes.split_first() else { return Ok(None) };
     snafu::ensure!(version == FRAME_VERSION, VersionSnafu { version });
-    let Some(field) = rest.first_chunk::<{ HEADER_BYTES - 1 }>() else { return Ok(None) };
+    let Some(field) = after_version.first_chunk::<{ HEADER_BYTES - 1 }>() else { return Ok(None) };
     let length = usize::try_from(u32::from_be_bytes(*field)).unwrap_or(usize::MAX);
     snafu::ensure!(length <= max_payload, OversizeSnafu { length, limit: max_payload });
     Ok(Some(length))
@@ -141,15 +141,15 @@
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Frame<'a> {
     pub(crate) payload: &'a [u8],
-    /// What follows the frame.
-    pub(crate) rest: &'a [u8],
+    /// The bytes after the frame.
+    pub(crate) remaining: &'a [u8],
 }
 
 /// The frame at the front of the bytes, or nothing if it is not complete.
 pub(crate) fn split(bytes: &[u8], max_payload: usize) -> Result<Option<Frame<'_>>, FrameError> {
     let length = payload_length(bytes, max_payload)?;
     let parts = length.and_then(|length| bytes.get(HEADER_BYTES..)?.split_at_checked(length));
-    Ok(parts.map(|(payload, rest)| Frame { payload, rest }))
+    Ok(parts.map(|(payload, remaining)| Frame { payload, remaining }))
 }
 
 /// Decodes a whole payload.
@@ -168,8 +168,8 @@
 where
     Limited<L>: config::Config,
 {
-    let (message, taken) = bincode::serde::decode_from_slice(payload, limited).context(PayloadSnafu)?;
-    let bytes = payload.len().checked_sub(taken).context(TrailingSnafu { bytes: 0usize })?;
+    let (message, consumed) = bincode::serde::decode_from_slice(payload, limited).context(PayloadSnafu)?;
+    let bytes = payload.len().checked_sub(consumed).context(TrailingSnafu { bytes: 0usize })?;
     snafu::ensure!(bytes == 0, TrailingSnafu { bytes });
     Ok(message)
 }
--- a/system/transport/src/inbound.rs
+++ b/system/transport/src/inbound.rs
@@ -1,5 +1,5 @@
-//! Connections that others open: accepts a bounded number, learns from the first frame who sends, and reads messages into the
-//! inbox, as many at a time as have arrived. Bytes that are not this protocol's end their connection.
+//! Accepted connections: a bounded number of them. The first frame of each identifies its sender; then messages are read into the
+//! inbox, as many at a time as have arrived. A connection with bytes that are not of this protocol is closed.
 
 use std::collections::{HashMap, HashSet};
 use std::io;
@@ -15,19 +15,19 @@
 use tokio::time::sleep;
 
 use crate::connection::{Connection, LargeFrames};
-use crate::frame::{self, FrameError, Hello, LONGEST_HELLO_BYTES};
+use crate::frame::{self, FrameError, Hello, MAX_HELLO_BYTES};
 use crate::inbox::{Incoming, EVENT_OVERHEAD_BYTES};
-use crate::network::Shared;
 use crate::settings::NetworkSettings;
+use crate::shared::Shared;
 use crate::socket;
 
-/// How long accepting rests after the system refuses it, for example for want of descriptors.
-const ACCEPT_REST: Duration = Duration::from_millis(100);
+/// Time from a failed accept, for example without free descriptors, to the next one.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// The most addresses whose offences are remembered; each is logged as a warning once.
-const WARNED_ADDRESSES: usize = 256;
+/// Bounds the remote addresses remembered as warned about; each is logged as a warning once.
+const MAX_WARNED_ADDRESSES: usize = 256;
 
-/// Accepts connections until the inbox is dropped, and then closes them.
+/// Accepts connections until the inbox is dropped, and closes them then. Owns the tasks of all accepted connections.
 pub(crate) async fn accept<M>(shared: Arc<Shared<M>>, listener: TcpListener)
 where
     M: DeserializeOwned + Send + 'static,
@@ -42,20 +42,20 @@
                     let connection = Connection::new(stream, &shared.settings, large_frames.clone());
                     connections.spawn(serve(Arc::clone(&shared), Arc::clone(&senders), connection, remote));
                 }
-                Ok((_, remote)) => senders.warn(remote, &"more connections than are accepted"),
+                Ok((_, remote)) => senders.log_closed(remote, &"connection limit reached"),
                 Err(error) => {
-                    log::debug!("cannot accept: {error}");
-                    sleep(ACCEPT_REST).await;
+                    log::debug!("accept failed: {error}");
+                    sleep(ACCEPT_RETRY_DELAY).await;
                 }
             },
             Some(_) = connections.join_next() => {}
             () = shared.inbox.closed() => break,
         }
     }
-    shared.links().forget_all();
+    shared.links().remove_all();
 }
 
-/// Why a connection ended, where that is worth a word.
+/// Why a connection ended, other than by its sender.
 #[derive(Debug, Snafu)]
 enum InboundError {
     #[snafu(transparent)]
@@ -64,15 +64,17 @@
     Connection { source: io::Error },
 }
 
-/// Serves one connection to its end.
+/// Serves one connection until it ends.
 async fn serve<M>(shared: Arc<Shared<M>>, senders: Arc<Senders>, connection: Connection, remote: SocketAddr)
 where
     M: DeserializeOwned,
 {
     match read_connection(&shared, &senders, connection).await {
         Ok(()) => {}
-        Err(InboundError::Connection { source }) => log::debug!("connection from {remote} broke: {source}"),
-        Err(InboundError::Frame { source }) => senders.warn(remote, &source),
+        Err(InboundError::Connection { source }) => {
+            log::debug!(remote:%; "inbound connection failed: {source}")
+        }
+        Err(InboundError::Frame { source }) => senders.log_closed(remote, &source),
     }
 }
 
@@ -103,11 +105,11 @@
 ) -> Result<Option<SocketAddr>, InboundError> {
     while connection.read(settings).await? {
         let bytes = connection.received().bytes();
-        if let Some(frame) = frame::split(bytes, LONGEST_HELLO_BYTES)? {
+        if let Some(frame) = frame::split(bytes, MAX_HELLO_BYTES)? {
             let from = frame::decode::<Hello>(frame.payload)?.sender()?;
-            let consumed = bytes.len() - frame.rest.len();
+            let consumed = bytes.len() - frame.remaining.len();
             connection.consume(consumed);
-            connection.identified(settings);
+            connection.on_identified(settings);
             return Ok(Some(from));
         }
     }
@@ -125,14 +127,14 @@
 {
     let max_payload = shared.settings.max_frame_bytes;
     loop {
-        let (complete, framing) = connection.received().complete(max_payload);
+        let (complete, framing) = connection.received().complete_frames(max_payload);
         if complete.frames > 0 {
             let size = complete.bytes.saturating_add(complete.frames.saturating_mul(EVENT_OVERHEAD_BYTES));
-            let Some(room) = shared.inbox.reserve(size).await else { return Ok(()) };
+            let Some(permit) = shared.inbox.reserve(size).await else { return Ok(()) };
             let mut events = Vec::with_capacity(complete.frames);
             let decoding = decode_all(connection.received().bytes(), max_payload, from, &mut events);
             connection.consume(complete.bytes);
-            if !shared.inbox.deliver(events, room) {
+            if !shared.inbox.deliver(events, permit) {
                 return Ok(());
             }
             decoding?;
@@ -144,7 +146,7 @@
     }
 }
 
-/// Decodes the whole frames at the front of the bytes, up to the first that is not a message.
+/// Decodes the complete frames at the front of the bytes, up to the first that is not a message.
 fn decode_all<M: DeserializeOwned>(
     mut bytes: &[u8],
     max_payload: usize,
@@ -153,12 +155,12 @@
 ) -> Result<(), FrameError> {
     while let Ok(Some(frame)) = frame::split(bytes, max_payload) {
         events.push(Incoming::Message { from, message: frame::decode(frame.payload)? });
-        bytes = frame.rest;
+        bytes = frame.remaining;
     }
     Ok(())
 }
 
-/// The newest connection of each sender, and whose offences have been logged.
+/// The newest connection of each sender, and the remote addresses that have been warned about.
 #[derive(Default)]
 struct Senders {
     table: Mutex<SenderTable>,
@@ -172,8 +174,8 @@
 }
 
 impl Senders {
-    /// Makes a connection its sender's newest. The older one is told so by the end of its receiver; what it has not read by then
-    /// is dropped, and so never arrives after what the newer one carries.
+    /// Makes a connection its sender's newest. The receiver of the older one ends, which closes it; what it has not read by then is
+    /// dropped, so that it never arrives after messages of the newer one.
     fn register(&self, from: SocketAddr) -> (u64, oneshot::Receiver<()>) {
         let (replace, replaced) = oneshot::channel();
         let mut table = self.table();
@@ -190,14 +192,14 @@
         }
     }
 
-    /// Logs what a connection was closed for: as a warning the first time for its address.
-    fn warn(&self, remote: SocketAddr, reason: &dyn std::fmt::Display) {
+    /// Logs why a connection was closed: as a warning the first time for its address.
+    fn log_closed(&self, remote: SocketAddr, reason: &dyn std::fmt::Display) {
         let first = {
             let warned = &mut self.table().warned;
-            warned.len() < WARNED_ADDRESSES && warned.insert(remote.ip())
+            warned.len() < MAX_WARNED_ADDRESSES && warned.insert(remote.ip())
         };
         let level = if first { log::Level::Warn } else { log::Level::Debug };
-        log::log!(level, "closed a connection from {remote}: {reason}");
+        log::log!(level, remote:%; "inbound connection closed: {reason}");
     }
 
     fn table(&self) -> MutexGuard<'_, SenderTable> {
--- a/system/transport/src/inbox.rs
+++ b/system/transport/src/inbox.rs
@@ -1,5 +1,5 @@
-//! What has arrived, in a bounded channel. Whoever reads from connections first reserves room and then hands over a batch; the
-//! room is free again once the batch has been taken. So connections are not read while the inbox is full.
+//! Received messages, in a bounded channel. The task of a connection first reserves capacity and then delivers a batch; the capacity
+//! is free again once the batch has been received. So connections are not read while the inbox is full (backpressure).
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -9,38 +9,38 @@
 use tokio::sync::mpsc::error::TryRecvError;
 use tokio::sync::{mpsc, OwnedSemaphorePermit, Semaphore};
 
-/// What an event takes of the inbox, besides its encoded bytes.
+/// Capacity that an event needs in the inbox, besides its encoded bytes.
 pub(crate) const EVENT_OVERHEAD_BYTES: usize = 256;
 
-/// Something a network tells its owner.
+/// An event of a network.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Incoming<M> {
     /// A message arrived.
     Message {
-        /// The listen address that the sender told.
+        /// The listen address that the sender advertises.
         from: SocketAddr,
-        /// What it sent.
+        /// The message.
         message: M,
     },
-    /// The outbound connection to a peer broke or could not be made. What was sent on it may or may not have arrived.
+    /// The outbound connection to a peer ended or could not be established. What was sent on it may or may not have arrived.
     Lost {
         /// The peer's listen address.
         peer: SocketAddr,
-        /// The peer's machine answered that nothing listens there.
+        /// Whether the peer's machine responded that nothing listens there: its process has ended.
         refused: bool,
     },
 }
 
 struct Batch<M> {
     events: Vec<Incoming<M>>,
-    room: OwnedSemaphorePermit,
+    permit: OwnedSemaphorePermit,
 }
 
 /// The receiving end: yields what arrives, in the order of each connection.
 pub struct Inbox<M> {
     batches: mpsc::UnboundedReceiver<Batch<M>>,
     current: vec::IntoIter<Incoming<M>>,
-    room: Option<OwnedSemaphorePermit>,
+    permit: Option<OwnedSemaphorePermit>,
 }
 
 impl<M> fmt::Debug for Inbox<M> {
@@ -53,36 +53,36 @@
     /// Waits for the next event; nothing more comes after the last handle of the network is dropped. Cancel safe.
     pub async fn next(&mut self) -> Option<Incoming<M>> {
         loop {
-            if let Some(event) = self.take_current() {
+            if let Some(event) = self.next_of_batch() {
                 return Some(event);
             }
             let batch = self.batches.recv().await?;
-            self.start(batch);
+            self.start_batch(batch);
         }
     }
 
     /// The next event, if it has already arrived.
     pub fn try_next(&mut self) -> Option<Incoming<M>> {
         loop {
-            if let Some(event) = self.take_current() {
+            if let Some(event) = self.next_of_batch() {
                 return Some(event);
             }
             match self.batches.try_recv() {
-                Ok(batch) => self.start(batch),
+                Ok(batch) => self.start_batch(batch),
                 Err(TryRecvError::Empty | TryRecvError::Disconnected) => return None,
             }
         }
     }
 
-    fn start(&mut self, batch: Batch<M>) {
+    fn start_batch(&mut self, batch: Batch<M>) {
         self.current = batch.events.into_iter();
-        self.room = Some(batch.room);
+        self.permit = Some(batch.permit);
     }
 
-    fn take_current(&mut self) -> Option<Incoming<M>> {
+    fn next_of_batch(&mut self) -> Option<Incoming<M>> {
         let event = self.current.next();
         if self.current.len() == 0 {
-            self.room = None;
+            self.permit = None;
         }
         event
     }
@@ -91,45 +91,45 @@
 /// The sending end.
 pub(crate) struct InboxSender<M> {
     batches: mpsc::UnboundedSender<Batch<M>>,
-    room: Arc<Semaphore>,
+    free_bytes: Arc<Semaphore>,
     capacity: u32,
 }
 
 impl<M> InboxSender<M> {
-    /// An inbox for as many bytes, and its sending end.
+    /// An inbox with a capacity, and its sending end.
     pub(crate) fn channel(capacity_bytes: usize) -> (Self, Inbox<M>) {
         let (sender, receiver) = mpsc::unbounded_channel();
         let capacity = u32::try_from(capacity_bytes.min(Semaphore::MAX_PERMITS)).unwrap_or(u32::MAX).max(1);
-        let room = Arc::new(Semaphore::new(capacity as usize));
-        let inbox = Inbox { batches: receiver, current: Vec::new().into_iter(), room: None };
-        (Self { batches: sender, room, capacity }, inbox)
+        let free_bytes = Arc::new(Semaphore::new(capacity as usize));
+        let inbox = Inbox { batches: receiver, current: Vec::new().into_iter(), permit: None };
+        (Self { batches: sender, free_bytes, capacity }, inbox)
     }
 
-    /// Whether nobody receives any more.
+    /// Whether the receiving end is dropped.
     pub(crate) fn is_closed(&self) -> bool {
         self.batches.is_closed()
     }
 
-    /// Waits until nobody receives any more.
+    /// Waits until the receiving end is dropped.
     pub(crate) async fn closed(&self) {
         self.batches.closed().await;
     }
 
-    /// Waits for room. What is larger than the inbox waits until it is empty.
+    /// Waits for capacity. A batch larger than the inbox waits until it is empty.
     pub(crate) async fn reserve(&self, bytes: usize) -> Option<OwnedSemaphorePermit> {
         let bytes = u32::try_from(bytes).unwrap_or(u32::MAX).min(self.capacity);
-        Arc::clone(&self.room).acquire_many_owned(bytes).await.ok()
+        Arc::clone(&self.free_bytes).acquire_many_owned(bytes).await.ok()
     }
 
-    /// Hands events over. Returns whether anybody receives them.
-    pub(crate) fn deliver(&self, events: Vec<Incoming<M>>, room: OwnedSemaphorePermit) -> bool {
-        events.is_empty() || self.batches.send(Batch { events, room }).is_ok()
+    /// Delivers events. Returns false if the receiving end is dropped.
+    pub(crate) fn deliver(&self, events: Vec<Incoming<M>>, permit: OwnedSemaphorePermit) -> bool {
+        events.is_empty() || self.batches.send(Batch { events, permit }).is_ok()
     }
 
-    /// Waits for room for the news of a lost peer, and hands it over.
+    /// Waits for capacity, and delivers the report of a lost peer.
     pub(crate) async fn report_lost(&self, peer: SocketAddr, refused: bool) {
-        if let Some(room) = self.reserve(EVENT_OVERHEAD_BYTES).await {
-            self.deliver(vec![Incoming::Lost { peer, refused }], room);
+        if let Some(permit) = self.reserve(EVENT_OVERHEAD_BYTES).await {
+            self.deliver(vec![Incoming::Lost { peer, refused }], permit);
         }
     }
 }
--- a/system/transport/src/lib.rs
+++ b/system/transport/src/lib.rs
@@ -2,11 +2,12 @@
 //!
 //! A [`Network`] sends typed messages to nodes named by their listen address, and an [`Inbox`] yields those that arrive. Messages
 //! are encoded by bincode into frames with a version and a bounded length. There is one outbound connection a peer, and it is
-//! used one way: the peer answers on its own. What one connection carries arrives in order; what is in flight when a connection
-//! breaks is lost, and [`Incoming::Lost`] says so. Nothing here retransmits: the protocols above do.
+//! used one way: the peer responds on its own connection. The messages of one connection arrive in order; those in flight when it ends
+//! are lost, which [`Incoming::Lost`] reports. Nothing here retransmits: the protocols above do.
 //!
-//! Everything is bounded: connections both ways, each peer's queue in frames and bytes, all queues together, a frame's length,
-//! large frames that are half received, and the inbox, which holds senders up by not reading from them. [`Network::send`] never blocks; it says at once what it drops, and why.
+//! Everything is bounded: connections in both directions, each peer's queue in frames and bytes, all queues together, a frame's
+//! length, large frames that are incomplete, and the inbox, which slows senders down by not reading from them (backpressure).
+//! [`Network::send`] never blocks; it returns why a message was dropped.
 //!
 //! [`Pending`] matches replies to requests for callers whose messages carry a request number.
 
@@ -24,11 +25,12 @@
 mod queue;
 mod receive;
 mod settings;
+mod shared;
 mod socket;
 
 pub use backoff::Backoff;
 pub use error::{DropReason, SendOutcome, TransportError};
-pub use frame::{FRAME_CEILING_BYTES, FRAME_VERSION};
+pub use frame::{FRAME_VERSION, MAX_PAYLOAD_BYTES};
 pub use inbox::{Inbox, Incoming};
 pub use network::Network;
 pub use pending::Pending;
--- a/system/transport/src/links.rs
+++ b/system/transport/src/links.rs
@@ -1,5 +1,5 @@
-//! The table of peers: for each its queue, how its connection stands, and when the next may be opened. Every change that a
-//! connection's task makes names the link it was started for, so that the task of a link that was forgotten changes nothing.
+//! The table of peers: for each its queue, the state of its connection, and when the next may be opened. Every change by a
+//! connection's task carries the id of the link for which it was started, so that the task of a removed link changes nothing.
 
 use std::collections::HashMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -17,21 +17,23 @@
 use crate::queue::FrameQueue;
 use crate::settings::NetworkSettings;
 
-const FIRST_RETRY: Duration = Duration::from_millis(50);
-const LONGEST_RETRY: Duration = Duration::from_secs(1);
+/// Delay of the first retry after a connection fails.
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(50);
+/// Bounds the delay of retries; a connection that lasts as long counts as established.
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// Names one task of one link; never used again.
+/// Identifies one task of one link; never reused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct LinkId(u64);
 
-/// How the connection to a peer stands.
+/// State of the connection to a peer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Phase {
     /// No task serves the link.
     Down,
-    /// A task opens a connection or writes to it.
+    /// A task connects or writes.
     Open(LinkId),
-    /// The connection failed; its task still has to report it.
+    /// The connection has failed, and its task is reporting that.
     Failed(LinkId),
 }
 
@@ -40,19 +42,19 @@
     phase: Phase,
     queue: FrameQueue,
     backoff: Backoff,
-    used: Duration,
+    last_used_at: Duration,
     wake: Arc<Notify>,
     task: Option<AbortHandle>,
 }
 
-/// What a link's task is to do next.
+/// What a link's task does next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Work {
     /// Write the buffer.
     Write,
-    /// Wait until woken, at most for the given time.
+    /// Wait until woken, at most for this time.
     Wait(Duration),
-    /// Close the connection: it is idle, and the peer has been forgotten.
+    /// Close the connection: it was idle, and its link is removed.
     Close,
 }
 
@@ -82,7 +84,7 @@
         Self { settings, hello, seed, last: 0, queued_bytes, drained, links: HashMap::new() }
     }
 
-    /// Queues a message. Returns the link if a task is to be started for it. The time is asked only where no connection is open.
+    /// Queues a message. Returns the link if its task is to be started. Reads the clock only if no connection is open.
     pub(crate) fn send<T: Serialize>(
         &mut self,
         peer: SocketAddr,
@@ -90,7 +92,7 @@
         now: impl FnOnce() -> Duration,
     ) -> Result<Option<Opening>, DropReason> {
         if !self.links.contains_key(&peer) {
-            self.make_room()?;
+            self.evict_if_full()?;
         }
         let link = self.links.entry(peer).or_insert_with(|| Link::new(peer, self.seed, &self.queued_bytes));
         match link.phase {
@@ -101,45 +103,45 @@
                 if !link.backoff.is_ready(now) {
                     return Err(DropReason::Backoff);
                 }
-                link.queue.restart(&self.hello);
+                link.queue.reset(&self.hello);
                 if let Err(reason) = link.queue.push(message, &self.settings) {
                     link.queue.clear();
                     return Err(reason);
                 }
                 self.last += 1;
                 let id = LinkId(self.last);
-                (link.phase, link.used) = (Phase::Open(id), now);
+                (link.phase, link.last_used_at) = (Phase::Open(id), now);
                 Ok(Some(Opening { id, wake: Arc::clone(&link.wake) }))
             }
         }
     }
 
-    /// What is told whenever nothing waits for some peer any more.
+    /// Notified whenever the queue of a peer becomes empty.
     pub(crate) fn drained(&self) -> Arc<Notify> {
         Arc::clone(&self.drained)
     }
 
-    /// Whether nothing waits for any peer.
-    pub(crate) fn is_settled(&self) -> bool {
-        self.links.values().all(|link| link.queue.is_settled())
+    /// Whether all queues are empty and all writes have finished.
+    pub(crate) fn is_drained(&self) -> bool {
+        self.links.values().all(|link| link.queue.is_drained())
     }
 
-    /// Keeps the handle of a link's task, to end it when the peer is forgotten.
-    pub(crate) fn started(&mut self, peer: SocketAddr, id: LinkId, task: AbortHandle) {
-        match self.own(peer, id) {
+    /// Stores the handle of a link's task, to abort it when the peer is removed.
+    pub(crate) fn on_task_started(&mut self, peer: SocketAddr, id: LinkId, task: AbortHandle) {
+        match self.link_of_task(peer, id) {
             Some(link) => link.task = Some(task),
             None => task.abort(),
         }
     }
 
-    /// The link's connection was made.
-    pub(crate) fn connected(&mut self, peer: SocketAddr, id: LinkId, now: Duration) {
-        if let Some(link) = self.own(peer, id) {
-            link.backoff.connected(now);
+    /// The link's connection is established.
+    pub(crate) fn on_connected(&mut self, peer: SocketAddr, id: LinkId, now: Duration) {
+        if let Some(link) = self.link_of_task(peer, id) {
+            link.backoff.on_connected(now);
         }
     }
 
-    /// Moves what waits into the buffer, whose former bytes have been written.
+    /// Moves the queue into the buffer, whose former bytes have been written.
     pub(crate) fn next_work(
         &mut self,
         peer: SocketAddr,
@@ -148,13 +150,13 @@
         buffer: &mut Vec<u8>,
     ) -> Work {
         let idle_close = self.settings.idle_close;
-        let Some(link) = self.own(peer, id) else { return Work::Close };
-        link.queue.take(buffer);
+        let Some(link) = self.link_of_task(peer, id) else { return Work::Close };
+        link.queue.swap_into(buffer);
         if !buffer.is_empty() {
-            link.used = now;
+            link.last_used_at = now;
             return Work::Write;
         }
-        let idle = now.saturating_sub(link.used);
+        let idle = now.saturating_sub(link.last_used_at);
         self.drained.notify_waiters();
         if idle < idle_close {
             return Work::Wait(idle_close - idle);
@@ -163,69 +165,75 @@
         Work::Close
     }
 
-    /// The link's connection broke after it was made, and its queue is dropped. Where the peer's machine answered with that, a
-    /// sound connection is opened again at once; returns whether it is.
-    pub(crate) fn broke(&mut self, peer: SocketAddr, id: LinkId, now: Duration, answered: bool) -> bool {
+    /// The link's connection has ended after it was established, and its queue is dropped. If the peer's machine closed it and it
+    /// had lasted, it is reopened without a delay; returns whether it is.
+    pub(crate) fn on_connection_ended(
+        &mut self,
+        peer: SocketAddr,
+        id: LinkId,
+        now: Duration,
+        is_closed_by_peer: bool,
+    ) -> bool {
         let Some(link) = self.links.get_mut(&peer).filter(|link| link.phase == Phase::Open(id)) else {
             return false;
         };
-        let reopen = link.backoff.failed(now) && answered;
-        if reopen {
-            link.queue.restart(&self.hello);
+        let is_reopened = link.backoff.on_failed(now) && is_closed_by_peer;
+        if is_reopened {
+            link.queue.reset(&self.hello);
         } else {
             link.queue.clear();
             link.phase = Phase::Failed(id);
         }
         self.drained.notify_waiters();
-        reopen
+        is_reopened
     }
 
-    /// The link's connection could not be made, and its queue is dropped.
-    pub(crate) fn not_connected(&mut self, peer: SocketAddr, id: LinkId, now: Duration) {
-        if let Some(link) = self.own(peer, id) {
+    /// The link's connection could not be established, and its queue is dropped.
+    pub(crate) fn on_connect_failed(&mut self, peer: SocketAddr, id: LinkId, now: Duration) {
+        if let Some(link) = self.link_of_task(peer, id) {
             link.queue.clear();
-            link.backoff.failed(now);
+            link.backoff.on_failed(now);
             link.phase = Phase::Failed(id);
         }
         self.drained.notify_waiters();
     }
 
-    /// The failure has been reported, and the link's task ends.
-    pub(crate) fn reported(&mut self, peer: SocketAddr, id: LinkId) {
-        if let Some(link) = self.own(peer, id) {
+    /// The inbox has the report of the failure, and the link's task ends.
+    pub(crate) fn on_failure_reported(&mut self, peer: SocketAddr, id: LinkId) {
+        if let Some(link) = self.link_of_task(peer, id) {
             link.phase = Phase::Down;
             link.task = None;
         }
     }
 
-    /// Forgets a peer: its queue is dropped and its connection closed.
-    pub(crate) fn forget(&mut self, peer: SocketAddr) {
+    /// Removes a peer: its queue is dropped and its connection closed.
+    pub(crate) fn remove(&mut self, peer: SocketAddr) {
         if let Some(task) = self.links.remove(&peer).and_then(|link| link.task) {
             task.abort();
         }
         self.drained.notify_waiters();
     }
 
-    /// Forgets all peers.
-    pub(crate) fn forget_all(&mut self) {
+    /// Removes all peers.
+    pub(crate) fn remove_all(&mut self) {
         for task in self.links.drain().filter_map(|(_, link)| link.task) {
             task.abort();
         }
     }
 
-    /// Where the table is full, forgets the peer without queue that was written to longest ago.
-    fn make_room(&mut self) -> Result<(), DropReason> {
+    /// If the table is full, removes the least recently used peer without queued messages.
+    fn evict_if_full(&mut self) -> Result<(), DropReason> {
         if self.links.len() < self.settings.max_outbound {
             return Ok(());
         }
         let unused = self.links.iter().filter(|(_, link)| link.is_unused());
-        let oldest = unused.min_by_key(|(_, link)| link.used).map(|(&peer, _)| peer);
-        self.forget(oldest.ok_or(DropReason::TooManyPeers)?);
+        let oldest = unused.min_by_key(|(_, link)| link.last_used_at).map(|(&peer, _)| peer);
+        self.remove(oldest.ok_or(DropReason::TooManyPeers)?);
         Ok(())
     }
 
-    /// The peer's link, if the task that asks is the one that serves it.
-    fn own(&mut self, peer: SocketAddr, id: LinkId) -> Option<&mut Link> {
+    /// The peer's link, if it is the one with this id.
+    fn link_of_task(&mut self, peer: SocketAddr, id: LinkId) -> Option<&mut Link> {
         self.links
             .get_mut(&peer)
             .filter(|link| matches!(link.phase, Phase::Open(own) | Phase::Failed(own) if own == id))
@@ -239,14 +247,14 @@
         Self {
             phase: Phase::Down,
             queue: FrameQueue::new(queued_bytes),
-            backoff: Backoff::new(FIRST_RETRY, LONGEST_RETRY, hasher.finish()),
-            used: Duration::ZERO,
+            backoff: Backoff::new(MIN_RETRY_DELAY, MAX_RETRY_DELAY, hasher.finish()),
+            last_used_at: Duration::ZERO,
             wake: Arc::new(Notify::new()),
             task: None,
         }
     }
 
-    /// Queues a message for the task, and wakes it where it may wait.
+    /// Queues a message for the task, and wakes it if the queue was empty.
     fn push<T: Serialize>(&mut self, message: &T, settings: &NetworkSettings) -> Result<(), DropReason> {
         let was_empty = self.queue.is_empty();
         self.queue.push(message, settings)?;
@@ -256,11 +264,11 @@
         Ok(())
     }
 
-    /// Whether nothing is lost if the peer is forgotten.
+    /// Whether nothing is lost if the peer is removed.
     fn is_unused(&self) -> bool {
         match self.phase {
             Phase::Down => true,
-            Phase::Open(_) => self.queue.is_settled(),
+            Phase::Open(_) => self.queue.is_drained(),
             Phase::Failed(_) => false,
         }
     }
--- a/system/transport/src/pending.rs
+++ b/system/transport/src/pending.rs
@@ -1,4 +1,4 @@
-//! Requests that wait for their replies: numbers each, and hands each reply to whoever waits for it.
+//! Requests that wait for their replies: numbers each request, and passes each reply to the future of its request.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -10,12 +10,12 @@
 use tokio::sync::oneshot;
 use tokio::time::{timeout_at, Instant};
 
-/// A number that starts at random below this leaves room for all that follow.
+/// Numbers start below two to this power, so that they never overflow.
 const START_BITS: u32 = 48;
 
 /// A bounded table of requests without reply. Cheap to clone.
 ///
-/// Numbers start at random, so that a late reply to an earlier run of the program answers no request of this one.
+/// Numbers start at random, so that a late reply to an earlier run of the program matches no request of this one.
 pub struct Pending<R> {
     table: Arc<Mutex<Table<R>>>,
 }
@@ -33,32 +33,32 @@
         Self { table: Arc::new(Mutex::new(Table { capacity, next, waiting: HashMap::new() })) }
     }
 
-    /// Numbers a new request. The future resolves to its reply, or to `None` at the time-out, which counts from now, at once if
-    /// the table is full, or if the request is given up. Dropping the future forgets the request.
+    /// Numbers a new request. The future resolves to its reply; or to `None` at the time-out, which counts from now, without a wait
+    /// if the table is full, or when the request is cancelled. Dropping the future removes the request.
     pub fn begin(&self, timeout: Duration) -> (u64, impl Future<Output = Option<R>> + use<R>) {
         let deadline = Instant::now() + timeout;
         let (sender, receiver) = oneshot::channel();
         let request = lock(&self.table).insert(sender);
-        let forget = ForgetOnDrop { request, table: Arc::clone(&self.table) };
+        let removal = RemoveOnDrop { request, table: Arc::clone(&self.table) };
         let reply = async move {
-            let _forget = forget;
+            let _removal = removal;
             timeout_at(deadline, receiver).await.ok()?.ok()
         };
         (request, reply)
     }
 
-    /// Hands a reply to whoever waits for it; returns whether anybody does.
+    /// Passes a reply to the future of its request; returns false if there is none any more.
     pub fn complete(&self, request: u64, reply: R) -> bool {
         let waiting = lock(&self.table).waiting.remove(&request);
         waiting.is_some_and(|waiting| waiting.send(reply).is_ok())
     }
 
-    /// Gives a request up, for example because its peer is lost: its future resolves to `None`.
-    pub fn give_up(&self, request: u64) {
+    /// Cancels a request, for example because its peer is lost: its future resolves to `None`.
+    pub fn cancel(&self, request: u64) {
         lock(&self.table).waiting.remove(&request);
     }
 
-    /// How many requests wait.
+    /// Number of requests that wait.
     pub fn len(&self) -> usize {
         lock(&self.table).waiting.len()
     }
@@ -82,7 +82,7 @@
 }
 
 impl<R> Table<R> {
-    /// Where the table is full the sender is dropped, and so nobody waits.
+    /// If the table is full, the sender is dropped, and the future of the request resolves.
     fn insert(&mut self, sender: oneshot::Sender<R>) -> u64 {
         let request = self.next;
         self.next = self.next.wrapping_add(1);
@@ -93,12 +93,12 @@
     }
 }
 
-struct ForgetOnDrop<R> {
+struct RemoveOnDrop<R> {
     request: u64,
     table: Arc<Mutex<Table<R>>>,
 }
 
-impl<R> Drop for ForgetOnDrop<R> {
+impl<R> Drop for RemoveOnDrop<R> {
     fn drop(&mut self) {
         lock(&self.table).waiting.remove(&self.request);
     }
--- a/system/transport/src/queue.rs
+++ b/system/transport/src/queue.rs
@@ -1,4 +1,4 @@
-//! The frames that wait for one peer, kept as the very bytes to be written, so that one write takes them all.
+//! The frames queued for one peer, stored as the bytes to be written, so that one write takes them all.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
@@ -9,53 +9,53 @@
 use crate::frame::{self, EncodeFailure};
 use crate::settings::NetworkSettings;
 
-/// A buffer larger than this is given back once it is empty.
-const KEPT_BUFFER_BYTES: usize = 32 * 1024;
+/// A larger buffer is freed once it is empty.
+const MAX_IDLE_BUFFER_BYTES: usize = 32 * 1024;
 
-/// Every peer may have as much waiting, however much waits for the others.
-const OWN_BYTES: usize = 64 * 1024;
+/// Guaranteed to every queue, however much is queued for other peers.
+const GUARANTEED_BYTES: usize = 64 * 1024;
 
-/// A bounded queue of encoded frames, and what of it is being written.
+/// A bounded queue of encoded frames, with the sizes of those that are being written.
 #[derive(Debug)]
 pub(crate) struct FrameQueue {
-    waiting: Vec<u8>,
-    waiting_frames: usize,
+    queued: Vec<u8>,
+    queued_frames: usize,
     written_bytes: usize,
     written_frames: usize,
-    share: Share,
+    counted: CountedBytes,
 }
 
 impl FrameQueue {
-    /// An empty queue whose bytes count in a total over all queues.
+    /// An empty queue whose bytes count in the total over all queues.
     pub(crate) fn new(total: &Arc<AtomicUsize>) -> Self {
         Self {
-            waiting: Vec::new(),
-            waiting_frames: 0,
+            queued: Vec::new(),
+            queued_frames: 0,
             written_bytes: 0,
             written_frames: 0,
-            share: Share { total: Arc::clone(total), bytes: 0 },
+            counted: CountedBytes { total: Arc::clone(total), bytes: 0 },
         }
     }
 
-    /// Drops everything, also the buffer.
+    /// Drops all frames, and frees the buffer.
     pub(crate) fn clear(&mut self) {
-        self.restart(&[]);
+        self.reset(&[]);
     }
 
-    /// Drops everything; the next bytes to be written are those given.
-    pub(crate) fn restart(&mut self, first: &[u8]) {
-        self.waiting = first.to_vec();
-        (self.waiting_frames, self.written_bytes, self.written_frames) = (0, 0, 0);
-        self.share.set(first.len());
+    /// Drops all frames; the next bytes to be written are those given.
+    pub(crate) fn reset(&mut self, first: &[u8]) {
+        self.queued = first.to_vec();
+        (self.queued_frames, self.written_bytes, self.written_frames) = (0, 0, 0);
+        self.counted.set(first.len());
     }
 
-    /// Whether nothing waits to be written.
+    /// Whether no frame is queued.
     pub(crate) fn is_empty(&self) -> bool {
-        self.waiting.is_empty()
+        self.queued.is_empty()
     }
 
-    /// Whether nothing waits and nothing is being written.
-    pub(crate) fn is_settled(&self) -> bool {
+    /// Whether no frame is queued or being written.
+    pub(crate) fn is_drained(&self) -> bool {
         self.is_empty() && self.written_bytes == 0
     }
 
@@ -65,15 +65,16 @@
         message: &T,
         settings: &NetworkSettings,
     ) -> Result<(), DropReason> {
-        if self.waiting_frames + self.written_frames >= settings.queue_frames {
+        if self.queued_frames + self.written_frames >= settings.queue_frames {
             return Err(DropReason::QueueFull);
         }
-        let room = self.room(settings).checked_sub(frame::HEADER_BYTES).ok_or(DropReason::QueueFull)?;
-        let max_payload = room.min(settings.max_frame_bytes);
-        match frame::append(&mut self.waiting, message, max_payload) {
+        let free_bytes =
+            self.free_bytes(settings).checked_sub(frame::HEADER_BYTES).ok_or(DropReason::QueueFull)?;
+        let max_payload = free_bytes.min(settings.max_frame_bytes);
+        match frame::append(&mut self.queued, message, max_payload) {
             Ok(()) => {
-                self.waiting_frames += 1;
-                self.share.set(self.waiting.len() + self.written_bytes);
+                self.queued_frames += 1;
+                self.counted.set(self.queued.len() + self.written_bytes);
                 Ok(())
             }
             Err(EncodeFailure::Encoding) => Err(DropReason::Encoding),
@@ -85,38 +86,38 @@
     }
 
     /// How many bytes another frame may have.
-    fn room(&self, settings: &NetworkSettings) -> usize {
-        let bytes = self.waiting.len() + self.written_bytes;
-        let in_queue = if self.waiting_frames + self.written_frames == 0 {
+    fn free_bytes(&self, settings: &NetworkSettings) -> usize {
+        let bytes = self.queued.len() + self.written_bytes;
+        let in_queue = if self.queued_frames + self.written_frames == 0 {
             usize::MAX
         } else {
             settings.queue_bytes.saturating_sub(bytes)
         };
-        let in_total = settings.total_queue_bytes().saturating_sub(self.share.total());
-        in_queue.min(in_total.max(OWN_BYTES.saturating_sub(bytes)))
+        let in_total = settings.total_queue_bytes().saturating_sub(self.counted.total());
+        in_queue.min(in_total.max(GUARANTEED_BYTES.saturating_sub(bytes)))
     }
 
-    /// Exchanges what waits for the buffer of what has been written, which is emptied.
-    pub(crate) fn take(&mut self, buffer: &mut Vec<u8>) {
+    /// Moves the queue into the buffer, whose bytes have been written and are dropped.
+    pub(crate) fn swap_into(&mut self, buffer: &mut Vec<u8>) {
         buffer.clear();
-        if buffer.capacity() > KEPT_BUFFER_BYTES {
+        if buffer.capacity() > MAX_IDLE_BUFFER_BYTES {
             *buffer = Vec::new();
         }
-        std::mem::swap(&mut self.waiting, buffer);
+        std::mem::swap(&mut self.queued, buffer);
         self.written_bytes = buffer.len();
-        self.written_frames = std::mem::take(&mut self.waiting_frames);
-        self.share.set(self.written_bytes);
+        self.written_frames = std::mem::take(&mut self.queued_frames);
+        self.counted.set(self.written_bytes);
     }
 }
 
-/// What one queue adds to the total over all queues.
+/// The bytes of one queue in the total over all queues.
 #[derive(Debug)]
-struct Share {
+struct CountedBytes {
     total: Arc<AtomicUsize>,
     bytes: usize,
 }
 
-impl Share {
+impl CountedBytes {
     fn set(&mut self, bytes: usize) {
         if bytes >= self.bytes {
             self.total.fetch_add(bytes - self.bytes, Ordering::Relaxed);
@@ -131,7 +132,7 @@
     }
 }
 
-impl Drop for Share {
+impl Drop for CountedBytes {
     fn drop(&mut self) {
         self.set(0);
     }
--- a/system/transport/src/socket.rs
+++ b/system/transport/src/socket.rs
@@ -9,14 +9,14 @@
 
 use crate::settings::NetworkSettings;
 
-/// New connections that the system keeps until they are accepted.
+/// Connections that the system queues until they are accepted.
 const LISTEN_BACKLOG: u32 = 1024;
 
-/// The system counts keep-alive times in whole seconds.
-const SHORTEST_KEEP_ALIVE: Duration = Duration::from_secs(1);
+/// The system counts keepalive times in whole seconds.
+const MIN_KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Unanswered keep-alive probes after which a connection is broken.
-const KEEP_ALIVE_PROBES: u32 = 2;
+/// Unacknowledged keepalive probes after which a connection is closed.
+const KEEPALIVE_PROBES: u32 = 2;
 
 /// Listens on the node's own address.
 pub(crate) fn listen(settings: &NetworkSettings) -> io::Result<TcpListener> {
@@ -26,7 +26,7 @@
     socket.listen(LISTEN_BACKLOG)
 }
 
-/// Opens a connection; one that is not made in time fails with [`io::ErrorKind::TimedOut`].
+/// Opens a connection; one that is not established in time fails with [`io::ErrorKind::TimedOut`].
 pub(crate) async fn connect(peer: SocketAddr, settings: &NetworkSettings) -> io::Result<TcpStream> {
     let socket = TcpSocket::new_v4()?;
     set_options(SockRef::from(&socket), settings)?;
@@ -42,12 +42,12 @@
 }
 
 fn set_options(socket: SockRef<'_>, settings: &NetworkSettings) -> io::Result<()> {
-    let interval = settings.user_timeout.max(SHORTEST_KEEP_ALIVE);
-    let keep_alive = TcpKeepalive::new()
+    let interval = settings.user_timeout.max(MIN_KEEPALIVE_INTERVAL);
+    let keepalive = TcpKeepalive::new()
         .with_time(interval)
-        .with_interval(SHORTEST_KEEP_ALIVE)
-        .with_retries(KEEP_ALIVE_PROBES);
+        .with_interval(MIN_KEEPALIVE_INTERVAL)
+        .with_retries(KEEPALIVE_PROBES);
     socket.set_tcp_nodelay(true)?;
     socket.set_tcp_user_timeout(Some(settings.user_timeout))?;
-    socket.set_tcp_keepalive(&keep_alive)
+    socket.set_tcp_keepalive(&keepalive)
 }
--- a/system/transport/tests/backoff.rs
+++ b/system/transport/tests/backoff.rs
@@ -14,12 +14,12 @@
 }
 
 #[parameterized(seed_1 = { 1 }, seed_2 = { 2 }, seed_of_ones = { u64::MAX })]
-fn delays_double_up_to_the_limit_and_keep_at_least_half(seed: u64) {
+fn delays_double_up_to_the_limit_and_are_at_least_half(seed: u64) {
     let mut backoff = Backoff::new(FIRST, LIMIT, seed);
     let mut now = Duration::from_secs(3);
     let mut full = FIRST;
     for failure in 0..100 {
-        assert!(!backoff.failed(now));
+        assert!(!backoff.on_failed(now));
         let delay = backoff.ready_at() - now;
         assert!(delay >= full / 2 && delay <= full, "seed {seed}, failure {failure}: {delay:?} of {full:?}");
         assert!(!backoff.is_ready(now) && backoff.is_ready(now + full));
@@ -32,7 +32,7 @@
 fn delays_differ_between_seeds() {
     let ready_at = |seed| {
         let mut backoff = Backoff::new(FIRST, LIMIT, seed);
-        backoff.failed(Duration::ZERO);
+        backoff.on_failed(Duration::ZERO);
         backoff.ready_at()
     };
     assert_ne!(ready_at(1), ready_at(2));
@@ -40,27 +40,27 @@
 }
 
 #[test]
-fn a_connection_that_lasted_lets_the_next_be_opened_at_once() {
+fn a_connection_that_lasted_resets_the_delay() {
     let mut backoff = Backoff::new(FIRST, LIMIT, 1);
     for _ in 0..10 {
-        backoff.failed(Duration::ZERO);
+        backoff.on_failed(Duration::ZERO);
     }
-    backoff.connected(Duration::from_secs(5));
+    backoff.on_connected(Duration::from_secs(5));
     let broken = Duration::from_secs(5) + LIMIT;
-    assert!(backoff.failed(broken));
+    assert!(backoff.on_failed(broken));
     assert!(backoff.is_ready(broken));
-    assert!(!backoff.failed(broken), "the attempt that follows starts anew");
+    assert!(!backoff.on_failed(broken), "the attempt that follows starts anew");
     assert!(backoff.ready_at() - broken <= FIRST);
 }
 
 #[test]
-fn a_connection_that_breaks_soon_counts_as_a_failure() {
+fn a_connection_that_ends_early_counts_as_a_failure() {
     let mut backoff = Backoff::new(FIRST, LIMIT, 1);
     for _ in 0..10 {
-        backoff.failed(Duration::ZERO);
+        backoff.on_failed(Duration::ZERO);
     }
-    backoff.connected(Duration::from_secs(5));
+    backoff.on_connected(Duration::from_secs(5));
     let broken = Duration::from_secs(5) + LIMIT - Duration::from_nanos(1);
-    assert!(!backoff.failed(broken));
+    assert!(!backoff.on_failed(broken));
     assert!(backoff.ready_at() - broken >= LIMIT / 2);
 }
--- a/system/transport/tests/common/mod.rs
+++ b/system/transport/tests/common/mod.rs
@@ -10,21 +10,21 @@
 use tokio::io::AsyncReadExt;
 use tokio::net::{TcpListener, TcpStream};
 
-/// Nothing in these tests takes this long unless it never comes.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+/// Bounds every wait in these tests; only a fault reaches it.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// How long a message to a peer that is not back yet is waited for before it is sent again.
+/// Time before a message to a peer that has not restarted yet is sent again.
 const RETRY: Duration = Duration::from_millis(20);
 
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Note {
+pub enum TestMessage {
     Number(u64),
     Text(String),
     Bytes(Vec<u8>),
     Pair { request: u64, from: Option<SocketAddr> },
 }
 
-pub type Node = (Network<Note>, Inbox<Note>);
+pub type Node = (Network<TestMessage>, Inbox<TestMessage>);
 
 /// Settings for a free port of the loopback address.
 pub fn settings() -> NetworkSettings {
@@ -46,29 +46,29 @@
 }
 
 /// The next event, which must come.
-pub async fn event(inbox: &mut Inbox<Note>) -> Incoming<Note> {
-    let event = tokio::time::timeout(PATIENCE, inbox.next()).await;
+pub async fn event(inbox: &mut Inbox<TestMessage>) -> Incoming<TestMessage> {
+    let event = tokio::time::timeout(TEST_TIMEOUT, inbox.next()).await;
     event.expect("an event arrives in time").expect("the inbox is open")
 }
 
 /// The next event, which must be a message.
-pub async fn message(inbox: &mut Inbox<Note>) -> (SocketAddr, Note) {
+pub async fn message(inbox: &mut Inbox<TestMessage>) -> (SocketAddr, TestMessage) {
     match event(inbox).await {
         Incoming::Message { from, message } => (from, message),
         lost @ Incoming::Lost { .. } => panic!("{lost:?} where a message was awaited"),
     }
 }
 
-pub fn queue(network: &Network<Note>, to: SocketAddr, note: &Note) {
+pub fn queue(network: &Network<TestMessage>, to: SocketAddr, note: &TestMessage) {
     assert_eq!(network.send(to, note), SendOutcome::Queued);
 }
 
 /// Sends the note again and again until the receiver has it, and returns the sender it was told.
 pub async fn send_until_received(
-    network: &Network<Note>,
+    network: &Network<TestMessage>,
     to: SocketAddr,
-    note: &Note,
-    inbox: &mut Inbox<Note>,
+    note: &TestMessage,
+    inbox: &mut Inbox<TestMessage>,
 ) -> SocketAddr {
     let received = async {
         loop {
@@ -80,7 +80,7 @@
             }
         }
     };
-    tokio::time::timeout(PATIENCE, received).await.expect("the note arrives in time")
+    tokio::time::timeout(TEST_TIMEOUT, received).await.expect("the note arrives in time")
 }
 
 /// An address at which nothing ever listens, another one with each call. It is on the loopback interface, but not the address that the
@@ -95,16 +95,17 @@
 /// Waits for the end of a connection, by close or reset.
 pub async fn assert_ended(stream: &mut TcpStream) {
     let mut byte = [0u8; 1];
-    let read =
-        tokio::time::timeout(PATIENCE, stream.read(&mut byte)).await.expect("the connection ends in time");
+    let read = tokio::time::timeout(TEST_TIMEOUT, stream.read(&mut byte))
+        .await
+        .expect("the connection ends in time");
     assert!(matches!(read, Ok(0) | Err(_)), "{read:?}");
 }
 
 /// Takes the hello that a network sends.
-pub async fn hello_of(network: &Network<Note>) -> Vec<u8> {
+pub async fn hello_of(network: &Network<TestMessage>) -> Vec<u8> {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await.expect("a free port");
     let address = listener.local_addr().expect("its address");
-    queue(network, address, &Note::Number(0));
+    queue(network, address, &TestMessage::Number(0));
     let (mut stream, _) = listener.accept().await.expect("the network connects");
     let mut hello = vec![0; 5];
     stream.read_exact(&mut hello).await.expect("a header");
--- a/system/transport/tests/golden.rs
+++ b/system/transport/tests/golden.rs
@@ -5,7 +5,7 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::Path;
 
-use common::{hello_of, message, node, queue, run, Note, PATIENCE};
+use common::{hello_of, message, node, queue, run, TestMessage, TEST_TIMEOUT};
 use gingerledge_golden::{compare, read, Sample};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
@@ -13,14 +13,14 @@
 /// Where the port stands in a hello that is recorded: it is another one in each run.
 const RECORDED_PORT: u16 = 40_000;
 
-fn notes() -> Vec<(&'static str, Note)> {
+fn messages() -> Vec<(&'static str, TestMessage)> {
     let from = Some(SocketAddr::from(([10, 1, 2, 3], 7_001)));
     vec![
-        ("number", Note::Number(300)),
-        ("text", Note::Text("text".to_owned())),
-        ("bytes", Note::Bytes(vec![9; 300])),
-        ("pair", Note::Pair { request: 70_000, from }),
-        ("pair bare", Note::Pair { request: 1, from: None }),
+        ("number", TestMessage::Number(300)),
+        ("text", TestMessage::Text("text".to_owned())),
+        ("bytes", TestMessage::Bytes(vec![9; 300])),
+        ("pair", TestMessage::Pair { request: 70_000, from }),
+        ("pair bare", TestMessage::Pair { request: 1, from: None }),
     ]
 }
 
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn the_hello_and_the_frames_are_written_as_before() {
+fn hello_and_frames_have_the_recorded_bytes() {
     run(async {
         let (network, _inbox) = node().await;
         let hello = hello_of(&network).await;
@@ -50,12 +50,12 @@
         let mut samples = vec![Sample::new("hello", hello)];
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await.expect("a free port");
         let address = listener.local_addr().expect("its address");
-        for (_, note) in notes() {
+        for (_, note) in messages() {
             queue(&network, address, &note);
         }
         let (mut stream, _) = listener.accept().await.expect("the network connects");
         frame(&mut stream).await;
-        for (name, _) in notes() {
+        for (name, _) in messages() {
             samples.push(Sample::new(&format!("frame of {name}"), frame(&mut stream).await));
         }
         compare(&path(), &samples);
@@ -63,16 +63,16 @@
 }
 
 #[test]
-fn the_recorded_hello_and_frames_are_read() {
+fn recorded_hello_and_frames_are_read() {
     run(async {
         let recorded = read(&path());
         let (network, mut inbox) = node().await;
         let mut stream = TcpStream::connect(network.local_address()).await.expect("connects");
         stream.write_all(&recorded["hello"]).await.expect("takes the hello");
         let from = SocketAddr::from((Ipv4Addr::LOCALHOST, RECORDED_PORT));
-        for (name, note) in notes() {
+        for (name, note) in messages() {
             stream.write_all(&recorded[&format!("frame of {name}")]).await.expect("takes a frame");
-            let received = tokio::time::timeout(PATIENCE, message(&mut inbox)).await.expect("in time");
+            let received = tokio::time::timeout(TEST_TIMEOUT, message(&mut inbox)).await.expect("in time");
             assert_eq!(received, (from, note), "{name}");
         }
     });
--- a/system/transport/tests/pending.rs
+++ b/system/transport/tests/pending.rs
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_second_reply_and_a_strange_one_reach_nobody() {
+fn second_and_unknown_replies_are_dropped() {
     run(async {
         let pending = Pending::new(10);
         let (request, reply) = pending.begin(LONG);
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn a_request_without_reply_times_out_and_is_forgotten() {
+fn a_request_without_reply_times_out_and_is_removed() {
     run(async {
         let pending = Pending::<()>::new(10);
         let (request, reply) = pending.begin(Duration::from_millis(1));
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_dropped_future_forgets_its_request() {
+fn a_dropped_future_removes_its_request() {
     run(async {
         let pending = Pending::new(10);
         let (request, reply) = pending.begin(LONG);
@@ -62,17 +62,17 @@
 }
 
 #[test]
-fn a_request_that_is_given_up_ends_at_once() {
+fn a_cancelled_request_resolves_without_a_wait() {
     run(async {
         let pending = Pending::<()>::new(10);
         let (request, reply) = pending.begin(LONG);
-        pending.give_up(request);
+        pending.cancel(request);
         assert_eq!(reply.await, None);
     });
 }
 
 #[test]
-fn a_full_table_takes_no_more() {
+fn a_full_table_accepts_no_request() {
     run(async {
         let pending = Pending::new(1);
         let (first, first_reply) = pending.begin(LONG);
