--- a/system/relay/src/replica.rs
+++ b/system/relay/src/replica.rs
@@ -113,7 +113,7 @@
             let Some((_, key)) = self.expiries.pop_first() else { return };
             self.remove_from_digest(&key);
             self.tombstones.remove(&key);
-            self.registry.forget(&key);
+            self.registry.remove(&key);
         }
     }
 
--- a/system/wire/src/command.rs
+++ b/system/wire/src/command.rs
@@ -1,4 +1,4 @@
-//! Commands of the control chain, applied by every control node in the same order, and their outcomes.
+//! Commands of the control chain, applied by every control node in the order of the log, and their outcomes.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -7,117 +7,118 @@
 
 use crate::registry::PartitionRecord;
 
-/// A change of the durable control state.
+/// A change of the replicated control state. Submitted by control nodes, proposed by the head of the chain.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Command {
-    /// Nothing; shows that the chain works.
+    /// Changes nothing; its commit proves that the chain makes progress.
     Noop,
-    /// A whole configuration, valid in itself, on top of a version.
+    /// Replaces the whole configuration by a validated one, if the base is the current version.
     ReplaceConfiguration {
-        /// The operator's version that it builds on; 0 for the first.
+        /// The operator's version that it replaces; 0 for the first configuration.
         base: u64,
-        /// The operator's version that it has.
+        /// The operator's version of the new configuration.
         version: u64,
-        /// The bytes that the operator sent.
+        /// The JSON text as the operator sent it.
         json: Arc<Vec<u8>>,
     },
-    /// A trainer names a version of a model's weights.
+    /// A trainer announces a version of a model's weights; lower ones than the known version change nothing.
     NameVersion {
-        /// The model.
+        /// The model's name.
         model: String,
-        /// The version.
+        /// The version of the weights.
         version: u64,
     },
-    /// A new holder of the coordinator's lease takes the next fencing token.
+    /// Allocates the next fencing token for a new owner of the coordinator lease (Burrows 2006: sequencers).
     AllocateFencingToken {
-        /// The holder's incarnation.
+        /// The lease owner's incarnation.
         incarnation: u64,
-        /// Where it takes internal messages.
+        /// Its internal listen address.
         address: SocketAddr,
     },
-    /// The holder of a fencing token has waited until its turn is far enough from that of the machine before it.
+    /// The coordinator with this fencing token has waited until orders of the machine before it can no longer be in flight.
     CompleteHandover {
-        /// The token.
+        /// The coordinator's fencing token.
         token: u64,
     },
-    /// A partition's chain changes; taken only on top of the epoch before, under the newest fencing token.
+    /// Changes the chain of a partition; applies only on the epoch before, under the newest fencing token.
     SetPartition {
-        /// The partition.
+        /// Number of the partition.
         partition: u16,
-        /// The new chain, its epoch one above the current one.
+        /// The new chain, with the current epoch plus one.
         record: PartitionRecord,
         /// The coordinator's fencing token.
         fencing_token: u64,
     },
-    /// A member of a partition's chain holds everything now.
+    /// A member of a partition's chain has become in sync.
     ReplicaInSync {
-        /// The partition.
+        /// Number of the partition.
         partition: u16,
-        /// The epoch in which it became so.
+        /// The epoch of the view in which it is in sync.
         epoch: u64,
         /// The member.
         member: u64,
     },
-    /// The disk of a backend is at an address.
+    /// Records at which address the disk of a backend is.
     RegisterBackend {
         /// The identity of its disk.
         member: u64,
-        /// Where it takes internal messages.
+        /// The backend's internal listen address.
         address: SocketAddr,
     },
-    /// A backend is to be emptied.
+    /// Begins to move all replicas off a backend.
     BeginRetirement {
-        /// The machine's name.
+        /// The machine's name in the operator's deploy file.
         name: String,
         /// The identity of its disk.
         member: u64,
     },
-    /// Named items of the configuration change, on top of a version.
+    /// Changes named items of the configuration, if the base is the current version.
     UpdateConfiguration {
-        /// The operator's version that it builds on.
+        /// The operator's version that it updates.
         base: u64,
-        /// The operator's version that the result has.
+        /// The operator's version of the result.
         version: u64,
-        /// The bytes that the operator sent.
+        /// The JSON text as the operator sent it.
         json: Arc<Vec<u8>>,
     },
-    /// A backend is empty.
+    /// Completes a retirement, if every partition has enough replicas without the backend.
     CompleteRetirement {
-        /// The machine's name.
+        /// The machine's name in the operator's deploy file.
         name: String,
         /// The identity of its disk.
         member: u64,
-        /// How many full copies every partition must have without it: one more than the disks that may be lost at once.
+        /// How many replicas in sync every partition must have without it: one more than the disks that may be lost at once.
         replicas: u64,
     },
 }
 
-/// What became of a command: the same at every control node.
+/// Outcome of a command: the same at every control node.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CommandOutcome {
-    /// Taken now, or the very same was taken before.
+    /// Applied, by this command or by an equal one before.
     Applied,
-    /// Taken; the fencing token.
+    /// Applied; the allocated fencing token.
     FencingToken(u64),
-    /// Another version is current.
+    /// The base is not the current version.
     Conflict {
-        /// The current one.
+        /// The current version.
         current: u64,
     },
-    /// Refused whatever comes later.
+    /// Rejected; a retry can't succeed.
     Invalid {
-        /// Why.
+        /// The reason, for the client.
         reason: String,
     },
-    /// It was not taken now, and nobody knows any more what became of it before: no clear answer may be given.
+    /// Not applied now, and the outcome of an earlier equal command is not known any more: neither success nor failure may be
+    /// reported.
     Indeterminate,
 }
 
-/// How far the emptying of a backend is.
+/// Progress of a backend's retirement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RetirementState {
-    /// Under way.
+    /// Replicas are being moved off it.
     Active,
-    /// Nothing is on it any more.
+    /// It has no replicas any more.
     Completed,
 }
--- a/system/wire/src/control.rs
+++ b/system/wire/src/control.rs
@@ -1,4 +1,4 @@
-//! Messages between nodes and control nodes, and among control nodes beside the chain and the lease.
+//! Messages between nodes and control nodes, and those between control nodes other than the chain's and the lease's.
 
 use std::net::SocketAddr;
 
@@ -8,82 +8,83 @@
 use crate::node::NodeRecord;
 use crate::registry::Entry;
 
-/// What a backend tells the coordinator with its heartbeats.
+/// The report of a backend to the coordinator, with its heartbeats.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BackendReport {
-    /// Partitions of which it holds everything in their current epoch: (partition, epoch).
+    /// Partitions of which its replica is in sync, with the epoch of the view: (partition, epoch).
     pub in_sync: Vec<(u16, u64)>,
-    /// Bytes of batch jobs that it holds.
+    /// Estimated bytes of batch jobs in its memory.
     pub bytes: u64,
-    /// Its disk has not answered for longer than it should.
+    /// Whether a write to its disk takes longer than the stall time-out (1 s).
     pub disk_stalled: bool,
 }
 
 /// One message to or from a control node.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum ControlMessage {
-    /// A node says that it lives: to any control node, and by backends to the coordinator as well.
+    /// From a node to one control node, which keeps its session; from backends also to the coordinator, with a report.
+    /// The receiver renews the session and responds with [`ControlMessage::HeartbeatAck`].
     Heartbeat {
-        /// The node.
+        /// The sender.
         node: NodeRecord,
         /// Rises with each heartbeat of this incarnation.
         sequence: u64,
-        /// From backends.
+        /// From backends to the coordinator; none in other heartbeats.
         report: Option<BackendReport>,
     },
-    /// The answer: where control nodes are.
+    /// The response to a heartbeat. A node without one for a time-out turns to the next control node.
     HeartbeatAck {
-        /// The sequence answered.
+        /// The sequence of the heartbeat.
         sequence: u64,
-        /// Control nodes.
+        /// Internal addresses of the control nodes known to the sender.
         control_nodes: Vec<SocketAddr>,
     },
-    /// A node stops on purpose.
+    /// A node announces its graceful shutdown; the receiver ends its session, which can't come back.
     Goodbye {
-        /// Its incarnation.
+        /// The node's incarnation.
         incarnation: u64,
     },
-    /// A control node tells another who it is and whom it knows.
+    /// Between control nodes: the sender and the peers that it knows. The receiver adds them to its directory.
     Hello {
-        /// Itself.
+        /// The sender.
         node: NodeRecord,
-        /// Control nodes that it knows.
+        /// Control nodes known to the sender.
         known_peers: Vec<NodeRecord>,
-        /// Whether an answer is wanted.
+        /// Whether the receiver is to send a hello in response.
         wants_reply: bool,
     },
-    /// A command, on its way to the head of the chain.
+    /// Between control nodes: a command, forwarded to the head of the chain, which proposes it.
     Submit {
-        /// Chosen by the sender; the outcome carries it.
+        /// The sender's number for the submission; the response carries it.
         request: u64,
-        /// Where the outcome goes.
+        /// Internal address for the response.
         reply_to: SocketAddr,
         /// The command.
         command: Command,
     },
-    /// The outcome, from the tail.
+    /// The outcome of a submission, from the tail of the chain.
     SubmitResponse {
-        /// From the submission.
+        /// The number of the submission.
         request: u64,
-        /// What became of it; none if it was not taken by a chain at all.
+        /// The outcome; none if the chain did not accept the command.
         outcome: Option<CommandOutcome>,
     },
-    /// Session changes for another control node.
+    /// Between control nodes: changed sessions, for the receiver's registry.
     ReplicateSessions {
-        /// Chosen by the sender.
+        /// The sender's number for the message; the acknowledgement carries it.
         sequence: u64,
         /// Changed entries.
         entries: Vec<Entry>,
     },
-    /// They were taken.
+    /// The receiver has merged the changed sessions.
     ReplicateSessionsAck {
-        /// From the message answered.
+        /// The number of the acknowledged message.
         sequence: u64,
     },
-    /// From edges to the coordinator: a batch job has come, so the weights of this model are used by the route of this host and
-    /// path.
+    /// From an edge to the coordinator: a batch job uses the weights of this model on the route of this host and path. The
+    /// coordinator keeps the stores of the route at a permitted version.
     ModelUsed {
-        /// The model.
+        /// The model's name.
         model: String,
         /// The host that the batch job was sent to.
         host: String,
--- a/system/wire/src/jobs.rs
+++ b/system/wire/src/jobs.rs
@@ -1,4 +1,10 @@
 //! Messages between edges and backends, and the records of batch jobs.
+//!
+//! An edge sends [`JobsMessage::Request`] to the head or the tail of a partition, by the newest chain that it knows, and repeats it
+//! until a response other than [`JobsResponse::Unavailable`] arrives or it gives up. All requests are idempotent. The head assigns
+//! drivers by messages of its own, which need no response: the driver confirms them by renewing its lease.
+//!
+//! Replicas store these records too: their encoding is that of the disks (`gingerledge_jobs::store`).
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -7,12 +13,12 @@
 
 use crate::stable_hash;
 
-/// How many partitions batch jobs are spread over.
+/// Number of partitions of the batch jobs; fixed, since [`partition_of`] depends on it.
 pub const PARTITION_COUNT: u16 = 64;
 
-/// The id of a batch job, as its trainer gave it.
+/// The id of a batch job, chosen by its trainer.
 pub type JobId = String;
-/// Rises each time that a batch job gets another driver; a driver with an older one is refused.
+/// Term of a batch job's driver: 1 for the first, and one more for each next driver. Requests with an older term are fenced.
 pub type DriverTerm = u64;
 
 /// The partition of a batch job.
@@ -20,102 +26,103 @@
     (stable_hash(job) % u64::from(PARTITION_COUNT)) as u16
 }
 
-/// A batch job as it is kept.
+/// A batch job as backends store it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobRecord {
-    /// Its id.
+    /// Its id, unique in its scope.
     pub id: JobId,
-    /// The host that it was sent to.
+    /// The host to which it was submitted.
     pub host: String,
-    /// The path that it was sent to; host and path pick its route anew whenever it is driven.
+    /// The path to which it was submitted; each driver looks up the route of host and path in its present configuration.
     pub path: String,
-    /// The trainer's step.
+    /// The trainer's step, from 0.
     pub step: u64,
-    /// The model.
+    /// Name of the model that generates the texts.
     pub model: String,
-    /// The oldest version of weights allowed.
+    /// The oldest permitted version of the weights.
     pub min_version: u64,
-    /// How many whole groups the trainer waits for.
+    /// How many complete groups the trainer waits for.
     pub desired_groups: u64,
     /// Its items, in the trainer's order.
     pub items: Vec<ItemRecord>,
 }
 
-/// One item as it is kept.
+/// One item of a batch job as backends store it: a request for one generation.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ItemRecord {
-    /// Its id.
+    /// Its id, unique in its scope.
     pub id: String,
-    /// The path of its request.
+    /// Path of the request to a store.
     pub path: String,
-    /// Headers of its request.
+    /// Headers of the request: (name, value).
     pub headers: Vec<(String, String)>,
-    /// The decoded body.
+    /// The body, decoded from base64.
     pub body: Vec<u8>,
-    /// Tokens of the prompt and most out.
+    /// Tokens of the prompt plus the maximum of generated tokens.
     pub tokens: u64,
-    /// Its group.
+    /// Its group, whose items share a prompt; empty if none.
     pub group: String,
-    /// Its reward call.
+    /// The reward call for its text, if any.
     pub scoring: Option<ScoringRecord>,
 }
 
-/// A reward call as it is kept.
+/// A reward call as backends store it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ScoringRecord {
-    /// Its id.
+    /// Its id, unique in its scope.
     pub id: String,
-    /// The host whose route is taken.
+    /// Host that selects the route.
     pub host: String,
-    /// The path.
+    /// Path of the call, which selects the route too.
     pub path: String,
-    /// The decoded body.
+    /// The body, decoded from base64.
     pub body: Vec<u8>,
 }
 
-/// One result as it is kept; its position is its place in the list of its batch job.
+/// One result as backends store it. Its position is its index among the results of the batch job, and never changes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ResultRecord {
     /// The index of its item in the batch job.
     pub item: u32,
-    /// True: completed; false: abandoned.
+    /// Whether the item is completed; else it is abandoned.
     pub completed: bool,
-    /// The data of all events, parted by line feeds.
+    /// The data of all events, separated by line feeds.
     pub text: Vec<u8>,
-    /// Versions of weights that made it.
+    /// Versions of the weights that generated it.
     pub versions: Vec<u64>,
-    /// The stamp of the reward call's success.
+    /// The stamp in the response of the reward call; empty if there was none.
     pub score: String,
 }
 
-/// A part of the text of an item that has no result yet, as its driver saves it.
+/// A part of the text of an item that has no result yet: the checkpoint that its driver saves, and the next driver continues.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PartialText {
     /// The index of the item in the batch job.
     pub item: u32,
-    /// Drawn anew whenever a text begins from its first event; parts of different ones never come together.
+    /// Drawn at random whenever a text starts from its first event; parts of different origins are never joined.
     pub origin: u64,
-    /// The id of the event that this part goes on after; none if the text begins with it.
+    /// The id of the event that this part follows; none if it is the start of the text.
     pub previous_event_id: Option<u64>,
     /// The id of the last event in it.
     pub last_event_id: u64,
-    /// The data of its events as they stand in the text, with the line feed before the first one where the text goes on.
+    /// The data of its events as in the text, with the line feed before the first event unless it is the start of the text.
     pub data: Vec<u8>,
-    /// The versions of the weights that made the text up to here.
+    /// The versions of the weights that generated the text up to here.
     pub versions: Vec<u64>,
     /// Whether its last event is the last one of all.
     pub is_complete: bool,
 }
 
-/// What an edge asks of a backend.
+/// A request of an edge to a backend; the head or the tail serves it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum JobsRequest {
-    /// Keep a batch job (head). The asking edge drives it if nobody does.
+    /// Create a batch job (head). If it is new, the sender becomes its driver. Response: [`JobsResponse::Created`].
     CreateJob {
         /// The batch job.
         job: Arc<JobRecord>,
     },
-    /// Keep results (head). Those of items that have one already are passed over.
+    /// Append results (head), from the driver. Those of items that have one already are ignored. Response:
+    /// [`JobsResponse::Appended`].
     AppendResults {
         /// The batch job.
         job: JobId,
@@ -124,7 +131,7 @@
         /// The results.
         results: Vec<ResultRecord>,
     },
-    /// Keep parts of texts, for whoever drives the batch job next (head).
+    /// Save texts of items without result, for the next driver (head), from the driver. Response: [`JobsResponse::Appended`].
     SaveCheckpoint {
         /// The batch job.
         job: JobId,
@@ -133,122 +140,122 @@
         /// The parts.
         texts: Vec<PartialText>,
     },
-    /// End a batch job (head).
+    /// End a batch job (head). Response: [`JobsResponse::Ended`].
     EndJob {
         /// The batch job.
         job: JobId,
     },
-    /// Read results (tail).
+    /// Read results (tail). Response: [`JobsResponse::Results`].
     ReadResults {
         /// The batch job.
         job: JobId,
-        /// The first position wanted.
+        /// The first position to read.
         start_after: u64,
-        /// How long it may wait for one, in milliseconds.
+        /// How long to wait if there is none, in milliseconds; the backend bounds it.
         wait_ms: u64,
-        /// The most bytes of results.
+        /// Bounds the bytes of results; the backend has a bound of its own. At least one result is sent if there is one.
         max_bytes: u64,
     },
-    /// The body of an item (tail).
+    /// Read the body of an item without result (tail). Response: [`JobsResponse::ItemBody`].
     ReadItemBody {
         /// The batch job.
         job: JobId,
         /// The item's id.
         item: String,
     },
-    /// The driver of batch jobs of this partition lives (head).
+    /// Renew the driver leases of the sender in this partition (head). Response: [`JobsResponse::Renewed`].
     RenewDriverLeases {
         /// Batch jobs with the driver's terms.
         jobs: Vec<(JobId, DriverTerm)>,
     },
 }
 
-/// What becomes of a driver's hold on a batch job.
+/// State of a driver lease after a renewal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum DriverLeaseState {
-    /// It still drives it.
+    /// The lease is renewed: the edge is the driver.
     Held,
-    /// The batch job is ended, or all results are there.
+    /// The batch job is ended, or all its items have results; the driver stops.
     Ended,
-    /// Another drives it.
+    /// Another edge is the driver, or is becoming it; this one stops.
     Fenced,
 }
 
-/// A backend's answer.
+/// A response of a backend.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum JobsResponse {
-    /// Kept by the whole chain, now or before. `drive` holds the asking edge's term where it is the driver.
+    /// The batch job exists at the whole chain, by this request or an earlier one.
     Created {
-        /// The term under which the asking edge drives the batch job; none if another does or it has ended.
+        /// The term of the requesting edge if it is the driver; none if another is, or no driver is needed any more.
         driver_term: Option<DriverTerm>,
     },
-    /// Results, or parts of texts: kept by the whole chain.
+    /// The results or texts are stored at the whole chain.
     Appended,
-    /// The term is an older one.
+    /// The request has an older term than the batch job: the edge is not the driver any more.
     Fenced,
-    /// The batch job is ended; the whole chain knows.
+    /// The batch job is ended at the whole chain.
     Ended,
-    /// Results from the position asked for.
+    /// Results from the requested position on.
     Results {
-        /// Items of the batch job.
+        /// Number of items of the batch job.
         total: u64,
         /// Results with their items' ids, by position.
         results: Vec<(String, ResultRecord)>,
         /// Whether the batch job is ended.
         ended: bool,
     },
-    /// The body of an item that isn't listed yet.
+    /// The body of an item that has no result yet.
     ItemBody(Vec<u8>),
-    /// There is surely no such batch job, or no such item that isn't listed.
+    /// There is certainly no such batch job, or no such item without result.
     NotFound,
-    /// States of the batch jobs asked about, in order.
+    /// States of the leases, in the order of the request.
     Renewed(Vec<DriverLeaseState>),
-    /// This backend is not the one to ask, or can't be sure now; nothing was changed by this message, but an earlier copy
-    /// of the same request may have been taken.
+    /// This backend does not serve the request in its present role, or can't confirm its state. This message has changed nothing,
+    /// but an earlier one of the same request may have. The edge retries, with a newer chain if it knows one.
     Unavailable,
-    /// No room; this request was not taken and never will be.
+    /// The memory budget is exhausted; this request has not been applied and won't be.
     CapacityExceeded,
 }
 
 /// One message between an edge and a backend.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum JobsMessage {
-    /// From an edge.
+    /// From an edge to a backend.
     Request {
-        /// Chosen by the edge; the answer carries it.
+        /// The edge's number for the request; the response carries it.
         request: u64,
-        /// Where the answer goes.
+        /// Internal address of the edge, for the response.
         reply_to: SocketAddr,
         /// The edge's incarnation.
         edge: u64,
-        /// The partition.
+        /// Number of the partition.
         partition: u16,
-        /// The epoch of the partition's chain that the edge knows.
+        /// The epoch of the newest chain that the edge knows; a backend with an older one responds with `Unavailable`.
         epoch: u64,
-        /// What is asked.
+        /// The request.
         body: JobsRequest,
     },
-    /// From a backend.
+    /// From a backend to an edge.
     Response {
-        /// From the question.
+        /// The number of the request.
         request: u64,
-        /// The answer.
+        /// The response.
         body: JobsResponse,
     },
-    /// From the head: drive this batch job from now on. The edge shows by `Renew` that it does.
+    /// From the head to an edge: it is the driver from now on. Sent again until the edge renews its lease.
     AssignDriver {
         /// The batch job.
         job: Arc<JobRecord>,
         /// The term.
         term: DriverTerm,
-        /// Items that have results.
+        /// Indices of the items that have results.
         items_with_results: Vec<u32>,
-        /// Texts so far of others.
+        /// Saved texts of items without result.
         texts: Vec<PartialText>,
-        /// How long the batch job has been kept, in milliseconds: at least that long.
+        /// Lower bound of the batch job's age, in milliseconds.
         age_ms: u64,
     },
-    /// From the head: stop what is under way for a batch job.
+    /// From the head to the driver: the batch job is ended; running attempts are to be cancelled.
     StopDriver {
         /// The batch job.
         job: JobId,
--- a/system/wire/src/lib.rs
+++ b/system/wire/src/lib.rs
@@ -1,5 +1,10 @@
-//! The internal messages of the rollout scheduler, and the records that they carry. Every message is one [`Envelope`];
-//! each plane has a module here with its own part of it. Nothing in this crate does I/O.
+//! The internal messages of the rollout scheduler, and the records that they carry. Every message is one [`Envelope`]; each plane has
+//! a module here with its own messages. Nothing in this crate does I/O.
+//!
+//! Messages and records are encoded by bincode, which writes fields and variants by position: never reorder them, and add new ones
+//! at the end. Delivery is at most once and in order only within a connection (`gingerledge-transport`); the protocols retry.
+//! Unless a field says otherwise: an *incarnation* is drawn at random by each start of a process, a *member* is the identity of a
+//! disk, an address is a node's internal listen address, a number of milliseconds ends with `_ms`.
 
 mod command;
 mod control;
@@ -28,32 +33,32 @@
 pub use relay::{FreshnessTick, RelayMessage};
 pub use stable_hash::stable_hash;
 
-/// One internal message.
+/// One internal message, from one node to another.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Envelope {
-    /// Among control nodes: the control chain and its views.
+    /// Between control nodes: replication of the control chain and agreement on its views.
     Chain {
         /// The sender's member identity.
         from: u64,
         /// The message.
         message: ChainMessage,
     },
-    /// Among control nodes: the coordinator's lease.
+    /// Between control nodes: the coordinator lease.
     Lease {
         /// The sender's member identity.
         from: u64,
         /// The message.
         message: LeaseMessage,
     },
-    /// Between any node and a control node.
+    /// Between any node and a control node: sessions, commands, peers.
     Control(ControlMessage),
-    /// The relay tree.
+    /// Between parent and child of the relay tree: distribution of the registry.
     Relay(RelayMessage),
-    /// Between edges and backends.
+    /// Between edges and backends: batch jobs.
     Jobs(JobsMessage),
-    /// Between backends: one partition's chain.
+    /// Between backends: replication of one partition.
     Partition {
-        /// The partition.
+        /// Number of the partition, below [`PARTITION_COUNT`].
         partition: u16,
         /// The sender's member identity.
         from: u64,
--- a/system/wire/src/node.rs
+++ b/system/wire/src/node.rs
@@ -1,33 +1,33 @@
-//! What is known of a node of the system itself.
+//! The nodes of the system itself, as they announce themselves.
 
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
 
-/// What a node does.
+/// Role of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Role {
-    /// Takes requests from clients.
+    /// Serves clients: requests and batch jobs.
     Edge,
     /// Member of the control plane.
     Control,
-    /// Keeps batch jobs.
+    /// Stores batch jobs.
     Backend,
 }
 
-/// One life of one process of the system.
+/// One incarnation of a node. Sent by the node with each heartbeat, and listed in the registry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeRecord {
-    /// What it does.
+    /// Its role.
     pub role: Role,
-    /// The machine's name, as the operator knows it.
+    /// The machine's name in the operator's deploy file.
     pub name: String,
-    /// Drawn at random at each start of the process.
+    /// Drawn at random by each start of the process; never 0.
     pub incarnation: u64,
-    /// The identity of its disk, drawn when the disk was empty; 0 where there is no disk.
+    /// The identity of its disk, drawn when the disk was first used; 0 without a disk.
     pub member: u64,
-    /// Where it takes internal messages.
+    /// Its internal listen address.
     pub address: SocketAddr,
-    /// Its zone.
+    /// Its failure domain.
     pub zone: String,
 }
--- a/system/wire/src/registry.rs
+++ b/system/wire/src/registry.rs
@@ -1,5 +1,6 @@
-//! The registry: what every node knows of the whole system. It is a map whose entries carry versions that only rise, so that
-//! copies merge in any order, from any source, any number of times, and never go back.
+//! The registry: the state of the whole system that every node has a replica of. It is a map whose entries carry versions that only
+//! rise, so that replicas merge in any order, from any source, any number of times, and never go back (a state-based CRDT: Shapiro
+//! et al. 2011).
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -10,67 +11,68 @@
 
 use crate::node::NodeRecord;
 
-/// The most entries that a registry holds; what is new beyond that is not taken.
+/// Bounds the entries of a registry; new keys beyond it are rejected.
 pub const MAX_ENTRIES: usize = 65_536;
-/// At one version, an entry that says "gone" goes before one that says "there".
+/// At the same version a tombstone outranks any other entry.
 pub const TOMBSTONE_RANK: u8 = 1;
 
-/// What an entry is about.
+/// The subject of an entry. The order of keys is that of the variants and their fields.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Key {
-    /// The operator's configuration; its version is the chain's sequence number of the change.
+    /// The operator's configuration; the entry's version is the sequence number of the change in the control chain.
     Configuration,
-    /// The newest version that a trainer named for a model; the entry's version is that version.
+    /// The newest version that a trainer announced for the weights of a model (its name); the entry's version is that version.
     NamedVersion(String),
     /// A store, by instance id; the entry's version is the heartbeat's sequence.
     Store(String),
-    /// The version that the coordinator saw at a store, for a model: (instance id, model). Goes beside the heartbeats.
+    /// The version of the weights of a model that the coordinator observed at a store: (instance id, model). Independent of
+    /// heartbeats.
     Weights(String, String),
     /// A node of the system, by incarnation; the entry's version is its heartbeat's sequence at its last change.
     Node(u64),
-    /// Who keeps a partition of the batch jobs; the entry's version is the epoch x 256 + the number of full members.
+    /// The chain of a partition of the batch jobs; the entry's version is the epoch x 256 + the number of members in sync.
     Partition(u16),
-    /// Who holds the coordinator's lease; the entry's version is its fencing token.
+    /// The owner of the coordinator lease; the entry's version is its fencing token.
     Coordinator,
 }
 
-/// What an entry says.
+/// The value of an entry.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Value {
-    /// The configuration as the operator reads it back.
+    /// The operator's configuration.
     Configuration(ConfigurationDocument),
     /// A version of weights.
     Version(u64),
-    /// A store that is there.
+    /// A store with a session.
     Store(StoreRecord),
-    /// A node that is there.
+    /// A node with a session.
     Node(NodeRecord),
     /// The chain of a partition.
     Partition(PartitionRecord),
-    /// The holder of the coordinator's lease.
+    /// The owner of the coordinator lease.
     Coordinator(Coordinator),
-    /// It is gone.
+    /// The session has ended or timed out.
     Tombstone,
-    /// The updates that lead to a configuration, for a copy that has an earlier one. Only on its way, never in a registry.
+    /// The updates that lead to a configuration, for a replica that has an earlier one. Only in messages, never in a registry.
     ConfigurationUpdates(Vec<AppliedUpdate>),
 }
 
-/// A store that is there.
+/// A store, as its heartbeats describe it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StoreRecord {
     /// The service that it belongs to.
     pub service: String,
-    /// Where it serves.
+    /// Address for requests.
     pub address: SocketAddr,
-    /// Its zone.
+    /// Its failure domain.
     pub zone: String,
     /// The version of its software.
     pub software: String,
-    /// How many requests it works on at once.
+    /// How many requests it runs concurrently.
     pub slots: u32,
-    /// Whether it takes new requests.
+    /// Whether it accepts new requests.
     pub state: StoreState,
-    /// Its models and their weights' versions.
+    /// Its models with the versions of their weights.
     pub models: Vec<LoadedModel>,
 }
 
@@ -79,55 +81,55 @@
 pub struct PartitionRecord {
     /// Rises by one with each change.
     pub epoch: u64,
-    /// Member identities, head first; those that are full come first.
+    /// Members, head first; those in sync come first.
     pub chain: Vec<u64>,
-    /// Which of them are known to hold everything.
+    /// Members that are known to be in sync.
     pub in_sync: Vec<u64>,
 }
 
-/// The holder of the coordinator's lease.
+/// The owner of the coordinator lease.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Coordinator {
     /// Its incarnation.
     pub incarnation: u64,
-    /// Where it takes internal messages.
+    /// Its internal listen address.
     pub address: SocketAddr,
 }
 
-/// The version of an entry that ends a session for good: its source said itself that it ends.
+/// The version of a tombstone after a graceful shutdown: no later entry replaces it.
 pub const FINAL_VERSION: u64 = u64::MAX;
 
-/// One entry.
+/// One entry of the registry.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Entry {
-    /// What it is about.
+    /// Its subject.
     pub key: Key,
-    /// Only a higher one replaces what is known.
+    /// Replaces an entry of the same key with a lower version.
     pub version: u64,
-    /// What it says.
+    /// Its value.
     pub value: Value,
 }
 
 impl Entry {
-    /// Whether its source has said itself that it ends. One that only fell silent may come back.
+    /// Whether its source announced its shutdown. A session that only timed out may come back.
     pub fn is_ended(&self) -> bool {
         self.version == FINAL_VERSION && matches!(self.value, Value::Tombstone)
     }
 
-    /// The order among entries of one key.
+    /// The rank among entries of the same key.
     pub fn rank(&self) -> (u64, u8) {
         (self.version, if matches!(self.value, Value::Tombstone) { TOMBSTONE_RANK } else { 0 })
     }
 }
 
-/// A copy of the registry.
+/// A replica of the registry.
 #[derive(Clone, Debug, Default)]
 pub struct Registry {
     entries: BTreeMap<Key, Entry>,
 }
 
 impl Registry {
-    /// Whether an entry is newer than what is known, and there is room for it.
+    /// Whether an entry is newer than the known one, and there is capacity for it.
     pub fn accepts(&self, entry: &Entry) -> bool {
         match self.entries.get(&entry.key) {
             Some(known) => known.rank() < entry.rank(),
@@ -135,8 +137,8 @@
         }
     }
 
-    /// Takes an entry in if it is newer than what is known; says whether it was. Updates of a configuration are applied to the one
-    /// that is known, and are not taken where they don't lead on from it.
+    /// Merges an entry; returns whether it was newer than the known one. Updates of a configuration are applied to the known one, and
+    /// rejected if they don't start from it.
     pub fn merge(&mut self, entry: Entry) -> bool {
         if !self.accepts(&entry) {
             return false;
@@ -159,34 +161,34 @@
         true
     }
 
-    /// The entry of a key, also where it says that it is gone.
+    /// The entry of a key; it may be a tombstone.
     pub fn entry(&self, key: &Key) -> Option<&Entry> {
         self.entries.get(key)
     }
 
-    /// All entries, those that say "gone" too.
+    /// All entries, tombstones included.
     pub fn entries(&self) -> impl Iterator<Item = &Entry> {
         self.entries.values()
     }
 
-    /// The entries after a key in the order of keys, or all; those that say "gone" too.
+    /// The entries after a key in the order of keys, or all; tombstones included.
     pub fn entries_after(&self, key: Option<&Key>) -> impl Iterator<Item = &Entry> {
         let from = key.map_or(Bound::Unbounded, Bound::Excluded);
         self.entries.range((from, Bound::Unbounded)).map(|(_, entry)| entry)
     }
 
-    /// How many entries there are, those that say "gone" too.
+    /// Number of entries, tombstones included.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether there are none at all.
+    /// Whether there are no entries.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Lets go of an entry for good, for instance of one that has said "gone" for long enough.
-    pub fn forget(&mut self, key: &Key) {
+    /// Removes an entry, for instance a tombstone at the end of its retention.
+    pub fn remove(&mut self, key: &Key) {
         self.entries.remove(key);
     }
 
@@ -198,7 +200,7 @@
         }
     }
 
-    /// All stores that are there, with their ids.
+    /// All stores with a session, by instance id.
     pub fn stores(&self) -> impl Iterator<Item = (&str, &StoreRecord)> {
         let from = Key::Store(String::new());
         self.entries
@@ -213,7 +215,7 @@
             })
     }
 
-    /// All nodes that are there.
+    /// All nodes with a session.
     pub fn nodes(&self) -> impl Iterator<Item = &NodeRecord> {
         self.entries.range(Key::Node(0)..=Key::Node(u64::MAX)).filter_map(|(_, entry)| match &entry.value {
             Value::Node(node) => Some(node),
@@ -221,14 +223,15 @@
         })
     }
 
-    /// The version of a model's weights at a store: the newest of what it told and what was seen.
+    /// The version of a model's weights at a store: the newer of the reported and the observed one; 0 if neither is known.
     pub fn loaded_version(&self, id: &str, store: &StoreRecord, model: &str) -> u64 {
-        let told = store.models.iter().find(|loaded| loaded.name == model).map_or(0, |loaded| loaded.version);
-        let seen = match self.entries.get(&Key::Weights(id.to_owned(), model.to_owned())) {
+        let reported =
+            store.models.iter().find(|loaded| loaded.name == model).map_or(0, |loaded| loaded.version);
+        let observed = match self.entries.get(&Key::Weights(id.to_owned(), model.to_owned())) {
             Some(Entry { value: Value::Version(version), .. }) => *version,
             _ => 0,
         };
-        told.max(seen)
+        reported.max(observed)
     }
 
     /// The chain of a partition.
@@ -239,12 +242,12 @@
         }
     }
 
-    /// The newest named version of a model; the first is 1.
+    /// The newest announced version of a model's weights; 1 before any is announced.
     pub fn named_version(&self, model: &str) -> u64 {
         self.entries.get(&Key::NamedVersion(model.to_owned())).map_or(1, |entry| entry.version)
     }
 
-    /// The holder of the coordinator's lease, as far as it is known.
+    /// The owner of the coordinator lease, if it is known.
     pub fn coordinator(&self) -> Option<&Coordinator> {
         match self.entries.get(&Key::Coordinator) {
             Some(Entry { value: Value::Coordinator(coordinator), .. }) => Some(coordinator),
--- a/system/wire/src/relay.rs
+++ b/system/wire/src/relay.rs
@@ -1,10 +1,11 @@
-//! Messages of the relay tree, which brings the registry from the control nodes to all others.
+//! Messages of the relay tree, which distributes the registry from the control nodes to all other nodes.
 
 use serde::{Deserialize, Serialize};
 
 use crate::registry::Entry;
 
-/// A proof of freshness: numbered by the head of the control chain, sent on only once the whole chain has passed it.
+/// A proof of freshness: numbered by the head of the control chain, and distributed only after it has passed the whole chain. A node
+/// with a young tick knows all that was committed before the tick was numbered.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct FreshnessTick {
     /// The epoch of the control chain's view.
@@ -16,58 +17,60 @@
 /// One message between a parent and a child of the tree.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum RelayMessage {
-    /// A node asks to become a child. Its copy is described by one hash for each bucket of keys.
+    /// From a node to a possible parent: a request to become its child. The digest describes the child's replica by one hash for each
+    /// bucket of keys; the parent sends the entries of differing buckets.
     Subscribe {
-        /// Drawn anew for each try, so that late answers are told apart.
+        /// Drawn at random for each attempt, so that late responses are recognized.
         subscription: u64,
-        /// The hash of the copy's entries, by bucket; an empty one asks for everything.
+        /// The hash of the replica's entries, by bucket; if empty, the parent sends all entries.
         digest: Vec<u64>,
-        /// The number of the change of the configuration that it has; 0 to be sent the whole one.
+        /// The sequence number of the child's configuration, on which the parent may send updates; 0 for the whole configuration.
         configuration: u64,
-        /// How many more children of its own the node would take.
+        /// How many more children the node itself accepts.
         free_child_slots: u16,
-        /// How many children the node takes at most; 0 if none ever.
+        /// How many children the node accepts at most; 0 if it is always a leaf.
         capacity: u16,
     },
-    /// The parent has taken the child; what differs follows as updates.
+    /// From the parent: the child is accepted; differing entries follow as updates.
     SubscribeAccepted {
-        /// From the subscription.
+        /// The subscription that it belongs to.
         subscription: u64,
     },
-    /// The parent has no room, or is not fresh itself; others to ask.
+    /// From the requested parent: it has no capacity, or is not fresh itself.
     SubscribeDeclined {
-        /// From the subscription.
+        /// The subscription that it belongs to.
         subscription: u64,
-        /// Nodes that may have room.
+        /// Internal addresses of nodes that may have capacity.
         alternatives: Vec<std::net::SocketAddr>,
     },
-    /// Entries that are new, in order of `sequence` without gaps within one subscription.
+    /// From the parent: changed entries, in the order of `sequence` without gaps within one subscription. Sent also without entries,
+    /// for its tick.
     Update {
-        /// From the subscription.
+        /// The subscription that it belongs to.
         subscription: u64,
-        /// From 1, by one for each update.
+        /// Starts at 1, and rises by 1 with each update.
         sequence: u64,
-        /// What is new.
+        /// The changed entries.
         entries: Vec<Entry>,
-        /// For each entry that says "gone", in order, for how long it has; such an entry is let go everywhere at the same time.
+        /// The age of each tombstone among the entries, in order. All nodes remove a tombstone at the same age.
         tombstone_ages_ms: Vec<u32>,
-        /// The newest tick for which the child has, with this update, all that the parent had when it saw the tick.
+        /// The newest tick such that the child has, with this update, all entries that the parent had when it received the tick.
         tick: FreshnessTick,
-        /// For how long the parent has had that tick, as counted along the whole path from the root.
+        /// Age of the tick, added up along the whole path from the root.
         tick_age_ms: u32,
     },
-    /// The child lives, and has taken everything up to a sequence.
+    /// From the child, also as its heartbeat: all updates up to a sequence are applied.
     Ack {
-        /// From the subscription.
+        /// The subscription that it belongs to.
         subscription: u64,
-        /// The newest sequence taken.
+        /// The sequence of the newest applied update.
         sequence: u64,
-        /// How many more children of its own the node would take.
+        /// How many more children the node itself accepts.
         free_child_slots: u16,
     },
-    /// Either side ends it.
+    /// From either side: the subscription is ended.
     Unsubscribe {
-        /// From the subscription.
+        /// The subscription that it belongs to.
         subscription: u64,
     },
 }
--- a/system/wire/tests/golden.rs
+++ b/system/wire/tests/golden.rs
@@ -309,7 +309,7 @@
     Entry { key: Key::NamedVersion("model-a".to_owned()), version: 5, value: Value::Version(6) }
 }
 
-fn gone_entry() -> Entry {
+fn tombstone_entry() -> Entry {
     Entry { key: Key::Node(4), version: u64::MAX, value: Value::Tombstone }
 }
 
@@ -353,7 +353,10 @@
             ControlMessage::SubmitResponse { request: 9, outcome: Some(CommandOutcome::FencingToken(4)) },
         ),
         ("submitted without outcome", ControlMessage::SubmitResponse { request: 10, outcome: None }),
-        ("share", ControlMessage::ReplicateSessions { sequence: 11, entries: vec![entry(), gone_entry()] }),
+        (
+            "share",
+            ControlMessage::ReplicateSessions { sequence: 11, entries: vec![entry(), tombstone_entry()] },
+        ),
         ("shared", ControlMessage::ReplicateSessionsAck { sequence: 12 }),
         (
             "model used",
@@ -387,7 +390,7 @@
     ]
 }
 
-fn answers() -> Vec<(&'static str, JobsResponse)> {
+fn responses() -> Vec<(&'static str, JobsResponse)> {
     let listed = vec![("item-1".to_owned(), result()), ("item-2".to_owned(), abandoned_result())];
     vec![
         ("created driving", JobsResponse::Created { driver_term: Some(7) }),
@@ -472,7 +475,7 @@
             RelayMessage::Update {
                 subscription: 8,
                 sequence: 9,
-                entries: vec![entry(), gone_entry()],
+                entries: vec![entry(), tombstone_entry()],
                 tombstone_ages_ms: vec![10],
                 tick: tick(),
                 tick_age_ms: 13,
@@ -488,7 +491,7 @@
 }
 
 #[test]
-fn commands_and_outcomes_are_written_as_before() {
+fn commands_and_outcomes_have_the_recorded_bytes() {
     let mut golden = Golden::new("commands.txt");
     for (name, command) in commands() {
         golden.add_equal(&format!("command {name}"), &command);
@@ -502,7 +505,7 @@
 }
 
 #[test]
-fn messages_of_control_nodes_are_written_as_before() {
+fn messages_of_control_nodes_have_the_recorded_bytes() {
     let mut golden = Golden::new("control.txt");
     golden.add_equal("backend report", &report());
     golden.add_equal("backend report bare", &BackendReport::default());
@@ -521,7 +524,7 @@
 }
 
 #[test]
-fn batch_jobs_and_their_messages_are_written_as_before() {
+fn batch_jobs_and_their_messages_have_the_recorded_bytes() {
     let mut golden = Golden::new("jobs.txt");
     golden.add_equal("job", &job());
     golden.add_equal("job bare", &bare_job());
@@ -538,7 +541,7 @@
     for (name, request) in requests() {
         golden.add(&format!("request {name}"), &request);
     }
-    for (name, answer) in answers() {
+    for (name, answer) in responses() {
         golden.add(&format!("answer {name}"), &answer);
     }
     for (name, message) in jobs_messages() {
@@ -548,7 +551,7 @@
 }
 
 #[test]
-fn nodes_and_entries_of_the_registry_are_written_as_before() {
+fn nodes_and_entries_of_the_registry_have_the_recorded_bytes() {
     let mut golden = Golden::new("registry.txt");
     golden.add_equal("role edge", &Role::Edge);
     golden.add_equal("role control", &Role::Control);
@@ -568,12 +571,12 @@
         golden.add_equal(&format!("value {name}"), &value);
     }
     golden.add_equal("entry", &entry());
-    golden.add_equal("entry gone", &gone_entry());
+    golden.add_equal("entry gone", &tombstone_entry());
     golden.check();
 }
 
 #[test]
-fn messages_of_the_relay_tree_are_written_as_before() {
+fn messages_of_the_relay_tree_have_the_recorded_bytes() {
     let mut golden = Golden::new("relay.txt");
     golden.add_equal("tick", &tick());
     for (name, message) in relay_messages() {
@@ -583,7 +586,7 @@
 }
 
 #[test]
-fn envelopes_are_written_as_before() {
+fn envelopes_have_the_recorded_bytes() {
     let mut golden = Golden::new("envelopes.txt");
     let lease = LeaseMessage::Release { generation: 4 };
     let replica = ReplicaMessage::RequestResume { epoch: 6 };
@@ -599,7 +602,7 @@
 }
 
 #[test]
-fn hashes_of_names_and_places_of_batch_jobs_are_as_before() {
+fn hashes_and_partitions_are_the_recorded_ones() {
     let mut golden = Golden::new("hashes.txt");
     for name in ["", "a", "job-1", "job-2", "model-a", "zone-b", "a name with \u{e9}"] {
         golden.add_equal(&format!("hash of {name:?}"), &stable_hash(name));
--- a/system/wire/tests/stable_hash.rs
+++ b/system/wire/tests/stable_hash.rs
@@ -1,4 +1,4 @@
-//! The hash by which batch jobs find their partitions and founders their identities.
+//! The hash that assigns batch jobs to partitions.
 
 use gingerledge_wire::{partition_of, stable_hash};
 use yare::parameterized;
@@ -9,11 +9,11 @@
     one_letter = { "a", 0xaf63_dc4c_8601_ec8c },
     word = { "foobar", 0x8594_4171_f739_67e8 },
 )]
-fn it_is_the_published_one(name: &str, expected: u64) {
+fn the_hash_is_fnv_1a(name: &str, expected: u64) {
     assert_eq!(stable_hash(name), expected);
 }
 
 #[test]
-fn a_batch_job_stays_in_its_partition() {
+fn partitions_of_batch_jobs_never_change() {
     assert_eq!(partition_of("foobar"), 0x28);
 }
