--- a/system/control/src/http/configuration.rs
+++ b/system/control/src/http/configuration.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use gingerledge_protocol::{read_configuration, read_update, Invalid};
+use gingerledge_protocol::{read_configuration, read_update, InvalidConfiguration};
 use gingerledge_wire::Command;
 use salvo::http::StatusCode;
 use salvo::writing::Text;
@@ -49,7 +49,7 @@
     /// # Errors
     ///
     /// The body is invalid whatever configuration it is applied to.
-    fn command(self, base: u64, bytes: &[u8]) -> Result<Command, Invalid> {
+    fn command(self, base: u64, bytes: &[u8]) -> Result<Command, InvalidConfiguration> {
         let json = Arc::new(bytes.to_vec());
         match self {
             Self::Replacement => {
--- a/system/control/src/node/coordinator_tasks/weights.rs
+++ b/system/control/src/node/coordinator_tasks/weights.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use gingerledge_protocol::{Configuration, Engine, FollowedConfiguration, Model, Order, Service, StoreState};
+use gingerledge_protocol::{Configuration, ConfigurationFollower, Engine, Model, Order, Service, StoreState};
 use gingerledge_wire::{Entry, Key, Registry, StoreRecord, Value};
 use tokio::sync::mpsc::UnboundedSender;
 
@@ -24,7 +24,7 @@
 pub(super) struct WeightTask {
     /// The name under which orders are sent.
     holder: String,
-    followed: FollowedConfiguration,
+    follower: ConfigurationFollower,
     usage: ModelUsage,
     schedule: LoadSchedule,
     /// Something that the loads depend on has changed since the last run.
@@ -37,7 +37,7 @@
     pub(super) fn new(clock: Clock, holder: String, results: UnboundedSender<LoadResult>) -> Self {
         Self {
             holder,
-            followed: FollowedConfiguration::default(),
+            follower: ConfigurationFollower::default(),
             usage: ModelUsage::default(),
             schedule: LoadSchedule::new(LoadScheduleSettings::default()),
             is_dirty: true,
@@ -114,14 +114,14 @@
     /// Reads the newest configuration; one that can't be read leaves the one before.
     fn follow(&mut self, state: &ConfigurationState) {
         let Some(document) = state.document() else { return };
-        if let Err(error) = self.followed.follow(state.sequence(), document) {
+        if let Err(error) = self.follower.apply_document(state.sequence(), document) {
             log::error!(index = state.sequence(), error:% = error; "configuration unreadable");
         }
     }
 
     /// The configuration; an empty one before the first.
     fn configuration(&self) -> Arc<Configuration> {
-        self.followed.configuration().cloned().unwrap_or_default()
+        self.follower.configuration().cloned().unwrap_or_default()
     }
 
     /// The services whose stores have models, with their stores that take requests.
--- a/system/data/src/shared.rs
+++ b/system/data/src/shared.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use gingerledge_protocol::{
-    Configuration, ConfigurationDocument, FollowedChange, FollowedConfiguration, Settings,
+    Configuration, ConfigurationChange, ConfigurationDocument, ConfigurationFollower, Settings,
 };
 use gingerledge_relay::{Relay, RelayAction, RelayEvent, RelaySettings};
 use gingerledge_transport::Network;
@@ -24,7 +24,7 @@
 /// The configuration that was read last, arranged for look-ups.
 #[derive(Default)]
 struct Parsed {
-    followed: FollowedConfiguration,
+    followed: ConfigurationFollower,
     routes: RouteTable,
 }
 
@@ -223,12 +223,12 @@
 
 impl Parsed {
     fn follow(&mut self, sequence: u64, document: &ConfigurationDocument) {
-        let change = self.followed.follow(sequence, document);
+        let change = self.followed.apply_document(sequence, document);
         let Some(configuration) = self.followed.configuration() else { return };
         match change {
-            Ok(FollowedChange::None) => {}
-            Ok(FollowedChange::Whole) => self.routes = RouteTable::of(configuration),
-            Ok(FollowedChange::Updates(updates)) => {
+            Ok(ConfigurationChange::None) => {}
+            Ok(ConfigurationChange::Replaced) => self.routes = RouteTable::of(configuration),
+            Ok(ConfigurationChange::Updated(updates)) => {
                 updates.iter().for_each(|update| self.routes.apply(configuration, update));
             }
             Err(error) => log::error!("the configuration of change {sequence} can't be read: {error}"),
--- a/system/data/tests/route_updates.rs
+++ b/system/data/tests/route_updates.rs
@@ -3,7 +3,9 @@
 use std::sync::Arc;
 
 use gingerledge_data::routing::RouteTable;
-use gingerledge_protocol::{AppliedUpdate, ConfigurationDocument, FollowedChange, FollowedConfiguration};
+use gingerledge_protocol::{
+    AppliedUpdate, ConfigurationChange, ConfigurationDocument, ConfigurationFollower,
+};
 use serde_json::{json, Value};
 use yare::parameterized;
 
@@ -35,7 +37,7 @@
     let services = json!([{"name": "plain"}, {"name": "engines", "engine": {"slots": 4}}, {"name": "extra"}]);
     let whole = json!({"version": 1, "routes": [], "services": services}).to_string();
     let mut document = ConfigurationDocument::from_text(Arc::new(whole.into_bytes()));
-    let mut followed = FollowedConfiguration::default();
+    let mut followed = ConfigurationFollower::default();
     let mut table = RouteTable::default();
     let mut sequence = 1;
     let mut updates = 0;
@@ -46,12 +48,12 @@
         if random.u8(..3) > 0 {
             continue;
         }
-        let change = followed.follow(sequence, &document).expect("readable");
+        let change = followed.apply_document(sequence, &document).expect("readable");
         let configuration = followed.configuration().expect("a configuration");
         match change {
-            FollowedChange::None => {}
-            FollowedChange::Whole => table = RouteTable::of(configuration),
-            FollowedChange::Updates(series) => {
+            ConfigurationChange::None => {}
+            ConfigurationChange::Replaced => table = RouteTable::of(configuration),
+            ConfigurationChange::Updated(series) => {
                 updates += series.len();
                 series.iter().for_each(|update| table.apply(configuration, update));
             }
--- a/system/protocol/src/batch.rs
+++ b/system/protocol/src/batch.rs
@@ -1,20 +1,20 @@
-//! Batch jobs as trainers send them, and the pages of results that they read.
+//! Batch jobs as trainers submit them, and the pages of results that they read.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-/// The body of the `POST` that hands a batch job in. Its id comes in `Attempt-Id`.
+/// The body of the `POST` that submits a batch job. Its id is in the header `Attempt-Id`.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub struct SubmittedJob {
     /// The trainer's step, from 0.
     pub step: u64,
-    /// The model whose weights make the text.
+    /// Name of the model that generates the texts.
     pub model: String,
-    /// The oldest version of the weights that may be used.
+    /// The oldest permitted version of the weights.
     pub min_version: u64,
-    /// How many whole groups the trainer waits for.
+    /// How many complete groups the trainer waits for.
     pub desired: u64,
     /// The items, in the trainer's order.
     pub items: Vec<Item>,
@@ -26,15 +26,15 @@
 pub struct Item {
     /// The item's id, sent to stores as `Attempt-Id`.
     pub id: String,
-    /// The path of the request.
+    /// Path of the request to a store.
     pub path: String,
-    /// Its headers.
+    /// Headers of the request.
     pub headers: BTreeMap<String, String>,
-    /// Its body, in base64.
+    /// Body of the request, in base64.
     pub body: String,
-    /// Tokens of the prompt and most tokens out, summed.
+    /// Tokens of the prompt plus the maximum of generated tokens.
     pub tokens: u64,
-    /// The group that it belongs to; empty if none.
+    /// Its group, whose items share a prompt; empty if none.
     pub group: String,
     /// The reward call that scores its text.
     #[serde(skip_serializing_if = "Option::is_none")]
@@ -55,13 +55,13 @@
     pub body: String,
 }
 
-/// How an item ended.
+/// Final state of an item.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ItemState {
-    /// Its whole text is there, with its score.
+    /// Its complete text and its score are available.
     Completed,
-    /// It was given up for one of the permitted reasons.
+    /// It was abandoned for one of the permitted reasons.
     Abandoned,
 }
 
@@ -70,23 +70,23 @@
 pub struct ListedResult {
     /// The item's id.
     pub id: String,
-    /// How it ended.
+    /// Its final state.
     pub state: ItemState,
-    /// The data of all events in order, parted by line feeds.
+    /// The data of all events in order, separated by line feeds.
     pub text: String,
-    /// All versions of the weights that made an event of the text.
+    /// All versions of the weights that generated an event of the text.
     pub versions: Vec<u64>,
-    /// The stamp of the reward call's success.
+    /// The stamp in the response of the reward call; empty if there was none.
     pub score: String,
 }
 
-/// The answer to `GET /lots/ID`.
+/// The response to `GET /lots/ID`.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub struct ResultPage {
-    /// How many items the batch job has.
+    /// Number of items of the batch job.
     pub total: u64,
-    /// The position after the last result of this page.
+    /// The position after the last result of this page, from which the next page starts.
     pub next_page_token: u64,
     /// Results by position.
     pub results: Vec<ListedResult>,
--- a/system/protocol/src/configuration.rs
+++ b/system/protocol/src/configuration.rs
@@ -1,16 +1,16 @@
-//! The operator's configuration: prost types that are read from JSON. Unknown fields are passed over; the bytes that the
-//! operator sent are kept beside them, since they are what is read back.
+//! The operator's configuration: prost types that are read from JSON. Unknown fields are ignored here, and retained in the text that the
+//! operator sent, which is what reads return ([`ConfigurationDocument`](crate::ConfigurationDocument)).
 
 use serde::{Deserialize, Serialize};
 
-/// What may be repeated on a route.
+/// Retry semantics of a route.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RouteKind {
-    /// A request may run more than once.
+    /// Requests may run more than once.
     Idempotent,
-    /// A request runs at most once for each try.
+    /// A request runs at most once for each attempt of the client.
     NonIdempotent,
-    /// The answer is a series of events; runs at most once unless the route is resumable.
+    /// The response is a stream of events; a request runs at most once unless the route is resumable.
     Streaming,
     /// The requests are batch jobs.
     Deployment,
@@ -29,58 +29,58 @@
     /// The services.
     #[prost(message, repeated, tag = "3")]
     pub services: Vec<Service>,
-    /// What a client may send.
+    /// Limits on requests of clients.
     #[prost(message, optional, tag = "4")]
     pub limits: Option<Limits>,
 }
 
-/// One route.
+/// One route: the service for requests of a host under a path.
 #[derive(Clone, PartialEq, prost::Message, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub struct Route {
     /// Its name.
     #[prost(string, tag = "1")]
     pub name: String,
-    /// The host that it belongs to.
+    /// The host of its requests.
     #[prost(string, tag = "2")]
     pub host: String,
-    /// Paths that begin so are its own; the longest prefix wins.
+    /// Prefix of the paths of its requests; the longest matching prefix wins.
     #[prost(string, tag = "3")]
     pub path_prefix: String,
     /// `idempotent`, `non_idempotent`, `streaming` or `deployment`; see [`Route::kind`].
     #[prost(string, tag = "4")]
     pub route_kind: String,
-    /// The longest time that a try is held, in milliseconds.
+    /// Bounds the time from a request to its response, in milliseconds; none only for `deployment`.
     #[prost(double, optional, tag = "5")]
     pub timeout_ms: Option<f64>,
-    /// The time within which an answer earns its full worth, in milliseconds.
+    /// Latency target, in milliseconds: a response within it has its full value.
     #[prost(double, tag = "6")]
     pub target_latency_ms: f64,
-    /// Its rank; 0 is highest.
+    /// Priority; 0 is highest.
     #[prost(uint32, tag = "7")]
     pub priority: u32,
-    /// The service that requests go to; empty where `traffic_split` says.
+    /// The service for its requests; empty if `traffic_split` has several.
     #[prost(string, tag = "8")]
     pub service: String,
-    /// Services with weights.
+    /// Services with weights, in place of `service`.
     #[prost(message, repeated, tag = "9")]
     pub traffic_split: Vec<Split>,
-    /// The most stores that one try may go to; attempts of an item of a batch job.
+    /// Bounds the attempts at stores for one request, or for one item of a batch job.
     #[prost(uint32, tag = "10")]
     pub max_attempts: u32,
-    /// Whether prompts share parts that stores keep.
+    /// Whether requests have affinity to stores, because their prompts share cached prefixes.
     #[prost(bool, tag = "11")]
     pub sticky: bool,
-    /// Whether a stream may be taken up at another store with `Last-Event-Id`.
+    /// Whether a stream may be resumed at another store with `Last-Event-Id`.
     #[prost(bool, tag = "12")]
     pub resumable: bool,
-    /// All results of a batch job are due that long after its first send, in milliseconds.
+    /// All results of a batch job are due within this time after its first submission, in milliseconds.
     #[prost(double, tag = "13")]
     pub target_completion_ms: f64,
-    /// An item may be given up that long after its batch job's first send, in seconds.
+    /// An item may be abandoned after this time since its batch job's first submission, in seconds.
     #[prost(double, tag = "14")]
     pub retention_s: f64,
-    /// Whether all events of one text must be made under one version of the weights.
+    /// Whether all events of one text must be generated under the same version of the weights.
     #[prost(bool, tag = "15")]
     pub single_version: bool,
 }
@@ -104,31 +104,31 @@
     /// Its name.
     #[prost(string, tag = "1")]
     pub name: String,
-    /// The path of its health check.
+    /// Path of the health check of its stores.
     #[prost(string, tag = "2")]
     pub health_path: String,
-    /// How many connections each of its stores takes from all callers together.
+    /// Bounds the connections to each of its stores, from all callers together.
     #[prost(uint32, tag = "3")]
     pub connection_limit: u32,
-    /// What its stores are, where they make tokens.
+    /// The inference engine of its stores, if they generate tokens.
     #[prost(message, optional, tag = "4")]
     pub engine: Option<Engine>,
 }
 
-/// What the stores of a service that makes tokens are.
+/// The inference engine of a service's stores.
 #[derive(Clone, PartialEq, prost::Message, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub struct Engine {
-    /// Requests that run at once.
+    /// Requests that run concurrently.
     #[prost(uint32, tag = "1")]
     pub slots: u32,
-    /// Tokens that its memory holds.
+    /// Capacity of its KV cache, in tokens.
     #[prost(uint64, tag = "2")]
     pub kv_cache_tokens: u64,
     /// Tokens in one event of a stream.
     #[prost(uint32, tag = "3")]
     pub stride: u32,
-    /// The models that each store holds.
+    /// The models that each store has loaded.
     #[prost(message, repeated, tag = "4")]
     pub models: Vec<Model>,
 }
@@ -142,26 +142,26 @@
     pub name: String,
 }
 
-/// What a client may send, and how long it may take.
+/// Limits on requests of clients, and on the time to receive them.
 #[derive(Clone, PartialEq, prost::Message, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub struct Limits {
-    /// The largest head of a request, in bytes.
+    /// Bounds the head of a request, in bytes.
     #[prost(uint64, tag = "1")]
     pub max_header_bytes: u64,
-    /// The largest body of a request, in bytes.
+    /// Bounds the body of a request, in bytes.
     #[prost(uint64, tag = "2")]
     pub max_body_bytes: u64,
-    /// How long a head may take, in milliseconds.
+    /// Bounds the time to receive a head, in milliseconds.
     #[prost(double, tag = "3")]
     pub header_timeout_ms: f64,
-    /// How long a connection may rest between requests, in milliseconds.
+    /// Bounds the idle time of a connection between requests, in milliseconds.
     #[prost(double, tag = "4")]
     pub idle_timeout_ms: f64,
 }
 
 impl Route {
-    /// What may be repeated here; none where the word is unknown.
+    /// Its retry semantics; none if `route_kind` is unknown.
     pub fn kind(&self) -> Option<RouteKind> {
         match self.route_kind.as_str() {
             "idempotent" => Some(RouteKind::Idempotent),
@@ -172,7 +172,7 @@
         }
     }
 
-    /// The services of the route with their weights.
+    /// The services of the route with their weights; a single service has weight 1.
     pub fn services(&self) -> Vec<(&str, f64)> {
         if self.traffic_split.is_empty() {
             return vec![(self.service.as_str(), 1.0)];
@@ -182,12 +182,12 @@
 }
 
 impl Configuration {
-    /// The service of that name.
+    /// The service with a name.
     pub fn service(&self, name: &str) -> Option<&Service> {
         self.services.iter().find(|service| service.name == name)
     }
 
-    /// The route of a host and path: the longest prefix wins.
+    /// The route for a host and path: the longest matching prefix wins.
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
         self.routes
             .iter()
--- a/system/protocol/src/document.rs
+++ b/system/protocol/src/document.rs
@@ -1,8 +1,8 @@
-//! A configuration as the operator will read it back, and the latest updates that led to it.
+//! A configuration as reads return it to the operator, and the latest updates that led to it.
 //!
-//! A configuration that came whole stays the text that was sent. With the first update it is taken apart into the texts of its
-//! items; each update then costs its own text, and a pass over what is known of the items' places, but no reading of the others.
-//! The latest updates are kept, so that whoever has an earlier state is sent the difference only.
+//! A replaced configuration stays the text that was sent. The first update splits it into the texts of its items; each update then
+//! costs the parsing of its own text and a pass over the hosts and prefixes of routes, but no parsing of other items. The latest
+//! updates are retained, so that a replica with an earlier state can be sent the difference only.
 
 use std::collections::{HashSet, VecDeque};
 use std::fmt::{self, Formatter};
@@ -15,11 +15,13 @@
 
 use crate::configuration::Route;
 use crate::update::{put_items, read_update, upserted_texts, ConfigurationUpdate};
-use crate::validate::{Invalid, OtherBaseSnafu, SamePlaceSnafu, UnknownServiceSnafu, UnreadableSnafu};
+use crate::validate::{
+    BaseMismatchSnafu, DuplicateMatchSnafu, InvalidConfiguration, UnknownServiceSnafu, UnreadableSnafu,
+};
 
-/// How many of the latest updates are kept.
+/// Bounds the updates that are retained.
 const MAX_RECENT_UPDATES: usize = 64;
-/// How many bytes the kept updates have together, at most; the newest is kept whatever it has.
+/// Bounds the bytes of the retained updates together; the newest one is retained whatever its size.
 const MAX_RECENT_BYTES: usize = 1024 * 1024;
 
 /// A configuration with the latest updates that led to it.
@@ -29,36 +31,36 @@
     recent: VecDeque<AppliedUpdate>,
 }
 
-/// An update that was taken, with the changes that it lies between.
+/// An update that was applied, with its place in the sequence of changes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AppliedUpdate {
-    /// The number of the change that it builds on.
+    /// Sequence number of the change that it was applied to.
     pub base: u64,
-    /// The number of its own change.
+    /// Sequence number of its own change.
     pub sequence: u64,
-    /// Its text, as the operator sent it.
+    /// Its JSON text, as the operator sent it.
     pub json: Arc<Vec<u8>>,
 }
 
 #[derive(Clone, Debug)]
 enum Content {
-    /// As it was sent whole.
+    /// The text as it was sent.
     Text(Arc<Vec<u8>>),
-    /// As updates have left it.
+    /// The items after updates.
     Items(Arc<Items>),
 }
 
-/// A configuration by its items.
+/// A configuration as the texts of its items.
 #[derive(Clone, Debug)]
 struct Items {
     version: u64,
     routes: Vec<Arc<RouteItem>>,
     services: Vec<Arc<ServiceItem>>,
-    /// All other fields, with their texts.
+    /// All other fields: (name, text).
     others: Vec<(String, Arc<str>)>,
 }
 
-/// A route's text, and what other routes and services are checked against.
+/// A route's text, and the fields that validation needs.
 #[derive(Debug)]
 struct RouteItem {
     name: String,
@@ -75,12 +77,12 @@
 }
 
 impl ConfigurationDocument {
-    /// A configuration that came whole; it has been checked.
+    /// A whole configuration, which must have been validated.
     pub fn from_text(text: Arc<Vec<u8>>) -> Self {
         Self { content: Content::Text(text), recent: VecDeque::new() }
     }
 
-    /// The whole configuration as JSON: the bytes that were sent, as long as it has not been updated.
+    /// The whole configuration as JSON: the bytes that were sent, until the first update.
     pub fn to_json(&self) -> Arc<Vec<u8>> {
         match &self.content {
             Content::Text(text) => Arc::clone(text),
@@ -88,46 +90,58 @@
         }
     }
 
-    /// About how many bytes the whole configuration has.
-    pub fn weight(&self) -> usize {
+    /// Approximate size of the whole configuration, in bytes.
+    pub fn size_estimate(&self) -> usize {
         match &self.content {
             Content::Text(text) => text.len(),
-            Content::Items(items) => items.weight(),
+            Content::Items(items) => items.size_estimate(),
         }
     }
 
-    /// Applies an update. The result is checked as a whole configuration is; where it is not valid, nothing has changed.
-    pub fn apply(&mut self, applied: AppliedUpdate) -> Result<(), Invalid> {
+    /// Applies an update. The result is validated like a whole configuration.
+    ///
+    /// # Errors
+    ///
+    /// The update or its result is invalid; nothing has changed then.
+    pub fn apply(&mut self, applied: AppliedUpdate) -> Result<(), InvalidConfiguration> {
         let update = read_update(&applied.json)?;
         let mut items = match &self.content {
             Content::Text(text) => Items::read(text)?,
-            // The items themselves are shared.
+            // Clones the lists; the items themselves are shared.
             Content::Items(items) => Items::clone(items),
         };
         items.apply(&update, &applied.json)?;
         self.content = Content::Items(Arc::new(items));
-        self.remember(applied);
+        self.retain_update(applied);
         Ok(())
     }
 
-    /// Applies those updates of a series that are new here, where the change known is `known`; gives the change known then.
-    pub fn apply_series(&mut self, known: u64, series: &[AppliedUpdate]) -> Result<u64, Invalid> {
+    /// Applies those updates of a series that are newer than the change `known`; returns the sequence number of the newest change.
+    ///
+    /// # Errors
+    ///
+    /// The series does not continue from `known`, or an update is invalid. Updates before the failed one stay applied.
+    pub fn apply_series(
+        &mut self,
+        known: u64,
+        series: &[AppliedUpdate],
+    ) -> Result<u64, InvalidConfiguration> {
         let mut newest = known;
         for applied in series.iter().filter(|applied| applied.sequence > known) {
-            ensure!(applied.base == newest, OtherBaseSnafu { base: applied.base, known: newest });
+            ensure!(applied.base == newest, BaseMismatchSnafu { base: applied.base, known: newest });
             newest = applied.sequence;
             self.apply(applied.clone())?;
         }
         Ok(newest)
     }
 
-    /// The updates from a change on to the newest one, in order; none where they are not kept.
+    /// The updates from a change on to the newest one, in order; none if they are not retained.
     pub fn updates_since(&self, known: u64) -> Option<impl Iterator<Item = &AppliedUpdate>> {
         let first = self.recent.iter().position(|applied| applied.base == known)?;
         Some(self.recent.iter().skip(first))
     }
 
-    fn remember(&mut self, applied: AppliedUpdate) {
+    fn retain_update(&mut self, applied: AppliedUpdate) {
         self.recent.push_back(applied);
         let mut bytes: usize = self.recent.iter().map(|applied| applied.json.len()).sum();
         while self.recent.len() > MAX_RECENT_UPDATES || (bytes > MAX_RECENT_BYTES && self.recent.len() > 1) {
@@ -137,7 +151,7 @@
 }
 
 impl Items {
-    fn read(text: &[u8]) -> Result<Self, Invalid> {
+    fn read(text: &[u8]) -> Result<Self, InvalidConfiguration> {
         let Fields(fields) = serde_json::from_slice(text).context(UnreadableSnafu)?;
         let mut items = Self { version: 0, routes: Vec::new(), services: Vec::new(), others: Vec::new() };
         for (name, value) in fields {
@@ -151,40 +165,40 @@
         Ok(items)
     }
 
-    fn apply(&mut self, update: &ConfigurationUpdate, json: &[u8]) -> Result<(), Invalid> {
+    fn apply(&mut self, update: &ConfigurationUpdate, json: &[u8]) -> Result<(), InvalidConfiguration> {
         let texts = upserted_texts(json)?;
         let routes = texts.routes.iter().map(|text| RouteItem::read(text)).collect::<Result<_, _>>()?;
         let services = texts.services.iter().map(|text| ServiceItem::read(text)).collect::<Result<_, _>>()?;
         self.version = update.version;
         put_items(&mut self.routes, routes, &update.remove.routes, |route| &route.name);
         put_items(&mut self.services, services, &update.remove.services, |service| &service.name);
-        self.check_places(update)?;
+        self.check_matches(update)?;
         self.check_services(update)
     }
 
-    /// No two routes share host and prefix, of which one at least is new.
-    fn check_places(&self, update: &ConfigurationUpdate) -> Result<(), Invalid> {
+    /// Checks that no route of the update has the host and prefix of another route.
+    fn check_matches(&self, update: &ConfigurationUpdate) -> Result<(), InvalidConfiguration> {
         let new: HashSet<&str> = update.upsert.routes.iter().map(|route| route.name.as_str()).collect();
-        let mut places = HashSet::new();
+        let mut matches = HashSet::new();
         for route in &update.upsert.routes {
-            let is_free = places.insert((route.host.as_str(), route.path_prefix.as_str()));
-            ensure!(is_free, SamePlaceSnafu { route: &route.name });
+            let is_free = matches.insert((route.host.as_str(), route.path_prefix.as_str()));
+            ensure!(is_free, DuplicateMatchSnafu { route: &route.name });
         }
         let known = self.routes.iter().filter(|route| !new.contains(route.name.as_str()));
         for route in known {
-            let is_free = !places.contains(&(route.host.as_str(), route.path_prefix.as_str()));
-            ensure!(is_free, SamePlaceSnafu { route: &route.name });
+            let is_free = !matches.contains(&(route.host.as_str(), route.path_prefix.as_str()));
+            ensure!(is_free, DuplicateMatchSnafu { route: &route.name });
         }
         Ok(())
     }
 
-    /// All services that routes name are there. Routes that the update leaves alone can miss only what it removes.
-    fn check_services(&self, update: &ConfigurationUpdate) -> Result<(), Invalid> {
+    /// Checks that the services of all routes exist. Unchanged routes can only lack services that the update removes.
+    fn check_services(&self, update: &ConfigurationUpdate) -> Result<(), InvalidConfiguration> {
         let services: HashSet<&str> = self.services.iter().map(|service| service.name.as_str()).collect();
         let new: HashSet<&str> = update.upsert.routes.iter().map(|route| route.name.as_str()).collect();
         let removes_services = !update.remove.services.is_empty();
-        let concerned = |route: &&Arc<RouteItem>| removes_services || new.contains(route.name.as_str());
-        for route in self.routes.iter().filter(concerned) {
+        let is_affected = |route: &&Arc<RouteItem>| removes_services || new.contains(route.name.as_str());
+        for route in self.routes.iter().filter(is_affected) {
             for service in &route.services {
                 let is_known = services.contains(service.as_str());
                 ensure!(is_known, UnknownServiceSnafu { route: &route.name, service });
@@ -193,7 +207,7 @@
         Ok(())
     }
 
-    fn weight(&self) -> usize {
+    fn size_estimate(&self) -> usize {
         let routes = self.routes.iter().map(|route| route.text.len());
         let services = self.services.iter().map(|service| service.text.len());
         let others = self.others.iter().map(|(name, text)| name.len() + text.len());
@@ -201,7 +215,7 @@
     }
 
     fn to_json(&self) -> Vec<u8> {
-        let mut json = Vec::with_capacity(self.weight() * 17 / 16 + 64);
+        let mut json = Vec::with_capacity(self.size_estimate() * 17 / 16 + 64);
         json.extend_from_slice(format!("{{\"version\":{}", self.version).as_bytes());
         for (name, text) in &self.others {
             json.extend_from_slice(format!(",{}:{text}", serde_json::Value::from(name.as_str())).as_bytes());
@@ -215,8 +229,8 @@
 
 fn write_list<'a>(json: &mut Vec<u8>, name: &str, texts: impl Iterator<Item = &'a str>) {
     json.extend_from_slice(format!(",\"{name}\":[").as_bytes());
-    for (at, text) in texts.enumerate() {
-        if at > 0 {
+    for (index, text) in texts.enumerate() {
+        if index > 0 {
             json.push(b',');
         }
         json.extend_from_slice(text.as_bytes());
@@ -226,14 +240,14 @@
 
 fn read_list<Item>(
     text: &str,
-    read: impl Fn(&RawValue) -> Result<Arc<Item>, Invalid>,
-) -> Result<Vec<Arc<Item>>, Invalid> {
+    read: impl Fn(&RawValue) -> Result<Arc<Item>, InvalidConfiguration>,
+) -> Result<Vec<Arc<Item>>, InvalidConfiguration> {
     let items: Vec<&RawValue> = serde_json::from_str(text).context(UnreadableSnafu)?;
     items.into_iter().map(read).collect()
 }
 
 impl RouteItem {
-    fn read(text: &RawValue) -> Result<Arc<Self>, Invalid> {
+    fn read(text: &RawValue) -> Result<Arc<Self>, InvalidConfiguration> {
         let route: Route = serde_json::from_str(text.get()).context(UnreadableSnafu)?;
         let services = route.services().into_iter().map(|(service, _)| service.to_owned()).collect();
         let Route { name, host, path_prefix, .. } = route;
@@ -242,7 +256,7 @@
 }
 
 impl ServiceItem {
-    fn read(text: &RawValue) -> Result<Arc<Self>, Invalid> {
+    fn read(text: &RawValue) -> Result<Arc<Self>, InvalidConfiguration> {
         #[derive(Deserialize)]
         struct Named {
             #[serde(default)]
@@ -280,7 +294,7 @@
     }
 }
 
-/// Two documents are the same if they read the same.
+/// Documents are equal if their JSON texts are.
 impl PartialEq for ConfigurationDocument {
     fn eq(&self, other: &Self) -> bool {
         self.to_json() == other.to_json()
@@ -289,7 +303,7 @@
 
 impl Eq for ConfigurationDocument {}
 
-/// The whole text; the updates that led to it are not passed on.
+/// Serializes the whole text, without the updates that led to it.
 impl Serialize for ConfigurationDocument {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
         self.to_json().as_slice().serialize(serializer)
--- a/system/protocol/src/followed.rs
+++ b/system/protocol/src/follower.rs
@@ -1,50 +1,54 @@
-//! The typed configuration of a process that follows the operator's changes: it reads what has changed, and no more.
+//! The typed configuration of a process that follows the operator's changes: it parses only what has changed.
 
 use std::sync::Arc;
 
 use crate::configuration::Configuration;
 use crate::document::{AppliedUpdate, ConfigurationDocument};
 use crate::update::{read_update, ConfigurationUpdate};
-use crate::validate::{read_configuration, Invalid};
+use crate::validate::{read_configuration, InvalidConfiguration};
 
-/// The configuration as of the newest change that was looked at.
+/// The typed configuration after the newest change that was applied.
 #[derive(Clone, Debug, Default)]
-pub struct FollowedConfiguration {
+pub struct ConfigurationFollower {
     sequence: u64,
     configuration: Option<Arc<Configuration>>,
 }
 
-/// What a look at a newer document has changed.
+/// What the application of a document has changed.
 #[derive(Clone, Debug, PartialEq)]
-pub enum FollowedChange {
-    /// Nothing: it was known.
+pub enum ConfigurationChange {
+    /// Nothing: the change was known.
     None,
-    /// Everything was read anew.
-    Whole,
-    /// These updates were applied.
-    Updates(Vec<ConfigurationUpdate>),
+    /// The whole configuration was parsed.
+    Replaced,
+    /// These updates were applied, in order.
+    Updated(Vec<ConfigurationUpdate>),
 }
 
-impl FollowedConfiguration {
-    /// The configuration; none before the first that could be read.
+impl ConfigurationFollower {
+    /// The configuration; none before the first valid one.
     pub fn configuration(&self) -> Option<&Arc<Configuration>> {
         self.configuration.as_ref()
     }
 
-    /// The number of the change that was read last; 0 before the first.
+    /// Sequence number of the newest change; 0 before the first.
     pub fn sequence(&self) -> u64 {
         self.sequence
     }
 
-    /// Takes in the document of a change. One that can't be read leaves the configuration as it was, and is not read again; the
-    /// updates of a document were read when they were applied to it.
-    pub fn follow(
+    /// Applies the document of a change.
+    ///
+    /// # Errors
+    ///
+    /// The document is invalid. The configuration stays as it was, and the change is not tried again. Updates of a document were
+    /// validated when they were applied to it.
+    pub fn apply_document(
         &mut self,
         sequence: u64,
         document: &ConfigurationDocument,
-    ) -> Result<FollowedChange, Invalid> {
+    ) -> Result<ConfigurationChange, InvalidConfiguration> {
         if sequence == self.sequence {
-            return Ok(FollowedChange::None);
+            return Ok(ConfigurationChange::None);
         }
         let known = std::mem::replace(&mut self.sequence, sequence);
         let series = document.updates_since(known);
@@ -52,18 +56,18 @@
             return apply(configuration, series);
         }
         self.configuration = Some(Arc::new(read_configuration(&document.to_json())?));
-        Ok(FollowedChange::Whole)
+        Ok(ConfigurationChange::Replaced)
     }
 }
 
 fn apply<'a>(
     configuration: &mut Arc<Configuration>,
     series: impl Iterator<Item = &'a AppliedUpdate>,
-) -> Result<FollowedChange, Invalid> {
+) -> Result<ConfigurationChange, InvalidConfiguration> {
     let updates = series.map(|applied| read_update(&applied.json)).collect::<Result<Vec<_>, _>>()?;
     let configuration = Arc::make_mut(configuration);
     for update in &updates {
         configuration.apply(update.clone());
     }
-    Ok(FollowedChange::Updates(updates))
+    Ok(ConfigurationChange::Updated(updates))
 }
--- a/system/protocol/src/heartbeat.rs
+++ b/system/protocol/src/heartbeat.rs
@@ -1,19 +1,19 @@
-//! What stores tell the control plane, and what the control plane orders of stores.
+//! Heartbeats of stores to the control plane, and orders of the control plane to stores.
 
 use serde::{Deserialize, Serialize};
 
-/// Whether a store takes new requests.
+/// Whether a store accepts new requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum StoreState {
-    /// It takes requests.
+    /// It accepts requests.
     #[default]
     Ready,
-    /// It is about to leave and takes none that are new.
+    /// It is shutting down gracefully, and accepts no new requests.
     Draining,
 }
 
-/// A model that a store holds, and the version of its weights.
+/// A model that a store has loaded.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct LoadedModel {
@@ -23,72 +23,72 @@
     pub version: u64,
 }
 
-/// The body of `POST /instances/ID/heartbeat`.
+/// The body of `POST /instances/ID/heartbeat`, from a store to a control node.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub struct Heartbeat {
     /// The service that the store belongs to.
     pub service: String,
-    /// Where the store serves, `ip:port`.
+    /// Address for requests, `ip:port`.
     pub address: String,
-    /// The store's zone.
+    /// The store's failure domain.
     pub zone: String,
     /// The version of the store's software.
     pub version: String,
-    /// How many requests it works on at once.
+    /// How many requests it runs concurrently.
     pub slots: u32,
-    /// Whether it takes requests.
+    /// Whether it accepts requests.
     pub state: StoreState,
-    /// How much longer it is slow from its start, in milliseconds.
+    /// Remaining time of its warm-up after a start, in milliseconds.
     pub cold_remaining_ms: f64,
-    /// The models that it holds.
+    /// The models that it has loaded.
     pub models: Vec<LoadedModel>,
-    /// Rises with each call of this instance.
+    /// Rises with each heartbeat of this instance.
     pub sequence: u64,
 }
 
-/// The answer to a heartbeat.
+/// The response to a heartbeat.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub struct HeartbeatReply {
-    /// Where later heartbeats should go.
+    /// Address for later heartbeats, if it changes.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub heartbeat_address: Option<String>,
 }
 
-/// The body of `POST /order` at a store.
+/// The body of `POST /order`, from the coordinator to a store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Order {
-    /// What is ordered, `version` for new weights.
+    /// The operation; `version` loads new weights.
     pub operation: String,
-    /// The model concerned.
+    /// Name of the model.
     pub model: String,
-    /// The version to load.
+    /// The version of the weights to load.
     pub version: u64,
-    /// How running requests end: `blocking`, `truncate` or `preserve`.
+    /// What happens to running requests: `blocking`, `truncate` or `preserve`.
     pub method: String,
-    /// The name of the node that holds the lease.
+    /// Name of the node that owns the coordinator lease.
     pub holder: String,
-    /// The fencing token, which never falls.
+    /// The coordinator's fencing token; a store rejects a lower one than it has seen.
     pub fencing_token: u64,
-    /// The store's `sequence` that the order expects.
+    /// The order is carried out only if the store's [`Report::sequence`] has this value.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub if_revision: Option<u64>,
 }
 
-/// The body of the answer to `GET /report` at a store.
+/// The response to `GET /report` at a store.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub struct Report {
-    /// The models that it holds.
+    /// The models that it has loaded.
     pub models: Vec<LoadedModel>,
-    /// Whether an order is under way.
+    /// Whether an order is being carried out.
     pub utilization: bool,
-    /// How many orders it has taken.
+    /// Number of orders that it has accepted.
     pub sequence: u64,
-    /// Requests that wait.
+    /// Number of queued requests.
     pub waiting: u64,
-    /// Requests that run.
+    /// Number of running requests.
     pub running: u64,
 }
--- a/system/protocol/src/settings.rs
+++ b/system/protocol/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings file of a process. Unknown fields are passed over; a missing or bad one is named by its key.
+//! The settings file of a process (JSON). Unknown fields are ignored; the error for a missing or invalid one names its key.
 
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
@@ -7,10 +7,10 @@
 use serde::Deserialize;
 use snafu::{ensure, ResultExt, Snafu};
 
-/// The variable that holds the path of the settings file.
+/// The environment variable with the path of the settings file.
 pub const SETTINGS_VARIABLE: &str = "GINGERLEDGE_SETTINGS";
 
-/// Why settings can't be used. Each names the key.
+/// Why a settings file is rejected.
 #[derive(Debug, Snafu)]
 pub enum SettingsError {
     /// The file can't be read.
@@ -18,21 +18,21 @@
     File {
         /// The file.
         path: PathBuf,
-        /// What the system said.
+        /// The cause.
         source: std::io::Error,
     },
-    /// The file is no JSON of the expected form; the source names the key.
+    /// The file is not JSON of the expected form; the source names the key.
     #[snafu(display("settings: {source}"))]
     Form {
-        /// What the reader met.
+        /// The error of the parser.
         source: serde_json::Error,
     },
-    /// A value can't be used.
+    /// A value is invalid.
     #[snafu(display("settings: {key}: {reason}"))]
     Value {
         /// The key.
         key: &'static str,
-        /// What is wrong with it.
+        /// Why it is invalid.
         reason: String,
     },
 }
@@ -43,16 +43,16 @@
 pub struct Settings {
     /// The machine's name.
     pub node_name: String,
-    /// The role of the deploy file.
+    /// The role in the deploy file.
     pub role: String,
     /// The machine's class.
     pub machine_class: String,
-    /// Whom the role serves.
+    /// Whom the role serves, as in the deploy file.
     #[serde(default)]
     pub serves: Vec<String>,
     /// The machine's address.
     pub ip: IpAddr,
-    /// The machine's zone.
+    /// The machine's failure domain.
     pub zone: String,
     /// The machine's region.
     #[serde(default)]
@@ -60,32 +60,32 @@
     /// The region of each zone.
     #[serde(default)]
     pub zones: BTreeMap<String, String>,
-    /// Where the role listens.
+    /// Listen addresses for the outside.
     #[serde(default)]
     pub listen: Listen,
-    /// The first and the last port for internal messages.
+    /// The first and the last port for internal connections.
     pub internal_ports: (u16, u16),
-    /// Addresses of machines that serve the control plane.
+    /// Addresses of machines with control nodes.
     pub seeds: Vec<SocketAddr>,
-    /// True only when the whole system starts for the first time, with empty disks.
+    /// True only for the first start of the whole system, with empty disks.
     #[serde(default)]
     pub bootstrap: bool,
-    /// Whether the loss of this machine counts.
+    /// Whether this machine counts for the fault tolerance.
     #[serde(default)]
     pub counts_for_quorum: bool,
-    /// What the process may use.
+    /// Resource limits of the process.
     #[serde(default)]
     pub limits: ProcessLimits,
-    /// Where files may be kept.
+    /// Directory for persistent data, if the role has a disk.
     #[serde(default)]
     pub data_dir: Option<PathBuf>,
-    /// How often stores send heartbeats, in milliseconds.
+    /// Interval of the heartbeats of stores, in milliseconds (1,000 by default).
     #[serde(default = "default_heartbeat_ms")]
     pub heartbeat_ms: u64,
-    /// What may be lost at once.
+    /// Faults to tolerate at the same time.
     #[serde(default)]
     pub fault_tolerance: FaultTolerance,
-    /// The figures of the rules.
+    /// Time bounds of the platform's rules.
     #[serde(default)]
     pub bounds: Bounds,
 }
@@ -94,29 +94,29 @@
     1_000
 }
 
-/// Where a role listens.
+/// Listen addresses of a role for the outside.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub struct Listen {
-    /// For clients.
+    /// For requests of clients.
     pub frontend: Option<SocketAddr>,
-    /// For the platform's question whether it is ready.
+    /// For the platform's readiness probe.
     pub readiness: Option<SocketAddr>,
-    /// For stores and the operator.
+    /// For heartbeats of stores and calls of the operator.
     pub control_plane: Option<SocketAddr>,
 }
 
-/// What a process may use.
+/// Resource limits of a process.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub struct ProcessLimits {
-    /// The share of a core.
+    /// Share of a processor core (1.0 by default).
     pub cpu_share: f64,
-    /// Memory, in megabytes.
+    /// Memory, in MiB (256 by default).
     pub memory_mb: u64,
-    /// Open descriptors.
+    /// Open file descriptors (1,024 by default).
     pub file_descriptors: u64,
-    /// The disk, in megabytes.
+    /// Disk space, in MiB (128 by default).
     pub disk_mb: u64,
 }
 
@@ -126,15 +126,16 @@
     }
 }
 
-/// What may be lost at once with all rules kept.
+/// Faults that the system tolerates at the same time without violating a rule.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 #[serde(default)]
 pub struct FaultTolerance {
-    /// Machines that count.
+    /// Number of machines that may be lost.
     pub machines: usize,
 }
 
-/// The figures of the rules that programs need. Durations are in the unit that the name ends with.
+/// The time bounds of the platform's rules that programs need, by the names of the deploy file; the platform's pages define each.
+/// Durations are in the unit at the end of the name.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 #[allow(missing_docs)]
@@ -143,6 +144,7 @@
     pub ack_ms: u64,
     pub catch_up_s: f64,
     pub drain_ms: u64,
+    /// Time that the platform gives a process to shut down, in seconds.
     pub grace_s: f64,
     pub config_apply_ms: u64,
     pub recovery_s: f64,
@@ -150,10 +152,14 @@
     #[serde(rename = "pass_ms")]
     pub pass_ms: u64,
     pub finish_s: f64,
+    /// How long an ended batch job must stay readable, in seconds.
     pub status_s: f64,
+    /// Bounds the time from the end of a batch job, or a new driver, until no attempt of it is running any more, in milliseconds.
     pub cancel_ms: u64,
     pub settle_ms: u64,
+    /// Whether stores reject orders with a lower fencing token.
     pub fencing: bool,
+    /// Time between the last order of a coordinator and the first of its successor, in milliseconds.
     pub lease_ms: u64,
     pub thaw_ms: u64,
 }
@@ -182,13 +188,21 @@
 }
 
 impl Settings {
-    /// Reads and checks the settings file.
+    /// Reads and validates a settings file.
+    ///
+    /// # Errors
+    ///
+    /// The file can't be read, or is rejected by [`Settings::parse`].
     pub fn read(path: &Path) -> Result<Self, SettingsError> {
         let text = std::fs::read(path).context(FileSnafu { path })?;
         Self::parse(&text)
     }
 
-    /// Reads and checks settings.
+    /// Parses and validates settings.
+    ///
+    /// # Errors
+    ///
+    /// The text is not JSON of the expected form, or a value is invalid.
     pub fn parse(text: &[u8]) -> Result<Self, SettingsError> {
         let settings: Self = serde_json::from_slice(text).context(FormSnafu)?;
         settings.check()?;
@@ -196,8 +210,8 @@
     }
 
     fn check(&self) -> Result<(), SettingsError> {
-        let named = !self.node_name.is_empty();
-        ensure!(named, ValueSnafu { key: "nodeName", reason: "is empty" });
+        let has_name = !self.node_name.is_empty();
+        ensure!(has_name, ValueSnafu { key: "nodeName", reason: "is empty" });
         ensure!(!self.zone.is_empty(), ValueSnafu { key: "zone", reason: "is empty" });
         let (first, last) = self.internal_ports;
         ensure!(
@@ -209,12 +223,12 @@
         Ok(())
     }
 
-    /// Where this process takes internal messages.
+    /// The internal listen address of this process.
     pub fn internal_address(&self) -> SocketAddr {
         SocketAddr::new(self.ip, self.internal_ports.0)
     }
 
-    /// Where the control nodes among the seeds take internal messages: ports are alike on all machines.
+    /// The internal listen addresses of the control nodes among the seeds; ports are the same on all machines.
     pub fn internal_seeds(&self) -> Vec<SocketAddr> {
         self.seeds.iter().map(|seed| SocketAddr::new(seed.ip(), self.internal_ports.0)).collect()
     }
--- a/system/protocol/src/update.rs
+++ b/system/protocol/src/update.rs
@@ -1,7 +1,7 @@
-//! Updates of a configuration: named items that are added, replaced or removed, on top of a configuration that is known.
+//! Updates of a configuration: named items that are added, replaced or removed.
 //!
-//! An update is read in two forms: the typed items, for checks and for those who follow the configuration, and the text of each
-//! item, which is what is read back later.
+//! An update is parsed into two forms: typed items, for validation and for processes that follow the configuration, and the text of
+//! each item, which later reads return.
 
 use std::collections::{HashMap, HashSet};
 
@@ -11,18 +11,18 @@
 
 use crate::configuration::{Configuration, Route, Service};
 use crate::validate::{
-    check_route_itself, AddedAndRemovedSnafu, Invalid, NamelessSnafu, NoVersionSnafu, NotInAnUpdateSnafu,
-    TwiceInAnUpdateSnafu, UnreadableSnafu,
+    check_route_alone, DuplicateInUpdateSnafu, InvalidConfiguration, MissingNameSnafu, MissingVersionSnafu,
+    NotInUpdateSnafu, UnreadableSnafu, UpsertedAndRemovedSnafu,
 };
 
-/// An update as it comes from the operator.
+/// An update as the operator sends it.
 #[derive(Clone, PartialEq, prost::Message, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub struct ConfigurationUpdate {
-    /// The operator's version number of the result.
+    /// The operator's version of the result.
     #[prost(uint64, tag = "1")]
     pub version: u64,
-    /// Items to add, or to put in the place of those of the same name.
+    /// Items to add, or to replace those of the same name.
     #[prost(message, required, tag = "2")]
     pub upsert: UpsertedItems,
     /// Names of items to remove.
@@ -54,11 +54,10 @@
     pub services: Vec<String>,
 }
 
-/// The fields of a configuration that are no lists of named items, or stand outside `upsert` and `remove`: an update that carries
-/// them would lose them.
+/// Fields of a whole configuration that are rejected in an update: outside of `upsert` and `remove` they would be ignored silently.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-struct FieldsOfAConfiguration {
+struct WholeConfigurationFields {
     routes: Option<serde::de::IgnoredAny>,
     services: Option<serde::de::IgnoredAny>,
     limits: Option<serde::de::IgnoredAny>,
@@ -75,30 +74,34 @@
 }
 
 #[derive(Deserialize)]
-struct TextsOfAnUpdate<'a> {
+struct UpdateTexts<'a> {
     #[serde(borrow, default)]
     upsert: UpsertedTexts<'a>,
 }
 
-/// Reads an update and checks what can be checked without the configuration that it is for.
-pub fn read_update(json: &[u8]) -> Result<ConfigurationUpdate, Invalid> {
+/// Parses an update, and validates it as far as possible without the configuration that it is for.
+///
+/// # Errors
+///
+/// The text is not an update, or the update contradicts itself.
+pub fn read_update(json: &[u8]) -> Result<ConfigurationUpdate, InvalidConfiguration> {
     let update: ConfigurationUpdate = serde_json::from_slice(json).context(UnreadableSnafu)?;
-    let others: FieldsOfAConfiguration = serde_json::from_slice(json).context(UnreadableSnafu)?;
-    ensure!(others.routes.is_none(), NotInAnUpdateSnafu { field: "routes" });
-    ensure!(others.services.is_none(), NotInAnUpdateSnafu { field: "services" });
-    ensure!(others.limits.is_none(), NotInAnUpdateSnafu { field: "limits" });
-    ensure!(update.version > 0, NoVersionSnafu);
+    let misplaced: WholeConfigurationFields = serde_json::from_slice(json).context(UnreadableSnafu)?;
+    ensure!(misplaced.routes.is_none(), NotInUpdateSnafu { field: "routes" });
+    ensure!(misplaced.services.is_none(), NotInUpdateSnafu { field: "services" });
+    ensure!(misplaced.limits.is_none(), NotInUpdateSnafu { field: "limits" });
+    ensure!(update.version > 0, MissingVersionSnafu);
     let route_names = || update.upsert.routes.iter().map(|route| route.name.as_str());
     let service_names = || update.upsert.services.iter().map(|service| service.name.as_str());
     check_names("routes", route_names(), &update.remove.routes)?;
     check_names("services", service_names(), &update.remove.services)?;
-    update.upsert.routes.iter().try_for_each(check_route_itself)?;
+    update.upsert.routes.iter().try_for_each(check_route_alone)?;
     Ok(update)
 }
 
-/// The texts of the items of an update that [`read_update`] has read.
-pub(crate) fn upserted_texts(json: &[u8]) -> Result<UpsertedTexts<'_>, Invalid> {
-    let texts: TextsOfAnUpdate = serde_json::from_slice(json).context(UnreadableSnafu)?;
+/// The texts of the items of an update that [`read_update`] has accepted.
+pub(crate) fn upserted_texts(json: &[u8]) -> Result<UpsertedTexts<'_>, InvalidConfiguration> {
+    let texts: UpdateTexts = serde_json::from_slice(json).context(UnreadableSnafu)?;
     Ok(texts.upsert)
 }
 
@@ -106,32 +109,32 @@
     list: &'static str,
     upserted: impl Iterator<Item = &'a str>,
     removed: &'a [String],
-) -> Result<(), Invalid> {
+) -> Result<(), InvalidConfiguration> {
     let mut seen = HashSet::new();
     for name in upserted {
-        ensure!(!name.is_empty(), NamelessSnafu { list });
-        ensure!(seen.insert(name), TwiceInAnUpdateSnafu { list, name });
+        ensure!(!name.is_empty(), MissingNameSnafu { list });
+        ensure!(seen.insert(name), DuplicateInUpdateSnafu { list, name });
     }
     for name in removed {
-        ensure!(!seen.contains(name.as_str()), AddedAndRemovedSnafu { list, name });
+        ensure!(!seen.contains(name.as_str()), UpsertedAndRemovedSnafu { list, name });
     }
     Ok(())
 }
 
-/// Puts named items in the place of those of the same name, or at the end, and takes others out. Where several items have one
-/// name, the first gives its place and the others go.
+/// Replaces items by those of the same name, appends the remaining ones, and removes others. If several items have the name of an
+/// upserted one, the first is replaced and the others are removed.
 pub(crate) fn put_items<Item>(
     items: &mut Vec<Item>,
     upserted: Vec<Item>,
     removed: &[String],
     name_of: impl Fn(&Item) -> &str,
 ) {
-    let mut places: HashMap<String, Option<Item>> = HashMap::new();
+    let mut replacements: HashMap<String, Option<Item>> = HashMap::new();
     let mut order = Vec::new();
     for item in upserted {
         let name = name_of(&item).to_owned();
         order.push(name.clone());
-        places.insert(name, Some(item));
+        replacements.insert(name, Some(item));
     }
     let removed: HashSet<&str> = removed.iter().map(String::as_str).collect();
     let mut result = Vec::with_capacity(items.len() + order.len());
@@ -140,19 +143,19 @@
         if removed.contains(name) {
             continue;
         }
-        match places.get_mut(name) {
-            Some(place) => result.extend(place.take()),
+        match replacements.get_mut(name) {
+            Some(replacement) => result.extend(replacement.take()),
             None => result.push(item),
         }
     }
     for name in order {
-        result.extend(places.get_mut(&name).and_then(Option::take));
+        result.extend(replacements.get_mut(&name).and_then(Option::take));
     }
     *items = result;
 }
 
 impl Configuration {
-    /// Applies an update that was found valid on top of this configuration.
+    /// Applies an update that has been validated for this configuration.
     pub fn apply(&mut self, update: ConfigurationUpdate) {
         let ConfigurationUpdate { version, upsert, remove } = update;
         self.version = version;
--- a/system/protocol/src/verdict.rs
+++ b/system/protocol/src/verdict.rs
@@ -1,28 +1,20 @@
-//! The verdict on one attempt: whether the request may have run, which decides what may be answered and repeated.
+//! The verdict on one attempt: whether the request may have run, which decides how the client may be answered and whether it may be
+//! retried.
 
 /// What is known of one attempt at a store once it has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It has not run and never will: nothing was handed over, or the store said so (`Not-Executed`, 421).
+    /// It has not run and never will: nothing was sent, or the store said so (`Not-Executed`, 421).
     /// Only this permits 408, 421, 429 or 503 to the client, or another attempt of a request that may run once.
     NeverRan,
-    /// Nobody can tell: silence, a reset or a broken answer after the request was handed over.
+    /// Unknown: a time-out, a reset or an incomplete response after the request was sent.
     MayHaveRun,
-    /// The store answered; the answer is its own, whatever its status.
+    /// The store responded, with whatever status.
     Ran,
 }
 
 impl Verdict {
-    /// Whether the request may be sent again, given that its route permits repetition or not.
-    pub fn may_repeat(self, idempotent: bool) -> bool {
-        match self {
-            Verdict::NeverRan => true,
-            Verdict::MayHaveRun => idempotent,
-            Verdict::Ran => false,
-        }
-    }
-
-    /// Joins the verdicts of several attempts of one request.
+    /// The verdict on a request with several attempts: the strongest evidence that it ran.
     pub fn and(self, other: Verdict) -> Verdict {
         match (self, other) {
             (Verdict::Ran, _) | (_, Verdict::Ran) => Verdict::Ran,
--- a/system/protocol/tests/configurations.rs
+++ b/system/protocol/tests/configurations.rs
@@ -1,6 +1,6 @@
-//! Which configurations are refused whatever is in force.
+//! Configurations that are rejected independently of the current one.
 
-use gingerledge_protocol::{read_configuration, Invalid};
+use gingerledge_protocol::{read_configuration, InvalidConfiguration};
 use serde_json::{json, Value};
 use yare::parameterized;
 
@@ -23,12 +23,12 @@
     })
 }
 
-fn read(configuration: &Value) -> Result<gingerledge_protocol::Configuration, Invalid> {
+fn read(configuration: &Value) -> Result<gingerledge_protocol::Configuration, InvalidConfiguration> {
     read_configuration(configuration.to_string().as_bytes())
 }
 
 #[test]
-fn a_valid_one_is_read_whole() {
+fn a_valid_configuration_is_parsed() {
     let configuration = read(&valid()).expect("valid");
     assert_eq!(configuration.version, 7);
     assert_eq!(configuration.routes.len(), 3);
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn one_without_routes_is_valid() {
+fn a_configuration_without_routes_is_valid() {
     let mut configuration = valid();
     configuration["routes"] = json!([]);
     assert!(read(&configuration).is_ok());
@@ -61,29 +61,32 @@
     version_of_words = { "/version", json!("seven"), "configuration: " },
     routes_of_words = { "/routes", json!("all"), "configuration: " },
 )]
-fn a_flaw_is_named(place: &str, value: Value, text: &str) {
+fn the_error_names_the_invalid_field(place: &str, value: Value, text: &str) {
     let mut configuration = valid();
     match configuration.pointer_mut(place) {
         Some(at) => *at = value,
         None => configuration["routes"][2]["timeoutMs"] = value,
     }
-    let refusal = read(&configuration).expect_err("invalid").to_string();
-    assert!(refusal.starts_with(text), "{refusal}");
+    let error = read(&configuration).expect_err("invalid").to_string();
+    assert!(error.starts_with(text), "{error}");
 }
 
 #[test]
-fn what_is_cut_short_is_never_read() {
+fn a_truncated_configuration_is_rejected() {
     let whole = valid().to_string();
     for end in 0..whole.len() {
         assert!(
-            matches!(read_configuration(&whole.as_bytes()[..end]), Err(Invalid::Unreadable { .. })),
+            matches!(
+                read_configuration(&whole.as_bytes()[..end]),
+                Err(InvalidConfiguration::Unreadable { .. })
+            ),
             "{end}"
         );
     }
 }
 
 #[test]
-fn what_follows_the_end_is_refused() {
+fn bytes_after_the_end_are_rejected() {
     let twice = valid().to_string() + "{}";
-    assert!(matches!(read_configuration(twice.as_bytes()), Err(Invalid::Unreadable { .. })));
+    assert!(matches!(read_configuration(twice.as_bytes()), Err(InvalidConfiguration::Unreadable { .. })));
 }
--- a/system/protocol/tests/golden.rs
+++ b/system/protocol/tests/golden.rs
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn configurations_and_updates_are_written_as_before() {
+fn configurations_and_updates_have_the_recorded_form() {
     let mut golden = Golden::new("configurations.txt");
     golden.json("configuration", &configuration());
     golden.buffers("configuration", &configuration());
@@ -201,7 +201,7 @@
 }
 
 #[test]
-fn batch_jobs_and_pages_are_written_as_before() {
+fn batch_jobs_and_pages_have_the_recorded_form() {
     let mut golden = Golden::new("jobs.txt");
     let bare_item = Item { scoring_endpoint: None, ..item() };
     let items = vec![item(), bare_item];
@@ -217,7 +217,7 @@
 }
 
 #[test]
-fn heartbeats_orders_and_reports_are_written_as_before() {
+fn heartbeats_orders_and_reports_have_the_recorded_form() {
     let mut golden = Golden::new("stores.txt");
     golden.json("heartbeat ready", &heartbeat(StoreState::Ready));
     golden.json("heartbeat draining", &heartbeat(StoreState::Draining));
@@ -280,7 +280,7 @@
 }
 
 #[test]
-fn settings_are_read_as_before() {
+fn settings_are_read_as_recorded() {
     let mut golden = Golden::new("settings.txt");
     let whole = format!("{{{REQUIRED_SETTINGS},{OPTIONAL_SETTINGS}}}");
     for (name, json) in [("whole", whole), ("required alone", format!("{{{REQUIRED_SETTINGS}}}"))] {
--- a/system/protocol/tests/updates.rs
+++ b/system/protocol/tests/updates.rs
@@ -1,11 +1,10 @@
-//! Updates of a configuration: which are refused, what others lead to, and that those who follow them know the same as those who
-//! read the whole.
+//! Updates of a configuration: which are rejected, what valid ones change, and that following them equals reading the whole.
 
 use std::sync::Arc;
 
 use gingerledge_protocol::{
-    read_configuration, read_update, AppliedUpdate, ConfigurationDocument, FollowedChange,
-    FollowedConfiguration,
+    read_configuration, read_update, AppliedUpdate, ConfigurationChange, ConfigurationDocument,
+    ConfigurationFollower,
 };
 use serde_json::{json, Value};
 use yare::parameterized;
@@ -37,7 +36,7 @@
     AppliedUpdate { base, sequence, json: Arc::new(update.to_string().into_bytes()) }
 }
 
-/// What an update on the whole configuration leads to, or why it is refused. A refused one has changed nothing.
+/// The result of an update of the whole configuration, or why it is rejected. A rejected one has changed nothing.
 fn result_of(update: &Value) -> Result<Value, String> {
     let mut document = document();
     match document.apply(applied(1, 2, update)) {
@@ -69,28 +68,28 @@
         "routes.r.timeoutMs: must be above 0"
     },
 )]
-fn refused_whatever_it_is_for(update: &str, reason: &str) {
-    let error = read_update(update.as_bytes()).expect_err("it is refused").to_string();
+fn an_invalid_update_is_rejected_for_every_configuration(update: &str, reason: &str) {
+    let error = read_update(update.as_bytes()).expect_err("it is rejected").to_string();
     assert!(error.contains(reason), "{error}");
 }
 
 #[parameterized(
     nothing = { json!({}), json!({}) },
-    a_field_of_tomorrow = { json!({"comment": "x"}), json!({}) },
+    an_unknown_field = { json!({"comment": "x"}), json!({}) },
     add = { json!({"upsert": {"routes": [route("w", "/w/", "two")]}}), json!({"/routes/3": route("w", "/w/", "two")}) },
     replace_in_place = { json!({"upsert": {"routes": [route("y", "/q/", "one")]}}), json!({"/routes/1": route("y", "/q/", "one")}) },
     replace_service = { json!({"upsert": {"services": [service("one", 5)]}}), json!({"/services/0": service("one", 5)}) },
     removed = { json!({"remove": {"routes": ["y", "z"]}}), json!({"/routes": [route("x", "/x/", "one")]}) },
-    removed_that_is_not_there = { json!({"remove": {"routes": ["nobody"], "services": ["nobody"]}}), json!({}) },
+    removal_of_unknown_names = { json!({"remove": {"routes": ["nobody"], "services": ["nobody"]}}), json!({}) },
     service_with_its_last_route = {
         json!({"remove": {"routes": ["y"], "services": ["two"]}}),
         json!({"/routes": [route("x", "/x/", "one"), route("z", "/z/", "one")], "/services": [service("one", 160)]})
     },
-    place_that_the_same_update_frees = {
+    prefix_that_the_same_update_frees = {
         json!({"upsert": {"routes": [route("w", "/x/", "one")]}, "remove": {"routes": ["x", "y", "z"]}}),
         json!({"/routes": [route("w", "/x/", "one")]})
     },
-    two_change_places = {
+    two_routes_swap_prefixes = {
         json!({"upsert": {"routes": [route("x", "/y/", "one"), route("y", "/x/", "two")]}}),
         json!({"/routes/0": route("x", "/y/", "one"), "/routes/1": route("y", "/x/", "two")})
     },
@@ -99,7 +98,7 @@
         json!({"/routes/3": route("w", "/w/", "three"), "/services/2": service("three", 9)})
     },
 )]
-fn what_an_update_leads_to(update: Value, changes: Value) {
+fn an_update_changes_exactly_its_items(update: Value, changes: Value) {
     let mut update = update;
     update["version"] = json!(9);
     let mut expected = whole();
@@ -119,20 +118,20 @@
 #[parameterized(
     dangling_new_route = { json!({"upsert": {"routes": [route("w", "/w/", "nobody")]}}), "routes.w.service: `nobody`" },
     dangling_known_route = { json!({"remove": {"services": ["two"]}}), "routes.y.service: `two`" },
-    place_of_a_known_route = { json!({"upsert": {"routes": [route("w", "/x/", "one")]}}), "routes.x.pathPrefix" },
-    one_place_twice = {
+    prefix_of_a_known_route = { json!({"upsert": {"routes": [route("w", "/x/", "one")]}}), "routes.x.pathPrefix" },
+    one_prefix_twice = {
         json!({"upsert": {"routes": [route("v", "/w/", "one"), route("w", "/w/", "one")]}}), "routes.w.pathPrefix"
     },
 )]
-fn refused_for_what_it_leads_to(update: Value, reason: &str) {
+fn an_update_with_an_invalid_result_is_rejected(update: Value, reason: &str) {
     let mut update = update;
     update["version"] = json!(9);
-    let error = result_of(&update).expect_err("it is refused");
+    let error = result_of(&update).expect_err("it is rejected");
     assert!(error.contains(reason), "{error}");
 }
 
 #[test]
-fn routes_of_one_name_give_way_together() {
+fn routes_with_the_same_name_are_replaced_together() {
     let mut twice = whole();
     twice["routes"][2]["name"] = json!("x");
     let mut document = ConfigurationDocument::from_text(Arc::new(twice.to_string().into_bytes()));
@@ -143,7 +142,7 @@
 }
 
 #[test]
-fn the_text_of_what_an_update_leaves_alone_stays_as_sent() {
+fn unchanged_items_keep_the_text_that_was_sent() {
     let text = r#"{ "version" : 7, "limits":{"maxBodyBytes":1e6}, "routes": [], "services":[{ "name":"s",  "tls":false}]}"#;
     let mut document = ConfigurationDocument::from_text(Arc::new(text.as_bytes().to_vec()));
     document.apply(applied(1, 2, &json!({"version": 8}))).expect("valid");
@@ -181,12 +180,12 @@
 /// Whoever follows update by update, in whatever steps, has the configuration of whoever reads the whole; and an update is taken
 /// exactly if the whole that it leads to is valid.
 #[parameterized(one = { 1 }, two = { 2 }, three = { 3 }, four = { 4 })]
-fn following_updates_is_reading_the_whole(seed: u64) {
+fn following_updates_equals_reading_the_whole_configuration(seed: u64) {
     const UPDATES: u64 = 400;
     let mut random = fastrand::Rng::with_seed(seed);
     let mut document = document();
     let mut sequence = 1;
-    let mut followers: Vec<FollowedConfiguration> = vec![FollowedConfiguration::default(); 4];
+    let mut followers: Vec<ConfigurationFollower> = vec![ConfigurationFollower::default(); 4];
     let (mut taken, mut followed, mut whole_reads) = (0, 0, 0);
     for number in 0..UPDATES {
         let update = drawn_update(&mut random, 8 + number);
@@ -199,10 +198,10 @@
         }
         let read = read_configuration(&document.to_json()).expect("what was taken is valid as a whole");
         for follower in followers.iter_mut().filter(|_| random.u8(..8) == 0) {
-            match follower.follow(sequence, &document).expect("readable") {
-                FollowedChange::None => {}
-                FollowedChange::Whole => whole_reads += 1,
-                FollowedChange::Updates(updates) => followed += updates.len(),
+            match follower.apply_document(sequence, &document).expect("readable") {
+                ConfigurationChange::None => {}
+                ConfigurationChange::Replaced => whole_reads += 1,
+                ConfigurationChange::Updated(updates) => followed += updates.len(),
             }
             assert_eq!(follower.configuration().map(|configuration| &**configuration), Some(&read));
         }
@@ -212,7 +211,7 @@
 }
 
 #[test]
-fn only_the_newest_updates_are_kept_and_only_whoever_has_their_base_is_given_them() {
+fn only_the_newest_updates_are_retained_and_found_by_their_base() {
     let mut document = document();
     for sequence in 2..200 {
         document.apply(applied(sequence - 1, sequence, &json!({"version": sequence + 9}))).expect("valid");
@@ -229,7 +228,7 @@
 }
 
 #[test]
-fn large_updates_are_not_kept_beside_one_another() {
+fn large_updates_are_not_retained_together() {
     let mut document = document();
     let padding = "x".repeat(700_000);
     for sequence in 2..6 {
--- a/system/relay/src/entry_size.rs
+++ b/system/relay/src/entry_size.rs
@@ -20,7 +20,7 @@
 
 fn value_size(value: &Value) -> usize {
     match value {
-        Value::Configuration(document) => document.weight(),
+        Value::Configuration(document) => document.size_estimate(),
         Value::ConfigurationUpdates(series) => {
             series.iter().map(|applied| FIXED_BYTES + applied.json.len()).sum()
         }
