--- a/system/jobs/tests/backend.rs
+++ b/system/jobs/tests/backend.rs
@@ -1,4 +1,4 @@
-//! One backend alone: what its head and its tail response, when, and what they keep.
+//! One backend without peers: the responses of its head and its tail, when they are sent, and what is stored.
 
 mod common;
 
--- a/system/jobs/tests/common/clients.rs
+++ b/system/jobs/tests/common/clients.rs
@@ -38,7 +38,7 @@
 /// All edges of a simulated cluster.
 pub struct Clients {
     edges: BTreeMap<u64, Edge>,
-    pending: BTreeMap<u64, PendingRequest>,
+    requests: BTreeMap<u64, PendingRequest>,
     next_request: u64,
     next_edge: u64,
     next_job: u64,
@@ -56,7 +56,7 @@
     pub fn new(cluster: &mut Cluster) -> Self {
         let mut clients = Self {
             edges: BTreeMap::new(),
-            pending: BTreeMap::new(),
+            requests: BTreeMap::new(),
             next_request: 0,
             next_edge: 0,
             next_job: 0,
@@ -99,7 +99,7 @@
         let ids: Vec<u64> = self.edges.keys().copied().collect();
         if let Some(edge) = cluster.rng.choice(&ids).copied() {
             self.edges.remove(&edge);
-            self.pending.retain(|_, pending_request| pending_request.edge != edge);
+            self.requests.retain(|_, pending| pending.edge != edge);
             // Sometimes it announces its shutdown; otherwise only time-outs reveal it.
             if cluster.rng.bool() {
                 cluster.set_edge(edge, None);
@@ -213,7 +213,7 @@
 
     fn send_request(&mut self, cluster: &mut Cluster, edge: u64, job: &str, request: JobsRequest) {
         self.next_request += 1;
-        let pending_request = PendingRequest {
+        let pending = PendingRequest {
             edge,
             job: job.to_owned(),
             partition: partition_of(job),
@@ -221,54 +221,45 @@
             first_sent: cluster.now,
             last_sent: cluster.now,
         };
-        self.send(cluster, self.next_request, &pending_request);
-        self.pending.insert(self.next_request, pending_request);
+        self.send(cluster, self.next_request, &pending);
+        self.requests.insert(self.next_request, pending);
     }
 
-    fn send(&self, cluster: &mut Cluster, request: u64, pending_request: &PendingRequest) {
-        let Some(edge) = self.edges.get(&pending_request.edge) else { return };
-        let caller = Caller { request, reply_to: edge.address, edge: pending_request.edge };
-        let record = cluster.chain(pending_request.partition).clone();
-        let at_tail = matches!(
-            pending_request.request,
-            JobsRequest::ReadResults { .. } | JobsRequest::ReadItemBody { .. }
-        );
+    fn send(&self, cluster: &mut Cluster, request: u64, pending: &PendingRequest) {
+        let Some(edge) = self.edges.get(&pending.edge) else { return };
+        let caller = Caller { request, reply_to: edge.address, edge: pending.edge };
+        let record = cluster.chain(pending.partition).clone();
+        let at_tail =
+            matches!(pending.request, JobsRequest::ReadResults { .. } | JobsRequest::ReadItemBody { .. });
         let member = if at_tail { record.chain.last() } else { record.chain.first() };
-        // Not every edge knows the newest chain, so some send_request any_backend.
+        // Not every edge knows the newest chain, so some requests go to any backend.
         let any_backend: Vec<u64> = cluster.backends().map(|(member, _)| member).collect();
         let misdirected = cluster.rng.u8(..100) < 10;
         let member = if misdirected { cluster.rng.choice(&any_backend).copied() } else { member.copied() };
         let epoch = if misdirected { 1 } else { record.epoch };
-        let body = pending_request.request.clone();
+        let body = pending.request.clone();
         if let Some(member) = member {
-            cluster.send_request(member, pending_request.partition, ClientRequest { caller, epoch, body });
+            cluster.send_request(member, pending.partition, ClientRequest { caller, epoch, body });
         }
     }
 
     fn resend(&mut self, cluster: &mut Cluster) {
         let now = cluster.now;
         let age = |since: Duration| (now - since).as_millis() as u64;
-        let is_renewal = |pending_request: &PendingRequest| {
-            matches!(pending_request.request, JobsRequest::RenewDriverLeases { .. })
-        };
-        self.pending.retain(|_, pending_request| {
-            let most = if is_renewal(pending_request) { RENEW_MS } else { REQUEST_TIMEOUT_MS };
-            age(pending_request.first_sent) < most
+        let is_renewal =
+            |pending: &PendingRequest| matches!(pending.request, JobsRequest::RenewDriverLeases { .. });
+        self.requests.retain(|_, pending| {
+            let most = if is_renewal(pending) { RENEW_MS } else { REQUEST_TIMEOUT_MS };
+            age(pending.first_sent) < most
         });
-        let late = |pending_request: &PendingRequest| {
-            age(pending_request.last_sent) >= RESEND_MS && !is_renewal(pending_request)
-        };
-        let due: Vec<u64> = self
-            .pending
-            .iter()
-            .filter(|(_, pending_request)| late(pending_request))
-            .map(|(number, _)| *number)
-            .collect();
+        let late = |pending: &PendingRequest| age(pending.last_sent) >= RESEND_MS && !is_renewal(pending);
+        let due: Vec<u64> =
+            self.requests.iter().filter(|(_, pending)| late(pending)).map(|(number, _)| *number).collect();
         for number in due {
-            if let Some(mut pending_request) = self.pending.remove(&number) {
-                pending_request.last_sent = now;
-                self.send(cluster, number, &pending_request);
-                self.pending.insert(number, pending_request);
+            if let Some(mut pending) = self.requests.remove(&number) {
+                pending.last_sent = now;
+                self.send(cluster, number, &pending);
+                self.requests.insert(number, pending);
             }
         }
     }
@@ -303,8 +294,8 @@
         if matches!(response, JobsResponse::Unavailable) {
             return;
         }
-        let Some(pending_request) = self.pending.remove(&request) else { return };
-        let PendingRequest { edge, job, request, first_sent: sent, .. } = pending_request;
+        let Some(pending) = self.requests.remove(&request) else { return };
+        let PendingRequest { edge, job, request, first_sent: sent, .. } = pending;
         match (request, response) {
             (JobsRequest::CreateJob { .. }, JobsResponse::Created { driver_term }) => {
                 self.observations.count("created");
--- a/system/jobs/tests/common/cluster.rs
+++ b/system/jobs/tests/common/cluster.rs
@@ -52,7 +52,7 @@
     /// What the monotonic clock of this incarnation showed when the simulation began: each has its own.
     clock_offset: Duration,
     pub(super) isolation: Isolation,
-    /// Its disk does not response.
+    /// Its disk completes no writes.
     pub(super) is_disk_stalled: bool,
 }
 
@@ -61,7 +61,7 @@
     pub now: Duration,
     pub rng: Rng,
     pub coordinator: Coordinator,
-    /// Edges that are there.
+    /// Edges that run.
     pub edges: BTreeMap<u64, SocketAddr>,
     settings: JobsSettings,
     pub(super) machines: Vec<Machine>,
--- a/system/jobs/tests/simulation.rs
+++ b/system/jobs/tests/simulation.rs
@@ -29,7 +29,7 @@
         let chain = cluster.chain(partition);
         let outside = cluster.backends().filter(|(member, _)| !chain.chain.contains(member));
         for replica in outside.filter_map(|(_, backend)| backend.partition(partition)) {
-            assert_eq!(replica.bytes(), 0, "a replica outside the chain is acknowledged_items");
+            assert_eq!(replica.bytes(), 0, "a member outside the chain has batch jobs");
         }
         let in_chain = cluster.backends().filter(|(member, _)| chain.chain.contains(member));
         let replicas: Vec<_> = in_chain.filter_map(|(_, backend)| backend.partition(partition)).collect();
