--- a/system/data/src/front/service.rs
+++ b/system/data/src/front/service.rs
@@ -64,7 +64,7 @@
     let (head, body) = request.into_parts();
     let reading = timeout(JOB_BODY_TIME, read(body, max_body(&shared), &mut room));
     match reading.await.map_err(|_elapsed| CloseConnection)? {
-        Ok(body) => rollout::front::handle(shared, Request::from_parts(head, body)).await,
+        Ok(body) => rollout::trainer_api::handle(shared, Request::from_parts(head, body)).await,
         Err(unread) => not_read(unread, ASSUMED_LEFT, ASSUMED_LEFT),
     }
 }
--- a/system/data/src/lib.rs
+++ b/system/data/src/lib.rs
@@ -4,6 +4,7 @@
 //! front for clients, readiness, and the driver of batch jobs. All state is shared by `Rc`; nothing here is sent to
 //! another thread.
 
+mod clock;
 pub mod forward;
 pub mod front;
 pub mod headers;
@@ -15,5 +16,6 @@
 mod shared;
 pub mod stores;
 
+pub use clock::Clock;
 pub use reply::{CloseConnection, Reply, ReplyBody};
 pub use shared::Shared;
--- a/system/data/src/rollout/backend_client.rs
+++ b/system/data/src/rollout/backend_client.rs
@@ -1,7 +1,7 @@
-//! Asks the backends that keep a partition, again and again, until one answers or the time is over.
+//! Requests to the backends of a partition, repeated until one responds or the request times out.
 //!
-//! All copies of one question carry one number, so an answer to any of them answers it. A question is sent again by the newest
-//! record of its partition, because its chain may have changed meanwhile.
+//! All transmissions of one request carry the same id, so a response to any of them completes it. Each goes by the newest record of the
+//! partition, because its chain may have changed meanwhile.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -15,132 +15,134 @@
 
 use crate::Shared;
 
-/// A question is sent again after that long without an answer.
-const TRY_AGAIN: Duration = Duration::from_millis(400);
-/// The pause after a backend that could not answer.
-const NOT_NOW_PAUSE: Duration = Duration::from_millis(50);
-/// The most questions under way at a time.
-const MAX_QUESTIONS: usize = 4_096;
+/// A request is sent again after that time without a response.
+const RETRANSMIT_INTERVAL: Duration = Duration::from_millis(400);
+/// The backoff after a backend that was unavailable, or where none is known.
+const UNAVAILABLE_BACKOFF: Duration = Duration::from_millis(50);
+/// The most requests in flight.
+const MAX_REQUESTS: usize = 4_096;
 
-/// Which member of a partition's chain is asked.
+/// The member of a partition's chain that a request is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Member {
-    /// Takes what changes something.
+pub enum ChainMember {
+    /// Handles updates.
     Head,
-    /// Answers reads.
+    /// Handles reads.
     Tail,
 }
 
-/// What came of a question.
+/// The outcome of a request.
 #[derive(Clone, Debug)]
-pub struct Asked {
-    /// A backend's answer, never [`JobsResponse::Unavailable`]; none if none came in time.
-    pub answer: Option<JobsResponse>,
-    /// Whether a copy of the question went out that nobody answered, and that may have been taken.
-    pub in_doubt: bool,
+pub struct RequestOutcome {
+    /// A backend's response, never [`JobsResponse::Unavailable`]; `None` if it timed out.
+    pub response: Option<JobsResponse>,
+    /// Whether a transmission got no response, and so may have been executed.
+    pub is_in_doubt: bool,
 }
 
-/// Questions to backends that are under way.
+/// Requests to backends that are in flight.
 pub struct BackendClient {
     pending: Pending<JobsResponse>,
-    lost: Notify,
+    messages_lost: Notify,
 }
 
 impl Default for BackendClient {
     fn default() -> Self {
-        Self { pending: Pending::new(MAX_QUESTIONS), lost: Notify::new() }
+        Self { pending: Pending::new(MAX_REQUESTS), messages_lost: Notify::new() }
     }
 }
 
 impl BackendClient {
-    /// A backend answered.
-    pub fn answered(&self, request: u64, answer: JobsResponse) {
-        self.pending.complete(request, answer);
+    /// A backend responded.
+    pub fn on_response(&self, request: u64, response: JobsResponse) {
+        self.pending.complete(request, response);
     }
 
-    /// Messages may have been lost: what is under way is asked again at once.
-    pub fn lost(&self) {
-        self.lost.notify_waiters();
+    /// Messages may have been lost: all requests in flight are sent again without waiting.
+    pub fn on_messages_lost(&self) {
+        self.messages_lost.notify_waiters();
     }
 
-    /// Asks until there is an answer, or for so long.
-    pub async fn ask(
+    /// Sends a request to the chain of a batch job's partition until there is a response, or the time-out.
+    pub async fn request(
         &self,
         shared: &Rc<Shared>,
         job: &str,
-        member: Member,
+        member: ChainMember,
         body: JobsRequest,
-        patience: Duration,
-    ) -> Asked {
-        self.ask_partition(shared, partition_of(job), member, body, patience).await
+        timeout: Duration,
+    ) -> RequestOutcome {
+        self.request_partition(shared, partition_of(job), member, body, timeout).await
     }
 
-    /// Asks the chain of a partition until there is an answer, or for so long.
-    pub async fn ask_partition(
+    /// Sends a request to the chain of a partition until there is a response, or the time-out.
+    pub async fn request_partition(
         &self,
         shared: &Rc<Shared>,
         partition: u16,
-        member: Member,
+        member: ChainMember,
         body: JobsRequest,
-        patience: Duration,
-    ) -> Asked {
-        let until = shared.now() + patience;
-        let held_ms = if let JobsRequest::ReadResults { wait_ms, .. } = &body { *wait_ms } else { 0 };
-        let again = TRY_AGAIN + Duration::from_millis(held_ms);
-        let question = Question { shared, partition, member, body };
-        let mut in_doubt = false;
+        timeout: Duration,
+    ) -> RequestOutcome {
+        let deadline = shared.now() + timeout;
+        let wait_ms = if let JobsRequest::ReadResults { wait_ms, .. } = &body { *wait_ms } else { 0 };
+        let retransmit_interval = RETRANSMIT_INTERVAL + Duration::from_millis(wait_ms);
+        let outgoing = OutgoingRequest { shared, partition, member, body };
+        let mut is_in_doubt = false;
         loop {
-            let left = until.saturating_sub(shared.now());
+            let left = deadline.saturating_sub(shared.now());
             if left.is_zero() {
-                return Asked { answer: None, in_doubt };
+                return RequestOutcome { response: None, is_in_doubt };
             }
-            let (request, reply) = self.pending.begin(left);
-            let (answer, copies) = self.send_until_answered(&question, request, reply, again).await;
-            in_doubt |= copies > u32::from(answer.is_some());
-            match answer {
-                Some(JobsResponse::Unavailable) => tokio::time::sleep(NOT_NOW_PAUSE).await,
-                answer => return Asked { answer, in_doubt },
+            let (request, response) = self.pending.begin(left);
+            let (response, transmissions) =
+                self.send_until_response(&outgoing, request, response, retransmit_interval).await;
+            is_in_doubt |= transmissions > u32::from(response.is_some());
+            match response {
+                Some(JobsResponse::Unavailable) => tokio::time::sleep(UNAVAILABLE_BACKOFF).await,
+                response => return RequestOutcome { response, is_in_doubt },
             }
         }
     }
 
-    /// Sends copies of a question until one is answered or the reply's time is over; says how many went out.
-    async fn send_until_answered(
+    /// Sends a request until there is a response or its time is over; returns the number of transmissions too.
+    async fn send_until_response(
         &self,
-        question: &Question<'_>,
+        outgoing: &OutgoingRequest<'_>,
         request: u64,
-        reply: impl Future<Output = Option<JobsResponse>>,
-        again: Duration,
+        response: impl Future<Output = Option<JobsResponse>>,
+        retransmit_interval: Duration,
     ) -> (Option<JobsResponse>, u32) {
-        let mut reply = pin!(reply);
-        let mut copies = 0;
+        let mut response = pin!(response);
+        let mut transmissions = 0;
         loop {
-            let went_out = question.send(request);
-            copies += u32::from(went_out);
-            let pause = if went_out { again } else { NOT_NOW_PAUSE };
+            let was_sent = outgoing.send(request);
+            transmissions += u32::from(was_sent);
+            let wait = if was_sent { retransmit_interval } else { UNAVAILABLE_BACKOFF };
             tokio::select! {
                 biased;
-                answer = reply.as_mut() => return (answer, copies),
-                () = self.lost.notified() => {}
-                () = tokio::time::sleep(pause) => {}
+                response = response.as_mut() => return (response, transmissions),
+                () = self.messages_lost.notified() => {}
+                () = tokio::time::sleep(wait) => {}
             }
         }
     }
 }
 
-/// A question as it is sent.
-struct Question<'a> {
+/// A request as it is transmitted.
+struct OutgoingRequest<'a> {
     shared: &'a Rc<Shared>,
     partition: u16,
-    member: Member,
+    member: ChainMember,
     body: JobsRequest,
 }
 
-impl Question<'_> {
-    /// Sends a copy by the newest record of the partition; says whether there was anybody to send it to.
+impl OutgoingRequest<'_> {
+    /// Sends the request by the newest record of the partition; returns whether that named a member to send it to.
     fn send(&self, request: u64) -> bool {
-        let found = self.shared.registry(|registry| member_address(registry, self.partition, self.member));
-        let Some((to, epoch)) = found else { return false };
+        let destination =
+            self.shared.registry(|registry| member_address(registry, self.partition, self.member));
+        let Some((to, epoch)) = destination else { return false };
         let message = JobsMessage::Request {
             request,
             reply_to: self.shared.address(),
@@ -154,13 +156,13 @@
     }
 }
 
-/// Where a partition's head or tail takes messages, and the epoch of its chain.
-pub fn member_address(registry: &Registry, partition: u16, member: Member) -> Option<(SocketAddr, u64)> {
+/// The address of a partition's head or tail, and the epoch of its chain.
+pub fn member_address(registry: &Registry, partition: u16, member: ChainMember) -> Option<(SocketAddr, u64)> {
     let record = registry.partition(partition)?;
     let id = match member {
-        Member::Head => record.chain.first()?,
-        Member::Tail => record.chain.last()?,
+        ChainMember::Head => record.chain.first()?,
+        ChainMember::Tail => record.chain.last()?,
     };
-    let lives = registry.nodes().filter(|node| node.role == Role::Backend && node.member == *id);
-    lives.last().map(|node| (node.address, record.epoch))
+    let incarnations = registry.nodes().filter(|node| node.role == Role::Backend && node.member == *id);
+    incarnations.last().map(|node| (node.address, record.epoch))
 }
--- a/system/data/src/rollout/events.rs
+++ b/system/data/src/rollout/event_stream.rs
@@ -1,41 +1,41 @@
-//! Reads a stream of events (`text/event-stream`) in whatever pieces it comes.
+//! An incremental parser of event streams (`text/event-stream`, WHATWG HTML, section 9.2), which come in chunks of any size.
 //!
-//! What is kept between two pieces is one line and one event, both bounded. An event is told only once its closing empty line
-//! is there, so a stream that is cut in the middle of one leaves nothing behind.
+//! Between two chunks it buffers one line and one event, together bounded. An event is delivered only once its closing empty line has
+//! arrived, so a stream that is interrupted in the middle of one delivers nothing of it.
 
 use snafu::Snafu;
 
 /// The most bytes of one event.
 pub const MAX_EVENT_BYTES: usize = 1 << 20;
-/// The line of an event from which on other weights made it.
+/// The field of an event that names the version of the weights from this event on.
 const VERSION_FIELD: &[u8] = b"weight-versions";
 
-/// Why a stream can't be read on.
+/// Why a stream can't be parsed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 pub enum StreamError {
     /// An event is larger than [`MAX_EVENT_BYTES`].
     #[snafu(display("an event of a stream is too large"))]
     TooLarge,
-    /// An id or a version is no whole number, or an event with data has no id.
+    /// An id or a version is not an integer, or an event with data has no id.
     #[snafu(display("an event of a stream has no proper id or version"))]
     Malformed,
 }
 
-/// One whole event.
+/// One complete event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Event<'a> {
     /// Its id.
     pub id: u64,
     /// The version of the weights from this event on, where it changes.
     pub version: Option<u64>,
-    /// Its data; several lines are parted by line feeds.
+    /// Its data; several lines are separated by line feeds.
     pub data: &'a [u8],
 }
 
-/// What of a stream has been read, up to the end of the last piece.
+/// The state of the parser at the end of the last chunk.
 #[derive(Debug, Default)]
 pub struct EventReader {
-    /// The part of a line that has come.
+    /// The part of a line that has arrived.
     line: Vec<u8>,
     data: Vec<u8>,
     has_data: bool,
@@ -44,34 +44,38 @@
 }
 
 impl EventReader {
-    /// Reads a piece; `take` gets each event that ends in it, and stops the reading by an error.
+    /// Parses a chunk and calls `on_event` for each event that ends in it.
+    ///
+    /// # Errors
+    ///
+    /// [`StreamError`], or the first error of `on_event`; the rest of the chunk is not parsed then.
     pub fn feed<E: From<StreamError>>(
         &mut self,
-        mut piece: &[u8],
-        mut take: impl FnMut(Event<'_>) -> Result<(), E>,
+        mut chunk: &[u8],
+        mut on_event: impl FnMut(Event<'_>) -> Result<(), E>,
     ) -> Result<(), E> {
-        while let Some(end) = piece.iter().position(|&byte| byte == b'\n') {
-            let (line, rest) = (&piece[..end], &piece[end + 1..]);
+        while let Some(end) = chunk.iter().position(|&byte| byte == b'\n') {
+            let (line, rest) = (&chunk[..end], &chunk[end + 1..]);
             if self.line.is_empty() {
-                self.line(line, &mut take)?;
+                self.parse_line(line, &mut on_event)?;
             } else {
-                self.keep(line)?;
-                let mut whole = std::mem::take(&mut self.line);
-                self.line(&whole, &mut take)?;
-                whole.clear();
-                self.line = whole;
+                self.buffer(line)?;
+                let mut complete = std::mem::take(&mut self.line);
+                self.parse_line(&complete, &mut on_event)?;
+                complete.clear();
+                self.line = complete;
             }
-            piece = rest;
+            chunk = rest;
         }
-        Ok(self.keep(piece)?)
+        Ok(self.buffer(chunk)?)
     }
 
-    /// Whether the stream stands between two events, where alone it may end.
-    pub fn between_events(&self) -> bool {
+    /// Whether the parser is between two events, the only point where a stream may end.
+    pub fn is_between_events(&self) -> bool {
         self.line.is_empty() && !self.has_data && self.id.is_none() && self.version.is_none()
     }
 
-    fn keep(&mut self, part: &[u8]) -> Result<(), StreamError> {
+    fn buffer(&mut self, part: &[u8]) -> Result<(), StreamError> {
         if self.line.len() + self.data.len() + part.len() > MAX_EVENT_BYTES {
             return Err(StreamError::TooLarge);
         }
@@ -79,23 +83,23 @@
         Ok(())
     }
 
-    fn line<E: From<StreamError>>(
+    fn parse_line<E: From<StreamError>>(
         &mut self,
         line: &[u8],
-        take: &mut impl FnMut(Event<'_>) -> Result<(), E>,
+        on_event: &mut impl FnMut(Event<'_>) -> Result<(), E>,
     ) -> Result<(), E> {
         let line = line.strip_suffix(b"\r").unwrap_or(line);
         if line.is_empty() {
-            return self.dispatch(take);
+            return self.dispatch(on_event);
         }
         let colon = line.iter().position(|&byte| byte == b':').unwrap_or(line.len());
         let (field, value) = (&line[..colon], line.get(colon + 1..).unwrap_or_default());
         let value = value.strip_prefix(b" ").unwrap_or(value);
         match field {
             b"data" => self.add_data(value)?,
-            b"id" => self.id = Some(number(value)?),
-            VERSION_FIELD => self.version = Some(number(value)?),
-            // Comments and other fields say nothing that is kept.
+            b"id" => self.id = Some(parse_number(value)?),
+            VERSION_FIELD => self.version = Some(parse_number(value)?),
+            // Comments and unknown fields are ignored.
             _ => {}
         }
         Ok(())
@@ -115,21 +119,21 @@
 
     fn dispatch<E: From<StreamError>>(
         &mut self,
-        take: &mut impl FnMut(Event<'_>) -> Result<(), E>,
+        on_event: &mut impl FnMut(Event<'_>) -> Result<(), E>,
     ) -> Result<(), E> {
         let (id, version, has_data) = (self.id.take(), self.version.take(), self.has_data);
-        let taken = match id {
-            Some(id) => take(Event { id, version, data: &self.data }),
+        let result = match id {
+            Some(id) => on_event(Event { id, version, data: &self.data }),
             None if has_data || version.is_some() => Err(StreamError::Malformed.into()),
             None => Ok(()),
         };
         self.data.clear();
         self.has_data = false;
-        taken
+        result
     }
 }
 
-fn number(value: &[u8]) -> Result<u64, StreamError> {
+fn parse_number(value: &[u8]) -> Result<u64, StreamError> {
     let text = std::str::from_utf8(value).map_err(|_| StreamError::Malformed)?;
     text.trim().parse().map_err(|_| StreamError::Malformed)
 }
--- a/system/data/src/rollout/generation.rs
+++ b/system/data/src/rollout/generation.rs
@@ -1,4 +1,4 @@
-//! Runs one generation: one request to one store, whose events are added to the text of its item.
+//! Runs one generation: one request to one store, whose events are appended to the text of its item.
 
 use std::pin::pin;
 use std::rc::Rc;
@@ -12,21 +12,22 @@
 use hyper::http::header::{self, HeaderMap, HeaderName, HeaderValue};
 use hyper::http::{Method, Request, StatusCode};
 
-use super::events::{Event, EventReader, StreamError};
-use super::plan::{Added, Ended, Text};
-use super::watch::Stream;
+use super::event_stream::{Event, EventReader, StreamError};
+use super::plan::{EventAddition, GeneratedText, GenerationOutcome};
+use super::store_observations::StoreObservations;
+use super::streams::GenerationStream;
 use crate::headers;
-use crate::stores::{Attempt, Cause, Refusal, StoreAnswer, Timings};
-use crate::Shared;
+use crate::stores::{Attempt, Cause, Health, Refusal, StoreAnswer, StoreClient, Timings};
+use crate::{Clock, Shared};
 
-/// Without this version of the weights, a store answers 421.
+/// The version of the weights that a store must serve; otherwise it responds 421.
 const EXPECT_VERSION: HeaderName = HeaderName::from_static("expect-version");
-/// The version of the weights that a store begins with.
+/// The version of the weights at the start of a stream.
 const WEIGHT_VERSIONS: HeaderName = HeaderName::from_static("weight-versions");
-/// How urgent a request is among those at a store.
+/// The priority of a request at its store; 0 is the most urgent.
 const PRIORITY: HeaderName = HeaderName::from_static("priority");
-/// What is set here; such headers of an item don't go along.
-const OWN_HEADERS: [HeaderName; 7] = [
+/// Headers that are set here; those of the item are dropped.
+const RESERVED_HEADERS: [HeaderName; 7] = [
     header::HOST,
     header::CONTENT_LENGTH,
     headers::ATTEMPT_ID,
@@ -35,90 +36,118 @@
     EXPECT_VERSION,
     PRIORITY,
 ];
-/// How long a connection to a store may take to come up.
+/// The time-out of connecting to a store.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(700);
-/// A stream that is silent for that long, and for so many of its usual pauses, is taken up elsewhere.
-const SILENCE: Duration = Duration::from_secs(2);
-const SILENT_PAUSES: u32 = 12;
-/// A store may take so much longer to begin, since a request waits there for a slot.
-const LONGER_TO_BEGIN: f64 = 1.5;
-
-/// What one generation needs.
-pub(super) struct Order {
+/// A stream without an event for that time, and for so many average intervals, has timed out.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(2);
+const IDLE_TIMEOUT_INTERVALS: u32 = 12;
+/// The time-out of the response head is so many times longer, since a request may be queued at the store.
+const HEAD_TIMEOUT_FACTOR: f64 = 1.5;
+
+/// What a generation reaches beyond its own stream.
+pub(super) struct GenerationContext<'a> {
+    clock: Clock,
+    client: &'a StoreClient,
+    health: &'a Health,
+    observations: &'a StoreObservations,
+}
+
+impl<'a> GenerationContext<'a> {
+    pub(super) fn of(shared: &'a Shared) -> Self {
+        Self {
+            clock: shared.clock(),
+            client: &shared.stores,
+            health: &shared.health,
+            observations: &shared.rollout.stores,
+        }
+    }
+}
+
+/// One generation.
+pub(super) struct GenerationRequest {
     pub(super) job: Arc<JobRecord>,
-    /// The index of its item.
+    /// The index of the item.
     pub(super) item: u32,
-    pub(super) stream: Rc<Stream>,
-    /// The version that the store must have, where only one will do.
-    pub(super) only_version: Option<u64>,
+    pub(super) stream: Rc<GenerationStream>,
+    /// The version that the store must serve; `None` if any allowed one will do.
+    pub(super) required_version: Option<u64>,
     /// All events of the text must be made under one version.
     pub(super) single_version: bool,
-    /// How long the item is retained from now; none if for ever.
-    pub(super) retained: Option<Duration>,
-    /// The usual pause between two events.
-    pub(super) usual_pause: Duration,
-    /// How urgent it is among the requests at its store; 0 goes first.
+    /// How long the item is still retained; `None` if without a limit.
+    pub(super) retention_left: Option<Duration>,
+    /// The average interval between two events.
+    pub(super) average_interval: Duration,
+    /// Its priority among the requests at its store; 0 is the most urgent.
     pub(super) priority: u8,
 }
 
-/// Why the reading of a stream stopped early.
-enum Stop {
+/// Why reading a stream stopped before its end.
+enum ReadError {
     Gap,
     WrongVersion,
 }
 
-impl From<StreamError> for Stop {
+impl From<StreamError> for ReadError {
     fn from(_: StreamError) -> Self {
-        Stop::Gap
+        ReadError::Gap
     }
 }
 
-/// Runs a generation, and adds its events to the text. Dropping the future closes the connection.
-pub(super) async fn run(shared: &Rc<Shared>, order: &Order) -> Ended {
-    let had = order.stream.text.borrow().last_id();
-    let Some(request) = request(order, had) else { return Ended::Impossible };
-    let silence = SILENCE.max(order.usual_pause * SILENT_PAUSES);
-    let timings = Timings { connect: CONNECT_TIMEOUT, head: silence.mul_f64(LONGER_TO_BEGIN), silence };
-    match shared.stores.send(&order.stream.store.target, request, timings).await {
-        Err(attempt) => not_answered(shared, order, attempt),
+/// Runs a generation and appends its events to the text. Dropping the future closes the connection.
+pub(super) async fn run(
+    context: &GenerationContext<'_>,
+    generation: &GenerationRequest,
+) -> GenerationOutcome {
+    let last_id = generation.stream.text.borrow().last_id();
+    let Some(request) = http_request(generation, last_id) else { return GenerationOutcome::Rejected };
+    let idle_timeout = IDLE_TIMEOUT.max(generation.average_interval * IDLE_TIMEOUT_INTERVALS);
+    let timings = Timings {
+        connect: CONNECT_TIMEOUT,
+        head: idle_timeout.mul_f64(HEAD_TIMEOUT_FACTOR),
+        silence: idle_timeout,
+    };
+    match context.client.send(&generation.stream.store.target, request, timings).await {
+        Err(attempt) => on_no_response(context, generation, attempt),
         Ok(answer) if answer.status.is_success() => {
-            let id = &order.stream.store.target.id;
-            shared.health.answered(id);
-            shared.rollout.loading.borrow_mut().accepted(id, &order.job.model);
-            let began = shared.now();
-            let ended = read(order, answer).await;
-            let events = order.stream.events.get();
-            learn(shared, &order.stream.store.target.id, ended, events, began);
+            let id = &generation.stream.store.target.id;
+            context.health.answered(id);
+            context.observations.weight_loading.borrow_mut().on_accepted(id, &generation.job.model);
+            let began = context.clock.now();
+            let ended = read_stream(generation, answer).await;
+            let events = generation.stream.events.get();
+            record_stream(context, id, ended, events, began);
             ended
         }
         Ok(answer) => match answer.status {
-            StatusCode::INTERNAL_SERVER_ERROR => Ended::Failed,
-            StatusCode::UNPROCESSABLE_ENTITY => Ended::Impossible,
-            _ => Ended::Other,
+            StatusCode::INTERNAL_SERVER_ERROR => GenerationOutcome::Failed,
+            StatusCode::UNPROCESSABLE_ENTITY => GenerationOutcome::Rejected,
+            _ => GenerationOutcome::Other,
         },
     }
 }
 
-/// The request of an item; none if it can't be put into HTTP, so that no store can ever take it.
-fn request(order: &Order, last_id: Option<u64>) -> Option<Request<Full<Bytes>>> {
-    let item = order.job.items.get(order.item as usize)?;
+/// The HTTP request of an item; `None` if its path or headers are not valid HTTP, so that no store can ever accept it.
+fn http_request(generation: &GenerationRequest, last_id: Option<u64>) -> Option<Request<Full<Bytes>>> {
+    let item = generation.job.items.get(generation.item as usize)?;
     let mut request = Request::builder().method(Method::POST).uri(&item.path);
     let headers = request.headers_mut()?;
     for (name, value) in &item.headers {
         headers.append(HeaderName::try_from(name).ok()?, HeaderValue::try_from(value).ok()?);
     }
     headers::strip_hop_by_hop(headers);
-    for name in &OWN_HEADERS {
+    for name in &RESERVED_HEADERS {
         headers.remove(name);
     }
-    headers.insert(header::HOST, HeaderValue::try_from(&order.job.host).ok()?);
+    headers.insert(header::HOST, HeaderValue::try_from(&generation.job.host).ok()?);
     headers.insert(headers::ATTEMPT_ID, HeaderValue::try_from(&item.id).ok()?);
-    if let Some(retained) = order.retained.filter(|_| !headers.contains_key(headers::DEADLINE_MS)) {
-        let left_ms = u64::try_from(retained.as_millis()).unwrap_or(u64::MAX);
+    if let Some(retention_left) =
+        generation.retention_left.filter(|_| !headers.contains_key(headers::DEADLINE_MS))
+    {
+        let left_ms = u64::try_from(retention_left.as_millis()).unwrap_or(u64::MAX);
         headers.insert(headers::DEADLINE_MS, left_ms.into());
     }
-    headers.insert(PRIORITY, u64::from(order.priority).into());
-    if let Some(version) = order.only_version {
+    headers.insert(PRIORITY, u64::from(generation.priority).into());
+    if let Some(version) = generation.required_version {
         headers.insert(EXPECT_VERSION, version.into());
     }
     if let Some(last) = last_id {
@@ -127,112 +156,131 @@
     request.body(Full::new(Bytes::copy_from_slice(&item.body))).ok()
 }
 
-fn not_answered(shared: &Shared, order: &Order, attempt: Attempt) -> Ended {
+fn on_no_response(
+    context: &GenerationContext<'_>,
+    generation: &GenerationRequest,
+    attempt: Attempt,
+) -> GenerationOutcome {
     match attempt.cause {
-        Cause::Refused(refusal) => note_refusal(shared, order, refusal),
-        Cause::Busy => note_full(shared, order),
+        Cause::Refused(refusal) => on_rejected(context, generation, refusal),
+        Cause::Busy => on_capacity_exceeded(context, generation),
         Cause::Left => {}
         Cause::Connect | Cause::Broken | Cause::Garbled | Cause::Silent => {
-            shared.health.failed(&order.stream.store.target.id, shared.now());
+            context.health.failed(&generation.stream.store.target.id, context.clock.now());
         }
     }
     match attempt.verdict {
-        Verdict::NeverRan => Ended::NeverRan,
-        Verdict::MayHaveRun | Verdict::Ran => Ended::Cut,
+        Verdict::NeverRan => GenerationOutcome::NeverRan,
+        Verdict::MayHaveRun | Verdict::Ran => GenerationOutcome::Interrupted,
     }
 }
 
-fn note_refusal(shared: &Shared, order: &Order, refusal: Refusal) {
+fn on_rejected(context: &GenerationContext<'_>, generation: &GenerationRequest, refusal: Refusal) {
     if refusal.status != StatusCode::MISDIRECTED_REQUEST {
-        let has_room = refusal.load.is_some_and(|load| load.running < load.slots);
+        let has_capacity = refusal.load.is_some_and(|load| load.running < load.slots);
         if let Some(load) = refusal.load {
-            order.stream.store.note_load(load, shared.now());
+            generation.stream.store.note_load(load, context.clock.now());
         }
-        if has_room {
-            note_loading(shared, order);
+        if has_capacity {
+            on_weights_loading(context, generation);
         } else {
-            note_full(shared, order);
+            on_capacity_exceeded(context, generation);
         }
-    } else if order.only_version.is_none() {
-        // The address is another store's now. With a version expected, it may only have another version.
-        shared.health.failed(&order.stream.store.target.id, shared.now());
+    } else if generation.required_version.is_none() {
+        // The address belongs to another store now. If a version was required, the store may just serve another one.
+        context.health.failed(&generation.stream.store.target.id, context.clock.now());
     }
 }
 
-/// The store has room, but not for this model now.
-fn note_loading(shared: &Shared, order: &Order) {
-    let (id, model) = (&order.stream.store.target.id, &order.job.model);
-    shared.rollout.loading.borrow_mut().refused(id, model, shared.now());
+/// The store has capacity, but not for this model now.
+fn on_weights_loading(context: &GenerationContext<'_>, generation: &GenerationRequest) {
+    let (id, model) = (&generation.stream.store.target.id, &generation.job.model);
+    context.observations.weight_loading.borrow_mut().on_rejected(id, model, context.clock.now());
 }
 
-/// The store has no room beyond what this edge has out there already.
-fn note_full(shared: &Shared, order: &Order) {
-    let others = order.stream.store.out.get().saturating_sub(1);
+/// The store has no capacity beyond what this edge has in flight there already.
+fn on_capacity_exceeded(context: &GenerationContext<'_>, generation: &GenerationRequest) {
+    let others = generation.stream.store.out.get().saturating_sub(1);
     let others = u32::try_from(others).unwrap_or(u32::MAX);
-    shared.rollout.rooms.borrow_mut().refused(&order.stream.store.target.id, others, shared.now());
+    context.observations.capacities.borrow_mut().on_rejected(
+        &generation.stream.store.target.id,
+        others,
+        context.clock.now(),
+    );
 }
 
-/// Remembers what a stream told of its store.
-fn learn(shared: &Shared, id: &str, ended: Ended, events: u64, began: Duration) {
-    let now = shared.now();
+/// Records what a stream revealed about its store.
+fn record_stream(
+    context: &GenerationContext<'_>,
+    id: &str,
+    ended: GenerationOutcome,
+    events: u64,
+    began: Duration,
+) {
+    let now = context.clock.now();
     match ended {
-        Ended::Whole => {
-            shared.rollout.rooms.borrow_mut().succeeded(id);
-            shared.rollout.paces.borrow_mut().seen(id, events, now.saturating_sub(began), now);
+        GenerationOutcome::Completed => {
+            context.observations.capacities.borrow_mut().on_completed(id);
+            context.observations.progress_rates.borrow_mut().record_generation(
+                id,
+                events,
+                now.saturating_sub(began),
+                now,
+            );
         }
-        Ended::Cut => shared.health.failed(id, now),
+        GenerationOutcome::Interrupted => context.health.failed(id, now),
         _ => {}
     }
 }
 
-/// Reads the events of an answer until its end.
-async fn read(order: &Order, answer: StoreAnswer) -> Ended {
+/// Reads the events of a response until its end.
+async fn read_stream(generation: &GenerationRequest, answer: StoreAnswer) -> GenerationOutcome {
     let mut version = version_of(&answer.headers);
-    let of_a_model = !order.job.model.is_empty();
-    // A store that has nothing to add to a text made no event, so it names no version.
-    if version.is_none() && of_a_model && order.stream.text.borrow().is_empty() {
-        return Ended::Other;
+    let has_model = !generation.job.model.is_empty();
+    // A store that has nothing to append to a text generates no event, so it names no version.
+    if version.is_none() && has_model && generation.stream.text.borrow().is_empty() {
+        return GenerationOutcome::Other;
     }
-    if !fits(order, &order.stream.text.borrow(), version) {
-        return Ended::WrongVersion;
+    if !is_version_allowed(generation, &generation.stream.text.borrow(), version) {
+        return GenerationOutcome::WrongVersion;
     }
     let mut reader = EventReader::default();
     let mut body = answer.body;
-    let mut moved = pin!(order.stream.moved.notified());
+    let mut migration = pin!(generation.stream.migration.notified());
     loop {
         let piece = tokio::select! {
             biased;
             piece = body.next() => piece,
-            () = &mut moved => return Ended::Moved,
+            () = &mut migration => return GenerationOutcome::Migrated,
         };
         let piece = match piece {
             None => break,
-            Some(Err(_)) => return Ended::Cut,
+            Some(Err(_)) => return GenerationOutcome::Interrupted,
             Some(Ok(piece)) => piece,
         };
-        let taken = reader.feed(&piece, |event: Event<'_>| {
+        let read = reader.feed(&piece, |event: Event<'_>| {
             version = event.version.or(version);
-            let mut text = order.stream.text.borrow_mut();
-            if !fits(order, &text, version) || (version.is_none() && of_a_model) {
-                return Err(Stop::WrongVersion);
+            let mut text = generation.stream.text.borrow_mut();
+            if !is_version_allowed(generation, &text, version) || (version.is_none() && has_model) {
+                return Err(ReadError::WrongVersion);
             }
-            match text.add(event, version) {
-                Added::Appended => order.stream.events.set(order.stream.events.get() + 1),
-                Added::Known => {}
-                Added::Gap => return Err(Stop::Gap),
+            match text.append(event, version) {
+                EventAddition::Appended => generation.stream.events.set(generation.stream.events.get() + 1),
+                EventAddition::Duplicate => {}
+                EventAddition::Gap => return Err(ReadError::Gap),
             }
             Ok(())
         });
-        match taken {
+        match read {
             Ok(()) => {}
-            Err(Stop::Gap) => return Ended::Cut,
-            Err(Stop::WrongVersion) => return Ended::WrongVersion,
+            Err(ReadError::Gap) => return GenerationOutcome::Interrupted,
+            Err(ReadError::WrongVersion) => return GenerationOutcome::WrongVersion,
         }
     }
-    if reader.between_events() {
-        Ended::Whole
+    if reader.is_between_events() {
+        GenerationOutcome::Completed
     } else {
-        Ended::Cut
+        GenerationOutcome::Interrupted
     }
 }
 
@@ -240,9 +288,9 @@
     headers::text(headers, &WEIGHT_VERSIONS)?.trim().parse().ok()
 }
 
-/// Whether the text may go on with an event of that version.
-fn fits(order: &Order, text: &Text, version: Option<u64>) -> bool {
+/// Whether the text may continue with an event of that version.
+fn is_version_allowed(generation: &GenerationRequest, text: &GeneratedText, version: Option<u64>) -> bool {
     let Some(version) = version else { return true };
     let same = text.versions().iter().all(|&known| known == version);
-    version >= order.job.min_version && (same || !order.single_version)
+    version >= generation.job.min_version && (same || !generation.single_version)
 }
--- a/system/data/src/rollout/mod.rs
+++ b/system/data/src/rollout/mod.rs
@@ -1,84 +1,81 @@
-//! The driver of batch jobs: the edge that takes a trainer's batch job runs its generations and hands in the results, for as long as
-//! the partition that keeps the job lets it.
+//! The driver of batch jobs: the edge that accepted a trainer's batch job runs its generations and appends their results, for as long
+//! as it holds the driver lease that the job's partition granted.
 //!
-//! [`plan`] decides and does no I/O; [`driver`](self) carries its decisions out. [`front`] answers the trainers. What is known
-//! only here (counts, speeds, texts so far) is lost with the process; batch jobs and results are kept by the backends.
+//! [`plan`] decides and does no I/O. `running_jobs` owns the batch jobs that run here; `driver` is the loop that asks the plans and starts
+//! tasks, and only it ties the parts together: `generation`, `scoring`, `results` and `checkpoint` each do one kind of call and return
+//! its outcome. `driver_lease` renews the leases. [`trainer_api`] answers the trainers.
+//!
+//! What is known only here (counts, speeds, partial texts) is lost with the process; batch jobs, results and checkpoints are kept by the
+//! backends.
 
 mod backend_client;
-mod drive;
+mod checkpoint;
 mod driver;
-pub mod events;
-pub mod front;
+mod driver_lease;
+pub mod event_stream;
 mod generation;
-mod hold;
+mod job_age;
+mod job_execution;
 mod job_route;
-mod kept;
+mod partial_texts;
 pub mod plan;
 mod results;
-mod reward;
-mod saving;
-mod stores;
+mod running_jobs;
+mod scoring;
+mod store_observations;
+mod store_views;
+mod streams;
 mod submission;
 mod timeline;
-mod watch;
+pub mod trainer_api;
 
-use std::cell::RefCell;
-use std::collections::VecDeque;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 
 use gingerledge_wire::{DriverLeaseState, JobsMessage};
-use tokio::sync::Notify;
 
-pub use backend_client::{Asked, BackendClient, Member};
-use drive::{Drives, Outcome};
-use kept::KeptTexts;
-use plan::{LoadingStores, Paces, Rooms};
-use stores::StoreViews;
+pub use backend_client::{BackendClient, ChainMember, RequestOutcome};
+use running_jobs::RunningJobs;
+use store_observations::StoreObservations;
 
 use crate::Shared;
 
-/// What the driver keeps, inside [`Shared`].
+/// The state of the driver and of the trainer's API, inside [`Shared`].
 #[derive(Default)]
-pub struct State {
-    /// Questions to backends.
+pub struct RolloutState {
+    /// Requests to backends.
     pub(crate) backends: BackendClient,
-    drives: RefCell<Drives>,
-    /// What ended since the driver looked.
-    outcomes: RefCell<VecDeque<Outcome>>,
-    /// There is something for the driver to look at.
-    wake: Notify,
-    /// A batch job is to be renewed at once.
-    renew: Notify,
-    rooms: RefCell<Rooms>,
-    loading: RefCell<LoadingStores>,
-    paces: RefCell<Paces>,
-    kept: RefCell<KeptTexts>,
-    views: RefCell<StoreViews>,
+    /// The batch jobs that this edge drives.
+    jobs: RunningJobs,
+    /// What generations revealed about the stores.
+    stores: StoreObservations,
 }
 
-/// Called once, on the `LocalSet`, when the edge starts.
+/// Starts the driver and the lease renewal. Called once, on the `LocalSet`, when the edge starts.
 pub fn start(shared: &Rc<Shared>) {
     tokio::task::spawn_local(driver::run(Rc::clone(shared)));
-    tokio::task::spawn_local(hold::run(Rc::clone(shared)));
+    tokio::task::spawn_local(driver_lease::run(Rc::clone(shared)));
 }
 
-/// Called for each message of the batch jobs' plane.
+/// Handles a message of the batch jobs' plane.
 pub fn on_message(shared: &Rc<Shared>, _from: SocketAddr, message: JobsMessage) {
     match message {
-        JobsMessage::Response { request, body } => shared.rollout.backends.answered(request, body),
+        JobsMessage::Response { request, body } => shared.rollout.backends.on_response(request, body),
         JobsMessage::AssignDriver { job, term, items_with_results, texts, age_ms } => {
             let age = Duration::from_millis(age_ms);
-            let assignment = driver::Assignment { job, term, listed: items_with_results, saved: texts, age };
-            driver::begin(shared, assignment, shared.now());
+            let assignment =
+                driver::Assignment { job, term, finished_items: items_with_results, checkpoints: texts, age };
+            driver::start_job(shared, assignment, shared.now());
+        }
+        JobsMessage::StopDriver { job, term } => {
+            shared.rollout.jobs.stop(&job, term, DriverLeaseState::Fenced, shared.now());
         }
-        JobsMessage::StopDriver { job, term } => driver::stop(shared, &job, term, DriverLeaseState::Fenced),
-        JobsMessage::Request { .. } => log::warn!("an edge was asked what only backends know"),
+        JobsMessage::Request { .. } => log::warn!("request for a backend received by an edge"),
     }
 }
 
 /// Called when messages to a peer may have been lost.
 pub fn on_lost(shared: &Rc<Shared>, _peer: SocketAddr) {
-    shared.rollout.backends.lost();
+    shared.rollout.backends.on_messages_lost();
 }
--- a/system/data/src/rollout/plan/item.rs
+++ b/system/data/src/rollout/plan/item.rs
@@ -1,75 +1,75 @@
-//! One item of a batch job: where it stands, and what each outcome does to it.
+//! The state machine of one item of a batch job: waiting, generating, scoring, finished.
 
 use std::time::Duration;
 
-use super::{Rules, Text};
+use super::{GeneratedText, Rules};
 
-/// The shortest and the longest pause after a store that had no room.
-const REFUSED_PAUSE_MS: std::ops::RangeInclusive<u64> = 20..=100;
-/// The pauses after other failures double up to this many times.
-const MAX_DOUBLINGS: u32 = 4;
+/// The backoff after a store without capacity, in milliseconds; drawn from this range.
+const BACKOFF_MS: std::ops::RangeInclusive<u64> = 20..=100;
+/// The backoff after other failures doubles up to this many times.
+const MAX_BACKOFF_DOUBLINGS: u32 = 4;
 
 /// How a generation ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ended {
+pub enum GenerationOutcome {
     /// The stream came to its proper end.
-    Whole,
-    /// It never ran: no connection, no room, or another instance or version there.
+    Completed,
+    /// It never ran: no connection, no capacity, or another instance or version at the address.
     NeverRan,
     /// The store's own 500.
     Failed,
-    /// The store's own 422: it can never be done.
-    Impossible,
-    /// The stream broke off, fell silent, or an event was missing.
-    Cut,
-    /// It was taken from a slow store, to go on elsewhere.
-    Moved,
-    /// The weights there, or from some event on, are not of a version that fits.
+    /// The store's own 422, or no valid request can be built: no attempt can ever succeed.
+    Rejected,
+    /// The stream was interrupted or timed out, or an event was missing.
+    Interrupted,
+    /// It was cancelled at a slow store, to be resumed at another.
+    Migrated,
+    /// The weights there, or from some event on, are of a version that is not allowed.
     WrongVersion,
-    /// No store has the version of the text so far any more.
+    /// No store serves the version of the text so far any more.
     VersionLost,
-    /// Another answer that says nothing about the item.
+    /// Another response that says nothing about the item.
     Other,
 }
 
-/// How a reward call ended.
+/// How a scoring call ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum RewardEnded {
-    /// A success with this stamp.
+pub enum ScoringOutcome {
+    /// A success with this signature.
     Scored(String),
-    /// Stores' own 500s.
+    /// Responses 500 of the stores themselves.
     Failed {
         /// How many.
         times: u32,
-        /// So many of them may end the item, by the reward route.
+        /// That many of them abandon the item, by the scoring call's route.
         max_attempts: u32,
     },
     /// Anything else.
     Other,
 }
 
-/// After so many outcomes in a row that brought nothing, it is the text so far that may be at fault: no store goes on with it.
-const FRUITLESS_ENOUGH: u32 = 5;
+/// After so many outcomes in a row without a new event, the text so far may be what no store can continue: it is discarded.
+const MAX_OUTCOMES_WITHOUT_PROGRESS: u32 = 5;
 
-/// Where an item stands.
+/// The state of an item.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum State {
-    /// It waits for a store, from then on.
-    Unplaced { from: Duration },
-    /// It is at a store.
-    Out,
-    /// Its text is whole; the reward call is due from then on.
-    Whole { from: Duration },
-    /// The reward call is under way.
-    Rewarding,
+    /// It waits for a store.
+    Waiting { not_before: Duration },
+    /// It is in flight at a store.
+    Generating,
+    /// Its text is complete, and waits to be scored.
+    AwaitingScore { not_before: Duration },
+    /// The scoring call is in flight.
+    Scoring,
     /// It has its result.
-    Listed,
+    Finished,
 }
 
-/// What an outcome leads to.
+/// What an outcome leads to, inside the plan.
 pub(super) enum ItemStep {
     Wait,
-    Reward,
+    Score,
     Completed { score: String },
     Abandoned,
 }
@@ -78,162 +78,175 @@
 #[derive(Debug)]
 pub(super) struct Item {
     pub(super) state: State,
-    pub(super) text: Text,
-    /// Which beginning of its text this is: drawn anew with each.
+    pub(super) text: GeneratedText,
+    /// Identifies the start of its text: drawn anew whenever it is generated from scratch.
     pub(super) origin: u64,
-    /// 500s of stores to the generation.
+    /// Responses 500 to its generation.
     failures: u32,
-    /// 500s of stores to the reward call.
-    reward_failures: u32,
-    /// Outcomes in a row that brought nothing.
-    fruitless: u32,
-    /// It has been at a store.
-    begun: bool,
-    /// The last event that it had when it last went to a store.
-    had: Option<u64>,
+    /// Responses 500 to its scoring call.
+    scoring_failures: u32,
+    /// Outcomes in a row that brought no new event.
+    outcomes_without_progress: u32,
+    /// Whether it was ever sent to a store, or resumed from a checkpoint.
+    has_started: bool,
+    /// Id of its last event when it was last sent to a store.
+    last_id_at_start: Option<u64>,
 }
 
 impl Default for Item {
     fn default() -> Self {
         Self {
-            state: State::Unplaced { from: Duration::ZERO },
-            text: Text::default(),
+            state: State::Waiting { not_before: Duration::ZERO },
+            text: GeneratedText::default(),
             origin: 0,
             failures: 0,
-            reward_failures: 0,
-            fruitless: 0,
-            begun: false,
-            had: None,
+            scoring_failures: 0,
+            outcomes_without_progress: 0,
+            has_started: false,
+            last_id_at_start: None,
         }
     }
 }
 
 impl Item {
-    /// Whether it waits and was never at a store.
-    pub(super) fn is_fresh(&self) -> bool {
-        matches!(self.state, State::Unplaced { .. }) && !self.begun
+    /// Whether it waits and was never sent to a store.
+    pub(super) fn is_unstarted(&self) -> bool {
+        matches!(self.state, State::Waiting { .. }) && !self.has_started
     }
 
-    /// Whether it waits for a store now.
+    /// Whether it waits for a store and its backoff has ended.
     pub(super) fn is_ready(&self, now: Duration) -> bool {
-        matches!(self.state, State::Unplaced { from } if from <= now)
+        matches!(self.state, State::Waiting { not_before } if not_before <= now)
     }
 
-    /// It goes to a store; gives out the text so far, which its run carries on.
-    pub(super) fn placed(&mut self, random: &mut fastrand::Rng) -> Text {
-        self.state = State::Out;
+    /// It is sent to a store. Hands out the text so far, which the store continues.
+    pub(super) fn start_generation(&mut self, random: &mut fastrand::Rng) -> GeneratedText {
+        self.state = State::Generating;
         if self.text.is_empty() {
             self.origin = random.u64(..);
         }
-        self.begun = true;
-        self.had = self.text.last_id();
+        self.has_started = true;
+        self.last_id_at_start = self.text.last_id();
         std::mem::take(&mut self.text)
     }
 
-    /// Goes on from what another driver has saved.
-    pub(super) fn take_over(&mut self, now: Duration, text: Text, origin: u64, whole: bool) {
+    /// Resumes from the checkpoint of another driver.
+    pub(super) fn restore_checkpoint(
+        &mut self,
+        now: Duration,
+        text: GeneratedText,
+        origin: u64,
+        is_complete: bool,
+    ) {
         self.text = text;
         self.origin = origin;
-        self.begun = true;
-        if whole {
-            self.state = State::Whole { from: now };
+        self.has_started = true;
+        if is_complete {
+            self.state = State::AwaitingScore { not_before: now };
         }
     }
 
-    /// The text so far can't be used.
-    pub(super) fn start_over(&mut self) {
-        self.text = Text::default();
+    /// Discards the text so far, which can't be used.
+    pub(super) fn discard_text(&mut self) {
+        self.text = GeneratedText::default();
     }
 
     pub(super) fn generation_ended(
         &mut self,
         now: Duration,
-        ended: Ended,
+        outcome: GenerationOutcome,
         rules: Rules,
         random: &mut fastrand::Rng,
     ) -> ItemStep {
-        match ended {
-            Ended::Whole if !self.text.is_empty() => {
-                self.fruitless = 0;
-                self.state = State::Rewarding;
-                return ItemStep::Reward;
+        match outcome {
+            GenerationOutcome::Completed if !self.text.is_empty() => {
+                self.outcomes_without_progress = 0;
+                self.state = State::Scoring;
+                return ItemStep::Score;
             }
-            Ended::Impossible => return self.abandon(),
-            Ended::Failed => {
+            GenerationOutcome::Rejected => return self.abandon(),
+            GenerationOutcome::Failed => {
                 self.failures += 1;
                 if self.failures >= rules.max_attempts.max(1) {
                     return self.abandon();
                 }
-                self.wait(now);
+                self.wait_until(now);
+            }
+            GenerationOutcome::VersionLost => {
+                self.discard_text();
+                self.wait_until(now);
             }
-            Ended::VersionLost => {
-                self.start_over();
-                self.wait(now);
+            GenerationOutcome::Migrated => self.wait_until(now),
+            GenerationOutcome::Interrupted if self.text.last_id() > self.last_id_at_start => {
+                self.outcomes_without_progress = 0;
+                self.wait_until(now);
             }
-            Ended::Moved => self.wait(now),
-            Ended::Cut if self.text.last_id() > self.had => {
-                self.fruitless = 0;
-                self.wait(now);
+            GenerationOutcome::NeverRan => {
+                self.wait_until(now + Duration::from_millis(random.u64(BACKOFF_MS)))
             }
-            Ended::NeverRan => self.wait(now + Duration::from_millis(random.u64(REFUSED_PAUSE_MS))),
-            Ended::Cut | Ended::Other if self.fruitless >= FRUITLESS_ENOUGH => {
-                self.start_over();
+            GenerationOutcome::Interrupted | GenerationOutcome::Other
+                if self.outcomes_without_progress >= MAX_OUTCOMES_WITHOUT_PROGRESS =>
+            {
+                self.discard_text();
                 self.back_off(now, random);
             }
-            Ended::Cut | Ended::WrongVersion | Ended::Other | Ended::Whole => self.back_off(now, random),
+            GenerationOutcome::Interrupted
+            | GenerationOutcome::WrongVersion
+            | GenerationOutcome::Other
+            | GenerationOutcome::Completed => self.back_off(now, random),
         }
-        self.if_retained(now, rules)
+        self.wait_or_abandon(now, rules)
     }
 
-    pub(super) fn reward_ended(
+    pub(super) fn scoring_ended(
         &mut self,
         now: Duration,
-        ended: RewardEnded,
+        outcome: ScoringOutcome,
         rules: Rules,
         random: &mut fastrand::Rng,
     ) -> ItemStep {
-        match ended {
-            RewardEnded::Scored(score) => {
-                self.state = State::Listed;
+        match outcome {
+            ScoringOutcome::Scored(score) => {
+                self.state = State::Finished;
                 return ItemStep::Completed { score };
             }
-            RewardEnded::Failed { times, max_attempts } => {
-                self.reward_failures = self.reward_failures.saturating_add(times);
-                if self.reward_failures >= max_attempts.max(rules.max_attempts).max(1) {
+            ScoringOutcome::Failed { times, max_attempts } => {
+                self.scoring_failures = self.scoring_failures.saturating_add(times);
+                if self.scoring_failures >= max_attempts.max(rules.max_attempts).max(1) {
                     return self.abandon();
                 }
             }
-            RewardEnded::Other => {}
+            ScoringOutcome::Other => {}
         }
-        self.state = State::Whole { from: now + self.pause(random) };
-        self.if_retained(now, rules)
+        self.state = State::AwaitingScore { not_before: now + self.next_backoff(random) };
+        self.wait_or_abandon(now, rules)
     }
 
     fn abandon(&mut self) -> ItemStep {
-        self.state = State::Listed;
+        self.state = State::Finished;
         ItemStep::Abandoned
     }
 
-    fn if_retained(&mut self, now: Duration, rules: Rules) -> ItemStep {
-        if rules.retained_until.is_some_and(|until| now >= until) {
+    fn wait_or_abandon(&mut self, now: Duration, rules: Rules) -> ItemStep {
+        if rules.abandon_after.is_some_and(|deadline| now >= deadline) {
             return self.abandon();
         }
         ItemStep::Wait
     }
 
-    fn wait(&mut self, from: Duration) {
-        self.state = State::Unplaced { from };
+    fn wait_until(&mut self, not_before: Duration) {
+        self.state = State::Waiting { not_before };
     }
 
     fn back_off(&mut self, now: Duration, random: &mut fastrand::Rng) {
-        let pause = self.pause(random);
-        self.wait(now + pause);
+        let backoff = self.next_backoff(random);
+        self.wait_until(now + backoff);
     }
 
-    /// Grows with each outcome in a row that brought nothing.
-    fn pause(&mut self, random: &mut fastrand::Rng) -> Duration {
-        let pause = random.u64(REFUSED_PAUSE_MS) << self.fruitless.min(MAX_DOUBLINGS);
-        self.fruitless = self.fruitless.saturating_add(1);
-        Duration::from_millis(pause)
+    /// Grows with each outcome in a row that brought no new event.
+    fn next_backoff(&mut self, random: &mut fastrand::Rng) -> Duration {
+        let backoff_ms = random.u64(BACKOFF_MS) << self.outcomes_without_progress.min(MAX_BACKOFF_DOUBLINGS);
+        self.outcomes_without_progress = self.outcomes_without_progress.saturating_add(1);
+        Duration::from_millis(backoff_ms)
     }
 }
--- a/system/data/src/rollout/plan/mod.rs
+++ b/system/data/src/rollout/plan/mod.rs
@@ -1,59 +1,62 @@
-//! The plan of one batch job: which of its generations go where, and what becomes of each. It does no I/O and reads no clock.
+//! The plan of one batch job: where each of its generations runs, and what follows from each outcome. It does no I/O, reads no clock
+//! and draws randomness from a seed.
 //!
-//! Groups begin in the trainer's order and are placed together, each generation at the store with the fewest of this edge's
-//! requests out ([`stoatlane::filling`]). An item has one position and is listed once: [`JobPlan`] gives each result out once,
-//! and `abandoned` only for a reason that permits it.
+//! Groups start in the trainer's order and are placed together, each generation at the store with the fewest requests of this edge in
+//! flight ([`stoatlane::filling`]).
+//!
+//! Invariant: an item gets exactly one result. [`JobPlan`] publishes each result once, and `abandoned` only after a rejection, as many
+//! failures as the route allows, the end of the retention time, or the removal of the route.
 
+mod capacity;
+mod checkpoint;
+mod generated_text;
 mod groups;
 mod item;
-mod loading;
-mod moves;
-mod pace;
 mod placement;
 mod priority;
-mod room;
-mod saving;
-mod text;
+mod progress_rate;
+mod stream_migration;
+mod weight_loading;
 
 use std::sync::Arc;
 use std::time::Duration;
 
 use gingerledge_wire::{JobRecord, PartialText, ResultRecord};
 
+pub use capacity::StoreCapacities;
+pub use checkpoint::{CheckpointedTexts, TextView};
+pub use generated_text::{EventAddition, GeneratedText, MAX_TEXT_BYTES};
 pub use groups::Groups;
-pub use item::{Ended, RewardEnded};
+pub use item::{GenerationOutcome, ScoringOutcome};
 use item::{Item, State};
-pub use loading::LoadingStores;
-pub use moves::{slow_streams, window, StreamView};
-pub use pace::Paces;
 pub use placement::{Placement, StoreView};
 pub use priority::{priority, StepProgress};
-pub use room::Rooms;
-pub use saving::{SavedTexts, TextView};
-pub use text::{Added, Text, MAX_TEXT_BYTES};
+pub use progress_rate::ProgressRates;
+pub use stream_migration::{observation_window, streams_to_migrate, StreamView};
+pub use weight_loading::LoadingStores;
 
-/// What the route of a batch job says now, and what the edge can carry.
+/// What the route of a batch job prescribes now, and what this edge can carry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Rules {
     /// All events of one text must be made under one version.
     pub single_version: bool,
-    /// So many 500s of stores end an item.
+    /// An item is abandoned after so many responses 500.
     pub max_attempts: u32,
-    /// Items may be given up from then on, on the clock of the plan; none if never.
-    pub retained_until: Option<Duration>,
-    /// Groups that the trainer does not wait for begin only while this edge has no more requests out than this with them.
-    pub spare_streams: u32,
+    /// Items that wait are abandoned from then on, on the clock of the plan; `None` if never.
+    pub abandon_after: Option<Duration>,
+    /// Surplus groups start only while this edge has no more requests in flight than this, theirs included.
+    pub max_streams_for_surplus: u32,
 }
 
-/// What is to be done after an event.
+/// What the driver does after an outcome.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Step {
-    /// Nothing now; the plan places the item again in its time.
+pub enum NextStep {
+    /// Nothing now; the plan places the item again later.
     Wait,
-    /// The text is whole: make the reward call.
-    Reward,
-    /// The item has ended.
-    List(ResultRecord),
+    /// The text is complete: make the scoring call.
+    Score,
+    /// The item is finished: append its result to those of the batch job.
+    Publish(ResultRecord),
 }
 
 /// The plan of one batch job that this edge drives.
@@ -63,17 +66,17 @@
     items: Vec<Item>,
     groups: Groups,
     random: fastrand::Rng,
-    /// When an item was placed last, or the first look was taken; on the clock of the plan.
+    /// When an item was last placed, or [`Self::place`] first called; on the clock of the plan.
     last_placed: Option<Duration>,
 }
 
 impl JobPlan {
-    /// A plan for a batch job of which some items have results already.
-    pub fn new(job: Arc<JobRecord>, listed: &[u32], seed: u64) -> Self {
+    /// A plan for a batch job of which the items in `finished` have results already.
+    pub fn new(job: Arc<JobRecord>, finished: &[u32], seed: u64) -> Self {
         let mut items: Vec<Item> = job.items.iter().map(|_| Item::default()).collect();
-        for &index in listed {
+        for &index in finished {
             if let Some(item) = items.get_mut(index as usize) {
-                item.state = State::Listed;
+                item.state = State::Finished;
             }
         }
         let groups = Groups::new(&job);
@@ -85,7 +88,7 @@
         &self.job
     }
 
-    /// How many whole groups the trainer waits for.
+    /// How many complete groups the trainer waits for.
     pub fn desired_groups(&self) -> usize {
         self.groups.desired
     }
@@ -95,136 +98,146 @@
         let mut group_of = vec![0; self.items.len()];
         for (number, group) in self.groups.all.iter().enumerate() {
             for &index in &group.items {
-                if let Some(place) = group_of.get_mut(index as usize) {
-                    *place = number;
+                if let Some(group) = group_of.get_mut(index as usize) {
+                    *group = number;
                 }
             }
         }
         (group_of, self.groups.all.len())
     }
 
-    /// Takes over text that was kept of an item, if the item has not begun and the versions fit.
-    pub fn keep_text(&mut self, index: u32, text: Text, rules: Rules) {
+    /// Restores a partial text that this process holds of an item, if the item has not started and the versions are allowed.
+    pub fn restore_partial_text(&mut self, index: u32, text: GeneratedText, rules: Rules) {
         let min_version = self.job.min_version;
         if let Some(item) = self.items.get_mut(index as usize) {
-            if item.is_fresh() && text.fits(min_version, rules.single_version) {
+            if item.is_unstarted() && text.has_allowed_versions(min_version, rules.single_version) {
                 item.text = text;
             }
         }
     }
 
-    /// Takes over a text that another driver has saved, if the item has not begun and the versions fit; says whether it did.
-    pub fn take_over(&mut self, now: Duration, saved: PartialText, rules: Rules) -> bool {
-        let Some(item) = self.items.get_mut(saved.item as usize) else { return false };
-        let (origin, whole) = (saved.origin, saved.is_complete);
-        let text = Text::restored(saved);
-        if !item.is_fresh() || !text.fits(self.job.min_version, rules.single_version) {
+    /// Restores a text from the checkpoint of another driver, if the item has not started and the versions are allowed; returns whether
+    /// it did.
+    pub fn restore_checkpoint(&mut self, now: Duration, checkpoint: PartialText, rules: Rules) -> bool {
+        let Some(item) = self.items.get_mut(checkpoint.item as usize) else { return false };
+        let (origin, is_complete) = (checkpoint.origin, checkpoint.is_complete);
+        let text = GeneratedText::from_checkpoint(checkpoint);
+        if !item.is_unstarted() || !text.has_allowed_versions(self.job.min_version, rules.single_version) {
             return false;
         }
-        item.take_over(now, text, origin, whole);
+        item.restore_checkpoint(now, text, origin, is_complete);
         true
     }
 
-    /// The texts so far of items that are not at a store.
-    pub fn resting_texts(&self) -> impl Iterator<Item = TextView<'_>> {
-        let resting = self.items.iter().enumerate().filter(|(_, item)| item.state != State::Listed);
-        resting.map(|(index, item)| {
-            let whole = matches!(item.state, State::Whole { .. } | State::Rewarding);
-            TextView { item: index as u32, origin: item.origin, text: &item.text, whole }
+    /// The texts so far of unfinished items that are not in flight at a store.
+    pub fn texts_not_in_flight(&self) -> impl Iterator<Item = TextView<'_>> {
+        let unfinished = self.items.iter().enumerate().filter(|(_, item)| item.state != State::Finished);
+        unfinished.map(|(index, item)| {
+            let is_complete = matches!(item.state, State::AwaitingScore { .. } | State::Scoring);
+            TextView { item: index as u32, origin: item.origin, text: &item.text, is_complete }
         })
     }
 
-    /// Which beginning of its text an item is at.
+    /// Identifies the start of an item's text (see [`TextView::origin`]); 0 for an unknown item.
     pub fn origin(&self, index: u32) -> u64 {
         self.items.get(index as usize).map_or(0, |item| item.origin)
     }
 
-    /// Gives out the texts so far of the items that have no result, for whoever drives the batch job next.
-    pub fn take_texts(&mut self) -> Vec<(u32, Text)> {
-        let open = self.items.iter_mut().enumerate().filter(|(_, item)| item.state != State::Listed);
-        open.map(|(index, item)| (index as u32, std::mem::take(&mut item.text)))
+    /// Removes the texts so far of the unfinished items, for the next driver of the batch job in this process.
+    pub fn take_texts(&mut self) -> Vec<(u32, GeneratedText)> {
+        let unfinished = self.items.iter_mut().enumerate().filter(|(_, item)| item.state != State::Finished);
+        unfinished
+            .map(|(index, item)| (index as u32, std::mem::take(&mut item.text)))
             .filter(|(_, text)| !text.is_empty())
             .collect()
     }
 
     /// Whether all items have results.
     pub fn is_finished(&self) -> bool {
-        self.items.iter().all(|item| item.state == State::Listed)
+        self.items.iter().all(|item| item.state == State::Finished)
     }
 
-    /// A generation ended; `text` is what there is of it now.
+    /// A generation ended; `text` is the item's text with what it brought.
     pub fn generation_ended(
         &mut self,
         now: Duration,
         index: u32,
-        text: Text,
-        ended: Ended,
+        text: GeneratedText,
+        outcome: GenerationOutcome,
         rules: Rules,
-    ) -> Step {
-        let Some(item) = self.items.get_mut(index as usize) else { return Step::Wait };
-        if item.state != State::Out {
-            return Step::Wait;
+    ) -> NextStep {
+        let Some(item) = self.items.get_mut(index as usize) else { return NextStep::Wait };
+        if item.state != State::Generating {
+            return NextStep::Wait;
         }
         item.text = text;
-        if !item.text.fits(self.job.min_version, rules.single_version) {
-            item.start_over();
+        if !item.text.has_allowed_versions(self.job.min_version, rules.single_version) {
+            item.discard_text();
         }
-        let step = item.generation_ended(now, ended, rules, &mut self.random);
+        let step = item.generation_ended(now, outcome, rules, &mut self.random);
         self.with_result(index, step)
     }
 
-    /// A reward call ended.
-    pub fn reward_ended(&mut self, now: Duration, index: u32, ended: RewardEnded, rules: Rules) -> Step {
-        let Some(item) = self.items.get_mut(index as usize) else { return Step::Wait };
-        if item.state != State::Rewarding {
-            return Step::Wait;
+    /// A scoring call ended.
+    pub fn scoring_ended(
+        &mut self,
+        now: Duration,
+        index: u32,
+        outcome: ScoringOutcome,
+        rules: Rules,
+    ) -> NextStep {
+        let Some(item) = self.items.get_mut(index as usize) else { return NextStep::Wait };
+        if item.state != State::Scoring {
+            return NextStep::Wait;
         }
-        let step = item.reward_ended(now, ended, rules, &mut self.random);
+        let step = item.scoring_ended(now, outcome, rules, &mut self.random);
         self.with_result(index, step)
     }
 
-    /// Items whose reward call is due again; they count as being called from now on.
-    pub fn due_rewards(&mut self, now: Duration) -> Vec<u32> {
+    /// Items whose scoring call is to be made again now; they count as in flight from here on.
+    pub fn take_due_scorings(&mut self, now: Duration) -> Vec<u32> {
         let mut due = Vec::new();
         for (index, item) in self.items.iter_mut().enumerate() {
-            if matches!(item.state, State::Whole { from } if from <= now) {
-                item.state = State::Rewarding;
+            if matches!(item.state, State::AwaitingScore { not_before } if not_before <= now) {
+                item.state = State::Scoring;
                 due.push(index as u32);
             }
         }
         due
     }
 
-    /// The route is surely gone, or the time for which items are retained is over: ends all items that are not out.
-    pub fn abandon_open(&mut self) -> Vec<ResultRecord> {
+    /// The route is certainly removed, or the retention time is over: abandons all items that are not in flight.
+    pub fn abandon_idle_items(&mut self) -> Vec<ResultRecord> {
         let mut results = Vec::new();
         for (index, item) in self.items.iter_mut().enumerate() {
-            if matches!(item.state, State::Unplaced { .. } | State::Whole { .. }) {
-                item.state = State::Listed;
+            if matches!(item.state, State::Waiting { .. } | State::AwaitingScore { .. }) {
+                item.state = State::Finished;
                 results.push(abandoned(index as u32));
             }
         }
         results
     }
 
-    /// When something is due next without any event.
-    pub fn next_due(&self, now: Duration) -> Option<Duration> {
-        let dues = self.items.iter().filter_map(|item| match item.state {
-            State::Unplaced { from } | State::Whole { from } if from > now => Some(from),
+    /// When the next backoff ends: the latest time for the next call of [`Self::place`] or [`Self::take_due_scorings`].
+    pub fn next_timer(&self, now: Duration) -> Option<Duration> {
+        let backoffs = self.items.iter().filter_map(|item| match item.state {
+            State::Waiting { not_before } | State::AwaitingScore { not_before } if not_before > now => {
+                Some(not_before)
+            }
             _ => None,
         });
-        dues.min()
+        backoffs.min()
     }
 
-    fn with_result(&mut self, index: u32, step: item::ItemStep) -> Step {
+    fn with_result(&mut self, index: u32, step: item::ItemStep) -> NextStep {
         match step {
-            item::ItemStep::Wait => Step::Wait,
-            item::ItemStep::Reward => Step::Reward,
-            item::ItemStep::Abandoned => Step::List(abandoned(index)),
+            item::ItemStep::Wait => NextStep::Wait,
+            item::ItemStep::Score => NextStep::Score,
+            item::ItemStep::Abandoned => NextStep::Publish(abandoned(index)),
             item::ItemStep::Completed { score } => {
                 let text = self.items.get_mut(index as usize).map(|item| std::mem::take(&mut item.text));
                 let (text, versions) = text.unwrap_or_default().into_parts();
-                Step::List(ResultRecord { item: index, completed: true, text, versions, score })
+                NextStep::Publish(ResultRecord { item: index, completed: true, text, versions, score })
             }
         }
     }
--- a/system/data/src/rollout/plan/placement.rs
+++ b/system/data/src/rollout/plan/placement.rs
@@ -1,4 +1,4 @@
-//! Where the generations of a group go: batch-filling over the stores that are eligible.
+//! Places the generations of a group: batch-filling ([`stoatlane::filling`]) over the eligible stores.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -6,231 +6,258 @@
 use stoatlane::filling;
 
 use super::item::Item;
-use super::{JobPlan, Rules, Text};
+use super::{GeneratedText, JobPlan, Rules};
 
-/// A store of the route's service that takes requests, as it stands now.
+/// A store of the route's service that takes requests, as it stands when the plan is asked.
 #[derive(Clone, Debug)]
 pub struct StoreView {
-    /// Its instance id.
+    /// Instance id of the store.
     pub id: Rc<str>,
     /// The version of the model's weights there.
     pub version: u64,
-    /// Requests that this edge has out there, of all kinds.
-    pub out: u32,
-    /// The most requests of this edge that it may have.
+    /// Requests of all kinds that this edge has in flight there.
+    pub in_flight: u32,
+    /// The most requests that this edge may have in flight there.
     pub limit: u32,
-    /// Whether it failed lately and is taken only where there is no other.
-    pub avoided: bool,
+    /// Whether it failed recently; such a store is chosen only where there is no other.
+    pub is_suspect: bool,
     /// Whether it is in the edge's zone.
-    pub own_zone: bool,
-    /// How long its generations take, in percent of what is usual.
-    pub pace_percent: u32,
+    pub is_own_zone: bool,
+    /// The time between two events of its streams, in percent of the average over all stores.
+    pub interval_percent: u32,
 }
 
-/// A generation that goes to a store now.
+/// A generation to be started at a store.
 #[derive(Debug)]
 pub struct Placement {
     /// The index of the item.
     pub item: u32,
-    /// The place of the store among those given.
+    /// Position of the store among those given to [`JobPlan::place`].
     pub store: usize,
-    /// The text so far, which the run carries on.
-    pub text: Text,
-    /// The version that the store must have, where only one will do.
-    pub only_version: Option<u64>,
-    /// Whether its group is one beyond those that the trainer waits for.
-    pub spare: bool,
+    /// The text so far, which the store is asked to continue.
+    pub text: GeneratedText,
+    /// The version of the weights that the store must serve; `None` if any allowed version will do.
+    pub required_version: Option<u64>,
+    /// Whether its group is surplus: beyond the groups that the trainer waits for.
+    pub is_surplus: bool,
 }
 
-/// What is compared first: whether the store failed lately, then its requests out, counting the one to be placed.
-type Key = (bool, u32);
+/// Compared first: whether the store is suspect, then its weighted requests in flight with the one to be placed.
+type LoadKey = (bool, u32);
 
-/// A store whose generations take this much longer than usual, in percent, counts by how much longer; below, all count alike.
+/// From this interval on, in percent of the average, a store's requests weigh in proportion to it; below, all weigh alike.
 const SLOW_PERCENT: u32 = 175;
-const USUAL_PERCENT: u32 = 100;
+const AVERAGE_PERCENT: u32 = 100;
 
-/// Groups that the trainer does not wait for leave this part of the room free.
-const SPARE_SHARE: u32 = 2;
+/// Surplus groups leave one part in so many of the capacity free.
+const SURPLUS_RESERVE_DIVISOR: u32 = 2;
 
-/// Where nothing of a batch job has begun for so long, its further groups begin however many requests this edge has out, as long as the
-/// stores have room: no item may rest for seconds beside stores that are half empty.
-const LONGEST_REST: Duration = Duration::from_secs(3);
+/// Where nothing of a batch job was placed for so long, its surplus groups start however many requests this edge has in flight, as long
+/// as the stores have capacity: no item may wait for seconds beside stores that are half empty.
+const MAX_IDLE: Duration = Duration::from_secs(3);
 
-/// What one call of [`JobPlan::place`] works on.
-struct Turn<'a> {
+/// The working state of one call of [`JobPlan::place`].
+struct PlacementRound<'a> {
     plan: &'a mut JobPlan,
     stores: &'a mut [StoreView],
     placed: Vec<Placement>,
-    single: bool,
-    /// The most requests of this edge with which a group that the trainer does not wait for begins.
-    spare_streams: u32,
+    single_version: bool,
+    /// The most requests in flight from this edge with which a surplus group may start.
+    max_streams_for_surplus: u32,
+    /// Drawn for each call: breaks ties among equal stores.
     salt: u64,
 }
 
 impl JobPlan {
-    /// Places what can be placed now, and counts it at the stores. First the items of groups that have begun; then further groups,
-    /// in the trainer's order, each as a whole: one for which there is no room waits, and those behind it. Groups beyond those that
-    /// the trainer waits for begin only in room that is to spare: they stand in for groups with very long texts.
+    /// Places all items that can start now, and counts them as in flight in `stores`.
+    ///
+    /// Items of groups that have started go first. Further groups follow in the trainer's order, each as a whole: a group that
+    /// lacks capacity blocks those behind it. Surplus groups, which can replace groups with very long texts, start only in
+    /// capacity that nobody waits for.
     pub fn place(&mut self, now: Duration, stores: &mut [StoreView], rules: Rules) -> Vec<Placement> {
         if stores.is_empty() {
             return Vec::new();
         }
         let salt = self.random.u64(..);
         let last_placed = *self.last_placed.get_or_insert(now);
-        let rested = now.saturating_sub(last_placed) >= LONGEST_REST;
-        let spare_streams = if rested { u32::MAX } else { rules.spare_streams };
-        let single = rules.single_version;
-        let mut turn = Turn { plan: self, stores, placed: Vec::new(), single, spare_streams, salt };
-        let (fresh, begun): (Vec<usize>, Vec<usize>) =
-            (0..turn.plan.groups.all.len()).partition(|&group| turn.plan.is_fresh(group));
-        for &group in &begun {
-            let ready: Vec<u32> = turn.plan.ready(group, now).collect();
-            turn.fill(group, ready);
+        let was_idle = now.saturating_sub(last_placed) >= MAX_IDLE;
+        let max_streams_for_surplus = if was_idle { u32::MAX } else { rules.max_streams_for_surplus };
+        let single_version = rules.single_version;
+        let mut round = PlacementRound {
+            plan: self,
+            stores,
+            placed: Vec::new(),
+            single_version,
+            max_streams_for_surplus,
+            salt,
+        };
+        let (unstarted, started): (Vec<usize>, Vec<usize>) =
+            (0..round.plan.groups.all.len()).partition(|&group| round.plan.is_unstarted(group));
+        for &group in &started {
+            let ready: Vec<u32> = round.plan.ready_items(group, now).collect();
+            round.fill(group, ready);
         }
-        let more = turn.plan.groups.desired.saturating_sub(begun.len());
-        for (number, &group) in fresh.iter().enumerate() {
-            let ready: Vec<u32> = turn.plan.ready(group, now).collect();
-            let begins =
-                if number < more { turn.has_room(ready.len()) } else { turn.has_spare_room(ready.len()) };
-            if !begins {
+        let groups_waited_for = round.plan.groups.desired.saturating_sub(started.len());
+        for (number, &group) in unstarted.iter().enumerate() {
+            let ready: Vec<u32> = round.plan.ready_items(group, now).collect();
+            let may_start = if number < groups_waited_for {
+                round.has_capacity_for(ready.len())
+            } else {
+                round.has_surplus_capacity(ready.len())
+            };
+            if !may_start {
                 break;
             }
-            if let Some(group) = turn.plan.groups.all.get_mut(group).filter(|_| number >= more) {
-                group.spare = true;
+            if let Some(group) = round.plan.groups.all.get_mut(group).filter(|_| number >= groups_waited_for)
+            {
+                group.is_surplus = true;
             }
-            turn.fill(group, ready);
+            round.fill(group, ready);
         }
-        let placed = turn.placed;
+        let placed = round.placed;
         if !placed.is_empty() {
             self.last_placed = Some(now);
         }
         placed
     }
 
-    /// Whether a group beyond those that the trainer waits for has not begun.
-    pub fn has_spare_groups(&self) -> bool {
-        (0..self.groups.all.len()).any(|group| self.is_fresh(group))
+    /// Whether a surplus group has not started.
+    pub fn has_surplus_groups(&self) -> bool {
+        (0..self.groups.all.len()).any(|group| self.is_unstarted(group))
     }
 
-    /// Whether an item waits for a store now that may go to one: any of a group that has begun, or of one that may begin.
-    pub fn wants_places(&self, now: Duration) -> bool {
-        let mut begun = 0;
+    /// Whether an item could be placed now if a store had capacity: any of a group that has started, or of one the trainer waits for.
+    pub fn has_items_to_place(&self, now: Duration) -> bool {
+        let mut started_groups = 0;
         for group in 0..self.groups.all.len() {
-            if !self.is_fresh(group) {
-                begun += 1;
-                if self.ready(group, now).next().is_some() {
+            if !self.is_unstarted(group) {
+                started_groups += 1;
+                if self.ready_items(group, now).next().is_some() {
                     return true;
                 }
             }
         }
-        begun < self.groups.desired
+        started_groups < self.groups.desired
     }
 
-    /// Whether no item of the group has been at a store.
-    fn is_fresh(&self, group: usize) -> bool {
-        let fresh = |&index: &u32| self.items.get(index as usize).is_some_and(Item::is_fresh);
-        self.groups.all.get(group).is_some_and(|group| group.items.iter().all(fresh))
+    /// Whether no item of the group was ever sent to a store.
+    fn is_unstarted(&self, group: usize) -> bool {
+        let is_unstarted = |&index: &u32| self.items.get(index as usize).is_some_and(Item::is_unstarted);
+        self.groups.all.get(group).is_some_and(|group| group.items.iter().all(is_unstarted))
     }
 
-    /// The items of a group that wait for a store now.
-    fn ready(&self, group: usize, now: Duration) -> impl Iterator<Item = u32> + '_ {
+    /// The items of a group that wait for a store and whose backoff has ended.
+    fn ready_items(&self, group: usize, now: Duration) -> impl Iterator<Item = u32> + '_ {
         let ready = move |index: &u32| self.items.get(*index as usize).is_some_and(|item| item.is_ready(now));
         let items = self.groups.all.get(group).map_or(&[][..], |group| &group.items);
         items.iter().copied().filter(ready)
     }
 }
 
-impl Turn<'_> {
-    /// Whether a group that has not begun may: there is room for all of it, or as much as there ever is.
-    fn has_room(&self, items: usize) -> bool {
-        let (limits, room) = self.room();
-        let needed = u32::try_from(items).unwrap_or(u32::MAX).min((limits / 2).max(1));
-        room >= needed
+impl PlacementRound<'_> {
+    /// Whether a group may start: there is capacity for all its items, or for as many as half of all limits admit.
+    fn has_capacity_for(&self, items: usize) -> bool {
+        let (total_limit, free) = self.capacity();
+        let needed = u32::try_from(items).unwrap_or(u32::MAX).min((total_limit / 2).max(1));
+        free >= needed
     }
 
-    /// Whether there is room for a group that the trainer does not wait for, with plenty to spare for those that somebody does.
-    fn has_spare_room(&self, items: usize) -> bool {
-        let (limits, room) = self.room();
+    /// Whether a surplus group may start: part of the capacity stays free, and this edge has few enough requests in flight.
+    fn has_surplus_capacity(&self, items: usize) -> bool {
+        let (total_limit, free) = self.capacity();
         let needed = u32::try_from(items).unwrap_or(u32::MAX);
-        let out = self.stores.iter().map(|store| store.out).fold(needed, u32::saturating_add);
-        room >= (limits / SPARE_SHARE).saturating_add(needed) && out <= self.spare_streams
+        let in_flight = self.stores.iter().map(|store| store.in_flight).fold(needed, u32::saturating_add);
+        free >= (total_limit / SURPLUS_RESERVE_DIVISOR).saturating_add(needed)
+            && in_flight <= self.max_streams_for_surplus
     }
 
-    /// How many requests the stores that fit may have of this edge, and how many of those are free.
-    fn room(&self) -> (u32, u32) {
+    /// The sum of the limits of all stores with an allowed version, and how much of it is free.
+    fn capacity(&self) -> (u32, u32) {
         let fitting = self.stores.iter().filter(|store| store.version >= self.plan.job.min_version);
-        let limits = fitting.clone().map(|store| store.limit).fold(0, u32::saturating_add);
-        let room = fitting.map(|store| store.limit.saturating_sub(store.out)).fold(0, u32::saturating_add);
-        (limits, room)
+        let total_limit = fitting.clone().map(|store| store.limit).fold(0, u32::saturating_add);
+        let free =
+            fitting.map(|store| store.limit.saturating_sub(store.in_flight)).fold(0, u32::saturating_add);
+        (total_limit, free)
     }
 
     /// Places the items of one group together.
     fn fill(&mut self, group: usize, items: Vec<u32>) {
         for &index in &items {
-            self.start_over_if_lost(index);
+            self.discard_text_if_version_lost(index);
         }
-        let best = |turn: &Self, &index: &u32| turn.best(group, index);
-        filling::fill(self, items, best, |turn, index, store| turn.put(group, index, store));
+        let best_store = |round: &Self, &index: &u32| round.best_store(group, index);
+        filling::fill(self, items, best_store, |round, index, store| round.assign(group, index, store));
     }
 
-    /// The version that a store must have for an item: that of its text, where all of it must be of one.
-    fn only_version(&self, item: &Item) -> Option<u64> {
-        item.text.versions().last().copied().filter(|_| self.single)
+    /// The version that a store must serve for an item: that of its text so far, where a text must be of a single version.
+    fn required_version(&self, item: &Item) -> Option<u64> {
+        item.text.versions().last().copied().filter(|_| self.single_version)
     }
 
-    /// Text of a version that no store has any more can't be carried on.
-    fn start_over_if_lost(&mut self, index: u32) {
+    /// Text of a version that no store serves any more can't be continued.
+    fn discard_text_if_version_lost(&mut self, index: u32) {
         let Some(item) = self.plan.items.get(index as usize) else { return };
-        let Some(version) = self.only_version(item) else { return };
+        let Some(version) = self.required_version(item) else { return };
         if !self.stores.iter().any(|store| store.version == version) {
             if let Some(item) = self.plan.items.get_mut(index as usize) {
-                item.start_over();
+                item.discard_text();
             }
         }
     }
 
-    /// The best store for an item: not failing, the fewest requests out; ties go to one that has read the group's prompt, then to
-    /// the edge's zone, then by chance.
-    fn best(&self, group: usize, index: u32) -> Option<(Key, usize)> {
+    /// The best store for an item: not suspect, the least load; ties go to one with the group's prompt in its prefix cache, then to
+    /// the edge's own zone, then to a random one.
+    fn best_store(&self, group: usize, index: u32) -> Option<(LoadKey, usize)> {
         let item = self.plan.items.get(index as usize)?;
         let group = self.plan.groups.all.get(group)?;
-        let only = self.only_version(item);
-        let eligible = |store: &StoreView| match only {
+        let required_version = self.required_version(item);
+        let eligible = |store: &StoreView| match required_version {
             Some(version) => store.version == version,
             None => store.version >= self.plan.job.min_version,
         };
-        let fitting =
-            self.stores.iter().enumerate().filter(|(_, store)| eligible(store) && store.out < store.limit);
-        let best = fitting.min_by_key(|(place, store)| {
-            (key(store), !group.was_read_at(&store.id), !store.own_zone, turn_of(self.salt, *place), *place)
+        let fitting = self
+            .stores
+            .iter()
+            .enumerate()
+            .filter(|(_, store)| eligible(store) && store.in_flight < store.limit);
+        let best = fitting.min_by_key(|(position, store)| {
+            (
+                load_key(store),
+                !group.has_prefix_cached_at(&store.id),
+                !store.is_own_zone,
+                tie_breaker(self.salt, *position),
+                *position,
+            )
         });
-        best.map(|(place, store)| (key(store), place))
+        best.map(|(position, store)| (load_key(store), position))
     }
 
-    fn put(&mut self, group: usize, index: u32, place: usize) {
-        let only_version = self.plan.items.get(index as usize).and_then(|item| self.only_version(item));
-        let (Some(item), Some(store)) = (self.plan.items.get_mut(index as usize), self.stores.get_mut(place))
+    fn assign(&mut self, group: usize, index: u32, position: usize) {
+        let required_version =
+            self.plan.items.get(index as usize).and_then(|item| self.required_version(item));
+        let (Some(item), Some(store)) =
+            (self.plan.items.get_mut(index as usize), self.stores.get_mut(position))
         else {
             return;
         };
-        store.out += 1;
-        let mut spare = false;
+        store.in_flight += 1;
+        let mut is_surplus = false;
         if let Some(group) = self.plan.groups.all.get_mut(group) {
-            group.read_at(&store.id);
-            spare = group.spare;
+            group.on_prompt_sent(&store.id);
+            is_surplus = group.is_surplus;
         }
-        let text = item.placed(&mut self.plan.random);
-        self.placed.push(Placement { item: index, store: place, text, only_version, spare });
+        let text = item.start_generation(&mut self.plan.random);
+        self.placed.push(Placement { item: index, store: position, text, required_version, is_surplus });
     }
 }
 
-fn key(store: &StoreView) -> Key {
-    let scale = if store.pace_percent >= SLOW_PERCENT { store.pace_percent } else { USUAL_PERCENT };
-    (store.avoided, (store.out + 1).saturating_mul(scale) / USUAL_PERCENT)
+fn load_key(store: &StoreView) -> LoadKey {
+    let scale = if store.interval_percent >= SLOW_PERCENT { store.interval_percent } else { AVERAGE_PERCENT };
+    (store.is_suspect, (store.in_flight + 1).saturating_mul(scale) / AVERAGE_PERCENT)
 }
 
-/// A number that is another for each place, and for each salt.
-fn turn_of(salt: u64, place: usize) -> u64 {
+/// A pseudo-random number for each position and salt.
+fn tie_breaker(salt: u64, position: usize) -> u64 {
     const ODD: u64 = 0x9e37_79b9_7f4a_7c15;
-    (salt ^ place as u64).wrapping_mul(ODD).rotate_left(32).wrapping_mul(ODD)
+    (salt ^ position as u64).wrapping_mul(ODD).rotate_left(32).wrapping_mul(ODD)
 }
--- a/system/data/src/rollout/plan/priority.rs
+++ b/system/data/src/rollout/plan/priority.rs
@@ -1,50 +1,50 @@
-//! How urgent the generations of a batch job are among all requests at a store, which no edge sees all of: those with the least slack
-//! go first, so that a step with seconds to spare waits for one that has none.
+//! The priority that a generation carries to its store. No edge sees all requests at a store, so the store orders them: least slack
+//! first, so that a step with seconds to spare yields to one that has none.
 
 use std::time::Duration;
 
-/// Generations of groups that the trainer does not wait for: behind all others.
-const SPARE: u8 = 8;
-/// With so much slack or less, from the most urgent on.
-const BY_SLACK: [(Duration, u8); 4] = [
+/// Generations of surplus groups, which the trainer does not wait for: behind all others.
+const SURPLUS: u8 = 8;
+/// The largest slack of each priority, the most urgent first.
+const PRIORITY_BY_MAX_SLACK: [(Duration, u8); 4] = [
     (Duration::from_millis(1_000), 1),
     (Duration::from_millis(2_200), 2),
     (Duration::from_millis(3_500), 3),
     (Duration::from_millis(5_500), 4),
 ];
-/// With more slack. What has no priority has this one.
-const USUAL: u8 = 5;
-/// A step whose trainer keeps its pace takes about this part of the time within which it is due, in percent.
+/// Any larger slack. Stores treat a request without a priority the same.
+const DEFAULT_PRIORITY: u8 = 5;
+/// The expected duration of a step, in percent of its target completion time.
 const PLANNED_PERCENT: u32 = 60;
 
-/// How far a step is.
+/// How far a training step has come.
 #[derive(Clone, Copy, Debug)]
 pub struct StepProgress {
-    /// How much time is left until its results are due; none if that has passed.
+    /// The time left until its deadline; zero if that has passed.
     pub time_left: Duration,
-    /// The time that it had in all.
+    /// The time from submission to the deadline.
     pub target: Duration,
-    /// Groups that the trainer waits for whose texts are not whole.
+    /// Groups that the trainer waits for and whose texts are not complete.
     pub groups_left: usize,
     /// Groups that the trainer waits for.
     pub desired_groups: usize,
 }
 
 impl StepProgress {
-    /// The time left less what the rest of the step is expected to take.
+    /// The time left less the expected duration of the rest of the step.
     fn slack(self) -> Duration {
-        let part = self.groups_left as f64 / self.desired_groups.max(1) as f64;
-        let needed = (self.target * PLANNED_PERCENT / 100).mul_f64(part.min(1.0));
-        self.time_left.saturating_sub(needed)
+        let remaining_fraction = self.groups_left as f64 / self.desired_groups.max(1) as f64;
+        let expected = (self.target * PLANNED_PERCENT / 100).mul_f64(remaining_fraction.min(1.0));
+        self.time_left.saturating_sub(expected)
     }
 }
 
 /// The priority of a generation of a step.
-pub fn priority(progress: StepProgress, spare: bool) -> u8 {
-    if spare {
-        return SPARE;
+pub fn priority(progress: StepProgress, is_surplus: bool) -> u8 {
+    if is_surplus {
+        return SURPLUS;
     }
     let slack = progress.slack();
-    let urgent = BY_SLACK.iter().find(|(least, _)| slack <= *least);
-    urgent.map_or(USUAL, |(_, priority)| *priority)
+    let bracket = PRIORITY_BY_MAX_SLACK.iter().find(|(max_slack, _)| slack <= *max_slack);
+    bracket.map_or(DEFAULT_PRIORITY, |(_, priority)| *priority)
 }
--- /dev/null
+++ b/system/data/src/rollout/scoring.rs
@@ -0,0 +1,40 @@
+//! Scoring calls: each scores the complete text of one item, by the route of the call's own host and path.
+
+use std::rc::Rc;
+use std::time::Duration;
+
+use bytes::Bytes;
+use gingerledge_wire::ScoringRecord;
+use hyper::http::StatusCode;
+
+use super::plan::ScoringOutcome;
+use crate::forward::{self, Call};
+use crate::Shared;
+
+/// The time-out of a call whose route sets none.
+const DEFAULT_TIMEOUT: Duration = Duration::from_secs(2);
+
+/// Makes a scoring call.
+pub(super) async fn score(shared: &Rc<Shared>, scoring: &ScoringRecord) -> ScoringOutcome {
+    let configuration = shared.configuration();
+    let route = configuration.as_deref().and_then(|known| known.route(&scoring.host, &scoring.path));
+    let (timeout_ms, max_attempts) =
+        route.map_or((None, u32::MAX), |route| (route.timeout_ms, route.max_attempts));
+    let timeout = timeout_ms.and_then(|timeout| Duration::try_from_secs_f64(timeout / 1_000.0).ok());
+    let call = Call {
+        host: scoring.host.clone(),
+        path: scoring.path.clone(),
+        id: scoring.id.clone(),
+        body: Bytes::copy_from_slice(&scoring.body),
+        deadline: shared.now() + timeout.unwrap_or(DEFAULT_TIMEOUT),
+    };
+    match forward::call(shared, call).await {
+        Ok(answer) if answer.status.is_success() && !answer.signature.is_empty() => {
+            ScoringOutcome::Scored(answer.signature)
+        }
+        Ok(answer) if answer.status == StatusCode::INTERNAL_SERVER_ERROR => {
+            ScoringOutcome::Failed { times: answer.server_errors.max(1), max_attempts }
+        }
+        Ok(_) | Err(_) => ScoringOutcome::Other,
+    }
+}
--- a/system/data/src/rollout/front.rs
+++ b/system/data/src/rollout/trainer_api.rs
@@ -1,7 +1,7 @@
-//! Answers the calls of trainers: batch jobs are handed in, read, and ended; bodies of items are read.
+//! The HTTP API of trainers: batch jobs are submitted, their results read, and ended; bodies of items are read.
 //!
-//! A 202 follows the word of the backends that they keep the batch job. A 503 to a batch job says that none of it runs, so it is
-//! given only where no backend can have taken it; where that is not known, the connection is closed.
+//! A 202 is sent after the backends acknowledged that the batch job is durable. A 503 to a submission promises that none of it runs, so
+//! it is sent only where no backend can have accepted it; where that is in doubt, the connection is closed.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -9,59 +9,59 @@
 
 use bytes::Bytes;
 use gingerledge_protocol::{ItemState, ListedResult, ResultPage};
-use gingerledge_wire::{partition_of, JobsRequest, JobsResponse, ResultRecord};
+use gingerledge_wire::{partition_of, DriverLeaseState, DriverTerm, JobsRequest, JobsResponse, ResultRecord};
 use hyper::http::header::{CONTENT_TYPE, HOST, RETRY_AFTER};
 use hyper::http::{HeaderMap, HeaderValue, Method, Request, StatusCode};
 
-use super::backend_client::{member_address, Member};
+use super::backend_client::{member_address, ChainMember};
 use super::submission::{self, Arrival};
-use super::{driver, hold};
+use super::{driver, driver_lease};
 use crate::{CloseConnection, Reply, ReplyBody, Shared};
 
-/// How long a batch job is handed on for where its client sets no deadline.
-const CREATE_PATIENCE: Duration = Duration::from_secs(4);
-/// Of a client's deadline, the part after which it is answered at the latest.
-const DEADLINE_SHARE: f64 = 0.9;
-/// Clients wait 1.5 s longer than they allow a read to be held.
-const READ_PATIENCE: Duration = Duration::from_millis(1_200);
-/// How long the end of a batch job is asked for.
-const END_PATIENCE: Duration = Duration::from_secs(3);
-/// The longest time that a read is held.
-const LONGEST_WAIT: Duration = Duration::from_secs(2);
-/// The most bytes of texts in one page: JSON takes more, and a page may have 1 MB.
+/// The time-out of a submission whose client sets no deadline.
+const SUBMIT_TIMEOUT: Duration = Duration::from_secs(4);
+/// The part of a client's deadline after which it gets a response at the latest.
+const DEADLINE_FRACTION: f64 = 0.9;
+/// The time-out of a read beyond its long-polling time; clients allow 1.5 s.
+const READ_TIMEOUT: Duration = Duration::from_millis(1_200);
+/// The time-out of ending a batch job.
+const END_TIMEOUT: Duration = Duration::from_secs(3);
+/// The longest long-polling time of a read.
+const MAX_WAIT: Duration = Duration::from_secs(2);
+/// The most bytes of texts in one page: its JSON is longer, and bounded by [`MAX_PAGE_BYTES`].
 const PAGE_TEXT_BYTES: u64 = 800_000;
 /// The most bytes of one page.
 const MAX_PAGE_BYTES: usize = 1_000_000;
-/// When a trainer may ask again: a chain is replaced in that time.
+/// When a trainer may retry: a chain is reconfigured in that time.
 const RETRY_AFTER_S: &str = "0.5";
 
-/// Answers a call of a trainer: its request was read whole.
+/// Handles a trainer's request, whose body was read completely.
 pub async fn handle(shared: Rc<Shared>, request: Request<Bytes>) -> Result<Reply, CloseConnection> {
     let path = request.uri().path().to_owned();
     let query = request.uri().query().unwrap_or_default().to_owned();
     if let Some(job) = path.strip_prefix("/lots/") {
         return match *request.method() {
-            Method::GET => Ok(results(&shared, job, &query, request.headers()).await),
-            Method::DELETE => Ok(end(&shared, job).await),
+            Method::GET => Ok(read_results(&shared, job, &query, request.headers()).await),
+            Method::DELETE => Ok(end_job(&shared, job).await),
             _ => Ok(ReplyBody::status(StatusCode::METHOD_NOT_ALLOWED)),
         };
     }
     if let Some(job) = path.strip_prefix("/items/") {
-        return Ok(body(&shared, job, &query).await);
+        return Ok(read_item_body(&shared, job, &query).await);
     }
     submit(&shared, request).await
 }
 
 async fn submit(shared: &Rc<Shared>, request: Request<Bytes>) -> Result<Reply, CloseConnection> {
     let headers = request.headers();
-    let Some(id) = text(headers, "attempt-id").filter(|id| !id.is_empty()) else {
+    let Some(id) = header_text(headers, "attempt-id").filter(|id| !id.is_empty()) else {
         return Ok(ReplyBody::status(StatusCode::BAD_REQUEST));
     };
     let host =
         headers.get(HOST).and_then(|host| host.to_str().ok()).or(request.uri().host()).unwrap_or_default();
     let arrival = Arrival { id: id.to_owned(), host: host.to_owned(), path: request.uri().path().to_owned() };
-    let patience = number::<u32>(text(headers, "deadline-ms")).map_or(CREATE_PATIENCE, |deadline| {
-        CREATE_PATIENCE.min(Duration::from_millis(deadline.into()).mul_f64(DEADLINE_SHARE))
+    let timeout = parse::<u32>(header_text(headers, "deadline-ms")).map_or(SUBMIT_TIMEOUT, |deadline| {
+        SUBMIT_TIMEOUT.min(Duration::from_millis(deadline.into()).mul_f64(DEADLINE_FRACTION))
     });
     let job = match submission::read(arrival, request.body()) {
         Ok(job) => Arc::new(job),
@@ -71,51 +71,52 @@
         }
     };
     let partition = partition_of(&job.id);
-    if shared.registry(|registry| member_address(registry, partition, Member::Head)).is_none() {
-        return Ok(not_taken());
+    if shared.registry(|registry| member_address(registry, partition, ChainMember::Head)).is_none() {
+        return Ok(not_accepted());
     }
-    let asked_at = shared.now();
-    let question = JobsRequest::CreateJob { job: Arc::clone(&job) };
-    let asked = shared.rollout.backends.ask(shared, &job.id, Member::Head, question, patience).await;
-    match asked.answer {
+    let sent_at = shared.now();
+    let body = JobsRequest::CreateJob { job: Arc::clone(&job) };
+    let outcome = shared.rollout.backends.request(shared, &job.id, ChainMember::Head, body, timeout).await;
+    match outcome.response {
         Some(JobsResponse::Created { driver_term }) => {
-            hold::tell_model_use(shared, &job);
+            driver_lease::report_model_use(shared, &job);
             if let Some(term) = driver_term {
-                let held_until = asked_at + hold::hold_time(shared);
-                driver::begin(shared, driver::Assignment::of_new(job, term), held_until);
+                let lease_valid_until = sent_at + driver_lease::lease_duration(shared);
+                driver::start_job(shared, driver::Assignment::of_new(job, term), lease_valid_until);
             }
             Ok(ReplyBody::status(StatusCode::ACCEPTED))
         }
-        // It was taken before, and has ended since.
+        // It was accepted before, and has ended since.
         Some(JobsResponse::Ended) => Ok(ReplyBody::status(StatusCode::ACCEPTED)),
-        _ if asked.in_doubt => Err(CloseConnection),
-        Some(JobsResponse::CapacityExceeded) | None => Ok(not_taken()),
+        _ if outcome.is_in_doubt => Err(CloseConnection),
+        Some(JobsResponse::CapacityExceeded) | None => Ok(not_accepted()),
         Some(_) => Err(CloseConnection),
     }
 }
 
-async fn results(shared: &Rc<Shared>, job: &str, query: &str, headers: &HeaderMap) -> Reply {
-    let start_after = number(parameter(query, "startAfter")).unwrap_or(0);
-    let wait =
-        Duration::from_millis(number::<u32>(text(headers, "wait-ms")).unwrap_or(0).into()).min(LONGEST_WAIT);
-    let question = JobsRequest::ReadResults {
+async fn read_results(shared: &Rc<Shared>, job: &str, query: &str, headers: &HeaderMap) -> Reply {
+    let start_after = parse(query_parameter(query, "startAfter")).unwrap_or(0);
+    let wait = Duration::from_millis(parse::<u32>(header_text(headers, "wait-ms")).unwrap_or(0).into())
+        .min(MAX_WAIT);
+    let body = JobsRequest::ReadResults {
         job: job.to_owned(),
         start_after,
         wait_ms: u64::try_from(wait.as_millis()).unwrap_or(0),
         max_bytes: PAGE_TEXT_BYTES,
     };
-    let asked = shared.rollout.backends.ask(shared, job, Member::Tail, question, wait + READ_PATIENCE).await;
-    match asked.answer {
+    let outcome =
+        shared.rollout.backends.request(shared, job, ChainMember::Tail, body, wait + READ_TIMEOUT).await;
+    match outcome.response {
         Some(JobsResponse::Results { total, results, .. }) => page(total, start_after, results),
         Some(JobsResponse::NotFound) => ReplyBody::status(StatusCode::NOT_FOUND),
         _ => ReplyBody::status(StatusCode::SERVICE_UNAVAILABLE),
     }
 }
 
-/// A page as JSON. It ends before the result that would not fit any more, but has one at least if there is one.
+/// A page as JSON within [`MAX_PAGE_BYTES`], halved until it fits; a single result is never left out.
 fn page(total: u64, start_after: u64, results: Vec<(String, ResultRecord)>) -> Reply {
     let mut page = ResultPage { total, next_page_token: start_after, results: Vec::new() };
-    page.results.extend(results.into_iter().map(|(id, result)| listed(id, result)));
+    page.results.extend(results.into_iter().map(|(id, result)| listed_result(id, result)));
     loop {
         page.next_page_token = start_after + page.results.len() as u64;
         let Ok(json) = serde_json::to_vec(&page) else {
@@ -128,39 +129,39 @@
     }
 }
 
-fn listed(id: String, result: ResultRecord) -> ListedResult {
+fn listed_result(id: String, result: ResultRecord) -> ListedResult {
     let text = String::from_utf8(result.text)
         .unwrap_or_else(|error| String::from_utf8_lossy(error.as_bytes()).into_owned());
     let state = if result.completed { ItemState::Completed } else { ItemState::Abandoned };
     ListedResult { id, state, text, versions: result.versions, score: result.score }
 }
 
-async fn body(shared: &Rc<Shared>, job: &str, query: &str) -> Reply {
-    let Some(item) = parameter(query, "id") else { return ReplyBody::status(StatusCode::NOT_FOUND) };
-    let question = JobsRequest::ReadItemBody { job: job.to_owned(), item: item.to_owned() };
-    let asked = shared.rollout.backends.ask(shared, job, Member::Tail, question, READ_PATIENCE).await;
-    match asked.answer {
+async fn read_item_body(shared: &Rc<Shared>, job: &str, query: &str) -> Reply {
+    let Some(item) = query_parameter(query, "id") else { return ReplyBody::status(StatusCode::NOT_FOUND) };
+    let body = JobsRequest::ReadItemBody { job: job.to_owned(), item: item.to_owned() };
+    let outcome = shared.rollout.backends.request(shared, job, ChainMember::Tail, body, READ_TIMEOUT).await;
+    match outcome.response {
         Some(JobsResponse::ItemBody(bytes)) => with_body("application/octet-stream", bytes.into()),
         Some(JobsResponse::NotFound) => ReplyBody::status(StatusCode::NOT_FOUND),
         _ => ReplyBody::status(StatusCode::SERVICE_UNAVAILABLE),
     }
 }
 
-async fn end(shared: &Rc<Shared>, job: &str) -> Reply {
-    let question = JobsRequest::EndJob { job: job.to_owned() };
-    let asked = shared.rollout.backends.ask(shared, job, Member::Head, question, END_PATIENCE).await;
-    match asked.answer {
+async fn end_job(shared: &Rc<Shared>, job: &str) -> Reply {
+    let body = JobsRequest::EndJob { job: job.to_owned() };
+    let outcome = shared.rollout.backends.request(shared, job, ChainMember::Head, body, END_TIMEOUT).await;
+    match outcome.response {
         Some(JobsResponse::Ended) => {
-            driver::ended(shared, job);
+            shared.rollout.jobs.stop(job, DriverTerm::MAX, DriverLeaseState::Ended, shared.now());
             ReplyBody::status(StatusCode::OK)
         }
         Some(JobsResponse::NotFound) => ReplyBody::status(StatusCode::NOT_FOUND),
-        // It may have been taken, so this is no promise.
+        // It may have been executed, so the outcome is unknown.
         _ => ReplyBody::status(StatusCode::GATEWAY_TIMEOUT),
     }
 }
 
-fn not_taken() -> Reply {
+fn not_accepted() -> Reply {
     let mut reply = ReplyBody::status(StatusCode::SERVICE_UNAVAILABLE);
     reply.headers_mut().insert(RETRY_AFTER, HeaderValue::from_static(RETRY_AFTER_S));
     reply
@@ -172,15 +173,15 @@
     reply
 }
 
-fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
+fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name)?.to_str().ok().map(str::trim)
 }
 
-fn number<T: std::str::FromStr>(text: Option<&str>) -> Option<T> {
+fn parse<T: std::str::FromStr>(text: Option<&str>) -> Option<T> {
     text?.parse().ok()
 }
 
-fn parameter<'a>(query: &'a str, name: &str) -> Option<&'a str> {
+fn query_parameter<'a>(query: &'a str, name: &str) -> Option<&'a str> {
     query
         .split('&')
         .find_map(|pair| pair.split_once('=').filter(|(key, _)| *key == name).map(|(_, value)| value))
--- a/system/data/src/shared.rs
+++ b/system/data/src/shared.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::sync::Arc;
-use std::time::{Duration, Instant};
+use std::time::Duration;
 
 use gingerledge_protocol::{
     Configuration, ConfigurationChange, ConfigurationDocument, ConfigurationFollower, Settings,
@@ -13,8 +13,9 @@
 use gingerledge_transport::Network;
 use gingerledge_wire::{Entry, Envelope, Key, Registry, Role, Value};
 
+use crate::clock::Clock;
 use crate::index::{KnownStore, StoreIndex};
-use crate::rollout;
+use crate::rollout::RolloutState;
 use crate::routing::{Affinity, RouteEntry, RouteTable};
 use crate::stores::{Counts, Health, StoreClient};
 
@@ -39,7 +40,7 @@
     /// Which stores read which beginnings of prompts.
     pub affinity: RefCell<Affinity>,
     /// What the driver of batch jobs keeps.
-    pub rollout: rollout::State,
+    pub rollout: RolloutState,
     /// Random for this life of the process.
     pub incarnation: u64,
     settings: RefCell<Rc<Settings>>,
@@ -47,7 +48,7 @@
     relay: RefCell<Relay>,
     parsed: RefCell<Parsed>,
     index: RefCell<StoreIndex>,
-    started: Instant,
+    clock: Clock,
     stopping: Cell<bool>,
 }
 
@@ -61,14 +62,14 @@
             counts: Counts::default(),
             health: Health::default(),
             affinity: RefCell::default(),
-            rollout: rollout::State::default(),
+            rollout: RolloutState::default(),
             incarnation,
             settings: RefCell::new(Rc::new(settings)),
             network,
             relay: RefCell::new(relay),
             parsed: RefCell::default(),
             index: RefCell::default(),
-            started: Instant::now(),
+            clock: Clock::start(),
             stopping: Cell::new(false),
         }
     }
@@ -85,7 +86,12 @@
 
     /// The time since this process started.
     pub fn now(&self) -> Duration {
-        self.started.elapsed()
+        self.clock.now()
+    }
+
+    /// The clock of this process, for parts that need nothing else of this.
+    pub fn clock(&self) -> Clock {
+        self.clock
     }
 
     /// The zone of this edge.
--- a/system/data/tests/rollout_saving.rs
+++ b/system/data/tests/rollout_checkpoints.rs
@@ -4,8 +4,8 @@
 
 use std::borrow::Cow;
 
-use gingerledge_data::rollout::events::Event;
-use gingerledge_data::rollout::plan::{SavedTexts, Text, TextView};
+use gingerledge_data::rollout::event_stream::Event;
+use gingerledge_data::rollout::plan::{CheckpointedTexts, GeneratedText, TextView};
 use gingerledge_wire::PartialText;
 use rollout_common::*;
 use yare::parameterized;
@@ -15,25 +15,25 @@
 const PLENTY: usize = 1 << 20;
 
 /// A text of the events from 1 to `last`, as the engines of these tests make it.
-fn text(item: &str, last: u64) -> Text {
-    let mut text = Text::default();
+fn text(item: &str, last: u64) -> GeneratedText {
+    let mut text = GeneratedText::default();
     for id in 1..=last {
-        text.add(Event { id, version: None, data: format!("{item}.{id}").as_bytes() }, Some(2));
+        text.append(Event { id, version: None, data: format!("{item}.{id}").as_bytes() }, Some(2));
     }
     text
 }
 
-fn view(text: &Text, origin: u64) -> TextView<'_> {
-    TextView { item: 0, origin, text, whole: false }
+fn view(text: &GeneratedText, origin: u64) -> TextView<'_> {
+    TextView { item: 0, origin, text, is_complete: false }
 }
 
-fn part(saved: &SavedTexts, text: &Text, origin: u64) -> Option<PartialText> {
-    saved.parts(std::iter::once(view(text, origin)), PLENTY).pop()
+fn part(saved: &CheckpointedTexts, text: &GeneratedText, origin: u64) -> Option<PartialText> {
+    saved.next_parts(std::iter::once(view(text, origin)), PLENTY).pop()
 }
 
-fn kept(saved: &mut SavedTexts, part: PartialText) {
-    let sizes = saved.sizes(std::slice::from_ref(&part));
-    saved.kept(&[part], &sizes);
+fn kept(saved: &mut CheckpointedTexts, part: PartialText) {
+    let sizes = saved.sizes_with(std::slice::from_ref(&part));
+    saved.on_acknowledged(&[part], &sizes);
 }
 
 fn data(part: &PartialText) -> Cow<'_, str> {
@@ -41,8 +41,8 @@
 }
 
 #[test]
-fn only_what_is_new_is_saved_and_the_parts_make_the_text() {
-    let mut saved = SavedTexts::default();
+fn checkpoints_hold_only_new_events_and_their_parts_make_the_text() {
+    let mut saved = CheckpointedTexts::default();
     let mut whole = Vec::new();
     let mut after = None;
     for last in [2, 3, 5] {
@@ -57,13 +57,13 @@
 }
 
 #[test]
-fn an_empty_text_is_not_saved() {
-    assert_eq!(part(&SavedTexts::default(), &Text::default(), ORIGIN), None);
+fn an_empty_text_is_not_checkpointed() {
+    assert_eq!(part(&CheckpointedTexts::default(), &GeneratedText::default(), ORIGIN), None);
 }
 
 #[test]
-fn a_text_that_began_anew_is_saved_from_its_beginning() {
-    let mut saved = SavedTexts::default();
+fn a_text_generated_from_scratch_is_checkpointed_from_its_start() {
+    let mut saved = CheckpointedTexts::default();
     let first = part(&saved, &text("i0", 3), ORIGIN).expect("a part");
     kept(&mut saved, first);
     let again = part(&saved, &text("other", 5), ORIGIN + 1).expect("a part");
@@ -72,34 +72,34 @@
 }
 
 #[test]
-fn what_may_not_have_been_kept_is_saved_from_the_beginning() {
-    let mut saved = SavedTexts::default();
+fn after_an_unacknowledged_part_the_next_one_starts_at_the_beginning() {
+    let mut saved = CheckpointedTexts::default();
     let first = part(&saved, &text("i0", 3), ORIGIN).expect("a part");
     kept(&mut saved, first);
     let second = part(&saved, &text("i0", 4), ORIGIN).expect("a part");
-    saved.sent(std::slice::from_ref(&second));
+    saved.on_sent(std::slice::from_ref(&second));
     let third = part(&saved, &text("i0", 5), ORIGIN).expect("a part");
     assert_eq!((third.previous_event_id, third.last_event_id), (None, 5));
 }
 
 #[test]
-fn that_a_text_is_whole_is_saved_too() {
-    let mut saved = SavedTexts::default();
+fn the_completion_of_a_text_is_checkpointed_too() {
+    let mut saved = CheckpointedTexts::default();
     let text = text("i0", EVENTS);
     let first = part(&saved, &text, ORIGIN).expect("a part");
     kept(&mut saved, first);
-    let whole = TextView { whole: true, ..view(&text, ORIGIN) };
-    let last = saved.parts(std::iter::once(whole), PLENTY).pop().expect("a part");
+    let whole = TextView { is_complete: true, ..view(&text, ORIGIN) };
+    let last = saved.next_parts(std::iter::once(whole), PLENTY).pop().expect("a part");
     assert_eq!((last.previous_event_id, last.is_complete, last.data.is_empty()), (Some(EVENTS), true, true));
 }
 
 #[test]
-fn parts_are_bounded_and_the_rest_comes_later() {
-    let saved = SavedTexts::default();
+fn a_checkpoint_is_bounded_and_further_parts_wait() {
+    let saved = CheckpointedTexts::default();
     let texts = [text("i0", 3), text("i1", 3)];
     let views =
         texts.iter().enumerate().map(|(item, text)| TextView { item: item as u32, ..view(text, ORIGIN) });
-    let parts = saved.parts(views, texts[0].len());
+    let parts = saved.next_parts(views, texts[0].len());
     assert_eq!(parts.iter().map(|part| part.item).collect::<Vec<_>>(), [0]);
 }
 
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn texts_under_way_are_saved_and_go_on_being_saved() {
+fn texts_in_flight_are_checkpointed() {
     run(async {
         let world = World::start(Route::default()).await;
         let script = |asked: &Asked| if asked.nth == 0 { Does::HangAfter(2) } else { Does::HangAfter(3) };
@@ -138,7 +138,7 @@
     in_the_middle = { 3, 2 },
     all_but_its_end = { EVENTS - 1, 2 },
 )]
-fn the_next_driver_goes_on_after_what_was_saved(last_id: u64, version: u64) {
+fn the_next_driver_resumes_after_the_checkpoint(last_id: u64, version: u64) {
     run(async move {
         let world = World::start(Route::default()).await;
         let engine = Engine::start("a", 2, |_| Does::Stream).await;
@@ -155,7 +155,7 @@
 }
 
 #[test]
-fn a_text_that_was_saved_whole_is_only_scored() {
+fn a_text_checkpointed_as_complete_is_only_scored() {
     run(async {
         let world = World::start(Route::default()).await;
         let engine = Engine::start("a", 2, |_| Does::Silence).await;
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn a_saved_text_of_a_version_that_is_too_old_is_not_used() {
+fn a_checkpoint_of_a_version_that_is_too_old_is_not_used() {
     run(async {
         let world = World::start(Route::default()).await;
         let engine = Engine::start("a", 2, |_| Does::Stream).await;
@@ -184,7 +184,7 @@
 }
 
 #[test]
-fn a_store_that_has_nothing_to_add_names_no_version_and_ends_the_text() {
+fn an_empty_stream_without_a_version_completes_a_resumed_text() {
     run(async {
         let world = World::start(Route::default()).await;
         let engine = Engine::start("a", 2, |_| Does::NothingMore).await;
--- a/system/data/tests/rollout_driver.rs
+++ b/system/data/tests/rollout_driver.rs
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_batch_job_is_run_scored_and_handed_in() {
+fn a_batch_job_is_generated_scored_and_its_results_appended() {
     run(async {
         let world = World::start(Route::default()).await;
         let (a, b) = (engine("a", |_| Does::Stream).await, engine("b", |_| Does::Stream).await);
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn an_item_goes_out_as_it_came_in() {
+fn an_item_is_sent_as_it_was_submitted() {
     run(async {
         let world = World::start(Route::default()).await;
         let a = engine("a", |_| Does::Stream).await;
@@ -111,7 +111,7 @@
     a_success_that_is_no_stream = { || Does::Answer("200 OK"), None },
     failed_once = { || Does::Answer("500 Internal Server Error"), None },
 )]
-fn a_text_is_carried_on_after(first: fn() -> Does, last_event: Option<u64>) {
+fn a_text_is_resumed_after(first: fn() -> Does, last_event: Option<u64>) {
     run(async move {
         let world = World::start(Route::default()).await;
         let script = move |asked: &Asked| if asked.nth == 0 { first() } else { Does::Stream };
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn a_cut_text_goes_on_at_another_store_under_its_own_version() {
+fn an_interrupted_text_is_resumed_at_another_store_under_its_own_version() {
     run(async {
         let world = World::start(Route::default()).await;
         let cutting =
@@ -137,14 +137,14 @@
         world.drive(job("j", 1, 1));
         let results = world.results("j", 1).await;
         let both = old.heard().len() == 1 && new.heard().len() == 1;
-        assert!(both, "the store that cut is avoided");
+        assert!(both, "the store that cut is is_suspect");
         let first = if old.heard()[0].last_event.is_none() { 2 } else { 3 };
         assert_whole(&results[0], &[first, 5 - first]);
     });
 }
 
 #[test]
-fn text_of_a_single_version_goes_on_at_a_store_that_has_it() {
+fn text_of_a_single_version_is_resumed_at_a_store_that_serves_it() {
     run(async {
         let world = World::start(Route { single_version: true, ..Route::default() }).await;
         let cut_all =
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn text_of_a_single_version_starts_over_when_no_store_has_it_any_more() {
+fn text_of_a_single_version_is_discarded_when_no_store_serves_it() {
     run(async {
         let world = World::start(Route { single_version: true, ..Route::default() }).await;
         let a = engine("a", |asked| if asked.nth == 0 { Does::HangAfter(2) } else { Does::Stream }).await;
@@ -203,7 +203,7 @@
 }
 
 #[test]
-fn a_store_whose_weights_turn_out_too_old_makes_no_text() {
+fn a_stream_of_weights_that_are_too_old_adds_no_text() {
     run(async {
         let world = World::start(Route::default()).await;
         let a = engine("a", |_| Does::Stream).await;
@@ -219,7 +219,7 @@
 }
 
 #[test]
-fn refusals_end_nothing_however_many_they_are() {
+fn rejections_never_abandon_an_item() {
     run(async {
         let world = World::start(Route::default()).await;
         let a = engine("a", |asked| if asked.nth < 12 { Does::Refuse } else { Does::Stream }).await;
@@ -251,7 +251,7 @@
 }
 
 #[test]
-fn an_item_whose_reward_call_always_fails_is_abandoned() {
+fn an_item_whose_scoring_call_always_fails_is_abandoned() {
     run(async {
         let mut world = World::start(Route::default()).await;
         world.rewards = Engine::start("rewards-2", 0, |_| Does::Answer("500 Internal Server Error")).await;
@@ -269,7 +269,7 @@
 }
 
 #[test]
-fn what_is_retained_no_longer_is_abandoned() {
+fn items_past_their_retention_time_are_abandoned() {
     run(async {
         let world = World::start(Route { retention_s: 5.0, ..Route::default() }).await;
         world.backend.tell_age(Duration::from_secs(60));
@@ -292,7 +292,7 @@
 }
 
 #[test]
-fn nothing_is_abandoned_while_no_store_fits() {
+fn nothing_is_abandoned_while_no_store_is_eligible() {
     run(async {
         let world = World::start(Route::default()).await;
         let old = Engine::start("old", 1, |_| Does::Stream).await;
@@ -308,7 +308,7 @@
 }
 
 #[test]
-fn a_route_that_was_there_and_is_gone_ends_what_is_not_out() {
+fn a_removed_route_abandons_items_that_are_not_in_flight() {
     run(async {
         let world = World::start(Route::default()).await;
         let a = engine("a", |asked| if asked.id == "i0" { Does::Stream } else { Does::Refuse }).await;
@@ -322,7 +322,7 @@
 }
 
 #[test]
-fn a_route_that_is_not_known_yet_ends_nothing() {
+fn a_route_that_is_not_known_yet_abandons_nothing() {
     run(async {
         let world = World::start(Route { there: false, ..Route::default() }).await;
         let a = engine("a", |_| Does::Stream).await;
@@ -336,7 +336,7 @@
 }
 
 #[test]
-fn a_draining_store_gets_nothing_more() {
+fn a_draining_store_gets_no_more_requests() {
     run(async {
         let world = World::start(Route::default()).await;
         let (a, b) = (engine("a", |_| Does::Refuse).await, engine("b", |_| Does::Stream).await);
@@ -352,7 +352,7 @@
 }
 
 #[test]
-fn a_batch_job_taken_over_runs_only_what_has_no_result() {
+fn the_next_driver_runs_only_items_without_a_result() {
     run(async {
         let world = World::start(Route::default()).await;
         let a = engine("a", |_| Does::Stream).await;
--- a/system/data/tests/rollout_hold.rs
+++ b/system/data/tests/rollout_driver_lease.rs
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn without_renewals_everything_is_dropped_within_the_hold() {
+fn without_renewals_everything_is_cancelled_within_the_lease() {
     run(async {
         let (world, engine) = under_way().await;
         world
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn renewals_keep_it_going() {
+fn renewals_keep_the_execution_running() {
     run(async {
         let (world, engine) = under_way().await;
         let renewals = |world: &World| {
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn an_older_stop_stops_nothing() {
+fn a_stop_of_an_earlier_term_is_ignored() {
     run(async {
         let (world, engine) = under_way().await;
         let stop = JobsMessage::StopDriver { job: "j".to_owned(), term: TERM - 1 };
@@ -142,7 +142,7 @@
     not_now = { || Says::This(JobsResponse::Unavailable) },
     no_room = { || Says::This(JobsResponse::CapacityExceeded) },
 )]
-fn results_are_handed_in_until_they_are_kept(first: fn() -> Says) {
+fn results_are_appended_until_they_are_acknowledged(first: fn() -> Says) {
     run(async move {
         let world = World::start(Route::default()).await;
         let tries = std::cell::Cell::new(0);
@@ -163,7 +163,7 @@
 }
 
 #[test]
-fn texts_so_far_are_carried_on_under_the_next_term() {
+fn partial_texts_are_resumed_under_the_next_term() {
     run(async {
         let world = World::start_with(Route::default(), CANCEL_MS).await;
         let script = |asked: &Asked| if asked.nth == 0 { Does::HangAfter(3) } else { Does::Stream };
@@ -184,7 +184,7 @@
 }
 
 #[test]
-fn an_older_term_does_not_replace_the_newer() {
+fn an_earlier_term_does_not_replace_a_later_one() {
     run(async {
         let (world, engine) = under_way().await;
         let older = JobsMessage::AssignDriver {
--- a/system/data/tests/rollout_events.rs
+++ b/system/data/tests/rollout_events.rs
@@ -1,6 +1,6 @@
 //! The reader of event streams, under every way in which a stream may be cut into pieces.
 
-use gingerledge_data::rollout::events::{Event, EventReader, StreamError, MAX_EVENT_BYTES};
+use gingerledge_data::rollout::event_stream::{Event, EventReader, StreamError, MAX_EVENT_BYTES};
 use yare::parameterized;
 
 type Told = (u64, Option<u64>, Vec<u8>);
@@ -19,7 +19,7 @@
             Ok::<(), StreamError>(())
         })?;
     }
-    Ok((events, reader.between_events()))
+    Ok((events, reader.is_between_events()))
 }
 
 const STREAM: &[u8] = b"id: 1\ndata: first\n\nweight-versions: 8\nid:2\ndata:no space\ndata:  two\n\n: a comment\n\nevent: token\r\nid: 3\r\ndata: \xc3\xa4\r\n\r\nid: 4\ndata\n\n";
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_stream_in_one_piece() {
+fn a_stream_in_one_chunk() {
     assert_eq!(read(&[STREAM]), Ok((expected(), true)));
 }
 
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn a_stream_in_any_three_pieces() {
+fn a_stream_in_any_three_chunks() {
     for first in 0..=STREAM.len() {
         for second in first..=STREAM.len() {
             let pieces = [&STREAM[..first], &STREAM[first..second], &STREAM[second..]];
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_stream_that_ends_within_an_event_tells_the_whole_events_only() {
+fn a_stream_that_ends_within_an_event_delivers_the_complete_events_only() {
     let events: Vec<&[u8]> = [
         &b"id: 1\ndata: first\n\n"[..],
         b"weight-versions: 8\nid:2\ndata:no space\ndata:  two\n\n",
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn an_error_of_the_taker_stops_the_reading() {
+fn an_error_of_the_callback_stops_the_parsing() {
     let mut reader = EventReader::default();
     let mut taken = 0;
     let read = reader.feed(b"id: 1\ndata: a\n\nid: 2\ndata: b\n\n", |_| {
--- a/system/data/tests/rollout_front.rs
+++ b/system/data/tests/rollout_front.rs
@@ -45,7 +45,7 @@
 
 impl World {
     async fn answer(&self, request: Request<Bytes>) -> Result<Reply, CloseConnection> {
-        rollout::front::handle(Rc::clone(&self.shared), request).await
+        rollout::trainer_api::handle(Rc::clone(&self.shared), request).await
     }
 
     async fn status(&self, request: Request<Bytes>) -> StatusCode {
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn a_batch_job_is_taken_run_and_read() {
+fn a_batch_job_is_accepted_run_and_read() {
     run(async {
         let world = World::start(Route::default()).await;
         let engine = Engine::start("a", 2, |_| Does::Stream).await;
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn what_the_backend_keeps_is_what_the_trainer_sent() {
+fn the_backend_stores_the_batch_job_as_the_trainer_sent_it() {
     run(async {
         let world = World::start(Route::default()).await;
         let sent = job("j", 2, 2);
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn the_same_batch_job_is_taken_once_and_answered_again() {
+fn a_repeated_submission_is_accepted_once_and_acknowledged_again() {
     run(async {
         let world = World::start(Route::default()).await;
         let engine = Engine::start("a", 2, |_| Does::HangAfter(1)).await;
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn no_room_after_a_copy_without_answer_promises_nothing() {
+fn capacity_exceeded_after_an_unanswered_transmission_closes_the_connection() {
     run(async {
         let world = World::start(Route::default()).await;
         let copies = std::cell::Cell::new(0);
@@ -181,7 +181,7 @@
 }
 
 #[test]
-fn a_lost_answer_is_made_up_for_within_the_deadline() {
+fn a_lost_response_is_compensated_by_a_retransmission_within_the_deadline() {
     run(async {
         let world = World::start(Route::default()).await;
         let copies = std::cell::Cell::new(0);
@@ -221,7 +221,7 @@
 }
 
 #[test]
-fn an_ended_batch_job_is_dropped_at_once() {
+fn an_ended_batch_job_is_cancelled_without_delay() {
     run(async {
         let world = World::start_with(Route::default(), 600_000).await;
         let engine = Engine::start("a", 2, |_| Does::HangAfter(1)).await;
--- a/system/data/tests/rollout_placement.rs
+++ b/system/data/tests/rollout_placement.rs
@@ -2,7 +2,9 @@
 
 mod rollout_plan_common;
 
-use gingerledge_data::rollout::plan::{priority, Ended, JobPlan, Rules, Step, StepProgress, StoreView};
+use gingerledge_data::rollout::plan::{
+    priority, GenerationOutcome, JobPlan, NextStep, Rules, StepProgress, StoreView,
+};
 use rollout_plan_common::*;
 use yare::parameterized;
 
@@ -10,7 +12,7 @@
 fn after_placing(items: usize, mut stores: Vec<StoreView>) -> Vec<u32> {
     let mut plan = JobPlan::new(job(1, items, 1, 1), &[], 1);
     plan.place(ms(0), &mut stores, rules(false));
-    stores.iter().map(|store| store.out).collect()
+    stores.iter().map(|store| store.in_flight).collect()
 }
 
 #[parameterized(
@@ -20,22 +22,26 @@
     all_at_one = { &[9, 0, 9], 8, &[9, 8, 9] },
     busy_stores_are_left_alone = { &[14, 14, 0, 0], 2, &[14, 14, 1, 1] },
 )]
-fn a_group_fills_the_stores_with_the_fewest_out(out: &[u32], items: usize, expected: &[u32]) {
-    let stores = out.iter().enumerate().map(|(place, &out)| store(&format!("s{place}"), 1, out)).collect();
+fn a_group_fills_the_stores_with_the_fewest_in_flight(in_flight: &[u32], items: usize, expected: &[u32]) {
+    let stores = in_flight
+        .iter()
+        .enumerate()
+        .map(|(position, &in_flight)| store(&format!("s{position}"), 1, in_flight))
+        .collect();
     assert_eq!(after_placing(items, stores), expected);
 }
 
 #[test]
-fn only_stores_of_a_fitting_version_are_eligible() {
+fn only_stores_of_an_allowed_version_are_eligible() {
     let mut stores = vec![store("old", 4, 0), store("fits", 5, 3), store("newer", 6, 3)];
     let mut plan = JobPlan::new(job(1, 4, 1, 5), &[], 1);
     plan.place(ms(0), &mut stores, rules(false));
-    assert_eq!(stores.iter().map(|store| store.out).collect::<Vec<_>>(), [0, 5, 5]);
+    assert_eq!(stores.iter().map(|store| store.in_flight).collect::<Vec<_>>(), [0, 5, 5]);
 }
 
 #[test]
-fn a_failing_store_comes_last() {
-    let failing = StoreView { avoided: true, ..store("failing", 1, 0) };
+fn a_suspect_store_comes_last() {
+    let failing = StoreView { is_suspect: true, ..store("failing", 1, 0) };
     assert_eq!(after_placing(2, vec![failing.clone(), store("busy", 1, 9)]), [0, 11]);
     assert_eq!(after_placing(2, vec![failing]), [2], "alone it is better than none");
 }
@@ -44,24 +50,24 @@
     slow = { 300, &[1, 3] },
     hardly_slower = { 150, &[2, 2] },
 )]
-fn the_count_of_a_slow_store_weighs_more(pace_percent: u32, expected: &[u32]) {
-    let slow = StoreView { pace_percent, ..store("slow", 1, 0) };
+fn the_count_of_a_slow_store_weighs_more(interval_percent: u32, expected: &[u32]) {
+    let slow = StoreView { interval_percent, ..store("slow", 1, 0) };
     assert_eq!(after_placing(4, vec![slow, store("usual", 1, 0)]), expected);
 }
 
 #[test]
-fn ties_go_to_a_store_that_read_the_prompt_and_then_to_the_own_zone() {
+fn ties_go_to_a_cached_prefix_and_then_to_the_own_zone() {
     for seed in 0..20 {
-        let near = StoreView { own_zone: true, ..store("near", 1, 0) };
+        let near = StoreView { is_own_zone: true, ..store("near", 1, 0) };
         let mut stores = vec![store("a", 1, 0), near, store("b", 1, 0)];
         let mut plan = JobPlan::new(job(1, 1, 1, 1), &[], seed);
         let first = plan.place(ms(0), &mut stores, rules(false));
         assert_eq!(placed(&first, &stores), [(0, "near".to_owned())], "seed {seed}");
         // The generation is cut. Another store is in the edge's zone now, but this one has read the prompt.
-        let step = plan.generation_ended(ms(1), 0, text(1, 1), Ended::Cut, rules(false));
-        assert_eq!(step, Step::Wait);
+        let step = plan.generation_ended(ms(1), 0, text(1, 1), GenerationOutcome::Interrupted, rules(false));
+        assert_eq!(step, NextStep::Wait);
         for store in &mut stores {
-            (store.out, store.own_zone) = (0, &*store.id == "a");
+            (store.in_flight, store.is_own_zone) = (0, &*store.id == "a");
         }
         let second = plan.place(ms(1), &mut stores, rules(false));
         assert_eq!(placed(&second, &stores), [(0, "near".to_owned())], "seed {seed}");
@@ -69,7 +75,7 @@
 }
 
 #[test]
-fn remaining_ties_are_broken_by_chance() {
+fn remaining_ties_are_broken_at_random() {
     let mut met = std::collections::BTreeSet::new();
     for seed in 0..64 {
         let mut stores: Vec<_> = (0..4).map(|place| store(&format!("s{place}"), 1, 0)).collect();
@@ -80,14 +86,14 @@
 }
 
 #[test]
-fn a_group_begins_only_where_there_is_room_for_all_of_it() {
+fn a_group_starts_only_with_capacity_for_all_of_it() {
     let mut plan = JobPlan::new(job(3, 4, 3, 1), &[], 1);
     let mut stores = vec![store("a", 1, 11), store("b", 1, 11)];
     let placements = plan.place(ms(0), &mut stores, rules(false));
     let items: Vec<u32> = placements.iter().map(|placement| placement.item).collect();
     assert_eq!(items, [0, 1, 2, 3], "6 places are free: enough for the first group of 4, not for the second");
-    assert!(plan.wants_places(ms(0)));
-    stores[0].out = 8;
+    assert!(plan.has_items_to_place(ms(0)));
+    stores[0].in_flight = 8;
     assert_eq!(plan.place(ms(1), &mut stores, rules(false)).len(), 4);
 }
 
@@ -98,17 +104,17 @@
     let mut plan = JobPlan::new(uneven.into(), &[], 1);
     let mut stores = vec![store("a", 1, 11)];
     assert!(plan.place(ms(0), &mut stores, rules(false)).is_empty(), "3 places are free, and 5 wanted first");
-    stores[0].out = 8;
+    stores[0].in_flight = 8;
     assert_eq!(plan.place(ms(1), &mut stores, rules(false)).len(), 6);
 }
 
 #[test]
-fn a_group_larger_than_all_room_is_not_starved() {
+fn a_group_larger_than_all_capacity_is_not_starved() {
     let mut plan = JobPlan::new(job(1, 40, 1, 1), &[], 1);
     let mut stores = vec![store("a", 1, 0), store("b", 1, 0)];
     assert_eq!(plan.place(ms(0), &mut stores, rules(false)).len(), 28);
-    assert_eq!(stores.iter().map(|store| store.out).collect::<Vec<_>>(), [14, 14]);
-    stores[1].out = 10;
+    assert_eq!(stores.iter().map(|store| store.in_flight).collect::<Vec<_>>(), [14, 14]);
+    stores[1].in_flight = 10;
     assert_eq!(
         plan.place(ms(1), &mut stores, rules(false)).len(),
         4,
@@ -117,67 +123,70 @@
 }
 
 #[test]
-fn no_more_groups_begin_than_the_trainer_waits_for() {
+fn no_more_groups_start_than_the_trainer_waits_for() {
     let mut plan = JobPlan::new(job(5, 2, 3, 1), &[], 1);
     let mut stores = vec![store("a", 1, 0)];
     let placements = plan.place(ms(0), &mut stores, rules(false));
     assert_eq!(placements.iter().map(|placement| placement.item).collect::<Vec<_>>(), [0, 1, 2, 3, 4, 5]);
-    assert!(!plan.wants_places(ms(0)), "nothing is looked at again for the groups that nobody waits for");
+    assert!(
+        !plan.has_items_to_place(ms(0)),
+        "nothing is looked at again for the groups that nobody waits for"
+    );
 }
 
 #[test]
-fn what_has_begun_goes_before_new_groups() {
+fn started_groups_go_before_new_ones() {
     let mut plan = JobPlan::new(job(2, 2, 2, 1), &[], 1);
     let mut stores = vec![StoreView { limit: 2, ..store("a", 1, 0) }];
     assert_eq!(placed(&plan.place(ms(0), &mut stores, rules(false)), &stores).len(), 2);
-    plan.generation_ended(ms(1), 1, text(3, 1), Ended::Cut, rules(false));
-    stores[0].out = 1;
+    plan.generation_ended(ms(1), 1, text(3, 1), GenerationOutcome::Interrupted, rules(false));
+    stores[0].in_flight = 1;
     let again = plan.place(ms(1), &mut stores, rules(false));
     assert_eq!(again.iter().map(|placement| placement.item).collect::<Vec<_>>(), [1]);
     assert_eq!(again[0].text.last_id(), Some(3));
 }
 
 #[test]
-fn a_batch_job_taken_over_goes_on_with_what_has_no_result() {
+fn a_plan_with_finished_items_places_only_the_others() {
     let mut plan = JobPlan::new(job(2, 2, 1, 1), &[0, 9], 1);
     let mut stores = vec![store("a", 1, 0)];
     let placements = plan.place(ms(0), &mut stores, rules(false));
-    let items: Vec<_> = placements.iter().map(|placement| (placement.item, placement.spare)).collect();
+    let items: Vec<_> = placements.iter().map(|placement| (placement.item, placement.is_surplus)).collect();
     assert_eq!(items, [(1, false), (2, true), (3, true)], "the other group is not waited for");
 }
 
 #[test]
-fn text_of_one_version_goes_on_at_a_store_of_that_version_only() {
+fn text_of_a_single_version_is_resumed_at_a_store_of_that_version_only() {
     let mut plan = JobPlan::new(job(1, 1, 1, 4), &[], 1);
     let mut stores = vec![store("newer", 6, 0), StoreView { limit: 14, ..store("same", 5, 13) }];
-    plan.keep_text(0, text(7, 5), rules(true));
+    plan.restore_partial_text(0, text(7, 5), rules(true));
     let placements = plan.place(ms(0), &mut stores, rules(true));
     assert_eq!(placed(&placements, &stores), [(0, "same".to_owned())]);
-    assert_eq!((placements[0].only_version, placements[0].text.last_id()), (Some(5), Some(7)));
+    assert_eq!((placements[0].required_version, placements[0].text.last_id()), (Some(5), Some(7)));
 }
 
 #[test]
-fn text_waits_for_its_version_while_a_store_has_it() {
+fn text_waits_for_its_version_while_a_store_serves_it() {
     let mut plan = JobPlan::new(job(1, 1, 1, 4), &[], 1);
-    plan.keep_text(0, text(7, 5), rules(true));
+    plan.restore_partial_text(0, text(7, 5), rules(true));
     let mut stores = vec![store("newer", 6, 0), StoreView { limit: 2, ..store("same", 5, 2) }];
     assert!(plan.place(ms(0), &mut stores, rules(true)).is_empty());
     // No store has it any more: the text starts over.
     stores[1].version = 6;
     let placements = plan.place(ms(1), &mut stores, rules(true));
-    assert_eq!((placements[0].only_version, placements[0].text.last_id()), (None, None));
+    assert_eq!((placements[0].required_version, placements[0].text.last_id()), (None, None));
 }
 
 #[test]
-fn text_of_several_versions_goes_on_anywhere_where_the_route_allows_it() {
+fn text_of_several_versions_is_resumed_anywhere_where_the_route_allows_it() {
     let mut plan = JobPlan::new(job(1, 1, 1, 4), &[], 1);
     let mut mixed = text(2, 5);
     add(&mut mixed, 3, 6);
-    plan.keep_text(0, mixed, rules(false));
+    plan.restore_partial_text(0, mixed, rules(false));
     let mut stores = vec![store("old", 3, 0), store("newer", 7, 5)];
     let placements = plan.place(ms(0), &mut stores, rules(false));
     assert_eq!(placed(&placements, &stores), [(0, "newer".to_owned())]);
-    assert_eq!((placements[0].only_version, placements[0].text.last_id()), (None, Some(3)));
+    assert_eq!((placements[0].required_version, placements[0].text.last_id()), (None, Some(3)));
 }
 
 #[parameterized(
@@ -188,13 +197,13 @@
     let mut plan = JobPlan::new(job(1, 1, 1, 4), &[], 1);
     let mut kept = text(2, first);
     add(&mut kept, 3, second);
-    plan.keep_text(0, kept, rules(single));
+    plan.restore_partial_text(0, kept, rules(single));
     let placements = plan.place(ms(0), &mut [store("a", 6, 0)], rules(single));
     assert_eq!(placements[0].text.last_id(), None);
 }
 
 #[test]
-fn items_without_a_group_stand_alone() {
+fn items_without_a_group_form_their_own() {
     let mut lone = (*job(1, 3, 3, 1)).clone();
     lone.items.iter_mut().for_each(|item| item.group.clear());
     let mut plan = JobPlan::new(lone.into(), &[], 1);
@@ -203,41 +212,44 @@
 }
 
 #[test]
-fn nothing_is_placed_or_started_over_where_no_store_is_known() {
+fn without_known_stores_nothing_is_placed_or_discarded() {
     let mut plan = JobPlan::new(job(1, 1, 1, 4), &[], 1);
-    plan.keep_text(0, text(7, 5), rules(true));
+    plan.restore_partial_text(0, text(7, 5), rules(true));
     assert!(plan.place(ms(0), &mut [], rules(true)).is_empty());
     let placements = plan.place(ms(1), &mut [store("same", 5, 0)], rules(true));
     assert_eq!(placements[0].text.last_id(), Some(7));
 }
 
 #[test]
-fn groups_beyond_those_waited_for_begin_in_spare_room_only() {
+fn surplus_groups_start_in_spare_capacity_only() {
     // Two groups of four are waited for, of three.
     let mut plan = JobPlan::new(job(3, 4, 2, 1), &[], 1);
     let mut stores = vec![StoreView { limit: 16, ..store("a", 1, 0) }];
     let placements = plan.place(ms(0), &mut stores, rules(false));
     assert_eq!(placements.len(), 8, "half of the room has to stay free");
-    assert!(placements.iter().all(|placement| !placement.spare));
-    assert!(!plan.wants_places(ms(0)), "nobody waits for the third");
-    assert!(plan.has_spare_groups());
-    stores[0].out = 5;
+    assert!(placements.iter().all(|placement| !placement.is_surplus));
+    assert!(!plan.has_items_to_place(ms(0)), "nobody waits for the third");
+    assert!(plan.has_surplus_groups());
+    stores[0].in_flight = 5;
     assert!(plan.place(ms(1), &mut stores, rules(false)).is_empty());
-    stores[0].out = 4;
+    stores[0].in_flight = 4;
     let placements = plan.place(ms(2), &mut stores, rules(false));
     assert_eq!(placements.len(), 4);
-    assert!(placements.iter().all(|placement| placement.spare));
-    assert!(!plan.has_spare_groups());
+    assert!(placements.iter().all(|placement| placement.is_surplus));
+    assert!(!plan.has_surplus_groups());
 }
 
 #[parameterized(carries_them = { 12, 4 }, is_too_small = { 11, 0 })]
-fn an_edge_begins_spare_groups_only_if_it_carries_their_streams(spare_streams: u32, expected: usize) {
+fn an_edge_begins_spare_groups_only_if_it_carries_their_streams(
+    max_streams_for_surplus: u32,
+    expected: usize,
+) {
     let mut plan = JobPlan::new(job(3, 4, 2, 1), &[], 1);
     let mut stores = vec![StoreView { limit: 100, ..store("a", 1, 0) }];
-    let rules = Rules { spare_streams, ..rules(false) };
+    let rules = Rules { max_streams_for_surplus, ..rules(false) };
     let placements = plan.place(ms(0), &mut stores, rules);
-    assert_eq!(placements.iter().filter(|placement| !placement.spare).count(), 8);
-    assert_eq!(placements.iter().filter(|placement| placement.spare).count(), expected);
+    assert_eq!(placements.iter().filter(|placement| !placement.is_surplus).count(), 8);
+    assert_eq!(placements.iter().filter(|placement| placement.is_surplus).count(), expected);
 }
 
 /// The pages allow no item to rest for five seconds beside stores that are half empty.
@@ -245,20 +257,20 @@
 fn an_edge_that_carries_many_streams_lets_no_group_rest_for_long(milliseconds: u64, expected: usize) {
     let mut plan = JobPlan::new(job(3, 4, 2, 1), &[], 1);
     let mut stores = vec![StoreView { limit: 100, ..store("a", 1, 0) }];
-    let rules = Rules { spare_streams: 8, ..rules(false) };
+    let rules = Rules { max_streams_for_surplus: 8, ..rules(false) };
     let begun = 60_000;
     assert_eq!(plan.place(ms(begun), &mut stores, rules).len(), 8);
     let placements = plan.place(ms(begun + milliseconds), &mut stores, rules);
-    assert_eq!(placements.iter().filter(|placement| placement.spare).count(), expected);
+    assert_eq!(placements.iter().filter(|placement| placement.is_surplus).count(), expected);
 }
 
 #[test]
-fn where_all_groups_are_waited_for_none_is_spare() {
+fn where_all_groups_are_waited_for_none_is_surplus() {
     let mut plan = JobPlan::new(job(3, 4, 3, 1), &[], 1);
     let mut stores = vec![StoreView { limit: 100, ..store("a", 1, 0) }];
     let placements = plan.place(ms(0), &mut stores, rules(false));
     assert_eq!(placements.len(), 12);
-    assert!(placements.iter().all(|placement| !placement.spare));
+    assert!(placements.iter().all(|placement| !placement.is_surplus));
 }
 
 /// A step of 10 groups that is due 10 s after it was asked for is expected to need 600 ms for each group.
@@ -277,12 +289,12 @@
 fn what_has_less_slack_goes_first_at_the_stores(
     time_left: u64,
     groups_left: usize,
-    spare: bool,
+    is_surplus: bool,
     expected: u8,
 ) {
     let progress =
         StepProgress { time_left: ms(time_left), target: ms(10_000), groups_left, desired_groups: 10 };
-    assert_eq!(priority(progress, spare), expected);
+    assert_eq!(priority(progress, is_surplus), expected);
 }
 
 /// Of two steps that were just asked for, the one that is due sooner goes first.
--- a/system/data/tests/rollout_plan_common/mod.rs
+++ b/system/data/tests/rollout_plan_common/mod.rs
@@ -5,8 +5,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use gingerledge_data::rollout::events::Event;
-use gingerledge_data::rollout::plan::{Placement, Rules, StoreView, Text};
+use gingerledge_data::rollout::event_stream::Event;
+use gingerledge_data::rollout::plan::{GeneratedText, Placement, Rules, StoreView};
 use gingerledge_wire::{ItemRecord, JobRecord, ScoringRecord};
 
 /// A batch job of groups of equal size.
@@ -43,31 +43,31 @@
 }
 
 pub fn rules(single_version: bool) -> Rules {
-    Rules { single_version, max_attempts: 3, retained_until: None, spare_streams: 1_000 }
+    Rules { single_version, max_attempts: 3, abandon_after: None, max_streams_for_surplus: 1_000 }
 }
 
 /// A store with room for plenty.
-pub fn store(id: &str, version: u64, out: u32) -> StoreView {
+pub fn store(id: &str, version: u64, in_flight: u32) -> StoreView {
     StoreView {
         id: Rc::from(id),
         version,
-        out,
+        in_flight,
         limit: 14,
-        avoided: false,
-        own_zone: false,
-        pace_percent: 100,
+        is_suspect: false,
+        is_own_zone: false,
+        interval_percent: 100,
     }
 }
 
 /// Adds an event whose data tells its id and its version.
-pub fn add(text: &mut Text, id: u64, version: u64) {
+pub fn add(text: &mut GeneratedText, id: u64, version: u64) {
     let data = format!("{id}v{version}");
-    text.add(Event { id, version: None, data: data.as_bytes() }, Some(version));
+    text.append(Event { id, version: None, data: data.as_bytes() }, Some(version));
 }
 
 /// A text of the events from 1 to `last`.
-pub fn text(last: u64, version: u64) -> Text {
-    let mut text = Text::default();
+pub fn text(last: u64, version: u64) -> GeneratedText {
+    let mut text = GeneratedText::default();
     (1..=last).for_each(|id| add(&mut text, id, version));
     text
 }
--- a/system/data/tests/rollout_plan_simulation.rs
+++ b/system/data/tests/rollout_plan_simulation.rs
@@ -7,7 +7,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use gingerledge_data::rollout::plan::{Ended, JobPlan, Placement, RewardEnded, Rules, Step, StoreView, Text};
+use gingerledge_data::rollout::plan::{
+    GeneratedText, GenerationOutcome, JobPlan, NextStep, Placement, Rules, ScoringOutcome, StoreView,
+};
 use gingerledge_wire::ResultRecord;
 use rollout_plan_common::*;
 
@@ -40,10 +42,10 @@
     running: Vec<Running>,
     rewards: Vec<(u32, Duration)>,
     failures: BTreeMap<u32, u32>,
-    reward_failures: BTreeMap<u32, u32>,
+    scoring_failures: BTreeMap<u32, u32>,
     impossible: BTreeSet<u32>,
     results: BTreeMap<u32, ResultRecord>,
-    begun: Vec<usize>,
+    started_groups: Vec<usize>,
 }
 
 impl World {
@@ -52,8 +54,8 @@
         let rules = Rules {
             single_version: random.bool(),
             max_attempts: MAX_ATTEMPTS,
-            retained_until: None,
-            spare_streams: 1_000,
+            abandon_after: None,
+            max_streams_for_surplus: 1_000,
         };
         let slots = random.u32(1..6);
         let count = random.usize(1..6);
@@ -70,10 +72,10 @@
             running: Vec::new(),
             rewards: Vec::new(),
             failures: BTreeMap::new(),
-            reward_failures: BTreeMap::new(),
+            scoring_failures: BTreeMap::new(),
             impossible: BTreeSet::new(),
             results: BTreeMap::new(),
-            begun: Vec::new(),
+            started_groups: Vec::new(),
         }
     }
 
@@ -106,19 +108,19 @@
         if self.random.u32(..60) == 0 {
             self.stores[place].version += 1;
         }
-        self.stores[place].avoided = self.random.u32(..4) == 0;
+        self.stores[place].is_suspect = self.random.u32(..4) == 0;
     }
 
     fn place(&mut self) {
         for (place, store) in self.stores.iter_mut().enumerate() {
-            store.out = self.running.iter().filter(|running| running.store == place).count() as u32;
+            store.in_flight = self.running.iter().filter(|running| running.store == place).count() as u32;
             store.limit = self.slots + 2;
         }
         let mut before = self.stores.clone();
         let placements = self.plan.place(self.now, &mut self.stores, self.rules);
         for placement in placements {
             self.check(&placement, &before);
-            before[placement.store].out += 1;
+            before[placement.store].in_flight += 1;
             let ends = self.now + ms(self.random.u64(0..300));
             let store = placement.store;
             self.note_group(&placement);
@@ -130,16 +132,16 @@
     fn check(&self, placement: &Placement, stores: &[StoreView]) {
         let seed = self.seed;
         let version = placement.text.versions().last().copied().filter(|_| self.rules.single_version);
-        assert_eq!(placement.only_version, version, "seed {seed}");
+        assert_eq!(placement.required_version, version, "seed {seed}");
         let eligible = |store: &&StoreView| {
             store.version >= MIN_VERSION
                 && version.is_none_or(|version| store.version == version)
-                && store.out < store.limit
+                && store.in_flight < store.limit
         };
-        let least = stores.iter().filter(eligible).map(|store| (store.avoided, store.out)).min();
+        let least = stores.iter().filter(eligible).map(|store| (store.is_suspect, store.in_flight)).min();
         let chosen = &stores[placement.store];
         assert!(eligible(&chosen), "seed {seed}: {chosen:?}");
-        assert_eq!(Some((chosen.avoided, chosen.out)), least, "seed {seed}");
+        assert_eq!(Some((chosen.is_suspect, chosen.in_flight)), least, "seed {seed}");
         let twice = self.running.iter().any(|running| running.placement.item == placement.item);
         assert!(
             !twice && !self.results.contains_key(&placement.item),
@@ -151,12 +153,12 @@
     /// Groups begin in the trainer's order; those beyond the ones that it waits for are spare, and no others are.
     fn note_group(&mut self, placement: &Placement) {
         let group = placement.item as usize / SIZE;
-        if !self.begun.contains(&group) {
-            self.begun.push(group);
-            let expected: Vec<usize> = (0..self.begun.len()).collect();
-            assert_eq!(self.begun, expected, "seed {}", self.seed);
+        if !self.started_groups.contains(&group) {
+            self.started_groups.push(group);
+            let expected: Vec<usize> = (0..self.started_groups.len()).collect();
+            assert_eq!(self.started_groups, expected, "seed {}", self.seed);
         }
-        assert_eq!(placement.spare, group >= DESIRED, "seed {}", self.seed);
+        assert_eq!(placement.is_surplus, group >= DESIRED, "seed {}", self.seed);
     }
 
     fn end_some(&mut self) {
@@ -172,21 +174,21 @@
         }
     }
 
-    fn outcome(&mut self, run: Running) -> (Text, Ended) {
+    fn outcome(&mut self, run: Running) -> (GeneratedText, GenerationOutcome) {
         let item = run.placement.item;
         let mut text = run.placement.text;
         let luck = if self.calm() { 99 } else { self.random.u32(..100) };
         match luck {
-            0..15 => return (text, Ended::NeverRan),
+            0..15 => return (text, GenerationOutcome::NeverRan),
             15..20 => {
                 *self.failures.entry(item).or_default() += 1;
-                return (text, Ended::Failed);
+                return (text, GenerationOutcome::Failed);
             }
             20 => {
                 self.impossible.insert(item);
-                return (text, Ended::Impossible);
+                return (text, GenerationOutcome::Rejected);
             }
-            21..25 => return (text, Ended::Other),
+            21..25 => return (text, GenerationOutcome::Other),
             _ => {}
         }
         let last = if luck < 50 { self.random.u64(..=EVENTS) } else { EVENTS };
@@ -196,19 +198,23 @@
             let version = self.stores[run.store].version;
             let same = text.versions().iter().all(|&known| known == version);
             if version < MIN_VERSION || (self.rules.single_version && !same) {
-                return (text, Ended::WrongVersion);
+                return (text, GenerationOutcome::WrongVersion);
             }
             add(&mut text, id, version);
             if !self.calm() && self.random.u32(..40) == 0 {
                 self.stores[run.store].version += 1;
             }
         }
-        let ended = if text.last_id() == Some(EVENTS) { Ended::Whole } else { Ended::Cut };
+        let ended = if text.last_id() == Some(EVENTS) {
+            GenerationOutcome::Completed
+        } else {
+            GenerationOutcome::Interrupted
+        };
         (text, ended)
     }
 
     fn call_rewards(&mut self) {
-        for item in self.plan.due_rewards(self.now) {
+        for item in self.plan.take_due_scorings(self.now) {
             self.rewards.push((item, self.now + ms(30)));
         }
         let (ended, waiting) =
@@ -218,23 +224,23 @@
         for (item, _) in ended {
             let ended = match self.random.u32(..10) {
                 0 if !self.calm() => {
-                    *self.reward_failures.entry(item).or_default() += 1;
-                    RewardEnded::Failed { times: 1, max_attempts: MAX_ATTEMPTS }
+                    *self.scoring_failures.entry(item).or_default() += 1;
+                    ScoringOutcome::Failed { times: 1, max_attempts: MAX_ATTEMPTS }
                 }
-                1 | 2 => RewardEnded::Other,
-                _ => RewardEnded::Scored(format!("stamp of {item}")),
+                1 | 2 => ScoringOutcome::Other,
+                _ => ScoringOutcome::Scored(format!("stamp of {item}")),
             };
-            let step = self.plan.reward_ended(self.now, item, ended, self.rules);
+            let step = self.plan.scoring_ended(self.now, item, ended, self.rules);
             self.take(item, step);
         }
     }
 
-    fn take(&mut self, item: u32, step: Step) {
+    fn take(&mut self, item: u32, step: NextStep) {
         let seed = self.seed;
         match step {
-            Step::Wait => {}
-            Step::Reward => self.rewards.push((item, self.now + ms(30))),
-            Step::List(result) => {
+            NextStep::Wait => {}
+            NextStep::Score => self.rewards.push((item, self.now + ms(30))),
+            NextStep::Publish(result) => {
                 assert_eq!(result.item, item, "seed {seed}");
                 if result.completed {
                     self.check_text(&result);
@@ -244,7 +250,7 @@
                     };
                     let permitted = self.impossible.contains(&item)
                         || failed(&self.failures)
-                        || failed(&self.reward_failures);
+                        || failed(&self.scoring_failures);
                     assert!(permitted, "seed {seed}: item {item} is abandoned for no reason");
                 }
                 assert!(
@@ -275,7 +281,7 @@
 }
 
 #[test]
-fn every_item_that_is_wanted_is_listed_once_and_rightly() {
+fn every_desired_item_has_one_correct_result() {
     for seed in 0..SEEDS {
         World::new(seed).run();
     }
