--- a/system/data/src/forward/attempts.rs
+++ b/system/data/src/forward/attempts.rs
@@ -1,4 +1,4 @@
-//! The attempts of one request: store after store, until one answers or the request is given up.
+//! Makes the attempts of one request, store after store, until one responds or the retry policy ends it.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -6,300 +6,199 @@
 use bytes::Bytes;
 use gingerledge_protocol::{RouteKind, Verdict};
 use hyper::body::Body;
-use hyper::http::{HeaderMap, HeaderValue, StatusCode};
+use hyper::http::{HeaderValue, StatusCode};
 use tokio::time::timeout;
 
-use super::outgoing::Outgoing;
-use crate::headers;
+use super::outgoing::OutgoingRequest;
+use super::response::{CompleteResponse, ForwardError, ForwardedResponse, StreamedResponse};
+use super::retry_state::RetryState;
+use super::store_selection::StoreSelection;
 use crate::index::KnownStore;
-use crate::routing::{
-    choose, connect_time, head_time, next_step, pick_service, silence_time, waits_too_long, Candidate, Next,
-    Prompt, Sent,
+use crate::routing::{connect_timeout, head_timeout, idle_timeout};
+use crate::stores::{
+    AttemptError, AttemptTimeouts, InFlightGuard, Rejection, StoreBody, StoreLoad, StoreResponse,
 };
-use crate::stores::{Attempt, Cause, CountGuard, Load, Refusal, StoreAnswer, StoreBody, Timings};
 use crate::Shared;
 
-/// Bodies up to this length are read whole before the client gets the head, so that a cut can still be repaired.
-const WHOLE_BODY_BYTES: u64 = 64 * 1024;
+/// Bodies up to this length are buffered before the client gets the head, so that an interruption can still be retried.
+const MAX_BUFFERED_BODY_BYTES: u64 = 64 * 1024;
 
-/// A store that is silent for less than this is not taken to have failed.
-const SILENCE_OF_A_FAILURE: Duration = Duration::from_millis(250);
-
-/// An answer that has come whole.
-pub struct Whole {
-    /// The store's status.
-    pub status: StatusCode,
-    /// The store's headers.
-    pub headers: HeaderMap,
-    /// The whole body.
-    pub body: Bytes,
-}
-
-/// An answer whose body is still coming.
-pub struct Streamed {
-    /// The store's status.
-    pub status: StatusCode,
-    /// The store's headers.
-    pub headers: HeaderMap,
-    /// The body.
-    pub body: StoreBody,
-    /// The store.
-    pub store: Rc<KnownStore>,
-    /// Counts the request at the store.
-    pub guard: CountGuard,
-}
-
-/// A store's answer.
-pub enum Answer {
-    /// All of it is there.
-    Whole(Whole),
-    /// The body follows.
-    Streamed(Streamed),
-}
-
-/// No store's answer can be passed on.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct GivenUp {
-    /// Whether the request may have run.
-    pub verdict: Verdict,
-    /// A store said that the request itself is bad.
-    pub bad_request: bool,
-}
+/// A time-out after less than this is no failure of the store: the request had too little time.
+const MIN_TIME_OF_A_FAILURE: Duration = Duration::from_millis(250);
 
 /// The attempts of one request.
 pub struct Attempts {
     shared: Rc<Shared>,
-    outgoing: Rc<Outgoing>,
-    sent: Sent,
-    tried: Vec<Rc<KnownStore>>,
-    own_failure: Option<Whole>,
-    server_errors: u32,
-    asked_at: Duration,
-    prompts: Vec<Prompt>,
+    outgoing: Rc<OutgoingRequest>,
+    retry: RetryState,
+    selection: StoreSelection,
+    /// When the last attempt started.
+    attempt_started_at: Duration,
 }
 
 impl Attempts {
-    /// None made yet.
-    pub fn new(shared: Rc<Shared>, outgoing: Rc<Outgoing>) -> Self {
+    /// Before the first attempt.
+    pub fn new(shared: Rc<Shared>, outgoing: Rc<OutgoingRequest>) -> Self {
         Self {
-            prompts: prompts(&outgoing),
+            selection: StoreSelection::new(&outgoing),
             shared,
             outgoing,
-            sent: Sent::default(),
-            tried: Vec::new(),
-            own_failure: None,
-            server_errors: 0,
-            asked_at: Duration::ZERO,
+            retry: RetryState::default(),
+            attempt_started_at: Duration::ZERO,
         }
     }
 
-    /// How often stores answered with an error of their own.
+    /// How many stores responded with a server error.
     pub fn server_errors(&self) -> u32 {
-        self.server_errors
+        self.retry.server_errors()
     }
 
     /// The request.
-    pub fn outgoing(&self) -> &Outgoing {
+    pub fn outgoing(&self) -> &OutgoingRequest {
         &self.outgoing
     }
 
-    /// Asks stores until one answers; `last_event` takes a stream up after an event.
-    pub async fn run(&mut self, last_event: Option<&HeaderValue>) -> Result<Answer, GivenUp> {
-        while self.next_step() == Next::AnotherStore {
-            let Some(store) = self.choose() else { break };
-            let guard = CountGuard::on(&store.out);
-            match self.ask(&store, last_event).await {
-                Ok(answer) => match self.receive(answer, store, guard).await {
-                    Ok(Some(answer)) => return Ok(answer),
-                    Ok(None) => {}
-                    Err(given_up) => return Err(given_up),
-                },
-                Err(attempt) => {
-                    if let Some(given_up) = self.note(&store, &attempt) {
-                        return Err(given_up);
+    /// The time left until the deadline.
+    pub fn time_left(&self) -> Duration {
+        self.outgoing.deadline.saturating_sub(self.shared.now())
+    }
+
+    /// Makes attempts until a store responds; `last_event` resumes a stream after an event.
+    ///
+    /// # Errors
+    ///
+    /// [`ForwardError`] if there is no response to forward.
+    pub async fn run(&mut self, last_event: Option<&HeaderValue>) -> Result<ForwardedResponse, ForwardError> {
+        while self.retry.should_retry(&self.outgoing.route, self.time_left()) {
+            let Some(store) = self.selection.select(&self.shared, &self.outgoing) else { break };
+            let in_flight = InFlightGuard::on(&store.in_flight);
+            match self.send(&store, last_event).await {
+                Ok(response) => {
+                    if let Some(response) = self.on_response(response, store, in_flight).await? {
+                        return Ok(response);
                     }
                 }
+                Err(error) => {
+                    self.retry.on_no_response(&error);
+                    self.on_attempt_failed(&store, &error)?;
+                }
             }
         }
-        match self.own_failure.take() {
-            Some(whole) => Ok(Answer::Whole(whole)),
-            None => Err(GivenUp { verdict: self.sent.verdict, bad_request: false }),
-        }
-    }
-
-    /// A stream that was being passed on was cut off at its store.
-    pub fn cut(&mut self, store: &KnownStore) {
-        self.shared.health.failed(&store.target.id, self.shared.now());
-        self.sent.verdict = self.sent.verdict.and(Verdict::MayHaveRun);
-    }
-
-    /// The time left.
-    pub fn left(&self) -> Duration {
-        self.outgoing.until.saturating_sub(self.shared.now())
-    }
-
-    /// The time since a store was asked last.
-    fn waited(&self) -> Duration {
-        self.shared.now().saturating_sub(self.asked_at)
-    }
-
-    fn next_step(&self) -> Next {
-        let route = &self.outgoing.route;
-        next_step(&self.sent, route.max_attempts(), route.idempotent(), self.left())
-    }
-
-    /// The store to ask next: of the service that the weights pick, else of another one of the route. None if there is none
-    /// that could serve the request in time.
-    fn choose(&self) -> Option<Rc<KnownStore>> {
-        let route = &self.outgoing.route;
-        let picked = pick_service(&route.weights, fastrand::f64())?;
-        let others = (0..route.services.len()).filter(|&place| place != picked && route.weights[place] > 0.0);
-        let store = std::iter::once(picked).chain(others).find_map(|place| self.choose_of(place))?;
-        let load = store.load(self.shared.now());
-        (!waits_too_long(load, route.usual.get(), self.left())).then_some(store)
+        self.retry.give_up()
     }
 
-    fn choose_of(&self, place: usize) -> Option<Rc<KnownStore>> {
-        let now = self.shared.now();
-        let stores = self.shared.stores_of(self.outgoing.route.services.get(place)?);
-        let affinity = self.shared.affinity.borrow();
-        let preferred = self.prompts.get(place).and_then(|prompt| affinity.prefer(prompt));
-        let candidates = stores.iter().map(|store| {
-            let id = store.target.id.as_str();
-            let avoided = self.shared.health.avoid(id, now);
-            let tried = self.tried.iter().any(|tried| tried.target.id == id);
-            let bonus = preferred.filter(|&(preferred, _)| preferred == id).map_or(0, |(_, bonus)| bonus);
-            Candidate { bonus, ..store.candidate(now, avoided, tried) }
-        });
-        choose(candidates, fastrand::u64(..)).and_then(|place| stores.get(place).cloned())
+    /// A stream was interrupted at its store while it was forwarded.
+    pub fn on_stream_interrupted(&mut self, store: &KnownStore) {
+        self.shared.health.on_failure(&store.target.id, self.shared.now());
+        self.retry.on_failed(Verdict::MayHaveRun);
     }
 
-    /// The store has read the request's prompt.
-    fn note_prompt(&self, store: &KnownStore) {
-        let services = &self.outgoing.route.services;
-        let prompts =
-            self.prompts.iter().zip(services).filter(|(_, service)| **service == store.target.service);
-        for (prompt, _) in prompts {
-            self.shared.affinity.borrow_mut().note(prompt, &store.target.id);
-        }
+    fn time_since_attempt(&self) -> Duration {
+        self.shared.now().saturating_sub(self.attempt_started_at)
     }
 
-    async fn ask(
+    async fn send(
         &mut self,
         store: &Rc<KnownStore>,
         last_event: Option<&HeaderValue>,
-    ) -> Result<StoreAnswer, Attempt> {
-        self.tried.push(Rc::clone(store));
-        let left = self.left();
+    ) -> Result<StoreResponse, AttemptError> {
+        self.selection.on_attempt(store);
+        let time_left = self.time_left();
+        let timeouts = self.timeouts(time_left);
+        self.attempt_started_at = self.shared.now();
+        let request = self.outgoing.attempt(time_left, last_event);
+        let response = self.shared.stores.send(&store.target, request, timeouts).await?;
+        self.outgoing.route.latency.record(self.time_since_attempt());
+        self.selection.on_response(&self.shared, &self.outgoing, store);
+        Ok(response)
+    }
+
+    fn timeouts(&self, time_left: Duration) -> AttemptTimeouts {
         let route = &self.outgoing.route;
-        let elsewhere = route.idempotent() && self.sent.offered + 1 < route.max_attempts();
-        let head = head_time(left, route.usual.get(), elsewhere);
-        let silence =
-            silence_time(left, route.objective, route.kind == RouteKind::Streaming && route.idempotent());
-        let timings = Timings { connect: connect_time(left), head, silence };
-        self.asked_at = self.shared.now();
-        let request = self.outgoing.attempt(left, last_event);
-        let answer = self.shared.stores.send(&store.target, request, timings).await?;
-        self.outgoing.route.usual.note(self.waited());
-        self.note_prompt(store);
-        Ok(answer)
+        let is_resumable = route.kind == RouteKind::Streaming && route.is_idempotent();
+        let can_retry = self.retry.can_retry_after_this(route);
+        AttemptTimeouts {
+            connect: connect_timeout(time_left),
+            head: head_timeout(time_left, route.latency.get(), can_retry),
+            idle: idle_timeout(time_left, route.objective, is_resumable),
+        }
     }
 
-    /// Takes a store's own answer: to pass on (some), or to try another store (none).
-    async fn receive(
+    /// Handles a store's response: returns what to forward, or `None` to try another store.
+    async fn on_response(
         &mut self,
-        answer: StoreAnswer,
+        response: StoreResponse,
         store: Rc<KnownStore>,
-        guard: CountGuard,
-    ) -> Result<Option<Answer>, GivenUp> {
+        in_flight: InFlightGuard,
+    ) -> Result<Option<ForwardedResponse>, ForwardError> {
         let now = self.shared.now();
-        self.sent.offered += 1;
-        self.shared.health.answered(&store.target.id);
-        if let Some(load) = answer.load {
-            store.note_load(load, now);
+        self.retry.on_response();
+        self.shared.health.on_response(&store.target.id);
+        if let Some(load) = response.load {
+            store.on_load_report(load, now);
         }
-        let StoreAnswer { status, headers, body, .. } = answer;
-        if !self.comes_whole(status, &body) {
-            return Ok(Some(Answer::Streamed(Streamed { status, headers, body, store, guard })));
+        let StoreResponse { status, headers, body, .. } = response;
+        if !self.is_buffered(status, &body) {
+            let response = StreamedResponse { status, headers, body, store, in_flight };
+            return Ok(Some(ForwardedResponse::Streamed(response)));
         }
         match self.collect(body).await {
-            Ok(body) => Ok(self.judge_whole(Whole { status, headers, body })),
-            Err(attempt) => match self.note_sent(&store, &attempt) {
-                Some(given_up) => Err(given_up),
-                None => Ok(None),
-            },
-        }
-    }
-
-    fn comes_whole(&self, status: StatusCode, body: &StoreBody) -> bool {
-        let streaming = self.outgoing.route.kind == RouteKind::Streaming && status.is_success();
-        !streaming && body.size_hint().exact().is_some_and(|length| length <= WHOLE_BODY_BYTES)
-    }
-
-    async fn collect(&self, body: StoreBody) -> Result<Bytes, Attempt> {
-        let silent = Attempt { verdict: Verdict::MayHaveRun, cause: Cause::Silent };
-        timeout(self.left(), body.collect(WHOLE_BODY_BYTES as usize)).await.map_err(|_elapsed| silent)?
-    }
-
-    /// A store's own failure is kept, and another store tried, where the request may run again.
-    fn judge_whole(&mut self, whole: Whole) -> Option<Answer> {
-        if !whole.status.is_server_error() {
-            return Some(Answer::Whole(whole));
-        }
-        self.server_errors += 1;
-        self.sent.verdict = Verdict::Ran;
-        if !self.outgoing.route.idempotent() {
-            return Some(Answer::Whole(whole));
-        }
-        self.own_failure = Some(whole);
-        None
-    }
-
-    /// Notes an attempt that ended without an answer; some if the request is given up now.
-    fn note(&mut self, store: &KnownStore, attempt: &Attempt) -> Option<GivenUp> {
-        match attempt.cause {
-            Cause::Connect | Cause::Busy | Cause::Left => self.sent.unsent += 1,
-            Cause::Refused(_) | Cause::Broken | Cause::Garbled | Cause::Silent => self.sent.offered += 1,
+            Ok(body) => {
+                let response = CompleteResponse { status, headers, body };
+                Ok(self.retry.on_complete(&self.outgoing.route, response))
+            }
+            Err(error) => {
+                self.retry.on_failed(error.verdict());
+                self.on_attempt_failed(&store, &error)?;
+                Ok(None)
+            }
         }
-        self.note_sent(store, attempt)
     }
 
-    fn note_sent(&mut self, store: &KnownStore, attempt: &Attempt) -> Option<GivenUp> {
-        self.sent.verdict = self.sent.verdict.and(attempt.verdict);
-        match attempt.cause {
-            Cause::Refused(refusal) => self.note_refusal(store, refusal),
-            Cause::Busy | Cause::Left => None,
-            // The time was up, which says little of the store.
-            Cause::Silent if self.waited() < SILENCE_OF_A_FAILURE => None,
-            Cause::Connect | Cause::Broken | Cause::Garbled | Cause::Silent => {
-                self.shared.health.failed(&store.target.id, self.shared.now());
-                None
+    /// Whether a body is buffered completely before the client gets the head.
+    fn is_buffered(&self, status: StatusCode, body: &StoreBody) -> bool {
+        let is_stream = self.outgoing.route.kind == RouteKind::Streaming && status.is_success();
+        !is_stream && body.size_hint().exact().is_some_and(|length| length <= MAX_BUFFERED_BODY_BYTES)
+    }
+
+    async fn collect(&self, body: StoreBody) -> Result<Bytes, AttemptError> {
+        let collected = timeout(self.time_left(), body.collect(MAX_BUFFERED_BODY_BYTES as usize)).await;
+        collected.map_err(|_elapsed| AttemptError::TimedOut)?
+    }
+
+    /// Records what a failed attempt reveals about its store.
+    ///
+    /// # Errors
+    ///
+    /// [`ForwardError::BadRequest`] if no store would accept the request.
+    fn on_attempt_failed(&self, store: &KnownStore, error: &AttemptError) -> Result<(), ForwardError> {
+        match *error {
+            AttemptError::Rejected { rejection } => return self.on_rejected(store, rejection),
+            AttemptError::NoConnectionAvailable | AttemptError::StoreRemoved => {}
+            AttemptError::TimedOut if self.time_since_attempt() < MIN_TIME_OF_A_FAILURE => {}
+            AttemptError::ConnectFailed
+            | AttemptError::Disconnected
+            | AttemptError::InvalidResponse
+            | AttemptError::TimedOut => {
+                self.shared.health.on_failure(&store.target.id, self.shared.now());
             }
         }
+        Ok(())
     }
 
-    fn note_refusal(&self, store: &KnownStore, refusal: Refusal) -> Option<GivenUp> {
+    fn on_rejected(&self, store: &KnownStore, rejection: Rejection) -> Result<(), ForwardError> {
         let now = self.shared.now();
-        match refusal.status {
+        match rejection.status {
             StatusCode::BAD_REQUEST => {
-                return Some(GivenUp { verdict: self.sent.verdict, bad_request: true });
+                return Err(ForwardError::BadRequest { verdict: self.retry.verdict() });
             }
-            StatusCode::MISDIRECTED_REQUEST => self.shared.health.failed(&store.target.id, now),
+            StatusCode::MISDIRECTED_REQUEST => self.shared.health.on_failure(&store.target.id, now),
             _ => {
                 let slots = u32::try_from(store.slots).unwrap_or(u32::MAX);
-                let full = Load { running: slots, waiting: 1, slots };
-                store.note_load(refusal.load.unwrap_or(full), now);
+                let saturated = StoreLoad { running: slots, waiting: 1, slots };
+                store.on_load_report(rejection.load.unwrap_or(saturated), now);
             }
         }
-        None
+        Ok(())
     }
 }
-
-/// The request's prompt at each service of its route, where they keep what they have read.
-fn prompts(outgoing: &Outgoing) -> Vec<Prompt> {
-    let parts =
-        headers::text(&outgoing.headers, &headers::PROMPT_PREFIX).filter(|_| outgoing.route.route.sticky);
-    let Some(parts) = parts else { return Vec::new() };
-    let model = headers::text(&outgoing.headers, &headers::MODEL).unwrap_or_default();
-    outgoing.route.services.iter().map(|service| Prompt::parse(service, model, parts)).collect()
-}
--- a/system/data/src/forward/body.rs
+++ b/system/data/src/forward/body.rs
@@ -1,4 +1,4 @@
-//! The body of an answer while it is passed on from a store to a client.
+//! The body of a response while it is forwarded from a store to a client.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -10,34 +10,39 @@
 use hyper::body::{Body, Frame, SizeHint};
 use tokio::time::{sleep, Sleep};
 
-use super::attempts::Streamed;
-use crate::front::Room;
+use super::response::StreamedResponse;
+use crate::front::RequestPermit;
 use crate::index::KnownStore;
-use crate::stores::{CountGuard, StoreBody};
+use crate::stores::{InFlightGuard, StoreBody};
 use crate::{CloseConnection, Shared};
 
-/// Passes a store's body on as it comes. Cut off at the store, or not whole in time, it ends in an error, so that the client's
-/// connection is closed before the answer looks complete.
+/// Forwards a store's body as it arrives. If it is interrupted, or exceeds the deadline, it fails, so that the client's connection is
+/// closed before the response looks complete.
 pub struct StreamedBody {
     shared: Rc<Shared>,
     store: Rc<KnownStore>,
     body: StoreBody,
-    until: Duration,
+    deadline: Duration,
     timer: Option<Pin<Box<Sleep>>>,
-    _guard: CountGuard,
-    _room: Room,
+    _in_flight: InFlightGuard,
+    _permit: RequestPermit,
 }
 
 impl StreamedBody {
-    /// The body of an answer, to be given up at a time.
-    pub fn new(shared: Rc<Shared>, streamed: Streamed, until: Duration, room: Room) -> Self {
-        let Streamed { body, store, guard, .. } = streamed;
-        Self { shared, store, body, until, timer: None, _guard: guard, _room: room }
+    /// The body of a response, with the deadline of the request.
+    pub fn new(
+        shared: Rc<Shared>,
+        response: StreamedResponse,
+        deadline: Duration,
+        permit: RequestPermit,
+    ) -> Self {
+        let StreamedResponse { body, store, in_flight, .. } = response;
+        Self { shared, store, body, deadline, timer: None, _in_flight: in_flight, _permit: permit }
     }
 
     fn poll_timer(&mut self, context: &mut Context<'_>) -> Poll<()> {
-        let left = self.until.saturating_sub(self.shared.now());
-        self.timer.get_or_insert_with(|| Box::pin(sleep(left))).as_mut().poll(context)
+        let time_left = self.deadline.saturating_sub(self.shared.now());
+        self.timer.get_or_insert_with(|| Box::pin(sleep(time_left))).as_mut().poll(context)
     }
 }
 
@@ -52,7 +57,7 @@
         let this = self.get_mut();
         match Pin::new(&mut this.body).poll_frame(context) {
             Poll::Ready(Some(Err(_))) => {
-                this.shared.health.failed(&this.store.target.id, this.shared.now());
+                this.shared.health.on_failure(&this.store.target.id, this.shared.now());
                 Poll::Ready(Some(Err(CloseConnection)))
             }
             Poll::Ready(frame) => Poll::Ready(frame.map(|frame| frame.map_err(|_| CloseConnection))),
--- a/system/data/src/forward/call.rs
+++ b/system/data/src/forward/call.rs
@@ -1,4 +1,4 @@
-//! Calls that this edge makes itself, by the same routes and attempts as a client's requests.
+//! Requests of this edge itself, by the same routes and retries as a client's.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -8,17 +8,18 @@
 use hyper::http::{header, HeaderValue, Method, Request, StatusCode};
 use tokio::time::timeout;
 
-use super::attempts::{Answer, Attempts, Whole};
-use super::outgoing::Outgoing;
+use super::attempts::Attempts;
+use super::outgoing::OutgoingRequest;
+use super::response::{CompleteResponse, ForwardedResponse};
 use crate::headers;
 use crate::Shared;
 
-/// The longest body of an answer to such a call.
+/// The longest body of a response.
 const MAX_BODY_BYTES: usize = 1024 * 1024;
 
-/// One call that this edge makes itself, for instance a reward call: a `POST` by the route of the host and path.
+/// A request of this edge itself, for instance a scoring call: a `POST` by the route of the host and path.
 pub struct Call {
-    /// The host whose routes are taken.
+    /// The host by which it is routed.
     pub host: String,
     /// The path and query.
     pub path: String,
@@ -26,36 +27,41 @@
     pub id: String,
     /// The body.
     pub body: Bytes,
-    /// Given up then, on the clock of [`Shared::now`].
+    /// Its deadline, on the clock of [`Shared::now`].
     pub deadline: Duration,
 }
 
-/// The answer to a call that this edge made itself.
+/// The response to a [`Call`].
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct CallAnswer {
+pub struct CallResponse {
     /// The store's status.
     pub status: StatusCode,
     /// The store's `Server-Signature`; empty if it gave none.
     pub signature: String,
-    /// The whole body.
+    /// The complete body.
     pub body: Bytes,
-    /// How many stores answered with an error of their own; this answer counts if it is one.
+    /// How many stores responded with a server error, this response included.
     pub server_errors: u32,
 }
 
-/// Makes a call by its route; an idempotent one is tried at several stores. Dropping the future drops the call.
-pub async fn call(shared: &Rc<Shared>, call: Call) -> Result<CallAnswer, Verdict> {
+/// Makes a call by its route; an idempotent one is retried at other stores. Dropping the future cancels it.
+///
+/// # Errors
+///
+/// Whether the call may have run, if no store answered it.
+pub async fn call(shared: &Rc<Shared>, call: Call) -> Result<CallResponse, Verdict> {
     let path = call.path.split('?').next().unwrap_or_default();
     let route = shared.route(&call.host, path).ok_or(Verdict::NeverRan)?;
-    let until = call.deadline;
+    let deadline = call.deadline;
     let request = request(call).ok_or(Verdict::NeverRan)?;
-    let outgoing = Rc::new(Outgoing::new(request, route, until));
+    let outgoing = Rc::new(OutgoingRequest::new(request, route, deadline));
     let mut attempts = Attempts::new(Rc::clone(shared), outgoing);
-    let answer = attempts.run(None).await.map_err(|given_up| given_up.verdict)?;
-    let whole = whole(answer, attempts.left()).await?;
-    let signature = headers::text(&whole.headers, &headers::SERVER_SIGNATURE).unwrap_or_default().to_owned();
+    let response = attempts.run(None).await.map_err(|error| error.verdict())?;
+    let response = complete(response, attempts.time_left()).await?;
+    let signature =
+        headers::text(&response.headers, &headers::SERVER_SIGNATURE).unwrap_or_default().to_owned();
     let server_errors = attempts.server_errors();
-    Ok(CallAnswer { status: whole.status, signature, body: whole.body, server_errors })
+    Ok(CallResponse { status: response.status, signature, body: response.body, server_errors })
 }
 
 fn request(call: Call) -> Option<Request<Bytes>> {
@@ -68,14 +74,13 @@
     Some(request)
 }
 
-async fn whole(answer: Answer, left: Duration) -> Result<Whole, Verdict> {
-    match answer {
-        Answer::Whole(whole) => Ok(whole),
-        Answer::Streamed(streamed) => {
-            let collected = timeout(left, streamed.body.collect(MAX_BODY_BYTES)).await;
-            let body =
-                collected.map_err(|_elapsed| Verdict::MayHaveRun)?.map_err(|attempt| attempt.verdict)?;
-            Ok(Whole { status: streamed.status, headers: streamed.headers, body })
+async fn complete(response: ForwardedResponse, time_left: Duration) -> Result<CompleteResponse, Verdict> {
+    match response {
+        ForwardedResponse::Complete(response) => Ok(response),
+        ForwardedResponse::Streamed(streamed) => {
+            let collected = timeout(time_left, streamed.body.collect(MAX_BODY_BYTES)).await;
+            let body = collected.map_err(|_elapsed| Verdict::MayHaveRun)?.map_err(|error| error.verdict())?;
+            Ok(CompleteResponse { status: streamed.status, headers: streamed.headers, body })
         }
     }
 }
--- a/system/data/src/forward/mod.rs
+++ b/system/data/src/forward/mod.rs
@@ -1,15 +1,19 @@
-//! Forwarding: a request goes to one store after another until one answers, as far as its route, its attempts and its time
-//! permit; what every attempt's verdict is decides what may follow and what the client is told.
+//! Forwarding: a request is sent to one store after another until one responds, as far as its route, its attempts and its deadline
+//! permit. [`crate::routing`] decides about retries; this applies its decisions.
 
 mod attempts;
 mod body;
 mod call;
-pub mod events;
+pub mod event_buffer;
 mod outgoing;
+mod response;
+mod retry_state;
+mod store_selection;
 mod stream;
 
-pub use attempts::{Answer, Attempts, GivenUp, Streamed, Whole};
+pub use attempts::Attempts;
 pub use body::StreamedBody;
-pub use call::{call, Call, CallAnswer};
-pub use outgoing::Outgoing;
+pub use call::{call, Call, CallResponse};
+pub use outgoing::OutgoingRequest;
+pub use response::{CompleteResponse, ForwardError, ForwardedResponse, StreamedResponse};
 pub use stream::ResumableStream;
--- a/system/data/src/forward/stream.rs
+++ b/system/data/src/forward/stream.rs
@@ -1,5 +1,5 @@
-//! A stream that is taken up at another store after a cut, inside one answer: the client sees the head of the first store and
-//! every event once.
+//! A stream that is resumed at another store after an interruption, within one response: the client gets the head of the first store
+//! and every event once.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -10,93 +10,94 @@
 use hyper::body::{Body, Frame, SizeHint};
 use tokio::time::{sleep, Sleep};
 
-use super::attempts::{Answer, Attempts, GivenUp, Streamed};
-use super::events::EventBuffer;
-use crate::front::Room;
+use super::attempts::Attempts;
+use super::event_buffer::EventBuffer;
+use super::response::{ForwardError, ForwardedResponse, StreamedResponse};
+use crate::front::RequestPermit;
 use crate::headers;
 use crate::index::KnownStore;
-use crate::stores::{CountGuard, StoreBody};
+use crate::stores::{InFlightGuard, StoreBody};
 use crate::CloseConnection;
 
-type Resumption = Pin<Box<dyn Future<Output = (Attempts, Result<Answer, GivenUp>)>>>;
+type Resumption = Pin<Box<dyn Future<Output = (Attempts, Result<ForwardedResponse, ForwardError>)>>>;
 
-/// The run that is being read.
-struct Run {
+/// The response of one store.
+struct SourceStream {
     attempts: Attempts,
     body: StoreBody,
     store: Rc<KnownStore>,
-    _guard: CountGuard,
+    _in_flight: InFlightGuard,
 }
 
 enum State {
-    Reading(Box<Run>),
+    Reading(Box<SourceStream>),
     Resuming(Resumption),
     Ended,
 }
 
-/// Events of one stream, from as many stores as it takes.
+/// The events of one stream, from one store after another.
 pub struct ResumableStream {
     state: State,
     events: EventBuffer,
     timer: Pin<Box<Sleep>>,
-    _room: Room,
+    _permit: RequestPermit,
 }
 
 impl ResumableStream {
-    /// The stream whose first answer has come, and the attempts that it may still make.
-    pub fn new(attempts: Attempts, streamed: Streamed, room: Room) -> Self {
-        let timer = Box::pin(sleep(attempts.left()));
+    /// The stream that starts with a response, and its further attempts.
+    pub fn new(attempts: Attempts, response: StreamedResponse, permit: RequestPermit) -> Self {
+        let timer = Box::pin(sleep(attempts.time_left()));
         Self {
-            state: State::Reading(Box::new(Run::new(attempts, streamed))),
+            state: State::Reading(Box::new(SourceStream::new(attempts, response))),
             events: EventBuffer::default(),
             timer,
-            _room: room,
+            _permit: permit,
         }
     }
 
-    /// Looks for another store to go on after the last event passed on.
-    fn resume(&mut self, run: Box<Run>) -> State {
-        let Run { mut attempts, body, store, _guard } = *run;
+    /// Starts to resume at another store after the last forwarded event.
+    fn resume(&mut self, source: Box<SourceStream>) -> State {
+        let SourceStream { mut attempts, body, store, _in_flight } = *source;
         drop(body);
-        self.events.drop_partial();
-        attempts.cut(&store);
+        self.events.discard_partial();
+        attempts.on_stream_interrupted(&store);
         let last_event = self.events.last_id().map(|id| headers::number(u128::from(id)));
         State::Resuming(Box::pin(async move {
-            let answer = attempts.run(last_event.as_ref()).await;
-            (attempts, answer)
+            let response = attempts.run(last_event.as_ref()).await;
+            (attempts, response)
         }))
     }
 
-    /// Takes what the run yielded next; some if there is something to pass on.
-    fn take(
+    /// Handles the next frame of a store's response, `None` at its end; returns what there is to forward.
+    fn on_frame(
         &mut self,
-        run: Box<Run>,
+        source: Box<SourceStream>,
         frame: Option<Result<Bytes, ()>>,
     ) -> Option<Result<Bytes, CloseConnection>> {
         match frame {
-            Some(Ok(piece)) => match self.events.push(&piece) {
-                Ok(whole) => {
-                    self.state = State::Reading(run);
-                    (!whole.is_empty()).then_some(Ok(whole))
+            Some(Ok(data)) => match self.events.push(&data) {
+                Ok(events) => {
+                    self.state = State::Reading(source);
+                    (!events.is_empty()).then_some(Ok(events))
                 }
                 Err(_) => Some(Err(CloseConnection)),
             },
             None if !self.events.is_partial() => None,
             None | Some(Err(())) => {
-                self.state = self.resume(run);
+                self.state = self.resume(source);
                 None
             }
         }
     }
 
-    fn resumed(
+    fn on_resumed(
         &mut self,
         attempts: Attempts,
-        answer: Result<Answer, GivenUp>,
+        response: Result<ForwardedResponse, ForwardError>,
     ) -> Result<(), CloseConnection> {
-        match answer {
-            Ok(Answer::Streamed(streamed)) if streamed.status.is_success() => {
-                self.state = State::Reading(Box::new(Run::new(attempts, streamed)));
+        match response {
+            Ok(ForwardedResponse::Streamed(response)) if response.status.is_success() => {
+                self.state = State::Reading(Box::new(SourceStream::new(attempts, response)));
                 Ok(())
             }
             _ => Err(CloseConnection),
@@ -104,10 +105,10 @@
     }
 }
 
-impl Run {
-    fn new(attempts: Attempts, streamed: Streamed) -> Self {
-        let Streamed { body, store, guard, .. } = streamed;
-        Self { attempts, body, store, _guard: guard }
+impl SourceStream {
+    fn new(attempts: Attempts, response: StreamedResponse) -> Self {
+        let StreamedResponse { body, store, in_flight, .. } = response;
+        Self { attempts, body, store, _in_flight: in_flight }
     }
 
     fn poll(&mut self, context: &mut Context<'_>) -> Poll<Option<Result<Bytes, ()>>> {
@@ -141,14 +142,14 @@
         loop {
             match std::mem::replace(&mut this.state, State::Ended) {
                 State::Ended => return Poll::Ready(None),
-                State::Reading(mut run) => match run.poll(context) {
+                State::Reading(mut source) => match source.poll(context) {
                     Poll::Pending => {
-                        this.state = State::Reading(run);
+                        this.state = State::Reading(source);
                         return Poll::Pending;
                     }
                     Poll::Ready(frame) => {
-                        if let Some(piece) = this.take(run, frame) {
-                            return Poll::Ready(Some(piece.map(Frame::data)));
+                        if let Some(events) = this.on_frame(source, frame) {
+                            return Poll::Ready(Some(events.map(Frame::data)));
                         }
                     }
                 },
@@ -157,8 +158,8 @@
                         this.state = State::Resuming(resumption);
                         return Poll::Pending;
                     }
-                    Poll::Ready((attempts, answer)) => {
-                        if this.resumed(attempts, answer).is_err() {
+                    Poll::Ready((attempts, response)) => {
+                        if this.on_resumed(attempts, response).is_err() {
                             return Poll::Ready(Some(Err(CloseConnection)));
                         }
                     }
--- a/system/data/src/front/budget.rs
+++ b/system/data/src/front/budget.rs
@@ -1,48 +1,48 @@
-//! How much may be under way at once: requests, and the bytes of their bodies.
+//! Admission control: bounds on the requests in flight, and on the bytes of their bodies.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// What is in use, and the most that may be.
-pub struct Budget {
+/// What requests use, and the limits.
+pub struct RequestBudget {
     requests: Cell<usize>,
     bytes: Cell<usize>,
     max_requests: usize,
     max_bytes: usize,
 }
 
-/// The part of one request; it is given back when this is dropped.
-pub struct Room {
-    budget: Rc<Budget>,
+/// The share of one request in the budget; dropping it returns the share.
+pub struct RequestPermit {
+    budget: Rc<RequestBudget>,
     bytes: usize,
 }
 
-impl Budget {
-    /// Nothing is in use.
+impl RequestBudget {
+    /// A budget of which nothing is in use.
     pub fn new(max_requests: usize, max_bytes: usize) -> Rc<Self> {
         Rc::new(Self { requests: Cell::new(0), bytes: Cell::new(0), max_requests, max_bytes })
     }
 
-    /// Requests under way.
+    /// The number of requests in flight.
     pub fn requests(&self) -> usize {
         self.requests.get()
     }
 
-    /// Room for one more request, without a body yet.
-    pub fn admit(self: &Rc<Self>) -> Option<Room> {
+    /// Admits one more request, without a body yet; `None` if the limit is reached.
+    pub fn admit(self: &Rc<Self>) -> Option<RequestPermit> {
         if self.requests.get() >= self.max_requests {
             return None;
         }
         self.requests.set(self.requests.get() + 1);
-        Some(Room { budget: Rc::clone(self), bytes: 0 })
+        Some(RequestPermit { budget: Rc::clone(self), bytes: 0 })
     }
 }
 
-impl Room {
-    /// Takes room for more bytes of the body; says whether there is any.
-    pub fn grow(&mut self, bytes: usize) -> bool {
+impl RequestPermit {
+    /// Reserves more bytes of the body; returns whether the limit permits that.
+    pub fn try_reserve(&mut self, bytes: usize) -> bool {
         let used = self.budget.bytes.get();
-        // A single body may always come: the configuration's limit holds for it.
+        // A single body is always admitted: the configuration bounds its length.
         if used > 0 && used + bytes > self.budget.max_bytes {
             return false;
         }
@@ -52,7 +52,7 @@
     }
 }
 
-impl Drop for Room {
+impl Drop for RequestPermit {
     fn drop(&mut self) {
         let budget = &self.budget;
         budget.requests.set(budget.requests.get().saturating_sub(1));
--- a/system/data/src/front/connection.rs
+++ b/system/data/src/front/client_stream.rs
@@ -1,4 +1,4 @@
-//! A client's socket that notes when the head of a request begins to come.
+//! A client's socket that records when the head of a request starts to arrive.
 
 use std::cell::Cell;
 use std::io;
@@ -10,24 +10,24 @@
 use hyper_util::rt::TokioIo;
 use tokio::net::TcpStream;
 
-use super::connections::Phase;
+use super::connection_table::Phase;
 use crate::Shared;
 
 /// A client's socket.
-pub struct Watched {
+pub struct ClientStream {
     stream: TokioIo<TcpStream>,
     phase: Rc<Cell<Phase>>,
     shared: Rc<Shared>,
 }
 
-impl Watched {
-    /// A socket whose connection's phase is noted there.
+impl ClientStream {
+    /// A socket that updates `phase`.
     pub fn new(stream: TcpStream, phase: Rc<Cell<Phase>>, shared: Rc<Shared>) -> Self {
         Self { stream: TokioIo::new(stream), phase, shared }
     }
 }
 
-impl Read for Watched {
+impl Read for ClientStream {
     fn poll_read(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -36,13 +36,13 @@
         let this = self.get_mut();
         let polled = Pin::new(&mut this.stream).poll_read(context, buffer);
         if polled.is_ready() && matches!(this.phase.get(), Phase::Idle(_)) {
-            this.phase.set(Phase::Head(this.shared.now()));
+            this.phase.set(Phase::ReadingHead(this.shared.now()));
         }
         polled
     }
 }
 
-impl Write for Watched {
+impl Write for ClientStream {
     fn poll_write(self: Pin<&mut Self>, context: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
         Pin::new(&mut self.get_mut().stream).poll_write(context, bytes)
     }
--- a/system/data/src/front/mod.rs
+++ b/system/data/src/front/mod.rs
@@ -1,12 +1,12 @@
-//! The front: takes connections from clients, bounds what they may use, and answers their requests.
+//! The front: accepts connections of clients, bounds what they use, and handles their requests.
 
 mod budget;
-mod connection;
-mod connections;
-mod listener;
-mod reading;
+mod client_stream;
+mod connection_table;
+mod request_body;
+mod server;
 mod service;
 
-pub use budget::{Budget, Room};
-pub use connections::{Connections, Phase, Times};
-pub use listener::{bounds, serve, Bounds, Front};
+pub use budget::{RequestBudget, RequestPermit};
+pub use connection_table::{ConnectionTable, ConnectionTimeouts, Phase};
+pub use server::{front_limits, serve, Front, FrontLimits};
--- a/system/data/src/front/service.rs
+++ b/system/data/src/front/service.rs
@@ -1,4 +1,4 @@
-//! Answers one request of a client: by its route, from a store or from the driver of batch jobs.
+//! Handles one request of a client: by its route, at a store or by the driver of batch jobs.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -8,36 +8,41 @@
 use hyper::http::{header, HeaderValue, Request, StatusCode};
 use tokio::time::timeout;
 
-use super::budget::{Budget, Room};
-use super::reading::{read, Unread};
-use crate::forward::{Answer, Attempts, GivenUp, Outgoing, ResumableStream, Streamed, StreamedBody};
-use crate::routing::{failure, give_up_at, retry_after, Failure, RouteEntry};
+use super::budget::{RequestBudget, RequestPermit};
+use super::request_body::{read, BodyError};
+use crate::forward::{
+    Attempts, ForwardError, ForwardedResponse, OutgoingRequest, ResumableStream, StreamedBody,
+    StreamedResponse,
+};
+use crate::routing::{failure_response, request_deadline, retry_after, FailureResponse, RouteEntry};
 use crate::{headers, rollout, CloseConnection, Reply, ReplyBody, Shared};
 
-/// Paths of the calls about batch jobs.
+/// Path prefixes of the trainers' API beside submissions.
 const JOB_PATHS: [&str; 2] = ["/lots/", "/items/"];
-/// How long the body of a call about batch jobs may take.
-const JOB_BODY_TIME: Duration = Duration::from_secs(20);
-/// The longest body while no configuration says another.
-const ASSUMED_MAX_BODY_BYTES: u64 = 32 * 1024 * 1024;
-/// What a client whose route isn't known yet is taken to have left, and its objective.
-const ASSUMED_LEFT: Duration = Duration::from_secs(1);
-
-/// Answers a request.
-pub async fn answer(
+/// The time-out of the body of a trainer's request.
+const JOB_BODY_TIMEOUT: Duration = Duration::from_secs(20);
+/// The longest body where the configuration sets no limit.
+const DEFAULT_MAX_BODY_BYTES: u64 = 32 * 1024 * 1024;
+/// The assumed time left, and latency target, of a request whose route isn't known.
+const DEFAULT_TIME_LEFT: Duration = Duration::from_secs(1);
+
+/// Handles a request.
+pub async fn handle(
     shared: Rc<Shared>,
-    budget: Rc<Budget>,
+    budget: Rc<RequestBudget>,
     request: Request<Incoming>,
 ) -> Result<Reply, CloseConnection> {
-    let Some(room) = budget.admit() else { return Ok(come_again(ASSUMED_LEFT, ASSUMED_LEFT)) };
+    let Some(permit) = budget.admit() else { return Ok(unavailable(DEFAULT_TIME_LEFT, DEFAULT_TIME_LEFT)) };
     let path = request.uri().path();
     if JOB_PATHS.iter().any(|prefix| path.starts_with(prefix)) {
-        return job_call(shared, room, request).await;
+        return handle_job_request(shared, permit, request).await;
     }
     match shared.route(host(&request), path) {
         None => Ok(no_route(&shared)),
-        Some(route) if route.kind == RouteKind::Deployment => job_call(shared, room, request).await,
-        Some(route) => forward(shared, route, room, request).await,
+        Some(route) if route.kind == RouteKind::Deployment => {
+            handle_job_request(shared, permit, request).await
+        }
+        Some(route) => forward(shared, route, permit, request).await,
     }
 }
 
@@ -47,67 +52,74 @@
     named.or_else(|| headers::text(request.headers(), &header::HOST)).unwrap_or_default()
 }
 
-/// Nothing is there: for sure, or as far as an edge knows that does not know all.
+/// The response where no route matches: 404 only if this edge is certain that its configuration is the newest.
 fn no_route(shared: &Shared) -> Reply {
-    if shared.configuration().is_some() && shared.fresh() {
+    if shared.configuration().is_some() && shared.is_registry_fresh() {
         ReplyBody::status(StatusCode::NOT_FOUND)
     } else {
-        come_again(ASSUMED_LEFT, ASSUMED_LEFT)
+        unavailable(DEFAULT_TIME_LEFT, DEFAULT_TIME_LEFT)
     }
 }
 
-async fn job_call(
+async fn handle_job_request(
     shared: Rc<Shared>,
-    mut room: Room,
+    mut permit: RequestPermit,
     request: Request<Incoming>,
 ) -> Result<Reply, CloseConnection> {
     let (head, body) = request.into_parts();
-    let reading = timeout(JOB_BODY_TIME, read(body, max_body(&shared), &mut room));
+    let reading = timeout(JOB_BODY_TIMEOUT, read(body, max_body(&shared), &mut permit));
     match reading.await.map_err(|_elapsed| CloseConnection)? {
         Ok(body) => rollout::trainer_api::handle(shared, Request::from_parts(head, body)).await,
-        Err(unread) => not_read(unread, ASSUMED_LEFT, ASSUMED_LEFT),
+        Err(error) => body_not_read(error, DEFAULT_TIME_LEFT, DEFAULT_TIME_LEFT),
     }
 }
 
 async fn forward(
     shared: Rc<Shared>,
     route: Rc<RouteEntry>,
-    mut room: Room,
+    mut permit: RequestPermit,
     request: Request<Incoming>,
 ) -> Result<Reply, CloseConnection> {
     if !request.headers().contains_key(headers::ATTEMPT_ID) {
         return Ok(ReplyBody::status(StatusCode::BAD_REQUEST));
     }
-    let deadline = headers::milliseconds(request.headers(), &headers::DEADLINE_MS);
-    let until = give_up_at(shared.now(), deadline, route.timeout);
+    let client_deadline = headers::milliseconds(request.headers(), &headers::DEADLINE_MS);
+    let deadline = request_deadline(shared.now(), client_deadline, route.timeout);
     let (head, body) = request.into_parts();
-    let left = until.saturating_sub(shared.now());
+    let time_left = deadline.saturating_sub(shared.now());
     let objective = route.objective;
-    let body = match timeout(left, read(body, max_body(&shared), &mut room)).await {
+    let body = match timeout(time_left, read(body, max_body(&shared), &mut permit)).await {
         Ok(Ok(body)) => body,
-        Ok(Err(unread)) => return not_read(unread, left, objective),
-        Err(_elapsed) => return not_read(Unread::NoRoom, Duration::ZERO, objective),
+        Ok(Err(error)) => return body_not_read(error, time_left, objective),
+        Err(_elapsed) => return body_not_read(BodyError::NotAdmitted, Duration::ZERO, objective),
     };
-    let outgoing = Rc::new(Outgoing::new(Request::from_parts(head, body), route, until));
+    let outgoing = Rc::new(OutgoingRequest::new(Request::from_parts(head, body), route, deadline));
     let mut attempts = Attempts::new(Rc::clone(&shared), outgoing);
     match attempts.run(None).await {
-        Ok(answer) => Ok(pass_on(shared, answer, attempts, room)),
-        Err(given_up) => Ok(give_up(given_up, attempts.left(), objective)),
+        Ok(response) => Ok(forward_response(shared, response, attempts, permit)),
+        Err(error) => Ok(no_response(error, attempts.time_left(), objective)),
     }
 }
 
 fn max_body(shared: &Shared) -> usize {
     let limits = shared.configuration().and_then(|configuration| configuration.limits.clone());
-    let most = limits.map_or(0, |limits: Limits| limits.max_body_bytes);
-    usize::try_from(if most == 0 { ASSUMED_MAX_BODY_BYTES } else { most }).unwrap_or(usize::MAX)
+    let max_bytes = limits.map_or(0, |limits: Limits| limits.max_body_bytes);
+    usize::try_from(if max_bytes == 0 { DEFAULT_MAX_BODY_BYTES } else { max_bytes }).unwrap_or(usize::MAX)
 }
 
-fn pass_on(shared: Rc<Shared>, answer: Answer, attempts: Attempts, room: Room) -> Reply {
-    let (status, mut headers, body) = match answer {
-        Answer::Whole(whole) => (whole.status, whole.headers, ReplyBody::whole(whole.body)),
-        Answer::Streamed(mut streamed) => {
+fn forward_response(
+    shared: Rc<Shared>,
+    response: ForwardedResponse,
+    attempts: Attempts,
+    permit: RequestPermit,
+) -> Reply {
+    let (status, mut headers, body) = match response {
+        ForwardedResponse::Complete(response) => {
+            (response.status, response.headers, ReplyBody::complete(response.body))
+        }
+        ForwardedResponse::Streamed(mut streamed) => {
             let (status, headers) = (streamed.status, std::mem::take(&mut streamed.headers));
-            (status, headers, stream(shared, streamed, attempts, room))
+            (status, headers, streamed_body(shared, streamed, attempts, permit))
         }
     };
     if matches!(&body, ReplyBody::Streamed(body) if hyper::body::Body::size_hint(body).exact().is_none()) {
@@ -119,39 +131,52 @@
     reply
 }
 
-fn stream(shared: Rc<Shared>, streamed: Streamed, attempts: Attempts, room: Room) -> ReplyBody {
+fn streamed_body(
+    shared: Rc<Shared>,
+    streamed: StreamedResponse,
+    attempts: Attempts,
+    permit: RequestPermit,
+) -> ReplyBody {
     let route = &attempts.outgoing().route;
-    if route.kind == RouteKind::Streaming && route.idempotent() {
-        return ReplyBody::Streamed(Box::pin(ResumableStream::new(attempts, streamed, room)));
+    if route.kind == RouteKind::Streaming && route.is_idempotent() {
+        return ReplyBody::Streamed(Box::pin(ResumableStream::new(attempts, streamed, permit)));
     }
-    let until = attempts.outgoing().until;
-    ReplyBody::Streamed(Box::pin(StreamedBody::new(shared, streamed, until, room)))
+    let deadline = attempts.outgoing().deadline;
+    ReplyBody::Streamed(Box::pin(StreamedBody::new(shared, streamed, deadline, permit)))
 }
 
-fn give_up(given_up: GivenUp, left: Duration, objective: Duration) -> Reply {
-    if given_up.bad_request {
-        return ReplyBody::status(StatusCode::BAD_REQUEST);
+fn no_response(error: ForwardError, time_left: Duration, objective: Duration) -> Reply {
+    match error {
+        ForwardError::BadRequest { .. } => ReplyBody::status(StatusCode::BAD_REQUEST),
+        ForwardError::AttemptsExhausted { verdict } => {
+            reply_of(failure_response(verdict, time_left, objective))
+        }
     }
-    reply_of(failure(given_up.verdict, left, objective))
 }
 
-fn not_read(unread: Unread, left: Duration, objective: Duration) -> Result<Reply, CloseConnection> {
-    match unread {
-        Unread::Broken => Err(CloseConnection),
-        Unread::TooLong => Ok(closing(ReplyBody::status(StatusCode::PAYLOAD_TOO_LARGE))),
-        Unread::NoRoom => Ok(closing(reply_of(failure(Verdict::NeverRan, left, objective)))),
+fn body_not_read(
+    error: BodyError,
+    time_left: Duration,
+    objective: Duration,
+) -> Result<Reply, CloseConnection> {
+    match error {
+        BodyError::Disconnected => Err(CloseConnection),
+        BodyError::TooLong => Ok(with_connection_close(ReplyBody::status(StatusCode::PAYLOAD_TOO_LARGE))),
+        BodyError::NotAdmitted => {
+            Ok(with_connection_close(reply_of(failure_response(Verdict::NeverRan, time_left, objective))))
+        }
     }
 }
 
-fn come_again(left: Duration, objective: Duration) -> Reply {
-    let pause = Some(retry_after(left, objective));
-    reply_of(Failure { status: StatusCode::SERVICE_UNAVAILABLE, retry_after: pause })
+fn unavailable(time_left: Duration, objective: Duration) -> Reply {
+    let retry_after = Some(retry_after(time_left, objective));
+    reply_of(FailureResponse { status: StatusCode::SERVICE_UNAVAILABLE, retry_after })
 }
 
-fn reply_of(failure: Failure) -> Reply {
+fn reply_of(failure: FailureResponse) -> Reply {
     let mut reply = ReplyBody::status(failure.status);
-    if let Some(pause) = failure.retry_after {
-        let seconds = format!("{:.3}", pause.as_secs_f64());
+    if let Some(retry_after) = failure.retry_after {
+        let seconds = format!("{:.3}", retry_after.as_secs_f64());
         if let Ok(value) = HeaderValue::from_str(&seconds) {
             reply.headers_mut().insert(header::RETRY_AFTER, value);
         }
@@ -159,7 +184,7 @@
     reply
 }
 
-fn closing(mut reply: Reply) -> Reply {
+fn with_connection_close(mut reply: Reply) -> Reply {
     reply.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
     reply
 }
--- a/system/data/src/index.rs
+++ b/system/data/src/index.rs
@@ -1,4 +1,4 @@
-//! The stores that take requests, as the registry tells, arranged for look-ups and changed entry by entry.
+//! An index of the stores that accept requests, by service, updated with each entry of the registry.
 
 use std::cell::Cell;
 use std::collections::HashMap;
@@ -9,33 +9,35 @@
 use gingerledge_wire::StoreRecord;
 
 use crate::routing::Candidate;
-use crate::stores::{Counts, Load, StoreTarget};
+use crate::stores::{InFlightCounts, StoreLoad, StoreTarget};
 
-/// How long a store's word on its load is believed.
-const LOAD_AGE: Duration = Duration::from_millis(500);
+/// A load report older than this is ignored.
+const LOAD_REPORT_TTL: Duration = Duration::from_millis(500);
 
-/// A store that takes requests.
+/// A store that accepts requests.
 pub struct KnownStore {
-    /// How it is reached.
+    /// Its identity and address.
     pub target: StoreTarget,
-    /// Requests that it works on at once.
+    /// Requests that it runs at a time.
     pub slots: usize,
     /// Whether it is in this edge's zone.
-    pub own_zone: bool,
-    /// Requests that this edge has out there.
-    pub out: Rc<Cell<usize>>,
-    told: Cell<Option<Told>>,
+    pub is_own_zone: bool,
+    /// Requests that this edge has in flight there.
+    pub in_flight: Rc<Cell<usize>>,
+    load_report: Cell<Option<LoadReport>>,
 }
 
 #[derive(Clone, Copy)]
-struct Told {
-    load: Load,
-    others: usize,
-    at: Duration,
+/// A store's report of its load.
+struct LoadReport {
+    load: StoreLoad,
+    /// Requests of others that ran or waited there.
+    others_in_flight: usize,
+    received_at: Duration,
 }
 
 impl KnownStore {
-    fn new(id: &str, record: &StoreRecord, zone: &str, counts: &Counts) -> Self {
+    fn new(id: &str, record: &StoreRecord, zone: &str, counts: &InFlightCounts) -> Self {
         let target = StoreTarget {
             id: id.to_owned(),
             address: record.address,
@@ -45,63 +47,63 @@
         Self {
             target,
             slots: record.slots.max(1) as usize,
-            own_zone: record.zone == zone,
-            out: counts.counter(id),
-            told: Cell::new(None),
+            is_own_zone: record.zone == zone,
+            in_flight: counts.counter(id),
+            load_report: Cell::new(None),
         }
     }
 
-    /// Whether the record says the same as this.
-    fn is(&self, record: &StoreRecord, zone: &str) -> bool {
+    /// Whether this agrees with the record.
+    fn matches(&self, record: &StoreRecord, zone: &str) -> bool {
         self.target.address == record.address
             && self.target.service == record.service
             && self.slots == record.slots.max(1) as usize
-            && self.own_zone == (record.zone == zone)
+            && self.is_own_zone == (record.zone == zone)
     }
 
-    /// Takes in what the store told of its load.
-    pub fn note_load(&self, load: Load, now: Duration) {
-        let running = load.running as usize + load.waiting as usize;
-        self.told.set(Some(Told { load, others: running.saturating_sub(self.out.get()), at: now }));
+    /// Records a load report of the store.
+    pub fn on_load_report(&self, load: StoreLoad, now: Duration) {
+        let total = load.running as usize + load.waiting as usize;
+        let others_in_flight = total.saturating_sub(self.in_flight.get());
+        self.load_report.set(Some(LoadReport { load, others_in_flight, received_at: now }));
     }
 
-    /// What the store told of its load lately.
-    pub fn load(&self, now: Duration) -> Option<Load> {
-        self.told(now).map(|told| told.load)
+    /// The load that the store reported recently.
+    pub fn load(&self, now: Duration) -> Option<StoreLoad> {
+        self.recent_report(now).map(|report| report.load)
     }
 
-    fn told(&self, now: Duration) -> Option<Told> {
-        self.told.get().filter(|told| now.saturating_sub(told.at) < LOAD_AGE)
+    fn recent_report(&self, now: Duration) -> Option<LoadReport> {
+        self.load_report.get().filter(|report| now.saturating_sub(report.received_at) < LOAD_REPORT_TTL)
     }
 
-    /// The store as the choice sees it.
-    pub fn candidate(&self, now: Duration, avoided: bool, tried: bool) -> Candidate {
+    /// The store as a candidate for a request.
+    pub fn candidate(&self, now: Duration, is_suspect: bool, was_tried: bool) -> Candidate {
         Candidate {
-            out: self.out.get(),
-            others: self.told(now).map_or(0, |told| told.others),
+            in_flight: self.in_flight.get(),
+            others_in_flight: self.recent_report(now).map_or(0, |report| report.others_in_flight),
             slots: self.slots,
-            bonus: 0,
-            own_zone: self.own_zone,
-            avoided,
-            tried,
+            affinity_bonus: 0,
+            is_own_zone: self.is_own_zone,
+            is_suspect,
+            was_tried,
         }
     }
 }
 
-/// Stores that take requests, by service.
+/// The stores that accept requests.
 #[derive(Default)]
 pub struct StoreIndex {
-    known: HashMap<String, Rc<KnownStore>>,
-    services: HashMap<String, Rc<Vec<Rc<KnownStore>>>>,
+    by_id: HashMap<String, Rc<KnownStore>>,
+    by_service: HashMap<String, Rc<Vec<Rc<KnownStore>>>>,
 }
 
 impl StoreIndex {
-    /// Takes in what the registry says of a store now; none if it is gone. What was known of its load stays while it is the
-    /// same.
-    pub fn update(&mut self, id: &str, record: Option<&StoreRecord>, zone: &str, counts: &Counts) {
+    /// Applies a change of a store in the registry, `None` if it was removed. Its load report stays while its record does.
+    pub fn update(&mut self, id: &str, record: Option<&StoreRecord>, zone: &str, counts: &InFlightCounts) {
         let ready = record.filter(|record| record.state == StoreState::Ready);
-        if let (Some(known), Some(record)) = (self.known.get(id), ready) {
-            if known.is(record, zone) {
+        if let (Some(known), Some(record)) = (self.by_id.get(id), ready) {
+            if known.matches(record, zone) {
                 return;
             }
         }
@@ -111,29 +113,29 @@
         }
     }
 
-    /// The stores of a service that take requests.
-    pub fn of(&self, service: &str) -> Rc<Vec<Rc<KnownStore>>> {
-        self.services.get(service).cloned().unwrap_or_default()
+    /// The stores of a service that accept requests.
+    pub fn of_service(&self, service: &str) -> Rc<Vec<Rc<KnownStore>>> {
+        self.by_service.get(service).cloned().unwrap_or_default()
     }
 
-    /// Whether no store takes requests.
+    /// Whether no store accepts requests.
     pub fn is_empty(&self) -> bool {
-        self.known.is_empty()
+        self.by_id.is_empty()
     }
 
     fn insert(&mut self, store: Rc<KnownStore>) {
-        let stores = self.services.entry(store.target.service.clone()).or_default();
+        let stores = self.by_service.entry(store.target.service.clone()).or_default();
         Rc::make_mut(stores).push(Rc::clone(&store));
-        self.known.insert(store.target.id.clone(), store);
+        self.by_id.insert(store.target.id.clone(), store);
     }
 
     fn remove(&mut self, id: &str) {
-        let Some(store) = self.known.remove(id) else { return };
+        let Some(store) = self.by_id.remove(id) else { return };
         store.target.takes_requests.set(false);
-        let Some(stores) = self.services.get_mut(&store.target.service) else { return };
+        let Some(stores) = self.by_service.get_mut(&store.target.service) else { return };
         Rc::make_mut(stores).retain(|other| other.target.id != id);
         if stores.is_empty() {
-            self.services.remove(&store.target.service);
+            self.by_service.remove(&store.target.service);
         }
     }
 }
--- a/system/data/src/node/heartbeat.rs
+++ b/system/data/src/node/heartbeat.rs
@@ -1,4 +1,4 @@
-//! Heartbeats of this edge to a control node: one each half second, to the same one as long as it answers.
+//! Heartbeats of this edge to a control node: one in each interval, to the same node as long as it acknowledges them.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,18 +9,19 @@
 
 /// The time between heartbeats.
 const INTERVAL: Duration = Duration::from_millis(500);
-/// After so many heartbeats without an answer, another control node gets them.
-const PATIENCE: u64 = 2;
+/// After so many heartbeats without an acknowledgement, another control node is chosen.
+const MAX_UNACKNOWLEDGED: u64 = 2;
 /// The most control nodes that are remembered.
-const MAX_CONTROL: usize = 64;
+const MAX_CONTROL_NODES: usize = 64;
 
-/// Who gets heartbeats, and what has been answered.
+/// The target of the heartbeats, and what it has acknowledged.
 pub struct Heartbeats {
     target: Option<SocketAddr>,
-    told: Vec<SocketAddr>,
+    /// Control nodes named by the last acknowledgement.
+    advertised: Vec<SocketAddr>,
     sequence: u64,
-    answered: u64,
-    due: Duration,
+    acknowledged: u64,
+    next_at: Duration,
 }
 
 impl Default for Heartbeats {
@@ -30,85 +31,87 @@
 }
 
 impl Heartbeats {
-    /// The first one is due at once.
+    /// The first heartbeat is due immediately.
     pub fn new() -> Self {
-        Self { target: None, told: Vec::new(), sequence: 0, answered: 0, due: Duration::ZERO }
+        Self { target: None, advertised: Vec::new(), sequence: 0, acknowledged: 0, next_at: Duration::ZERO }
     }
 
     /// When the next one is due.
-    pub fn due(&self) -> Duration {
-        self.due
+    pub fn next_timer(&self) -> Duration {
+        self.next_at
     }
 
-    /// Sends one if it is due.
-    pub fn beat(&mut self, shared: &Shared, now: Duration) {
-        if now < self.due {
+    /// Sends a heartbeat if it is due.
+    pub fn on_timer(&mut self, shared: &Shared, now: Duration) {
+        if now < self.next_at {
             return;
         }
-        self.due = now + INTERVAL;
-        if self.target.is_none() || self.sequence >= self.answered + PATIENCE {
-            self.target = self.another(shared);
-            self.answered = self.sequence;
+        self.next_at = now + INTERVAL;
+        if self.target.is_none() || self.sequence >= self.acknowledged + MAX_UNACKNOWLEDGED {
+            self.target = self.choose_other(shared);
+            self.acknowledged = self.sequence;
         }
         self.sequence += 1;
         if let Some(target) = self.target {
-            let node = record(shared);
+            let node = node_record(shared);
             let message = ControlMessage::Heartbeat { node, sequence: self.sequence, report: None };
             shared.send(target, &Envelope::Control(message));
         }
     }
 
-    /// A control node has answered, and named others.
-    pub fn taken(&mut self, from: SocketAddr, sequence: u64, control: &[SocketAddr]) {
+    /// A control node acknowledged a heartbeat, and named others.
+    pub fn on_acknowledged(&mut self, from: SocketAddr, sequence: u64, control_nodes: &[SocketAddr]) {
         if Some(from) == self.target {
-            self.answered = self.answered.max(sequence.min(self.sequence));
+            self.acknowledged = self.acknowledged.max(sequence.min(self.sequence));
         }
-        if !control.is_empty() {
-            self.told = control.iter().copied().take(MAX_CONTROL).collect();
+        if !control_nodes.is_empty() {
+            self.advertised = control_nodes.iter().copied().take(MAX_CONTROL_NODES).collect();
         }
     }
 
-    /// A peer is not reached any more.
-    pub fn lost(&mut self, peer: SocketAddr) {
+    /// The connection to a peer was lost.
+    pub fn on_peer_lost(&mut self, peer: SocketAddr) {
         if self.target == Some(peer) {
             self.target = None;
         }
     }
 
-    /// Says to the control node that this edge ends.
-    pub fn farewell(&self, shared: &Shared) {
+    /// Announces the end of this process to the control node.
+    pub fn send_goodbye(&self, shared: &Shared) {
         if let Some(target) = self.target {
             let message = ControlMessage::Goodbye { incarnation: shared.incarnation };
             shared.send(target, &Envelope::Control(message));
         }
     }
 
-    /// All control nodes that are known: from the settings, and told by other control nodes.
-    pub fn known(&self, shared: &Shared) -> Vec<SocketAddr> {
+    /// All known control nodes: those of the settings, and those named by other control nodes.
+    pub fn known_control_nodes(&self, shared: &Shared) -> Vec<SocketAddr> {
         let mut known = shared.settings().internal_seeds();
-        known.extend(self.told.iter().copied());
+        known.extend(self.advertised.iter().copied());
         known.sort_unstable();
         known.dedup();
         known
     }
 
-    /// A control node that is not the present target: one of the own zone if there is any.
-    fn another(&self, shared: &Shared) -> Option<SocketAddr> {
+    /// A control node other than the current target: one of the own zone if there is any.
+    fn choose_other(&self, shared: &Shared) -> Option<SocketAddr> {
         let zone = shared.zone();
         let own_zone = shared.registry(|registry| {
             let control = registry.nodes().filter(|node| node.role == Role::Control && node.zone == zone);
             control.map(|node| node.address).collect()
         });
-        self.pick(own_zone).or_else(|| self.pick(self.known(shared))).or(self.target)
+        self.choose_from(own_zone)
+            .or_else(|| self.choose_from(self.known_control_nodes(shared)))
+            .or(self.target)
     }
 
-    fn pick(&self, mut from: Vec<SocketAddr>) -> Option<SocketAddr> {
-        from.retain(|address| Some(*address) != self.target);
-        fastrand::choice(from)
+    fn choose_from(&self, mut candidates: Vec<SocketAddr>) -> Option<SocketAddr> {
+        candidates.retain(|address| Some(*address) != self.target);
+        fastrand::choice(candidates)
     }
 }
 
-fn record(shared: &Shared) -> NodeRecord {
+fn node_record(shared: &Shared) -> NodeRecord {
     let settings = shared.settings();
     NodeRecord {
         role: Role::Edge,
--- a/system/data/src/node/mod.rs
+++ b/system/data/src/node/mod.rs
@@ -1,8 +1,8 @@
-//! The edge as a process: brings everything up, passes internal messages on, keeps the clockwork going, and ends in good order.
+//! The edge as a process: starts all parts, dispatches internal messages, runs the periodic work, and shuts down.
 
 mod heartbeat;
 mod readiness;
-mod stopping;
+mod shutdown;
 
 use std::fmt::Display;
 use std::rc::Rc;
@@ -20,85 +20,87 @@
 use crate::front::{self, Front};
 use crate::{rollout, Shared};
 pub use heartbeat::Heartbeats;
-pub use readiness::{ready, Readiness};
-pub use stopping::{Step, Stopping};
+pub use readiness::{is_ready, Readiness};
+pub use shutdown::{Shutdown, ShutdownStep};
 
-/// How often what rests too long is looked for.
-const SWEEP_INTERVAL: Duration = Duration::from_millis(250);
-/// How often the end of a stopping process is looked for.
-const STOP_INTERVAL: Duration = Duration::from_millis(50);
-/// A node that is cut off reads its settings again this often.
-const READ_INTERVAL: Duration = Duration::from_secs(5);
-/// The least pause between two looks at the clock.
-const LEAST_PAUSE: Duration = Duration::from_millis(1);
-/// The most events of the inbox that are taken at once.
+/// The interval of the periodic clean-up.
+const CLEANUP_INTERVAL: Duration = Duration::from_millis(250);
+/// The interval between two checks of a shutdown.
+const SHUTDOWN_INTERVAL: Duration = Duration::from_millis(50);
+/// An isolated node reloads its settings this often.
+const RELOAD_INTERVAL: Duration = Duration::from_secs(5);
+/// The shortest sleep until a timer.
+const MIN_SLEEP: Duration = Duration::from_millis(1);
+/// The most events of the inbox that are handled in one iteration.
 const INBOX_BATCH: usize = 64;
 
-/// Why the edge does not run.
+/// Why the edge can't run.
 #[derive(Debug, Snafu)]
 pub enum NodeError {
-    /// A place to listen on is missing.
+    /// An address to listen on is missing.
     #[snafu(display("settings: listen.{key}: an edge needs it"))]
     Missing {
-        /// Which.
+        /// The key in the settings.
         key: &'static str,
     },
-    /// A place to listen on can't be used.
+    /// An address can't be listened on.
     #[snafu(display("listen.{key}: {source}"))]
     Listen {
-        /// Which.
+        /// The key in the settings.
         key: &'static str,
-        /// What the system said.
+        /// The error of the system.
         source: std::io::Error,
     },
-    /// Internal messages can't be taken.
+    /// Internal messages can't be received.
     #[snafu(display("internal messages: {source}"))]
     Internal {
-        /// What is wrong.
+        /// The error of the transport.
         source: TransportError,
     },
-    /// Signals can't be heard.
+    /// Signals can't be handled.
     #[snafu(display("signals: {source}"))]
     Signals {
-        /// What the system said.
+        /// The error of the system.
         source: std::io::Error,
     },
 }
 
-/// Runs an edge until it is told to stop, on a runtime whose tasks stay on its thread. `reread` reads the settings again.
+/// Runs an edge until a signal ends it, on a current-thread runtime inside a `LocalSet`. `reload` reads the settings again.
 pub async fn run<E: Display>(
     settings: Settings,
-    reread: impl Fn() -> Result<Settings, E>,
+    reload: impl Fn() -> Result<Settings, E>,
 ) -> Result<(), NodeError> {
     let frontend = listen(settings.listen.frontend, "frontend").await?;
     let readiness = listen(settings.listen.readiness, "readiness").await?;
     let network = NetworkSettings::new(settings.internal_address());
     let (network, inbox) = Network::bind(network).await.context(InternalSnafu)?;
     let signals = Signals::new().context(SignalsSnafu)?;
-    let bounds = front::bounds(&settings.limits);
-    let front = Front::new(bounds);
+    let limits = front::front_limits(&settings.limits);
+    let front = Front::new(limits);
     let draw = |purpose| identity::draw(&settings.node_name, settings.internal_address(), purpose);
     let incarnation = draw("incarnation");
     fastrand::seed(draw("choices"));
     let shared = Rc::new(Shared::new(settings, network, incarnation));
-    shared.stores.set_most(bounds.store_connections);
+    shared.stores.set_total_limit(limits.store_connections);
     let ready = Rc::new(Readiness::default());
     shared.relay(RelayEvent::ControlNodesKnown(shared.settings().internal_seeds()));
     shared.relay(RelayEvent::Started);
     rollout::start(&shared);
     tokio::task::spawn_local(front::serve(Rc::clone(&shared), Rc::clone(&front), frontend));
     tokio::task::spawn_local(readiness::serve(Rc::clone(&shared), Rc::clone(&ready), readiness));
-    log::info!("{} serves at {:?}", shared.settings().node_name, shared.settings().listen.frontend);
+    let settings = shared.settings();
+    log::info!(node = settings.node_name.as_str(); "edge serving at {:?}", settings.listen.frontend);
+    drop(settings);
     let node = Node {
         shared,
         front,
         ready,
         heartbeats: Heartbeats::new(),
-        swept: Duration::ZERO,
-        read_at: Duration::ZERO,
+        cleaned_up_at: Duration::ZERO,
+        reloaded_at: Duration::ZERO,
     };
     let shared = Rc::clone(&node.shared);
-    node.run(inbox, signals, reread).await;
+    node.run(inbox, signals, reload).await;
     shared.flush().await;
     Ok(())
 }
@@ -111,7 +113,7 @@
 struct Signals {
     terminate: Signal,
     interrupt: Signal,
-    hang_up: Signal,
+    hangup: Signal,
 }
 
 impl Signals {
@@ -119,7 +121,7 @@
         Ok(Self {
             terminate: signal(SignalKind::terminate())?,
             interrupt: signal(SignalKind::interrupt())?,
-            hang_up: signal(SignalKind::hangup())?,
+            hangup: signal(SignalKind::hangup())?,
         })
     }
 }
@@ -129,52 +131,52 @@
     front: Rc<Front>,
     ready: Rc<Readiness>,
     heartbeats: Heartbeats,
-    swept: Duration,
-    read_at: Duration,
+    cleaned_up_at: Duration,
+    reloaded_at: Duration,
 }
 
 impl Node {
-    /// Takes internal messages, signals and timers until the process may end.
+    /// Handles internal messages, signals and timers until the process may exit.
     async fn run<E: Display>(
         mut self,
         mut inbox: Inbox<Envelope>,
         mut signals: Signals,
-        reread: impl Fn() -> Result<Settings, E>,
+        reload: impl Fn() -> Result<Settings, E>,
     ) {
         let timer = sleep(Duration::ZERO);
         tokio::pin!(timer);
-        let mut stopping: Option<Stopping> = None;
+        let mut shutdown: Option<Shutdown> = None;
         loop {
             tokio::select! {
                 biased;
-                _ = signals.terminate.recv() => self.stop(&mut stopping),
-                _ = signals.interrupt.recv() => self.stop(&mut stopping),
-                _ = signals.hang_up.recv() => self.read_settings(&reread),
+                _ = signals.terminate.recv() => self.start_shutdown(&mut shutdown),
+                _ = signals.interrupt.recv() => self.start_shutdown(&mut shutdown),
+                _ = signals.hangup.recv() => self.reload_settings(&reload),
                 incoming = inbox.next() => match incoming {
-                    Some(incoming) => self.take_batch(incoming, &mut inbox),
+                    Some(incoming) => self.on_incoming_batch(incoming, &mut inbox),
                     None => return,
                 },
                 () = &mut timer => {}
             }
-            if self.cut_off_for_long() {
-                self.read_settings(&reread);
+            if self.is_reload_due() {
+                self.reload_settings(&reload);
             }
-            if self.clockwork(stopping.as_ref()) {
+            if self.on_timers(shutdown.as_ref()) {
                 return;
             }
-            timer.as_mut().reset(self.next_timer(stopping.is_some()));
+            timer.as_mut().reset(self.next_timer(shutdown.is_some()));
         }
     }
 
-    fn take_batch(&mut self, first: Incoming<Envelope>, inbox: &mut Inbox<Envelope>) {
-        self.take(first);
+    fn on_incoming_batch(&mut self, first: Incoming<Envelope>, inbox: &mut Inbox<Envelope>) {
+        self.on_incoming(first);
         for _ in 1..INBOX_BATCH {
             let Some(incoming) = inbox.try_next() else { return };
-            self.take(incoming);
+            self.on_incoming(incoming);
         }
     }
 
-    fn take(&mut self, incoming: Incoming<Envelope>) {
+    fn on_incoming(&mut self, incoming: Incoming<Envelope>) {
         match incoming {
             Incoming::Message { from, message: Envelope::Relay(message) } => {
                 self.shared.relay(RelayEvent::Message { from, message });
@@ -183,95 +185,101 @@
                 rollout::on_message(&self.shared, from, message);
             }
             Incoming::Message { from, message: Envelope::Control(message) } => {
-                self.take_control(from, message)
+                self.on_control_message(from, message)
             }
             Incoming::Message { .. } => {}
             Incoming::Lost { peer, .. } => {
                 self.shared.relay(RelayEvent::PeerDisconnected { peer });
-                self.heartbeats.lost(peer);
+                self.heartbeats.on_peer_lost(peer);
                 rollout::on_lost(&self.shared, peer);
             }
         }
     }
 
-    fn take_control(&mut self, from: std::net::SocketAddr, message: ControlMessage) {
+    fn on_control_message(&mut self, from: std::net::SocketAddr, message: ControlMessage) {
         if let ControlMessage::HeartbeatAck { sequence, control_nodes } = message {
-            self.heartbeats.taken(from, sequence, &control_nodes);
-            self.shared.relay(RelayEvent::ControlNodesKnown(self.heartbeats.known(&self.shared)));
+            self.heartbeats.on_acknowledged(from, sequence, &control_nodes);
+            self.shared
+                .relay(RelayEvent::ControlNodesKnown(self.heartbeats.known_control_nodes(&self.shared)));
         }
     }
 
-    /// Does what is due; says whether the process may end now.
-    fn clockwork(&mut self, stopping: Option<&Stopping>) -> bool {
+    /// Does the periodic work that is due; returns whether the process may exit now.
+    fn on_timers(&mut self, shutdown: Option<&Shutdown>) -> bool {
         let now = self.shared.now();
         if self.shared.relay_timer().is_some_and(|due| due <= now) {
             self.shared.relay(RelayEvent::TimerExpired);
         }
-        self.heartbeats.beat(&self.shared, now);
-        if now.saturating_sub(self.swept) >= SWEEP_INTERVAL {
-            self.swept = now;
-            self.sweep();
+        self.heartbeats.on_timer(&self.shared, now);
+        if now.saturating_sub(self.cleaned_up_at) >= CLEANUP_INTERVAL {
+            self.cleaned_up_at = now;
+            self.clean_up();
         }
-        stopping.is_some_and(|stopping| self.may_end(stopping, now))
+        shutdown.is_some_and(|shutdown| self.may_exit(shutdown, now))
     }
 
-    fn sweep(&self) {
+    fn clean_up(&self) {
         let shared = &self.shared;
-        self.ready.look(shared);
-        self.front.sweep(shared);
-        shared.sweep();
+        self.ready.observe(shared);
+        self.front.close_expired(shared);
+        shared.release_unused();
     }
 
-    fn may_end(&self, stopping: &Stopping, now: Duration) -> bool {
-        match stopping.step(now, self.front.budget.requests(), self.front.connections.len()) {
-            Step::Serve => false,
-            Step::CloseResting => {
-                self.front.connections.close_resting(now, Stopping::REST);
+    fn may_exit(&self, shutdown: &Shutdown, now: Duration) -> bool {
+        match shutdown.step(now, self.front.budget.requests(), self.front.connections.len()) {
+            ShutdownStep::Serve => false,
+            ShutdownStep::CloseIdle => {
+                self.front.connections.close_idle(now, Shutdown::MIN_IDLE);
                 false
             }
-            Step::End => {
-                self.heartbeats.farewell(&self.shared);
+            ShutdownStep::Exit => {
+                self.heartbeats.send_goodbye(&self.shared);
                 true
             }
         }
     }
 
-    fn next_timer(&self, stopping: bool) -> Instant {
+    fn next_timer(&self, is_shutting_down: bool) -> Instant {
         let now = self.shared.now();
-        let pace = if stopping { STOP_INTERVAL } else { SWEEP_INTERVAL };
+        let interval = if is_shutting_down { SHUTDOWN_INTERVAL } else { CLEANUP_INTERVAL };
         let relay = self.shared.relay_timer().unwrap_or(Duration::MAX);
-        let due = relay.min(self.heartbeats.due()).min(self.swept + SWEEP_INTERVAL).min(now + pace);
-        Instant::now() + due.saturating_sub(now).max(LEAST_PAUSE)
+        let next = relay
+            .min(self.heartbeats.next_timer())
+            .min(self.cleaned_up_at + CLEANUP_INTERVAL)
+            .min(now + interval);
+        Instant::now() + next.saturating_sub(now).max(MIN_SLEEP)
     }
 
-    /// Whether nothing new was heard for long, so that the settings may name other control nodes by now. True once in a while.
-    fn cut_off_for_long(&mut self) -> bool {
+    /// Whether the registry has not been fresh for a while, so that the settings may name other control nodes by now. True once in an
+    /// interval.
+    fn is_reload_due(&mut self) -> bool {
         let now = self.shared.now();
-        let heard = self.ready.fresh_at().unwrap_or_default().max(self.read_at);
-        let due = now.saturating_sub(heard) >= READ_INTERVAL;
-        if due {
-            self.read_at = now;
+        let last = self.ready.fresh_at().unwrap_or_default().max(self.reloaded_at);
+        let is_due = now.saturating_sub(last) >= RELOAD_INTERVAL;
+        if is_due {
+            self.reloaded_at = now;
         }
-        due
+        is_due
     }
 
-    fn stop(&self, stopping: &mut Option<Stopping>) {
-        if stopping.is_none() {
-            log::info!("told to stop");
-            self.shared.stop();
-            let grace =
+    fn start_shutdown(&self, shutdown: &mut Option<Shutdown>) {
+        if shutdown.is_none() {
+            log::info!("graceful shutdown started");
+            self.shared.start_shutdown();
+            let grace_period =
                 Duration::try_from_secs_f64(self.shared.settings().bounds.grace_s).unwrap_or_default();
-            *stopping = Some(Stopping::new(self.shared.now(), grace));
+            *shutdown = Some(Shutdown::new(self.shared.now(), grace_period));
         }
     }
 
-    fn read_settings<E: Display>(&self, reread: &impl Fn() -> Result<Settings, E>) {
-        match reread() {
+    fn reload_settings<E: Display>(&self, reload: &impl Fn() -> Result<Settings, E>) {
+        match reload() {
             Ok(settings) => {
                 self.shared.set_settings(settings);
-                self.shared.relay(RelayEvent::ControlNodesKnown(self.heartbeats.known(&self.shared)));
+                self.shared
+                    .relay(RelayEvent::ControlNodesKnown(self.heartbeats.known_control_nodes(&self.shared)));
             }
-            Err(error) => log::warn!("settings stay as they were: {error}"),
+            Err(error) => log::warn!("reloading the settings failed, the old ones stay in force: {error}"),
         }
     }
 }
--- a/system/data/src/node/readiness.rs
+++ b/system/data/src/node/readiness.rs
@@ -1,4 +1,4 @@
-//! Whether the edge wants new connections, and the answer to the platform's question.
+//! The readiness check: whether the edge accepts new connections, served to the platform over HTTP.
 
 use std::cell::Cell;
 use std::convert::Infallible;
@@ -13,72 +13,76 @@
 
 use crate::{ReplyBody, Shared};
 
-/// An edge whose registry was fresh this long ago still calls itself ready.
-const FRESH_MEMORY: Duration = Duration::from_secs(3);
-/// The path of the question.
+/// An edge whose registry was last fresh longer ago than this is not ready.
+const MAX_STALENESS: Duration = Duration::from_secs(3);
+/// The path of the readiness check.
 const PATH: &str = "/readiness";
-/// How long one connection with questions may last.
-const CONNECTION_TIME: Duration = Duration::from_secs(30);
-/// The pause after the system refused a connection.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// The longest time of one connection.
+const CONNECTION_TIMEOUT: Duration = Duration::from_secs(30);
+/// The backoff after an error of `accept`.
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
 
-/// What has been seen of the registry.
+/// The freshness of the registry as last observed.
 #[derive(Default)]
 pub struct Readiness {
     fresh_at: Cell<Option<Duration>>,
 }
 
 impl Readiness {
-    /// Looks whether the registry is fresh now.
-    pub fn look(&self, shared: &Shared) {
-        if shared.fresh() {
+    /// Observes whether the registry is fresh now.
+    pub fn observe(&self, shared: &Shared) {
+        if shared.is_registry_fresh() {
             self.fresh_at.set(Some(shared.now()));
         }
     }
 
-    /// When the registry was last seen to be fresh.
+    /// When the registry was last observed to be fresh.
     pub fn fresh_at(&self) -> Option<Duration> {
         self.fresh_at.get()
     }
 
-    /// Whether the edge wants new connections.
+    /// Whether the edge accepts new connections.
     pub fn is_ready(&self, shared: &Shared) -> bool {
-        self.look(shared);
-        let known = shared.configuration().is_some() && shared.has_stores();
-        ready(known, self.fresh_at.get(), shared.now(), shared.stopping())
+        self.observe(shared);
+        let has_endpoints = shared.configuration().is_some() && shared.has_stores();
+        is_ready(has_endpoints, self.fresh_at.get(), shared.now(), shared.is_shutting_down())
     }
 }
 
-/// The decision: the configuration and stores are known, the registry was fresh a short while ago, and the process is not
-/// about to end.
-pub fn ready(known: bool, fresh_at: Option<Duration>, now: Duration, stopping: bool) -> bool {
-    let fresh = fresh_at.is_some_and(|at| now.saturating_sub(at) <= FRESH_MEMORY);
-    known && fresh && !stopping
+/// The decision: the configuration and stores are known, the registry was fresh recently, and the process is not shutting down.
+pub fn is_ready(
+    has_endpoints: bool,
+    fresh_at: Option<Duration>,
+    now: Duration,
+    is_shutting_down: bool,
+) -> bool {
+    let is_fresh = fresh_at.is_some_and(|at| now.saturating_sub(at) <= MAX_STALENESS);
+    has_endpoints && is_fresh && !is_shutting_down
 }
 
-/// Answers the platform until the task is aborted.
+/// Serves readiness checks until the task is aborted.
 pub async fn serve(shared: Rc<Shared>, readiness: Rc<Readiness>, listener: TcpListener) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            tokio::time::sleep(ACCEPT_PAUSE).await;
+            tokio::time::sleep(ACCEPT_BACKOFF).await;
             continue;
         };
         let (shared, readiness) = (Rc::clone(&shared), Rc::clone(&readiness));
         tokio::task::spawn_local(async move {
             let service = service_fn(|request| {
-                let reply = answer(&shared, &readiness, &request);
+                let reply = respond(&shared, &readiness, &request);
                 async move { Ok::<_, Infallible>(reply) }
             });
             let connection =
                 http1::Builder::new().auto_date_header(false).serve_connection(TokioIo::new(stream), service);
-            if let Ok(Err(error)) = tokio::time::timeout(CONNECTION_TIME, connection).await {
-                log::debug!("a question whether the edge is ready broke off: {error}");
+            if let Ok(Err(error)) = tokio::time::timeout(CONNECTION_TIMEOUT, connection).await {
+                log::debug!("readiness connection failed: {error}");
             }
         });
     }
 }
 
-fn answer<B>(shared: &Shared, readiness: &Readiness, request: &Request<B>) -> Response<ReplyBody> {
+fn respond<B>(shared: &Shared, readiness: &Readiness, request: &Request<B>) -> Response<ReplyBody> {
     ReplyBody::status(match request.uri().path() {
         PATH if readiness.is_ready(shared) => StatusCode::OK,
         PATH => StatusCode::SERVICE_UNAVAILABLE,
--- a/system/data/src/reply.rs
+++ b/system/data/src/reply.rs
@@ -1,5 +1,5 @@
-//! Answers to clients: a status, headers, and a body that is whole, or streamed and then may fail, which closes the connection
-//! before the body looks complete.
+//! Responses to clients: a status, headers, and a body that is complete, or streamed. A streamed one may fail, which closes the
+//! connection before the body looks complete.
 
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -9,37 +9,37 @@
 use hyper::http::{Response, StatusCode};
 use snafu::Snafu;
 
-/// An answer to a client.
+/// A response to a client.
 pub type Reply = Response<ReplyBody>;
 
-/// The connection is closed without an answer: nothing is known that could be promised.
+/// The connection is closed without a response: nothing is certain that a status could promise.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("no answer can be given; the connection is closed"))]
 pub struct CloseConnection;
 
-/// A streamed body, whatever makes it.
+/// A streamed body of any source.
 pub type StreamedBody = Pin<Box<dyn Body<Data = Bytes, Error = CloseConnection>>>;
 
-/// The body of an answer to a client.
+/// The body of a response to a client.
 pub enum ReplyBody {
-    /// All of it; none once it has been taken.
-    Whole(Option<Bytes>),
-    /// Comes in pieces.
+    /// The complete body; `None` if it is empty, or was sent.
+    Complete(Option<Bytes>),
+    /// Arrives in frames.
     Streamed(StreamedBody),
 }
 
 impl ReplyBody {
-    /// An answer of these bytes.
-    pub fn whole(bytes: impl Into<Bytes>) -> Self {
-        Self::Whole(Some(bytes.into()))
+    /// A body of these bytes.
+    pub fn complete(bytes: impl Into<Bytes>) -> Self {
+        Self::Complete(Some(bytes.into()))
     }
 
-    /// An answer without a body.
+    /// An empty body.
     pub fn empty() -> Self {
-        Self::Whole(None)
+        Self::Complete(None)
     }
 
-    /// An answer of a status alone.
+    /// A response without a body.
     pub fn status(status: StatusCode) -> Reply {
         let mut reply = Response::new(Self::empty());
         *reply.status_mut() = status;
@@ -56,21 +56,23 @@
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, CloseConnection>>> {
         match self.get_mut() {
-            Self::Whole(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
+            Self::Complete(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
             Self::Streamed(body) => body.as_mut().poll_frame(context),
         }
     }
 
     fn is_end_stream(&self) -> bool {
         match self {
-            Self::Whole(bytes) => bytes.as_ref().is_none_or(Bytes::is_empty),
+            Self::Complete(bytes) => bytes.as_ref().is_none_or(Bytes::is_empty),
             Self::Streamed(body) => body.is_end_stream(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Self::Whole(bytes) => SizeHint::with_exact(bytes.as_ref().map_or(0, |bytes| bytes.len() as u64)),
+            Self::Complete(bytes) => {
+                SizeHint::with_exact(bytes.as_ref().map_or(0, |bytes| bytes.len() as u64))
+            }
             Self::Streamed(body) => body.size_hint(),
         }
     }
--- a/system/data/src/rollout/driver.rs
+++ b/system/data/src/rollout/driver.rs
@@ -22,7 +22,7 @@
 use super::streams::InFlightText;
 use super::{checkpoint, driver_lease, scoring, store_views};
 use crate::index::KnownStore;
-use crate::stores::CountGuard;
+use crate::stores::InFlightGuard;
 use crate::Shared;
 
 /// The least time between two rounds. Outcomes that arrive meanwhile are handled together, since each round looks at whole batch jobs.
@@ -214,7 +214,7 @@
         let id = &slow.stream.store.target.id;
         let mut rates = shared.rollout.stores.progress_rates.borrow_mut();
         rates.record_migration(id, slow.events, slow.window, now);
-        shared.health.failed(id, now);
+        shared.health.on_failure(id, now);
         slow.stream.migration.notify_one();
     }
 }
@@ -234,7 +234,7 @@
 ) {
     let job = Arc::clone(execution.job());
     let Some(item) = job.items.get(placement.item as usize) else { return };
-    let in_flight = CountGuard::on(&store.out);
+    let in_flight = InFlightGuard::on(&store.in_flight);
     let observations = &shared.rollout.stores;
     observations.weight_loading.borrow_mut().on_sent(&store.target.id, &job.model, shared.now());
     let stream = execution.start_stream(shared.now(), placement.item, store, placement.text);
--- a/system/data/src/rollout/generation.rs
+++ b/system/data/src/rollout/generation.rs
@@ -17,7 +17,7 @@
 use super::store_observations::StoreObservations;
 use super::streams::GenerationStream;
 use crate::headers;
-use crate::stores::{Attempt, Cause, Health, Refusal, StoreAnswer, StoreClient, Timings};
+use crate::stores::{AttemptError, AttemptTimeouts, Rejection, StoreClient, StoreHealth, StoreResponse};
 use crate::{Clock, Shared};
 
 /// The version of the weights that a store must serve; otherwise it responds 421.
@@ -48,7 +48,7 @@
 pub(super) struct GenerationContext<'a> {
     clock: Clock,
     client: &'a StoreClient,
-    health: &'a Health,
+    health: &'a StoreHealth,
     observations: &'a StoreObservations,
 }
 
@@ -101,24 +101,24 @@
     let last_id = generation.stream.text.borrow().last_id();
     let Some(request) = http_request(generation, last_id) else { return GenerationOutcome::Rejected };
     let idle_timeout = IDLE_TIMEOUT.max(generation.average_interval * IDLE_TIMEOUT_INTERVALS);
-    let timings = Timings {
+    let timeouts = AttemptTimeouts {
         connect: CONNECT_TIMEOUT,
         head: idle_timeout.mul_f64(HEAD_TIMEOUT_FACTOR),
-        silence: idle_timeout,
+        idle: idle_timeout,
     };
-    match context.client.send(&generation.stream.store.target, request, timings).await {
-        Err(attempt) => on_no_response(context, generation, attempt),
-        Ok(answer) if answer.status.is_success() => {
+    match context.client.send(&generation.stream.store.target, request, timeouts).await {
+        Err(error) => on_no_response(context, generation, error),
+        Ok(response) if response.status.is_success() => {
             let id = &generation.stream.store.target.id;
-            context.health.answered(id);
+            context.health.on_response(id);
             context.observations.weight_loading.borrow_mut().on_accepted(id, &generation.job.model);
             let began = context.clock.now();
-            let ended = read_stream(generation, answer).await;
+            let ended = read_stream(generation, response).await;
             let events = generation.stream.events.get();
             record_stream(context, id, ended, events, began);
             ended
         }
-        Ok(answer) => match answer.status {
+        Ok(response) => match response.status {
             StatusCode::INTERNAL_SERVER_ERROR => GenerationOutcome::Failed,
             StatusCode::UNPROCESSABLE_ENTITY => GenerationOutcome::Rejected,
             _ => GenerationOutcome::Other,
@@ -159,27 +159,30 @@
 fn on_no_response(
     context: &GenerationContext<'_>,
     generation: &GenerationRequest,
-    attempt: Attempt,
+    error: AttemptError,
 ) -> GenerationOutcome {
-    match attempt.cause {
-        Cause::Refused(refusal) => on_rejected(context, generation, refusal),
-        Cause::Busy => on_capacity_exceeded(context, generation),
-        Cause::Left => {}
-        Cause::Connect | Cause::Broken | Cause::Garbled | Cause::Silent => {
-            context.health.failed(&generation.stream.store.target.id, context.clock.now());
+    match error {
+        AttemptError::Rejected { rejection } => on_rejected(context, generation, rejection),
+        AttemptError::NoConnectionAvailable => on_capacity_exceeded(context, generation),
+        AttemptError::StoreRemoved => {}
+        AttemptError::ConnectFailed
+        | AttemptError::Disconnected
+        | AttemptError::InvalidResponse
+        | AttemptError::TimedOut => {
+            context.health.on_failure(&generation.stream.store.target.id, context.clock.now());
         }
     }
-    match attempt.verdict {
+    match error.verdict() {
         Verdict::NeverRan => GenerationOutcome::NeverRan,
         Verdict::MayHaveRun | Verdict::Ran => GenerationOutcome::Interrupted,
     }
 }
 
-fn on_rejected(context: &GenerationContext<'_>, generation: &GenerationRequest, refusal: Refusal) {
-    if refusal.status != StatusCode::MISDIRECTED_REQUEST {
-        let has_capacity = refusal.load.is_some_and(|load| load.running < load.slots);
-        if let Some(load) = refusal.load {
-            generation.stream.store.note_load(load, context.clock.now());
+fn on_rejected(context: &GenerationContext<'_>, generation: &GenerationRequest, rejection: Rejection) {
+    if rejection.status != StatusCode::MISDIRECTED_REQUEST {
+        let has_capacity = rejection.load.is_some_and(|load| load.running < load.slots);
+        if let Some(load) = rejection.load {
+            generation.stream.store.on_load_report(load, context.clock.now());
         }
         if has_capacity {
             on_weights_loading(context, generation);
@@ -188,7 +191,7 @@
         }
     } else if generation.required_version.is_none() {
         // The address belongs to another store now. If a version was required, the store may just serve another one.
-        context.health.failed(&generation.stream.store.target.id, context.clock.now());
+        context.health.on_failure(&generation.stream.store.target.id, context.clock.now());
     }
 }
 
@@ -200,7 +203,7 @@
 
 /// The store has no capacity beyond what this edge has in flight there already.
 fn on_capacity_exceeded(context: &GenerationContext<'_>, generation: &GenerationRequest) {
-    let others = generation.stream.store.out.get().saturating_sub(1);
+    let others = generation.stream.store.in_flight.get().saturating_sub(1);
     let others = u32::try_from(others).unwrap_or(u32::MAX);
     context.observations.capacities.borrow_mut().on_rejected(
         &generation.stream.store.target.id,
@@ -228,14 +231,14 @@
                 now,
             );
         }
-        GenerationOutcome::Interrupted => context.health.failed(id, now),
+        GenerationOutcome::Interrupted => context.health.on_failure(id, now),
         _ => {}
     }
 }
 
 /// Reads the events of a response until its end.
-async fn read_stream(generation: &GenerationRequest, answer: StoreAnswer) -> GenerationOutcome {
-    let mut version = version_of(&answer.headers);
+async fn read_stream(generation: &GenerationRequest, response: StoreResponse) -> GenerationOutcome {
+    let mut version = version_of(&response.headers);
     let has_model = !generation.job.model.is_empty();
     // A store that has nothing to append to a text generates no event, so it names no version.
     if version.is_none() && has_model && generation.stream.text.borrow().is_empty() {
@@ -245,7 +248,7 @@
         return GenerationOutcome::WrongVersion;
     }
     let mut reader = EventReader::default();
-    let mut body = answer.body;
+    let mut body = response.body;
     let mut migration = pin!(generation.stream.migration.notified());
     loop {
         let piece = tokio::select! {
--- a/system/data/src/rollout/scoring.rs
+++ b/system/data/src/rollout/scoring.rs
@@ -29,11 +29,11 @@
         deadline: shared.now() + timeout.unwrap_or(DEFAULT_TIMEOUT),
     };
     match forward::call(shared, call).await {
-        Ok(answer) if answer.status.is_success() && !answer.signature.is_empty() => {
-            ScoringOutcome::Scored(answer.signature)
+        Ok(response) if response.status.is_success() && !response.signature.is_empty() => {
+            ScoringOutcome::Scored(response.signature)
         }
-        Ok(answer) if answer.status == StatusCode::INTERNAL_SERVER_ERROR => {
-            ScoringOutcome::Failed { times: answer.server_errors.max(1), max_attempts }
+        Ok(response) if response.status == StatusCode::INTERNAL_SERVER_ERROR => {
+            ScoringOutcome::Failed { times: response.server_errors.max(1), max_attempts }
         }
         Ok(_) | Err(_) => ScoringOutcome::Other,
     }
--- a/system/data/src/rollout/store_views.rs
+++ b/system/data/src/rollout/store_views.rs
@@ -56,15 +56,15 @@
     let known = stores.iter().zip(&entry.versions);
     let weight_loading = shared.rollout.stores.weight_loading.borrow();
     let views = known.map(|(store, (id, version))| {
-        let in_flight = u32::try_from(store.out.get()).unwrap_or(u32::MAX);
+        let in_flight = u32::try_from(store.in_flight.get()).unwrap_or(u32::MAX);
         let limit = capacities.limit(id, u32::try_from(store.slots).unwrap_or(u32::MAX), now);
         StoreView {
             id: Rc::clone(id),
             version: *version,
             in_flight,
             limit: weight_loading.limit(id, model, in_flight, limit, now),
-            is_suspect: shared.health.avoid(id, now),
-            is_own_zone: store.own_zone,
+            is_suspect: shared.health.is_suspect(id, now),
+            is_own_zone: store.is_own_zone,
             interval_percent: rates.interval_percent(id, now),
         }
     });
--- a/system/data/src/rollout/trainer_api.rs
+++ b/system/data/src/rollout/trainer_api.rs
@@ -168,7 +168,7 @@
 }
 
 fn with_body(kind: &'static str, body: Bytes) -> Reply {
-    let mut reply = Reply::new(ReplyBody::whole(body));
+    let mut reply = Reply::new(ReplyBody::complete(body));
     reply.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static(kind));
     reply
 }
--- a/system/data/src/routing/mod.rs
+++ b/system/data/src/routing/mod.rs
@@ -1,17 +1,18 @@
-//! Decisions about requests, without I/O: which route, which service, which store, for how long, and what to answer in the end.
+//! Decisions about requests, without I/O: route, service, store, time-outs, retries, and the response if all attempts failed.
 
 mod affinity;
-mod choose;
-mod outcome;
-mod split;
+mod retry;
+mod store_choice;
 mod table;
-mod times;
+mod timeouts;
+mod traffic_split;
 
 pub use affinity::{Affinity, Prompt};
-pub use choose::{choose, Candidate};
-pub use outcome::{failure, next_step, Failure, Next, Sent};
-pub use split::pick_service;
-pub use table::{RouteEntry, RouteTable, Usual};
-pub use times::{
-    connect_time, give_up_at, head_time, retry_after, silence_time, waits_too_long, LEAST_OFFER,
+pub use retry::{decide_retry, failure_response, AttemptHistory, FailureResponse, RetryDecision};
+pub use store_choice::{choose_store, Candidate};
+pub use table::{LatencyAverage, RouteEntry, RouteTable};
+pub use timeouts::{
+    connect_timeout, exceeds_queueing_time, head_timeout, idle_timeout, request_deadline, retry_after,
+    MIN_ATTEMPT_TIME,
 };
+pub use traffic_split::pick_service;
--- a/system/data/src/routing/table.rs
+++ b/system/data/src/routing/table.rs
@@ -1,4 +1,4 @@
-//! The routes of a configuration, arranged for look-ups.
+//! The routing table: the routes of a configuration by host, with what forwarding needs of each.
 
 use std::cell::Cell;
 use std::collections::{HashMap, HashSet};
@@ -7,44 +7,44 @@
 
 use gingerledge_protocol::{Configuration, ConfigurationUpdate, Route, RouteKind};
 
-/// A route with all that forwarding needs.
+/// A route, prepared for forwarding.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RouteEntry {
     /// The operator's route.
     pub route: Route,
-    /// What may be repeated.
+    /// Its kind, which says what may be retried.
     pub kind: RouteKind,
     /// Its services.
     pub services: Vec<String>,
     /// Their weights, in the same order.
     pub weights: Vec<f64>,
-    /// The longest time that a try is held.
+    /// The time-out of a request, if it has one.
     pub timeout: Option<Duration>,
-    /// The time within which an answer earns its full worth.
+    /// The latency target, within which a response has its full value.
     pub objective: Duration,
-    /// Whether its services make tokens and so heed `Priority`.
-    pub engine: bool,
-    /// How long its stores usually take to answer.
-    pub usual: Usual,
+    /// Whether its services are inference engines, which honour `Priority`.
+    pub is_engine: bool,
+    /// The average latency of its stores.
+    pub latency: LatencyAverage,
 }
 
-/// A moving average of latencies.
+/// An exponential moving average of latencies.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Usual {
+pub struct LatencyAverage {
     average: Cell<Option<Duration>>,
 }
 
-impl Usual {
-    /// The average, once something was noted.
+impl LatencyAverage {
+    /// The average; `None` before the first sample.
     pub fn get(&self) -> Option<Duration> {
         self.average.get()
     }
 
-    /// Takes one more latency in.
-    pub fn note(&self, latency: Duration) {
-        const MEMORY: u32 = 8;
+    /// Adds a sample.
+    pub fn record(&self, latency: Duration) {
+        const SAMPLES: u32 = 8;
         let average =
-            self.average.get().map_or(latency, |average| (average * (MEMORY - 1) + latency) / MEMORY);
+            self.average.get().map_or(latency, |average| (average * (SAMPLES - 1) + latency) / SAMPLES);
         self.average.set(Some(average));
     }
 }
@@ -52,7 +52,7 @@
 impl RouteEntry {
     fn of(configuration: &Configuration, route: &Route) -> Option<Self> {
         let split = route.services();
-        let engine = split
+        let is_engine = split
             .iter()
             .any(|(name, _)| configuration.service(name).is_some_and(|service| service.engine.is_some()));
         Some(Self {
@@ -61,14 +61,14 @@
             weights: split.iter().map(|&(_, weight)| weight).collect(),
             timeout: route.timeout_ms.map(from_milliseconds),
             objective: from_milliseconds(route.target_latency_ms),
-            engine,
-            usual: Usual::default(),
+            is_engine,
+            latency: LatencyAverage::default(),
             route: route.clone(),
         })
     }
 
     /// Whether its requests may run more than once.
-    pub fn idempotent(&self) -> bool {
+    pub fn is_idempotent(&self) -> bool {
         match self.kind {
             RouteKind::Idempotent => true,
             RouteKind::Streaming => self.route.resumable,
@@ -76,7 +76,7 @@
         }
     }
 
-    /// The most stores that one try may go to.
+    /// The most attempts of one request.
     pub fn max_attempts(&self) -> usize {
         self.route.max_attempts.max(1) as usize
     }
@@ -103,23 +103,23 @@
         Self { hosts }
     }
 
-    /// Takes in an update. `configuration` is the one that it led to, or a later one. Routes that the update doesn't concern keep
-    /// their entries.
+    /// Applies an update. `configuration` is its result, or a later one. Routes that the update doesn't affect keep their entries,
+    /// and with them their averages.
     pub fn apply(&mut self, configuration: &Configuration, update: &ConfigurationUpdate) {
         let services: HashSet<&str> =
             update.upsert.services.iter().map(|service| service.name.as_str()).collect();
-        let uses_them = |route: &Route| route.services().iter().any(|(name, _)| services.contains(name));
+        let is_affected = |route: &Route| route.services().iter().any(|(name, _)| services.contains(name));
         let upserted = update.upsert.routes.iter().map(|route| route.name.as_str());
         let removed = update.remove.routes.iter().map(String::as_str);
-        let mut concerned: HashSet<&str> = upserted.chain(removed).collect();
+        let mut affected: HashSet<&str> = upserted.chain(removed).collect();
         if !services.is_empty() {
-            let users = configuration.routes.iter().filter(|route| uses_them(route));
-            concerned.extend(users.map(|route| route.name.as_str()));
+            let users = configuration.routes.iter().filter(|route| is_affected(route));
+            affected.extend(users.map(|route| route.name.as_str()));
         }
         for entries in self.hosts.values_mut() {
-            entries.retain(|entry| !concerned.contains(entry.route.name.as_str()));
+            entries.retain(|entry| !affected.contains(entry.route.name.as_str()));
         }
-        let routes = configuration.routes.iter().filter(|route| concerned.contains(route.name.as_str()));
+        let routes = configuration.routes.iter().filter(|route| affected.contains(route.name.as_str()));
         for entry in routes.filter_map(|route| RouteEntry::of(configuration, route)) {
             let entries = self.hosts.entry(entry.route.host.to_ascii_lowercase()).or_default();
             entries.push(Rc::new(entry));
@@ -145,7 +145,7 @@
 }
 
 fn from_milliseconds(milliseconds: f64) -> Duration {
-    const LONGEST_MS: f64 = 86_400_000.0;
-    let bounded = if milliseconds.is_finite() { milliseconds.clamp(0.0, LONGEST_MS) } else { LONGEST_MS };
+    const MAX_MS: f64 = 86_400_000.0;
+    let bounded = if milliseconds.is_finite() { milliseconds.clamp(0.0, MAX_MS) } else { MAX_MS };
     Duration::from_secs_f64(bounded / 1_000.0)
 }
--- a/system/data/src/shared.rs
+++ b/system/data/src/shared.rs
@@ -1,4 +1,4 @@
-//! What all parts of one edge share: the registry, the configuration, the time, the way to stores and to other nodes.
+//! The state that all parts of one edge share: registry, configuration, clock, and the clients of stores and of other nodes.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -17,50 +17,50 @@
 use crate::index::{KnownStore, StoreIndex};
 use crate::rollout::RolloutState;
 use crate::routing::{Affinity, RouteEntry, RouteTable};
-use crate::stores::{Counts, Health, StoreClient};
+use crate::stores::{InFlightCounts, StoreClient, StoreHealth};
 
-/// How long the last internal messages get to leave the process.
-const FLUSH_TIME: Duration = Duration::from_millis(200);
+/// The time-out of flushing internal messages at the end.
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// The configuration that was read last, arranged for look-ups.
+/// The newest configuration, parsed.
 #[derive(Default)]
-struct Parsed {
+struct ParsedConfiguration {
     followed: ConfigurationFollower,
     routes: RouteTable,
 }
 
-/// What all parts of one edge share.
+/// The state that all parts of one edge share.
 pub struct Shared {
-    /// Where stores are asked.
+    /// The HTTP client for stores.
     pub stores: StoreClient,
-    /// Requests that this edge has out, by store.
-    pub counts: Counts,
-    /// Which stores failed lately.
-    pub health: Health,
-    /// Which stores read which beginnings of prompts.
+    /// Requests in flight, by store.
+    pub counts: InFlightCounts,
+    /// Which stores failed recently.
+    pub health: StoreHealth,
+    /// Which stores have which prefixes of prompts in their caches.
     pub affinity: RefCell<Affinity>,
-    /// What the driver of batch jobs keeps.
+    /// The state of the driver of batch jobs.
     pub rollout: RolloutState,
-    /// Random for this life of the process.
+    /// Identifies this incarnation of the process.
     pub incarnation: u64,
     settings: RefCell<Rc<Settings>>,
     network: Network<Envelope>,
     relay: RefCell<Relay>,
-    parsed: RefCell<Parsed>,
+    parsed: RefCell<ParsedConfiguration>,
     index: RefCell<StoreIndex>,
     clock: Clock,
-    stopping: Cell<bool>,
+    is_shutting_down: Cell<bool>,
 }
 
 impl Shared {
-    /// An edge that knows nothing yet.
+    /// An edge with an empty registry.
     pub fn new(settings: Settings, network: Network<Envelope>, incarnation: u64) -> Self {
         let relay_settings = RelaySettings::for_role(Role::Edge, &settings.zone);
         let relay = Relay::new(relay_settings, network.local_address(), false, incarnation);
         Self {
             stores: StoreClient::new(),
-            counts: Counts::default(),
-            health: Health::default(),
+            counts: InFlightCounts::default(),
+            health: StoreHealth::default(),
             affinity: RefCell::default(),
             rollout: RolloutState::default(),
             incarnation,
@@ -70,7 +70,7 @@
             parsed: RefCell::default(),
             index: RefCell::default(),
             clock: Clock::start(),
-            stopping: Cell::new(false),
+            is_shutting_down: Cell::new(false),
         }
     }
 
@@ -79,7 +79,7 @@
         Rc::clone(&self.settings.borrow())
     }
 
-    /// Takes settings that were read again.
+    /// Replaces the settings.
     pub fn set_settings(&self, settings: Settings) {
         *self.settings.borrow_mut() = Rc::new(settings);
     }
@@ -99,7 +99,7 @@
         self.settings.borrow().zone.clone()
     }
 
-    /// Where this edge takes internal messages.
+    /// The address at which this edge receives internal messages.
     pub fn address(&self) -> SocketAddr {
         self.network.local_address()
     }
@@ -107,7 +107,7 @@
     /// Sends an internal message; it may be lost.
     pub fn send(&self, to: SocketAddr, message: &Envelope) {
         if !self.network.send(to, message).is_queued() {
-            log::debug!("a message to {to} was dropped");
+            log::debug!(to:%; "internal message dropped");
         }
     }
 
@@ -117,33 +117,33 @@
     }
 
     /// Whether the registry holds all that the control chain had confirmed a moment ago.
-    pub fn fresh(&self) -> bool {
+    pub fn is_registry_fresh(&self) -> bool {
         self.relay.borrow().is_fresh(self.now())
     }
 
-    /// Gives the relay an event and does what it wants done.
+    /// Passes an event to the relay and carries out its actions.
     pub fn relay(&self, event: RelayEvent) {
         let mut actions = Vec::new();
         self.relay.borrow_mut().handle(self.now(), event, &mut actions);
         for action in actions {
             match action {
                 RelayAction::Send { to, message } => self.send(to, &Envelope::Relay(message)),
-                RelayAction::EntriesChanged(entries) => self.note_changed(&entries),
+                RelayAction::EntriesChanged(entries) => self.on_entries_changed(&entries),
             }
         }
     }
 
-    /// When the relay wants [`RelayEvent::TimerExpired`].
+    /// When the relay expects [`RelayEvent::TimerExpired`].
     pub fn relay_timer(&self) -> Option<Duration> {
         self.relay.borrow().next_timer()
     }
 
-    /// Takes entries of the registry in from another source than the relay tree.
+    /// Merges entries that were learned from another source than the relay tree.
     pub fn merge(&self, entries: impl IntoIterator<Item = Entry>) {
         self.relay(RelayEvent::EntriesLearned(entries.into_iter().collect()));
     }
 
-    /// The newest configuration known, read once for each change.
+    /// The newest configuration known, parsed once for each change.
     pub fn configuration(&self) -> Option<Arc<Configuration>> {
         self.with_parsed(|parsed| parsed.followed.configuration().cloned())
     }
@@ -153,45 +153,45 @@
         self.with_parsed(|parsed| parsed.routes.find(host, path).cloned())
     }
 
-    /// The stores of a service that take requests.
+    /// The stores of a service that accept requests.
     pub fn stores_of(&self, service: &str) -> Rc<Vec<Rc<KnownStore>>> {
-        self.index.borrow().of(service)
+        self.index.borrow().of_service(service)
     }
 
-    /// Whether any store takes requests.
+    /// Whether any store accepts requests.
     pub fn has_stores(&self) -> bool {
         !self.index.borrow().is_empty()
     }
 
-    /// Lets go of connections and counts that are of no use any more.
-    pub fn sweep(&self) {
+    /// Closes expired connections to stores, and removes counters that nothing uses.
+    pub fn release_unused(&self) {
         let relay = self.relay.borrow();
-        let there = |id: &str| {
+        let is_registered = |id: &str| {
             let entry = relay.registry().entry(&Key::Store(id.to_owned()));
             entry.is_some_and(|entry| matches!(entry.value, Value::Store(_)))
         };
-        self.stores.sweep(there);
-        self.counts.sweep();
+        self.stores.close_expired(is_registered);
+        self.counts.remove_unused();
     }
 
-    /// Waits until the last internal messages have left, for a short time.
+    /// Flushes internal messages, within a time-out.
     pub async fn flush(&self) {
-        if !self.network.flush(FLUSH_TIME).await {
-            log::debug!("internal messages were left behind");
+        if !self.network.flush(FLUSH_TIMEOUT).await {
+            log::debug!("internal messages not flushed in time");
         }
     }
 
-    /// Whether the process is about to end and takes nothing new.
-    pub fn stopping(&self) -> bool {
-        self.stopping.get()
+    /// Whether the process is shutting down.
+    pub fn is_shutting_down(&self) -> bool {
+        self.is_shutting_down.get()
     }
 
-    /// From now on nothing new is taken.
-    pub fn stop(&self) {
-        self.stopping.set(true);
+    /// Starts the shutdown: the edge is not ready any more, and asks its clients to reconnect elsewhere.
+    pub fn start_shutdown(&self) {
+        self.is_shutting_down.set(true);
     }
 
-    fn note_changed(&self, entries: &[Entry]) {
+    fn on_entries_changed(&self, entries: &[Entry]) {
         let zone = self.zone();
         for entry in entries {
             if let Key::Store(id) = &entry.key {
@@ -203,12 +203,12 @@
             }
         }
         if entries.iter().any(|entry| matches!(entry.key, Key::Configuration | Key::Node(_))) {
-            self.share_connections();
+            self.divide_connection_limits();
         }
     }
 
-    /// Divides each service's connections among the edges.
-    fn share_connections(&self) {
+    /// Divides the connection limit of each service among the edges.
+    fn divide_connection_limits(&self) {
         let edges = self.registry(|registry| registry.nodes().filter(|node| node.role == Role::Edge).count());
         if let Some(configuration) = self.configuration() {
             for service in &configuration.services {
@@ -217,7 +217,7 @@
         }
     }
 
-    fn with_parsed<T>(&self, read: impl FnOnce(&Parsed) -> T) -> T {
+    fn with_parsed<T>(&self, read: impl FnOnce(&ParsedConfiguration) -> T) -> T {
         let relay = self.relay.borrow();
         let mut parsed = self.parsed.borrow_mut();
         if let Some((sequence, document)) = relay.registry().configuration() {
@@ -227,7 +227,7 @@
     }
 }
 
-impl Parsed {
+impl ParsedConfiguration {
     fn follow(&mut self, sequence: u64, document: &ConfigurationDocument) {
         let change = self.followed.apply_document(sequence, document);
         let Some(configuration) = self.followed.configuration() else { return };
@@ -237,7 +237,7 @@
             Ok(ConfigurationChange::Updated(updates)) => {
                 updates.iter().for_each(|update| self.routes.apply(configuration, update));
             }
-            Err(error) => log::error!("the configuration of change {sequence} can't be read: {error}"),
+            Err(error) => log::error!(sequence; "configuration invalid: {error}"),
         }
     }
 }
--- a/system/data/src/stores/connection.rs
+++ b/system/data/src/stores/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to a store: a hyper client and the task that moves its bytes. It ends with its owner.
+//! One connection to a store: a hyper client and the task that drives its I/O, which ends with its owner.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -12,50 +12,43 @@
 use tokio::net::TcpStream;
 use tokio::task::AbortHandle;
 
-use super::pool::Place;
-
-/// The most bytes of an answer that wait to be passed on, and so the longest head.
+/// The size of the read buffer, which bounds a response head and the part of a body that is not forwarded yet.
 const READ_BUFFER_BYTES: usize = 64 * 1024;
 
-/// What the connection and its task know of its rest.
-#[derive(Default)]
-pub(super) struct Rest {
-    /// Since when nothing is under way on it.
-    pub since: Cell<Option<Duration>>,
-}
-
-/// One connection. Dropped, it closes at once.
-pub(super) struct Connection {
-    /// Takes requests.
+/// One connection, which occupies a slot of type `S`. Dropping it closes it.
+pub(super) struct Connection<S> {
+    /// Sends requests.
     pub sender: http1::SendRequest<Full<Bytes>>,
-    /// Since when it rests.
-    pub rest: Rc<Rest>,
-    /// Whether it has carried an answer before.
-    pub used: bool,
-    /// Counts it at its store.
-    pub place: Place,
+    /// Since when it is idle; `None` while it carries a request.
+    pub idle_since: Rc<Cell<Option<Duration>>>,
+    /// What it occupies at its owner.
+    pub slot: S,
     task: AbortHandle,
 }
 
-impl Connection {
-    /// Opens one.
-    pub async fn open(address: SocketAddr, place: Place) -> Option<Self> {
+impl<S> Connection<S> {
+    /// Opens a connection. `on_closed` is called with its [`Self::idle_since`] if the store closes it in good order.
+    pub async fn open(
+        address: SocketAddr,
+        slot: S,
+        on_closed: impl FnOnce(Option<Duration>) + 'static,
+    ) -> Option<Self> {
         let stream = TcpStream::connect(address).await.ok()?;
         stream.set_nodelay(true).ok()?;
         let handshake = http1::Builder::new().max_buf_size(READ_BUFFER_BYTES).handshake(TokioIo::new(stream));
         let (sender, driver) = handshake.await.ok()?;
-        let rest = Rc::new(Rest::default());
-        let (resting, store) = (Rc::clone(&rest), place.store());
+        let idle_since = Rc::new(Cell::new(None));
+        let idle_since_at_close = Rc::clone(&idle_since);
         let task = tokio::task::spawn_local(async move {
             if driver.await.is_ok() {
-                store.note_closed(resting.since.get());
+                on_closed(idle_since_at_close.get());
             }
         });
-        Some(Self { sender, rest, used: false, place, task: task.abort_handle() })
+        Some(Self { sender, idle_since, slot, task: task.abort_handle() })
     }
 }
 
-impl Drop for Connection {
+impl<S> Drop for Connection<S> {
     fn drop(&mut self) {
         self.task.abort();
     }
--- a/system/data/src/stores/health.rs
+++ b/system/data/src/stores/health.rs
@@ -1,51 +1,52 @@
-//! Which stores failed to answer lately. A store that failed is avoided for a short time that doubles with each further failure,
-//! and is tried again after it.
+//! Passive health checking: a store that failed is suspect for a time that doubles with each further failure, up to a bound.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::time::Duration;
 
-const FIRST_PAUSE: Duration = Duration::from_millis(250);
-const LONGEST_PAUSE: Duration = Duration::from_secs(2);
+/// How long a store is suspect after its first failure.
+const FIRST_SUSPICION: Duration = Duration::from_millis(250);
+/// The longest time for which a store is suspect.
+const MAX_SUSPICION: Duration = Duration::from_secs(2);
 /// The most stores that are remembered as failed.
 const MAX_STORES: usize = 8_192;
 
 #[derive(Clone, Copy)]
 struct Failure {
-    pause: Duration,
+    suspicion: Duration,
     until: Duration,
 }
 
-/// Stores that failed lately, by id.
+/// Stores that failed recently, by id.
 #[derive(Default)]
-pub struct Health {
+pub struct StoreHealth {
     failed: RefCell<HashMap<String, Failure>>,
 }
 
-impl Health {
-    /// The store could not be reached, broke off or was silent.
-    pub fn failed(&self, id: &str, now: Duration) {
+impl StoreHealth {
+    /// The store was unreachable, interrupted a response, or timed out.
+    pub fn on_failure(&self, id: &str, now: Duration) {
         let mut failed = self.failed.borrow_mut();
         if failed.len() >= MAX_STORES {
             failed.retain(|_, failure| failure.until > now);
         }
-        let pause = match failed.get(id) {
+        let suspicion = match failed.get(id) {
             Some(failure) if failure.until > now => return,
-            Some(failure) => (failure.pause * 2).min(LONGEST_PAUSE),
-            None => FIRST_PAUSE,
+            Some(failure) => (failure.suspicion * 2).min(MAX_SUSPICION),
+            None => FIRST_SUSPICION,
         };
         if failed.len() < MAX_STORES || failed.contains_key(id) {
-            failed.insert(id.to_owned(), Failure { pause, until: now + pause });
+            failed.insert(id.to_owned(), Failure { suspicion, until: now + suspicion });
         }
     }
 
-    /// The store answered.
-    pub fn answered(&self, id: &str) {
+    /// The store responded.
+    pub fn on_response(&self, id: &str) {
         self.failed.borrow_mut().remove(id);
     }
 
-    /// Whether the store is to be avoided now, if there are others.
-    pub fn avoid(&self, id: &str, now: Duration) -> bool {
+    /// Whether the store is suspect, and used only if there is no other.
+    pub fn is_suspect(&self, id: &str, now: Duration) -> bool {
         self.failed.borrow().get(id).is_some_and(|failure| failure.until > now)
     }
 }
--- a/system/data/src/stores/counts.rs
+++ b/system/data/src/stores/in_flight.rs
@@ -1,41 +1,36 @@
-//! How many requests this edge has out at each store.
+//! Counts of the requests that this edge has in flight at each store.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// Requests out, by store id.
+/// Requests in flight, by store id.
 #[derive(Default)]
-pub struct Counts {
+pub struct InFlightCounts {
     table: RefCell<HashMap<String, Rc<Cell<usize>>>>,
 }
 
-/// One request out; it counts until this is dropped.
-pub struct CountGuard {
+/// One request in flight; dropping it decrements the count of its store.
+pub struct InFlightGuard {
     counter: Rc<Cell<usize>>,
 }
 
-impl CountGuard {
-    /// Counts one more until this is dropped.
+impl InFlightGuard {
+    /// Increments a counter until the guard is dropped.
     pub fn on(counter: &Rc<Cell<usize>>) -> Self {
         counter.set(counter.get() + 1);
         Self { counter: Rc::clone(counter) }
     }
 }
 
-impl Drop for CountGuard {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.counter.set(self.counter.get().saturating_sub(1));
     }
 }
 
-impl Counts {
-    /// Counts one more request at a store until the guard is dropped.
-    pub fn add(&self, id: &str) -> CountGuard {
-        CountGuard::on(&self.counter(id))
-    }
-
-    /// Requests out at a store.
+impl InFlightCounts {
+    /// The number of requests in flight at a store.
     pub fn count(&self, id: &str) -> usize {
         self.table.borrow().get(id).map_or(0, |counter| counter.get())
     }
@@ -51,8 +46,8 @@
         counter
     }
 
-    /// Lets go of counters that nobody holds.
-    pub fn sweep(&self) {
+    /// Removes counters without any other owner.
+    pub fn remove_unused(&self) {
         self.table.borrow_mut().retain(|_, counter| Rc::strong_count(counter) > 1);
     }
 }
--- a/system/data/src/stores/pool.rs
+++ b/system/data/src/stores/pool.rs
@@ -1,4 +1,4 @@
-//! Connections to stores that rest until they are needed again. Each store has a bounded number of them.
+//! A pool of connections to stores, bounded for each store and in all.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -12,121 +12,138 @@
 use super::connection::Connection;
 use super::StoreTarget;
 
-/// How long a connection may rest where the store has told nothing and closed none.
-const ASSUMED_REST: Duration = Duration::from_secs(4);
-/// Connections are let go this long before the store would close them.
-const REST_MARGIN: Duration = Duration::from_millis(500);
-/// The least time that a connection may rest.
-const LEAST_REST: Duration = Duration::from_millis(100);
+/// The idle time-out of connections to a store that has named none and closed none.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(4);
+/// Connections are closed this long before the store would close them.
+const IDLE_TIMEOUT_MARGIN: Duration = Duration::from_millis(500);
+/// The least idle time-out.
+const MIN_IDLE_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// All resting connections.
-pub(super) struct Pool {
+/// A connection of the pool, and its slot at its store.
+pub(super) type PooledConnection = Connection<ConnectionSlot>;
+
+/// Where a connection may be taken from.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum ConnectionSource {
+    /// An idle one, or else a new one.
+    IdleOrNew,
+    /// A new one only: an idle one was found closed.
+    New,
+}
+
+/// The connections to all stores.
+pub(super) struct ConnectionPool {
     stores: RefCell<HashMap<String, Rc<StorePool>>>,
     total: Rc<Cell<usize>>,
-    most: Cell<usize>,
+    total_limit: Cell<usize>,
     started: Instant,
 }
 
-/// Connections to one store.
+/// The connections to one store.
 pub(super) struct StorePool {
     address: SocketAddr,
-    idle: RefCell<Vec<Connection>>,
+    idle: RefCell<Vec<PooledConnection>>,
     open: Cell<usize>,
     total: Rc<Cell<usize>>,
-    freed: Notify,
-    longest_rest: Cell<Duration>,
+    /// A connection became idle or was closed.
+    released: Notify,
+    idle_timeout: Cell<Duration>,
     started: Instant,
 }
 
-/// The place of one open connection among those of its store.
-pub(super) struct Place {
+/// One of the connections that a store may have; dropping it frees the slot.
+pub(super) struct ConnectionSlot {
     store: Rc<StorePool>,
 }
 
-impl Place {
-    /// The store's connections.
+impl ConnectionSlot {
+    /// The connections of its store.
     pub fn store(&self) -> Rc<StorePool> {
         Rc::clone(&self.store)
     }
 }
 
-impl Drop for Place {
+impl Drop for ConnectionSlot {
     fn drop(&mut self) {
         self.store.open.set(self.store.open.get().saturating_sub(1));
         self.store.total.set(self.store.total.get().saturating_sub(1));
-        self.store.freed.notify_one();
+        self.store.released.notify_one();
     }
 }
 
-/// Why there is no connection.
+/// Why no connection could be acquired.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum NoConnection {
-    /// None could be opened.
+pub(super) enum PoolError {
+    /// No connection could be opened.
     Unreachable,
-    /// All are in use.
-    Busy,
+    /// All connections that the limits permit are in use.
+    LimitReached,
 }
 
-impl Pool {
-    /// Without connections.
+impl ConnectionPool {
+    /// A pool without connections.
     pub fn new() -> Self {
         Self {
             stores: RefCell::default(),
             total: Rc::default(),
-            most: Cell::new(usize::MAX),
+            total_limit: Cell::new(usize::MAX),
             started: Instant::now(),
         }
     }
 
-    /// From now on there are at most so many connections to all stores together.
-    pub fn set_most(&self, most: usize) {
-        self.most.set(most);
+    /// Sets the limit of connections to all stores together.
+    pub fn set_total_limit(&self, limit: usize) {
+        self.total_limit.set(limit);
     }
 
-    /// A connection to a store, a resting one if there is one, else a new one while there are fewer than `limit`.
-    pub async fn take(
+    /// Acquires a connection to a store: an idle one if there is one, else a new one while there are fewer than `limit`.
+    pub async fn acquire(
         &self,
         target: &StoreTarget,
         limit: usize,
-        within: Duration,
-        fresh: bool,
-    ) -> Result<Connection, NoConnection> {
+        connect_timeout: Duration,
+        source: ConnectionSource,
+    ) -> Result<PooledConnection, PoolError> {
         let store = self.store(target);
-        if !fresh {
-            if let Some(connection) = store.take_resting().await {
+        if source == ConnectionSource::IdleOrNew {
+            if let Some(connection) = store.take_idle().await {
                 return Ok(connection);
             }
         }
         if store.open.get() < limit {
-            return self.open_one(&store, within).await;
+            return self.open(&store, connect_timeout).await;
         }
-        let waiting = store.wait_for_place(limit, fresh);
-        match timeout(within, waiting).await {
-            Err(_elapsed) => Err(NoConnection::Busy),
+        let waiting = store.wait_for_release(limit, source);
+        match timeout(connect_timeout, waiting).await {
+            Err(_elapsed) => Err(PoolError::LimitReached),
             Ok(Some(connection)) => Ok(connection),
-            Ok(None) => self.open_one(&store, within).await,
+            Ok(None) => self.open(&store, connect_timeout).await,
         }
     }
 
-    async fn open_one(&self, store: &Rc<StorePool>, within: Duration) -> Result<Connection, NoConnection> {
-        if self.total.get() >= self.most.get() && !self.close_one() {
-            return Err(NoConnection::Busy);
+    async fn open(
+        &self,
+        store: &Rc<StorePool>,
+        connect_timeout: Duration,
+    ) -> Result<PooledConnection, PoolError> {
+        if self.total.get() >= self.total_limit.get() && !self.close_any_idle() {
+            return Err(PoolError::LimitReached);
         }
-        store.open_one(within).await
+        store.open(connect_timeout).await
     }
 
-    /// Closes a resting connection to any store; says whether there was one.
-    fn close_one(&self) -> bool {
+    /// Closes an idle connection to any store; returns whether there was one.
+    fn close_any_idle(&self) -> bool {
         let stores = self.stores.borrow();
         let connection = stores.values().find_map(|store| store.idle.borrow_mut().pop());
         connection.is_some()
     }
 
-    /// Lets go of connections that have rested too long, and of those to stores that `known` denies.
-    pub fn sweep(&self, known: impl Fn(&str) -> bool) {
+    /// Closes connections that were idle for too long, and idle ones to stores for which `is_known` is false.
+    pub fn close_expired(&self, is_known: impl Fn(&str) -> bool) {
         self.stores.borrow_mut().retain(|id, store| {
-            store.drop_overdue(known(id));
-            store.open.get() > 0 || known(id)
+            store.close_expired(is_known(id));
+            store.open.get() > 0 || is_known(id)
         });
     }
 
@@ -148,71 +165,71 @@
             idle: RefCell::default(),
             open: Cell::new(0),
             total,
-            freed: Notify::new(),
-            longest_rest: Cell::new(ASSUMED_REST),
+            released: Notify::new(),
+            idle_timeout: Cell::new(DEFAULT_IDLE_TIMEOUT),
             started,
         }
     }
 
-    /// Takes a connection back that has nothing under way.
-    pub fn give_back(self: &Rc<Self>, connection: Connection) {
-        connection.rest.since.set(Some(self.started.elapsed()));
+    /// Takes back a connection whose response is complete.
+    pub fn release(self: &Rc<Self>, connection: PooledConnection) {
+        connection.idle_since.set(Some(self.started.elapsed()));
         self.idle.borrow_mut().push(connection);
-        self.freed.notify_one();
+        self.released.notify_one();
     }
 
-    /// The store told how long it keeps connections.
-    pub fn note_keep_alive(&self, time: Duration) {
-        self.longest_rest.set(shortened(time));
+    /// The store named its keep-alive time.
+    pub fn on_keep_alive(&self, time: Duration) {
+        self.idle_timeout.set(with_margin(time));
     }
 
-    /// The store closed a connection that had rested since then.
-    pub fn note_closed(&self, since: Option<Duration>) {
-        if let Some(since) = since {
-            let rested = self.started.elapsed().saturating_sub(since);
-            self.longest_rest.set(self.longest_rest.get().min(shortened(rested)).max(LEAST_REST));
+    /// The store closed a connection, idle since then: its keep-alive time is no longer than that.
+    fn on_closed(&self, idle_since: Option<Duration>) {
+        if let Some(since) = idle_since {
+            let idle_time = self.started.elapsed().saturating_sub(since);
+            self.idle_timeout.set(self.idle_timeout.get().min(with_margin(idle_time)).max(MIN_IDLE_TIMEOUT));
         }
     }
 
-    fn is_overdue(&self, connection: &Connection) -> bool {
-        let since = connection.rest.since.get().unwrap_or_default();
-        self.started.elapsed().saturating_sub(since) >= self.longest_rest.get()
+    fn is_expired(&self, connection: &PooledConnection) -> bool {
+        let since = connection.idle_since.get().unwrap_or_default();
+        self.started.elapsed().saturating_sub(since) >= self.idle_timeout.get()
     }
 
-    fn drop_overdue(&self, known: bool) {
-        let overdue: Vec<Connection> = {
+    fn close_expired(&self, is_known: bool) {
+        let expired: Vec<PooledConnection> = {
             let mut idle = self.idle.borrow_mut();
-            let (keep, go) = idle.drain(..).partition(|connection| {
-                known && !connection.sender.is_closed() && !self.is_overdue(connection)
+            let (kept, expired) = idle.drain(..).partition(|connection| {
+                is_known && !connection.sender.is_closed() && !self.is_expired(connection)
             });
-            *idle = keep;
-            go
+            *idle = kept;
+            expired
         };
-        drop(overdue);
+        drop(expired);
     }
 
-    async fn take_resting(&self) -> Option<Connection> {
+    async fn take_idle(&self) -> Option<PooledConnection> {
         loop {
             let connection = self.idle.borrow_mut().pop()?;
-            if connection.sender.is_closed() || self.is_overdue(&connection) {
+            if connection.sender.is_closed() || self.is_expired(&connection) {
                 continue;
             }
             if !connection.sender.is_ready() {
                 tokio::task::yield_now().await;
             }
             if connection.sender.is_ready() {
-                connection.rest.since.set(None);
+                connection.idle_since.set(None);
                 return Some(connection);
             }
         }
     }
 
-    /// Waits for a resting connection (some), or for room to open one (none).
-    async fn wait_for_place(&self, limit: usize, fresh: bool) -> Option<Connection> {
+    /// Waits for an idle connection, or (`None`) until a new one may be opened.
+    async fn wait_for_release(&self, limit: usize, source: ConnectionSource) -> Option<PooledConnection> {
         loop {
-            self.freed.notified().await;
-            if !fresh {
-                if let Some(connection) = self.take_resting().await {
+            self.released.notified().await;
+            if source == ConnectionSource::IdleOrNew {
+                if let Some(connection) = self.take_idle().await {
                     return Some(connection);
                 }
             }
@@ -222,17 +239,19 @@
         }
     }
 
-    async fn open_one(self: &Rc<Self>, within: Duration) -> Result<Connection, NoConnection> {
+    async fn open(self: &Rc<Self>, connect_timeout: Duration) -> Result<PooledConnection, PoolError> {
         self.open.set(self.open.get() + 1);
         self.total.set(self.total.get() + 1);
-        let place = Place { store: Rc::clone(self) };
-        match timeout(within, Connection::open(self.address, place)).await {
+        let slot = ConnectionSlot { store: Rc::clone(self) };
+        let store = Rc::clone(self);
+        let opening = Connection::open(self.address, slot, move |idle_since| store.on_closed(idle_since));
+        match timeout(connect_timeout, opening).await {
             Ok(Some(connection)) => Ok(connection),
-            _ => Err(NoConnection::Unreachable),
+            _ => Err(PoolError::Unreachable),
         }
     }
 }
 
-fn shortened(time: Duration) -> Duration {
-    time.saturating_sub(REST_MARGIN).max(time / 2).max(LEAST_REST)
+fn with_margin(time: Duration) -> Duration {
+    time.saturating_sub(IDLE_TIMEOUT_MARGIN).max(time / 2).max(MIN_IDLE_TIMEOUT)
 }
--- a/system/data/tests/edge_common/mod.rs
+++ b/system/data/tests/edge_common/mod.rs
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use gingerledge_data::front::{self, Bounds, Front};
+use gingerledge_data::front::{self, Front, FrontLimits};
 use gingerledge_data::Shared;
 use gingerledge_protocol::{ConfigurationDocument, Settings, StoreState};
 use gingerledge_relay::RelayEvent;
@@ -60,7 +60,7 @@
 impl Edge {
     /// An edge that knows nothing yet.
     pub async fn start() -> Edge {
-        Self::start_with(Bounds {
+        Self::start_with(FrontLimits {
             connections: 64,
             store_connections: 64,
             requests: 64,
@@ -69,7 +69,7 @@
         .await
     }
 
-    pub async fn start_with(bounds: Bounds) -> Edge {
+    pub async fn start_with(bounds: FrontLimits) -> Edge {
         let settings = Settings::parse(SETTINGS.as_bytes()).expect("settings");
         let listen = NetworkSettings::new("127.0.0.1:0".parse().expect("address"));
         let (network, _inbox) = Network::bind(listen).await.expect("network");
--- a/system/data/tests/edge_forwarding.rs
+++ b/system/data/tests/edge_forwarding.rs
@@ -6,7 +6,7 @@
 use edge_common::{
     answer, full, local, ok, own_error, request, two, until, Client, Edge, Store, Turn, PATIENCE,
 };
-use gingerledge_data::stores::Timings;
+use gingerledge_data::stores::AttemptTimeouts;
 use gingerledge_protocol::StoreState;
 use http_body_util::Full;
 use hyper::Request;
@@ -200,8 +200,8 @@
         for index in 0..3 {
             let mut client = Client::connect(edge.address, None).await;
             client.send(&request("POST", "/once/x", &format!("w{index}"), "", "b")).await;
-            let out = || edge.shared.stores_of("s").first().map(|store| store.out.get());
-            until("the request is out", || out() == Some(index + 1)).await;
+            let in_flight = || edge.shared.stores_of("s").first().map(|store| store.in_flight.get());
+            until("the request is out", || in_flight() == Some(index + 1)).await;
             clients.push(client);
         }
         until("two are at the store", || near.heard().len() == 2).await;
@@ -227,7 +227,7 @@
         edge.learn_store(&gone, 2, StoreState::Ready);
         let mut client = Client::connect(edge.address, None).await;
         assert_eq!(client.ask("POST", "/once/x", "g1", "b").await.body(), "far");
-        assert!(edge.shared.health.avoid("near", edge.shared.now()));
+        assert!(edge.shared.health.is_suspect("near", edge.shared.now()));
         assert_eq!((gone.heard().len(), far.heard().len()), (0, 1));
     })
     .await;
@@ -256,7 +256,7 @@
 async fn resting_connection_makes_room_for_another_store() {
     local(async {
         let (edge, near, far) = two(vec![], vec![]).await;
-        edge.shared.stores.set_most(1);
+        edge.shared.stores.set_total_limit(1);
         let mut client = Client::connect(edge.address, None).await;
         assert_eq!(client.ask("POST", "/once/x", "m1", "b").await.body(), "near");
         edge.learn_store(&near, 2, StoreState::Draining);
@@ -300,7 +300,7 @@
         let store = Store::start("a", None, vec![ok("whole"), part]).await;
         let edge = Edge::with(&[&store]).await;
         let target = edge.shared.stores_of("s")[0].target.clone();
-        let timings = Timings { connect: PATIENCE, head: PATIENCE, silence: PATIENCE };
+        let timings = AttemptTimeouts { connect: PATIENCE, head: PATIENCE, idle: PATIENCE };
         for (id, connections) in [("q1", 1), ("q2", 1), ("q3", 2)] {
             let request = Request::post("/x").header("attempt-id", id).body(Full::new(Bytes::new()));
             let answer = edge.shared.stores.send(&target, request.expect("request"), timings).await;
--- a/system/data/tests/edge_front.rs
+++ b/system/data/tests/edge_front.rs
@@ -3,7 +3,7 @@
 mod edge_common;
 
 use edge_common::{answer, local, request, until, Client, Edge, Store, Turn};
-use gingerledge_data::front::Bounds;
+use gingerledge_data::front::FrontLimits;
 use gingerledge_protocol::StoreState;
 
 #[tokio::test]
@@ -94,7 +94,7 @@
 async fn requests_beyond_the_bound_are_refused_at_once() {
     local(async {
         let store = Store::start("a", None, vec![Turn::Silent]).await;
-        let edge = Edge::start_with(Bounds {
+        let edge = Edge::start_with(FrontLimits {
             connections: 8,
             store_connections: 64,
             requests: 1,
@@ -120,7 +120,7 @@
 async fn connection_beyond_the_bound_takes_the_place_of_the_one_that_rested_longest() {
     local(async {
         let store = Store::start("a", None, vec![]).await;
-        let edge = Edge::start_with(Bounds {
+        let edge = Edge::start_with(FrontLimits {
             connections: 2,
             store_connections: 64,
             requests: 8,
@@ -150,7 +150,7 @@
         let mut client = Client::connect(edge.address, None).await;
         client.send(&request("POST", "/once/x", "p1", "", "b")).await;
         until("request heard", || store.heard().len() == 1).await;
-        edge.shared.stop();
+        edge.shared.start_shutdown();
         store.go_on();
         let reply = client.read().await;
         assert_eq!((reply.body(), reply.header("connection").as_deref()), ("whole", Some("close")));
--- a/system/data/tests/edge_routing.rs
+++ b/system/data/tests/edge_routing.rs
@@ -2,16 +2,16 @@
 
 use std::time::Duration;
 
-use gingerledge_data::forward::events::EventBuffer;
-use gingerledge_data::front::{bounds, Phase, Times};
+use gingerledge_data::forward::event_buffer::EventBuffer;
+use gingerledge_data::front::{front_limits, ConnectionTimeouts, Phase};
 use gingerledge_data::headers;
-use gingerledge_data::node::{ready, Step, Stopping};
+use gingerledge_data::node::{is_ready, Shutdown, ShutdownStep};
 use gingerledge_data::routing::{
-    choose, failure, give_up_at, head_time, next_step, pick_service, retry_after, waits_too_long, Affinity,
-    Candidate, Next, Prompt, RouteTable, Sent,
+    choose_store, decide_retry, exceeds_queueing_time, failure_response, head_timeout, pick_service,
+    request_deadline, retry_after, Affinity, AttemptHistory, Candidate, Prompt, RetryDecision, RouteTable,
 };
-use gingerledge_data::stores::judge::{judge, Meaning};
-use gingerledge_data::stores::Load;
+use gingerledge_data::stores::response_class::{classify_response, ResponseClass};
+use gingerledge_data::stores::StoreLoad;
 use gingerledge_protocol::{read_configuration, ProcessLimits, Verdict};
 use hyper::http::{HeaderMap, HeaderName, HeaderValue, Method, StatusCode};
 use yare::parameterized;
@@ -20,27 +20,27 @@
     Duration::from_millis(milliseconds)
 }
 
-fn store(out: usize, slots: usize) -> Candidate {
-    Candidate { out, slots, ..Candidate::default() }
+fn store(in_flight: usize, slots: usize) -> Candidate {
+    Candidate { in_flight, slots, ..Candidate::default() }
 }
 
 #[parameterized(
     least_filled = { &[store(2, 4), store(1, 4), store(3, 4)], Some(1) },
     filling_counts_not_requests = { &[store(2, 4), store(3, 12)], Some(1) },
-    read_prompt_counts = { &[store(1, 4), Candidate { bonus: 300, ..store(2, 4) }], Some(1) },
-    read_prompt_does_not_beat_much_room = { &[store(0, 4), Candidate { bonus: 300, ..store(2, 4) }], Some(0) },
-    own_zone_breaks_ties = { &[store(1, 4), Candidate { own_zone: true, ..store(1, 4) }], Some(1) },
-    own_zone_does_not_beat_room = { &[store(0, 4), Candidate { own_zone: true, ..store(1, 4) }], Some(0) },
-    others_requests_count = { &[Candidate { others: 4, ..store(0, 4) }, store(2, 4)], Some(1) },
-    failed_one_is_avoided = { &[Candidate { avoided: true, ..store(0, 4) }, store(9, 4)], Some(1) },
-    failed_one_is_better_than_none = { &[Candidate { avoided: true, ..store(0, 4) }], Some(0) },
-    never_the_same_twice = { &[Candidate { tried: true, ..store(0, 4) }, store(9, 4)], Some(1) },
-    none_left = { &[Candidate { tried: true, ..store(0, 4) }], None },
+    read_prompt_counts = { &[store(1, 4), Candidate { affinity_bonus: 300, ..store(2, 4) }], Some(1) },
+    read_prompt_does_not_beat_much_room = { &[store(0, 4), Candidate { affinity_bonus: 300, ..store(2, 4) }], Some(0) },
+    own_zone_breaks_ties = { &[store(1, 4), Candidate { is_own_zone: true, ..store(1, 4) }], Some(1) },
+    own_zone_does_not_beat_room = { &[store(0, 4), Candidate { is_own_zone: true, ..store(1, 4) }], Some(0) },
+    others_requests_count = { &[Candidate { others_in_flight: 4, ..store(0, 4) }, store(2, 4)], Some(1) },
+    failed_one_is_avoided = { &[Candidate { is_suspect: true, ..store(0, 4) }, store(9, 4)], Some(1) },
+    failed_one_is_better_than_none = { &[Candidate { is_suspect: true, ..store(0, 4) }], Some(0) },
+    never_the_same_twice = { &[Candidate { was_tried: true, ..store(0, 4) }, store(9, 4)], Some(1) },
+    none_left = { &[Candidate { was_tried: true, ..store(0, 4) }], None },
     none_at_all = { &[], None },
 )]
 fn store_choice(candidates: &[Candidate], expected: Option<usize>) {
     for draw in 0..20 {
-        assert_eq!(choose(candidates.iter().copied(), draw), expected);
+        assert_eq!(choose_store(candidates.iter().copied(), draw), expected);
     }
 }
 
@@ -49,7 +49,7 @@
     let mut taken = [0; 4];
     let mut rng = fastrand::Rng::with_seed(11);
     for _ in 0..4_000 {
-        if let Some(place) = choose([store(1, 4); 4].into_iter(), rng.u64(..)) {
+        if let Some(place) = choose_store([store(1, 4); 4].into_iter(), rng.u64(..)) {
             taken[place] += 1;
         }
     }
@@ -96,26 +96,26 @@
 const MAYBE: Verdict = Verdict::MayHaveRun;
 
 #[parameterized(
-    first = { 0, 0, NEVER, false, 100, Next::AnotherStore },
-    refused_once_only = { 1, 0, NEVER, false, 100, Next::AnotherStore },
-    may_have_run_once_only = { 1, 0, MAYBE, false, 100, Next::GiveUp },
-    may_have_run_repeatable = { 1, 0, MAYBE, true, 100, Next::AnotherStore },
-    own_error_repeatable = { 1, 0, Verdict::Ran, true, 100, Next::AnotherStore },
-    attempts_used_up = { 3, 0, NEVER, true, 100, Next::GiveUp },
-    unreachable_stores_are_no_attempts = { 2, 3, NEVER, true, 100, Next::AnotherStore },
-    too_many_unreachable = { 0, 4, NEVER, true, 100, Next::GiveUp },
-    no_time = { 0, 0, NEVER, true, 4, Next::GiveUp },
+    first = { 0, 0, NEVER, false, 100, RetryDecision::Retry },
+    refused_once_only = { 1, 0, NEVER, false, 100, RetryDecision::Retry },
+    may_have_run_once_only = { 1, 0, MAYBE, false, 100, RetryDecision::GiveUp },
+    may_have_run_repeatable = { 1, 0, MAYBE, true, 100, RetryDecision::Retry },
+    own_error_repeatable = { 1, 0, Verdict::Ran, true, 100, RetryDecision::Retry },
+    attempts_used_up = { 3, 0, NEVER, true, 100, RetryDecision::GiveUp },
+    unreachable_stores_are_no_attempts = { 2, 3, NEVER, true, 100, RetryDecision::Retry },
+    too_many_unreachable = { 0, 4, NEVER, true, 100, RetryDecision::GiveUp },
+    no_time = { 0, 0, NEVER, true, 4, RetryDecision::GiveUp },
 )]
 fn what_follows(
-    offered: usize,
+    sent: usize,
     unsent: usize,
     verdict: Verdict,
     idempotent: bool,
     left: u64,
-    expected: Next,
+    expected: RetryDecision,
 ) {
-    let sent = Sent { offered, unsent, verdict };
-    assert_eq!(next_step(&sent, 3, idempotent, ms(left)), expected);
+    let history = AttemptHistory { sent, unsent, verdict };
+    assert_eq!(decide_retry(&history, 3, idempotent, ms(left)), expected);
 }
 
 #[parameterized(
@@ -126,7 +126,7 @@
     may_have_run_no_time = { MAYBE, 0, 504, None },
 )]
 fn answer_to_what_is_given_up(verdict: Verdict, left: u64, status: u16, pause: Option<u64>) {
-    let failure = failure(verdict, ms(left), ms(400));
+    let failure = failure_response(verdict, ms(left), ms(400));
     assert_eq!((failure.status.as_u16(), failure.retry_after), (status, pause.map(ms)));
 }
 
@@ -137,7 +137,7 @@
     neither = { None, None, 31_000 },
 )]
 fn time_to_give_up(deadline: Option<u64>, timeout: Option<u64>, expected: u64) {
-    assert_eq!(give_up_at(ms(1_000), deadline.map(ms), timeout.map(ms)), ms(expected));
+    assert_eq!(request_deadline(ms(1_000), deadline.map(ms), timeout.map(ms)), ms(expected));
 }
 
 #[parameterized(
@@ -148,7 +148,7 @@
     unknown = { 900, None, true, 300 },
 )]
 fn time_for_a_head(left: u64, usual: Option<u64>, elsewhere: bool, expected: u64) {
-    assert_eq!(head_time(ms(left), usual.map(ms), elsewhere), ms(expected));
+    assert_eq!(head_timeout(ms(left), usual.map(ms), elsewhere), ms(expected));
 }
 
 #[parameterized(
@@ -160,21 +160,21 @@
     no_slots = { Some((0, 40, 0)), Some(100), true },
 )]
 fn refusal_for_want_of_time(load: Option<(u32, u32, u32)>, usual: Option<u64>, expected: bool) {
-    let load = load.map(|(running, waiting, slots)| Load { running, waiting, slots });
-    assert_eq!(waits_too_long(load, usual.map(ms), ms(500)), expected);
+    let load = load.map(|(running, waiting, slots)| StoreLoad { running, waiting, slots });
+    assert_eq!(exceeds_queueing_time(load, usual.map(ms), ms(500)), expected);
 }
 
 #[test]
 fn the_store_that_read_the_most_of_a_prompt_is_preferred() {
     let mut affinity = Affinity::default();
     let session = Prompt::parse("s", "m", "9c:300,5d:100");
-    affinity.note(&Prompt::parse("s", "m", "9c:300,77:50"), "other");
-    assert_eq!(affinity.prefer(&session), Some(("other", 375)));
-    affinity.note(&session, "own");
-    assert_eq!(affinity.prefer(&session), Some(("own", 500)));
-    assert_eq!(affinity.prefer(&Prompt::parse("s", "m2", "9c:300,5d:100")), None);
-    assert_eq!(affinity.prefer(&Prompt::parse("s", "m", "5d:100")), None);
-    assert_eq!(affinity.prefer(&Prompt::parse("s", "m", "garbage")), None);
+    affinity.record(&Prompt::parse("s", "m", "9c:300,77:50"), "other");
+    assert_eq!(affinity.preferred_store(&session), Some(("other", 375)));
+    affinity.record(&session, "own");
+    assert_eq!(affinity.preferred_store(&session), Some(("own", 500)));
+    assert_eq!(affinity.preferred_store(&Prompt::parse("s", "m2", "9c:300,5d:100")), None);
+    assert_eq!(affinity.preferred_store(&Prompt::parse("s", "m", "5d:100")), None);
+    assert_eq!(affinity.preferred_store(&Prompt::parse("s", "m", "garbage")), None);
 }
 
 #[test]
@@ -182,10 +182,10 @@
     let mut affinity = Affinity::default();
     let prompt = |number: u64| Prompt::parse("s", "m", &format!("{number:x}:10"));
     for number in 0..20_000 {
-        affinity.note(&prompt(number), "a");
+        affinity.record(&prompt(number), "a");
     }
-    assert_eq!(affinity.prefer(&prompt(0)), None);
-    assert!(affinity.prefer(&prompt(19_999)).is_some());
+    assert_eq!(affinity.preferred_store(&prompt(0)), None);
+    assert!(affinity.preferred_store(&prompt(19_999)).is_some());
 }
 
 #[parameterized(
@@ -228,11 +228,11 @@
 )]
 fn meaning_of_a_head(status: u16, fields: &[(&str, &str)], expected: &str) {
     let status = StatusCode::from_u16(status).expect("status");
-    let meaning = judge(&Method::POST, Some(b"a1"), status, &head(fields));
-    let word = match meaning {
-        Meaning::Own => "own",
-        Meaning::Refused(_) => "refused",
-        Meaning::Garbled => "garbled",
+    let class = classify_response(&Method::POST, Some(b"a1"), status, &head(fields));
+    let word = match class {
+        ResponseClass::Executed => "own",
+        ResponseClass::Rejected(_) => "refused",
+        ResponseClass::Invalid => "garbled",
     };
     assert_eq!(word, expected);
 }
@@ -240,11 +240,12 @@
 #[test]
 fn a_refusal_tells_load_and_pause() {
     let fields = [ID, NOT_RUN, ("server-load", "3,2,8"), ("retry-after", "0.25")];
-    let meaning = judge(&Method::POST, Some(b"a1"), StatusCode::SERVICE_UNAVAILABLE, &head(&fields));
-    let Meaning::Refused(refusal) = meaning else { panic!("{meaning:?}") };
-    let load = refusal.load.expect("load");
+    let class =
+        classify_response(&Method::POST, Some(b"a1"), StatusCode::SERVICE_UNAVAILABLE, &head(&fields));
+    let ResponseClass::Rejected(rejection) = class else { panic!("{class:?}") };
+    let load = rejection.load.expect("load");
     assert_eq!((load.running, load.waiting, load.slots), (3, 2, 8));
-    assert_eq!(refusal.retry_after, Some(ms(250)));
+    assert_eq!(rejection.retry_after, Some(ms(250)));
 }
 
 #[test]
@@ -286,7 +287,7 @@
     let mut buffer = EventBuffer::default();
     assert_eq!(&buffer.push(b"id: 1\ndata: a\n\nid: 2\nda").expect("short")[..], b"id: 1\ndata: a\n\n");
     assert!(buffer.is_partial());
-    buffer.drop_partial();
+    buffer.discard_partial();
     let again = buffer.push(b"id: 1\ndata: a\n\nid: 2\ndata: b\n\n").expect("short");
     assert_eq!(&again[..], b"id: 2\ndata: b\n\n");
 }
@@ -307,36 +308,36 @@
     about_to_end = { true, Some(5_000), true, false },
 )]
 fn readiness(known: bool, fresh_at: Option<u64>, stopping: bool, expected: bool) {
-    assert_eq!(ready(known, fresh_at.map(ms), ms(5_000), stopping), expected);
+    assert_eq!(is_ready(known, fresh_at.map(ms), ms(5_000), stopping), expected);
 }
 
 #[parameterized(
-    not_noticed_yet = { 1_000, 0, 0, Step::Serve },
-    clients_rest = { 3_000, 0, 2, Step::CloseResting },
-    requests_under_way = { 3_000, 1, 1, Step::CloseResting },
-    all_done = { 3_000, 0, 0, Step::End },
-    grace_almost_over = { 7_500, 3, 3, Step::End },
+    not_noticed_yet = { 1_000, 0, 0, ShutdownStep::Serve },
+    clients_rest = { 3_000, 0, 2, ShutdownStep::CloseIdle },
+    requests_under_way = { 3_000, 1, 1, ShutdownStep::CloseIdle },
+    all_done = { 3_000, 0, 0, ShutdownStep::Exit },
+    grace_almost_over = { 7_500, 3, 3, ShutdownStep::Exit },
 )]
-fn steps_of_a_stop(after: u64, requests: usize, connections: usize, expected: Step) {
-    let stopping = Stopping::new(ms(100), ms(8_000));
-    assert_eq!(stopping.step(ms(100 + after), requests, connections), expected);
+fn steps_of_a_stop(after: u64, requests: usize, connections: usize, expected: ShutdownStep) {
+    let shutdown = Shutdown::new(ms(100), ms(8_000));
+    assert_eq!(shutdown.step(ms(100 + after), requests, connections), expected);
 }
 
 #[parameterized(
     resting = { Phase::Idle(ms(0)), 15_000, false },
     rested_too_long = { Phase::Idle(ms(0)), 15_001, true },
-    head_comes = { Phase::Head(ms(0)), 3_000, false },
-    head_is_late = { Phase::Head(ms(0)), 3_001, true },
-    busy = { Phase::Busy, 99_999, false },
+    head_comes = { Phase::ReadingHead(ms(0)), 3_000, false },
+    head_is_late = { Phase::ReadingHead(ms(0)), 3_001, true },
+    busy = { Phase::InRequest, 99_999, false },
 )]
 fn connections_that_take_too_long(phase: Phase, now: u64, expected: bool) {
-    assert_eq!(phase.overdue(ms(now), Times { idle: ms(15_000), head: ms(3_000) }), expected);
+    assert_eq!(phase.is_expired(ms(now), ConnectionTimeouts { idle: ms(15_000), head: ms(3_000) }), expected);
 }
 
 #[test]
 fn a_small_machine_gets_small_bounds() {
     let limits = ProcessLimits { file_descriptors: 1_200, memory_mb: 160, ..ProcessLimits::default() };
-    let bounds = bounds(&limits);
+    let bounds = front_limits(&limits);
     assert_eq!((bounds.connections, bounds.store_connections), (437, 437));
     assert!(bounds.requests * 32 * 1024 + bounds.body_bytes < 80 * 1024 * 1024, "{bounds:?}");
 }
--- a/system/data/tests/edge_transcripts.rs
+++ b/system/data/tests/edge_transcripts.rs
@@ -120,7 +120,7 @@
         let store = Store::start("store-a", Some(&transcript), vec![]).await;
         let edge = Edge::with(&[&store]).await;
         let mut client = Client::connect(edge.address, Some(&transcript)).await;
-        edge.shared.stop();
+        edge.shared.start_shutdown();
         client.ask("GET", "/idem/x", "aa09", "").await;
         assert_eq!(client.read_some().await, None);
         transcript.check("stopping");
--- a/system/data/tests/rollout_transcripts.rs
+++ b/system/data/tests/rollout_transcripts.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 
 use edge_common::{transcript, Client};
-use gingerledge_data::front::{self, Bounds, Front};
+use gingerledge_data::front::{self, Front, FrontLimits};
 use gingerledge_system_standin::Transcript;
 use gingerledge_wire::JobsResponse;
 use rollout_common::{local, loopback, until, Does, Engine, Route, Says, World, EVENTS};
@@ -21,7 +21,7 @@
 
 /// The front of a world's edge.
 async fn serve(world: &World) -> SocketAddr {
-    let bounds = Bounds { connections: 64, store_connections: 64, requests: 64, body_bytes: 4_000_000 };
+    let bounds = FrontLimits { connections: 64, store_connections: 64, requests: 64, body_bytes: 4_000_000 };
     let listener = TcpListener::bind(loopback()).await.expect("listener");
     let address = listener.local_addr().expect("address");
     tokio::task::spawn_local(front::serve(Rc::clone(&world.shared), Front::new(bounds), listener));
