--- a/system/data/tests/edge_common/client.rs
+++ b/system/data/tests/edge_common/client.rs
@@ -5,7 +5,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-use super::store::header;
+use super::http::header;
 use gingerledge_system_standin::Transcript;
 
 /// A client's connection.
--- a/system/data/tests/edge_common/mod.rs
+++ b/system/data/tests/edge_common/mod.rs
@@ -3,6 +3,10 @@
 
 mod client;
 pub mod control;
+#[path = "../common/http.rs"]
+mod http;
+#[path = "../common/runtime.rs"]
+mod runtime;
 mod store;
 pub mod unruly;
 
@@ -18,13 +22,11 @@
 use gingerledge_transport::{Network, NetworkSettings};
 use gingerledge_wire::{Entry, FreshnessTick, Key, StoreRecord, Value};
 use tokio::net::TcpListener;
-use tokio::task::LocalSet;
 
 pub use client::{request, Client};
+pub use runtime::{local, PATIENCE};
 pub use store::{answer, event, events, full, ok, own_error, Store, Turn};
 
-/// A bound that only a fault reaches.
-pub const PATIENCE: Duration = Duration::from_secs(20);
 /// The zone of the edge.
 pub const ZONE: &str = "home";
 
@@ -148,12 +150,6 @@
     }
 }
 
-/// Runs a test on one thread.
-pub async fn local<T>(test: impl std::future::Future<Output = T>) -> T {
-    let tasks = LocalSet::new();
-    tokio::time::timeout(PATIENCE, tasks.run_until(test)).await.expect("the test hangs")
-}
-
 /// Waits for a condition that other tasks bring about.
 pub async fn until(what: &str, mut holds: impl FnMut() -> bool) {
     let began = std::time::Instant::now();
--- a/system/data/tests/edge_forwarding.rs
+++ b/system/data/tests/edge_forwarding.rs
@@ -12,7 +12,7 @@
 use hyper::Request;
 
 #[tokio::test]
-async fn refused_request_goes_to_another_store_whatever_its_kind() {
+async fn a_rejected_request_of_any_kind_is_retried_at_another_store() {
     for path in ["/idem/x", "/once/x", "/stream/x"] {
         local(async {
             let (edge, near, far) = two(vec![full()], vec![ok("far")]).await;
@@ -40,7 +40,7 @@
 }
 
 #[tokio::test]
-async fn request_that_may_have_run_is_repeated_only_if_it_may_be() {
+async fn a_request_that_may_have_run_is_retried_only_if_idempotent() {
     for (name, turn) in unclear() {
         local(async {
             let (edge, near, far) = two(vec![turn], vec![]).await;
@@ -64,7 +64,7 @@
 }
 
 #[tokio::test]
-async fn own_error_of_a_store_is_tried_elsewhere_and_else_passed_on() {
+async fn a_server_error_is_retried_elsewhere_and_else_forwarded() {
     local(async {
         let (edge, _near, _far) = two(vec![own_error()], vec![ok("far")]).await;
         let mut client = Client::connect(edge.address, None).await;
@@ -90,7 +90,7 @@
 }
 
 #[tokio::test]
-async fn no_more_stores_than_attempts() {
+async fn no_more_stores_get_a_request_than_its_attempts() {
     local(async {
         let mut stores = Vec::new();
         for index in 0..5 {
@@ -107,7 +107,7 @@
 }
 
 #[tokio::test]
-async fn late_answer_in_the_next_ones_slot_belongs_to_no_request() {
+async fn a_late_response_is_not_taken_for_the_next_requests() {
     local(async {
         let late = answer("200 OK", "", "late").replace("{id}", "b8");
         let store = Store::start("a", None, vec![Turn::SayLate(answer("200 OK", "", "first"), late)]).await;
@@ -124,7 +124,7 @@
 }
 
 #[tokio::test]
-async fn connections_are_used_again() {
+async fn connections_are_reused() {
     local(async {
         let store = Store::start("a", None, vec![]).await;
         let edge = Edge::with(&[&store]).await;
@@ -138,7 +138,7 @@
 }
 
 #[tokio::test]
-async fn connection_is_used_again_after_a_refusal_but_not_after_a_farewell() {
+async fn a_connection_is_reused_after_a_rejection_but_not_after_connection_close() {
     local(async {
         let farewell = Turn::Say(answer("200 OK", "Connection: close\r\n", "bye"));
         let full = answer("503 Service Unavailable", "Not-Executed: true\r\n", "no room");
@@ -155,7 +155,7 @@
 }
 
 #[tokio::test]
-async fn long_body_that_is_cut_never_looks_complete() {
+async fn a_long_body_that_is_interrupted_never_looks_complete() {
     local(async {
         let length = 200_000;
         let cut = answer("200 OK", "", &"x".repeat(length));
@@ -171,7 +171,7 @@
 }
 
 #[tokio::test]
-async fn draining_and_ended_stores_get_nothing_new() {
+async fn draining_and_removed_stores_get_no_new_requests() {
     local(async {
         let (edge, near, far) = two(vec![], vec![]).await;
         edge.learn_store(&near, 2, StoreState::Draining);
@@ -187,7 +187,7 @@
 }
 
 #[tokio::test]
-async fn request_that_waits_for_a_connection_when_the_store_leaves_goes_elsewhere() {
+async fn a_request_that_waits_for_a_connection_to_a_removed_store_is_sent_elsewhere() {
     local(async {
         let whole = answer("200 OK", "", "near");
         let (head, tail) = whole.split_at(whole.len() - 2);
@@ -220,7 +220,7 @@
 }
 
 #[tokio::test]
-async fn unreachable_store_is_passed_over_and_then_avoided() {
+async fn an_unreachable_store_is_skipped_and_then_suspect() {
     local(async {
         let (edge, near, far) = two(vec![], vec![]).await;
         let gone = near.moved_to("127.0.0.1:1");
@@ -234,7 +234,7 @@
 }
 
 #[tokio::test]
-async fn edges_share_a_stores_connections() {
+async fn edges_divide_a_stores_connection_limit() {
     local(async {
         let store = Store::start("a", None, vec![Turn::Silent, Turn::Silent, Turn::Silent]).await;
         let edge = Edge::with(&[&store]).await;
@@ -253,7 +253,7 @@
 }
 
 #[tokio::test]
-async fn resting_connection_makes_room_for_another_store() {
+async fn an_idle_connection_is_closed_for_another_store_at_the_total_limit() {
     local(async {
         let (edge, near, far) = two(vec![], vec![]).await;
         edge.shared.stores.set_total_limit(1);
@@ -273,7 +273,7 @@
 }
 
 #[tokio::test]
-async fn silent_store_is_left_at_the_deadline_or_earlier_where_another_may_be_asked() {
+async fn an_unresponsive_store_times_out_earlier_where_a_retry_is_possible() {
     local(async {
         let (edge, _near, far) = two(vec![Turn::Silent], vec![]).await;
         let mut client = Client::connect(edge.address, None).await;
@@ -294,7 +294,7 @@
 }
 
 #[tokio::test]
-async fn answer_that_nobody_reads_leaves_its_connection_only_if_it_has_come_whole() {
+async fn an_unread_response_returns_its_connection_only_if_complete() {
     local(async {
         let part = Turn::SayInParts(answer("200 OK", "", "whole").replace("whole", "who"), String::new());
         let store = Store::start("a", None, vec![ok("whole"), part]).await;
--- a/system/data/tests/edge_front.rs
+++ b/system/data/tests/edge_front.rs
@@ -7,7 +7,7 @@
 use gingerledge_protocol::StoreState;
 
 #[tokio::test]
-async fn request_of_a_client_that_leaves_is_dropped_at_the_store() {
+async fn the_request_of_a_disconnected_client_is_cancelled_at_the_store() {
     local(async {
         let store = Store::start("a", None, vec![Turn::Silent]).await;
         let edge = Edge::with(&[&store]).await;
@@ -23,7 +23,7 @@
 }
 
 #[tokio::test]
-async fn edge_that_may_not_know_everything_denies_no_route() {
+async fn an_edge_with_a_stale_registry_denies_no_route() {
     local(async {
         let edge = Edge::start().await;
         let mut client = Client::connect(edge.address, None).await;
@@ -37,7 +37,7 @@
 }
 
 #[tokio::test]
-async fn newest_configuration_is_in_force_and_an_older_one_never_comes_back() {
+async fn the_newest_configuration_is_in_force_and_never_replaced_by_an_older_one() {
     local(async {
         let store = Store::start("a", None, vec![]).await;
         let edge = Edge::with(&[&store]).await;
@@ -52,7 +52,7 @@
 }
 
 #[tokio::test]
-async fn too_long_body_is_refused_unread() {
+async fn a_body_over_the_limit_is_rejected_unread() {
     local(async {
         let store = Store::start("a", None, vec![]).await;
         let edge = Edge::with(&[&store]).await;
@@ -91,7 +91,7 @@
 }
 
 #[tokio::test]
-async fn requests_beyond_the_bound_are_refused_at_once() {
+async fn requests_beyond_the_limit_are_rejected_without_delay() {
     local(async {
         let store = Store::start("a", None, vec![Turn::Silent]).await;
         let edge = Edge::start_with(FrontLimits {
@@ -117,7 +117,7 @@
 }
 
 #[tokio::test]
-async fn connection_beyond_the_bound_takes_the_place_of_the_one_that_rested_longest() {
+async fn a_connection_beyond_the_limit_replaces_the_one_idle_for_longest() {
     local(async {
         let store = Store::start("a", None, vec![]).await;
         let edge = Edge::start_with(FrontLimits {
@@ -142,7 +142,7 @@
 }
 
 #[tokio::test]
-async fn request_under_way_is_finished_when_the_edge_is_told_to_stop() {
+async fn a_request_in_flight_is_completed_during_a_shutdown() {
     local(async {
         let slow = Turn::SayInParts(String::new(), answer("200 OK", "", "whole"));
         let store = Store::start("a", None, vec![slow]).await;
--- a/system/data/tests/edge_node.rs
+++ b/system/data/tests/edge_node.rs
@@ -63,7 +63,7 @@
 }
 
 #[tokio::test]
-async fn edge_comes_up_serves_reads_its_settings_again_and_ends_in_good_order() {
+async fn an_edge_starts_serves_reloads_its_settings_and_shuts_down_gracefully() {
     local(async {
         let control = Control::start(address(2, 7380)).await;
         let store = Store::start("a", None, vec![]).await;
--- a/system/data/tests/edge_routing.rs
+++ b/system/data/tests/edge_routing.rs
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn equal_stores_are_taken_about_equally_often() {
+fn equal_stores_are_chosen_about_equally_often() {
     let mut taken = [0; 4];
     let mut rng = fastrand::Rng::with_seed(11);
     for _ in 0..4_000 {
@@ -106,7 +106,7 @@
     too_many_unreachable = { 0, 4, NEVER, true, 100, RetryDecision::GiveUp },
     no_time = { 0, 0, NEVER, true, 4, RetryDecision::GiveUp },
 )]
-fn what_follows(
+fn retry_decision(
     sent: usize,
     unsent: usize,
     verdict: Verdict,
@@ -125,7 +125,7 @@
     may_have_run = { MAYBE, 900, 502, None },
     may_have_run_no_time = { MAYBE, 0, 504, None },
 )]
-fn answer_to_what_is_given_up(verdict: Verdict, left: u64, status: u16, pause: Option<u64>) {
+fn response_without_a_further_attempt(verdict: Verdict, left: u64, status: u16, pause: Option<u64>) {
     let failure = failure_response(verdict, ms(left), ms(400));
     assert_eq!((failure.status.as_u16(), failure.retry_after), (status, pause.map(ms)));
 }
@@ -136,7 +136,7 @@
     timeout_only = { None, Some(2_000), 3_000 },
     neither = { None, None, 31_000 },
 )]
-fn time_to_give_up(deadline: Option<u64>, timeout: Option<u64>, expected: u64) {
+fn deadline_of_a_request(deadline: Option<u64>, timeout: Option<u64>, expected: u64) {
     assert_eq!(request_deadline(ms(1_000), deadline.map(ms), timeout.map(ms)), ms(expected));
 }
 
@@ -147,7 +147,7 @@
     never_beyond = { 900, Some(2_000), true, 900 },
     unknown = { 900, None, true, 300 },
 )]
-fn time_for_a_head(left: u64, usual: Option<u64>, elsewhere: bool, expected: u64) {
+fn timeout_of_a_head(left: u64, usual: Option<u64>, elsewhere: bool, expected: u64) {
     assert_eq!(head_timeout(ms(left), usual.map(ms), elsewhere), ms(expected));
 }
 
@@ -159,13 +159,13 @@
     latency_unknown = { Some((4, 40, 4)), None, false },
     no_slots = { Some((0, 40, 0)), Some(100), true },
 )]
-fn refusal_for_want_of_time(load: Option<(u32, u32, u32)>, usual: Option<u64>, expected: bool) {
+fn queueing_time_exceeds_the_time_left(load: Option<(u32, u32, u32)>, usual: Option<u64>, expected: bool) {
     let load = load.map(|(running, waiting, slots)| StoreLoad { running, waiting, slots });
     assert_eq!(exceeds_queueing_time(load, usual.map(ms), ms(500)), expected);
 }
 
 #[test]
-fn the_store_that_read_the_most_of_a_prompt_is_preferred() {
+fn the_store_with_the_longest_cached_prefix_is_preferred() {
     let mut affinity = Affinity::default();
     let session = Prompt::parse("s", "m", "9c:300,5d:100");
     affinity.record(&Prompt::parse("s", "m", "9c:300,77:50"), "other");
@@ -178,7 +178,7 @@
 }
 
 #[test]
-fn prompts_are_forgotten_in_order() {
+fn prompts_are_evicted_in_order() {
     let mut affinity = Affinity::default();
     let prompt = |number: u64| Prompt::parse("s", "m", &format!("{number:x}:10"));
     for number in 0..20_000 {
@@ -194,7 +194,7 @@
     bounded_below = { 5_000, 40, 50 },
     third_of_time = { 300, 8_000, 100 },
 )]
-fn pause_of_a_refused_client(left: u64, objective: u64, expected: u64) {
+fn retry_after_of_a_rejected_client(left: u64, objective: u64, expected: u64) {
     assert_eq!(retry_after(ms(left), ms(objective)), ms(expected));
 }
 
@@ -226,7 +226,7 @@
     success_that_says_it_did_not_run = { 200, &[ID, STAMP, LENGTH, NOT_RUN], "garbled" },
     refusal_of_another_request = { 503, &[("attempt-id", "a2"), NOT_RUN], "garbled" },
 )]
-fn meaning_of_a_head(status: u16, fields: &[(&str, &str)], expected: &str) {
+fn class_of_a_response(status: u16, fields: &[(&str, &str)], expected: &str) {
     let status = StatusCode::from_u16(status).expect("status");
     let class = classify_response(&Method::POST, Some(b"a1"), status, &head(fields));
     let word = match class {
@@ -238,7 +238,7 @@
 }
 
 #[test]
-fn a_refusal_tells_load_and_pause() {
+fn a_rejection_reports_load_and_retry_after() {
     let fields = [ID, NOT_RUN, ("server-load", "3,2,8"), ("retry-after", "0.25")];
     let class =
         classify_response(&Method::POST, Some(b"a1"), StatusCode::SERVICE_UNAVAILABLE, &head(&fields));
@@ -249,7 +249,7 @@
 }
 
 #[test]
-fn what_a_connection_names_goes_no_further_but_what_a_request_means_does() {
+fn hop_by_hop_headers_are_removed_and_end_to_end_ones_kept() {
     let mut fields =
         head(&[("connection", "close, x-hop, attempt-id"), ("x-hop", "1"), ID, ("keep-alive", "timeout=5")]);
     headers::strip_hop_by_hop(&mut fields);
@@ -267,7 +267,7 @@
 }
 
 #[test]
-fn events_pass_once_and_whole_however_they_are_cut() {
+fn events_are_forwarded_once_and_complete_in_any_chunks() {
     let stream = "id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\n: note\n\nid: 3\ndata: c\n\n";
     for size in 1..=stream.len() {
         let mut buffer = EventBuffer::default();
@@ -283,7 +283,7 @@
 }
 
 #[test]
-fn a_cut_event_is_dropped_and_events_passed_before_are_left_out() {
+fn an_interrupted_event_is_discarded_and_forwarded_ones_are_left_out() {
     let mut buffer = EventBuffer::default();
     assert_eq!(&buffer.push(b"id: 1\ndata: a\n\nid: 2\nda").expect("short")[..], b"id: 1\ndata: a\n\n");
     assert!(buffer.is_partial());
@@ -293,7 +293,7 @@
 }
 
 #[test]
-fn an_event_without_end_is_not_kept_for_ever() {
+fn an_event_without_end_is_bounded() {
     let mut buffer = EventBuffer::default();
     let endless = vec![b'x'; 1024 * 1024];
     assert!((0..8).any(|_| buffer.push(&endless).is_err()));
@@ -318,7 +318,7 @@
     all_done = { 3_000, 0, 0, ShutdownStep::Exit },
     grace_almost_over = { 7_500, 3, 3, ShutdownStep::Exit },
 )]
-fn steps_of_a_stop(after: u64, requests: usize, connections: usize, expected: ShutdownStep) {
+fn steps_of_a_shutdown(after: u64, requests: usize, connections: usize, expected: ShutdownStep) {
     let shutdown = Shutdown::new(ms(100), ms(8_000));
     assert_eq!(shutdown.step(ms(100 + after), requests, connections), expected);
 }
@@ -330,12 +330,12 @@
     head_is_late = { Phase::ReadingHead(ms(0)), 3_001, true },
     busy = { Phase::InRequest, 99_999, false },
 )]
-fn connections_that_take_too_long(phase: Phase, now: u64, expected: bool) {
+fn expired_connections(phase: Phase, now: u64, expected: bool) {
     assert_eq!(phase.is_expired(ms(now), ConnectionTimeouts { idle: ms(15_000), head: ms(3_000) }), expected);
 }
 
 #[test]
-fn a_small_machine_gets_small_bounds() {
+fn a_small_machine_gets_small_limits() {
     let limits = ProcessLimits { file_descriptors: 1_200, memory_mb: 160, ..ProcessLimits::default() };
     let bounds = front_limits(&limits);
     assert_eq!((bounds.connections, bounds.store_connections), (437, 437));
--- a/system/data/tests/edge_streams.rs
+++ b/system/data/tests/edge_streams.rs
@@ -5,7 +5,7 @@
 use edge_common::{event, events, full, local, request, two, Client, Edge, Store, Turn};
 
 #[tokio::test]
-async fn stream_that_is_cut_and_cannot_be_taken_up_never_looks_complete() {
+async fn an_interrupted_stream_that_is_not_resumable_never_looks_complete() {
     local(async {
         let cut = events(&[&event(1), "id: 2\nda"]);
         let (edge, _near, far) = two(vec![Turn::SayAndClose(cut)], vec![]).await;
@@ -17,7 +17,7 @@
 }
 
 #[tokio::test]
-async fn stream_that_nobody_takes_up_never_looks_complete() {
+async fn an_interrupted_stream_that_no_store_resumes_never_looks_complete() {
     local(async {
         let cut = events(&[&event(1), "id: 2\nda"]);
         let (edge, near, far) = two(vec![Turn::SayAndClose(cut)], vec![full()]).await;
@@ -31,7 +31,7 @@
 }
 
 #[tokio::test]
-async fn stream_that_ends_within_an_event_is_not_at_its_end() {
+async fn a_stream_that_ends_within_an_event_is_resumed() {
     local(async {
         let ended = format!("{}0\r\n\r\n", events(&[&event(1), "id: 2\nda"]));
         let rest = format!("{}0\r\n\r\n", events(&[&event(2)]));
@@ -45,7 +45,7 @@
 }
 
 #[tokio::test]
-async fn events_that_come_again_are_passed_once() {
+async fn repeated_events_are_forwarded_once() {
     local(async {
         let cut = events(&[&event(1), &event(2)]);
         let again = format!("{}0\r\n\r\n", events(&[&event(2), &event(3)]));
@@ -58,7 +58,7 @@
 }
 
 #[tokio::test]
-async fn events_pass_as_they_come() {
+async fn events_are_forwarded_as_they_arrive() {
     for path in ["/stream/x", "/resume/x"] {
         local(async {
             let (head, tail) = (events(&[&event(1)]), format!("10\r\n{}\r\n0\r\n\r\n", event(2)));
@@ -80,7 +80,7 @@
 }
 
 #[tokio::test]
-async fn stream_of_a_store_that_falls_silent_goes_on_elsewhere() {
+async fn the_stream_of_an_unresponsive_store_is_resumed_elsewhere() {
     local(async {
         let rest = format!("{}0\r\n\r\n", events(&[&event(2)]));
         let silent = Turn::SayInParts(events(&[&event(1)]), String::new());
--- a/system/data/tests/edge_transcripts.rs
+++ b/system/data/tests/edge_transcripts.rs
@@ -11,7 +11,7 @@
 }
 
 #[tokio::test]
-async fn request_and_answer_pass_unchanged() {
+async fn a_request_and_its_response_are_forwarded_unchanged() {
     local(async {
         let transcript = transcript();
         let reply =
@@ -28,7 +28,7 @@
 }
 
 #[tokio::test]
-async fn chunked_request_goes_on_whole() {
+async fn a_chunked_request_is_forwarded_complete() {
     local(async {
         let transcript = transcript();
         let store = Store::start("store-a", Some(&transcript), vec![]).await;
@@ -43,7 +43,7 @@
 }
 
 #[tokio::test]
-async fn refused_request_is_refused_to_the_client_as_never_run() {
+async fn a_rejected_request_is_reported_as_never_run() {
     local(async {
         let transcript = transcript();
         let store = Store::start("store-a", Some(&transcript), vec![Turn::Say(full())]).await;
@@ -56,7 +56,7 @@
 }
 
 #[tokio::test]
-async fn reset_request_that_may_run_once_is_not_refused() {
+async fn a_reset_request_that_is_not_idempotent_is_not_reported_as_never_run() {
     local(async {
         let transcript = transcript();
         let store = Store::start("store-a", Some(&transcript), vec![Turn::Reset]).await;
@@ -69,7 +69,7 @@
 }
 
 #[tokio::test]
-async fn surplus_answer_belongs_to_no_request() {
+async fn a_surplus_response_belongs_to_no_request() {
     local(async {
         let transcript = transcript();
         let twice = format!("{}{}", answer("200 OK", "", "first"), answer("200 OK", "", "surplus"));
@@ -84,7 +84,7 @@
 }
 
 #[tokio::test]
-async fn stream_cut_in_an_event_goes_on_inside_the_answer() {
+async fn a_stream_interrupted_within_an_event_is_resumed_within_the_response() {
     local(async {
         let transcript = transcript();
         let cut = events(&[&event(1), &event(2), "id: 3\nda"]);
@@ -114,7 +114,7 @@
 }
 
 #[tokio::test]
-async fn stopping_edge_asks_its_clients_to_go() {
+async fn an_edge_in_shutdown_asks_its_clients_to_reconnect() {
     local(async {
         let transcript = transcript();
         let store = Store::start("store-a", Some(&transcript), vec![]).await;
--- a/system/data/tests/rollout_common/mod.rs
+++ b/system/data/tests/rollout_common/mod.rs
@@ -3,6 +3,10 @@
 
 mod backend;
 mod engine;
+#[path = "../common/http.rs"]
+mod http;
+#[path = "../common/runtime.rs"]
+mod runtime;
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -17,15 +21,13 @@
     Entry, Envelope, ItemRecord, JobRecord, Key, NodeRecord, PartitionRecord, Role, ScoringRecord,
     StoreRecord, Value, PARTITION_COUNT,
 };
-use tokio::task::LocalSet;
 
 #[allow(unused_imports)]
 pub use backend::{Backend, Says};
 #[allow(unused_imports)]
 pub use engine::{Asked, Does, Engine};
+pub use runtime::{local, PATIENCE};
 
-/// A bound that only a fault reaches.
-pub const PATIENCE: Duration = Duration::from_secs(20);
 pub const HOST: &str = "example.test";
 pub const MODEL: &str = "model";
 /// Events of a whole text.
@@ -198,12 +200,6 @@
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-/// Runs a test on one thread.
-pub async fn local<T>(test: impl std::future::Future<Output = T>) -> T {
-    let tasks = LocalSet::new();
-    tokio::time::timeout(PATIENCE, tasks.run_until(test)).await.expect("the test hangs")
-}
-
 /// Waits for a condition that other tasks bring about.
 pub async fn until(what: &str, mut holds: impl FnMut() -> bool) {
     let began = std::time::Instant::now();
