--- a/broker/src/config.rs
+++ b/broker/src/config.rs
@@ -11,9 +11,9 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
+use gingerledge_dispatch::Setup;
 use log::LevelFilter;
 use serde_json::Value;
-use stoatlane::Setup;
 
 use crate::clock::Millis;
 use crate::discovery::watching;
--- a/broker/src/config/features.rs
+++ b/broker/src/config/features.rs
@@ -4,8 +4,8 @@
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::SocketAddr;
 
+use gingerledge_dispatch::{Repeat, Setup};
 use serde::Deserialize;
-use stoatlane::{Repeat, Setup};
 
 use super::Error;
 use crate::clock::Millis;
--- a/broker/src/core/ending.rs
+++ b/broker/src/core/ending.rs
@@ -3,7 +3,7 @@
 
 use std::rc::Rc;
 
-use stoatlane::{Event, RequestId};
+use gingerledge_dispatch::{Event, RequestId};
 
 use super::{Ask, AttemptId, Core, Final, FirstStep, Query, QueryId, Served};
 use crate::routes::Target;
--- a/broker/src/core/guard.rs
+++ b/broker/src/core/guard.rs
@@ -1,7 +1,7 @@
 //! The checks that a host owes the module whatever it asks for, as the last guard of the rules on attempts: none past
 //! the most that a part may have, never two at once, none that could have an effect twice.
 
-use stoatlane::{Millis, Repeat, Settings};
+use gingerledge_dispatch::{Millis, Repeat, Settings};
 
 /// What is known of a part that is to be sent.
 #[derive(Clone, Copy, Debug)]
--- a/broker/src/core/heirs.rs
+++ b/broker/src/core/heirs.rs
@@ -2,7 +2,7 @@
 //! for the map to say who holds its block now, and goes on with the attempts it has left. Where its block has split or
 //! merged, parts of the living blocks take its place.
 
-use stoatlane::{Action, Event, Heir, Millis, Outcome, RequestId};
+use gingerledge_dispatch::{Action, Event, Heir, Millis, Outcome, RequestId};
 
 use super::{Ask, AttemptId, Core, Ended, Final, Flight, QueryId};
 use crate::routes::{Target, Told};
--- a/broker/src/core/messages.rs
+++ b/broker/src/core/messages.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use gingerledge_blocks::{Epoch, Span};
-use stoatlane::{Entry, ListKind, Millis, Outcome, RequestId, ServerId, Why};
+use gingerledge_dispatch::{Entry, ListKind, Millis, Outcome, RequestId, ServerId, Why};
 
 use super::IdempotencyKey;
 use crate::routes::Told;
--- a/broker/src/core/mod.rs
+++ b/broker/src/core/mod.rs
@@ -17,7 +17,9 @@
 use std::rc::Rc;
 
 use gingerledge_blocks::{Epoch, Span};
-use stoatlane::{Action, Aggregator, Event, Millis, Outcome, Repeat, RequestId, ServerId, Settings};
+use gingerledge_dispatch::{
+    Action, Aggregator, Event, Millis, Outcome, Repeat, RequestId, ServerId, Settings,
+};
 
 use crate::routes::{Routes, Target};
 use heirs::Held;
--- a/broker/src/discovery/calls.rs
+++ b/broker/src/discovery/calls.rs
@@ -8,7 +8,7 @@
 
 use async_io::Timer;
 use futures_lite::future::{or, pending, yield_now};
-use stoatlane::ListKind;
+use gingerledge_dispatch::ListKind;
 
 use super::list::{Lists, LIST_MAX};
 use super::watching::{Action, Call, Event};
--- a/broker/src/discovery/mod.rs
+++ b/broker/src/discovery/mod.rs
@@ -15,7 +15,7 @@
 
 use async_channel::{Receiver, Sender};
 use async_io::Timer;
-use stoatlane::{Entry, ListKind, Status};
+use gingerledge_dispatch::{Entry, ListKind, Status};
 
 use crate::clock::Millis;
 use crate::counters::{count, Counters};
--- a/broker/src/discovery/watching.rs
+++ b/broker/src/discovery/watching.rs
@@ -26,7 +26,7 @@
 
 use std::time::{Duration, Instant};
 
-use stoatlane::Settings;
+use gingerledge_dispatch::Settings;
 
 use crate::clock::millis;
 
--- a/broker/src/exchange.rs
+++ b/broker/src/exchange.rs
@@ -9,7 +9,7 @@
 
 use async_channel::{Receiver, Sender};
 use async_io::Timer;
-use stoatlane::{Entry, ListKind, Why};
+use gingerledge_dispatch::{Entry, ListKind, Why};
 
 use crate::clock::Clock;
 use crate::core::{Ask, AttemptId, Ended, Final, Happening, QueryId, Question};
--- a/broker/src/front/platform.rs
+++ b/broker/src/front/platform.rs
@@ -3,8 +3,8 @@
 use std::collections::{HashMap, HashSet};
 use std::rc::Rc;
 
+use gingerledge_dispatch::Millis;
 use serde::Deserialize;
-use stoatlane::Millis;
 
 use super::{key, Accepted, Reply, Service};
 use crate::clock::Clock;
--- a/broker/src/routes.rs
+++ b/broker/src/routes.rs
@@ -10,7 +10,7 @@
 use gingerledge_blocks::{
     BlockId, BlockMap, Cursor, Epoch, Extent, MapError, Record, Snapshot, Span, StoreId,
 };
-use stoatlane::ServerId;
+use gingerledge_dispatch::ServerId;
 use thiserror::Error;
 
 /// Why a part can't be asked anywhere.
--- a/broker/src/service.rs
+++ b/broker/src/service.rs
@@ -10,7 +10,7 @@
 use async_io::{Async, Timer};
 use async_signal::{Signal, Signals};
 use futures_lite::StreamExt;
-use stoatlane::Repeat;
+use gingerledge_dispatch::Repeat;
 
 use crate::admin::Door;
 use crate::blocks::Blocks;
--- a/broker/src/store/attempts.rs
+++ b/broker/src/store/attempts.rs
@@ -10,7 +10,7 @@
 use async_channel::Receiver;
 use async_io::Timer;
 use futures_lite::future::or;
-use stoatlane::Outcome;
+use gingerledge_dispatch::Outcome;
 
 use super::link::{Link, Part};
 use super::{frame, Site, Stores, Word};
--- a/broker/src/store/features.rs
+++ b/broker/src/store/features.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 
 use futures_lite::AsyncReadExt;
-use stoatlane::Outcome;
+use gingerledge_dispatch::Outcome;
 
 use super::link::{write_while, Limits};
 use super::{Site, Stores};
--- a/broker/src/store/link.rs
+++ b/broker/src/store/link.rs
@@ -19,7 +19,7 @@
 
 use async_channel::{Receiver, Sender};
 use async_io::Timer;
-use stoatlane::Outcome;
+use gingerledge_dispatch::Outcome;
 
 use super::{frame, Site};
 use crate::core::{Ended, QueryId};
--- a/broker/src/store/link/reading.rs
+++ b/broker/src/store/link/reading.rs
@@ -7,7 +7,7 @@
 
 use async_io::{Async, Timer};
 use futures_lite::AsyncReadExt;
-use stoatlane::Outcome;
+use gingerledge_dispatch::Outcome;
 
 use super::super::frame::{self, End, Frame};
 use super::{Ending, Flight, Limits, Link, Stage};
--- a/broker/src/store/link/writing.rs
+++ b/broker/src/store/link/writing.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 
 use async_io::{Async, Timer};
-use stoatlane::Outcome;
+use gingerledge_dispatch::Outcome;
 
 use super::super::frame;
 use super::{Ending, Limits, Link, Outgoing, Part, Stage};
--- a/broker/src/store/mod.rs
+++ b/broker/src/store/mod.rs
@@ -16,7 +16,7 @@
 
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
-use stoatlane::ServerId;
+use gingerledge_dispatch::ServerId;
 
 use crate::core::{AttemptId, Order};
 use crate::counters::Counters;
--- a/broker/tests/abandoned.rs
+++ b/broker/tests/abandoned.rs
@@ -5,7 +5,7 @@
 
 use async_io::Async;
 use gingerledge::http::Stream;
-use gingerledge_standin::scripted::{exchange, query, run, until, Mood};
+use gingerledge_testkit::scripted::{exchange, query, run, until, Mood};
 use serde_json::json;
 
 #[test]
--- a/broker/tests/adversity.rs
+++ b/broker/tests/adversity.rs
@@ -8,8 +8,8 @@
 use std::time::Duration;
 
 use gingerledge::service::Broker;
-use gingerledge_standin::broker::free_address;
-use gingerledge_standin::scripted::{exchange, get, query, run, until, Listed, Mood, Service, World};
+use gingerledge_testkit::broker::free_address;
+use gingerledge_testkit::scripted::{exchange, get, query, run, until, Listed, Mood, Service, World};
 use serde_json::{json, Value};
 
 /// Where nobody listens, nor will while tests run side by side.
--- a/broker/tests/bad_input.rs
+++ b/broker/tests/bad_input.rs
@@ -12,7 +12,7 @@
 use async_io::{Async, Timer};
 use common::program::Program;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
-use gingerledge_standin::scripted::{exchange, get, query, run, until, Mood, World};
+use gingerledge_testkit::scripted::{exchange, get, query, run, until, Mood, World};
 use serde_json::json;
 
 type Socket = Async<std::net::TcpStream>;
--- a/broker/tests/calls.rs
+++ b/broker/tests/calls.rs
@@ -8,9 +8,9 @@
 use common::rig::{play, Rig, LONG};
 use gingerledge::core::Order;
 use gingerledge::store::frame;
-use gingerledge_standin::scripted::{exchange, listener, query, run, World};
+use gingerledge_dispatch::Outcome;
+use gingerledge_testkit::scripted::{exchange, listener, query, run, World};
 use serde_json::json;
-use stoatlane::Outcome;
 
 fn ids(parts: &[u64]) -> Vec<String> {
     parts.iter().map(|part| format!("q.{part}")).collect()
--- a/broker/tests/cancelled.rs
+++ b/broker/tests/cancelled.rs
@@ -14,7 +14,7 @@
 use futures_lite::AsyncReadExt;
 use gingerledge::http::Stream;
 use gingerledge::service::Broker;
-use gingerledge_standin::scripted::{exchange, listener, query, run, until, Listed, Mood, World};
+use gingerledge_testkit::scripted::{exchange, listener, query, run, until, Listed, Mood, World};
 use serde_json::json;
 
 /// More than one round of the executor takes in.
--- a/broker/tests/common/mod.rs
+++ b/broker/tests/common/mod.rs
@@ -64,7 +64,7 @@
         let at = ([127, 0, 0, 1], 9).into();
         let rotation = Rc::new(Rotation::open(None, at, 0.0));
         let (told, noted) = (exchange.clone(), stores.clone());
-        let waits = Waits::of(&stoatlane::Settings::default());
+        let waits = Waits::of(&gingerledge_dispatch::Settings::default());
         let counted = counters.clone();
         let discovery = Discovery::new(at, Default::default(), told, noted, rotation, counted, waits);
         Self { exchange, stores, discovery, executor, counters }
--- a/broker/tests/common/rig.rs
+++ b/broker/tests/common/rig.rs
@@ -14,8 +14,8 @@
 use gingerledge::store::frame;
 use gingerledge::store::link::Limits;
 use gingerledge::store::Word;
-use gingerledge_standin::scripted::{listener, parts};
-use stoatlane::{Outcome, ServerId};
+use gingerledge_dispatch::{Outcome, ServerId};
+use gingerledge_testkit::scripted::{listener, parts};
 
 use super::Sides;
 
--- a/broker/tests/config.rs
+++ b/broker/tests/config.rs
@@ -2,7 +2,7 @@
 #![allow(clippy::unwrap_used)]
 
 use gingerledge::config::Config;
-use gingerledge_standin::scripted::{run, World};
+use gingerledge_testkit::scripted::{run, World};
 use serde_json::{json, Value};
 
 fn config(world: &World) -> Value {
--- a/broker/tests/core.rs
+++ b/broker/tests/core.rs
@@ -12,7 +12,7 @@
 };
 use gingerledge::counters::Counters;
 use gingerledge::exchange::{Exchange, Untaken};
-use stoatlane::{Class, Entry, ListKind, Outcome, Settings};
+use gingerledge_dispatch::{Class, Entry, ListKind, Outcome, Settings};
 
 fn core(class: Class) -> Core {
     with(class, Settings::default())
--- a/broker/tests/descriptions.rs
+++ b/broker/tests/descriptions.rs
@@ -5,7 +5,7 @@
 
 use gingerledge::front::features::describe::CONFORMANCE;
 use gingerledge::store::frame;
-use gingerledge_standin::scripted::{get, run};
+use gingerledge_testkit::scripted::{get, run};
 use serde_json::Value;
 
 const ASYNC_API: &str = include_str!("../asyncapi.json");
--- a/broker/tests/descriptors.rs
+++ b/broker/tests/descriptors.rs
@@ -10,7 +10,7 @@
 use async_io::{Async, Timer};
 use common::program::Program;
 use gingerledge::limits::{Budget, Wants};
-use gingerledge_standin::scripted::{exchange, get, query, run, until, Mood, Service, World};
+use gingerledge_testkit::scripted::{exchange, get, query, run, until, Mood, Service, World};
 use serde_json::json;
 
 /// Every deployment that a draw may make: what it says is divided so that no sum passes the limit, and nobody goes without.
--- a/broker/tests/discovery.rs
+++ b/broker/tests/discovery.rs
@@ -12,7 +12,7 @@
 use gingerledge::discovery::watching::Waits;
 use gingerledge::discovery::Lists;
 use gingerledge::service::Broker;
-use gingerledge_standin::scripted::{exchange, get, query, run, until, Service, World};
+use gingerledge_testkit::scripted::{exchange, get, query, run, until, Service, World};
 use serde_json::{json, Value};
 
 /// Longer than any test.
--- a/broker/tests/drawn/answers.rs
+++ b/broker/tests/drawn/answers.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 
 use gingerledge::core::{Final, FirstStep, Order};
-use stoatlane::Repeat;
+use gingerledge_dispatch::Repeat;
 
 use crate::rules::{hold, Held, Ledger, Piece, Try, INSTANT, ROUNDING};
 
--- a/broker/tests/drawn/draw.rs
+++ b/broker/tests/drawn/draw.rs
@@ -1,7 +1,7 @@
 //! Draws deployments: inside and beyond the ranges of those that are known.
 
 use fastrand::Rng;
-use stoatlane::{Budget, Class, Repeat, ReportField, Settings, Tenant};
+use gingerledge_dispatch::{Budget, Class, Repeat, ReportField, Settings, Tenant};
 
 use crate::scenario::{Asked, Fault, Kind, Scenario, Store, Telling};
 
--- a/broker/tests/drawn/host.rs
+++ b/broker/tests/drawn/host.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use gingerledge::core::{Ask, Command, Core, Form, Happening, Order, Question};
-use stoatlane::{Entry, ListKind, Outcome, ServerId, Status};
+use gingerledge_dispatch::{Entry, ListKind, Outcome, ServerId, Status};
 
 use crate::rules::{hold, Held};
 use crate::scenario::Asked;
--- a/broker/tests/drawn/least.rs
+++ b/broker/tests/drawn/least.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 
 use gingerledge::core::{Ask, AttemptId, Command, Core, Ended, Form, Happening, Order, Question, Served};
-use stoatlane::{Class, Entry, ListKind, Outcome, Repeat, Settings};
+use gingerledge_dispatch::{Class, Entry, ListKind, Outcome, Repeat, Settings};
 
 fn class(repeat: Repeat) -> Class {
     let class =
--- a/broker/tests/drawn/rules.rs
+++ b/broker/tests/drawn/rules.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use gingerledge::core::{FirstStep, Order, Text};
-use stoatlane::{Entry, ListKind, Outcome, Repeat, ServerId, Settings, Status};
+use gingerledge_dispatch::{Entry, ListKind, Outcome, Repeat, ServerId, Settings, Status};
 
 use crate::scenario::Scenario;
 use crate::tally::Tally;
--- a/broker/tests/drawn/scenario.rs
+++ b/broker/tests/drawn/scenario.rs
@@ -1,7 +1,7 @@
 //! A drawn deployment as plain data: settings, stores, what is asked of it and what goes wrong, all with their times. It
 //! can be printed, replayed and made smaller. Times are milliseconds from the day's start.
 
-use stoatlane::Settings;
+use gingerledge_dispatch::Settings;
 
 /// One deployment and one short day of it.
 #[derive(Clone, Debug)]
--- a/broker/tests/drawn/store.rs
+++ b/broker/tests/drawn/store.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use stoatlane::Settings;
+use gingerledge_dispatch::Settings;
 
 use crate::rules::{hold, Held};
 
--- a/broker/tests/drawn/tally.rs
+++ b/broker/tests/drawn/tally.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use gingerledge::core::Final;
-use stoatlane::Repeat;
+use gingerledge_dispatch::Repeat;
 
 /// What a whole run has to meet.
 pub const OWED: [&str; 24] = [
--- a/broker/tests/drawn/world.rs
+++ b/broker/tests/drawn/world.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 
 use gingerledge::core::{AttemptId, Core, Ended, Happening, Served, Text};
-use stoatlane::{Entry, ListKind, Outcome, ServerId, Status};
+use gingerledge_dispatch::{Entry, ListKind, Outcome, ServerId, Status};
 
 use crate::rules::{hold, Held, Ledger, Place};
 use crate::scenario::{roll, Fault, Scenario};
--- a/broker/tests/endings_client.rs
+++ b/broker/tests/endings_client.rs
@@ -8,7 +8,7 @@
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
 use gingerledge::http::Stream;
 use gingerledge::service::Broker;
-use gingerledge_standin::scripted::{exchange, query, read, run, until, Mood, World};
+use gingerledge_testkit::scripted::{exchange, query, read, run, until, Mood, World};
 
 const LONG: Duration = Duration::from_secs(30);
 /// Many times as long as the broker may need, and less than the deadline of any request here.
--- a/broker/tests/endings_shutdown.rs
+++ b/broker/tests/endings_shutdown.rs
@@ -11,7 +11,7 @@
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
 use gingerledge::http::Stream;
 use gingerledge::service::Broker;
-use gingerledge_standin::scripted::{query, read, run, until, Mood, World};
+use gingerledge_testkit::scripted::{query, read, run, until, Mood, World};
 use serde_json::json;
 
 const LONG: Duration = Duration::from_secs(30);
--- a/broker/tests/endings_store.rs
+++ b/broker/tests/endings_store.rs
@@ -15,8 +15,8 @@
 use gingerledge::http::{Kind, Stream};
 use gingerledge::store::frame;
 use gingerledge::store::link::Limits;
-use gingerledge_standin::scripted::until;
-use stoatlane::Outcome;
+use gingerledge_dispatch::Outcome;
+use gingerledge_testkit::scripted::until;
 
 const PARTS: u64 = 150;
 const MINUTE: Duration = Duration::from_secs(60);
@@ -163,7 +163,7 @@
         let (ticket, asker) = rig.asked();
         let (stays, kept) = rig.asked_as("stays");
         // A front's connection: its end drops the ticket.
-        let (front, at) = gingerledge_standin::scripted::listener();
+        let (front, at) = gingerledge_testkit::scripted::listener();
         let client = Async::<TcpStream>::connect(at).await.unwrap();
         let (served, _) = front.accept().await.unwrap();
         let watch = async move {
--- a/broker/tests/features.rs
+++ b/broker/tests/features.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use gingerledge::service::Broker;
-use gingerledge_standin::scripted::{
+use gingerledge_testkit::scripted::{
     exchange, extent, get, inside, listener, put, query, run, until, Mood, World,
 };
 use serde_json::{json, Value};
--- a/broker/tests/golden.rs
+++ b/broker/tests/golden.rs
@@ -24,7 +24,7 @@
 use gingerledge::store::frame::{self, End, Frame};
 use gingerledge_blocks::*;
 use gingerledge_golden::{compare, read, Sample};
-use gingerledge_standin::scripted;
+use gingerledge_testkit::scripted;
 use serde_json::json;
 
 fn file(name: &str) -> PathBuf {
--- a/broker/tests/handover.rs
+++ b/broker/tests/handover.rs
@@ -13,7 +13,7 @@
 use async_io::Async;
 use gingerledge::handover::{inherited, Other, Presence};
 use gingerledge::http::Stream;
-use gingerledge_standin::scripted::{get, put, query, read, run, Mood, World};
+use gingerledge_testkit::scripted::{get, put, query, read, run, Mood, World};
 use serde_json::json;
 
 /// A folder that goes with the test.
@@ -154,7 +154,7 @@
         assert!(read(&mut kept).await.unwrap().head.keep_alive);
         *world.mood.borrow_mut() = vec![Mood::Slow(900); 3];
         taken.write(&query("taken", "yard-compare", 2500, &[0], "x"), within).await.unwrap();
-        gingerledge_standin::scripted::until(|| world.sent.borrow().iter().any(|sent| sent.id == "taken.0"))
+        gingerledge_testkit::scripted::until(|| world.sent.borrow().iter().any(|sent| sent.id == "taken.0"))
             .await;
         *world.mood.borrow_mut() = vec![Mood::Serves; 3];
         let new = Process::start(&world, &folder, &listener).await;
--- a/broker/tests/keyed.rs
+++ b/broker/tests/keyed.rs
@@ -7,9 +7,9 @@
 use gingerledge::core::{
     Ask, Command, Core, Form, Guard, Happening, IdempotencyKey, Order, Question, KEY_MAX,
 };
-use gingerledge_standin::scripted::{exchange, get, query, run, Mood, World};
+use gingerledge_dispatch::{Class, Entry, ListKind, Outcome, Repeat, Settings};
+use gingerledge_testkit::scripted::{exchange, get, query, run, Mood, World};
 use serde_json::{json, Value};
-use stoatlane::{Class, Entry, ListKind, Outcome, Repeat, Settings};
 
 const KEY: &str = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
 
--- a/broker/tests/leaving.rs
+++ b/broker/tests/leaving.rs
@@ -9,8 +9,8 @@
 
 use async_io::Async;
 use gingerledge::http::{Kind, Stream};
-use gingerledge_standin::client::Got;
-use gingerledge_standin::scripted::{get, query, run, until, Mood};
+use gingerledge_testkit::client::Got;
+use gingerledge_testkit::scripted::{get, query, run, until, Mood};
 
 const WITHIN: Duration = Duration::from_secs(30);
 
--- a/broker/tests/native.rs
+++ b/broker/tests/native.rs
@@ -6,7 +6,7 @@
 
 use async_io::{Async, Timer};
 use gingerledge::http::Stream;
-use gingerledge_standin::scripted::{exchange, get, query, read, run, until, Mood, Service};
+use gingerledge_testkit::scripted::{exchange, get, query, read, run, until, Mood, Service};
 use serde_json::json;
 
 #[test]
--- a/broker/tests/operations.rs
+++ b/broker/tests/operations.rs
@@ -8,7 +8,7 @@
 use gingerledge::http::Stream;
 use gingerledge::rotation::Rotation;
 use gingerledge::service::Broker;
-use gingerledge_standin::scripted::{exchange, get, put, query, read, run, until, Mood, World};
+use gingerledge_testkit::scripted::{exchange, get, put, query, read, run, until, Mood, World};
 use serde_json::json;
 
 const DOOR: (&str, &str) = ("LB_ADMIN_ADDR", "127.0.0.1:0");
--- a/broker/tests/process.rs
+++ b/broker/tests/process.rs
@@ -5,7 +5,7 @@
 use std::path::PathBuf;
 use std::process::{Child, Command, Stdio};
 
-use gingerledge_standin::scripted::{listener, run};
+use gingerledge_testkit::scripted::{listener, run};
 use serde_json::{json, Value};
 
 /// A configuration file that goes with the test.
--- a/broker/tests/readiness.rs
+++ b/broker/tests/readiness.rs
@@ -7,7 +7,7 @@
 
 use async_io::Timer;
 use gingerledge::service::Broker;
-use gingerledge_standin::scripted::{exchange, get, query, run, until, Service, World};
+use gingerledge_testkit::scripted::{exchange, get, query, run, until, Service, World};
 use serde_json::json;
 
 /// Within so long each has to be ready.
--- a/broker/tests/sites/form.rs
+++ b/broker/tests/sites/form.rs
@@ -1,7 +1,7 @@
 //! The form of the platform's site files, as far as it decides what a broker is told: read at one end of each range, into a
 //! deployment as the stand-ins know one, and into the settings that the platform would give.
 
-use gingerledge_standin::site::{By, Class, Club, Layout, Mode, Repeat, Rules, Site, Stores};
+use gingerledge_testkit::site::{By, Class, Club, Layout, Mode, Repeat, Rules, Site, Stores};
 use serde_json::{json, Value};
 use toml::{Table, Value as Given};
 
--- a/broker/tests/sites/main.rs
+++ b/broker/tests/sites/main.rs
@@ -13,14 +13,14 @@
 use gingerledge::clock::Clock;
 use gingerledge::config::Config;
 use gingerledge::service::Broker;
-use gingerledge_standin::client;
-use gingerledge_standin::discovery::View;
-use gingerledge_standin::fleet::ledger::Ledger;
-use gingerledge_standin::settings;
-use gingerledge_standin::world::Installed;
+use gingerledge_dispatch::Repeat::{Keyed, Safe, Unsafe};
+use gingerledge_dispatch::ReportField::{ServiceMs, Waiting};
+use gingerledge_testkit::client;
+use gingerledge_testkit::discovery::View;
+use gingerledge_testkit::fleet::ledger::Ledger;
+use gingerledge_testkit::settings;
+use gingerledge_testkit::world::Installed;
 use serde_json::{json, Value};
-use stoatlane::Repeat::{Keyed, Safe, Unsafe};
-use stoatlane::ReportField::{ServiceMs, Waiting};
 use toml::Table;
 
 use form::{site, told, At, End};
@@ -51,7 +51,7 @@
 }
 
 /// Name, effect, aim, deadline, what a late answer and a whole one are worth, need, floor, partial worth, second step.
-type Row = (&'static str, stoatlane::Repeat, [f64; 4], [f64; 3], u32);
+type Row = (&'static str, gingerledge_dispatch::Repeat, [f64; 4], [f64; 3], u32);
 
 fn holds_classes(config: &Config, rows: &[Row]) {
     let settings = &config.setup.settings;
--- a/broker/tests/steady.rs
+++ b/broker/tests/steady.rs
@@ -11,7 +11,7 @@
 use fastrand::Rng;
 use gingerledge::core::{Ask, AttemptId, Command, Core, Ended, Form, Happening, QueryId, Question, Served};
 use gingerledge::exchange::Ticket;
-use stoatlane::{Class, Outcome, Repeat, Settings};
+use gingerledge_dispatch::{Class, Outcome, Repeat, Settings};
 
 const CELLS: usize = 20;
 const STEP_MS: f64 = 5.0;
--- a/broker/tests/told/fleet.rs
+++ b/broker/tests/told/fleet.rs
@@ -7,7 +7,7 @@
 
 use fastrand::Rng;
 use gingerledge::discovery::watching::{Action, Call, Event, Waits, Watching, TOLD_AFTER};
-use stoatlane::{Action as Decides, Aggregator, Event as Happens, ListKind, Settings};
+use gingerledge_dispatch::{Action as Decides, Aggregator, Event as Happens, ListKind, Settings};
 
 /// All times are in microseconds.
 pub type Micros = u64;
--- a/broker/tests/told/sockets.rs
+++ b/broker/tests/told/sockets.rs
@@ -8,7 +8,7 @@
 use gingerledge::discovery::watching::TOLD_AFTER;
 use gingerledge::http::{answer, Kind, Stream};
 use gingerledge::service::Broker;
-use gingerledge_standin::scripted::{exchange, listener, query, run, until, Service, World};
+use gingerledge_testkit::scripted::{exchange, listener, query, run, until, Service, World};
 use serde_json::json;
 
 const LONG: Duration = Duration::from_secs(50);
--- a/broker/tests/told_when_full.rs
+++ b/broker/tests/told_when_full.rs
@@ -5,7 +5,7 @@
 use std::time::Instant;
 
 use gingerledge::discovery::watching::TOLD_AFTER;
-use gingerledge_standin::scripted::{run, until, Service};
+use gingerledge_testkit::scripted::{run, until, Service};
 use rustix::process::{getrlimit, setrlimit, Resource, Rlimit};
 
 #[test]
--- a/broker/tests/watching.rs
+++ b/broker/tests/watching.rs
@@ -8,7 +8,7 @@
 use gingerledge::discovery::watching::{
     Action, Call, Event, Waits, Watching, ANSWER, BEAT, MARGIN, PERIOD, TOLD_AFTER,
 };
-use stoatlane::Settings;
+use gingerledge_dispatch::Settings;
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
--- a/dispatch/examples/embed.rs
+++ b/dispatch/examples/embed.rs
@@ -2,7 +2,7 @@
 //!
 //! Run with `cargo run --example embed`.
 
-use stoatlane::{Action, Aggregator, Class, Entry, Event, ListKind, Outcome, Settings};
+use gingerledge_dispatch::{Action, Aggregator, Class, Entry, Event, ListKind, Outcome, Settings};
 
 fn main() {
     let class = Class { aim_ms: 500.0, deadline_ms: 2000.0, worth: 1.0, ..Class::default() };
--- a/dispatch/src/bin/stoatlane-drill/main.rs
+++ b/dispatch/src/bin/simulator-adapter/main.rs
@@ -11,7 +11,7 @@
     match wire::Host::new(out).run(io::stdin().lock()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(message) => {
-            let _ = writeln!(io::stderr(), "stoatlane-drill: {message}");
+            let _ = writeln!(io::stderr(), "simulator-adapter: {message}");
             ExitCode::FAILURE
         }
     }
--- a/dispatch/src/bin/stoatlane-drill/wire.rs
+++ b/dispatch/src/bin/simulator-adapter/wire.rs
@@ -3,7 +3,9 @@
 use std::collections::{BTreeMap, HashMap};
 use std::io::{BufRead, Write};
 
-use stoatlane::{Action, Aggregator, Entry, Event, ListKind, Millis, Outcome, ServerId, Setup, Status};
+use gingerledge_dispatch::{
+    Action, Aggregator, Entry, Event, ListKind, Millis, Outcome, ServerId, Setup, Status,
+};
 
 /// A plain message on what was wrong and where.
 type Fault = String;
@@ -218,7 +220,7 @@
             "ACCEPTED" | "MAIL" => return Ok(()),
             "TARGETS" | "ORDER" | "DONE" | "PROBE_DONE" | "RING" | "CANCELLED_BY_CLIENT" => {}
             other => {
-                eprintln!("stoatlane-drill: skipped unknown event {other}");
+                eprintln!("simulator-adapter: skipped unknown event {other}");
                 return Ok(());
             }
         }
--- a/dispatch/src/lib.rs
+++ b/dispatch/src/lib.rs
@@ -10,7 +10,7 @@
 //! carries the [`Action`]s out; the same events always give the same actions.
 //!
 //! ```
-//! use stoatlane::{Action, Aggregator, Class, Entry, Event, ListKind, Settings, Status};
+//! use gingerledge_dispatch::{Action, Aggregator, Class, Entry, Event, ListKind, Settings, Status};
 //!
 //! let settings = Settings {
 //!     cells: 2,
--- a/dispatch/tests/adapter.rs
+++ b/dispatch/tests/adapter.rs
@@ -4,7 +4,7 @@
 use std::process::{Command, Output, Stdio};
 
 fn drill(input: &str) -> Output {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_stoatlane-drill"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
--- a/dispatch/tests/asking.rs
+++ b/dispatch/tests/asking.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::settings;
-use stoatlane::{Action, Aggregator, Event, ListKind, Millis};
+use gingerledge_dispatch::{Action, Aggregator, Event, ListKind, Millis};
 
 const SIZES: [u32; 4] = [3, 100, 300, 1000];
 const EVERY_MS: Millis = 10_000.0;
--- a/dispatch/tests/cancel.rs
+++ b/dispatch/tests/cancel.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{class, settings, Rig};
-use stoatlane::{Class, Entry, Event, Heir, ListKind, Outcome, Settings};
+use gingerledge_dispatch::{Class, Entry, Event, Heir, ListKind, Outcome, Settings};
 
 fn sends(rig: &Rig) -> usize {
     rig.sent.len()
--- a/dispatch/tests/cold.rs
+++ b/dispatch/tests/cold.rs
@@ -5,7 +5,7 @@
 
 use common::fleet::{World, STEP_MS};
 use common::{class, settings};
-use stoatlane::{Class, Event, Millis, Settings};
+use gingerledge_dispatch::{Class, Event, Millis, Settings};
 
 const STOPS_AT: Millis = 3000.0;
 const STARTS_AT: Millis = 4000.0;
--- a/dispatch/tests/cold_fleet.rs
+++ b/dispatch/tests/cold_fleet.rs
@@ -6,7 +6,7 @@
 
 use common::fleet::{World, STEP_MS};
 use common::{class, ready, settings, Rig};
-use stoatlane::{Class, Entry, Event, ListKind, Millis, Outcome, Settings};
+use gingerledge_dispatch::{Class, Entry, Event, ListKind, Millis, Outcome, Settings};
 
 const WORK_MS: Millis = 20.0;
 /// The store that starts cold; the others teach what a part takes.
--- a/dispatch/tests/common/fleet.rs
+++ b/dispatch/tests/common/fleet.rs
@@ -4,7 +4,9 @@
 
 use std::collections::{HashMap, VecDeque};
 
-use stoatlane::{Action, Aggregator, Entry, Event, ListKind, Millis, Outcome, RequestId, Settings, Status};
+use gingerledge_dispatch::{
+    Action, Aggregator, Entry, Event, ListKind, Millis, Outcome, RequestId, Settings, Status,
+};
 
 pub const STEP_MS: Millis = 5.0;
 /// There and back.
--- a/dispatch/tests/common/mod.rs
+++ b/dispatch/tests/common/mod.rs
@@ -3,7 +3,7 @@
 
 pub mod fleet;
 
-use stoatlane::{
+use gingerledge_dispatch::{
     Action, Aggregator, Class, Entry, Event, ListKind, Millis, Outcome, RequestId, ServerId, Settings, Status,
 };
 
--- a/dispatch/tests/company.rs
+++ b/dispatch/tests/company.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{class, settings, Rig};
-use stoatlane::{Action, Class, Outcome, Settings};
+use gingerledge_dispatch::{Action, Class, Outcome, Settings};
 
 const PART_MS: f64 = 100.0;
 
--- a/dispatch/tests/holders.rs
+++ b/dispatch/tests/holders.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{settings, Rig, Sent};
-use stoatlane::{Action, Class, Event, Heir, Outcome, Repeat};
+use gingerledge_dispatch::{Action, Class, Event, Heir, Outcome, Repeat};
 
 fn rig() -> Rig {
     let mut set = settings(6, 2, 6);
--- a/dispatch/tests/jams.rs
+++ b/dispatch/tests/jams.rs
@@ -7,7 +7,7 @@
 use std::collections::{HashMap, HashSet, VecDeque};
 
 use common::{class, ready, settings};
-use stoatlane::{Action, Aggregator, Class, Event, ListKind, Millis, Outcome, Settings};
+use gingerledge_dispatch::{Action, Aggregator, Class, Event, ListKind, Millis, Outcome, Settings};
 
 const STEP_MS: Millis = 5.0;
 const WORK_MS: Millis = 20.0;
--- a/dispatch/tests/placement.rs
+++ b/dispatch/tests/placement.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{ready, settings, Rig};
-use stoatlane::{Entry, ListKind, Outcome, Status};
+use gingerledge_dispatch::{Entry, ListKind, Outcome, Status};
 
 #[test]
 fn counts_rise_at_each_placement_of_a_query() {
--- a/dispatch/tests/rules.rs
+++ b/dispatch/tests/rules.rs
@@ -5,7 +5,9 @@
 mod common;
 
 use common::{class, ready, settings, Rig};
-use stoatlane::{Action, Budget, Class, Entry, Event, ListKind, Outcome, Repeat, Settings, Status};
+use gingerledge_dispatch::{
+    Action, Budget, Class, Entry, Event, ListKind, Outcome, Repeat, Settings, Status,
+};
 
 fn refused(rig: &Rig, id: u64) -> bool {
     matches!(rig.answers(id)[..], [Action::Refuse { .. }])
--- a/dispatch/tests/shares.rs
+++ b/dispatch/tests/shares.rs
@@ -5,7 +5,7 @@
 
 use common::fleet::{World, STEP_MS};
 use common::{class, settings};
-use stoatlane::{Class, Millis, Repeat, Settings, Tenant};
+use gingerledge_dispatch::{Class, Millis, Repeat, Settings, Tenant};
 
 const STORES: u32 = 6;
 /// Work of a part, parts and share of the requests, by class: many small ones, some wide ones, and few unsafe ones.
--- a/dispatch/tests/symptoms.rs
+++ b/dispatch/tests/symptoms.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::{class, ready, settings, Rig};
-use stoatlane::{Action, Class, Entry, Event, ListKind, Outcome, Repeat, Settings, Status};
+use gingerledge_dispatch::{Action, Class, Entry, Event, ListKind, Outcome, Repeat, Settings, Status};
 
 /// Two servers that hold every shard, and a usual latency of 100 ms learned from both.
 fn warm() -> Rig {
@@ -25,7 +25,7 @@
     rig
 }
 
-fn last(rig: &Rig) -> stoatlane::ServerId {
+fn last(rig: &Rig) -> gingerledge_dispatch::ServerId {
     rig.sent.last().unwrap().server
 }
 
--- a/system/bin/tests/common/mod.rs
+++ b/system/bin/tests/common/mod.rs
@@ -6,7 +6,7 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-use gingerledge_system_standin::{
+use gingerledge_system_testkit::{
     call, configuration, Answer, Fleet, Operator, Step, Store, StoreSettings, Trainer,
 };
 use hyper::Method;
--- a/system/bin/tests/control_faults.rs
+++ b/system/bin/tests/control_faults.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use common::{run, step, Cluster, TEST_TIMEOUT};
-use gingerledge_system_standin::{call, configuration, Operator, REPLACE, UPDATE};
+use gingerledge_system_testkit::{call, configuration, Operator, REPLACE, UPDATE};
 use hyper::Method;
 use serde_json::{json, Value};
 
--- a/system/bin/tests/processes.rs
+++ b/system/bin/tests/processes.rs
@@ -4,7 +4,7 @@
 
 use common::{is_lookup_served, post, run, step, Cluster, TEST_TIMEOUT};
 use gingerledge_protocol::ItemState;
-use gingerledge_system_standin::configuration;
+use gingerledge_system_testkit::configuration;
 
 /// Submits a batch job, and checks that all items complete with their texts and scores.
 async fn complete_step(cluster: &Cluster, number: u64, min_version: u64) {
--- a/system/control/tests/nodes/common/mod.rs
+++ b/system/control/tests/nodes/common/mod.rs
@@ -12,7 +12,7 @@
 use tokio::task::JoinHandle;
 use tokio::time::{timeout, Instant};
 
-use gingerledge_system_standin::Transcript;
+use gingerledge_system_testkit::Transcript;
 
 /// The interval of stores' heartbeats.
 pub const HEARTBEAT_MS: u64 = 1_200;
--- a/system/control/tests/nodes/coordination.rs
+++ b/system/control/tests/nodes/coordination.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use crate::common::{run, Call, Cluster};
-use gingerledge_system_standin::{Store, StoreSettings};
+use gingerledge_system_testkit::{Store, StoreSettings};
 use gingerledge_transport::{Network, NetworkSettings};
 use gingerledge_wire::{BackendReport, ControlMessage, Envelope, NodeRecord, Role};
 use serde_json::Value;
--- a/system/control/tests/nodes/orders.rs
+++ b/system/control/tests/nodes/orders.rs
@@ -1,6 +1,6 @@
 //! What a control node sends to a store whose weights are to be replaced, and what it says of itself, compared with approved transcripts.
 
-use gingerledge_system_standin::Transcript;
+use gingerledge_system_testkit::Transcript;
 use serde_json::Value;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
--- a/system/data/src/rollout/plan/placement.rs
+++ b/system/data/src/rollout/plan/placement.rs
@@ -1,9 +1,9 @@
-//! Places the generations of a group: batch-filling ([`stoatlane::filling`]) over the eligible stores.
+//! Places the generations of a group: batch-filling ([`gingerledge_dispatch::filling`]) over the eligible stores.
 
 use std::rc::Rc;
 use std::time::Duration;
 
-use stoatlane::filling;
+use gingerledge_dispatch::filling;
 
 use super::item::Item;
 use super::{GeneratedText, JobPlan, Rules};
--- a/system/data/tests/edge_common/client.rs
+++ b/system/data/tests/edge_common/client.rs
@@ -6,7 +6,7 @@
 use tokio::net::TcpStream;
 
 use super::http::header;
-use gingerledge_system_standin::Transcript;
+use gingerledge_system_testkit::Transcript;
 
 /// A client's connection.
 pub struct Client {
--- a/system/data/tests/edge_common/mod.rs
+++ b/system/data/tests/edge_common/mod.rs
@@ -163,6 +163,6 @@
     "internalPorts":[7380,7395],"seeds":["127.0.0.1:8144"]}"#;
 
 /// An empty transcript of these tests.
-pub fn transcript() -> gingerledge_system_standin::Transcript {
-    gingerledge_system_standin::Transcript::new(env!("CARGO_MANIFEST_DIR"), "deadline-ms", "(what is left)")
+pub fn transcript() -> gingerledge_system_testkit::Transcript {
+    gingerledge_system_testkit::Transcript::new(env!("CARGO_MANIFEST_DIR"), "deadline-ms", "(what is left)")
 }
--- a/system/data/tests/edge_common/store.rs
+++ b/system/data/tests/edge_common/store.rs
@@ -9,7 +9,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::Notify;
 
-use gingerledge_system_standin::Transcript;
+use gingerledge_system_testkit::Transcript;
 
 use super::http::{header, read_request};
 
--- a/system/data/tests/edge_node.rs
+++ b/system/data/tests/edge_node.rs
@@ -44,7 +44,7 @@
 }
 
 /// Asks as the platform does, and writes it down.
-async fn note_readiness(transcript: &gingerledge_system_standin::Transcript) {
+async fn note_readiness(transcript: &gingerledge_system_testkit::Transcript) {
     let mut client = Client::connect(address(1, 8141), Some(transcript)).await;
     client.ask("GET", "/readiness", "r", "").await;
 }
--- a/system/data/tests/rollout_transcripts.rs
+++ b/system/data/tests/rollout_transcripts.rs
@@ -8,7 +8,7 @@
 
 use edge_common::{transcript, Client};
 use gingerledge_data::front::{self, Front, FrontLimits};
-use gingerledge_system_standin::Transcript;
+use gingerledge_system_testkit::Transcript;
 use gingerledge_wire::JobsResponse;
 use rollout_common::{local, loopback, until, Does, Engine, Route, Says, World, EVENTS};
 use tokio::net::TcpListener;
--- a/testkit/broker/src/bin/world.rs
+++ b/testkit/broker/src/bin/demo-cluster.rs
@@ -10,9 +10,9 @@
 use async_signal::{Signal, Signals};
 use clap::Parser;
 use futures_lite::StreamExt;
-use gingerledge_standin::fleet::ledger::Ledger;
-use gingerledge_standin::site::Site;
-use gingerledge_standin::world::{Installed, Size, World};
+use gingerledge_testkit::fleet::ledger::Ledger;
+use gingerledge_testkit::site::Site;
+use gingerledge_testkit::world::{Installed, Size, World};
 
 const SIZE: Size = Size { stores: 6, used: 4, blocks: 12, weighers: 600, work: Duration::from_millis(5) };
 
--- a/testkit/broker/src/bin/soak.rs
+++ b/testkit/broker/src/bin/soak.rs
@@ -4,7 +4,7 @@
 use std::process::ExitCode;
 
 use clap::{Parser, Subcommand};
-use gingerledge_standin::{broker, soak};
+use gingerledge_testkit::{broker, soak};
 
 #[derive(Parser)]
 #[command(about = "Runs the program against its stand-ins under load and faults")]
--- a/testkit/broker/tests/blocks.rs
+++ b/testkit/broker/tests/blocks.rs
@@ -10,10 +10,10 @@
 use async_io::Timer;
 use gingerledge::service::Broker;
 use gingerledge_blocks::{Mode, Span};
-use gingerledge_standin::client::{exchange, get, put, query, until, Got};
-use gingerledge_standin::data;
-use gingerledge_standin::store::Fault;
-use gingerledge_standin::world::{Size, World};
+use gingerledge_testkit::client::{exchange, get, put, query, until, Got};
+use gingerledge_testkit::data;
+use gingerledge_testkit::store::Fault;
+use gingerledge_testkit::world::{Size, World};
 use serde_json::{json, Value};
 
 const SIZE: Size = Size { stores: 6, used: 4, blocks: 8, weighers: 320, work: Duration::from_millis(3) };
@@ -247,7 +247,7 @@
         let block = &shown["blocks"][0];
         let holders: Vec<&str> =
             block["stores"].as_array().into_iter().flatten().filter_map(Value::as_str).collect();
-        let has = |store: &&Rc<gingerledge_standin::store::Store>| {
+        let has = |store: &&Rc<gingerledge_testkit::store::Store>| {
             holders.contains(&store.name.as_str())
                 && store.holdings().entries().iter().any(|entry| entry.key == "before.0")
         };
@@ -344,7 +344,7 @@
         Timer::after(Duration::from_millis(700)).await;
         before.stop().await;
         // From here on it hears nothing of the map; there is nobody at that door.
-        let nobody = gingerledge_standin::broker::free_address().expect("an address");
+        let nobody = gingerledge_testkit::broker::free_address().expect("an address");
         let cut =
             here.world.broker(&here.executor, "n1", dir.path(), &follow(nobody)).await.expect("a broker");
         assert_eq!(here.change("move", json!({ "block": 0, "from": "s-0", "to": "s-5" })).await, "Done");
--- a/testkit/broker/tests/fleet.rs
+++ b/testkit/broker/tests/fleet.rs
@@ -8,10 +8,10 @@
 
 use async_executor::LocalExecutor;
 use async_io::Async;
-use gingerledge_standin::fleet::ledger::{Deed, Ledger, Line};
-use gingerledge_standin::fleet::load::Load;
-use gingerledge_standin::fleet::relay::{Door, Fault, Pair};
-use gingerledge_standin::fleet::{pause, run, Fleet, Plan};
+use gingerledge_testkit::fleet::ledger::{Deed, Ledger, Line};
+use gingerledge_testkit::fleet::load::Load;
+use gingerledge_testkit::fleet::relay::{Door, Fault, Pair};
+use gingerledge_testkit::fleet::{pause, run, Fleet, Plan};
 
 fn plan(brokers: usize, stores: usize, seed: u64) -> Plan {
     Plan { program: Some(env!("CARGO_BIN_EXE_soak").into()), ..Plan::of(brokers, stores, seed) }
@@ -21,7 +21,7 @@
 const ATTEMPTS: usize = 3;
 
 /// The promises that hold whatever happens.
-fn holds(fleet: &Fleet, tally: &gingerledge_standin::fleet::load::Tally) {
+fn holds(fleet: &Fleet, tally: &gingerledge_testkit::fleet::load::Tally) {
     assert!(tally.lost.borrow().is_empty(), "no final answer: {:?}", tally.lost.borrow());
     let ended = tally.answered.get() + tally.refused.get() + tally.failed.get() + tally.cut.get();
     assert_eq!(tally.asked.get(), ended, "{tally:?}");
@@ -56,7 +56,7 @@
         let load = Load::start(&fleet, |_| 25.0);
         pause(600).await;
         let until = std::time::Instant::now() + Duration::from_millis(1500);
-        fleet.stores[0].set_fault(gingerledge_standin::store::Fault::Stalled(until));
+        fleet.stores[0].set_fault(gingerledge_testkit::store::Fault::Stalled(until));
         for who in 0..3 {
             fleet.to_store(who, 1).back.set(Fault { cut: true, ..Fault::default() });
             fleet.to_store(who, 2).reset();
--- a/testkit/broker/tests/members.rs
+++ b/testkit/broker/tests/members.rs
@@ -4,9 +4,9 @@
 
 use std::time::Duration;
 
-use gingerledge_standin::fleet::ledger::{Deed, Line};
-use gingerledge_standin::fleet::relay::Fault;
-use gingerledge_standin::fleet::{pause, run, Fleet, Plan};
+use gingerledge_testkit::fleet::ledger::{Deed, Line};
+use gingerledge_testkit::fleet::relay::Fault;
+use gingerledge_testkit::fleet::{pause, run, Fleet, Plan};
 
 /// Ten times as fast as the sample's, so that tests need not wait long.
 const OPERATOR: &str = "[fleet]\nprobe_ms = 200.0\nanswer_ms = 60.0\nsent_per_s = 60.0\n";
--- a/testkit/broker/tests/site.rs
+++ b/testkit/broker/tests/site.rs
@@ -10,14 +10,14 @@
 use async_io::Async;
 use futures_lite::AsyncReadExt;
 use gingerledge::http::write_all;
-use gingerledge_standin::client;
-use gingerledge_standin::discovery::View;
-use gingerledge_standin::fleet::ledger::{Deed, Line};
-use gingerledge_standin::fleet::load::Load;
-use gingerledge_standin::fleet::{pause, run, Fleet, Plan};
-use gingerledge_standin::site::{Repeat, Site};
-use gingerledge_standin::store::Fault;
-use gingerledge_standin::world::at;
+use gingerledge_testkit::client;
+use gingerledge_testkit::discovery::View;
+use gingerledge_testkit::fleet::ledger::{Deed, Line};
+use gingerledge_testkit::fleet::load::Load;
+use gingerledge_testkit::fleet::{pause, run, Fleet, Plan};
+use gingerledge_testkit::site::{Repeat, Site};
+use gingerledge_testkit::store::Fault;
+use gingerledge_testkit::world::at;
 
 const LAKES: &str = include_str!("../../../deploy/samples/lakes.toml");
 const ARCHIVE: &str = include_str!("../../../deploy/samples/archive.toml");
@@ -65,7 +65,7 @@
 fn an_agent_answers_with_what_it_was_sent_and_is_silent_while_discovery_is_down() {
     at(ARCHIVE, |executor, site| async move {
         let agent =
-            gingerledge_standin::agent::Agent::start(&executor, &site.discovery, View::default()).unwrap();
+            gingerledge_testkit::agent::Agent::start(&executor, &site.discovery, View::default()).unwrap();
         let listed = async || client::get(agent.address, "/v1/endpoints").await.unwrap().json();
         assert_eq!(listed().await["instances"].as_array().unwrap().len(), 6);
         let watch = Async::<TcpStream>::connect(agent.address).await.unwrap();
--- a/testkit/broker/tests/strict.rs
+++ b/testkit/broker/tests/strict.rs
@@ -9,11 +9,11 @@
 use futures_lite::AsyncReadExt;
 use gingerledge::http::write_all;
 use gingerledge::store::frame::{self, CALL, GIVE_UP, LOAD, PROBE};
-use gingerledge_standin::fleet::ledger::{Deed, Line};
-use gingerledge_standin::fleet::pause;
-use gingerledge_standin::site::Repeat;
-use gingerledge_standin::witness::{score, value};
-use gingerledge_standin::world::at;
+use gingerledge_testkit::fleet::ledger::{Deed, Line};
+use gingerledge_testkit::fleet::pause;
+use gingerledge_testkit::site::Repeat;
+use gingerledge_testkit::witness::{score, value};
+use gingerledge_testkit::world::at;
 
 const LAKES: &str = include_str!("../../../deploy/samples/lakes.toml");
 const ARCHIVE: &str = include_str!("../../../deploy/samples/archive.toml");
--- a/testkit/system/src/bin/rollout-world.rs
+++ b/testkit/system/src/bin/demo-rollout.rs
@@ -1,10 +1,10 @@
 //! Runs the whole rollout scheduler on loopback with stand-in stores, an operator and a trainer, and prints the trainer's
-//! steps as they go round. Usage: `rollout-world [FOLDER OF THE PROGRAMS] [STEPS]`; the folder is that of this program by default.
+//! steps as they go round. Usage: `demo-rollout [FOLDER OF THE PROGRAMS] [STEPS]`; the folder is that of this program by default.
 
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
-use gingerledge_system_standin::{configuration, Fleet, Operator, Step, Store, StoreSettings, Trainer};
+use gingerledge_system_testkit::{configuration, Fleet, Operator, Step, Store, StoreSettings, Trainer};
 
 const PATIENCE: Duration = Duration::from_secs(30);
 /// Addresses 127.NETWORK.0.0/16 are this program's.
@@ -18,7 +18,7 @@
     let programs = arguments.next().map_or(own, PathBuf::from);
     let steps: u64 = arguments.next().map_or(Ok(5), |steps| steps.parse())?;
 
-    let folder = std::env::temp_dir().join(format!("rollout-world-{}", std::process::id()));
+    let folder = std::env::temp_dir().join(format!("demo-rollout-{}", std::process::id()));
     std::fs::create_dir_all(&folder)?;
     println!("programs from {}, logs and disks in {}", programs.display(), folder.display());
     let mut fleet = Fleet::new(&programs, &folder, NETWORK, (3, 3, 3))?;
--- a/testkit/system/src/bin/fault-days.rs
+++ b/testkit/system/src/bin/fault-days.rs
@@ -5,7 +5,7 @@
 use std::process::ExitCode;
 
 use bpaf::Bpaf;
-use gingerledge_system_standin::fault_days::{FaultDay, Scope};
+use gingerledge_system_testkit::fault_days::{FaultDay, Scope};
 
 /// Draws days from every kind of trouble that the bench lists.
 #[derive(Clone, Debug, Bpaf)]
--- a/testkit/system/src/bin/mixed-versions.rs
+++ b/testkit/system/src/bin/mixed-versions.rs
@@ -18,7 +18,7 @@
 
 use bpaf::Bpaf;
 use gingerledge_protocol::ListedResult;
-use gingerledge_system_standin::{
+use gingerledge_system_testkit::{
     call, configuration, Fleet, FleetError, Operator, Step, Store, StoreSettings, Trainer,
 };
 use hyper::{Method, StatusCode};
--- a/testkit/system/tests/fault_days.rs
+++ b/testkit/system/tests/fault_days.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use gingerledge_system_standin::fault_days::{FaultDay, Scope, CLOSINGS, KINDS};
+use gingerledge_system_testkit::fault_days::{FaultDay, Scope, CLOSINGS, KINDS};
 
 const DAYS: u64 = 2_000;
 const ALL: Scope = Scope { health: true, only_state: false };
