--- a/system/data/tests/edge_answers.rs
+++ b/system/data/tests/edge_answers.rs
@@ -4,6 +4,7 @@
 //! For every request: its client gets its own store's answer, whole, or one that says that there is none; a request that may run once
 //! is run once at most; what is promised never to have run has not.
 
+mod common;
 mod edge_common;
 
 use std::cell::RefCell;
--- a/system/data/tests/edge_common/client.rs
+++ b/system/data/tests/edge_common/client.rs
@@ -5,7 +5,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-use super::http::header;
+use crate::common::http::header;
 use gingerledge_system_testkit::Transcript;
 
 /// A client's connection.
--- a/system/data/tests/edge_common/mod.rs
+++ b/system/data/tests/edge_common/mod.rs
@@ -3,10 +3,6 @@
 
 mod client;
 pub mod control;
-#[path = "../common/http.rs"]
-mod http;
-#[path = "../common/runtime.rs"]
-mod runtime;
 mod store;
 pub mod unruly;
 
@@ -23,8 +19,8 @@
 use gingerledge_wire::{Entry, FreshnessTick, Key, StoreRecord, Value};
 use tokio::net::TcpListener;
 
+pub use crate::common::runtime::{local, PATIENCE};
 pub use client::{request, Client};
-pub use runtime::{local, PATIENCE};
 pub use store::{answer, event, events, full, ok, own_error, Store, Turn};
 
 /// The zone of the edge.
--- a/system/data/tests/edge_common/store.rs
+++ b/system/data/tests/edge_common/store.rs
@@ -11,7 +11,7 @@
 
 use gingerledge_system_testkit::Transcript;
 
-use super::http::{header, read_request};
+use crate::common::http::{header, read_request};
 
 /// What the store does about one request. `{id}` stands for the request's `Attempt-Id`.
 pub enum Turn {
--- a/system/data/tests/edge_common/unruly.rs
+++ b/system/data/tests/edge_common/unruly.rs
@@ -8,7 +8,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-use super::http::header;
+use crate::common::http::header;
 
 /// Bodies of requests consist of this.
 pub const BODY_BYTE: u8 = b'b';
--- a/system/data/tests/edge_forwarding.rs
+++ b/system/data/tests/edge_forwarding.rs
@@ -1,5 +1,6 @@
 //! Requests of clients through the edge to stores in trouble: what runs where, and what the client is told.
 
+mod common;
 mod edge_common;
 
 use bytes::Bytes;
--- a/system/data/tests/edge_front.rs
+++ b/system/data/tests/edge_front.rs
@@ -1,5 +1,6 @@
 //! What the front lets in: bounds, limits, configurations, clients that leave, and the end of the process.
 
+mod common;
 mod edge_common;
 
 use edge_common::{answer, local, request, until, Client, Edge, Store, Turn};
--- a/system/data/tests/edge_node.rs
+++ b/system/data/tests/edge_node.rs
@@ -1,5 +1,6 @@
 //! The edge as a whole: it learns from a control node, serves, reads its settings again, and ends in good order.
 
+mod common;
 mod edge_common;
 
 use std::cell::Cell;
--- a/system/data/tests/edge_streams.rs
+++ b/system/data/tests/edge_streams.rs
@@ -1,5 +1,6 @@
 //! Streams through the edge: events pass as they come, once and whole, and a cut never looks like the end.
 
+mod common;
 mod edge_common;
 
 use edge_common::{event, events, full, local, request, two, Client, Edge, Store, Turn};
--- a/system/data/tests/edge_transcripts.rs
+++ b/system/data/tests/edge_transcripts.rs
@@ -1,5 +1,6 @@
 //! Whole exchanges between a client, the edge and stores, compared with approved transcripts.
 
+mod common;
 mod edge_common;
 
 use edge_common::transcript;
--- a/system/data/tests/rollout_checkpoints.rs
+++ b/system/data/tests/rollout_checkpoints.rs
@@ -1,5 +1,6 @@
 //! Texts so far are saved with their batch job, and whoever drives it next goes on from there.
 
+mod common;
 mod rollout_common;
 
 use std::borrow::Cow;
--- a/system/data/tests/rollout_common/engine.rs
+++ b/system/data/tests/rollout_common/engine.rs
@@ -8,8 +8,8 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-use super::http::{header, read_request};
 use super::EVENTS;
+use crate::common::http::{header, read_request};
 
 /// One request as the store heard it.
 #[derive(Clone, Debug)]
--- a/system/data/tests/rollout_common/mod.rs
+++ b/system/data/tests/rollout_common/mod.rs
@@ -3,10 +3,6 @@
 
 mod backend;
 mod engine;
-#[path = "../common/http.rs"]
-mod http;
-#[path = "../common/runtime.rs"]
-mod runtime;
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -22,11 +18,11 @@
     StoreRecord, Value, PARTITION_COUNT,
 };
 
+pub use crate::common::runtime::{local, PATIENCE};
 #[allow(unused_imports)]
 pub use backend::{Backend, Says};
 #[allow(unused_imports)]
 pub use engine::{Asked, Does, Engine};
-pub use runtime::{local, PATIENCE};
 
 pub const HOST: &str = "example.test";
 pub const MODEL: &str = "model";
--- a/system/data/tests/rollout_driver.rs
+++ b/system/data/tests/rollout_driver.rs
@@ -1,5 +1,6 @@
 //! The driver of batch jobs on sockets: generations at stand-in stores, reward calls, and results at a stand-in backend.
 
+mod common;
 mod rollout_common;
 
 use std::collections::BTreeSet;
--- a/system/data/tests/rollout_driver_lease.rs
+++ b/system/data/tests/rollout_driver_lease.rs
@@ -1,5 +1,6 @@
 //! A driver sends only while it holds the batch job, and drops all that is under way when it does not.
 
+mod common;
 mod rollout_common;
 
 use std::time::Duration;
--- a/system/data/tests/rollout_front.rs
+++ b/system/data/tests/rollout_front.rs
@@ -1,5 +1,6 @@
 //! What trainers are answered, whatever the backends say or don't say.
 
+mod common;
 mod rollout_common;
 
 use std::rc::Rc;
--- a/system/data/tests/rollout_transcripts.rs
+++ b/system/data/tests/rollout_transcripts.rs
@@ -1,5 +1,6 @@
 //! Whole exchanges of trainers with the edge, and of its driver with stores, compared with approved transcripts.
 
+mod common;
 mod edge_common;
 mod rollout_common;
 
