--- a/system/bin/src/lib.rs
+++ b/system/bin/src/lib.rs
@@ -1,6 +1,8 @@
 //! The parts that the three programs share: the logger, the settings file, and the command line. Without arguments a program runs; with
 //! `check` it only validates its settings file.
 
+#![warn(unreachable_pub)]
+
 mod log_line;
 
 use std::fmt::Display;
--- a/system/chain/src/agreement/liveness.rs
+++ b/system/chain/src/agreement/liveness.rs
@@ -25,12 +25,12 @@
 }
 
 impl Liveness {
-    pub fn new(max_candidates: usize) -> Self {
+    pub(super) fn new(max_candidates: usize) -> Self {
         Self { peers: BTreeMap::new(), replaced: BTreeSet::new(), max_candidates }
     }
 
     /// A voter from which no heartbeat has come counts as heard of at a time.
-    pub fn expect_heartbeat(&mut self, voter: MemberId, last_heard_at: Duration) {
+    pub(super) fn expect_heartbeat(&mut self, voter: MemberId, last_heard_at: Duration) {
         let peer = self.peers.entry(voter).or_default();
         if peer.last_heard_at.is_none() {
             peer.last_heard_at = Some(last_heard_at);
@@ -38,7 +38,7 @@
         }
     }
 
-    pub fn on_announced(&mut self, member: MemberId, members: Option<&Membership>) {
+    pub(super) fn on_announced(&mut self, member: MemberId, members: Option<&Membership>) {
         if self.admit(member, members) {
             self.peers.entry(member).or_default();
         }
@@ -63,14 +63,14 @@
     }
 
     /// An identity won't come back: its address has announced another one.
-    pub fn mark_replaced(&mut self, member: MemberId) {
+    pub(super) fn mark_replaced(&mut self, member: MemberId) {
         self.replaced.insert(member);
         while self.replaced.len() > self.max_candidates {
             self.replaced.pop_first();
         }
     }
 
-    pub fn on_heartbeat(
+    pub(super) fn on_heartbeat(
         &mut self,
         now: Duration,
         from: MemberId,
@@ -89,47 +89,47 @@
     }
 
     /// Counts all that were ever heard of as heard of now: this process was paused.
-    pub fn restart_timeouts(&mut self, now: Duration) {
+    pub(super) fn restart_timeouts(&mut self, now: Duration) {
         for peer in self.peers.values_mut().filter(|peer| peer.last_heard_at.is_some()) {
             peer.last_heard_at = peer.last_heard_at.max(Some(now));
         }
     }
 
     /// Whether a member was heard of within a span and was not replaced.
-    pub fn is_reachable(&self, now: Duration, member: MemberId, within: Duration) -> bool {
+    pub(super) fn is_reachable(&self, now: Duration, member: MemberId, within: Duration) -> bool {
         let last_heard_at = self.peers.get(&member).and_then(|peer| peer.last_heard_at);
         !self.replaced.contains(&member) && last_heard_at.is_some_and(|at| at + within > now)
     }
 
     /// Whether a member was heard of within a span, and its disk answers.
-    pub fn is_live(&self, now: Duration, member: MemberId, within: Duration) -> bool {
+    pub(super) fn is_live(&self, now: Duration, member: MemberId, within: Duration) -> bool {
         self.is_reachable(now, member, within) && self.peers.get(&member).is_some_and(|peer| peer.disk_ready)
     }
 
-    pub fn is_replaced(&self, member: MemberId) -> bool {
+    pub(super) fn is_replaced(&self, member: MemberId) -> bool {
         self.replaced.contains(&member)
     }
 
     /// Whether a member reports another one as live.
-    pub fn reports_live(&self, member: MemberId, other: MemberId) -> bool {
+    pub(super) fn reports_live(&self, member: MemberId, other: MemberId) -> bool {
         self.peers.get(&member).is_some_and(|peer| peer.live_peers.contains(&other))
     }
 
     /// Whether a member reports that it has sealed an epoch.
-    pub fn has_sealed(&self, member: MemberId, epoch: u64) -> bool {
+    pub(super) fn has_sealed(&self, member: MemberId, epoch: u64) -> bool {
         self.peers.get(&member).is_some_and(|peer| peer.sealed && peer.epoch == epoch)
     }
 
-    pub fn epoch_of(&self, member: MemberId) -> u64 {
+    pub(super) fn epoch_of(&self, member: MemberId) -> u64 {
         self.peers.get(&member).map_or(0, |peer| peer.epoch)
     }
 
-    pub fn live_peers(&self, now: Duration, within: Duration) -> Vec<MemberId> {
+    pub(super) fn live_peers(&self, now: Duration, within: Duration) -> Vec<MemberId> {
         self.peers.keys().copied().filter(|member| self.is_reachable(now, *member, within)).collect()
     }
 
     /// The receivers of heartbeats: the voters, and others that are reachable; from a member that is no voter, all known members.
-    pub fn heartbeat_receivers(
+    pub(super) fn heartbeat_receivers(
         &self,
         now: Duration,
         me: MemberId,
--- a/system/chain/src/agreement/mod.rs
+++ b/system/chain/src/agreement/mod.rs
@@ -71,7 +71,7 @@
 }
 
 impl Agreement {
-    pub fn new(me: MemberId, settings: ControlChainSettings, seed: u64) -> Self {
+    pub(crate) fn new(me: MemberId, settings: ControlChainSettings, seed: u64) -> Self {
         Self {
             me,
             rng: fastrand::Rng::with_seed(seed),
@@ -87,25 +87,25 @@
         }
     }
 
-    pub fn me(&self) -> MemberId {
+    pub(crate) fn me(&self) -> MemberId {
         self.me
     }
 
-    pub fn members(&self) -> Option<&Membership> {
+    pub(crate) fn members(&self) -> Option<&Membership> {
         self.members.as_ref()
     }
 
-    pub fn epoch(&self) -> u64 {
+    pub(crate) fn epoch(&self) -> u64 {
         self.members.as_ref().map_or(0, |members| members.epoch)
     }
 
     /// The present epoch, if it is sealed here.
-    pub fn sealed_epoch(&self) -> Option<u64> {
+    pub(crate) fn sealed_epoch(&self) -> Option<u64> {
         self.promised.map(|_| self.epoch())
     }
 
     /// Restores what a record found on the disk holds.
-    pub fn restore(&mut self, record: &LogRecord) {
+    pub(crate) fn restore(&mut self, record: &LogRecord) {
         match record {
             LogRecord::Membership { members } if members.epoch > self.epoch() => self.adopt(members.clone()),
             LogRecord::Promise { epoch, proposal } if *epoch == self.epoch() + 1 => {
@@ -120,7 +120,7 @@
     }
 
     /// Everything that must stay on the disk.
-    pub fn checkpoint(&self) -> Vec<LogRecord> {
+    pub(crate) fn checkpoint(&self) -> Vec<LogRecord> {
         let mut records = Vec::new();
         let Some(members) = self.members.clone() else { return records };
         let epoch = members.epoch + 1;
@@ -134,7 +134,7 @@
         records
     }
 
-    pub fn on_started(&mut self, now: Duration) {
+    pub(crate) fn on_started(&mut self, now: Duration) {
         self.next_heartbeat_at = now;
         self.last_event_at = now;
         self.startup_grace_until = now + self.settings.startup_grace_period;
@@ -150,7 +150,7 @@
     }
 
     /// A member exists, and has replaced another identity of its address, if any.
-    pub fn on_member_announced(&mut self, member: MemberId, replaces: Option<MemberId>) {
+    pub(crate) fn on_member_announced(&mut self, member: MemberId, replaces: Option<MemberId>) {
         if member != self.me {
             self.liveness.on_announced(member, self.members.as_ref());
         }
@@ -160,7 +160,12 @@
     }
 
     /// Learns a decided membership.
-    pub fn learn_membership(&mut self, now: Duration, members: Membership, out: &mut Vec<AgreementAction>) {
+    pub(crate) fn learn_membership(
+        &mut self,
+        now: Duration,
+        members: Membership,
+        out: &mut Vec<AgreementAction>,
+    ) {
         if members.epoch <= self.epoch() {
             return;
         }
@@ -181,14 +186,14 @@
     }
 
     /// Takes notice of the time. After a pause of this process, time-outs of the others prove nothing, and start again.
-    pub fn observe_time(&mut self, now: Duration) {
+    pub(crate) fn observe_time(&mut self, now: Duration) {
         if now.saturating_sub(self.last_event_at) > self.settings.heartbeat_interval * 2 {
             self.liveness.restart_timeouts(now);
         }
         self.last_event_at = now;
     }
 
-    pub fn on_message(
+    pub(crate) fn on_message(
         &mut self,
         now: Duration,
         from: MemberId,
@@ -207,13 +212,13 @@
                 }
             }
             AgreementMessage::RequestMembership { epoch } if epoch < self.epoch() => {
-                self.send_membership(from, out)
+                self.send_membership(from, out);
             }
             AgreementMessage::RequestMembership { .. } => {}
             AgreementMessage::MembershipDecided { members } => self.learn_membership(now, members, out),
             AgreementMessage::Prepare { epoch, proposal } => self.on_prepare(now, from, epoch, proposal, out),
             AgreementMessage::Accept { proposal, members } => {
-                self.on_accept(now, from, proposal, members, out)
+                self.on_accept(now, from, proposal, members, out);
             }
             AgreementMessage::Promise { epoch, proposal, accepted, in_sync } => {
                 let promise = value::Promise { accepted, in_sync };
@@ -222,14 +227,14 @@
                 }
             }
             AgreementMessage::Accepted { epoch, proposal } => {
-                self.on_accepted(now, from, epoch, proposal, out)
+                self.on_accepted(now, from, epoch, proposal, out);
             }
             AgreementMessage::Rejected { epoch, promised } => self.on_rejected(now, epoch, promised),
         }
     }
 
     /// A member was seen to be in a newer epoch.
-    pub fn on_newer_epoch(&mut self, member: MemberId, epoch: u64, out: &mut Vec<AgreementAction>) {
+    pub(crate) fn on_newer_epoch(&mut self, member: MemberId, epoch: u64, out: &mut Vec<AgreementAction>) {
         if epoch > self.epoch() {
             self.request_membership(member, out);
         }
@@ -248,7 +253,12 @@
         }
     }
 
-    pub fn on_timer_expired(&mut self, now: Duration, status: MemberStatus, out: &mut Vec<AgreementAction>) {
+    pub(crate) fn on_timer_expired(
+        &mut self,
+        now: Duration,
+        status: MemberStatus,
+        out: &mut Vec<AgreementAction>,
+    ) {
         if self.next_heartbeat_at <= now {
             self.next_heartbeat_at = now + self.settings.heartbeat_interval;
             self.send_heartbeats(now, status, out);
@@ -272,7 +282,7 @@
         }
     }
 
-    pub fn next_timer(&self) -> Duration {
+    pub(crate) fn next_timer(&self) -> Duration {
         let proposer = self.proposer.next_timer(&self.settings);
         proposer.map_or(self.next_heartbeat_at, |at| at.min(self.next_heartbeat_at))
     }
--- a/system/chain/src/agreement/proposer.rs
+++ b/system/chain/src/agreement/proposer.rs
@@ -39,7 +39,7 @@
 const MAX_TIMEOUT_DOUBLINGS: u32 = 2;
 
 impl Proposer {
-    pub fn reset(&mut self) {
+    pub(super) fn reset(&mut self) {
         *self = Self::default();
     }
 
@@ -47,7 +47,7 @@
         settings.attempt_timeout * (1 << self.failures.min(MAX_TIMEOUT_DOUBLINGS))
     }
 
-    pub fn next_timer(&self, settings: &ControlChainSettings) -> Option<Duration> {
+    pub(super) fn next_timer(&self, settings: &ControlChainSettings) -> Option<Duration> {
         let attempt = self.attempt.as_ref()?;
         let abandon_at = attempt.started_at + self.attempt_timeout(settings);
         let mut at = (attempt.sent_at + settings.heartbeat_interval).min(abandon_at);
@@ -96,7 +96,7 @@
     }
 
     /// A member outside the chain follows this tail: adds it to the chain once it is near enough and all in the chain hear it.
-    pub fn on_learner_progress(
+    pub(crate) fn on_learner_progress(
         &mut self,
         now: Duration,
         member: MemberId,
--- a/system/chain/src/agreement/voter.rs
+++ b/system/chain/src/agreement/voter.rs
@@ -79,7 +79,12 @@
     }
 
     /// A vote is on the disk: it is sent, if no higher proposal number was promised meanwhile.
-    pub fn on_vote_durable(&mut self, vote: Vote, status: MemberStatus, out: &mut Vec<AgreementAction>) {
+    pub(crate) fn on_vote_durable(
+        &mut self,
+        vote: Vote,
+        status: MemberStatus,
+        out: &mut Vec<AgreementAction>,
+    ) {
         match vote {
             Vote::Learned => {}
             Vote::Promised { to, epoch, proposal } => {
--- a/system/chain/src/control_chain.rs
+++ b/system/chain/src/control_chain.rs
@@ -29,6 +29,7 @@
 
 impl ControlChain {
     /// A founder with an empty disk. All founders are given the same founders in the same order.
+    #[must_use]
     pub fn found(me: MemberId, founders: Vec<MemberId>, settings: ControlChainSettings, seed: u64) -> Self {
         let fault_tolerance = settings.fault_tolerance;
         let members = Membership { epoch: 1, voters: founders.clone(), chain: founders, fault_tolerance };
@@ -38,12 +39,14 @@
     }
 
     /// A member with an empty disk that joins the group of the members announced to it.
+    #[must_use]
     pub fn join(me: MemberId, settings: ControlChainSettings, seed: u64) -> Self {
         Self::recover(me, Vec::new(), settings, seed)
     }
 
     /// Recovers a member from what its disk holds. No record at all is the same as [`ControlChain::join`].
     /// The seed must differ from one start of the process to the next.
+    #[must_use]
     pub fn recover(me: MemberId, records: Vec<LogRecord>, settings: ControlChainSettings, seed: u64) -> Self {
         let bounds =
             ReplicaSettings { min_chain_length: settings.fault_tolerance + 1, ..settings.replica.clone() };
@@ -70,32 +73,38 @@
     }
 
     /// When [`ChainEvent::TimerExpired`] is due next.
+    #[must_use]
     pub fn next_timer(&self) -> Option<Duration> {
         let agreement = self.state.agreement.next_timer();
         Some(self.state.replica.next_timer().map_or(agreement, |at| at.min(agreement)))
     }
 
     /// This member's identity.
+    #[must_use]
     pub fn me(&self) -> MemberId {
         self.state.agreement.me()
     }
 
     /// The membership in force as far as known here.
+    #[must_use]
     pub fn members(&self) -> Option<&Membership> {
         self.state.agreement.members()
     }
 
     /// The head of the chain as far as known here.
+    #[must_use]
     pub fn head(&self) -> Option<MemberId> {
         self.members()?.chain.first().copied()
     }
 
     /// Whether this member is in the chain, holds all that is committed, and hasn't sealed the view.
+    #[must_use]
     pub fn is_serving(&self) -> bool {
         self.state.replica.is_serving()
     }
 
     /// The last entry given to the host to apply. It is in the host's state once all actions so far are carried out.
+    #[must_use]
     pub fn applied_index(&self) -> u64 {
         self.state.replica.applied_index()
     }
@@ -104,6 +113,7 @@
     /// host writes these records after all that it was to persist before, and may then drop all of that. It must
     /// have done all the actions so far; [`ControlChain::applied_index`] is the index of the state. None while the state is
     /// being replaced by another member's; a later call succeeds.
+    #[must_use]
     pub fn checkpoint(&self, state: Vec<u8>) -> Option<Vec<LogRecord>> {
         let mut records = self.state.replica.checkpoint(state)?;
         records.extend(self.state.agreement.checkpoint());
--- a/system/chain/src/event_dispatch.rs
+++ b/system/chain/src/event_dispatch.rs
@@ -40,7 +40,7 @@
 
 impl<'a> EventDispatch<'a> {
     /// Processes nothing yet; actions for the host are appended to `out`.
-    pub fn new(state: &'a mut MemberState, now: Duration, out: &'a mut Vec<ChainAction>) -> Self {
+    pub(crate) fn new(state: &'a mut MemberState, now: Duration, out: &'a mut Vec<ChainAction>) -> Self {
         Self {
             state,
             now,
@@ -52,7 +52,7 @@
     }
 
     /// Handles an event with everything that follows from it.
-    pub fn run_until_idle(&mut self, event: ChainEvent) {
+    pub(crate) fn run_until_idle(&mut self, event: ChainEvent) {
         self.state.agreement.observe_time(self.now);
         self.handle_event(event);
         self.process_outputs();
@@ -75,20 +75,20 @@
         match event {
             ChainEvent::Started => self.on_started(),
             ChainEvent::Message { from, message: ChainMessage::Replica(message) } => {
-                self.replica_event(ReplicaEvent::Message { from, message })
+                self.replica_event(ReplicaEvent::Message { from, message });
             }
             ChainEvent::Message { from, message: ChainMessage::Agreement(message) } => {
-                self.on_agreement_message(from, message)
+                self.on_agreement_message(from, message);
             }
             ChainEvent::Durable { token } => self.on_durable(token),
             ChainEvent::Submit { command } => self.replica_event(ReplicaEvent::Submit { command }),
             ChainEvent::Read { token } => self.replica_event(ReplicaEvent::Read { token }),
             ChainEvent::SnapshotReady { index, bytes } => {
-                self.replica_event(ReplicaEvent::SnapshotReady { index, bytes })
+                self.replica_event(ReplicaEvent::SnapshotReady { index, bytes });
             }
             ChainEvent::TimerExpired => self.on_timer_expired(),
             ChainEvent::View(MembershipEvent::MemberAnnounced { member, replaces }) => {
-                self.state.agreement.on_member_announced(member, replaces)
+                self.state.agreement.on_member_announced(member, replaces);
             }
         }
     }
@@ -160,20 +160,20 @@
     fn on_agreement_action(&mut self, action: AgreementAction) {
         match action {
             AgreementAction::Send { to, message } if to == self.state.agreement.me() => {
-                self.loopback.push_back(message)
+                self.loopback.push_back(message);
             }
             AgreementAction::Send { to, message } => {
-                self.out.push(ChainAction::Send { to, message: ChainMessage::Agreement(message) })
+                self.out.push(ChainAction::Send { to, message: ChainMessage::Agreement(message) });
             }
             AgreementAction::Persist { record, vote } => {
-                self.persist(vec![record], WriteOwner::Agreement(vote))
+                self.persist(vec![record], WriteOwner::Agreement(vote));
             }
             AgreementAction::Seal { epoch } => {
                 self.state.replica.seal_in_memory(epoch);
                 self.out.push(ChainAction::View(MembershipAction::Sealed { epoch }));
             }
             AgreementAction::Install { members } => {
-                self.replica_event(ReplicaEvent::View(ViewEvent::Install { view: members.view() }))
+                self.replica_event(ReplicaEvent::View(ViewEvent::Install { view: members.view() }));
             }
         }
     }
@@ -186,7 +186,7 @@
     fn on_replica_action(&mut self, action: ReplicaAction) {
         match action {
             ReplicaAction::Send { to, message } => {
-                self.out.push(ChainAction::Send { to, message: ChainMessage::Replica(message) })
+                self.out.push(ChainAction::Send { to, message: ChainMessage::Replica(message) });
             }
             ReplicaAction::Persist { token, records } => self.persist(records, WriteOwner::Replica { token }),
             ReplicaAction::View(action) => self.on_view_action(action),
@@ -207,7 +207,7 @@
                 self.state.agreement.on_learner_progress(self.now, member, lag, status, out);
             }
             ViewAction::OwnViewStale { member, epoch } => {
-                self.state.agreement.on_newer_epoch(member, epoch, &mut self.agreement_actions)
+                self.state.agreement.on_newer_epoch(member, epoch, &mut self.agreement_actions);
             }
             // Only the host of a replica seals by an event; here the vote does, in memory.
             ViewAction::Sealed { .. } => {}
--- a/system/chain/src/lib.rs
+++ b/system/chain/src/lib.rs
@@ -4,6 +4,8 @@
 //! [`ControlChain`] is a replica whose views are decided by a majority of its own voters (the control plane).
 //! Neither owns a socket, file, timer or clock: an [`Event`] goes in with the time, an [`Action`] comes out.
 
+#![warn(unreachable_pub)]
+
 mod agreement;
 mod control_chain;
 mod event_dispatch;
--- a/system/chain/src/members.rs
+++ b/system/chain/src/members.rs
@@ -18,27 +18,32 @@
 
 impl View {
     /// The member that takes new commands.
+    #[must_use]
     pub fn head(&self) -> Option<MemberId> {
         self.chain.first().copied()
     }
 
     /// The member whose disk commits.
+    #[must_use]
     pub fn tail(&self) -> Option<MemberId> {
         self.chain.last().copied()
     }
 
     /// Whether a member is in the chain.
+    #[must_use]
     pub fn contains(&self, member: MemberId) -> bool {
         self.chain.contains(&member)
     }
 
     /// The member before this one in the chain.
+    #[must_use]
     pub fn predecessor(&self, member: MemberId) -> Option<MemberId> {
         let position = self.chain.iter().position(|other| *other == member)?;
         self.chain.get(position.checked_sub(1)?).copied()
     }
 
     /// The member after this one in the chain.
+    #[must_use]
     pub fn successor(&self, member: MemberId) -> Option<MemberId> {
         let position = self.chain.iter().position(|other| *other == member)?;
         self.chain.get(position + 1).copied()
@@ -60,21 +65,25 @@
 
 impl Membership {
     /// The chain as a view of a [`Replica`](crate::Replica).
+    #[must_use]
     pub fn view(&self) -> View {
         View { epoch: self.epoch, chain: self.chain.clone() }
     }
 
     /// How many voters make a majority.
+    #[must_use]
     pub fn majority(&self) -> usize {
         self.voters.len() / 2 + 1
     }
 
     /// The shortest chain that commits.
+    #[must_use]
     pub fn min_chain_length(&self) -> usize {
         self.fault_tolerance + 1
     }
 
     /// Whether a member votes.
+    #[must_use]
     pub fn is_voter(&self, member: MemberId) -> bool {
         self.voters.contains(&member)
     }
--- a/system/chain/src/message.rs
+++ b/system/chain/src/message.rs
@@ -195,6 +195,7 @@
 
 impl ReplicaMessage {
     /// The epoch that the message belongs to.
+    #[must_use]
     pub fn epoch(&self) -> u64 {
         match self {
             Self::Resume { epoch, .. }
--- a/system/chain/src/pending_writes.rs
+++ b/system/chain/src/pending_writes.rs
@@ -30,20 +30,20 @@
 
 impl PendingWrites {
     /// Adds a write, and returns its token.
-    pub fn start(&mut self, now: Duration, owner: WriteOwner) -> u64 {
+    pub(crate) fn start(&mut self, now: Duration, owner: WriteOwner) -> u64 {
         self.last_token += 1;
         self.writes.push_back(PendingWrite { token: self.last_token, started_at: now, owner });
         self.last_token
     }
 
     /// Removes the oldest write, if it is synced with all those up to a token.
-    pub fn complete_next(&mut self, synced_token: u64) -> Option<WriteOwner> {
+    pub(crate) fn complete_next(&mut self, synced_token: u64) -> Option<WriteOwner> {
         self.writes.front().filter(|write| write.token <= synced_token)?;
         self.writes.pop_front().map(|write| write.owner)
     }
 
     /// Whether the oldest write has been in flight for less than `timeout`.
-    pub fn is_disk_responsive(&self, now: Duration, timeout: Duration) -> bool {
+    pub(crate) fn is_disk_responsive(&self, now: Duration, timeout: Duration) -> bool {
         self.writes.front().is_none_or(|write| now < write.started_at + timeout)
     }
 }
--- a/system/chain/src/replica/barrier.rs
+++ b/system/chain/src/replica/barrier.rs
@@ -23,29 +23,29 @@
 
 impl Barriers {
     /// Another view: numbers start again.
-    pub fn reset(&mut self) {
+    pub(super) fn reset(&mut self) {
         *self = Self::default();
     }
 
     /// The next barrier is due now.
-    pub fn start(&mut self, now: Duration) {
+    pub(super) fn start(&mut self, now: Duration) {
         self.next_at = now;
     }
 
     /// The reservation of this view is on the disk.
-    pub fn on_reservation_durable(&mut self, reserved: u64) {
+    pub(super) fn on_reservation_durable(&mut self, reserved: u64) {
         self.is_reserving = false;
         self.reserved = self.reserved.max(reserved);
     }
 
     /// A reservation was found on the disk: all its numbers may have been used.
-    pub fn restore(&mut self, reserved: u64) {
+    pub(super) fn restore(&mut self, reserved: u64) {
         self.last_number = reserved;
         self.reserved = reserved;
     }
 
     /// The highest number that may have been used, with what is being reserved.
-    pub fn record(&self, epoch: u64) -> LogRecord {
+    pub(super) fn record(&self, epoch: u64) -> LogRecord {
         let being_reserved = if self.is_reserving { RESERVED_BLOCK } else { 0 };
         LogRecord::BarrierReservation { epoch, reserved: self.reserved + being_reserved }
     }
--- a/system/chain/src/replica/log.rs
+++ b/system/chain/src/replica/log.rs
@@ -28,37 +28,37 @@
 
 impl Log {
     /// Index of the last entry, durable or not.
-    pub fn last_index(&self) -> u64 {
+    pub(super) fn last_index(&self) -> u64 {
         self.compacted_index + self.entries.len() as u64
     }
 
     /// Index of the last synced entry.
-    pub fn durable_index(&self) -> u64 {
+    pub(super) fn durable_index(&self) -> u64 {
         self.durable_index
     }
 
     /// Index of the last entry known to be committed and durable here.
-    pub fn commit_index(&self) -> u64 {
+    pub(super) fn commit_index(&self) -> u64 {
         self.commit_index
     }
 
     /// Index of the last entry given to the host.
-    pub fn applied_index(&self) -> u64 {
+    pub(super) fn applied_index(&self) -> u64 {
         self.applied_index
     }
 
     /// The index before the oldest entry still held.
-    pub fn compacted_index(&self) -> u64 {
+    pub(super) fn compacted_index(&self) -> u64 {
         self.compacted_index
     }
 
     /// Bytes of the commands that aren't applied.
-    pub fn unapplied_bytes(&self) -> usize {
+    pub(super) fn unapplied_bytes(&self) -> usize {
         self.unapplied_bytes
     }
 
     /// Adds an entry and gives the record to persist.
-    pub fn append(&mut self, epoch: u64, command: Vec<u8>) -> LogRecord {
+    pub(super) fn append(&mut self, epoch: u64, command: Vec<u8>) -> LogRecord {
         let record = LogRecord::Entry {
             epoch,
             index: self.last_index() + 1,
@@ -76,24 +76,24 @@
     }
 
     /// An entry that is still held.
-    pub fn get(&self, index: u64) -> Option<&Entry> {
+    pub(super) fn get(&self, index: u64) -> Option<&Entry> {
         let position = index.checked_sub(self.compacted_index + 1)?;
         self.entries.get(usize::try_from(position).ok()?)
     }
 
     /// The entries up to here are synced. Entries that were truncated since do no harm: no others are appended
     /// before the record of that truncation is synced as well.
-    pub fn mark_durable(&mut self, up_to: u64) {
+    pub(super) fn mark_durable(&mut self, up_to: u64) {
         self.durable_index = self.durable_index.max(up_to.min(self.last_index()));
     }
 
     /// The entries up to here are committed; what isn't durable here doesn't count yet.
-    pub fn commit_to(&mut self, up_to: u64) {
+    pub(super) fn commit_to(&mut self, up_to: u64) {
         self.commit_index = self.commit_index.max(up_to.min(self.durable_index));
     }
 
     /// The next committed entry that wasn't applied; it counts as applied from now on.
-    pub fn apply_next(&mut self) -> Option<(u64, Vec<u8>)> {
+    pub(super) fn apply_next(&mut self) -> Option<(u64, Vec<u8>)> {
         if self.applied_index >= self.commit_index {
             return None;
         }
@@ -105,7 +105,7 @@
     }
 
     /// Drops the entries after an index.
-    pub fn truncate(&mut self, after: u64) {
+    pub(super) fn truncate(&mut self, after: u64) {
         let after = after.max(self.commit_index);
         while self.last_index() > after {
             if let Some(entry) = self.entries.pop_back() {
@@ -117,7 +117,7 @@
     }
 
     /// Continues from a state that holds all entries up to an index.
-    pub fn reset_to(&mut self, index: u64) {
+    pub(super) fn reset_to(&mut self, index: u64) {
         self.entries.clear();
         self.bytes = 0;
         self.unapplied_bytes = 0;
@@ -128,7 +128,7 @@
     }
 
     /// Drops applied entries beyond the bounds, the oldest first.
-    pub fn compact(&mut self, max_entries: usize, max_bytes: usize) {
+    pub(super) fn compact(&mut self, max_entries: usize, max_bytes: usize) {
         while self.applied_index > self.compacted_index + max_entries as u64
             || (self.applied_index > self.compacted_index && self.bytes - self.unapplied_bytes > max_bytes)
         {
@@ -139,7 +139,7 @@
     }
 
     /// Records of all the entries after an index.
-    pub fn records_after(&self, index: u64) -> Vec<LogRecord> {
+    pub(super) fn records_after(&self, index: u64) -> Vec<LogRecord> {
         (index + 1..=self.last_index())
             .filter_map(|index| {
                 let entry = self.get(index)?;
@@ -150,7 +150,7 @@
     }
 
     /// Adds an entry found on the disk. An entry out of order is ignored.
-    pub fn restore(&mut self, epoch: u64, index: u64, commit_index: u64, command: Vec<u8>) {
+    pub(super) fn restore(&mut self, epoch: u64, index: u64, commit_index: u64, command: Vec<u8>) {
         if index != self.last_index() + 1 {
             return;
         }
--- a/system/chain/src/replica/mod.rs
+++ b/system/chain/src/replica/mod.rs
@@ -90,6 +90,7 @@
 impl Replica {
     /// A replica with an empty disk and no view. The seed must differ from one start of the process to
     /// the next.
+    #[must_use]
     pub fn new(me: MemberId, settings: ReplicaSettings, seed: u64) -> Self {
         Self {
             me,
@@ -133,47 +134,56 @@
     }
 
     /// When [`Event::TimerExpired`] is due next.
+    #[must_use]
     pub fn next_timer(&self) -> Option<Duration> {
         let timers = [self.resend_timer(), self.upstream_timer(), self.reads_timer(), self.barrier_timer()];
         timers.into_iter().flatten().min()
     }
 
     /// This member's identity.
+    #[must_use]
     pub fn me(&self) -> MemberId {
         self.me
     }
 
     /// The newest view known.
+    #[must_use]
     pub fn view(&self) -> Option<&View> {
         self.view.as_ref()
     }
 
     /// The epoch of the newest view known; 0 without one.
+    #[must_use]
     pub fn epoch(&self) -> u64 {
         self.view.as_ref().map_or(0, |view| view.epoch)
     }
 
     /// Whether this member counts in its view's chain.
+    #[must_use]
     pub fn is_in_sync(&self) -> bool {
         self.in_sync && self.is_in_chain()
     }
 
     /// Whether this member takes part in its view's chain now, with all that is committed.
+    #[must_use]
     pub fn is_serving(&self) -> bool {
         self.is_active() && self.is_in_sync()
     }
 
     /// The last entry given to the host.
+    #[must_use]
     pub fn applied_index(&self) -> u64 {
         self.log.applied_index()
     }
 
     /// The last entry known to be committed.
+    #[must_use]
     pub fn commit_index(&self) -> u64 {
         self.log.commit_index()
     }
 
     /// The last entry held, durable or not.
+    #[must_use]
     pub fn last_index(&self) -> u64 {
         self.log.last_index()
     }
@@ -287,28 +297,28 @@
         match message {
             ReplicaMessage::Resume { last_index, in_sync, learner, .. } => {
                 let role = if learner { FollowerRole::Learner } else { FollowerRole::Successor };
-                self.on_resume(now, from, Resume { last_index, in_sync, role }, out)
+                self.on_resume(now, from, Resume { last_index, in_sync, role }, out);
             }
             ReplicaMessage::RequestResume { .. } => self.on_request_resume(now, from, out),
             ReplicaMessage::Append { first_index, commands, commit_index, in_sync_index, .. } => {
-                self.on_append(now, from, Append { first_index, commands, commit_index, in_sync_index }, out)
+                self.on_append(now, from, Append { first_index, commands, commit_index, in_sync_index }, out);
             }
             ReplicaMessage::SnapshotChunk { index, total, offset, bytes, .. } => {
-                self.on_chunk(now, from, Chunk { index, total, offset, bytes }, out)
+                self.on_chunk(now, from, Chunk { index, total, offset, bytes }, out);
             }
             ReplicaMessage::SnapshotChunkAck { index, received, .. } => {
-                self.on_chunk_ack(now, from, index, received)
+                self.on_chunk_ack(now, from, index, received);
             }
             ReplicaMessage::Ack { durable_index, commit_index, .. } => {
-                self.on_ack(now, from, durable_index, commit_index, out)
+                self.on_ack(now, from, durable_index, commit_index, out);
             }
             ReplicaMessage::ConfirmView { round, .. } => self.on_confirm_view(from, round, out),
             ReplicaMessage::ViewConfirmed { round, commit_index, .. } => {
-                self.on_view_confirmed(from, round, commit_index)
+                self.on_view_confirmed(from, round, commit_index);
             }
             ReplicaMessage::Barrier { number, .. } => self.on_barrier(from, number, out),
             ReplicaMessage::BarrierCommitted { number, commit_index, .. } => {
-                self.on_barrier_committed(from, number, commit_index, out)
+                self.on_barrier_committed(from, number, commit_index, out);
             }
             ReplicaMessage::StaleEpoch { .. } => {}
         }
@@ -330,7 +340,7 @@
             PendingRecord::Sealed { epoch } => self.on_seal_durable(epoch, out),
             PendingRecord::Snapshot { index, bytes } => self.on_snapshot_durable(index, bytes, out),
             PendingRecord::Barriers { epoch, reserved } if epoch == self.epoch() => {
-                self.barriers.on_reservation_durable(reserved)
+                self.barriers.on_reservation_durable(reserved);
             }
             // A newer view has come meanwhile.
             PendingRecord::View { .. } | PendingRecord::InSync { .. } | PendingRecord::Barriers { .. } => {}
--- a/system/chain/src/replica/progress.rs
+++ b/system/chain/src/replica/progress.rs
@@ -56,7 +56,7 @@
 
 impl Progress {
     /// A follower that hasn't said after which entry to continue.
-    pub fn new(member: MemberId, role: FollowerRole, now: Duration) -> Self {
+    pub(super) fn new(member: MemberId, role: FollowerRole, now: Duration) -> Self {
         Self {
             member,
             role,
@@ -69,35 +69,35 @@
         }
     }
 
-    pub fn is_learner(&self) -> bool {
+    pub(super) fn is_learner(&self) -> bool {
         self.role == FollowerRole::Learner
     }
 
-    pub fn needs_snapshot(&self) -> bool {
+    pub(super) fn needs_snapshot(&self) -> bool {
         matches!(self.state, ProgressState::Snapshot { .. })
     }
 
     /// Makes the next request to resume due, if the follower still has to be asked.
-    pub fn expedite_probe(&mut self) {
+    pub(super) fn expedite_probe(&mut self) {
         if self.state == ProgressState::Probe {
             self.last_progress_at = Duration::ZERO;
         }
     }
 
     /// Serves entries after one that the follower holds.
-    pub fn become_replicate(&mut self, acked_index: u64) {
+    pub(super) fn become_replicate(&mut self, acked_index: u64) {
         self.state = ProgressState::Replicate;
         self.acked_index = acked_index;
         self.next_index = acked_index + 1;
     }
 
     /// Serves a snapshot from its beginning; `index` is none until the host has encoded one.
-    pub fn become_snapshot(&mut self, index: Option<u64>) {
+    pub(super) fn become_snapshot(&mut self, index: Option<u64>) {
         self.state = ProgressState::Snapshot { index, received: 0, sent: None };
     }
 
     /// Whether an acknowledgement is due, so that something has to be sent again without one.
-    pub fn is_outstanding(&self, has_uncommitted: bool) -> bool {
+    pub(super) fn is_outstanding(&self, has_uncommitted: bool) -> bool {
         match self.state {
             ProgressState::Probe => !self.is_learner(),
             ProgressState::Snapshot { index, .. } => index.is_some(),
@@ -108,7 +108,7 @@
     }
 
     /// Sends the chunks of a snapshot that fit into the window, if the follower needs one.
-    pub fn send_chunks(
+    pub(super) fn send_chunks(
         &mut self,
         now: Duration,
         epoch: u64,
--- a/system/chain/src/replica/reads.rs
+++ b/system/chain/src/replica/reads.rs
@@ -34,13 +34,13 @@
 
 impl Reads {
     /// Rounds start at a number that no earlier process has used, so that no late confirmation counts for a new round.
-    pub fn new(seed: u64) -> Self {
+    pub(super) fn new(seed: u64) -> Self {
         let number = fastrand::Rng::with_seed(seed).u64(..) >> 1;
         Self { number, queued: Vec::new(), round: None, confirmed: Vec::new() }
     }
 
     /// Another view is in force: the reads of the current round go into the next one.
-    pub fn restart(&mut self) {
+    pub(super) fn restart(&mut self) {
         if let Some(round) = self.round.take() {
             self.queued.extend(round.reads);
         }
--- a/system/chain/src/replica/recovery.rs
+++ b/system/chain/src/replica/recovery.rs
@@ -8,6 +8,7 @@
 impl Replica {
     /// Recovers a replica from the records on its disk, in the order written. Records of the control group's
     /// vote count for the seals that they imply.
+    #[must_use]
     pub fn recover(me: MemberId, records: &[LogRecord], settings: ReplicaSettings, seed: u64) -> Self {
         let mut replica = Self::new(me, settings, seed);
         for record in records {
@@ -27,14 +28,14 @@
             LogRecord::InSync { epoch } if *epoch == self.epoch() => self.in_sync = true,
             LogRecord::Sealed { epoch } => self.seal_in_memory(*epoch),
             LogRecord::Entry { epoch, index, commit_index, command } => {
-                self.log.restore(*epoch, *index, *commit_index, command.clone())
+                self.log.restore(*epoch, *index, *commit_index, command.clone());
             }
             LogRecord::Snapshot { index, bytes } => {
                 self.log.reset_to(*index);
                 self.recovered_state = Some(bytes.clone());
             }
             LogRecord::BarrierReservation { epoch, reserved } if *epoch == self.epoch() => {
-                self.barriers.restore(*reserved)
+                self.barriers.restore(*reserved);
             }
             LogRecord::Promise { epoch, .. } => self.seal_in_memory(epoch.saturating_sub(1)),
             LogRecord::Accepted { members, .. } => self.seal_in_memory(members.epoch.saturating_sub(1)),
@@ -55,6 +56,7 @@
     /// Everything that must stay on the disk once the state after [`Replica::applied_index`] is encoded as `state`. The host
     /// writes it after all that was to be persisted before, and may then drop all of that. None while a snapshot from
     /// another member is being written; a later call succeeds.
+    #[must_use]
     pub fn checkpoint(&self, state: Vec<u8>) -> Option<Vec<LogRecord>> {
         if self.upstream.is_installing_snapshot() {
             return None;
--- a/system/chain/src/replica/upstream.rs
+++ b/system/chain/src/replica/upstream.rs
@@ -29,7 +29,7 @@
 
 impl Upstream {
     /// Follows another source, or none.
-    pub fn reset(&mut self, source: Option<MemberId>) {
+    pub(super) fn reset(&mut self, source: Option<MemberId>) {
         *self = Self {
             source,
             awaits_resume_reply: source.is_some(),
@@ -39,12 +39,12 @@
     }
 
     /// What must be durable here to count in the view, once the source has said so.
-    pub fn in_sync_index(&self) -> Option<u64> {
+    pub(super) fn in_sync_index(&self) -> Option<u64> {
         self.in_sync_index
     }
 
     /// Whether a snapshot is being written.
-    pub fn is_installing_snapshot(&self) -> bool {
+    pub(super) fn is_installing_snapshot(&self) -> bool {
         self.is_installing_snapshot
     }
 
--- a/system/chain/src/settings.rs
+++ b/system/chain/src/settings.rs
@@ -93,6 +93,7 @@
 
 impl ControlChainSettings {
     /// The usual settings for a fault tolerance.
+    #[must_use]
     pub fn new(fault_tolerance: usize) -> Self {
         let replica = ReplicaSettings {
             min_chain_length: fault_tolerance + 1,
--- a/system/chain/tests/cluster/actions.rs
+++ b/system/chain/tests/cluster/actions.rs
@@ -53,7 +53,7 @@
                 .invariants
                 .on_barrier_committed((me, self.hosts[machine].incarnation, epoch), number, commit_index),
             ChainAction::View(MembershipAction::Sealed { epoch }) => {
-                self.hosts[machine].sealed_epoch = self.hosts[machine].sealed_epoch.max(epoch)
+                self.hosts[machine].sealed_epoch = self.hosts[machine].sealed_epoch.max(epoch);
             }
             ChainAction::NotHead { .. } | ChainAction::Busy { .. } | ChainAction::BecameInSync { .. } => {}
         }
--- a/system/chain/tests/cluster/mod.rs
+++ b/system/chain/tests/cluster/mod.rs
@@ -150,7 +150,7 @@
         }
         match what {
             SimulationEvent::MessageArrives { machine, from, message } => {
-                self.event(machine, ChainEvent::Message { from, message })
+                self.event(machine, ChainEvent::Message { from, message });
             }
             SimulationEvent::DiskSynced { machine, incarnation } => self.synced(machine, incarnation),
             SimulationEvent::Timer { machine, incarnation } => self.timer(machine, incarnation),
@@ -163,7 +163,7 @@
             SimulationEvent::ClientRequest => self.client(),
             SimulationEvent::Fault => self.inject_fault(),
             SimulationEvent::TargetedFault { machine, wipe_disk } => {
-                self.inject_targeted_fault(machine, wipe_disk)
+                self.inject_targeted_fault(machine, wipe_disk);
             }
             SimulationEvent::AnnounceMembers => self.announce(),
         }
--- a/system/chain/tests/partition/cluster.rs
+++ b/system/chain/tests/partition/cluster.rs
@@ -154,7 +154,7 @@
         }
         match what {
             SimulationEvent::MessageArrives { machine, from, message } => {
-                self.event(machine, ReplicaEvent::Message { from, message })
+                self.event(machine, ReplicaEvent::Message { from, message });
             }
             SimulationEvent::DiskSynced { machine, incarnation }
                 if self.machines[machine].incarnation == incarnation =>
@@ -171,7 +171,7 @@
                 self.event(machine, ReplicaEvent::TimerExpired);
             }
             SimulationEvent::ViewArrives { machine, view } => {
-                self.event(machine, ReplicaEvent::View(ViewEvent::Install { view }))
+                self.event(machine, ReplicaEvent::View(ViewEvent::Install { view }));
             }
             SimulationEvent::ReportArrives { member, epoch } if epoch == self.view.epoch => {
                 self.in_sync.insert(member);
--- a/system/chain/tests/simulation/invariants.rs
+++ b/system/chain/tests/simulation/invariants.rs
@@ -129,7 +129,7 @@
         }
     }
 
-    /// A tick confirms what was acknowledged before it was sent, and confirmed_barriers rise in a member's life and an epoch.
+    /// A tick confirms what was acknowledged before it was sent, and `confirmed_barriers` rise in a member's life and an epoch.
     pub fn on_barrier_committed(&mut self, at: (MemberId, u64, u64), number: u64, commit_index: u64) {
         let (member, _, epoch) = at;
         let seed = self.seed;
--- a/system/control/src/coordinator/backends.rs
+++ b/system/control/src/coordinator/backends.rs
@@ -62,6 +62,7 @@
 
 impl BackendReports {
     /// Nothing reported yet.
+    #[must_use]
     pub fn new(settings: BackendSettings) -> Self {
         Self { settings, ..Self::default() }
     }
@@ -85,6 +86,7 @@
     }
 
     /// Whether `settling_time` has passed since the first report, so that the first partitions may be placed.
+    #[must_use]
     pub fn has_settled(&self, now: Duration) -> bool {
         self.first_report.is_some_and(|first| now >= first + self.settings.settling_time)
     }
--- a/system/control/src/coordinator/load_schedule.rs
+++ b/system/control/src/coordinator/load_schedule.rs
@@ -77,6 +77,7 @@
 
 impl LoadSchedule {
     /// A schedule without loads.
+    #[must_use]
     pub fn new(settings: LoadScheduleSettings) -> Self {
         Self { settings, ..Self::default() }
     }
@@ -144,12 +145,14 @@
     }
 
     /// How many stores of a service may load concurrently now.
+    #[must_use]
     pub fn limit(&self, service: &str) -> usize {
         self.windows.get(service).cloned().unwrap_or_default().limit()
     }
 
     /// When a load may start that could not before, though none has ended: a failed one may be retried, or one in flight stops counting
     /// against the limit.
+    #[must_use]
     pub fn next_evaluation(&self) -> Option<Duration> {
         let blocking = self.in_flight.values().filter(|load| self.saturated.contains(&load.service));
         let counting = blocking.map(|load| load.counts_until);
@@ -157,6 +160,7 @@
     }
 
     /// How many loads are in flight.
+    #[must_use]
     pub fn in_flight(&self) -> usize {
         self.in_flight.len()
     }
--- a/system/control/src/coordinator/load_window.rs
+++ b/system/control/src/coordinator/load_window.rs
@@ -56,11 +56,13 @@
 
 impl LoadWindow {
     /// How many stores may load concurrently.
+    #[must_use]
     pub fn limit(&self) -> usize {
         self.limit as usize
     }
 
     /// How long a load takes that others don't slow down; none before one was measured.
+    #[must_use]
     pub fn usual(&self) -> Option<Duration> {
         self.quickest_in_window.into_iter().chain(self.quickest_in_previous_window).min()
     }
--- a/system/control/src/coordinator/mod.rs
+++ b/system/control/src/coordinator/mod.rs
@@ -13,11 +13,12 @@
 
 /// The score of a candidate for a subject in rendezvous hashing (Thaler & Ravishankar 1998): the highest wins, and a candidate that goes
 /// changes nothing for the others.
+#[must_use]
 pub fn rendezvous(subject: u64, candidate: u64) -> u64 {
     mix(subject.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ mix(candidate))
 }
 
-/// The finalizer of SplitMix64.
+/// The finalizer of `SplitMix64`.
 fn mix(value: u64) -> u64 {
     let value = (value ^ (value >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let value = (value ^ (value >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/system/control/src/coordinator/model_usage.rs
+++ b/system/control/src/coordinator/model_usage.rs
@@ -88,6 +88,7 @@
 
     /// How requests of a model end at the stores of a service. While nothing is known of the model, the strictest route of the
     /// service counts.
+    #[must_use]
     pub fn method(&self, configuration: &Configuration, service: &str, model: &str) -> LoadMethod {
         let known: Vec<&Route> = self
             .models
--- a/system/control/src/coordinator/partitions.rs
+++ b/system/control/src/coordinator/partitions.rs
@@ -67,11 +67,13 @@
     }
 
     /// How many backends can get partitions.
+    #[must_use]
     pub fn usable(&self) -> usize {
         self.members.values().filter(|backend| backend.condition == Condition::Usable).count()
     }
 
     /// Whether enough backends would be left without this one.
+    #[must_use]
     pub fn can_spare(&self, member: u64) -> bool {
         let left = self
             .members
--- a/system/control/src/coordinator/weights.rs
+++ b/system/control/src/coordinator/weights.rs
@@ -86,6 +86,7 @@
 
 impl LoadMethod {
     /// The name of the method in an order.
+    #[must_use]
     pub fn wire_name(self) -> &'static str {
         match self {
             LoadMethod::Blocking => "blocking",
@@ -96,6 +97,7 @@
 
 /// The loads that are due at the stores of one service, the most urgent first: those of the model that the fewest stores can
 /// serve now. The stores of one model come in an order of its own, so that models don't all wait for the same ones.
+#[must_use]
 pub fn due_loads(service: &EngineService) -> Vec<Load> {
     let mut models: Vec<_> = service
         .models
--- a/system/control/src/http/mod.rs
+++ b/system/control/src/http/mod.rs
@@ -26,6 +26,7 @@
 
 impl NodeHandle {
     /// A handle that puts its requests into this queue.
+    #[must_use]
     pub fn new(requests: mpsc::Sender<Request>) -> Self {
         Self { requests }
     }
@@ -44,6 +45,7 @@
 }
 
 /// All routes.
+#[must_use]
 pub fn router(node: &NodeHandle) -> Router {
     let node = node.clone();
     let (replacement, update) = configuration::Change::handlers(&node);
--- a/system/control/src/lib.rs
+++ b/system/control/src/lib.rs
@@ -8,6 +8,8 @@
 //!
 //! The first three do no I/O. [`run`] assembles the whole.
 
+#![warn(unreachable_pub)]
+
 pub mod coordinator;
 pub mod http;
 pub mod node;
--- a/system/control/src/node/commands/submissions.rs
+++ b/system/control/src/node/commands/submissions.rs
@@ -41,6 +41,7 @@
 
 impl<W> Submissions<W> {
     /// None in flight. Requests are numbered from after `first` on, which differs between the incarnations of a process.
+    #[must_use]
     pub fn new(settings: SubmissionSettings, first: u64) -> Self {
         Self { settings, last_request: first, in_flight: BTreeMap::new() }
     }
@@ -102,16 +103,19 @@
     }
 
     /// When the next command is to be sent or given up.
+    #[must_use]
     pub fn next_timer(&self) -> Option<Duration> {
         self.in_flight.values().map(|submission| submission.next_send.min(submission.deadline)).min()
     }
 
     /// How many commands are in flight.
+    #[must_use]
     pub fn len(&self) -> usize {
         self.in_flight.len()
     }
 
     /// Whether no command is in flight.
+    #[must_use]
     pub fn is_empty(&self) -> bool {
         self.in_flight.is_empty()
     }
--- a/system/control/src/node/disk.rs
+++ b/system/control/src/node/disk.rs
@@ -25,7 +25,7 @@
 
 /// One record in the ring. Encoded by the order of the variants.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub enum DiskRecord {
+pub(super) enum DiskRecord {
     /// The identity of this disk.
     Identity {
         /// The identity.
@@ -41,7 +41,7 @@
 
 /// Who the member on a disk is.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct DiskIdentity {
+pub(super) struct DiskIdentity {
     /// The identity of the disk.
     pub member: u64,
     /// All founders, if this member is one of them.
@@ -50,14 +50,14 @@
 
 impl DiskIdentity {
     /// The record that stores it.
-    pub fn to_record(&self) -> DiskRecord {
+    pub(super) fn to_record(&self) -> DiskRecord {
         DiskRecord::Identity { member: self.member, founders: self.founders.clone() }
     }
 }
 
 /// The recovered contents of a disk.
 #[derive(Debug, Default)]
-pub struct DiskContents {
+pub(super) struct DiskContents {
     /// The identity, if the disk was used before.
     pub identity: Option<DiskIdentity>,
     /// The known control nodes.
@@ -89,7 +89,7 @@
 /// # Errors
 ///
 /// The ring can't be opened, or one of its records can't be decoded.
-pub fn open(folder: &Path, disk_mb: u64) -> Result<(Ring<FileDisk>, DiskContents), DiskError> {
+pub(super) fn open(folder: &Path, disk_mb: u64) -> Result<(Ring<FileDisk>, DiskContents), DiskError> {
     let bytes = (disk_mb * MEBIBYTE / RING_DIVISOR).clamp(MIN_RING_BYTES, MAX_RING_BYTES);
     let settings = RingSettings { files: RING_FILES as usize, file_bytes: bytes / RING_FILES };
     let disk = FileDisk::open(folder).context(StorageSnafu)?;
@@ -114,13 +114,13 @@
 }
 
 /// Encodes a record for the ring.
-pub fn encode(record: &DiskRecord) -> Vec<u8> {
+pub(super) fn encode(record: &DiskRecord) -> Vec<u8> {
     bincode::serde::encode_to_vec(record, bincode::config::standard()).unwrap_or_default()
 }
 
 /// An effect of an event of the storage thread.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum DiskOutput {
+pub(super) enum DiskOutput {
     /// The chain's records up to this token are durable.
     Durable {
         /// The chain's token.
@@ -148,7 +148,7 @@
 
 /// The queue of writes to the disk of one member.
 #[derive(Debug)]
-pub struct Disk {
+pub(super) struct Disk {
     writer: Writer,
     identity: DiskIdentity,
     next_id: u64,
@@ -167,7 +167,7 @@
     /// # Errors
     ///
     /// The thread can't be started.
-    pub fn start(
+    pub(super) fn start(
         ring: Ring<FileDisk>,
         identity: DiskIdentity,
         events: UnboundedSender<WriterEvent>,
@@ -189,14 +189,14 @@
     }
 
     /// Appends records of the chain, which are reported durable under `token`.
-    pub fn append_chain(&mut self, records: Vec<LogRecord>, token: u64) {
+    pub(super) fn append_chain(&mut self, records: Vec<LogRecord>, token: u64) {
         self.newest_chain_token = Some(token);
         let records: Vec<DiskRecord> = records.into_iter().map(DiskRecord::Chain).collect();
         self.append(&records, Some(token));
     }
 
     /// Appends the known peers, in place of those before.
-    pub fn append_peers(&mut self, peers: Vec<NodeRecord>) {
+    pub(super) fn append_peers(&mut self, peers: Vec<NodeRecord>) {
         self.append(&[DiskRecord::Peers(peers)], None);
     }
 
@@ -215,7 +215,7 @@
     }
 
     /// Replaces everything on the disk by the identity, the peers and a checkpoint of the chain, unless that is in progress.
-    pub fn write_snapshot(&mut self, peers: Vec<NodeRecord>, chain: Vec<LogRecord>) {
+    pub(super) fn write_snapshot(&mut self, peers: Vec<NodeRecord>, chain: Vec<LogRecord>) {
         if self.pending_snapshot.is_some() {
             return;
         }
@@ -233,7 +233,7 @@
     }
 
     /// Whether a snapshot should be written now because a write has failed. Returns true once in [`REWRITE_INTERVAL`].
-    pub fn poll_rewrite(&mut self, now: Duration) -> bool {
+    pub(super) fn poll_rewrite(&mut self, now: Duration) -> bool {
         let is_due = self.has_failed && self.pending_snapshot.is_none() && now >= self.next_rewrite;
         if is_due {
             self.next_rewrite = now + REWRITE_INTERVAL;
@@ -242,12 +242,12 @@
     }
 
     /// How many writes are pending.
-    pub fn pending_writes(&self) -> usize {
+    pub(super) fn pending_writes(&self) -> usize {
         self.pending.len()
     }
 
     /// Processes an event of the storage thread.
-    pub fn handle_event(&mut self, event: WriterEvent) -> Vec<DiskOutput> {
+    pub(super) fn handle_event(&mut self, event: WriterEvent) -> Vec<DiskOutput> {
         match event {
             WriterEvent::Durable { token, wants_snapshot } => {
                 let finished = self.finish(token);
--- a/system/control/src/node/peers/directory.rs
+++ b/system/control/src/node/peers/directory.rs
@@ -47,6 +47,7 @@
 
 impl PeerDirectory {
     /// The directory of a member, with the records from its disk.
+    #[must_use]
     pub fn new(own_member: u64, recovered: Vec<NodeRecord>) -> Self {
         let mut directory = Self { own_member, ..Self::default() };
         for record in recovered {
@@ -118,6 +119,7 @@
     }
 
     /// Whether exactly this process has been seen since `since`. If not, it may have ended or be partitioned from here.
+    #[must_use]
     pub fn is_alive(&self, address: SocketAddr, incarnation: u64, since: Duration) -> bool {
         self.entries.values().any(|entry| {
             let is_same = entry.record.address == address && entry.record.incarnation == incarnation;
@@ -126,16 +128,19 @@
     }
 
     /// Where a member receives internal messages.
+    #[must_use]
     pub fn address(&self, member: u64) -> Option<SocketAddr> {
         self.entries.get(&member).map(|entry| entry.record.address)
     }
 
     /// The member at an address.
+    #[must_use]
     pub fn member_at(&self, address: SocketAddr) -> Option<u64> {
         self.entries.iter().find(|(_, entry)| entry.record.address == address).map(|(member, _)| *member)
     }
 
     /// All records, for other nodes and for the disk.
+    #[must_use]
     pub fn records(&self) -> Vec<NodeRecord> {
         self.entries.values().map(|entry| entry.record.clone()).collect()
     }
--- a/system/control/src/sessions/acknowledgements.rs
+++ b/system/control/src/sessions/acknowledgements.rs
@@ -125,6 +125,7 @@
     }
 
     /// When the first one expires.
+    #[must_use]
     pub fn next_timer(&self) -> Option<Duration> {
         self.pending.first().map(|acknowledgement| acknowledgement.deadline)
     }
--- a/system/control/src/sessions/mod.rs
+++ b/system/control/src/sessions/mod.rs
@@ -67,6 +67,7 @@
 
 impl Sessions {
     /// The sessions of the control node that takes internal messages at `me`.
+    #[must_use]
     pub fn new(settings: SessionSettings, me: SocketAddr) -> Self {
         Self { settings, me, sessions: HashMap::new() }
     }
@@ -184,11 +185,13 @@
     }
 
     /// Who owns a session, if there is one.
+    #[must_use]
     pub fn owner(&self, key: &Key) -> Option<SocketAddr> {
         self.sessions.get(key).map(|session| session.owner)
     }
 
     /// How many sessions there are.
+    #[must_use]
     pub fn counts(&self) -> SessionCounts {
         let owned = self.sessions.values().filter(|session| session.owner == self.me).count();
         SessionCounts { all: self.sessions.len(), owned }
@@ -202,6 +205,7 @@
 }
 
 /// Whether an entry is about a source of heartbeats.
+#[must_use]
 pub fn is_session(key: &Key) -> bool {
     matches!(key, Key::Store(_) | Key::Node(_))
 }
--- a/system/control/src/sessions/replication.rs
+++ b/system/control/src/sessions/replication.rs
@@ -58,6 +58,7 @@
 
 impl SessionReplication {
     /// A replication without peers.
+    #[must_use]
     pub fn new(settings: ReplicationSettings) -> Self {
         Self { settings, ..Self::default() }
     }
@@ -83,6 +84,7 @@
     }
 
     /// Whether a control node is among the peers.
+    #[must_use]
     pub fn has_peer(&self, peer: SocketAddr) -> bool {
         self.peers.contains_key(&peer)
     }
@@ -96,6 +98,7 @@
     }
 
     /// Whether a peer has acknowledged the newest entry of a key.
+    #[must_use]
     pub fn is_replicated_to(&self, peer: SocketAddr, key: &Key) -> bool {
         let Some(peer) = self.peers.get(&peer) else { return false };
         let sent = peer.in_flight.as_ref().is_some_and(|sent| sent.keys.contains(key));
@@ -123,6 +126,7 @@
     }
 
     /// When the first batch in flight may have to be sent again.
+    #[must_use]
     pub fn next_timer(&self) -> Option<Duration> {
         self.peers
             .values()
--- a/system/control/src/state/backends.rs
+++ b/system/control/src/state/backends.rs
@@ -17,6 +17,7 @@
 
 impl BackendAddresses {
     /// Where the backend with this disk receives messages, if it is registered.
+    #[must_use]
     pub fn get(&self, member: u64) -> Option<SocketAddr> {
         self.addresses.get(&member).copied()
     }
--- a/system/control/src/state/configuration.rs
+++ b/system/control/src/state/configuration.rs
@@ -58,16 +58,19 @@
 
 impl ConfigurationState {
     /// The operator's version in force; 0 before the first.
+    #[must_use]
     pub fn version(&self) -> u64 {
         self.version
     }
 
     /// The configuration in force.
+    #[must_use]
     pub fn document(&self) -> Option<&ConfigurationDocument> {
         self.document.as_ref()
     }
 
     /// The index of the entry of the control chain that put it in force.
+    #[must_use]
     pub fn sequence(&self) -> u64 {
         self.sequence
     }
--- a/system/control/src/state/mod.rs
+++ b/system/control/src/state/mod.rs
@@ -137,36 +137,43 @@
     }
 
     /// The newest fencing token; 0 before the first.
+    #[must_use]
     pub fn fencing_token(&self) -> u64 {
         self.fencing.as_ref().map_or(0, |fencing| fencing.token)
     }
 
     /// The newest fencing token and its owner.
+    #[must_use]
     pub fn fencing(&self) -> Option<&FencingState> {
         self.fencing.as_ref()
     }
 
     /// The operator's configuration.
+    #[must_use]
     pub fn configuration(&self) -> &ConfigurationState {
         &self.configuration
     }
 
     /// The newest named version of each model.
+    #[must_use]
     pub fn versions(&self) -> &BTreeMap<String, u64> {
         &self.versions
     }
 
     /// The chains of the partitions.
+    #[must_use]
     pub fn partitions(&self) -> &PartitionState {
         &self.partitions
     }
 
     /// The retirements of backends.
+    #[must_use]
     pub fn retirements(&self) -> &Retirements {
         &self.retirements
     }
 
     /// The registered addresses of the disks of backends.
+    #[must_use]
     pub fn backends(&self) -> &BackendAddresses {
         &self.backends
     }
--- a/system/control/src/state/partitions.rs
+++ b/system/control/src/state/partitions.rs
@@ -16,6 +16,7 @@
 
 impl PartitionState {
     /// The chain of a partition.
+    #[must_use]
     pub fn get(&self, partition: u16) -> Option<&PartitionRecord> {
         self.records.get(&partition)
     }
@@ -26,11 +27,13 @@
     }
 
     /// Whether a member is in any chain.
+    #[must_use]
     pub fn is_member(&self, member: u64) -> bool {
         self.records.values().any(|record| record.chain.contains(&member))
     }
 
     /// Whether every partition has so many replicas in sync.
+    #[must_use]
     pub fn all_have_replicas(&self, replicas: u64) -> bool {
         self.records.values().all(|record| record.in_sync.len() as u64 >= replicas)
     }
--- a/system/control/src/state/retirements.rs
+++ b/system/control/src/state/retirements.rs
@@ -25,6 +25,7 @@
 
 impl Retirements {
     /// The retirement of a machine; none if it was never begun.
+    #[must_use]
     pub fn get(&self, name: &str) -> Option<&Retirement> {
         self.machines.get(name)
     }
@@ -35,6 +36,7 @@
     }
 
     /// Whether a member is being retired, and so must not get partitions.
+    #[must_use]
     pub fn contains_member(&self, member: u64) -> bool {
         self.machines.values().any(|retirement| retirement.member == member)
     }
--- a/system/data/src/clock.rs
+++ b/system/data/src/clock.rs
@@ -10,11 +10,13 @@
 
 impl Clock {
     /// A clock that shows zero now.
+    #[must_use]
     pub fn start() -> Self {
         Self { started: Instant::now() }
     }
 
     /// The time since the start.
+    #[must_use]
     pub fn now(self) -> Duration {
         self.started.elapsed()
     }
--- a/system/data/src/forward/call.rs
+++ b/system/data/src/forward/call.rs
@@ -56,7 +56,7 @@
     let request = request(call).ok_or(Verdict::NeverRan)?;
     let outgoing = Rc::new(OutgoingRequest::new(request, route, deadline));
     let mut attempts = Attempts::new(Rc::clone(shared), outgoing);
-    let response = attempts.run(None).await.map_err(|error| error.verdict())?;
+    let response = attempts.run(None).await.map_err(super::response::ForwardError::verdict)?;
     let response = complete(response, attempts.time_left()).await?;
     let signature =
         headers::text(&response.headers, &headers::SERVER_SIGNATURE).unwrap_or_default().to_owned();
--- a/system/data/src/forward/event_buffer.rs
+++ b/system/data/src/forward/event_buffer.rs
@@ -18,6 +18,10 @@
 
 impl EventBuffer {
     /// Appends bytes and returns the complete events; those that were forwarded before are left out.
+    ///
+    /// # Errors
+    ///
+    /// An event exceeds the limit.
     pub fn push(&mut self, bytes: &[u8]) -> Result<Bytes, EventTooLong> {
         self.partial.extend_from_slice(bytes);
         let mut complete = BytesMut::new();
@@ -36,11 +40,13 @@
     }
 
     /// The id of the last event that was forwarded.
+    #[must_use]
     pub fn last_id(&self) -> Option<u64> {
         self.last_id
     }
 
     /// Whether it ends with an incomplete event.
+    #[must_use]
     pub fn is_partial(&self) -> bool {
         !self.partial.is_empty()
     }
--- a/system/data/src/forward/response.rs
+++ b/system/data/src/forward/response.rs
@@ -61,6 +61,7 @@
 
 impl ForwardError {
     /// Whether the request may have run.
+    #[must_use]
     pub fn verdict(self) -> Verdict {
         match self {
             Self::BadRequest { verdict } | Self::AttemptsExhausted { verdict } => verdict,
--- a/system/data/src/front/budget.rs
+++ b/system/data/src/front/budget.rs
@@ -19,6 +19,7 @@
 
 impl RequestBudget {
     /// A budget of which nothing is in use.
+    #[must_use]
     pub fn new(max_requests: usize, max_bytes: usize) -> Rc<Self> {
         Rc::new(Self { requests: Cell::new(0), bytes: Cell::new(0), max_requests, max_bytes })
     }
--- a/system/data/src/front/client_stream.rs
+++ b/system/data/src/front/client_stream.rs
@@ -14,7 +14,7 @@
 use crate::Shared;
 
 /// A client's socket.
-pub struct ClientStream {
+pub(super) struct ClientStream {
     stream: TokioIo<TcpStream>,
     phase: Rc<Cell<Phase>>,
     shared: Rc<Shared>,
@@ -22,7 +22,7 @@
 
 impl ClientStream {
     /// A socket that updates `phase`.
-    pub fn new(stream: TcpStream, phase: Rc<Cell<Phase>>, shared: Rc<Shared>) -> Self {
+    pub(super) fn new(stream: TcpStream, phase: Rc<Cell<Phase>>, shared: Rc<Shared>) -> Self {
         Self { stream: TokioIo::new(stream), phase, shared }
     }
 }
--- a/system/data/src/front/connection_table.rs
+++ b/system/data/src/front/connection_table.rs
@@ -29,6 +29,7 @@
 
 impl Phase {
     /// Whether the time-out of this phase has expired.
+    #[must_use]
     pub fn is_expired(self, now: Duration, timeouts: ConnectionTimeouts) -> bool {
         match self {
             Phase::Idle(since) => now.saturating_sub(since) > timeouts.idle,
@@ -59,6 +60,7 @@
 
 impl ConnectionTable {
     /// An empty table for at most `limit` connections.
+    #[must_use]
     pub fn new(limit: usize) -> Rc<Self> {
         Rc::new(Self { entries: RefCell::default(), limit })
     }
--- a/system/data/src/front/request_body.rs
+++ b/system/data/src/front/request_body.rs
@@ -9,7 +9,7 @@
 
 /// Why a body was not read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
-pub enum BodyError {
+pub(super) enum BodyError {
     /// It is longer than the configuration allows.
     #[snafu(display("the body is longer than the configuration allows"))]
     TooLong,
@@ -26,7 +26,7 @@
 /// # Errors
 ///
 /// [`BodyError`]; part of the body may be left unread.
-pub async fn read(
+pub(super) async fn read(
     mut body: Incoming,
     max_bytes: usize,
     permit: &mut RequestPermit,
--- a/system/data/src/front/server.rs
+++ b/system/data/src/front/server.rs
@@ -56,6 +56,7 @@
 }
 
 /// Derives the limits of the front from those of the process.
+#[must_use]
 pub fn front_limits(limits: &ProcessLimits) -> FrontLimits {
     let descriptors = limits.file_descriptors.saturating_sub(RESERVED_DESCRIPTORS);
     let descriptors = (descriptors - descriptors / INTERNAL_DESCRIPTOR_DIVISOR) / 2;
@@ -79,6 +80,7 @@
 
 impl Front {
     /// A front without connections.
+    #[must_use]
     pub fn new(limits: FrontLimits) -> Rc<Self> {
         let connections = ConnectionTable::new(limits.connections);
         Rc::new(Self { connections, budget: RequestBudget::new(limits.requests, limits.body_bytes) })
--- a/system/data/src/front/service.rs
+++ b/system/data/src/front/service.rs
@@ -27,7 +27,7 @@
 const DEFAULT_TIME_LEFT: Duration = Duration::from_secs(1);
 
 /// Handles a request.
-pub async fn handle(
+pub(super) async fn handle(
     shared: Rc<Shared>,
     budget: Rc<RequestBudget>,
     request: Request<Incoming>,
--- a/system/data/src/headers.rs
+++ b/system/data/src/headers.rs
@@ -110,6 +110,7 @@
 }
 
 /// The time that `Keep-Alive: timeout=N` names.
+#[must_use]
 pub fn keep_alive(headers: &HeaderMap) -> Option<Duration> {
     text(headers, &KEEP_ALIVE)?
         .split(',')
@@ -118,6 +119,7 @@
 }
 
 /// A header value of a number.
+#[must_use]
 pub fn number(value: u128) -> HeaderValue {
     HeaderValue::from_str(&value.to_string()).unwrap_or_else(|_| HeaderValue::from_static("0"))
 }
--- a/system/data/src/index.rs
+++ b/system/data/src/index.rs
@@ -114,11 +114,13 @@
     }
 
     /// The stores of a service that accept requests.
+    #[must_use]
     pub fn of_service(&self, service: &str) -> Rc<Vec<Rc<KnownStore>>> {
         self.by_service.get(service).cloned().unwrap_or_default()
     }
 
     /// Whether no store accepts requests.
+    #[must_use]
     pub fn is_empty(&self) -> bool {
         self.by_id.is_empty()
     }
--- a/system/data/src/lib.rs
+++ b/system/data/src/lib.rs
@@ -4,6 +4,8 @@
 //! front for clients, readiness, and the driver of batch jobs. All state is shared by `Rc`; nothing here is sent to
 //! another thread.
 
+#![warn(unreachable_pub)]
+
 mod clock;
 pub mod forward;
 pub mod front;
--- a/system/data/src/node/heartbeat.rs
+++ b/system/data/src/node/heartbeat.rs
@@ -32,11 +32,13 @@
 
 impl Heartbeats {
     /// The first heartbeat is due immediately.
+    #[must_use]
     pub fn new() -> Self {
         Self { target: None, advertised: Vec::new(), sequence: 0, acknowledged: 0, next_at: Duration::ZERO }
     }
 
     /// When the next one is due.
+    #[must_use]
     pub fn next_timer(&self) -> Duration {
         self.next_at
     }
--- a/system/data/src/node/mod.rs
+++ b/system/data/src/node/mod.rs
@@ -66,6 +66,10 @@
 }
 
 /// Runs an edge until a signal ends it, on a current-thread runtime inside a `LocalSet`. `reload` reads the settings again.
+///
+/// # Errors
+///
+/// A listener, the internal network or the signal handlers can't be set up.
 pub async fn run<E: Display>(
     settings: Settings,
     reload: impl Fn() -> Result<Settings, E>,
@@ -185,7 +189,7 @@
                 rollout::on_message(&self.shared, from, message);
             }
             Incoming::Message { from, message: Envelope::Control(message) } => {
-                self.on_control_message(from, message)
+                self.on_control_message(from, message);
             }
             Incoming::Message { .. } => {}
             Incoming::Lost { peer, .. } => {
--- a/system/data/src/node/readiness.rs
+++ b/system/data/src/node/readiness.rs
@@ -50,6 +50,7 @@
 }
 
 /// The decision: the configuration and stores are known, the registry was fresh recently, and the process is not shutting down.
+#[must_use]
 pub fn is_ready(
     has_endpoints: bool,
     fresh_at: Option<Duration>,
@@ -61,7 +62,7 @@
 }
 
 /// Serves readiness checks until the task is aborted.
-pub async fn serve(shared: Rc<Shared>, readiness: Rc<Readiness>, listener: TcpListener) {
+pub(super) async fn serve(shared: Rc<Shared>, readiness: Rc<Readiness>, listener: TcpListener) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
             tokio::time::sleep(ACCEPT_BACKOFF).await;
--- a/system/data/src/node/shutdown.rs
+++ b/system/data/src/node/shutdown.rs
@@ -33,12 +33,14 @@
     pub const MIN_IDLE: Duration = Duration::from_millis(100);
 
     /// A shutdown that starts now, to be complete within the grace period.
+    #[must_use]
     pub fn new(now: Duration, grace_period: Duration) -> Self {
         let close_idle_from = now + REMOVAL_TIME.min(grace_period / SERVING_DIVISOR);
         Self { close_idle_from, exit_at: now + grace_period - grace_period / MARGIN_DIVISOR }
     }
 
     /// What to do now, with so many requests in flight and connections open.
+    #[must_use]
     pub fn step(&self, now: Duration, requests: usize, connections: usize) -> ShutdownStep {
         if now >= self.exit_at {
             return ShutdownStep::Exit;
--- a/system/data/src/reply.rs
+++ b/system/data/src/reply.rs
@@ -18,7 +18,7 @@
 pub struct CloseConnection;
 
 /// A streamed body of any source.
-pub type StreamedBody = Pin<Box<dyn Body<Data = Bytes, Error = CloseConnection>>>;
+pub(crate) type StreamedBody = Pin<Box<dyn Body<Data = Bytes, Error = CloseConnection>>>;
 
 /// The body of a response to a client.
 pub enum ReplyBody {
@@ -40,6 +40,7 @@
     }
 
     /// A response without a body.
+    #[must_use]
     pub fn status(status: StatusCode) -> Reply {
         let mut reply = Response::new(Self::empty());
         *reply.status_mut() = status;
--- a/system/data/src/rollout/backend_client.rs
+++ b/system/data/src/rollout/backend_client.rs
@@ -157,7 +157,11 @@
 }
 
 /// The address of a partition's head or tail, and the epoch of its chain.
-pub fn member_address(registry: &Registry, partition: u16, member: ChainMember) -> Option<(SocketAddr, u64)> {
+pub(super) fn member_address(
+    registry: &Registry,
+    partition: u16,
+    member: ChainMember,
+) -> Option<(SocketAddr, u64)> {
     let record = registry.partition(partition)?;
     let id = match member {
         ChainMember::Head => record.chain.first()?,
--- a/system/data/src/rollout/event_stream.rs
+++ b/system/data/src/rollout/event_stream.rs
@@ -71,6 +71,7 @@
     }
 
     /// Whether the parser is between two events, the only point where a stream may end.
+    #[must_use]
     pub fn is_between_events(&self) -> bool {
         self.line.is_empty() && !self.has_data && self.id.is_none() && self.version.is_none()
     }
--- a/system/data/src/rollout/plan/checkpoint.rs
+++ b/system/data/src/rollout/plan/checkpoint.rs
@@ -77,6 +77,7 @@
     }
 
     /// The size in bytes that each part's text will have at the partition with it.
+    #[must_use]
     pub fn sizes_with(&self, parts: &[PartialText]) -> Vec<usize> {
         let size_before = |part: &PartialText| match part.previous_event_id {
             Some(_) => self.by_item.get(&part.item).map_or(0, |checkpoint| checkpoint.bytes),
--- a/system/data/src/rollout/plan/generated_text.rs
+++ b/system/data/src/rollout/plan/generated_text.rs
@@ -52,41 +52,49 @@
     }
 
     /// The id of the last event, with which a resumed generation is requested; `None` before the first event.
+    #[must_use]
     pub fn last_id(&self) -> Option<u64> {
         self.last_id
     }
 
     /// The versions of the weights that made an event, in order.
+    #[must_use]
     pub fn versions(&self) -> &[u64] {
         &self.versions
     }
 
     /// Whether it has no event yet.
+    #[must_use]
     pub fn is_empty(&self) -> bool {
         self.last_id.is_none()
     }
 
     /// Its size in bytes.
+    #[must_use]
     pub fn len(&self) -> usize {
         self.data.len()
     }
 
     /// Restores a text from a checkpoint, whose data is not parsed again.
+    #[must_use]
     pub fn from_checkpoint(checkpoint: PartialText) -> Self {
         Self { data: checkpoint.data, last_id: Some(checkpoint.last_event_id), versions: checkpoint.versions }
     }
 
     /// The data from an offset in bytes on.
+    #[must_use]
     pub fn data_from(&self, start: usize) -> &[u8] {
         self.data.get(start..).unwrap_or_default()
     }
 
     /// The data of all events, separated by line feeds, and the versions.
+    #[must_use]
     pub fn into_parts(self) -> (Vec<u8>, Vec<u64>) {
         (self.data, self.versions)
     }
 
     /// Whether it may be part of a result: no version below `min_version`, and with `single_version` no more than one.
+    #[must_use]
     pub fn has_allowed_versions(&self, min_version: u64, single_version: bool) -> bool {
         self.versions.iter().all(|&version| version >= min_version)
             && !(single_version && self.versions.len() > 1)
--- a/system/data/src/rollout/plan/groups.rs
+++ b/system/data/src/rollout/plan/groups.rs
@@ -10,7 +10,7 @@
 
 /// Items that share their prompt.
 #[derive(Debug, Default)]
-pub struct Group {
+pub(super) struct Group {
     /// Indices of its items.
     pub(super) items: Vec<u32>,
     /// Stores that were sent one of its items, and so have its prompt in their prefix cache.
@@ -44,6 +44,7 @@
 
 impl Groups {
     /// The groups of a batch job; an item without a group forms its own.
+    #[must_use]
     pub fn new(job: &JobRecord) -> Self {
         let mut all: Vec<Group> = Vec::new();
         let mut known: HashMap<&str, usize> = HashMap::new();
--- a/system/data/src/rollout/plan/item.rs
+++ b/system/data/src/rollout/plan/item.rs
@@ -182,7 +182,7 @@
                 self.wait_until(now);
             }
             GenerationOutcome::NeverRan => {
-                self.wait_until(now + Duration::from_millis(random.u64(BACKOFF_MS)))
+                self.wait_until(now + Duration::from_millis(random.u64(BACKOFF_MS)));
             }
             GenerationOutcome::Interrupted | GenerationOutcome::Other
                 if self.outcomes_without_progress >= MAX_OUTCOMES_WITHOUT_PROGRESS =>
--- a/system/data/src/rollout/plan/mod.rs
+++ b/system/data/src/rollout/plan/mod.rs
@@ -72,6 +72,7 @@
 
 impl JobPlan {
     /// A plan for a batch job of which the items in `finished` have results already.
+    #[must_use]
     pub fn new(job: Arc<JobRecord>, finished: &[u32], seed: u64) -> Self {
         let mut items: Vec<Item> = job.items.iter().map(|_| Item::default()).collect();
         for &index in finished {
@@ -84,16 +85,19 @@
     }
 
     /// The batch job.
+    #[must_use]
     pub fn job(&self) -> &Arc<JobRecord> {
         &self.job
     }
 
     /// How many complete groups the trainer waits for.
+    #[must_use]
     pub fn desired_groups(&self) -> usize {
         self.groups.desired
     }
 
     /// The group of each item, and how many groups there are.
+    #[must_use]
     pub fn groups_of_items(&self) -> (Vec<usize>, usize) {
         let mut group_of = vec![0; self.items.len()];
         for (number, group) in self.groups.all.iter().enumerate() {
@@ -139,6 +143,7 @@
     }
 
     /// Identifies the start of an item's text (see [`TextView::origin`]); 0 for an unknown item.
+    #[must_use]
     pub fn origin(&self, index: u32) -> u64 {
         self.items.get(index as usize).map_or(0, |item| item.origin)
     }
@@ -153,6 +158,7 @@
     }
 
     /// Whether all items have results.
+    #[must_use]
     pub fn is_finished(&self) -> bool {
         self.items.iter().all(|item| item.state == State::Finished)
     }
@@ -219,6 +225,7 @@
     }
 
     /// When the next backoff ends: the latest time for the next call of [`Self::place`] or [`Self::take_due_scorings`].
+    #[must_use]
     pub fn next_timer(&self, now: Duration) -> Option<Duration> {
         let backoffs = self.items.iter().filter_map(|item| match item.state {
             State::Waiting { not_before } | State::AwaitingScore { not_before } if not_before > now => {
--- a/system/data/src/rollout/plan/placement.rs
+++ b/system/data/src/rollout/plan/placement.rs
@@ -122,11 +122,13 @@
     }
 
     /// Whether a surplus group has not started.
+    #[must_use]
     pub fn has_surplus_groups(&self) -> bool {
         (0..self.groups.all.len()).any(|group| self.is_unstarted(group))
     }
 
     /// Whether an item could be placed now if a store had capacity: any of a group that has started, or of one the trainer waits for.
+    #[must_use]
     pub fn has_items_to_place(&self, now: Duration) -> bool {
         let mut started_groups = 0;
         for group in 0..self.groups.all.len() {
--- a/system/data/src/rollout/plan/priority.rs
+++ b/system/data/src/rollout/plan/priority.rs
@@ -40,6 +40,7 @@
 }
 
 /// The priority of a generation of a step.
+#[must_use]
 pub fn priority(progress: StepProgress, is_surplus: bool) -> u8 {
     if is_surplus {
         return SURPLUS;
--- a/system/data/src/rollout/plan/progress_rate.rs
+++ b/system/data/src/rollout/plan/progress_rate.rs
@@ -66,6 +66,7 @@
     }
 
     /// The interval of a store, in percent of the average over all stores.
+    #[must_use]
     pub fn interval_percent(&self, id: &str, now: Duration) -> u32 {
         let Some(known) = self.stores.get(id).filter(|_| self.average_interval_ms > 0.0) else {
             return AVERAGE_PERCENT;
@@ -77,6 +78,7 @@
     }
 
     /// The average time between two events over all stores; zero before the first sample.
+    #[must_use]
     pub fn average_interval(&self) -> Duration {
         Duration::from_secs_f64(self.average_interval_ms.max(0.0) / 1_000.0)
     }
--- a/system/data/src/rollout/plan/stream_migration.rs
+++ b/system/data/src/rollout/plan/stream_migration.rs
@@ -33,6 +33,7 @@
 }
 
 /// How long streams are observed between two decisions.
+#[must_use]
 pub fn observation_window(average_interval: Duration) -> Duration {
     MIN_WINDOW.max(average_interval * WINDOW_INTERVALS)
 }
@@ -40,6 +41,7 @@
 /// The items whose streams are to be migrated now, after they were observed for `observed`.
 ///
 /// With `same_version`, only stores that serve the same version are targets, else those of at least `min_version`.
+#[must_use]
 pub fn streams_to_migrate(
     observed: Duration,
     average_interval: Duration,
--- a/system/data/src/rollout/plan/weight_loading.rs
+++ b/system/data/src/rollout/plan/weight_loading.rs
@@ -64,6 +64,7 @@
 
     /// The most requests that this edge may have in flight at a store when it sends one for this model, given how many there are and
     /// the limit for all models.
+    #[must_use]
     pub fn limit(&self, id: &str, model: &str, in_flight: u32, limit: u32, now: Duration) -> u32 {
         if self.breakers.is_empty() {
             return limit;
--- a/system/data/src/rollout/submission.rs
+++ b/system/data/src/rollout/submission.rs
@@ -8,7 +8,7 @@
 
 /// Why a batch job can't be read.
 #[derive(Debug, Snafu)]
-pub enum SubmissionError {
+pub(super) enum SubmissionError {
     /// It is no JSON of the expected form.
     #[snafu(display("batch job: {source}"))]
     Form {
@@ -29,7 +29,7 @@
 
 /// Where a batch job came in.
 #[derive(Clone, Debug)]
-pub struct Arrival {
+pub(super) struct Arrival {
     /// Its id.
     pub id: String,
     /// The host that it was sent to.
@@ -39,7 +39,7 @@
 }
 
 /// Reads a batch job.
-pub fn read(arrival: Arrival, body: &[u8]) -> Result<JobRecord, SubmissionError> {
+pub(super) fn read(arrival: Arrival, body: &[u8]) -> Result<JobRecord, SubmissionError> {
     let submitted: SubmittedJob = serde_json::from_slice(body).context(FormSnafu)?;
     let items: Result<Vec<ItemRecord>, SubmissionError> =
         submitted.items.into_iter().map(read_item).collect();
--- a/system/data/src/rollout/trainer_api.rs
+++ b/system/data/src/rollout/trainer_api.rs
@@ -36,6 +36,10 @@
 const RETRY_AFTER_S: &str = "0.5";
 
 /// Handles a trainer's request, whose body was read completely.
+///
+/// # Errors
+///
+/// [`CloseConnection`] if it is not known whether the request took effect.
 pub async fn handle(shared: Rc<Shared>, request: Request<Bytes>) -> Result<Reply, CloseConnection> {
     let path = request.uri().path().to_owned();
     let query = request.uri().query().unwrap_or_default().to_owned();
--- a/system/data/src/routing/affinity.rs
+++ b/system/data/src/routing/affinity.rs
@@ -18,6 +18,7 @@
 
 impl Prompt {
     /// Parses `ID:TOKENS,ID:TOKENS`, for a model at a service; ends at the first malformed part.
+    #[must_use]
     pub fn parse(service: &str, model: &str, parts: &str) -> Self {
         let mut hasher = DefaultHasher::new();
         (service, model).hash(&mut hasher);
@@ -59,6 +60,7 @@
     }
 
     /// The store with the longest cached prefix of a prompt, and its [`Candidate::affinity_bonus`](super::Candidate).
+    #[must_use]
     pub fn preferred_store(&self, prompt: &Prompt) -> Option<(&str, usize)> {
         let (store, tokens) = prompt
             .prefixes
--- a/system/data/src/routing/retry.rs
+++ b/system/data/src/routing/retry.rs
@@ -37,6 +37,7 @@
 }
 
 /// Decides whether another attempt follows: the request never ran or is idempotent, and has attempts and time left.
+#[must_use]
 pub fn decide_retry(
     history: &AttemptHistory,
     max_attempts: usize,
@@ -62,6 +63,7 @@
 }
 
 /// The response to a request without a further attempt. Only one that never ran gets the promise of a 503.
+#[must_use]
 pub fn failure_response(verdict: Verdict, time_left: Duration, objective: Duration) -> FailureResponse {
     match verdict {
         Verdict::NeverRan => {
--- a/system/data/src/routing/table.rs
+++ b/system/data/src/routing/table.rs
@@ -90,6 +90,7 @@
 
 impl RouteTable {
     /// The routes of a configuration.
+    #[must_use]
     pub fn of(configuration: &Configuration) -> Self {
         let mut hosts: HashMap<String, Vec<Rc<RouteEntry>>> = HashMap::new();
         for route in &configuration.routes {
@@ -129,6 +130,7 @@
     }
 
     /// The route of a host, with or without a port, and a path: the longest prefix wins.
+    #[must_use]
     pub fn find(&self, host: &str, path: &str) -> Option<&Rc<RouteEntry>> {
         let lower = host.to_ascii_lowercase();
         let entries = self.hosts.get(&lower).or_else(|| self.hosts.get(without_port(&lower)))?;
--- a/system/data/src/routing/timeouts.rs
+++ b/system/data/src/routing/timeouts.rs
@@ -24,17 +24,20 @@
 const RETRY_TIME_DIVISOR: u32 = 3;
 
 /// The deadline of a request: the client's, or that by the route's time-out, whichever is earlier.
+#[must_use]
 pub fn request_deadline(now: Duration, deadline: Option<Duration>, timeout: Option<Duration>) -> Duration {
     let timeout = [deadline, timeout].into_iter().flatten().min().unwrap_or(DEFAULT_TIMEOUT);
     now + timeout
 }
 
 /// The time-out of connecting to a store.
+#[must_use]
 pub fn connect_timeout(time_left: Duration) -> Duration {
     (time_left / 3).clamp(MIN_CONNECT_TIMEOUT, MAX_CONNECT_TIMEOUT).min(time_left)
 }
 
 /// The time-out of the response head. A request that can't be retried waits for all the time left.
+#[must_use]
 pub fn head_timeout(time_left: Duration, average_latency: Option<Duration>, can_retry: bool) -> Duration {
     if !can_retry {
         return time_left;
@@ -44,6 +47,7 @@
 }
 
 /// The idle time-out of a response's body. Only a resumable stream is taken from an unresponsive store before its deadline.
+#[must_use]
 pub fn idle_timeout(time_left: Duration, objective: Duration, is_resumable: bool) -> Duration {
     if is_resumable {
         (objective * IDLE_TIMEOUT_OBJECTIVES).max(MIN_IDLE_TIMEOUT).min(time_left)
@@ -53,6 +57,7 @@
 }
 
 /// Whether the expected queueing time at a store exceeds the time left; false if it can't be estimated.
+#[must_use]
 pub fn exceeds_queueing_time(
     load: Option<StoreLoad>,
     average_latency: Option<Duration>,
@@ -65,6 +70,7 @@
 }
 
 /// When a rejected client may retry: after a quarter of its latency target, within bounds and a third of the time left.
+#[must_use]
 pub fn retry_after(time_left: Duration, objective: Duration) -> Duration {
     let (least, most) = RETRY_BOUNDS;
     (objective / 4).clamp(least, most).min(time_left / RETRY_TIME_DIVISOR)
--- a/system/data/src/shared.rs
+++ b/system/data/src/shared.rs
@@ -54,6 +54,7 @@
 
 impl Shared {
     /// An edge with an empty registry.
+    #[must_use]
     pub fn new(settings: Settings, network: Network<Envelope>, incarnation: u64) -> Self {
         let relay_settings = RelaySettings::for_role(Role::Edge, &settings.zone);
         let relay = Relay::new(relay_settings, network.local_address(), false, incarnation);
--- a/system/data/src/stores/attempt.rs
+++ b/system/data/src/stores/attempt.rs
@@ -49,6 +49,7 @@
 
 impl AttemptError {
     /// Whether the request may have run at the store.
+    #[must_use]
     pub fn verdict(&self) -> Verdict {
         match self {
             Self::ConnectFailed
--- a/system/data/src/stores/client.rs
+++ b/system/data/src/stores/client.rs
@@ -39,6 +39,7 @@
 
 impl StoreClient {
     /// A client without connections.
+    #[must_use]
     pub fn new() -> Self {
         Self { pool: ConnectionPool::new(), limits: RefCell::default() }
     }
@@ -142,7 +143,7 @@
     idle_timeout: Duration,
 ) -> Result<StoreResponse, AttemptError> {
     let (mut head, incoming) = response.into_parts();
-    let id = identity.id.as_ref().map(|id| id.as_bytes());
+    let id = identity.id.as_ref().map(hyper::http::HeaderValue::as_bytes);
     let class = classify_response(&identity.method, id, head.status, &head.headers);
     if class == ResponseClass::Invalid {
         return Err(AttemptError::InvalidResponse);
--- a/system/data/src/stores/connection.rs
+++ b/system/data/src/stores/connection.rs
@@ -28,7 +28,7 @@
 
 impl<S> Connection<S> {
     /// Opens a connection. `on_closed` is called with its [`Self::idle_since`] if the store closes it in good order.
-    pub async fn open(
+    pub(super) async fn open(
         address: SocketAddr,
         slot: S,
         on_closed: impl FnOnce(Option<Duration>) + 'static,
--- a/system/data/src/stores/pool.rs
+++ b/system/data/src/stores/pool.rs
@@ -58,7 +58,7 @@
 
 impl ConnectionSlot {
     /// The connections of its store.
-    pub fn store(&self) -> Rc<StorePool> {
+    pub(super) fn store(&self) -> Rc<StorePool> {
         Rc::clone(&self.store)
     }
 }
@@ -82,7 +82,7 @@
 
 impl ConnectionPool {
     /// A pool without connections.
-    pub fn new() -> Self {
+    pub(super) fn new() -> Self {
         Self {
             stores: RefCell::default(),
             total: Rc::default(),
@@ -92,12 +92,12 @@
     }
 
     /// Sets the limit of connections to all stores together.
-    pub fn set_total_limit(&self, limit: usize) {
+    pub(super) fn set_total_limit(&self, limit: usize) {
         self.total_limit.set(limit);
     }
 
     /// Acquires a connection to a store: an idle one if there is one, else a new one while there are fewer than `limit`.
-    pub async fn acquire(
+    pub(super) async fn acquire(
         &self,
         target: &StoreTarget,
         limit: usize,
@@ -140,7 +140,7 @@
     }
 
     /// Closes connections that were idle for too long, and idle ones to stores for which `is_known` is false.
-    pub fn close_expired(&self, is_known: impl Fn(&str) -> bool) {
+    pub(super) fn close_expired(&self, is_known: impl Fn(&str) -> bool) {
         self.stores.borrow_mut().retain(|id, store| {
             store.close_expired(is_known(id));
             store.open.get() > 0 || is_known(id)
@@ -172,14 +172,14 @@
     }
 
     /// Takes back a connection whose response is complete.
-    pub fn release(self: &Rc<Self>, connection: PooledConnection) {
+    pub(super) fn release(self: &Rc<Self>, connection: PooledConnection) {
         connection.idle_since.set(Some(self.started.elapsed()));
         self.idle.borrow_mut().push(connection);
         self.released.notify_one();
     }
 
     /// The store named its keep-alive time.
-    pub fn on_keep_alive(&self, time: Duration) {
+    pub(super) fn on_keep_alive(&self, time: Duration) {
         self.idle_timeout.set(with_margin(time));
     }
 
--- a/system/data/src/stores/response.rs
+++ b/system/data/src/stores/response.rs
@@ -135,7 +135,7 @@
             match self.frame().await? {
                 Ok(frame) => match frame.into_data() {
                     Ok(data) => return Some(Ok(data)),
-                    Err(_trailers) => continue,
+                    Err(_trailers) => {}
                 },
                 Err(error) => return Some(Err(error)),
             }
--- a/system/data/src/stores/response_class.rs
+++ b/system/data/src/stores/response_class.rs
@@ -25,7 +25,7 @@
     status: StatusCode,
     head: &HeaderMap,
 ) -> ResponseClass {
-    let response_id = head.get(headers::ATTEMPT_ID).map(|value| value.as_bytes());
+    let response_id = head.get(headers::ATTEMPT_ID).map(hyper::http::HeaderValue::as_bytes);
     if id.is_none() || response_id != id {
         return ResponseClass::Invalid;
     }
@@ -67,6 +67,7 @@
 }
 
 /// The load that a store reports: running, waiting, slots.
+#[must_use]
 pub fn load(head: &HeaderMap) -> Option<StoreLoad> {
     let mut parts =
         headers::text(head, &headers::SERVER_LOAD)?.split(',').map(|part| part.trim().parse().ok());
--- a/system/data/tests/rollout_common/mod.rs
+++ b/system/data/tests/rollout_common/mod.rs
@@ -88,7 +88,7 @@
             while let Some(incoming) = inbox.next().await {
                 match incoming {
                     Incoming::Message { from, message: Envelope::Jobs(message) } => {
-                        rollout::on_message(&inner, from, message)
+                        rollout::on_message(&inner, from, message);
                     }
                     Incoming::Message { .. } => {}
                     Incoming::Lost { peer, .. } => rollout::on_lost(&inner, peer),
--- a/system/jobs/src/backend/mod.rs
+++ b/system/jobs/src/backend/mod.rs
@@ -103,6 +103,7 @@
 
 impl Backend {
     /// A backend with the content of its disk.
+    #[must_use]
     pub fn new(me: MemberId, mut content: DiskContent, settings: JobsSettings, seed: u64) -> Self {
         let mut seeds = fastrand::Rng::with_seed(seed);
         let partitions = (0..PARTITION_COUNT).map(|partition| {
@@ -120,20 +121,20 @@
     pub fn handle(&mut self, now: Duration, event: BackendEvent, out: &mut Vec<BackendAction>) {
         match event {
             BackendEvent::Started => {
-                self.with_each_partition(now, out, |partition, context| partition.start(context))
+                self.with_each_partition(now, out, super::partition::Partition::start);
             }
             BackendEvent::ChainDecided { partition, record } => {
                 self.with_partition(now, partition, out, |partition, context| {
-                    partition.install(context, &record)
-                })
+                    partition.install(context, &record);
+                });
             }
             BackendEvent::EdgeChanged { incarnation, state } => {
-                self.on_edge_changed(now, incarnation, state, out)
+                self.on_edge_changed(now, incarnation, state, out);
             }
             BackendEvent::ReplicaMessage { partition, from, message } => {
                 self.with_partition(now, partition, out, |partition, context| {
-                    partition.handle_message(context, from, message)
-                })
+                    partition.handle_message(context, from, message);
+                });
             }
             BackendEvent::Request { partition, request } => self.on_request(now, partition, request, out),
             BackendEvent::Durable { token } => self.on_durable(now, token, out),
@@ -150,16 +151,19 @@
     }
 
     /// The identity of the disk.
+    #[must_use]
     pub fn member(&self) -> MemberId {
         self.me
     }
 
     /// The partition with a number.
+    #[must_use]
     pub fn partition(&self, partition: u16) -> Option<&Partition> {
         self.partitions.get(usize::from(partition))
     }
 
     /// The report to the coordinator of the control plane.
+    #[must_use]
     pub fn report(&self, now: Duration) -> BackendReport {
         let in_sync = (0..)
             .zip(&self.partitions)
@@ -172,11 +176,13 @@
     }
 
     /// Whether the oldest write takes longer than the disk-stall time-out.
+    #[must_use]
     pub fn is_disk_stalled(&self, now: Duration) -> bool {
         self.writes.oldest_since().is_some_and(|since| now >= since + self.settings.disk_stall_timeout)
     }
 
     /// Whether all writes are durable.
+    #[must_use]
     pub fn is_synced(&self) -> bool {
         self.writes.oldest_since().is_none()
     }
@@ -219,7 +225,7 @@
         if partition < PARTITION_COUNT {
             let capacity = self.capacity(now);
             self.with_partition(now, partition, out, |partition, context| {
-                partition.handle_request(context, request, capacity)
+                partition.handle_request(context, request, capacity);
             });
         } else {
             let caller = request.caller;
@@ -237,14 +243,14 @@
     ) {
         self.edges.set_state(incarnation, state);
         // Drivers that it replaces, or that have ended with it, are replaced without waiting for a time-out.
-        self.with_each_partition(now, out, |partition, context| partition.handle_timeout(context));
+        self.with_each_partition(now, out, super::partition::Partition::handle_timeout);
     }
 
     fn on_durable(&mut self, now: Duration, token: u64, out: &mut Vec<BackendAction>) {
         while let Some(partitions) = self.writes.pop_durable(token) {
             for (number, token) in partitions {
                 self.with_partition(now, number, out, |partition, context| {
-                    partition.on_durable(context, token)
+                    partition.on_durable(context, token);
                 });
             }
         }
@@ -283,10 +289,10 @@
         for action in actions {
             match action {
                 PartitionAction::SendMember { to, message } => {
-                    out.push(BackendAction::SendMember { to, partition: number, message })
+                    out.push(BackendAction::SendMember { to, partition: number, message });
                 }
                 PartitionAction::SendEdge { to, message } => {
-                    out.push(BackendAction::SendEdge { to, message })
+                    out.push(BackendAction::SendEdge { to, message });
                 }
                 PartitionAction::Persist { token, records } => self.writes.push(number, token, records),
             }
--- a/system/jobs/src/backend/record.rs
+++ b/system/jobs/src/backend/record.rs
@@ -56,7 +56,7 @@
                     content.partitions.entry(partition).or_default().push(record);
                 }
                 DiskRecord::Partition(partition, _) => {
-                    log::warn!(partition; "record of an unknown partition ignored")
+                    log::warn!(partition; "record of an unknown partition ignored");
                 }
             }
         }
--- a/system/jobs/src/backend/write_queue.rs
+++ b/system/jobs/src/backend/write_queue.rs
@@ -42,7 +42,7 @@
 
 impl WriteQueue {
     /// Adds records of a partition to the open batch.
-    pub fn push(&mut self, partition: u16, token: u64, records: Vec<LogRecord>) {
+    pub(super) fn push(&mut self, partition: u16, token: u64, records: Vec<LogRecord>) {
         for record in records {
             match DiskRecord::Partition(partition, record).encode() {
                 Ok(bytes) => self.open_records.push(bytes),
@@ -59,7 +59,7 @@
     }
 
     /// Closes the open batch; none if the event wrote nothing.
-    pub fn close_batch(&mut self, now: Duration) -> Option<Batch> {
+    pub(super) fn close_batch(&mut self, now: Duration) -> Option<Batch> {
         let partitions = std::mem::take(&mut self.open_partitions);
         let records = std::mem::take(&mut self.open_records);
         if partitions.is_empty() || self.has_failed {
@@ -75,7 +75,7 @@
 
     /// Removes the oldest batch if all batches up to the token are durable and it is one of them; returns the tokens of its
     /// partitions.
-    pub fn pop_durable(&mut self, token: u64) -> Option<PartitionTokens> {
+    pub(super) fn pop_durable(&mut self, token: u64) -> Option<PartitionTokens> {
         self.unsynced.front().filter(|oldest| oldest.token <= token)?;
         let durable = self.unsynced.pop_front()?;
         self.unsynced_bytes -= durable.bytes;
@@ -83,12 +83,12 @@
     }
 
     /// Bytes of the batches that are not yet durable.
-    pub fn unsynced_bytes(&self) -> u64 {
+    pub(super) fn unsynced_bytes(&self) -> u64 {
         self.unsynced_bytes
     }
 
     /// Since when the oldest batch is being written; none if all are durable.
-    pub fn oldest_since(&self) -> Option<Duration> {
+    pub(super) fn oldest_since(&self) -> Option<Duration> {
         self.unsynced.front().map(|oldest| oldest.since)
     }
 }
--- a/system/jobs/src/lib.rs
+++ b/system/jobs/src/lib.rs
@@ -3,6 +3,8 @@
 //! [`store`] is the replicated state of one partition, [`partition`] adds its replica and the duties of head and tail, [`backend`]
 //! has all partitions on one disk; none of them does I/O. [`node`] owns the sockets, the disk and the clock.
 
+#![warn(unreachable_pub)]
+
 mod codec;
 mod error;
 mod settings;
--- a/system/jobs/src/node/disk.rs
+++ b/system/jobs/src/node/disk.rs
@@ -104,7 +104,7 @@
     /// # Errors
     ///
     /// The thread can't be started.
-    pub fn start(ring: Ring<FileDisk>) -> Result<Self, JobsError> {
+    pub(super) fn start(ring: Ring<FileDisk>) -> Result<Self, JobsError> {
         let (sender, events) = unbounded_channel();
         let on_event = Box::new(move |event| {
             // The receiver is dropped when the process shuts down.
@@ -125,12 +125,12 @@
     }
 
     /// Waits for the next event of the writer.
-    pub async fn next(&mut self) -> Option<WriterEvent> {
+    pub(super) async fn next(&mut self) -> Option<WriterEvent> {
         self.events.recv().await
     }
 
     /// Handles an event of the writer; returns the token up to which all is durable now.
-    pub fn handle_event(&mut self, now: Duration, event: WriterEvent) -> Option<u64> {
+    pub(super) fn handle_event(&mut self, now: Duration, event: WriterEvent) -> Option<u64> {
         let done = self.queued.pop_front()?;
         self.first += 1;
         self.queued_bytes -= done.bytes;
@@ -164,7 +164,7 @@
     }
 
     /// Writes records as one batch, durable as a whole or not at all.
-    pub fn append(&mut self, token: u64, records: Vec<Vec<u8>>) {
+    pub(super) fn append(&mut self, token: u64, records: Vec<Vec<u8>>) {
         if self.has_failed && !self.is_snapshot_queued {
             return;
         }
@@ -198,18 +198,18 @@
     }
 
     /// Whether a snapshot is to be written now.
-    pub fn is_snapshot_due(&self, now: Duration) -> bool {
+    pub(super) fn is_snapshot_due(&self, now: Duration) -> bool {
         let wanted = self.has_failed || (self.wants_snapshot && self.backlog.is_empty());
         wanted && !self.is_snapshot_queued && now >= self.retry_at
     }
 
     /// When [`DiskWriter::is_snapshot_due`] becomes true without any other event.
-    pub fn next_timer(&self) -> Option<Duration> {
+    pub(super) fn next_timer(&self) -> Option<Duration> {
         (self.has_failed && !self.is_snapshot_queued).then_some(self.retry_at)
     }
 
     /// Replaces all records up to this token by these.
-    pub fn snapshot(&mut self, now: Duration, token: u64, records: Vec<Vec<u8>>) {
+    pub(super) fn snapshot(&mut self, now: Duration, token: u64, records: Vec<Vec<u8>>) {
         let bytes = records.iter().map(Vec::len).sum();
         match self.writer.snapshot(self.next_number(), records) {
             Ok(()) => {
@@ -224,7 +224,7 @@
     }
 
     /// No snapshot is available now; the next attempt follows after a pause.
-    pub fn postpone_snapshot(&mut self, now: Duration) {
+    pub(super) fn postpone_snapshot(&mut self, now: Duration) {
         self.retry_at = now + SNAPSHOT_RETRY;
     }
 }
--- a/system/jobs/src/node/heartbeats.rs
+++ b/system/jobs/src/node/heartbeats.rs
@@ -31,7 +31,7 @@
 
 impl Heartbeats {
     /// The first heartbeats are due immediately; `start` spreads nodes over the control nodes.
-    pub fn new(node: NodeRecord, seeds: Vec<SocketAddr>, start: u64) -> Self {
+    pub(super) fn new(node: NodeRecord, seeds: Vec<SocketAddr>, start: u64) -> Self {
         let current = usize::try_from(start % seeds.len().max(1) as u64).unwrap_or(0);
         Self {
             node,
@@ -46,12 +46,12 @@
     }
 
     /// When [`Heartbeats::poll_messages`] has messages next.
-    pub fn next_timer(&self) -> Duration {
+    pub(super) fn next_timer(&self) -> Duration {
         self.next_session.min(self.next_report)
     }
 
     /// The messages that are due.
-    pub fn poll_messages(
+    pub(super) fn poll_messages(
         &mut self,
         now: Duration,
         coordinator: Option<SocketAddr>,
@@ -76,7 +76,12 @@
     }
 
     /// A control node has acknowledged a heartbeat, and lists all control nodes that it knows.
-    pub fn on_acknowledged(&mut self, now: Duration, from: SocketAddr, control_nodes: Vec<SocketAddr>) {
+    pub(super) fn on_acknowledged(
+        &mut self,
+        now: Duration,
+        from: SocketAddr,
+        control_nodes: Vec<SocketAddr>,
+    ) {
         if self.control_nodes().get(self.current) == Some(&from) {
             self.acknowledged_at = now;
         }
@@ -88,7 +93,7 @@
     }
 
     /// The messages that announce a graceful shutdown.
-    pub fn goodbyes(&self, coordinator: Option<SocketAddr>) -> Vec<(SocketAddr, ControlMessage)> {
+    pub(super) fn goodbyes(&self, coordinator: Option<SocketAddr>) -> Vec<(SocketAddr, ControlMessage)> {
         let message = ControlMessage::Goodbye { incarnation: self.node.incarnation };
         let mut receivers = self.control_nodes();
         receivers.extend(coordinator);
--- a/system/jobs/src/node/mod.rs
+++ b/system/jobs/src/node/mod.rs
@@ -275,7 +275,7 @@
                 });
             }
             Value::Node(node) if node.role == Role::Backend => {
-                self.remember_member(node.member, node.address)
+                self.remember_member(node.member, node.address);
             }
             Value::Tombstone => {
                 let state = if ended { EdgeState::Ended } else { EdgeState::Unreachable };
--- a/system/jobs/src/partition/applied_state.rs
+++ b/system/jobs/src/partition/applied_state.rs
@@ -13,17 +13,17 @@
 }
 
 impl AppliedState {
-    pub fn store(&self) -> &Store {
+    pub(super) fn store(&self) -> &Store {
         &self.store
     }
 
     /// Number of the last entry applied.
-    pub fn index(&self) -> u64 {
+    pub(super) fn index(&self) -> u64 {
         self.index
     }
 
     /// Applies the command of the next entry; its batch job has certainly reached the age.
-    pub fn apply(&mut self, index: u64, command: Command, age: Duration) -> Outcome {
+    pub(super) fn apply(&mut self, index: u64, command: Command, age: Duration) -> Outcome {
         self.index = index;
         let job = command.job().cloned();
         let outcome = self.store.apply(command);
@@ -38,7 +38,7 @@
     /// # Errors
     ///
     /// The bytes are not a state.
-    pub fn install_snapshot(&mut self, index: u64, bytes: &[u8]) -> Result<(), JobsError> {
+    pub(super) fn install_snapshot(&mut self, index: u64, bytes: &[u8]) -> Result<(), JobsError> {
         self.index = index;
         self.store = if bytes.is_empty() { Store::default() } else { Store::decode(bytes)? };
         Ok(())
--- a/system/jobs/src/partition/driver_leases.rs
+++ b/system/jobs/src/partition/driver_leases.rs
@@ -57,12 +57,12 @@
 }
 
 impl DriverLeases {
-    pub fn new(timeouts: LeaseTimeouts) -> Self {
+    pub(super) fn new(timeouts: LeaseTimeouts) -> Self {
         Self { timeouts, by_job: BTreeMap::new() }
     }
 
     /// The replica has become the head: grants a whole lease to every driver.
-    pub fn restart(&mut self, now: Duration, store: &Store) {
+    pub(super) fn restart(&mut self, now: Duration, store: &Store) {
         self.by_job.clear();
         for (id, job) in store.jobs() {
             self.update(now, id, job);
@@ -70,12 +70,12 @@
     }
 
     /// The replica is not the head any more.
-    pub fn clear(&mut self) {
+    pub(super) fn clear(&mut self) {
         self.by_job.clear();
     }
 
     /// Follows the newest state of a batch job. Returns whether its driver has to be sent the assignment.
-    pub fn update(&mut self, now: Duration, id: &str, job: &Job) -> bool {
+    pub(super) fn update(&mut self, now: Duration, id: &str, job: &Job) -> bool {
         if !job.needs_driver() {
             self.by_job.remove(id);
             return false;
@@ -95,26 +95,32 @@
     }
 
     /// The batch job is ended or deleted.
-    pub fn remove(&mut self, id: &str) {
+    pub(super) fn remove(&mut self, id: &str) {
         self.by_job.remove(id);
     }
 
     /// The assignment is sent to the driver.
-    pub fn on_assignment_sent(&mut self, now: Duration, id: &str) {
+    pub(super) fn on_assignment_sent(&mut self, now: Duration, id: &str) {
         if let Some(lease) = self.by_job.get_mut(id) {
             lease.assigned_at = Some(now);
         }
     }
 
     /// The replica rejected the proposal of another driver.
-    pub fn on_reassignment_rejected(&mut self, id: &str) {
+    pub(super) fn on_reassignment_rejected(&mut self, id: &str) {
         if let Some(lease) = self.by_job.get_mut(id) {
             lease.is_replacing = false;
         }
     }
 
     /// Renews the lease of a driver. The chain must have confirmed `store` to be the newest state since the request came.
-    pub fn renew(&mut self, now: Duration, id: &str, term: DriverTerm, store: &Store) -> DriverLeaseState {
+    pub(super) fn renew(
+        &mut self,
+        now: Duration,
+        id: &str,
+        term: DriverTerm,
+        store: &Store,
+    ) -> DriverLeaseState {
         let Some(job) = store.job(id) else { return DriverLeaseState::Fenced };
         if !job.needs_driver() {
             return DriverLeaseState::Ended;
@@ -131,14 +137,14 @@
     }
 
     /// What has to be done about leases by now.
-    pub fn handle_timeout(&mut self, now: Duration, edges: &Edges) -> Vec<LeaseAction> {
+    pub(super) fn handle_timeout(&mut self, now: Duration, edges: &Edges) -> Vec<LeaseAction> {
         let timeouts = self.timeouts;
         let leases = self.by_job.iter_mut();
         leases.filter_map(|(id, lease)| lease.handle_timeout(now, timeouts, id, edges)).collect()
     }
 
     /// When [`DriverLeases::handle_timeout`] is to be called next.
-    pub fn next_timer(&self) -> Option<Duration> {
+    pub(super) fn next_timer(&self) -> Option<Duration> {
         self.by_job.values().map(|lease| lease.next_timer(self.timeouts)).min()
     }
 }
--- a/system/jobs/src/partition/edges.rs
+++ b/system/jobs/src/partition/edges.rs
@@ -47,11 +47,13 @@
     }
 
     /// Internal address of an edge that can be reached.
+    #[must_use]
     pub fn address(&self, incarnation: u64) -> Option<SocketAddr> {
         self.addresses.get(&incarnation).copied()
     }
 
     /// The process that runs at the address of one that can't be reached any more: the next incarnation of the same edge.
+    #[must_use]
     pub fn successor(&self, edge: EdgeProcess) -> Option<EdgeProcess> {
         if self.addresses.contains_key(&edge.incarnation) {
             return None;
@@ -61,11 +63,13 @@
     }
 
     /// Whether an edge has announced its shutdown.
+    #[must_use]
     pub fn has_ended(&self, incarnation: u64) -> bool {
         self.ended.contains(&incarnation)
     }
 
     /// The edge with the highest weight for a batch job (rendezvous hashing: Thaler & Ravishankar 1998), some excluded.
+    #[must_use]
     pub fn choose(&self, job: &str, excluded: &[u64]) -> Option<EdgeProcess> {
         let candidates = self.addresses.iter().filter(|(edge, _)| !excluded.contains(edge));
         let best = candidates.max_by_key(|(edge, _)| rendezvous_weight(job, **edge));
--- a/system/jobs/src/partition/mod.rs
+++ b/system/jobs/src/partition/mod.rs
@@ -72,11 +72,13 @@
 
 impl Partition {
     /// A partition without any history.
+    #[must_use]
     pub fn new(me: MemberId, settings: &JobsSettings, seed: u64) -> Self {
         Self::with_replica(ReplicaHost::new(me, settings.replica.clone(), seed), settings)
     }
 
     /// A partition with the records that the disk holds of it.
+    #[must_use]
     pub fn recover(me: MemberId, records: &[LogRecord], settings: &JobsSettings, seed: u64) -> Self {
         Self::with_replica(ReplicaHost::recover(me, records, settings.replica.clone(), seed), settings)
     }
@@ -171,6 +173,7 @@
     }
 
     /// When [`Partition::handle_timeout`] is to be called next.
+    #[must_use]
     pub fn next_timer(&self) -> Option<Duration> {
         let leases = self.driver_leases.next_timer().filter(|_| self.role.is_head);
         let has_jobs = self.state.store().bytes() > 0;
@@ -179,21 +182,25 @@
     }
 
     /// The replicated state, as far as it is applied here.
+    #[must_use]
     pub fn store(&self) -> &Store {
         self.state.store()
     }
 
     /// The newest view known.
+    #[must_use]
     pub fn view(&self) -> Option<&View> {
         self.replica.view()
     }
 
     /// The epoch in which this replica is in sync, if it is.
+    #[must_use]
     pub fn in_sync_epoch(&self) -> Option<u64> {
         self.replica.in_sync_epoch()
     }
 
     /// Bytes of batch jobs, those of pending creations included.
+    #[must_use]
     pub fn bytes(&self) -> u64 {
         self.state.store().bytes() + self.creations.bytes()
     }
@@ -223,7 +230,7 @@
     fn handle_replica_action(&mut self, context: &mut Context<'_>, action: ReplicaAction) {
         match action {
             ReplicaAction::Send { to, message } => {
-                context.out.push(PartitionAction::SendMember { to, message })
+                context.out.push(PartitionAction::SendMember { to, message });
             }
             ReplicaAction::Persist { token, records } => {
                 let write = self.replica.register_write(token, records);
@@ -235,7 +242,7 @@
             ReplicaAction::ReadReady { token, .. } => self.on_read_confirmed(context, token),
             ReplicaAction::ReadFailed { token } => self.on_read_failed(context, token),
             ReplicaAction::NotHead { command, .. } | ReplicaAction::Busy { command } => {
-                self.on_proposal_rejected(context, &command)
+                self.on_proposal_rejected(context, &command);
             }
             ReplicaAction::View(ViewAction::Installed { .. }) => {
                 if let Some(write) = self.replica.reset_if_removed(context.now) {
--- a/system/jobs/src/partition/pending_creations.rs
+++ b/system/jobs/src/partition/pending_creations.rs
@@ -29,17 +29,17 @@
 }
 
 impl PendingCreations {
-    pub fn new(reserved_bytes_per_result: u64) -> Self {
+    pub(super) fn new(reserved_bytes_per_result: u64) -> Self {
         Self { reserved_bytes_per_result, by_job: BTreeMap::new(), bytes: 0 }
     }
 
     /// Bytes reserved in the memory budget.
-    pub fn bytes(&self) -> u64 {
+    pub(super) fn bytes(&self) -> u64 {
         self.bytes
     }
 
     /// A client submits a batch job. If the creation is to be proposed, its bytes are reserved until [`Self::remove`].
-    pub fn admit(
+    pub(super) fn admit(
         &mut self,
         store: &Store,
         capacity: Capacity,
@@ -66,14 +66,14 @@
     }
 
     /// The creation is applied, or won't be. Returns the callers that joined it.
-    pub fn remove(&mut self, job: &str) -> Vec<Caller> {
+    pub(super) fn remove(&mut self, job: &str) -> Vec<Caller> {
         let Some(creation) = self.by_job.remove(job) else { return Vec::new() };
         self.bytes -= creation.bytes;
         creation.callers
     }
 
     /// The replica is not the head any more; the callers get no response and repeat their requests.
-    pub fn clear(&mut self) {
+    pub(super) fn clear(&mut self) {
         self.by_job.clear();
         self.bytes = 0;
     }
--- a/system/jobs/src/partition/pending_reads.rs
+++ b/system/jobs/src/partition/pending_reads.rs
@@ -34,7 +34,7 @@
 
 impl Read {
     /// The response that stays correct whatever newer commands there are, if the state allows one.
-    pub fn stable_response(&self, store: &Store) -> Option<JobsResponse> {
+    pub(super) fn stable_response(&self, store: &Store) -> Option<JobsResponse> {
         let job = store.job(&self.job)?;
         match &self.target {
             ReadTarget::ItemBody { item } => Some(
@@ -95,7 +95,7 @@
 }
 
 impl PendingReads {
-    pub fn new(settings: &JobsSettings) -> Self {
+    pub(super) fn new(settings: &JobsSettings) -> Self {
         Self {
             max_pending: settings.max_pending_reads,
             max_wait: settings.max_read_wait,
@@ -104,48 +104,48 @@
         }
     }
 
-    pub fn is_full(&self) -> bool {
+    pub(super) fn is_full(&self) -> bool {
         self.by_token.len() >= self.max_pending
     }
 
-    pub fn is_empty(&self) -> bool {
+    pub(super) fn is_empty(&self) -> bool {
         self.by_token.is_empty()
     }
 
     /// Until when a read may wait whose client would wait for this long.
-    pub fn wait_until(&self, now: Duration, wait: Duration) -> Duration {
+    pub(super) fn wait_until(&self, now: Duration, wait: Duration) -> Duration {
         now + wait.min(self.max_wait)
     }
 
     /// How many bytes of results are sent to a client that would receive this many.
-    pub fn bounded_bytes(&self, max_bytes: u64) -> u64 {
+    pub(super) fn bounded_bytes(&self, max_bytes: u64) -> u64 {
         max_bytes.min(self.max_response_bytes)
     }
 
     /// Adds a read, for which the chain is read with this token.
-    pub fn insert(&mut self, token: ReadToken, read: Read) {
+    pub(super) fn insert(&mut self, token: ReadToken, read: Read) {
         self.by_token.insert(token, PendingRead { read, is_confirmed: false });
     }
 
     /// The chain has confirmed the read with this token.
-    pub fn confirm(&mut self, token: ReadToken) {
+    pub(super) fn confirm(&mut self, token: ReadToken) {
         if let Some(pending) = self.by_token.get_mut(&token) {
             pending.is_confirmed = true;
         }
     }
 
     /// The chain could not confirm the read with this token. Returns its caller.
-    pub fn remove(&mut self, token: ReadToken) -> Option<Caller> {
+    pub(super) fn remove(&mut self, token: ReadToken) -> Option<Caller> {
         self.by_token.remove(&token).map(|pending| pending.read.caller)
     }
 
     /// The replica is not the tail any more. Returns the callers, which are to be told.
-    pub fn remove_all(&mut self) -> Vec<Caller> {
+    pub(super) fn remove_all(&mut self) -> Vec<Caller> {
         std::mem::take(&mut self.by_token).into_values().map(|pending| pending.read.caller).collect()
     }
 
     /// Removes all reads that have a response by now, and returns the responses.
-    pub fn poll_responses(&mut self, now: Duration, store: &Store) -> Vec<(Caller, JobsResponse)> {
+    pub(super) fn poll_responses(&mut self, now: Duration, store: &Store) -> Vec<(Caller, JobsResponse)> {
         let mut responses = Vec::new();
         self.by_token.retain(|_, pending| match pending.response(now, store) {
             Some(response) => {
@@ -158,7 +158,7 @@
     }
 
     /// When the wait of the next confirmed read is over.
-    pub fn next_timer(&self) -> Option<Duration> {
+    pub(super) fn next_timer(&self) -> Option<Duration> {
         let confirmed = self.by_token.values().filter(|pending| pending.is_confirmed);
         confirmed.map(|pending| pending.read.wait_until).min()
     }
--- a/system/jobs/src/partition/pending_renewals.rs
+++ b/system/jobs/src/partition/pending_renewals.rs
@@ -25,21 +25,21 @@
 }
 
 impl PendingRenewals {
-    pub fn is_full(&self) -> bool {
+    pub(super) fn is_full(&self) -> bool {
         self.by_token.len() >= MAX_PENDING
     }
 
-    pub fn insert(&mut self, token: ReadToken, renewal: Renewal) {
+    pub(super) fn insert(&mut self, token: ReadToken, renewal: Renewal) {
         self.by_token.insert(token, renewal);
     }
 
     /// The chain has confirmed the read with this token, or could not.
-    pub fn remove(&mut self, token: ReadToken) -> Option<Renewal> {
+    pub(super) fn remove(&mut self, token: ReadToken) -> Option<Renewal> {
         self.by_token.remove(&token)
     }
 
     /// The replica is not the head any more. Returns the callers, which are to be told.
-    pub fn remove_all(&mut self) -> Vec<Caller> {
+    pub(super) fn remove_all(&mut self) -> Vec<Caller> {
         std::mem::take(&mut self.by_token).into_values().map(|renewal| renewal.caller).collect()
     }
 }
--- a/system/jobs/src/partition/read_token.rs
+++ b/system/jobs/src/partition/read_token.rs
@@ -10,7 +10,7 @@
 }
 
 impl ReadTokens {
-    pub fn allocate(&mut self) -> ReadToken {
+    pub(super) fn allocate(&mut self) -> ReadToken {
         self.last += 1;
         self.last
     }
--- a/system/jobs/src/partition/replica_host.rs
+++ b/system/jobs/src/partition/replica_host.rs
@@ -46,13 +46,13 @@
 
 impl ReplicaHost {
     /// A replica without any history.
-    pub fn new(me: MemberId, settings: ReplicaSettings, seed: u64) -> Self {
+    pub(super) fn new(me: MemberId, settings: ReplicaSettings, seed: u64) -> Self {
         let replica = Replica::new(me, settings.clone(), seed);
         Self::with_replica(me, settings, replica, seed)
     }
 
     /// A replica with the records that the disk holds of it.
-    pub fn recover(me: MemberId, records: &[LogRecord], settings: ReplicaSettings, seed: u64) -> Self {
+    pub(super) fn recover(me: MemberId, records: &[LogRecord], settings: ReplicaSettings, seed: u64) -> Self {
         let replica = Replica::recover(me, records, settings.clone(), seed);
         Self::with_replica(me, settings, replica, seed)
     }
@@ -71,74 +71,74 @@
     }
 
     /// Passes an event to the replica and queues its actions.
-    pub fn handle_event(&mut self, now: Duration, event: ReplicaEvent) {
+    pub(super) fn handle_event(&mut self, now: Duration, event: ReplicaEvent) {
         let mut actions = Vec::new();
         self.replica.handle(now, event, &mut actions);
         self.actions.extend(actions);
     }
 
     /// The next action of the replica, in order.
-    pub fn poll_action(&mut self) -> Option<ReplicaAction> {
+    pub(super) fn poll_action(&mut self) -> Option<ReplicaAction> {
         self.actions.pop_front()
     }
 
     /// Excludes the replica from everything: continuing could only make it differ from the others.
-    pub fn fail(&mut self) {
+    pub(super) fn fail(&mut self) {
         self.has_failed = true;
         self.actions.clear();
     }
 
     /// Whether [`ReplicaHost::fail`] was called.
-    pub fn has_failed(&self) -> bool {
+    pub(super) fn has_failed(&self) -> bool {
         self.has_failed
     }
 
     /// The role of the replica in the view in force.
-    pub fn role(&self) -> Role {
+    pub(super) fn role(&self) -> Role {
         let is_serving = self.replica.is_serving() && !self.has_failed;
         let Some(view) = self.replica.view().filter(|_| is_serving) else { return Role::default() };
         Role { is_head: view.head() == Some(self.me), is_tail: view.tail() == Some(self.me) }
     }
 
     /// The epoch of the newest view known.
-    pub fn epoch(&self) -> u64 {
+    pub(super) fn epoch(&self) -> u64 {
         self.replica.epoch()
     }
 
     /// The newest view known.
-    pub fn view(&self) -> Option<&View> {
+    pub(super) fn view(&self) -> Option<&View> {
         self.replica.view()
     }
 
     /// The epoch in which this replica is in sync, if it is.
-    pub fn in_sync_epoch(&self) -> Option<u64> {
+    pub(super) fn in_sync_epoch(&self) -> Option<u64> {
         (self.replica.is_in_sync() && !self.has_failed).then(|| self.replica.epoch())
     }
 
     /// When the replica wants [`ReplicaEvent::TimerExpired`] next.
-    pub fn next_timer(&self) -> Option<Duration> {
+    pub(super) fn next_timer(&self) -> Option<Duration> {
         self.replica.next_timer()
     }
 
     /// All records that must stay on the disk, with an encoded state; none while that is not known.
-    pub fn checkpoint(&self, state: Vec<u8>) -> Option<Vec<LogRecord>> {
+    pub(super) fn checkpoint(&self, state: Vec<u8>) -> Option<Vec<LogRecord>> {
         self.replica.checkpoint(state)
     }
 
     /// The partition's token for a write of the replica.
-    pub fn register_write(&mut self, token: u64, records: Vec<LogRecord>) -> DurableWrite {
+    pub(super) fn register_write(&mut self, token: u64, records: Vec<LogRecord>) -> DurableWrite {
         self.last_token = self.first_token + token;
         DurableWrite { token: self.last_token, records }
     }
 
     /// The event for the replica when all writes up to a token are durable; none if they are those of a replica before.
-    pub fn durable_event(&self, token: u64) -> Option<ReplicaEvent> {
+    pub(super) fn durable_event(&self, token: u64) -> Option<ReplicaEvent> {
         let token = token.checked_sub(self.first_token).filter(|token| *token > 0)?;
         Some(ReplicaEvent::Durable { token })
     }
 
     /// The views to install, in order, to reach a decided chain.
-    pub fn views_to_install(&self, record: &PartitionRecord) -> Vec<View> {
+    pub(super) fn views_to_install(&self, record: &PartitionRecord) -> Vec<View> {
         if record.epoch <= self.replica.epoch() {
             return Vec::new();
         }
@@ -170,7 +170,7 @@
 
     /// Replaces the replica by an empty one if its member has left the chain: outside the chain its entries are worth nothing,
     /// and whoever rejoins receives a snapshot. The view stays known, so that an older chain never brings this member back.
-    pub fn reset_if_removed(&mut self, now: Duration) -> Option<DurableWrite> {
+    pub(super) fn reset_if_removed(&mut self, now: Duration) -> Option<DurableWrite> {
         let view = self.replica.view().filter(|view| !view.contains(self.me)).cloned()?;
         if self.replica.last_index() == 0 {
             return None;
--- a/system/jobs/src/partition/retention.rs
+++ b/system/jobs/src/partition/retention.rs
@@ -39,7 +39,7 @@
 }
 
 impl Retention {
-    pub fn new(settings: &JobsSettings) -> Self {
+    pub(super) fn new(settings: &JobsSettings) -> Self {
         Self {
             by_job: BTreeMap::new(),
             retention: settings.retention,
@@ -51,7 +51,7 @@
     }
 
     /// Observes the age that the replicated state has for a batch job: the one that it had at some time before `now`.
-    pub fn observe(&mut self, now: Duration, id: &str, store: &Store) {
+    pub(super) fn observe(&mut self, now: Duration, id: &str, store: &Store) {
         let Some(job) = store.job(id) else {
             self.by_job.remove(id);
             return;
@@ -67,7 +67,7 @@
     }
 
     /// Observes all ages, after a snapshot or a command that carries many.
-    pub fn observe_all(&mut self, now: Duration, store: &Store) {
+    pub(super) fn observe_all(&mut self, now: Duration, store: &Store) {
         self.by_job.retain(|id, _| store.job(id).is_some());
         for (id, _) in store.jobs() {
             self.observe(now, id, store);
@@ -75,23 +75,23 @@
     }
 
     /// How old a batch job is at least.
-    pub fn age(&self, now: Duration, id: &str) -> Duration {
+    pub(super) fn age(&self, now: Duration, id: &str) -> Duration {
         self.by_job.get(id).map_or(Duration::ZERO, |observed| observed.age(now))
     }
 
     /// The replica has become the head.
-    pub fn restart_timers(&mut self, now: Duration) {
+    pub(super) fn restart_timers(&mut self, now: Duration) {
         self.next_expiry_check = now + self.expiry_check_interval;
         self.next_age_record = now + self.age_record_interval;
     }
 
     /// When the head checks for expired batch jobs next.
-    pub fn next_expiry_check(&self) -> Duration {
+    pub(super) fn next_expiry_check(&self) -> Duration {
         self.next_expiry_check
     }
 
     /// Ended batch jobs whose retention is over; none before the time of the next check.
-    pub fn check_expiry(&mut self, now: Duration, store: &Store) -> Option<Vec<JobId>> {
+    pub(super) fn check_expiry(&mut self, now: Duration, store: &Store) -> Option<Vec<JobId>> {
         if now < self.next_expiry_check {
             return None;
         }
@@ -105,7 +105,7 @@
     ///
     /// No other command carries the age of an ended batch job. Without these, restarts in quick succession would keep it
     /// indefinitely.
-    pub fn ages_to_record(&mut self, now: Duration, store: &Store) -> Option<Vec<(JobId, Duration)>> {
+    pub(super) fn ages_to_record(&mut self, now: Duration, store: &Store) -> Option<Vec<(JobId, Duration)>> {
         if now < self.next_age_record {
             return None;
         }
--- a/system/jobs/src/settings.rs
+++ b/system/jobs/src/settings.rs
@@ -56,6 +56,7 @@
 
 impl JobsSettings {
     /// Derives them from the settings of the process.
+    #[must_use]
     pub fn new(settings: &Settings) -> Self {
         let memory = settings.limits.memory_mb * MEBIBYTE;
         let ring = (settings.limits.disk_mb * MEBIBYTE * RING_SHARE_PERCENT / 100).max(MIN_RING_BYTES);
--- a/system/jobs/src/store/command.rs
+++ b/system/jobs/src/store/command.rs
@@ -151,6 +151,7 @@
 
 impl Outcome {
     /// The response to the edge with this incarnation.
+    #[must_use]
     pub fn response(&self, edge: u64) -> JobsResponse {
         match self {
             Self::Created { driver } => JobsResponse::Created {
@@ -168,6 +169,7 @@
 
 impl Command {
     /// The batch job that it changes, if it changes just one.
+    #[must_use]
     pub fn job(&self) -> Option<&JobId> {
         match self {
             Self::RecordAges { .. } => None,
--- a/system/jobs/src/store/job.rs
+++ b/system/jobs/src/store/job.rs
@@ -34,6 +34,7 @@
 
 impl Job {
     /// A new batch job with its first driver.
+    #[must_use]
     pub fn new(record: JobRecord, driver: EdgeProcess) -> Self {
         let has_result = vec![false; record.items.len()];
         let bytes = record_bytes(&record);
@@ -43,62 +44,74 @@
     }
 
     /// The batch job; items with results have neither body nor headers nor reward call any more.
+    #[must_use]
     pub fn record(&self) -> &JobRecord {
         &self.record
     }
 
     /// Results by position.
+    #[must_use]
     pub fn results(&self) -> &[ResultRecord] {
         &self.results
     }
 
     /// Texts of items that have no result.
+    #[must_use]
     pub fn partial_texts(&self) -> Vec<PartialText> {
         self.partial_texts.values().cloned().collect()
     }
 
     /// The driver.
+    #[must_use]
     pub fn driver(&self) -> EdgeProcess {
         self.driver
     }
 
     /// The driver's term.
+    #[must_use]
     pub fn term(&self) -> DriverTerm {
         self.term
     }
 
     /// Whether it is ended.
+    #[must_use]
     pub fn is_ended(&self) -> bool {
         self.ended
     }
 
     /// Whether it needs a driver: it is open, and an item has no result yet.
+    #[must_use]
     pub fn needs_driver(&self) -> bool {
         !self.ended && self.results.len() < self.record.items.len()
     }
 
     /// A lower bound of the age that it had when the newest command about it was proposed.
+    #[must_use]
     pub fn age(&self) -> Duration {
         self.age
     }
 
     /// Estimated bytes of it in memory.
+    #[must_use]
     pub fn bytes(&self) -> u64 {
         self.bytes
     }
 
     /// Indices of the items that have a result.
+    #[must_use]
     pub fn items_with_results(&self) -> Vec<u32> {
         let with_results = self.has_result.iter().enumerate().filter(|(_, has_result)| **has_result);
         with_results.filter_map(|(item, _)| u32::try_from(item).ok()).collect()
     }
 
     /// Whether an item has a result; also true of an index without item, for which none is accepted either.
+    #[must_use]
     pub fn has_result(&self, item: u32) -> bool {
         self.has_result.get(item as usize).copied().unwrap_or(true)
     }
 
     /// The body of an item that has no result yet, while the batch job is open.
+    #[must_use]
     pub fn body(&self, id: &str) -> Option<&[u8]> {
         let index = self.record.items.iter().position(|item| item.id == id)?;
         let is_open = !self.ended && !self.has_result.get(index).copied().unwrap_or(true);
@@ -106,6 +119,7 @@
     }
 
     /// Results from a position on, with their items' ids: as many as fit into the bytes, but at least one if there is one.
+    #[must_use]
     pub fn results_from(&self, start_after: u64, max_bytes: u64) -> Vec<(String, ResultRecord)> {
         let start = usize::try_from(start_after).unwrap_or(usize::MAX);
         let mut bytes_left = max_bytes;
@@ -221,6 +235,7 @@
 }
 
 /// Estimated bytes of a result, in memory and in a response.
+#[must_use]
 pub fn result_bytes(result: &ResultRecord) -> u64 {
     OVERHEAD_BYTES + total(&[result.text.len(), result.score.len(), result.versions.len() * 8])
 }
--- a/system/jobs/src/store/mod.rs
+++ b/system/jobs/src/store/mod.rs
@@ -49,6 +49,7 @@
     }
 
     /// The batch job with an id.
+    #[must_use]
     pub fn job(&self, id: &str) -> Option<&Job> {
         self.jobs.get(id)
     }
@@ -59,6 +60,7 @@
     }
 
     /// Estimated bytes of all batch jobs in memory.
+    #[must_use]
     pub fn bytes(&self) -> u64 {
         self.bytes
     }
@@ -96,7 +98,7 @@
 
     fn append_results(&mut self, id: &str, term: DriverTerm, results: Vec<ResultRecord>) -> Outcome {
         self.change_as_driver(id, term, |job| {
-            results.into_iter().for_each(|result| job.append_result(result))
+            results.into_iter().for_each(|result| job.append_result(result));
         })
     }
 
--- a/system/jobs/tests/common/clients.rs
+++ b/system/jobs/tests/common/clients.rs
@@ -326,7 +326,7 @@
                 assert_eq!(Some(&body), expected.map(|item| &item.body));
             }
             (JobsRequest::ReadItemBody { item, .. }, JobsResponse::NotFound) => {
-                self.on_no_body(sent, &job, &item)
+                self.on_no_body(sent, &job, &item);
             }
             (JobsRequest::RenewDriverLeases { jobs }, JobsResponse::Renewed(states)) => {
                 for ((job, term), state) in jobs.into_iter().zip(states) {
--- a/system/jobs/tests/common/faults.rs
+++ b/system/jobs/tests/common/faults.rs
@@ -40,7 +40,7 @@
         }
         match self.coordinator.retiring {
             Some(member) if self.coordinator.is_empty(member) || !self.has_faults => {
-                self.coordinator.retiring = None
+                self.coordinator.retiring = None;
             }
             None if self.has_faults && self.rng.u8(..100) < 5 => {
                 self.coordinator.retiring = self.rng.choice(alive).copied();
--- a/system/lease/src/candidate.rs
+++ b/system/lease/src/candidate.rs
@@ -21,7 +21,7 @@
 impl Attempt {
     /// How long it may take until a majority grants, by the refusals so far. A voter that has not responded may grant now. Voters
     /// that refuse for long, such as one that has just started, are not waited for where the others suffice.
-    pub fn time_until_majority(&self, majority: usize, voters: usize) -> Duration {
+    pub(crate) fn time_until_majority(&self, majority: usize, voters: usize) -> Duration {
         let mut waits: Vec<Duration> = self.refusals.values().copied().collect();
         waits.sort();
         let not_refused = voters.saturating_sub(waits.len());
@@ -49,12 +49,12 @@
 }
 
 impl Candidate {
-    pub fn is_held(&self, now: Duration) -> bool {
+    pub(crate) fn is_held(&self, now: Duration) -> bool {
         self.held_until.is_some_and(|held_until| now < held_until)
     }
 
     /// Starts an attempt, and returns its number.
-    pub fn start_attempt(&mut self, now: Duration) -> u64 {
+    pub(crate) fn start_attempt(&mut self, now: Duration) -> u64 {
         self.last_attempt += 1;
         self.attempt = Some(Attempt {
             number: self.last_attempt,
@@ -67,7 +67,7 @@
     }
 
     /// The attempt in progress, if it has this number.
-    pub fn attempt_mut(&mut self, number: u64) -> Option<&mut Attempt> {
+    pub(crate) fn attempt_mut(&mut self, number: u64) -> Option<&mut Attempt> {
         self.attempt.as_mut().filter(|attempt| attempt.number == number)
     }
 }
--- a/system/lease/src/lease.rs
+++ b/system/lease/src/lease.rs
@@ -32,6 +32,7 @@
 
 impl Lease {
     /// A process that has just started. The seed must differ from one start to the next.
+    #[must_use]
     pub fn new(me: VoterId, settings: LeaseSettings, seed: u64) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
         // Responses to attempts of an earlier incarnation must not count for those of this one.
@@ -51,21 +52,25 @@
     }
 
     /// Whether the lease is held now. To be checked right before each action under it.
+    #[must_use]
     pub fn is_held(&self, now: Duration) -> bool {
         self.candidate.is_held(now)
     }
 
     /// Until when the lease is held, if it is.
+    #[must_use]
     pub fn held_until(&self, now: Duration) -> Option<Duration> {
         self.candidate.held_until.filter(|held_until| now < *held_until)
     }
 
     /// The generation that is held or was requested last.
+    #[must_use]
     pub fn generation(&self) -> u64 {
         self.candidate.generation
     }
 
     /// When [`LeaseEvent::TimerExpired`] is due next.
+    #[must_use]
     pub fn next_timer(&self) -> Option<Duration> {
         if !self.is_started || self.voters.is_empty() {
             return None;
@@ -273,10 +278,10 @@
     ) {
         match response {
             LeaseMessage::Grant { epoch, generation, attempt } => {
-                self.on_grant(now, from, epoch, generation, attempt, out)
+                self.on_grant(now, from, epoch, generation, attempt, out);
             }
             LeaseMessage::Refuse { attempt, highest_generation, wait } => {
-                self.on_refusal(now, from, attempt, highest_generation, wait, out)
+                self.on_refusal(now, from, attempt, highest_generation, wait, out);
             }
             LeaseMessage::Request { .. } | LeaseMessage::Release { .. } => {}
         }
--- a/system/lease/src/lib.rs
+++ b/system/lease/src/lib.rs
@@ -12,6 +12,8 @@
 //!
 //! It does not know what the lease is for, and keeps nothing on a disk.
 
+#![warn(unreachable_pub)]
+
 mod candidate;
 mod event;
 mod lease;
--- a/system/lease/src/settings.rs
+++ b/system/lease/src/settings.rs
@@ -17,6 +17,7 @@
 
 impl LeaseSettings {
     /// The default settings for a duration of grants.
+    #[must_use]
     pub fn new(grant_duration: Duration) -> Self {
         Self {
             grant_duration,
@@ -27,17 +28,20 @@
     }
 
     /// For how long a holder may act, from when it sent its requests: by any clock it stops before the first grant expires.
+    #[must_use]
     pub fn usable_duration(&self) -> Duration {
         self.grant_duration.mul_f64(1.0 - self.max_clock_drift)
     }
 
     /// How long a grant that a voter doesn't remember can last, by any clock. A voter that has just started grants nothing before
     /// that has passed.
+    #[must_use]
     pub fn outstanding_grant_bound(&self) -> Duration {
         self.grant_duration.mul_f64(1.0 + self.max_clock_drift)
     }
 
     /// Time between renewals.
+    #[must_use]
     pub fn renewal_interval(&self) -> Duration {
         self.grant_duration / 4
     }
--- a/system/lease/src/voter.rs
+++ b/system/lease/src/voter.rs
@@ -34,29 +34,29 @@
 
 impl Voter {
     /// Grants nothing until all grants that this voter may not know of have expired.
-    pub fn wait_out_unknown_grants(&mut self, now: Duration, settings: &LeaseSettings) {
+    pub(crate) fn wait_out_unknown_grants(&mut self, now: Duration, settings: &LeaseSettings) {
         self.unknown_grants_until = self.unknown_grants_until.max(now + settings.outstanding_grant_bound());
     }
 
     /// Grants nothing more in an epoch and those before.
-    pub fn seal(&mut self, epoch: u64) {
+    pub(crate) fn seal(&mut self, epoch: u64) {
         self.sealed_epoch = self.sealed_epoch.max(epoch);
     }
 
     /// Until when another process than `me` may hold the lease, as far as known here.
-    pub fn granted_to_others_until(&self, me: VoterId) -> Duration {
+    pub(crate) fn granted_to_others_until(&self, me: VoterId) -> Duration {
         let grant = self.grant.as_ref().filter(|grant| grant.holder != me);
         grant.map_or(Duration::ZERO, |grant| grant.until)
     }
 
     /// The highest generation granted.
-    pub fn highest_generation(&self) -> u64 {
+    pub(crate) fn highest_generation(&self) -> u64 {
         self.highest_generation
     }
 
     /// Responds to a request of the present epoch. A new generation must be higher than all before; a renewal need not be, since
     /// its sender counts it only while it still holds the lease, so that no higher generation can have been held.
-    pub fn on_request(
+    pub(crate) fn on_request(
         &mut self,
         now: Duration,
         from: VoterId,
@@ -87,7 +87,7 @@
     }
 
     /// The holder has released the lease up to a generation.
-    pub fn on_release(&mut self, from: VoterId, generation: u64) {
+    pub(crate) fn on_release(&mut self, from: VoterId, generation: u64) {
         self.grant = self.grant.take().filter(|grant| grant.holder != from || grant.generation > generation);
     }
 }
--- a/system/lease/tests/cluster/mod.rs
+++ b/system/lease/tests/cluster/mod.rs
@@ -191,7 +191,7 @@
         }
         match events {
             SimulationEvent::MessageArrives { process_index, from, message } => {
-                self.event(process_index, LeaseEvent::Message { from, message })
+                self.event(process_index, LeaseEvent::Message { from, message });
             }
             SimulationEvent::Timer { process_index, incarnation }
                 if self.processes[process_index].incarnation == incarnation =>
--- a/system/protocol/src/configuration.rs
+++ b/system/protocol/src/configuration.rs
@@ -162,6 +162,7 @@
 
 impl Route {
     /// Its retry semantics; none if `route_kind` is unknown.
+    #[must_use]
     pub fn kind(&self) -> Option<RouteKind> {
         match self.route_kind.as_str() {
             "idempotent" => Some(RouteKind::Idempotent),
@@ -173,6 +174,7 @@
     }
 
     /// The services of the route with their weights; a single service has weight 1.
+    #[must_use]
     pub fn services(&self) -> Vec<(&str, f64)> {
         if self.traffic_split.is_empty() {
             return vec![(self.service.as_str(), 1.0)];
@@ -183,11 +185,13 @@
 
 impl Configuration {
     /// The service with a name.
+    #[must_use]
     pub fn service(&self, name: &str) -> Option<&Service> {
         self.services.iter().find(|service| service.name == name)
     }
 
     /// The route for a host and path: the longest matching prefix wins.
+    #[must_use]
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
         self.routes
             .iter()
--- a/system/protocol/src/document.rs
+++ b/system/protocol/src/document.rs
@@ -78,11 +78,13 @@
 
 impl ConfigurationDocument {
     /// A whole configuration, which must have been validated.
+    #[must_use]
     pub fn from_text(text: Arc<Vec<u8>>) -> Self {
         Self { content: Content::Text(text), recent: VecDeque::new() }
     }
 
     /// The whole configuration as JSON: the bytes that were sent, until the first update.
+    #[must_use]
     pub fn to_json(&self) -> Arc<Vec<u8>> {
         match &self.content {
             Content::Text(text) => Arc::clone(text),
@@ -91,6 +93,7 @@
     }
 
     /// Approximate size of the whole configuration, in bytes.
+    #[must_use]
     pub fn size_estimate(&self) -> usize {
         match &self.content {
             Content::Text(text) => text.len(),
@@ -136,6 +139,7 @@
     }
 
     /// The updates from a change on to the newest one, in order; none if they are not retained.
+    #[must_use]
     pub fn updates_since(&self, known: u64) -> Option<impl Iterator<Item = &AppliedUpdate>> {
         let first = self.recent.iter().position(|applied| applied.base == known)?;
         Some(self.recent.iter().skip(first))
--- a/system/protocol/src/follower.rs
+++ b/system/protocol/src/follower.rs
@@ -27,11 +27,13 @@
 
 impl ConfigurationFollower {
     /// The configuration; none before the first valid one.
+    #[must_use]
     pub fn configuration(&self) -> Option<&Arc<Configuration>> {
         self.configuration.as_ref()
     }
 
     /// Sequence number of the newest change; 0 before the first.
+    #[must_use]
     pub fn sequence(&self) -> u64 {
         self.sequence
     }
--- a/system/protocol/src/lib.rs
+++ b/system/protocol/src/lib.rs
@@ -3,6 +3,8 @@
 //!
 //! All are JSON with the field names of the platform's pages; unknown fields are ignored unless a type says otherwise.
 
+#![warn(unreachable_pub)]
+
 mod batch;
 mod configuration;
 mod document;
--- a/system/protocol/src/settings.rs
+++ b/system/protocol/src/settings.rs
@@ -224,11 +224,13 @@
     }
 
     /// The internal listen address of this process.
+    #[must_use]
     pub fn internal_address(&self) -> SocketAddr {
         SocketAddr::new(self.ip, self.internal_ports.0)
     }
 
     /// The internal listen addresses of the control nodes among the seeds; ports are the same on all machines.
+    #[must_use]
     pub fn internal_seeds(&self) -> Vec<SocketAddr> {
         self.seeds.iter().map(|seed| SocketAddr::new(seed.ip(), self.internal_ports.0)).collect()
     }
--- a/system/protocol/src/update.rs
+++ b/system/protocol/src/update.rs
@@ -101,7 +101,7 @@
 
 /// The texts of the items of an update that [`read_update`] has accepted.
 pub(crate) fn upserted_texts(json: &[u8]) -> Result<UpsertedTexts<'_>, InvalidConfiguration> {
-    let texts: UpdateTexts = serde_json::from_slice(json).context(UnreadableSnafu)?;
+    let texts: UpdateTexts<'_> = serde_json::from_slice(json).context(UnreadableSnafu)?;
     Ok(texts.upsert)
 }
 
--- a/system/protocol/src/verdict.rs
+++ b/system/protocol/src/verdict.rs
@@ -15,6 +15,7 @@
 
 impl Verdict {
     /// The verdict on a request with several attempts: the strongest evidence that it ran.
+    #[must_use]
     pub fn and(self, other: Verdict) -> Verdict {
         match (self, other) {
             (Verdict::Ran, _) | (_, Verdict::Ran) => Verdict::Ran,
--- a/system/protocol/tests/configurations.rs
+++ b/system/protocol/tests/configurations.rs
@@ -17,9 +17,9 @@
         ],
         "services": [
             {"name": "one", "healthPath": "/healthz", "connectionLimit": 160, "protocol": "h1", "tls": false},
-            {"name": "two", "engine": {"slots": 12, "kvCacheTokens": 96212, "linkMbps": 4400000.0, "models": [{"name": "m"}]}}
+            {"name": "two", "engine": {"slots": 12, "kvCacheTokens": 96212, "linkMbps": 4_400_000.0, "models": [{"name": "m"}]}}
         ],
-        "limits": {"maxHeaderBytes": 16384, "maxBodyBytes": 33554432, "headerTimeoutMs": 3000, "idleTimeoutMs": 15000}
+        "limits": {"maxHeaderBytes": 16384, "maxBodyBytes": 33_554_432, "headerTimeoutMs": 3000, "idleTimeoutMs": 15000}
     })
 }
 
--- a/system/protocol/tests/updates.rs
+++ b/system/protocol/tests/updates.rs
@@ -21,7 +21,7 @@
 fn whole() -> Value {
     json!({
         "version": 7,
-        "limits": {"maxHeaderBytes": 16384, "maxBodyBytes": 33554432, "headerTimeoutMs": 3000, "idleTimeoutMs": 15000},
+        "limits": {"maxHeaderBytes": 16384, "maxBodyBytes": 33_554_432, "headerTimeoutMs": 3000, "idleTimeoutMs": 15000},
         "routes": [route("x", "/x/", "one"), route("y", "/y/", "two"), route("z", "/z/", "one")],
         "services": [service("one", 160), service("two", 110)],
         "newList": [{"of": "tomorrow"}],
--- a/system/relay/src/candidates.rs
+++ b/system/relay/src/candidates.rs
@@ -38,7 +38,7 @@
 
 impl Candidates {
     /// Of the node at an address, without any seeds yet. A failure counts for `failure_penalty`.
-    pub fn new(me: SocketAddr, failure_penalty: Duration) -> Self {
+    pub(crate) fn new(me: SocketAddr, failure_penalty: Duration) -> Self {
         let failed = BTreeMap::new();
         Self {
             me,
@@ -51,7 +51,7 @@
     }
 
     /// Replaces the control nodes that the host knows of; returns whether there are new ones.
-    pub fn set_seeds(&mut self, mut seeds: Vec<SocketAddr>) -> bool {
+    pub(crate) fn set_seeds(&mut self, mut seeds: Vec<SocketAddr>) -> bool {
         seeds.truncate(MAX_SEEDS);
         let has_new = seeds.iter().any(|seed| !self.seeds.contains(seed));
         self.seeds = seeds;
@@ -59,12 +59,12 @@
     }
 
     /// Removes the next candidate of this round.
-    pub fn next(&mut self) -> Option<SocketAddr> {
+    pub(crate) fn next(&mut self) -> Option<SocketAddr> {
         self.queue.pop_front()
     }
 
     /// Puts alternatives that another node has named at the front; returns whether any is new.
-    pub fn add_alternatives(&mut self, alternatives: Vec<SocketAddr>, rng: &mut Rng) -> bool {
+    pub(crate) fn add_alternatives(&mut self, alternatives: Vec<SocketAddr>, rng: &mut Rng) -> bool {
         let mut alternatives: Vec<SocketAddr> = alternatives.into_iter().take(MAX_ALTERNATIVES).collect();
         rng.shuffle(&mut alternatives);
         let before = self.alternatives_in_round;
@@ -78,7 +78,7 @@
     }
 
     /// A node at an address didn't respond.
-    pub fn record_failure(&mut self, address: SocketAddr, now: Duration) {
+    pub(crate) fn record_failure(&mut self, address: SocketAddr, now: Duration) {
         self.failed.retain(|_, until| *until > now);
         if self.failed.len() < MAX_FAILED {
             self.failed.insert(address, now + self.failure_penalty);
@@ -86,12 +86,18 @@
     }
 
     /// Discards the rest of the round.
-    pub fn clear(&mut self) {
+    pub(crate) fn clear(&mut self) {
         self.queue.clear();
     }
 
     /// Begins a round.
-    pub fn start_round(&mut self, directory: &Directory, with_edges: bool, now: Duration, rng: &mut Rng) {
+    pub(crate) fn start_round(
+        &mut self,
+        directory: &Directory,
+        with_edges: bool,
+        now: Duration,
+        rng: &mut Rng,
+    ) {
         self.alternatives_in_round = 0;
         self.failed.retain(|_, until| *until > now);
         let mut locations: BTreeMap<SocketAddr, bool> =
--- a/system/relay/src/child_progress.rs
+++ b/system/relay/src/child_progress.rs
@@ -55,7 +55,12 @@
 
 impl ChildProgress {
     /// The progress of a child whose copy has this digest, and whose configuration is that of this change.
-    pub fn new(subscription: u64, digest: &[u64], configuration: u64, source: UpdateSource<'_>) -> Self {
+    pub(crate) fn new(
+        subscription: u64,
+        digest: &[u64],
+        configuration: u64,
+        source: UpdateSource<'_>,
+    ) -> Self {
         let differing_buckets = DifferingBuckets::of_difference(source.replica.digest(), digest);
         Self {
             subscription,
@@ -71,17 +76,17 @@
     }
 
     /// The subscription's identifier, chosen by the child.
-    pub fn subscription(&self) -> u64 {
+    pub(crate) fn subscription(&self) -> u64 {
         self.subscription
     }
 
     /// The position in the change log up to which the child has been sent everything.
-    pub fn log_position(&self) -> u64 {
+    pub(crate) fn log_position(&self) -> u64 {
         self.log_position
     }
 
     /// The child has received everything up to a sequence.
-    pub fn acknowledge(&mut self, sequence: u64) {
+    pub(crate) fn acknowledge(&mut self, sequence: u64) {
         while let Some((_, bytes)) = self.in_flight.front().copied().filter(|(sent, _)| *sent <= sequence) {
             self.in_flight.pop_front();
             self.in_flight_bytes -= bytes;
@@ -89,7 +94,7 @@
     }
 
     /// When the next update is due, if nothing else changes.
-    pub fn next_update_at(&self, source: UpdateSource<'_>) -> Duration {
+    pub(crate) fn next_update_at(&self, source: UpdateSource<'_>) -> Duration {
         let Some(sent_at) = self.sent_at else { return Duration::ZERO };
         if self.is_window_open(source) && self.differing_buckets.is_some() {
             return sent_at;
@@ -105,7 +110,11 @@
     /// # Errors
     ///
     /// [`Overrun`] if the change log no longer reaches back to the position of the child.
-    pub fn next_update(&mut self, now: Duration, source: UpdateSource<'_>) -> Result<RelayMessage, Overrun> {
+    pub(crate) fn next_update(
+        &mut self,
+        now: Duration,
+        source: UpdateSource<'_>,
+    ) -> Result<RelayMessage, Overrun> {
         let mut update = UpdateBuilder::new(source.settings.max_update_bytes, self.configuration);
         let changes = source.change_log.since(self.log_position).ok_or(Overrun)?;
         if self.is_window_open(source) {
--- a/system/relay/src/children.rs
+++ b/system/relay/src/children.rs
@@ -42,22 +42,22 @@
 
 impl Children {
     /// No children yet, and never more than `max_children`.
-    pub fn new(max_children: usize) -> Self {
+    pub(crate) fn new(max_children: usize) -> Self {
         Self { max_children, children: BTreeMap::new() }
     }
 
     /// How many there are.
-    pub fn len(&self) -> usize {
+    pub(crate) fn len(&self) -> usize {
         self.children.len()
     }
 
     /// Whether a node is one of them.
-    pub fn contains(&self, address: &SocketAddr) -> bool {
+    pub(crate) fn contains(&self, address: &SocketAddr) -> bool {
         self.children.contains_key(address)
     }
 
     /// How many children this node accepts.
-    pub fn child_capacity(&self) -> ChildCapacity {
+    pub(crate) fn child_capacity(&self) -> ChildCapacity {
         ChildCapacity {
             free_child_slots: self.free_child_slots(),
             capacity: u16::try_from(self.max_children).unwrap_or(u16::MAX),
@@ -65,12 +65,12 @@
     }
 
     /// How many more there may be.
-    pub fn free_child_slots(&self) -> u16 {
+    pub(crate) fn free_child_slots(&self) -> u16 {
         u16::try_from(self.max_children.saturating_sub(self.children.len())).unwrap_or(u16::MAX)
     }
 
     /// Whether there is a slot for a node, which accepts children itself or not; one that subscribes again keeps its slot.
-    pub fn has_capacity_for(&self, address: &SocketAddr, accepts_children: bool) -> bool {
+    pub(crate) fn has_capacity_for(&self, address: &SocketAddr, accepts_children: bool) -> bool {
         if self.contains(address) {
             return true;
         }
@@ -83,7 +83,7 @@
     }
 
     /// Adds a child; that replaces its earlier subscription, if it has one.
-    pub fn insert(
+    pub(crate) fn insert(
         &mut self,
         address: SocketAddr,
         progress: ChildProgress,
@@ -102,7 +102,7 @@
     }
 
     /// A node acknowledges an update; returns whether it is a child with this subscription.
-    pub fn on_ack(
+    pub(crate) fn on_ack(
         &mut self,
         from: SocketAddr,
         subscription: u64,
@@ -121,19 +121,19 @@
     }
 
     /// A child ends its subscription.
-    pub fn unsubscribe(&mut self, from: SocketAddr, subscription: u64) {
+    pub(crate) fn unsubscribe(&mut self, from: SocketAddr, subscription: u64) {
         if self.children.get(&from).is_some_and(|child| child.progress.subscription() == subscription) {
             self.children.remove(&from);
         }
     }
 
     /// Drops a child, if the node is one, without a message to it.
-    pub fn remove(&mut self, address: &SocketAddr) {
+    pub(crate) fn remove(&mut self, address: &SocketAddr) {
         self.children.remove(address);
     }
 
     /// Drops children from which nothing has come for `limit`.
-    pub fn drop_timed_out(&mut self, limit: Duration, now: Duration, actions: &mut Vec<RelayAction>) {
+    pub(crate) fn drop_timed_out(&mut self, limit: Duration, now: Duration, actions: &mut Vec<RelayAction>) {
         self.children.retain(|address, child| {
             let is_alive = now < child.last_message_at + limit;
             if !is_alive {
@@ -145,7 +145,7 @@
 
     /// Children that may have free slots, those with the most first, for a node that is declined. Each naming counts as if the named
     /// child had accepted the node, until it reports its free slots again.
-    pub fn alternatives(&mut self, request: &SocketAddr) -> Vec<SocketAddr> {
+    pub(crate) fn alternatives(&mut self, request: &SocketAddr) -> Vec<SocketAddr> {
         let mut open: Vec<(&SocketAddr, &mut Child)> = self.children.iter_mut().collect();
         open.retain(|(address, child)| *address != request && child.free_child_slots > 0);
         open.sort_by_key(|(_, child)| i32::from(child.times_named) - i32::from(child.free_child_slots));
@@ -158,7 +158,7 @@
     }
 
     /// Sends each child what is due.
-    pub fn send_due_updates(
+    pub(crate) fn send_due_updates(
         &mut self,
         now: Duration,
         source: UpdateSource<'_>,
@@ -168,7 +168,7 @@
     }
 
     /// When the next update is due or the next child times out.
-    pub fn next_timer(&self, source: UpdateSource<'_>) -> Option<Duration> {
+    pub(crate) fn next_timer(&self, source: UpdateSource<'_>) -> Option<Duration> {
         let timeout = source.settings.child_timeout;
         let each = self
             .children
@@ -178,7 +178,7 @@
     }
 
     /// The position in the change log before which no child needs anything.
-    pub fn oldest_needed_position(&self) -> Option<u64> {
+    pub(crate) fn oldest_needed_position(&self) -> Option<u64> {
         self.children.values().map(|child| child.progress.log_position()).min()
     }
 }
--- a/system/relay/src/directory.rs
+++ b/system/relay/src/directory.rs
@@ -24,12 +24,12 @@
 
 impl Directory {
     /// An empty one, of a node in a zone.
-    pub fn new(zone: String) -> Self {
+    pub(crate) fn new(zone: String) -> Self {
         Self { zone, control: BTreeMap::new(), edges: BTreeMap::new() }
     }
 
     /// Applies an entry.
-    pub fn update(&mut self, entry: &Entry) {
+    pub(crate) fn update(&mut self, entry: &Entry) {
         let Key::Node(incarnation) = entry.key else { return };
         self.control.remove(&incarnation);
         self.edges.remove(&incarnation);
@@ -43,12 +43,12 @@
     }
 
     /// All control nodes.
-    pub fn control(&self) -> impl Iterator<Item = NodeLocation> + '_ {
+    pub(crate) fn control(&self) -> impl Iterator<Item = NodeLocation> + '_ {
         self.control.values().copied()
     }
 
     /// The edges that follow a random number; incarnations are random, so this picks evenly.
-    pub fn edges_from(&self, random: u64) -> impl Iterator<Item = NodeLocation> + '_ {
+    pub(crate) fn edges_from(&self, random: u64) -> impl Iterator<Item = NodeLocation> + '_ {
         let after = self.edges.range(random..);
         after.chain(self.edges.range(..random)).map(|(_, location)| *location)
     }
--- a/system/relay/src/freshness.rs
+++ b/system/relay/src/freshness.rs
@@ -14,39 +14,39 @@
 
 impl Freshness {
     /// Without a tick yet. A node is fresh while its tick is younger than `limit`.
-    pub fn new(limit: Duration) -> Self {
+    pub(crate) fn new(limit: Duration) -> Self {
         Self { limit, newest: None }
     }
 
     /// Whether the newest tick is young enough.
-    pub fn is_fresh(&self, now: Duration) -> bool {
+    pub(crate) fn is_fresh(&self, now: Duration) -> bool {
         self.expires_at().is_some_and(|at| now < at)
     }
 
     /// Until when the node is fresh without another tick.
-    pub fn expires_at(&self) -> Option<Duration> {
+    pub(crate) fn expires_at(&self) -> Option<Duration> {
         self.newest.map(|(_, at)| at)
     }
 
     /// The newest tick, or the lowest of all if there is none.
-    pub fn tick(&self) -> FreshnessTick {
+    pub(crate) fn tick(&self) -> FreshnessTick {
         self.newest.map(|(tick, _)| tick).unwrap_or_default()
     }
 
     /// The age of the newest tick.
-    pub fn age(&self, now: Duration) -> Duration {
+    pub(crate) fn age(&self, now: Duration) -> Duration {
         self.expires_at().map_or(Duration::MAX, |at| (now + self.limit).saturating_sub(at))
     }
 
     /// Records a tick from the control chain itself.
-    pub fn on_confirmed_tick(&mut self, tick: FreshnessTick, now: Duration) {
+    pub(crate) fn on_confirmed_tick(&mut self, tick: FreshnessTick, now: Duration) {
         self.newest = Some((tick, now + self.limit));
     }
 
     /// Records a parent's tick of some age if it extends the freshness; returns whether it does. `rises` is set if it is higher than
     /// the one before it in the same subscription. Only a node that is no longer fresh accepts a lower tick than it had: the control
     /// chain may count from the beginning after all of it restarted.
-    pub fn on_relayed_tick(
+    pub(crate) fn on_relayed_tick(
         &mut self,
         tick: FreshnessTick,
         age: Duration,
--- a/system/relay/src/lib.rs
+++ b/system/relay/src/lib.rs
@@ -17,6 +17,8 @@
 //!
 //! It does not know sockets, clocks or the meaning of most entries.
 
+#![warn(unreachable_pub)]
+
 mod candidates;
 mod change_log;
 mod child_progress;
--- a/system/relay/src/parent_search.rs
+++ b/system/relay/src/parent_search.rs
@@ -59,7 +59,7 @@
 
 impl ParentSearch {
     /// A search whose first round begins now.
-    pub fn new(now: Duration, settings: &RelaySettings) -> Self {
+    pub(crate) fn new(now: Duration, settings: &RelaySettings) -> Self {
         Self {
             pending: VecDeque::new(),
             round: 0,
@@ -70,23 +70,23 @@
     }
 
     /// Whether an attempt at a node is pending.
-    pub fn is_pending(&self, address: &SocketAddr) -> bool {
+    pub(crate) fn is_pending(&self, address: &SocketAddr) -> bool {
         self.pending.iter().any(|attempt| attempt.to == *address)
     }
 
     /// Whether the next attempt is due.
-    pub fn is_due(&self, now: Duration) -> bool {
+    pub(crate) fn is_due(&self, now: Duration) -> bool {
         self.next_at <= now
     }
 
     /// Whether an earlier round found no parent.
-    pub fn is_repeated(&self) -> bool {
+    pub(crate) fn is_repeated(&self) -> bool {
         self.round > 1
     }
 
     /// There are no candidates left. Begins the next round if its time has come; else the current round ends with a backoff, which
     /// grows from round to round. Returns whether a round begins.
-    pub fn begin_round(&mut self, now: Duration, settings: &RelaySettings, rng: &mut Rng) -> bool {
+    pub(crate) fn begin_round(&mut self, now: Duration, settings: &RelaySettings, rng: &mut Rng) -> bool {
         if !self.is_in_round {
             self.is_in_round = true;
             self.round = self.round.saturating_add(1);
@@ -99,26 +99,26 @@
     }
 
     /// An attempt failed: the next one is due, unless the round is over.
-    pub fn expedite_next(&mut self, now: Duration) {
+    pub(crate) fn expedite_next(&mut self, now: Duration) {
         if self.is_in_round {
             self.next_at = now;
         }
     }
 
     /// There are new candidates, which belong to the same round.
-    pub fn extend_round(&mut self, now: Duration) {
+    pub(crate) fn extend_round(&mut self, now: Duration) {
         self.is_in_round = true;
         self.next_at = now;
     }
 
     /// A new round is due now.
-    pub fn expedite_round(&mut self, now: Duration) {
+    pub(crate) fn expedite_round(&mut self, now: Duration) {
         self.is_in_round = false;
         self.next_at = now;
     }
 
     /// Starts an attempt.
-    pub fn start_attempt(
+    pub(crate) fn start_attempt(
         &mut self,
         to: SocketAddr,
         request: SubscribeRequest<'_>,
@@ -144,7 +144,7 @@
     }
 
     /// Removes the attempt that a message responds to.
-    pub fn remove_attempt(&mut self, from: SocketAddr, subscription: u64) -> Option<Attempt> {
+    pub(crate) fn remove_attempt(&mut self, from: SocketAddr, subscription: u64) -> Option<Attempt> {
         let at = self
             .pending
             .iter()
@@ -153,21 +153,21 @@
     }
 
     /// Removes the attempts at a node that can't be reached; returns whether there were any.
-    pub fn remove_attempts_to(&mut self, peer: SocketAddr) -> bool {
+    pub(crate) fn remove_attempts_to(&mut self, peer: SocketAddr) -> bool {
         let before = self.pending.len();
         self.pending.retain(|attempt| attempt.to != peer);
         self.pending.len() < before
     }
 
     /// Removes the attempts without a response in time, and returns them.
-    pub fn remove_expired(&mut self, now: Duration) -> Vec<Attempt> {
+    pub(crate) fn remove_expired(&mut self, now: Duration) -> Vec<Attempt> {
         let expired = self.pending.iter().copied().filter(|attempt| attempt.expires_at <= now).collect();
         self.pending.retain(|attempt| attempt.expires_at > now);
         expired
     }
 
     /// When there is something to do.
-    pub fn next_timer(&self) -> Duration {
+    pub(crate) fn next_timer(&self) -> Duration {
         let answers = self.pending.iter().map(|attempt| attempt.expires_at);
         answers.fold(self.next_at, Duration::min)
     }
--- a/system/relay/src/parent_subscription.rs
+++ b/system/relay/src/parent_subscription.rs
@@ -27,7 +27,7 @@
 
 impl ParentSubscription {
     /// The subscription of an attempt that was just accepted.
-    pub fn new(attempt: &Attempt, now: Duration) -> Self {
+    pub(crate) fn new(attempt: &Attempt, now: Duration) -> Self {
         Self {
             parent: attempt.to,
             subscription: attempt.subscription,
@@ -44,27 +44,27 @@
     }
 
     /// Whether this is the first message of a subscription that requested a full copy; true only once.
-    pub fn begins_full_copy(&mut self) -> bool {
+    pub(crate) fn begins_full_copy(&mut self) -> bool {
         std::mem::take(&mut self.awaits_full_copy)
     }
 
     /// The parent.
-    pub fn parent(&self) -> SocketAddr {
+    pub(crate) fn parent(&self) -> SocketAddr {
         self.parent
     }
 
     /// The identifier of the subscription.
-    pub fn subscription(&self) -> u64 {
+    pub(crate) fn subscription(&self) -> u64 {
         self.subscription
     }
 
     /// Whether a message belongs to this subscription.
-    pub fn matches_message(&self, from: SocketAddr, subscription: u64) -> bool {
+    pub(crate) fn matches_message(&self, from: SocketAddr, subscription: u64) -> bool {
         self.parent == from && self.subscription == subscription
     }
 
     /// Records an update; returns whether it is the next one in sequence.
-    pub fn on_update(&mut self, sequence: u64, entries: &[Entry], now: Duration) -> bool {
+    pub(crate) fn on_update(&mut self, sequence: u64, entries: &[Entry], now: Duration) -> bool {
         if sequence != self.sequence + 1 {
             return false;
         }
@@ -78,20 +78,20 @@
     }
 
     /// Records the tick of an update; returns whether it is higher than the one before it.
-    pub fn on_tick(&mut self, tick: FreshnessTick) -> bool {
+    pub(crate) fn on_tick(&mut self, tick: FreshnessTick) -> bool {
         let rises = tick > self.tick;
         self.tick = tick;
         rises
     }
 
     /// When the parent times out.
-    pub fn times_out_at(&self, settings: &RelaySettings) -> Duration {
+    pub(crate) fn times_out_at(&self, settings: &RelaySettings) -> Duration {
         self.last_message_at + settings.parent_timeout
     }
 
     /// When the subscription counts as stalled, by a newest tick that makes the node fresh until `fresh_until`. While the parent
     /// still sends its copy, entries count like ticks, for a bounded time.
-    pub fn stalled_at(&self, fresh_until: Option<Duration>, settings: &RelaySettings) -> Duration {
+    pub(crate) fn stalled_at(&self, fresh_until: Option<Duration>, settings: &RelaySettings) -> Duration {
         let first_tick_by = self.accepted_at + settings.freshness;
         let ticks_expected_until = fresh_until.unwrap_or_default().max(first_tick_by);
         if self.tick != FreshnessTick::default() {
@@ -102,7 +102,7 @@
     }
 
     /// When the next acknowledgement to the parent is due.
-    pub fn report_at(&self, free_child_slots: u16, settings: &RelaySettings) -> Duration {
+    pub(crate) fn report_at(&self, free_child_slots: u16, settings: &RelaySettings) -> Duration {
         if self.unreported_bytes >= settings.max_inflight_bytes / 4 {
             return self.last_message_at;
         }
@@ -115,7 +115,7 @@
     }
 
     /// The acknowledgement, with the free slots of this node.
-    pub fn report(&mut self, free_child_slots: u16, now: Duration) -> RelayMessage {
+    pub(crate) fn report(&mut self, free_child_slots: u16, now: Duration) -> RelayMessage {
         self.unreported_bytes = 0;
         self.last_report_at = now;
         self.reported_child_slots = free_child_slots;
--- a/system/relay/src/relay.rs
+++ b/system/relay/src/relay.rs
@@ -52,6 +52,7 @@
 
 impl Relay {
     /// The relay of the node that takes internal messages at `me`. A `is_root` is fed by its host and has no parent.
+    #[must_use]
     pub fn new(settings: RelaySettings, me: SocketAddr, is_root: bool, seed: u64) -> Self {
         Self {
             me,
@@ -87,6 +88,7 @@
     }
 
     /// When [`RelayEvent::TimerExpired`] is due, if at all.
+    #[must_use]
     pub fn next_timer(&self) -> Option<Duration> {
         let upstream =
             self.upstream.next_timer(self.freshness.expires_at(), self.children.free_child_slots());
@@ -96,26 +98,31 @@
     }
 
     /// This node's copy of the registry.
+    #[must_use]
     pub fn registry(&self) -> &Registry {
         self.replica.registry()
     }
 
     /// Whether the copy had, within the last [`RelaySettings::freshness`], all that the control chain had confirmed.
+    #[must_use]
     pub fn is_fresh(&self, now: Duration) -> bool {
         self.freshness.is_fresh(now)
     }
 
     /// When the newest tick was confirmed at a root, less the time on the wire.
+    #[must_use]
     pub fn last_tick_at(&self) -> Option<Duration> {
         self.freshness.expires_at().map(|at| at.saturating_sub(self.settings.freshness))
     }
 
     /// The node's parent in the tree, while it has one.
+    #[must_use]
     pub fn parent(&self) -> Option<SocketAddr> {
         self.upstream.parent()
     }
 
     /// How many children the node has.
+    #[must_use]
     pub fn child_count(&self) -> usize {
         self.children.len()
     }
--- a/system/relay/src/replica.rs
+++ b/system/relay/src/replica.rs
@@ -31,7 +31,7 @@
 
 impl Replica {
     /// An empty copy.
-    pub fn new(settings: &RelaySettings) -> Self {
+    pub(crate) fn new(settings: &RelaySettings) -> Self {
         Self {
             registry: Registry::default(),
             digest: vec![0; BUCKETS],
@@ -44,22 +44,22 @@
     }
 
     /// The entries.
-    pub fn registry(&self) -> &Registry {
+    pub(crate) fn registry(&self) -> &Registry {
         &self.registry
     }
 
     /// The hash of each bucket.
-    pub fn digest(&self) -> &[u64] {
+    pub(crate) fn digest(&self) -> &[u64] {
         &self.digest
     }
 
     /// Where nodes are.
-    pub fn directory(&self) -> &Directory {
+    pub(crate) fn directory(&self) -> &Directory {
         &self.directory
     }
 
     /// Takes an entry in if it is newer than what is known; returns whether it was. `tombstone_age` is the age of a tombstone.
-    pub fn merge(&mut self, entry: &Entry, tombstone_age: Duration, now: Duration) -> bool {
+    pub(crate) fn merge(&mut self, entry: &Entry, tombstone_age: Duration, now: Duration) -> bool {
         if !self.registry.accepts(entry) {
             return false;
         }
@@ -90,12 +90,12 @@
     }
 
     /// Whether the configuration here is behind, and updates can't bring it forward.
-    pub fn lacks_configuration(&self) -> bool {
+    pub(crate) fn lacks_configuration(&self) -> bool {
         self.lacks_configuration
     }
 
     /// The number of the change of the configuration that others may build on; 0 where it is needed in full.
-    pub fn configuration_known(&self) -> u64 {
+    pub(crate) fn configuration_known(&self) -> u64 {
         match self.registry.configuration() {
             Some((sequence, _)) if !self.lacks_configuration => sequence,
             _ => 0,
@@ -103,12 +103,12 @@
     }
 
     /// How long ago an entry was removed; zero if it wasn't.
-    pub fn tombstone_age(&self, key: &Key, now: Duration) -> Duration {
+    pub(crate) fn tombstone_age(&self, key: &Key, now: Duration) -> Duration {
         self.tombstones.get(key).map_or(Duration::ZERO, |until| (now + self.retention).saturating_sub(*until))
     }
 
     /// Drops expired tombstones.
-    pub fn expire(&mut self, now: Duration) {
+    pub(crate) fn expire(&mut self, now: Duration) {
         while self.next_expiry().is_some_and(|at| at <= now) {
             let Some((_, key)) = self.expiries.pop_first() else { return };
             self.remove_from_digest(&key);
@@ -118,7 +118,7 @@
     }
 
     /// When [`Replica::expire`] has something to do.
-    pub fn next_expiry(&self) -> Option<Duration> {
+    pub(crate) fn next_expiry(&self) -> Option<Duration> {
         self.expiries.first().map(|(until, _)| *until)
     }
 
--- a/system/relay/src/settings.rs
+++ b/system/relay/src/settings.rs
@@ -52,6 +52,7 @@
 
 impl RelaySettings {
     /// The usual settings of a node with a role.
+    #[must_use]
     pub fn for_role(role: Role, zone: &str) -> Self {
         let max_children = match role {
             Role::Control => CONTROL_CHILDREN,
--- a/system/relay/src/unconfirmed.rs
+++ b/system/relay/src/unconfirmed.rs
@@ -18,7 +18,7 @@
 
 impl UnconfirmedEntries {
     /// Marks all entries of sessions as unconfirmed.
-    pub fn mark_sessions(&mut self, registry: &Registry) {
+    pub(crate) fn mark_sessions(&mut self, registry: &Registry) {
         let sessions = registry
             .entries()
             .filter(|entry| matches!(entry.key, Key::Store(_) | Key::Weights(..) | Key::Node(_)))
@@ -28,19 +28,19 @@
     }
 
     /// Whether all entries are confirmed.
-    pub fn is_empty(&self) -> bool {
+    pub(crate) fn is_empty(&self) -> bool {
         self.keys.is_empty()
     }
 
     /// A parent has this entry.
-    pub fn confirm(&mut self, key: &Key) {
+    pub(crate) fn confirm(&mut self, key: &Key) {
         if !self.keys.is_empty() {
             self.keys.remove(key);
         }
     }
 
     /// When [`UnconfirmedEntries::remove_overdue`] has something to do.
-    pub fn next_timer(&self, confirmation_period: Duration) -> Option<Duration> {
+    pub(crate) fn next_timer(&self, confirmation_period: Duration) -> Option<Duration> {
         if self.keys.is_empty() {
             return None;
         }
@@ -48,7 +48,7 @@
     }
 
     /// Takes notice of whether the node is fresh; once it has been so for the confirmation period, removes and returns the keys.
-    pub fn remove_overdue(
+    pub(crate) fn remove_overdue(
         &mut self,
         is_fresh: bool,
         confirmation_period: Duration,
--- a/system/relay/src/upstream.rs
+++ b/system/relay/src/upstream.rs
@@ -25,24 +25,24 @@
 
 impl Upstream {
     /// Without a parent.
-    pub fn new(settings: RelaySettings, me: SocketAddr, seed: u64) -> Self {
+    pub(crate) fn new(settings: RelaySettings, me: SocketAddr, seed: u64) -> Self {
         let candidates = Candidates::new(me, settings.failure_penalty);
         Self { settings, rng: Rng::with_seed(seed), candidates, subscription: None, search: None }
     }
 
     /// The parent's address.
-    pub fn parent(&self) -> Option<SocketAddr> {
+    pub(crate) fn parent(&self) -> Option<SocketAddr> {
         self.subscription.as_ref().map(ParentSubscription::parent)
     }
 
     /// Whether a node is the parent, or an attempt at it is pending.
-    pub fn is_possible_parent(&self, address: SocketAddr) -> bool {
+    pub(crate) fn is_possible_parent(&self, address: SocketAddr) -> bool {
         self.parent() == Some(address)
             || self.search.as_ref().is_some_and(|search| search.is_pending(&address))
     }
 
     /// The subscription that a message belongs to. The first message of a pending attempt makes it the subscription.
-    pub fn subscription_of(
+    pub(crate) fn subscription_of(
         &mut self,
         from: SocketAddr,
         subscription: u64,
@@ -58,7 +58,7 @@
     }
 
     /// A node has declined this one as a child, and names alternatives.
-    pub fn on_declined(
+    pub(crate) fn on_declined(
         &mut self,
         from: SocketAddr,
         subscription: u64,
@@ -77,7 +77,7 @@
     }
 
     /// The other side ends a subscription.
-    pub fn on_unsubscribed(&mut self, from: SocketAddr, subscription: u64, now: Duration) {
+    pub(crate) fn on_unsubscribed(&mut self, from: SocketAddr, subscription: u64, now: Duration) {
         if self.subscription.as_ref().is_some_and(|current| current.matches_message(from, subscription)) {
             self.subscription = None;
         }
@@ -85,14 +85,14 @@
     }
 
     /// Leaves the parent, for instance because an update is missing.
-    pub fn unsubscribe_from_parent(&mut self, actions: &mut Vec<RelayAction>) {
+    pub(crate) fn unsubscribe_from_parent(&mut self, actions: &mut Vec<RelayAction>) {
         if let Some(subscription) = self.subscription.take() {
             actions.push(unsubscribe(subscription.parent(), subscription.subscription()));
         }
     }
 
     /// The connection to a node failed.
-    pub fn on_disconnected(&mut self, peer: SocketAddr, now: Duration) {
+    pub(crate) fn on_disconnected(&mut self, peer: SocketAddr, now: Duration) {
         if self.parent() == Some(peer) {
             self.subscription = None;
             self.candidates.record_failure(peer, now);
@@ -105,7 +105,7 @@
     }
 
     /// Replaces the control nodes that the host knows of.
-    pub fn set_seeds(&mut self, seeds: Vec<SocketAddr>, now: Duration) {
+    pub(crate) fn set_seeds(&mut self, seeds: Vec<SocketAddr>, now: Duration) {
         let has_new = self.candidates.set_seeds(seeds);
         if let Some(search) = self.search.as_mut().filter(|_| has_new) {
             search.expedite_round(now);
@@ -114,7 +114,7 @@
 
     /// Leaves a parent that has timed out, and drops attempts that have. To be called before a message is handled: after a pause of
     /// this process, messages that waited meanwhile prove nothing.
-    pub fn expire(&mut self, now: Duration, actions: &mut Vec<RelayAction>) {
+    pub(crate) fn expire(&mut self, now: Duration, actions: &mut Vec<RelayAction>) {
         if let Some(subscription) =
             self.subscription.as_ref().filter(|subscription| subscription.times_out_at(&self.settings) <= now)
         {
@@ -129,7 +129,7 @@
 
     /// Begins, continues or ends the search. The newest tick counts until `fresh_until`; `is_excluded` holds for nodes that
     /// can't be parents.
-    pub fn continue_search(
+    pub(crate) fn continue_search(
         &mut self,
         now: Duration,
         fresh_until: Option<Duration>,
@@ -163,7 +163,7 @@
     }
 
     /// Acknowledges to the parent, if that is due.
-    pub fn report(&mut self, free_child_slots: u16, now: Duration) -> Option<RelayAction> {
+    pub(crate) fn report(&mut self, free_child_slots: u16, now: Duration) -> Option<RelayAction> {
         let subscription = self.subscription.as_mut()?;
         if subscription.report_at(free_child_slots, &self.settings) > now {
             return None;
@@ -175,7 +175,11 @@
     }
 
     /// When there is something to do.
-    pub fn next_timer(&self, fresh_until: Option<Duration>, free_child_slots: u16) -> Option<Duration> {
+    pub(crate) fn next_timer(
+        &self,
+        fresh_until: Option<Duration>,
+        free_child_slots: u16,
+    ) -> Option<Duration> {
         let settings = &self.settings;
         let subscription = self.subscription.as_ref().map(|subscription| {
             let stalled_at = subscription.stalled_at(fresh_until, settings);
--- a/system/relay/tests/cluster/mod.rs
+++ b/system/relay/tests/cluster/mod.rs
@@ -275,14 +275,14 @@
     fn process(&mut self, process: ScheduledEvent) {
         match process {
             ScheduledEvent::MessageArrives { from, to, message, bytes } => {
-                self.deliver(from, to, message, bytes)
+                self.deliver(from, to, message, bytes);
             }
             ScheduledEvent::Disconnected { at, peer } => {
-                self.handle(at, RelayEvent::PeerDisconnected { peer })
+                self.handle(at, RelayEvent::PeerDisconnected { peer });
             }
             ScheduledEvent::TimerExpires { at, incarnation } => self.timer(at, incarnation),
             ScheduledEvent::EntryLearned { root, entry } => {
-                self.handle(root, RelayEvent::EntriesLearned(vec![entry]))
+                self.handle(root, RelayEvent::EntriesLearned(vec![entry]));
             }
             ScheduledEvent::Tick => self.tick(),
             ScheduledEvent::Resume { at } => self.resume(at),
--- a/system/relay/tests/faults.rs
+++ b/system/relay/tests/faults.rs
@@ -147,7 +147,7 @@
         Failure::Paused => cluster.pause(victim, Duration::from_secs(3600)),
         Failure::Isolated => others.into_iter().for_each(|other| cluster.block_link(victim, other)),
         Failure::IsolatedOneWay => {
-            cluster.blocked_links.extend(others.into_iter().map(|other| (victim, other)))
+            cluster.blocked_links.extend(others.into_iter().map(|other| (victim, other)));
         }
     }
 }
--- a/system/storage/src/forgetful.rs
+++ b/system/storage/src/forgetful.rs
@@ -24,6 +24,7 @@
 
 impl ForgetfulDisk {
     /// An empty folder.
+    #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
@@ -53,11 +54,13 @@
     }
 
     /// Number of operations so far that change something: create, write, sync, remove.
+    #[must_use]
     pub fn operations(&self) -> u64 {
         self.state().operations
     }
 
     /// Number of bytes read so far.
+    #[must_use]
     pub fn bytes_read(&self) -> u64 {
         self.state().bytes_read
     }
@@ -84,6 +87,7 @@
     }
 
     /// All that a file reads as; nothing if there is none.
+    #[must_use]
     pub fn contents(&self, name: &str) -> Option<Vec<u8>> {
         self.state().file(name).ok().map(|file| file.visible.clone())
     }
--- a/system/storage/src/forgetful/state.rs
+++ b/system/storage/src/forgetful/state.rs
@@ -44,7 +44,7 @@
 }
 
 impl State {
-    pub fn list(&self) -> io::Result<Vec<DiskFile>> {
+    pub(super) fn list(&self) -> io::Result<Vec<DiskFile>> {
         self.check_power()?;
         let lengths = self.names.iter().filter_map(|(name, id)| Some((name, self.files.get(id)?)));
         Ok(lengths
@@ -52,7 +52,7 @@
             .collect())
     }
 
-    pub fn create(&mut self, name: &str, length: u64) -> io::Result<()> {
+    pub(super) fn create(&mut self, name: &str, length: u64) -> io::Result<()> {
         self.count_operation()?;
         if self.full {
             return Err(io::Error::other("no space is left on the disk"));
@@ -66,7 +66,7 @@
         Ok(())
     }
 
-    pub fn read_at(&mut self, name: &str, offset: u64, buffer: &mut [u8]) -> io::Result<()> {
+    pub(super) fn read_at(&mut self, name: &str, offset: u64, buffer: &mut [u8]) -> io::Result<()> {
         self.check_power()?;
         let visible = &self.file(name)?.visible;
         let from = usize::try_from(offset).unwrap_or(usize::MAX);
@@ -76,7 +76,7 @@
         Ok(())
     }
 
-    pub fn write_at(&mut self, name: &str, offset: u64, bytes: &[u8]) -> io::Result<()> {
+    pub(super) fn write_at(&mut self, name: &str, offset: u64, bytes: &[u8]) -> io::Result<()> {
         self.check_power()?;
         let power = self.count_operation();
         if self.fail_writes {
@@ -90,7 +90,7 @@
         power
     }
 
-    pub fn sync_file(&mut self, name: &str) -> io::Result<()> {
+    pub(super) fn sync_file(&mut self, name: &str) -> io::Result<()> {
         self.count_operation()?;
         let (fail, seed) = (self.fail_syncs, self.operations);
         let file = self.file_mut(name)?;
@@ -102,18 +102,18 @@
         Ok(())
     }
 
-    pub fn sync_folder(&mut self) -> io::Result<()> {
+    pub(super) fn sync_folder(&mut self) -> io::Result<()> {
         self.count_operation()?;
         self.durable_names = self.names.clone();
         Ok(())
     }
 
-    pub fn remove(&mut self, name: &str) -> io::Result<()> {
+    pub(super) fn remove(&mut self, name: &str) -> io::Result<()> {
         self.count_operation()?;
         self.names.remove(name).map(|_| ()).ok_or_else(|| io::ErrorKind::NotFound.into())
     }
 
-    pub fn file(&self, name: &str) -> io::Result<&MemoryFile> {
+    pub(super) fn file(&self, name: &str) -> io::Result<&MemoryFile> {
         let id = self.names.get(name).ok_or(io::ErrorKind::NotFound)?;
         self.files.get(id).ok_or_else(|| io::ErrorKind::NotFound.into())
     }
@@ -123,7 +123,7 @@
         self.files.get_mut(id).ok_or_else(|| io::ErrorKind::NotFound.into())
     }
 
-    pub fn switch_on(&mut self) {
+    pub(super) fn switch_on(&mut self) {
         self.operations_left = None;
         self.power_is_off = false;
     }
@@ -147,7 +147,7 @@
         self.check_power()
     }
 
-    pub fn flip_bit(&mut self, name: &str, offset: u64, bit: u8) {
+    pub(super) fn flip_bit(&mut self, name: &str, offset: u64, bit: u8) {
         let Ok(file) = self.file_mut(name) else { return };
         for bytes in [&mut file.visible, &mut file.durable] {
             if let Some(byte) = bytes.get_mut(offset as usize) {
@@ -156,7 +156,7 @@
         }
     }
 
-    pub fn lose_power(&mut self, rng: &mut SeededRng, lose_all: bool) {
+    pub(super) fn lose_power(&mut self, rng: &mut SeededRng, lose_all: bool) {
         let mut names = BTreeMap::new();
         let all: BTreeSet<&String> = self.names.keys().chain(self.durable_names.keys()).collect();
         for name in all {
@@ -245,13 +245,13 @@
     }
 }
 
-/// A small generator of random numbers (SplitMix64), so that the seed determines everything.
+/// A small generator of random numbers (`SplitMix64`), so that the seed determines everything.
 pub(super) struct SeededRng {
     state: u64,
 }
 
 impl SeededRng {
-    pub fn new(seed: u64) -> Self {
+    pub(super) fn new(seed: u64) -> Self {
         Self { state: seed }
     }
 
--- a/system/storage/src/frame.rs
+++ b/system/storage/src/frame.rs
@@ -54,7 +54,7 @@
 }
 
 impl FrameHeader {
-    pub fn encode(&self) -> [u8; FRAME_HEADER_BYTES] {
+    pub(crate) fn encode(&self) -> [u8; FRAME_HEADER_BYTES] {
         let kind = match self.batch.kind {
             BatchKind::Append => KIND_APPEND,
             BatchKind::Snapshot => KIND_SNAPSHOT,
@@ -74,7 +74,7 @@
     }
 
     /// The header at the start of these bytes; none unless it is intact and consistent.
-    pub fn decode(bytes: &[u8]) -> Option<Self> {
+    pub(crate) fn decode(bytes: &[u8]) -> Option<Self> {
         let header = bytes.first_chunk::<FRAME_HEADER_BYTES>()?;
         if read_u32(header, 0)? != MAGIC || read_u32(header, 4)? != crc32fast::hash(&header[8..]) {
             return None;
@@ -109,11 +109,11 @@
     }
 
     /// Position behind this frame.
-    pub fn end(&self) -> u64 {
+    pub(crate) fn end(&self) -> u64 {
         self.position.saturating_add(align(FRAME_HEADER_BYTES as u64 + u64::from(self.body_bytes)))
     }
 
-    pub fn is_last(&self) -> bool {
+    pub(crate) fn is_last(&self) -> bool {
         self.end() == self.batch.end
     }
 }
--- a/system/storage/src/layout.rs
+++ b/system/storage/src/layout.rs
@@ -51,11 +51,11 @@
 }
 
 impl Layout {
-    pub fn new(settings: RingSettings) -> Result<Self, StorageError> {
+    pub(crate) fn new(settings: RingSettings) -> Result<Self, StorageError> {
         Self::checked(settings.files as u64, settings.file_bytes - settings.file_bytes % FILE_HEADER_BYTES)
     }
 
-    pub fn checked(files: u64, file_bytes: u64) -> Result<Self, StorageError> {
+    pub(crate) fn checked(files: u64, file_bytes: u64) -> Result<Self, StorageError> {
         ensure!((2..=MAX_FILES).contains(&files), SettingsSnafu { reason: "the files must be 2 to 256" });
         let bounds = 2 * FILE_HEADER_BYTES..=MAX_FILE_BYTES;
         ensure!(bounds.contains(&file_bytes), SettingsSnafu { reason: "a file must have 8 KiB to 1 TiB" });
@@ -63,16 +63,16 @@
         Ok(Self { files, file_bytes })
     }
 
-    pub fn files(&self) -> u64 {
+    pub(crate) fn files(&self) -> u64 {
         self.files
     }
 
-    pub fn file_bytes(&self) -> u64 {
+    pub(crate) fn file_bytes(&self) -> u64 {
         self.file_bytes
     }
 
     /// Bytes of log that fit in the ring.
-    pub fn capacity(&self) -> u64 {
+    pub(crate) fn capacity(&self) -> u64 {
         self.files * self.data_bytes()
     }
 
@@ -81,13 +81,13 @@
     }
 
     /// The file and the offset in it of a position.
-    pub fn locate(&self, position: u64) -> (u64, u64) {
+    pub(crate) fn locate(&self, position: u64) -> (u64, u64) {
         let address = position % self.capacity();
         (address / self.data_bytes(), FILE_HEADER_BYTES + address % self.data_bytes())
     }
 
     /// The parts of a range of positions, in order; each lies in one file.
-    pub fn segments(self, position: u64, length: usize) -> impl Iterator<Item = Segment> {
+    pub(crate) fn segments(self, position: u64, length: usize) -> impl Iterator<Item = Segment> {
         let mut done = 0;
         std::iter::from_fn(move || {
             if done == length {
--- a/system/storage/src/lib.rs
+++ b/system/storage/src/lib.rs
@@ -17,6 +17,8 @@
 //!   is dropped silently. Each batch is written only after the batch before it was synced, so a later batch behind
 //!   damaged bytes proves that they had been durable.
 
+#![warn(unreachable_pub)]
+
 mod batch;
 mod disk;
 mod error;
--- a/system/storage/src/recovery.rs
+++ b/system/storage/src/recovery.rs
@@ -54,7 +54,7 @@
 
 impl Log {
     /// Nothing read yet.
-    pub fn empty(superblock: &Superblock) -> Self {
+    pub(crate) fn empty(superblock: &Superblock) -> Self {
         Self {
             snapshot: Vec::new(),
             records: Vec::new(),
@@ -84,7 +84,7 @@
     }
 
     /// The epoch of the last batch.
-    pub fn epoch(&self) -> u64 {
+    pub(crate) fn epoch(&self) -> u64 {
         self.last.map_or(0, |batch| batch.epoch)
     }
 }
--- a/system/storage/src/recovery/assembly.rs
+++ b/system/storage/src/recovery/assembly.rs
@@ -13,12 +13,12 @@
 }
 
 impl RecordAssembly {
-    pub fn new(batch_bytes: u64) -> Self {
+    pub(super) fn new(batch_bytes: u64) -> Self {
         Self { records: Vec::new(), prefix: Vec::with_capacity(LENGTH_BYTES), current: None, batch_bytes }
     }
 
     /// Adds the body of the next frame; returns false if a record would be longer than its batch.
-    pub fn push(&mut self, mut bytes: &[u8]) -> bool {
+    pub(super) fn push(&mut self, mut bytes: &[u8]) -> bool {
         while !bytes.is_empty() {
             match &mut self.current {
                 None => {
@@ -52,7 +52,7 @@
     }
 
     /// All records, if the last one is complete.
-    pub fn finish(self) -> Option<Vec<Vec<u8>>> {
+    pub(super) fn finish(self) -> Option<Vec<Vec<u8>>> {
         (self.current.is_none() && self.prefix.is_empty()).then_some(self.records)
     }
 }
--- a/system/storage/src/recovery/reader.rs
+++ b/system/storage/src/recovery/reader.rs
@@ -16,16 +16,16 @@
 }
 
 impl<'a, D: Disk> Reader<'a, D> {
-    pub fn new(volume: &'a mut Volume<D>, start: u64) -> Self {
+    pub(super) fn new(volume: &'a mut Volume<D>, start: u64) -> Self {
         let end = start + volume.layout.capacity();
         Self { volume, end, buffer: Vec::new(), buffer_start: start }
     }
 
-    pub fn capacity(&self) -> u64 {
+    pub(super) fn capacity(&self) -> u64 {
         self.volume.layout.capacity()
     }
 
-    pub fn corrupt(&self, position: u64, reason: &'static str) -> StorageError {
+    pub(super) fn corrupt(&self, position: u64, reason: &'static str) -> StorageError {
         self.volume.corrupt(position, reason)
     }
 
@@ -40,13 +40,13 @@
     }
 
     /// The header of a frame that belongs at a position; none if there is no valid one.
-    pub fn header(&mut self, position: u64) -> Result<Option<FrameHeader>, StorageError> {
+    pub(super) fn header(&mut self, position: u64) -> Result<Option<FrameHeader>, StorageError> {
         let header = FrameHeader::decode(self.bytes(position, FRAME_HEADER_BYTES)?);
         Ok(header.filter(|header| header.position == position))
     }
 
     /// The frame at a position, and its body; none unless both are intact.
-    pub fn frame(&mut self, position: u64) -> Result<Option<(FrameHeader, &[u8])>, StorageError> {
+    pub(super) fn frame(&mut self, position: u64) -> Result<Option<(FrameHeader, &[u8])>, StorageError> {
         let Some(header) = self.header(position)? else { return Ok(None) };
         let frame = self.bytes(position, FRAME_HEADER_BYTES + header.body_bytes as usize)?;
         let body = frame.get(FRAME_HEADER_BYTES..).unwrap_or_default();
--- a/system/storage/src/superblock.rs
+++ b/system/storage/src/superblock.rs
@@ -89,7 +89,7 @@
     }
 
     /// Writes this superblock to its slot and syncs it.
-    pub fn write<D: Disk>(&self, volume: &mut Volume<D>) -> Result<(), StorageError> {
+    pub(crate) fn write<D: Disk>(&self, volume: &mut Volume<D>) -> Result<(), StorageError> {
         let file = file_name(self.generation % SLOT_COUNT);
         volume.disk.write_at(&file, 0, &self.encode())?;
         volume.disk.sync_file(&file)
--- a/system/storage/src/volume.rs
+++ b/system/storage/src/volume.rs
@@ -13,7 +13,7 @@
 }
 
 impl<D: Disk> Volume<D> {
-    pub fn read(&mut self, position: u64, buffer: &mut [u8]) -> Result<(), StorageError> {
+    pub(crate) fn read(&mut self, position: u64, buffer: &mut [u8]) -> Result<(), StorageError> {
         for segment in self.layout.segments(position, buffer.len()) {
             let Some(part) = buffer.get_mut(segment.range) else { continue };
             self.disk.read_at(&file_name(segment.file), segment.offset, part)?;
@@ -21,7 +21,7 @@
         Ok(())
     }
 
-    pub fn write(&mut self, position: u64, bytes: &[u8]) -> Result<(), StorageError> {
+    pub(crate) fn write(&mut self, position: u64, bytes: &[u8]) -> Result<(), StorageError> {
         for segment in self.layout.segments(position, bytes.len()) {
             let Some(part) = bytes.get(segment.range) else { continue };
             self.disk.write_at(&file_name(segment.file), segment.offset, part)?;
@@ -30,7 +30,7 @@
     }
 
     /// Syncs each file in which a part of the range lies.
-    pub fn sync(&mut self, start: u64, end: u64) -> Result<(), StorageError> {
+    pub(crate) fn sync(&mut self, start: u64, end: u64) -> Result<(), StorageError> {
         let length = usize::try_from(end.saturating_sub(start)).unwrap_or(usize::MAX);
         let files: BTreeSet<u64> = self.layout.segments(start, length).map(|segment| segment.file).collect();
         for file in files {
@@ -40,7 +40,7 @@
     }
 
     /// The error for damage at a position.
-    pub fn corrupt(&self, position: u64, reason: &'static str) -> StorageError {
+    pub(crate) fn corrupt(&self, position: u64, reason: &'static str) -> StorageError {
         let (file, offset) = self.layout.locate(position);
         StorageError::Corrupt { file: file_name(file), offset, reason }
     }
--- a/system/storage/src/writer/queue.rs
+++ b/system/storage/src/writer/queue.rs
@@ -54,7 +54,7 @@
 }
 
 impl Queue {
-    pub fn push(&self, write: Write) -> Result<(), StorageError> {
+    pub(super) fn push(&self, write: Write) -> Result<(), StorageError> {
         let mut state = self.lock();
         ensure!(!state.is_stopped, StoppedSnafu);
         let has_capacity = state.writes.len() < MAX_QUEUED_WRITES && state.bytes < MAX_QUEUED_BYTES;
@@ -66,7 +66,7 @@
     }
 
     /// Waits for writes; none once the queue is closed and empty.
-    pub fn next_group(&self) -> Option<Group> {
+    pub(super) fn next_group(&self) -> Option<Group> {
         let mut state = self.lock();
         loop {
             if let Some(group) = state.next_group() {
@@ -79,12 +79,12 @@
         }
     }
 
-    pub fn close(&self) {
+    pub(super) fn close(&self) {
         self.lock().is_closed = true;
         self.changed.notify_one();
     }
 
-    pub fn stop(&self) {
+    pub(super) fn stop(&self) {
         let mut state = self.lock();
         state.is_stopped = true;
         state.writes.clear();
--- a/system/transport/src/backoff.rs
+++ b/system/transport/src/backoff.rs
@@ -16,16 +16,19 @@
 
 impl Backoff {
     /// Ready without a delay. Delays go from `first` to `limit`; the seed chooses their shortening.
+    #[must_use]
     pub fn new(first: Duration, limit: Duration, seed: u64) -> Self {
         Self { first, limit, failures: 0, connected_at: None, ready_at: Duration::ZERO, random: seed }
     }
 
     /// From when on the next attempt may be made.
+    #[must_use]
     pub fn ready_at(&self) -> Duration {
         self.ready_at
     }
 
     /// Whether an attempt may be made now.
+    #[must_use]
     pub fn is_ready(&self, now: Duration) -> bool {
         now >= self.ready_at
     }
@@ -57,7 +60,7 @@
         half + half.mul_f64(self.next_fraction())
     }
 
-    /// A number from 0 to 1, by SplitMix64.
+    /// A number from 0 to 1, by `SplitMix64`.
     fn next_fraction(&mut self) -> f64 {
         self.random = self.random.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mut mixed = self.random;
--- a/system/transport/src/error.rs
+++ b/system/transport/src/error.rs
@@ -43,6 +43,7 @@
 
 impl SendOutcome {
     /// Whether the message was queued.
+    #[must_use]
     pub fn is_queued(self) -> bool {
         self == SendOutcome::Queued
     }
--- a/system/transport/src/identity.rs
+++ b/system/transport/src/identity.rs
@@ -10,6 +10,7 @@
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
 /// Draws a number other than 0 for a process, by the name and the internal address of its node.
+#[must_use]
 pub fn draw(name: &str, address: SocketAddr, purpose: &str) -> u64 {
     let time = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |time| time.as_nanos());
     let origin = (name, address, purpose, std::process::id());
--- a/system/transport/src/inbound.rs
+++ b/system/transport/src/inbound.rs
@@ -72,7 +72,7 @@
     match read_connection(&shared, &senders, connection).await {
         Ok(()) => {}
         Err(InboundError::Connection { source }) => {
-            log::debug!(remote:%; "inbound connection failed: {source}")
+            log::debug!(remote:%; "inbound connection failed: {source}");
         }
         Err(InboundError::Frame { source }) => senders.log_closed(remote, &source),
     }
--- a/system/transport/src/lib.rs
+++ b/system/transport/src/lib.rs
@@ -11,6 +11,8 @@
 //!
 //! [`Pending`] matches replies to requests for callers whose messages carry a request number.
 
+#![warn(unreachable_pub)]
+
 mod backoff;
 mod connection;
 mod error;
--- a/system/transport/src/network.rs
+++ b/system/transport/src/network.rs
@@ -75,6 +75,7 @@
     }
 
     /// The address that the network listens on and advertises to its peers.
+    #[must_use]
     pub fn local_address(&self) -> SocketAddr {
         self.shared.local_address()
     }
--- a/system/transport/src/pending.rs
+++ b/system/transport/src/pending.rs
@@ -28,6 +28,7 @@
 
 impl<R> Pending<R> {
     /// An empty table for at most as many requests at a time.
+    #[must_use]
     pub fn new(capacity: usize) -> Self {
         let next = RandomState::new().hash_one(capacity) >> (u64::BITS - START_BITS);
         Self { table: Arc::new(Mutex::new(Table { capacity, next, waiting: HashMap::new() })) }
@@ -59,11 +60,13 @@
     }
 
     /// Number of requests that wait.
+    #[must_use]
     pub fn len(&self) -> usize {
         lock(&self.table).waiting.len()
     }
 
     /// Whether no request waits.
+    #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
