--- a/system/transport/src/settings.rs
+++ b/system/transport/src/settings.rs
@@ -43,6 +43,7 @@
 
 impl NetworkSettings {
     /// Defaults for a small fleet, listening on the given address.
+    #[must_use]
     pub fn new(listen: SocketAddr) -> Self {
         Self {
             listen,
--- a/system/wire/src/jobs.rs
+++ b/system/wire/src/jobs.rs
@@ -22,6 +22,7 @@
 pub type DriverTerm = u64;
 
 /// The partition of a batch job.
+#[must_use]
 pub fn partition_of(job: &str) -> u16 {
     (stable_hash(job) % u64::from(PARTITION_COUNT)) as u16
 }
--- a/system/wire/src/lib.rs
+++ b/system/wire/src/lib.rs
@@ -6,6 +6,8 @@
 //! Unless a field says otherwise: an *incarnation* is drawn at random by each start of a process, a *member* is the identity of a
 //! disk, an address is a node's internal listen address, a number of milliseconds ends with `_ms`.
 
+#![warn(unreachable_pub)]
+
 mod command;
 mod control;
 mod jobs;
--- a/system/wire/src/registry.rs
+++ b/system/wire/src/registry.rs
@@ -112,11 +112,13 @@
 
 impl Entry {
     /// Whether its source announced its shutdown. A session that only timed out may come back.
+    #[must_use]
     pub fn is_ended(&self) -> bool {
         self.version == FINAL_VERSION && matches!(self.value, Value::Tombstone)
     }
 
     /// The rank among entries of the same key.
+    #[must_use]
     pub fn rank(&self) -> (u64, u8) {
         (self.version, if matches!(self.value, Value::Tombstone) { TOMBSTONE_RANK } else { 0 })
     }
@@ -130,6 +132,7 @@
 
 impl Registry {
     /// Whether an entry is newer than the known one, and there is capacity for it.
+    #[must_use]
     pub fn accepts(&self, entry: &Entry) -> bool {
         match self.entries.get(&entry.key) {
             Some(known) => known.rank() < entry.rank(),
@@ -162,6 +165,7 @@
     }
 
     /// The entry of a key; it may be a tombstone.
+    #[must_use]
     pub fn entry(&self, key: &Key) -> Option<&Entry> {
         self.entries.get(key)
     }
@@ -178,11 +182,13 @@
     }
 
     /// Number of entries, tombstones included.
+    #[must_use]
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
     /// Whether there are no entries.
+    #[must_use]
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
@@ -193,6 +199,7 @@
     }
 
     /// The configuration and the sequence number of its change.
+    #[must_use]
     pub fn configuration(&self) -> Option<(u64, &ConfigurationDocument)> {
         match self.entries.get(&Key::Configuration) {
             Some(Entry { version, value: Value::Configuration(document), .. }) => Some((*version, document)),
@@ -224,6 +231,7 @@
     }
 
     /// The version of a model's weights at a store: the newer of the reported and the observed one; 0 if neither is known.
+    #[must_use]
     pub fn loaded_version(&self, id: &str, store: &StoreRecord, model: &str) -> u64 {
         let reported =
             store.models.iter().find(|loaded| loaded.name == model).map_or(0, |loaded| loaded.version);
@@ -235,6 +243,7 @@
     }
 
     /// The chain of a partition.
+    #[must_use]
     pub fn partition(&self, partition: u16) -> Option<&PartitionRecord> {
         match self.entries.get(&Key::Partition(partition)) {
             Some(Entry { value: Value::Partition(record), .. }) => Some(record),
@@ -243,11 +252,13 @@
     }
 
     /// The newest announced version of a model's weights; 1 before any is announced.
+    #[must_use]
     pub fn named_version(&self, model: &str) -> u64 {
         self.entries.get(&Key::NamedVersion(model.to_owned())).map_or(1, |entry| entry.version)
     }
 
     /// The owner of the coordinator lease, if it is known.
+    #[must_use]
     pub fn coordinator(&self) -> Option<&Coordinator> {
         match self.entries.get(&Key::Coordinator) {
             Some(Entry { value: Value::Coordinator(coordinator), .. }) => Some(coordinator),
--- a/testkit/golden/src/lib.rs
+++ b/testkit/golden/src/lib.rs
@@ -4,6 +4,8 @@
 //! with the code of the day and compares them with the file, so that a reordered variant, a reordered field or a renamed key fails
 //! it. Decoding is the caller's: [`read`] gives the bytes of each sample.
 
+#![warn(unreachable_pub)]
+
 pub mod disk_image;
 
 use std::collections::BTreeMap;
--- a/testkit/system/src/call.rs
+++ b/testkit/system/src/call.rs
@@ -56,6 +56,10 @@
 }
 
 /// Makes one call and reads the whole answer, within `within`.
+///
+/// # Errors
+///
+/// No connection, no complete answer, or neither within the time.
 pub async fn call(
     to: SocketAddr,
     method: Method,
--- a/testkit/system/src/fault_days/mod.rs
+++ b/testkit/system/src/fault_days/mod.rs
@@ -93,6 +93,7 @@
 
 impl FaultDay {
     /// Draws the day of a seed.
+    #[must_use]
     pub fn draw(seed: u64, scope: Scope) -> Self {
         let mut random = fastrand::Rng::with_seed(seed);
         let kinds: Vec<&TroubleKind> = KINDS.iter().filter(|kind| scope.allows(kind)).collect();
--- a/testkit/system/src/fleet.rs
+++ b/testkit/system/src/fleet.rs
@@ -73,6 +73,10 @@
 impl Fleet {
     /// A fleet of so many machines of each class, in zones by turns, with no process yet. `programs` is the folder of the
     /// binaries, `folder` an empty folder for disks, settings and logs, `network` the second byte of its addresses.
+    ///
+    /// # Errors
+    ///
+    /// No ports are free at the first machine's address.
     pub fn new(
         programs: &Path,
         folder: &Path,
@@ -104,21 +108,25 @@
     }
 
     /// All machines.
+    #[must_use]
     pub fn nodes(&self) -> &[Node] {
         &self.nodes
     }
 
     /// Where the control nodes serve.
+    #[must_use]
     pub fn control(&self) -> Vec<SocketAddr> {
         self.addresses(NodeClass::Core, self.ports.control)
     }
 
     /// Where the edges serve clients.
+    #[must_use]
     pub fn edges(&self) -> Vec<SocketAddr> {
         self.addresses(NodeClass::Edge, self.ports.frontend)
     }
 
     /// Where the edges say whether they are ready.
+    #[must_use]
     pub fn readiness(&self) -> Vec<SocketAddr> {
         self.addresses(NodeClass::Edge, self.ports.readiness)
     }
@@ -129,12 +137,20 @@
     }
 
     /// Starts all machines that don't run.
+    ///
+    /// # Errors
+    ///
+    /// A process can't be started.
     pub fn start_all(&mut self) -> Result<(), FleetError> {
         let names: Vec<_> = self.nodes.iter().map(|node| node.name.clone()).collect();
         names.iter().try_for_each(|name| self.start(name))
     }
 
     /// Starts a machine that doesn't run; its first start has `bootstrap`.
+    ///
+    /// # Errors
+    ///
+    /// The process can't be started, or its settings or log can't be written.
     pub fn start(&mut self, name: &str) -> Result<(), FleetError> {
         let Some(index) = self.nodes.iter().position(|node| node.name == name) else { return Ok(()) };
         if self.nodes[index].child.is_some() {
@@ -186,11 +202,19 @@
     }
 
     /// A machine's process stands still until it is thawed.
+    ///
+    /// # Errors
+    ///
+    /// The signal can't be sent.
     pub fn freeze(&self, name: &str) -> Result<(), FleetError> {
         self.signal(name, Signal::STOP)
     }
 
     /// A machine's process goes on.
+    ///
+    /// # Errors
+    ///
+    /// The signal can't be sent.
     pub fn thaw(&self, name: &str) -> Result<(), FleetError> {
         self.signal(name, Signal::CONT)
     }
@@ -202,6 +226,10 @@
     }
 
     /// Kills a machine's process and empties its disk.
+    ///
+    /// # Errors
+    ///
+    /// The disk can't be removed.
     pub fn wipe(&mut self, name: &str) -> Result<(), FleetError> {
         self.kill(name);
         let disk = self.disk(name);
@@ -217,6 +245,7 @@
     }
 
     /// What a machine's process has logged in all its lives.
+    #[must_use]
     pub fn log(&self, name: &str) -> String {
         let started = self.nodes.iter().find(|node| node.name == name).map_or(0, |node| node.started);
         let lives = (0..started).map(|life| self.folder.join(format!("{name}.{life}.log")));
--- a/testkit/system/src/lib.rs
+++ b/testkit/system/src/lib.rs
@@ -2,6 +2,8 @@
 //! an operator and trainers that speak to the system as the platform's do, and a fleet of the real programs on loopback.
 //! Never shipped.
 
+#![warn(unreachable_pub)]
+
 mod call;
 pub mod fault_days;
 mod fleet;
--- a/testkit/system/src/operator.rs
+++ b/testkit/system/src/operator.rs
@@ -25,6 +25,7 @@
 }
 
 /// A configuration with a service of engines, `forage-model`, and an ordinary one, `colony-ledger`, on host `hives.example`.
+#[must_use]
 pub fn configuration(version: u64, models: &[&str]) -> Value {
     let models: Vec<_> = models.iter().map(|name| json!({ "name": name })).collect();
     json!({
@@ -39,15 +40,16 @@
         "services": [
             {"name": "colony-ledger", "healthPath": "/healthz", "connectionLimit": 100, "protocol": "h1", "tls": false},
             {"name": "forage-model", "healthPath": "/healthz", "connectionLimit": 100, "protocol": "h1", "tls": false,
-             "engine": {"slots": 8, "kvCacheTokens": 90000, "kvBytes": 131072, "linkMbps": 4400000.0, "stride": 62,
+             "engine": {"slots": 8, "kvCacheTokens": 90000, "kvBytes": 131_072, "linkMbps": 4_400_000.0, "stride": 62,
                         "models": models}}
         ],
-        "limits": {"maxHeaderBytes": 16384, "maxBodyBytes": 33554432, "headerTimeoutMs": 3000, "idleTimeoutMs": 15000}
+        "limits": {"maxHeaderBytes": 16384, "maxBodyBytes": 33_554_432, "headerTimeoutMs": 3000, "idleTimeoutMs": 15000}
     })
 }
 
 impl Operator {
     /// An operator who calls these nodes in turn.
+    #[must_use]
     pub fn new(control: Vec<SocketAddr>) -> Self {
         Self { control }
     }
--- a/testkit/system/src/store.rs
+++ b/testkit/system/src/store.rs
@@ -75,6 +75,10 @@
 
 impl Store {
     /// Starts a store that calls the given control nodes.
+    ///
+    /// # Errors
+    ///
+    /// Its address can't be listened on.
     pub async fn start(settings: StoreSettings, control: Vec<SocketAddr>) -> std::io::Result<Self> {
         let listener = TcpListener::bind(settings.listen).await?;
         let address = listener.local_addr()?;
@@ -86,11 +90,13 @@
     }
 
     /// Where it serves.
+    #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
     /// Its instance id.
+    #[must_use]
     pub fn id(&self) -> &str {
         &self.settings.id
     }
@@ -139,7 +145,12 @@
         (&Method::GET, "/healthz") => Ok(plain(200, &[("Instance-Id", &settings.id)], "")),
         (&Method::GET, "/report") => Ok(report(&ledger)),
         (&Method::POST, "/order") => {
-            let body = request.into_body().collect().await.map(|body| body.to_bytes()).unwrap_or_default();
+            let body = request
+                .into_body()
+                .collect()
+                .await
+                .map(http_body_util::Collected::to_bytes)
+                .unwrap_or_default();
             Ok(order(&body, &ledger))
         }
         _ => {
--- a/testkit/system/src/trainer.rs
+++ b/testkit/system/src/trainer.rs
@@ -52,6 +52,7 @@
     }
 
     /// The body of the `POST`.
+    #[must_use]
     pub fn body(&self) -> String {
         let encode = |text: &str| base64::engine::general_purpose::STANDARD.encode(text);
         let items: Vec<_> = self
@@ -72,6 +73,7 @@
 
 impl Trainer {
     /// A trainer that calls these edges in turn.
+    #[must_use]
     pub fn new(edges: Vec<SocketAddr>) -> Self {
         Self { edges }
     }
--- a/testkit/system/src/transcript.rs
+++ b/testkit/system/src/transcript.rs
@@ -15,6 +15,7 @@
 
 impl Transcript {
     /// An empty transcript of tests in the folder of a package, in which the value of one header is replaced.
+    #[must_use]
     pub fn new(package: &'static str, header: &'static str, replacement: &'static str) -> Self {
         Self { text: Rc::default(), package: Path::new(package), varying: (header, replacement) }
     }
