--- a/broker/src/config/features.rs
+++ b/broker/src/config/features.rs
@@ -207,7 +207,10 @@
         })?;
         let class = &setup.settings.classes[index];
         // A page is put together from every block asked; a class that may leave some out can't serve it.
-        if class.follow_up > 0 || class.need < 1.0 || class.floor < class.need {
+        if class.follow_up_parts > 0
+            || class.required_share < 1.0
+            || class.minimum_share < class.required_share
+        {
             return Err(Error::new(key("class"), "expected a class whose answers hold all their parts"));
         }
         if class.repeat == Repeat::Unsafe {
--- a/broker/src/core/guard.rs
+++ b/broker/src/core/guard.rs
@@ -31,7 +31,7 @@
         Self {
             max_attempts: settings.max_attempts.max(1),
             parallel: settings.parallel,
-            repeats: settings.classes.iter().map(|class| (class.repeat, class.memory_ms)).collect(),
+            repeats: settings.classes.iter().map(|class| (class.repeat, class.deduplication_ms)).collect(),
         }
     }
 
--- a/broker/src/core/heirs.rs
+++ b/broker/src/core/heirs.rs
@@ -2,7 +2,7 @@
 //! for the map to say who holds its block now, and goes on with the attempts it has left. Where its block has split or
 //! merged, parts of the living blocks take its place.
 
-use gingerledge_dispatch::{Action, Event, Heir, Millis, Outcome, RequestId};
+use gingerledge_dispatch::{Action, Event, Millis, Outcome, RequestId, SuccessorPart};
 
 use super::{Ask, AttemptId, Core, Ended, Final, Flight, QueryId};
 use crate::routes::{Target, Told};
@@ -95,7 +95,7 @@
             let heir = self.heir(query, &ask, target, attempts, ran);
             heirs.extend(heir);
         }
-        self.aggregator.handle(now, Event::Heirs { part: id, heirs }, actions);
+        self.aggregator.handle(now, Event::SuccessorParts { part: id, successors: heirs }, actions);
     }
 
     fn heir(
@@ -105,14 +105,14 @@
         target: Target,
         attempts: u32,
         ran: Option<Millis>,
-    ) -> Option<Heir> {
+    ) -> Option<SuccessorPart> {
         let Event::Part { id, shard, weight, .. } = self.part(query, ask, target, attempts) else {
             return None;
         };
         if let Some(part) = self.parts.get_mut(&id) {
             part.ran = ran;
         }
-        Some(Heir { id, shard, weight })
+        Some(SuccessorPart { id, shard, weight })
     }
 
     /// Ends a query that has a part which nobody can be asked for: an entry that names a block with several heirs.
--- a/broker/src/core/messages.rs
+++ b/broker/src/core/messages.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use gingerledge_blocks::{Epoch, Span};
-use gingerledge_dispatch::{Entry, ListKind, Millis, Outcome, RequestId, ServerId, Why};
+use gingerledge_dispatch::{Entry, ListKind, Millis, Outcome, RejectionReason, RequestId, ServerId};
 
 use super::IdempotencyKey;
 use crate::routes::Told;
@@ -207,7 +207,7 @@
     /// Begin a watch on discovery.
     Subscribe,
     /// Count why a query is given up.
-    Because(QueryId, Why),
+    Because(QueryId, RejectionReason),
     /// Give a query its final answer.
     Finish(QueryId, Final),
 }
--- a/broker/src/core/mod.rs
+++ b/broker/src/core/mod.rs
@@ -107,7 +107,7 @@
             ended: Vec::new(),
             withdrawn: Vec::new(),
             learn: false,
-            follow_up: settings.classes.iter().map(|class| class.follow_up).collect(),
+            follow_up: settings.classes.iter().map(|class| class.follow_up_parts).collect(),
             aggregators: settings.aggregators.max(1),
             aggregator: Aggregator::new(seed, settings, now),
             queries: BTreeMap::new(),
@@ -298,19 +298,17 @@
         let mut follows = Vec::new();
         for action in actions {
             match action {
-                Action::Send { part, server, patience_ms } => {
-                    match self.send(now, part, server, patience_ms) {
-                        Ok(order) => commands.push(Command::Send(order)),
-                        Err(number) => follows.push(Event::Outcome {
-                            part,
-                            attempt: number,
-                            server,
-                            wait_ms: 0.0,
-                            outcome: Outcome::Void,
-                            report: Vec::new(),
-                        }),
-                    }
-                }
+                Action::Send { part, server, timeout_ms } => match self.send(now, part, server, timeout_ms) {
+                    Ok(order) => commands.push(Command::Send(order)),
+                    Err(number) => follows.push(Event::Outcome {
+                        part,
+                        attempt: number,
+                        server,
+                        wait_ms: 0.0,
+                        outcome: Outcome::Void,
+                        report: Vec::new(),
+                    }),
+                },
                 Action::Withdraw { part, attempt: number } => {
                     commands.push(Command::GiveUp(AttemptId { part, number }));
                 }
@@ -322,7 +320,7 @@
                     self.forget(query);
                     commands.push(Command::Finish(query, Final::Refused { retry_after_ms }));
                 }
-                Action::Because { query, why } => commands.push(Command::Because(query, why)),
+                Action::ReportRejection { query, reason } => commands.push(Command::Because(query, reason)),
                 Action::Fail { query } => {
                     self.forget(query);
                     commands.push(Command::Finish(query, Final::Failed));
--- a/broker/src/exchange.rs
+++ b/broker/src/exchange.rs
@@ -9,7 +9,7 @@
 
 use async_channel::{Receiver, Sender};
 use async_io::Timer;
-use gingerledge_dispatch::{Entry, ListKind, Why};
+use gingerledge_dispatch::{Entry, ListKind, RejectionReason};
 
 use crate::clock::Clock;
 use crate::core::{Ask, AttemptId, Ended, Final, Happening, QueryId, Question};
@@ -175,18 +175,18 @@
     }
 
     /// Counts why a query is given up; its final answer follows.
-    pub fn because(&self, id: QueryId, why: Why) {
+    pub fn because(&self, id: QueryId, why: RejectionReason) {
         if let Some(waiting) = self.waiting.borrow().get(&id) {
             log::debug!("{}: given up: {why:?}", waiting.name);
         }
         count(match why {
-            Why::Limit => &self.counters.over_limit,
-            Why::Shut => &self.counters.shut,
-            Why::Jammed => &self.counters.jammed,
-            Why::Hasty => &self.counters.hasty,
-            Why::Unlisted => &self.counters.unlisted,
-            Why::Lost => &self.counters.lost,
-            Why::Late => &self.counters.late,
+            RejectionReason::OverLimit => &self.counters.over_limit,
+            RejectionReason::NoHealthyReplica => &self.counters.shut,
+            RejectionReason::Saturated => &self.counters.jammed,
+            RejectionReason::DeadlineTooShort => &self.counters.hasty,
+            RejectionReason::NoReplicaListed => &self.counters.unlisted,
+            RejectionReason::PartsLost => &self.counters.lost,
+            RejectionReason::TooLate => &self.counters.late,
         });
     }
 
--- a/broker/src/service.rs
+++ b/broker/src/service.rs
@@ -145,7 +145,7 @@
             grace,
             offers,
         );
-        let rotation = Rotation::open(config.state_dir.as_deref(), config.listen, settings.cold_ms);
+        let rotation = Rotation::open(config.state_dir.as_deref(), config.listen, settings.warm_up_ms);
         let (told, noted) = (exchange.clone(), stores.clone());
         let (calls, rotation, counted) = (config.calls, Rc::new(rotation), counters.clone());
         let discovery = Discovery::new(config.discovery, setup.zones, told, noted, rotation, counted, calls);
--- a/broker/tests/config.rs
+++ b/broker/tests/config.rs
@@ -32,7 +32,7 @@
         let read_one = read(&given, None, &env).unwrap();
         assert_eq!((read_one.name.as_str(), read_one.listen.to_string().as_str()), ("n7", "127.0.0.2:99"));
         assert_eq!((read_one.seed, read_one.max_open, read_one.streams), (0x8c1f_30d2_7a5b_e964, 198, 32));
-        assert_eq!(read_one.setup.settings.classes[0].follow_up, 2);
+        assert_eq!(read_one.setup.settings.classes[0].follow_up_parts, 2);
         assert_eq!(read_one.setup.settings.zone, 0);
         assert_eq!(read_one.setup.tenants["north-woods-club"], 1);
         assert!(read_one.setup.settings.max_retry_after_ms > 0.0, "refusals carry advice");
--- a/broker/tests/core.rs
+++ b/broker/tests/core.rs
@@ -19,7 +19,8 @@
 }
 
 fn with(class: Class, settings: Settings) -> Core {
-    let class = Class { aim_ms: 1000.0, deadline_ms: 2000.0, late_share: 0.3, worth: 1.0, ..class };
+    let class =
+        Class { latency_target_ms: 1000.0, deadline_ms: 2000.0, late_value_share: 0.3, value: 1.0, ..class };
     let settings = Settings {
         aggregators: 1,
         turn_ms: 5.0,
@@ -84,7 +85,7 @@
 
 #[test]
 fn a_second_step_opens_in_the_same_turn_at_the_highest_scores() {
-    let mut core = core(Class { follow_up: 2, ..Class::default() });
+    let mut core = core(Class { follow_up_parts: 2, ..Class::default() });
     let sent = orders(&core.turn(1.0, [Happening::Asked(1, question("q", &[0, 1, 2], 900.0))]));
     let ends = sent.iter().map(|order| good(order.attempt, [5, 1, 9][order.shard as usize], b"x"));
     let second = core.turn(2.0, ends.collect::<Vec<_>>());
@@ -217,10 +218,10 @@
 fn a_core_about_to_end_sends_a_cold_store_nothing() {
     let orders_of = |leaves: bool| {
         let cold = Settings {
-            cold_from: 0.2,
-            cold_ms: 10_000.0,
+            warm_up_start: 0.2,
+            warm_up_ms: 10_000.0,
             overload_factor: 2.0,
-            fall_ms: 2000.0,
+            overload_window_ms: 2000.0,
             ..Settings::default()
         };
         let mut core = with(Class::default(), cold);
--- a/broker/tests/drawn/answers.rs
+++ b/broker/tests/drawn/answers.rs
@@ -34,12 +34,14 @@
         twice.dedup();
         hold(twice.len() == step.from.len(), "honest", || said("a shard is named twice"))?;
         let weight: f64 = named.iter().map(|piece| piece.weight).sum();
-        hold(weight >= class.floor - ROUNDING, "honest", || said("the first step is below its floor"))?;
-        let whole = weight >= class.need - ROUNDING;
+        hold(weight >= class.minimum_share - ROUNDING, "honest", || {
+            said("the first step is below its floor")
+        })?;
+        let whole = weight >= class.required_share - ROUNDING;
         hold(whole || !step.whole, "honest", || said("the first step is not whole"))?;
         let mut best: Vec<&Piece> = named.clone();
         best.sort_by_key(|piece| std::cmp::Reverse(piece.score));
-        best.truncate(class.follow_up as usize);
+        best.truncate(class.follow_up_parts as usize);
         let chosen = best.iter().any(|piece| piece.shard == shard);
         hold(chosen, "second step", || said("not a highest score"))?;
         let weight = 1.0 / best.len().max(1) as f64;
@@ -81,10 +83,16 @@
                     weight += given.map_or(0.0, |piece| piece.weight);
                 }
                 let second = record.second.as_ref();
-                hold((class.follow_up > 0) == second.is_some(), "second step", || said("a step is missing"))?;
-                let floor = if second.is_some() && class.floor >= class.need { 1.0 } else { class.floor };
+                hold((class.follow_up_parts > 0) == second.is_some(), "second step", || {
+                    said("a step is missing")
+                })?;
+                let floor = if second.is_some() && class.minimum_share >= class.required_share {
+                    1.0
+                } else {
+                    class.minimum_share
+                };
                 hold(weight >= floor - ROUNDING, "honest", || said("below its floor"))?;
-                let need = if second.is_some() { 1.0 } else { class.need };
+                let need = if second.is_some() { 1.0 } else { class.required_share };
                 let first = second.is_none_or(|(step, _)| step.whole);
                 let right = !whole || (first && weight >= need - ROUNDING);
                 hold(right, "honest", || said("marked whole"))?;
--- a/broker/tests/drawn/draw.rs
+++ b/broker/tests/drawn/draw.rs
@@ -32,17 +32,17 @@
     let need = if chance(rng, 0.6) { 1.0 } else { between(rng, 0.3, 1.0) };
     let floor = if rng.bool() { need } else { need * between(rng, 0.1, 1.0) };
     Class {
-        aim_ms,
-        aim_stretch: if chance(rng, 0.8) { 0.0 } else { between(rng, 0.0, 1.5) },
+        latency_target_ms: aim_ms,
+        latency_target_stretch: if chance(rng, 0.8) { 0.0 } else { between(rng, 0.0, 1.5) },
         deadline_ms: if chance(rng, 0.1) { aim_ms } else { aim_ms * between(rng, 1.0, 4.0) },
-        late_share: if chance(rng, 0.2) { 0.0 } else { rng.f64() },
-        worth: scale(rng, 0.2, 5.0),
+        late_value_share: if chance(rng, 0.2) { 0.0 } else { rng.f64() },
+        value: scale(rng, 0.2, 5.0),
         repeat: [Repeat::Safe, Repeat::Keyed, Repeat::Unsafe][rng.usize(0..3)],
-        memory_ms: scale(rng, 200.0, 10_000.0),
-        need,
-        floor,
-        partial: if chance(rng, 0.2) { 0.0 } else { rng.f64() },
-        follow_up: if chance(rng, 0.7) { 0 } else { rng.u32(1..=3) },
+        deduplication_ms: scale(rng, 200.0, 10_000.0),
+        required_share: need,
+        minimum_share: floor,
+        partial_value: if chance(rng, 0.2) { 0.0 } else { rng.f64() },
+        follow_up_parts: if chance(rng, 0.7) { 0 } else { rng.u32(1..=3) },
     }
 }
 
@@ -66,7 +66,7 @@
         turn_ms: if chance(rng, 0.5) { 5.0 } else { scale(rng, 1.0, 20.0) },
         classes: (0..rng.usize(1..=6)).map(|_| class(rng)).collect(),
         tenants: (0..rng.usize(0..=5)).map(|_| Tenant { quota_per_s: scale(rng, 0.5, 50.0) }).collect(),
-        over_share_worth: rng.f64(),
+        over_quota_value: rng.f64(),
         cells,
         reach: if sets { 1 } else { rng.u32(1..=4).min(cells) },
         shards: cells * rng.u32(1..=4),
@@ -76,7 +76,7 @@
         parallel: rng.bool(),
         withdrawals: rng.bool(),
         subscribe: rng.bool(),
-        ask_every_ms: scale(rng, 1000.0, 20_000.0),
+        list_refresh_ms: scale(rng, 1000.0, 20_000.0),
         budget: rng.bool().then(|| Budget {
             free: if rng.bool() { 0.0 } else { between(rng, 0.0, 10.0) },
             ratio: if chance(rng, 0.2) { 0.0 } else { between(rng, 0.0, 0.5) },
@@ -84,10 +84,10 @@
         }),
         answer_slack_ms: between(rng, 0.0, 40.0),
         drain_grace_ms: if chance(rng, 0.2) { 0.0 } else { between(rng, 0.0, 2000.0) },
-        cold_from: between(rng, 0.05, 1.0),
-        cold_ms: scale(rng, 200.0, 20_000.0),
+        warm_up_start: between(rng, 0.05, 1.0),
+        warm_up_ms: scale(rng, 200.0, 20_000.0),
         overload_factor: between(rng, 1.2, 4.0),
-        fall_ms: scale(rng, 200.0, 3000.0),
+        overload_window_ms: scale(rng, 200.0, 3000.0),
         max_retry_after_ms: if rng.bool() { 0.0 } else { scale(rng, 50.0, 2000.0) },
         idle_ms: scale(rng, 100.0, 30_000.0),
         report: (0..figures).map(|_| fields[rng.usize(0..fields.len())]).collect(),
@@ -187,8 +187,8 @@
             Self::Cold => {
                 (set.cells, set.reach) = (rng.u32(1..=3), 1);
                 set.shards = set.cells * rng.u32(1..=4);
-                set.cold_from = between(rng, 0.05, 0.4);
-                set.cold_ms = scale(rng, 2000.0, 20_000.0);
+                set.warm_up_start = between(rng, 0.05, 0.4);
+                set.warm_up_ms = scale(rng, 2000.0, 20_000.0);
                 set.aggregators = brokers as u32;
             }
             Self::Copies => {
@@ -196,14 +196,14 @@
                 set.max_attempts = rng.u32(3..=6);
                 set.budget = None;
                 for class in &mut set.classes {
-                    class.memory_ms = scale(rng, 50.0, 1000.0);
-                    class.aim_ms = class.aim_ms.max(400.0);
+                    class.deduplication_ms = scale(rng, 50.0, 1000.0);
+                    class.latency_target_ms = class.latency_target_ms.max(400.0);
                     class.deadline_ms = class.deadline_ms.max(1500.0);
                 }
             }
             Self::Unheard => {
                 set.subscribe = true;
-                set.ask_every_ms = scale(rng, 1000.0, 1500.0);
+                set.list_refresh_ms = scale(rng, 1000.0, 1500.0);
                 set.drain_grace_ms = between(rng, 0.0, 300.0);
             }
             Self::Anywhere => {}
@@ -214,7 +214,8 @@
 /// Waves of queries, each at some share of what the stores can do.
 fn asks(rng: &mut Rng, scene: &Scenario, day: f64, corner: Corner) -> Vec<Asked> {
     let set = &scene.settings;
-    let works: Vec<f64> = set.classes.iter().map(|c| scale(rng, 2.0, 100.0).min(c.aim_ms / 3.0)).collect();
+    let works: Vec<f64> =
+        set.classes.iter().map(|c| scale(rng, 2.0, 100.0).min(c.latency_target_ms / 3.0)).collect();
     let cores = (scene.stores.len() * scene.kind.cores) as f64;
     let load = if corner == Corner::Cold { scale(rng, 0.5, 3.0) } else { scale(rng, 0.05, 1.5) };
     let waves = if corner == Corner::Anywhere { rng.usize(1..=4) } else { 5 };
--- a/broker/tests/drawn/least.rs
+++ b/broker/tests/drawn/least.rs
@@ -6,9 +6,14 @@
 use gingerledge_dispatch::{Class, Entry, ListKind, Outcome, Repeat, Settings};
 
 fn class(repeat: Repeat) -> Class {
-    let class =
-        Class { aim_ms: 1000.0, deadline_ms: 2000.0, late_share: 0.3, worth: 1.0, ..Class::default() };
-    Class { repeat, memory_ms: 400.0, ..class }
+    let class = Class {
+        latency_target_ms: 1000.0,
+        deadline_ms: 2000.0,
+        late_value_share: 0.3,
+        value: 1.0,
+        ..Class::default()
+    };
+    Class { repeat, deduplication_ms: 400.0, ..class }
 }
 
 /// A core that was told of so many stores, all of one cell.
@@ -82,10 +87,10 @@
 fn a_cold_store_is_sent_no_more_work_where_classes_differ() {
     let classes = vec![class(Repeat::Safe), class(Repeat::Safe)];
     let cold = Settings {
-        cold_from: 0.2,
-        cold_ms: 10_000.0,
+        warm_up_start: 0.2,
+        warm_up_ms: 10_000.0,
         overload_factor: 2.0,
-        fall_ms: 2000.0,
+        overload_window_ms: 2000.0,
         ..Settings::default()
     };
     let mut core = core(Settings { classes, ..cold }, 1);
--- a/broker/tests/drawn/rules.rs
+++ b/broker/tests/drawn/rules.rs
@@ -272,9 +272,9 @@
         let allowed = match (class.repeat, first) {
             (Repeat::Safe, _) | (_, None) => true,
             (Repeat::Unsafe, Some(_)) => false,
-            (Repeat::Keyed, Some(first)) => now <= first + class.memory_ms + INSTANT,
+            (Repeat::Keyed, Some(first)) => now <= first + class.deduplication_ms + INSTANT,
         };
-        let tried = || format!("{:?} again, memory {} ms, {tries:?}", class.repeat, class.memory_ms);
+        let tried = || format!("{:?} again, memory {} ms, {tries:?}", class.repeat, class.deduplication_ms);
         hold(allowed, "effect", || said(tried()))?;
         self.tally.sent(class.repeat, number, out, first.is_some());
         self.tally.met_if(order.second.is_some(), "second steps");
@@ -313,9 +313,9 @@
             let class = &self.set.classes[record.class];
             let inside = record.first.iter().filter(|piece| !piece.given.is_empty());
             let weight: f64 = inside.clone().map(|piece| piece.weight).sum();
-            let may = record.second.is_none() && weight >= class.floor - ROUNDING;
+            let may = record.second.is_none() && weight >= class.minimum_share - ROUNDING;
             if may {
-                (class.follow_up as usize).min(inside.count())
+                (class.follow_up_parts as usize).min(inside.count())
             } else {
                 0
             }
@@ -337,7 +337,7 @@
             return Ok(());
         }
         // Who has neither asked nor been told for so long counts as told of what was listed that long ago.
-        let span = self.set.ask_every_ms * if book.failed { 4.0 } else { 1.0 };
+        let span = self.set.list_refresh_ms * if book.failed { 4.0 } else { 1.0 };
         // What it was told since goes before that.
         let last = self.listed[book.heard..].iter().rev().find(|(at, entry)| {
             let counts = (at + span).max(book.asked + span);
--- a/broker/tests/drawn/shrink.rs
+++ b/broker/tests/drawn/shrink.rs
@@ -103,7 +103,7 @@
         &|next| next.settings.tenants.clear(),
         &|next| next.asks.iter_mut().for_each(|ask| ask.tenant = None),
         &|next| next.asks.iter_mut().for_each(|ask| ask.leaves = None),
-        &|next| next.settings.classes.iter_mut().for_each(|class| class.follow_up = 0),
+        &|next| next.settings.classes.iter_mut().for_each(|class| class.follow_up_parts = 0),
         &|next| next.settings.report.clear(),
         &|next| next.stores.iter_mut().for_each(|store| (store.age, store.zone) = (None, 0)),
         &|next| next.base = 1e5,
--- a/broker/tests/drawn/store.rs
+++ b/broker/tests/drawn/store.rs
@@ -51,7 +51,7 @@
     /// The share of its capacity that it has.
     pub fn capacity(&self, now: f64, set: &Settings) -> f64 {
         let age = (now - self.started).max(0.0);
-        (set.cold_from + (1.0 - set.cold_from) * age / set.cold_ms.max(1.0)).min(1.0)
+        (set.warm_up_start + (1.0 - set.warm_up_start) * age / set.warm_up_ms.max(1.0)).min(1.0)
     }
 
     /// Work reaches it. A cold one sent too much for too long falls over: a breach where two thirds come from brokers
@@ -59,7 +59,7 @@
     pub fn press(&mut self, now: f64, set: &Settings, cores: usize, work: f64, knows: bool) -> Held {
         let capacity = self.capacity(now, set);
         self.reached.push_back((now, work, knows));
-        while self.reached.front().is_some_and(|&(at, _, _)| at <= now - set.fall_ms) {
+        while self.reached.front().is_some_and(|&(at, _, _)| at <= now - set.overload_window_ms) {
             self.reached.pop_front();
         }
         if capacity >= 1.0 {
@@ -70,7 +70,7 @@
         };
         let (all, told) = (sum(true), sum(false));
         let heaviest = self.reached.iter().map(|(_, work, _)| *work).fold(0.0, f64::max);
-        let room = set.overload_factor * capacity * set.fall_ms * cores as f64;
+        let room = set.overload_factor * capacity * set.overload_window_ms * cores as f64;
         let room = room * (1.0 + SLACK_SHARE) + SLACK_PARTS * heaviest;
         hold(all <= room || told < all * 2.0 / 3.0, "cold", || {
             let age = now - self.started;
--- a/broker/tests/keyed.rs
+++ b/broker/tests/keyed.rs
@@ -137,12 +137,12 @@
         (Outcome::Overloaded, 110.0, true),
     ] {
         let class = Class {
-            aim_ms: 5000.0,
+            latency_target_ms: 5000.0,
             deadline_ms: 9000.0,
-            worth: 1.0,
-            late_share: 0.3,
+            value: 1.0,
+            late_value_share: 0.3,
             repeat: Repeat::Keyed,
-            memory_ms: 100.0,
+            deduplication_ms: 100.0,
             ..Class::default()
         };
         let mut settings = Settings {
@@ -157,7 +157,7 @@
             ..Settings::default()
         };
         let guard = Guard::new(&settings);
-        settings.classes[0].memory_ms = 8000.0;
+        settings.classes[0].deduplication_ms = 8000.0;
         let mut core = Core::new(7, settings, 0.0).with_guard(guard);
         let entries = (0..3).map(|n| Entry { server: n, cell: n, ..Entry::default() }).collect();
         core.turn(0.0, [Happening::Listed(ListKind::Complete, entries)]);
--- a/broker/tests/sites/main.rs
+++ b/broker/tests/sites/main.rs
@@ -60,12 +60,16 @@
         let class = &settings.classes[config.setup.classes[*name]];
         assert_eq!(class.repeat, *repeat, "{name}");
         assert_eq!(
-            [class.aim_ms, class.deadline_ms, class.late_share, class.worth],
+            [class.latency_target_ms, class.deadline_ms, class.late_value_share, class.value],
             [*aim, *deadline, *late, *worth],
             "{name}"
         );
-        assert_eq!([class.need, class.floor, class.partial], [*need, *floor, *partial], "{name}");
-        assert_eq!((class.follow_up, class.aim_stretch), (*follow_up, 0.0), "{name}");
+        assert_eq!(
+            [class.required_share, class.minimum_share, class.partial_value],
+            [*need, *floor, *partial],
+            "{name}"
+        );
+        assert_eq!((class.follow_up_parts, class.latency_target_stretch), (*follow_up, 0.0), "{name}");
     }
 }
 
@@ -111,16 +115,16 @@
         );
         holds_zones(config, &["holm", "ness"]);
         let settings = &config.setup.settings;
-        assert_eq!(settings.classes[config.setup.classes["berth-hold"]].memory_ms, 350.0);
+        assert_eq!(settings.classes[config.setup.classes["berth-hold"]].deduplication_ms, 350.0);
         assert_eq!((settings.aggregators, settings.index, settings.subscribe), (4, Some(1), false));
         assert!(config.calls.pushed);
         assert_eq!((settings.max_attempts, settings.parallel, settings.withdrawals), (4, true, true));
-        assert_eq!((settings.max_retry_after_ms, settings.over_share_worth), (400.0, 0.1));
+        assert_eq!((settings.max_retry_after_ms, settings.over_quota_value), (400.0, 0.1));
         assert_eq!(
-            (settings.drain_grace_ms, settings.overload_factor, settings.fall_ms),
+            (settings.drain_grace_ms, settings.overload_factor, settings.overload_window_ms),
             (400.0, 2.5, 1200.0)
         );
-        assert_eq!((settings.cold_from, settings.cold_ms), (0.2, 12_000.0));
+        assert_eq!((settings.warm_up_start, settings.warm_up_ms), (0.2, 12_000.0));
         assert_eq!((settings.batch, settings.call_cost_ms, settings.turn_ms), (4, 0.9, 5.0));
         assert_eq!(settings.report, [ServiceMs, Waiting]);
         assert_eq!((config.streams, config.dial_timeout_ms, config.idle_ms), (24, 200.0, 12_000.0));
@@ -149,15 +153,15 @@
         );
         holds_zones(config, &["heath", "ridge", "mire"]);
         let settings = &config.setup.settings;
-        assert_eq!(settings.classes[config.setup.classes["flock-tally"]].memory_ms, 2200.0);
-        assert!(settings.subscribe && !config.calls.pushed && settings.ask_every_ms == 10_000.0);
+        assert_eq!(settings.classes[config.setup.classes["flock-tally"]].deduplication_ms, 2200.0);
+        assert!(settings.subscribe && !config.calls.pushed && settings.list_refresh_ms == 10_000.0);
         assert_eq!((settings.max_attempts, settings.parallel, settings.withdrawals), (2, false, false));
-        assert_eq!((settings.max_retry_after_ms, settings.over_share_worth), (1500.0, 0.08));
+        assert_eq!((settings.max_retry_after_ms, settings.over_quota_value), (1500.0, 0.08));
         assert_eq!(
-            (settings.drain_grace_ms, settings.overload_factor, settings.fall_ms),
+            (settings.drain_grace_ms, settings.overload_factor, settings.overload_window_ms),
             (1500.0, 2.4, 1600.0)
         );
-        assert_eq!((settings.cold_from, settings.cold_ms), (0.18, 14_000.0));
+        assert_eq!((settings.warm_up_start, settings.warm_up_ms), (0.18, 14_000.0));
         assert_eq!((settings.batch, settings.call_cost_ms, settings.turn_ms), (2, 0.6, 5.0));
         assert_eq!(settings.report, [Waiting, ServiceMs]);
         assert_eq!((config.streams, config.dial_timeout_ms, config.idle_ms), (16, 300.0, 20_000.0));
--- a/broker/tests/steady.rs
+++ b/broker/tests/steady.rs
@@ -36,14 +36,14 @@
 
 fn settings() -> Settings {
     let class = |repeat, follow_up| Class {
-        aim_ms: 1200.0,
+        latency_target_ms: 1200.0,
         deadline_ms: 3000.0,
-        late_share: 0.3,
-        worth: 1.0,
-        need: 1.0,
-        floor: 1.0,
+        late_value_share: 0.3,
+        value: 1.0,
+        required_share: 1.0,
+        minimum_share: 1.0,
         repeat,
-        follow_up,
+        follow_up_parts: follow_up,
         ..Class::default()
     };
     Settings {
@@ -56,11 +56,11 @@
         max_attempts: 3,
         withdrawals: true,
         subscribe: true,
-        ask_every_ms: 10_000.0,
-        cold_from: 0.16,
-        cold_ms: COLD_MS,
+        list_refresh_ms: 10_000.0,
+        warm_up_start: 0.16,
+        warm_up_ms: COLD_MS,
         overload_factor: 3.0,
-        fall_ms: 2000.0,
+        overload_window_ms: 2000.0,
         ..Settings::default()
     }
 }
--- a/broker/tests/told/fleet.rs
+++ b/broker/tests/told/fleet.rs
@@ -116,7 +116,7 @@
         subscribe: true,
         aggregators: brokers,
         index: Some(index),
-        ask_every_ms: 10_000.0,
+        list_refresh_ms: 10_000.0,
         turn_ms: 5.0,
         ..Settings::default()
     }
--- a/dispatch/examples/embed.rs
+++ b/dispatch/examples/embed.rs
@@ -5,7 +5,7 @@
 use gingerledge_dispatch::{Action, Aggregator, Class, Entry, Event, ListKind, Outcome, Settings};
 
 fn main() {
-    let class = Class { aim_ms: 500.0, deadline_ms: 2000.0, worth: 1.0, ..Class::default() };
+    let class = Class { latency_target_ms: 500.0, deadline_ms: 2000.0, value: 1.0, ..Class::default() };
     let settings = Settings {
         aggregators: 1,
         turn_ms: 5.0,
--- a/dispatch/src/aggregator/admission.rs
+++ b/dispatch/src/aggregator/admission.rs
@@ -51,7 +51,7 @@
     /// a trusted replica would waste, that needs a jammed shard (with a chance, so that its end is seen; it
     /// could harm a query that would just make it), or whose client leaves before it can end.
     pub(super) fn admit(&mut self, now: Millis, id: RequestId, actions: &mut Vec<Action>) {
-        let long = |(class, typical): (&Class, &Millis)| *typical > LONG_SHARE * class.aim_ms;
+        let long = |(class, typical): (&Class, &Millis)| *typical > LONG_SHARE * class.latency_target_ms;
         if self.seldom()
             && self.limit.parts < f64::MAX
             && !self.set.classes.iter().zip(&self.typical).any(long)
@@ -76,8 +76,13 @@
             let best = self.best(now, part, query.class);
             shut += if best.is_some_and(|(rank, _)| rank.distrust > enough) { part.weight } else { 0.0 };
             // Where any parts will do, those whose shards are least loaded go first.
-            let key =
-                |r: Rank| if class.need < 1.0 { (r.distrust, r.count, r.pace) } else { Place::default() };
+            let key = |r: Rank| {
+                if class.required_share < 1.0 {
+                    (r.distrust, r.count, r.pace)
+                } else {
+                    Place::default()
+                }
+            };
             let pace = best.and_then(|(_, sid)| self.servers.get(&sid)).map_or(1.0, |s| self.pace(now, s));
             order.push((best.map_or((u32::MAX, 0, 0), |(rank, _)| key(rank)), part.weight, p, pace));
         }
@@ -85,39 +90,45 @@
         // How many parts, heaviest first, earn most beyond their price; and the least that may be answered.
         let all = order.len() as f64;
         let price = used.max(all / room) / all.max(1.0);
-        let least = if class.floor < class.need { class.floor * TRIM_RESERVE } else { 1.0 };
+        let least =
+            if class.minimum_share < class.required_share { class.minimum_share * TRIM_RESERVE } else { 1.0 };
         let (mut sum, mut sent, mut most, mut density) = (0.0, 0, f64::NEG_INFINITY, 0.0);
         for (n, (_, weight, _, _)) in order.iter().enumerate() {
             sum += weight;
-            let whole = n + 1 == order.len() || sum >= class.need - ROUNDING;
+            let whole = n + 1 == order.len() || sum >= class.required_share - ROUNDING;
             if !whole && sum < least {
                 continue;
             }
-            let earns = if whole { 1.0 } else { class.partial * sum / class.need };
+            let earns = if whole { 1.0 } else { class.partial_value * sum / class.required_share };
             let parts = (n + 1) as f64;
             if density == 0.0 {
-                density = class.worth * earns / (parts + f64::from(class.follow_up) / 2.0);
+                density = class.value * earns / (parts + f64::from(class.follow_up_parts) / 2.0);
             }
             if earns - price * parts > most {
                 (sent, most) = (n + 1, earns - price * parts);
             }
         }
         let worst = order[..sent].iter().fold(0.0, |a: f64, o| a.max(o.3));
-        let share = worst * self.typical[query.class] / class.aim_ms.max(1.0);
+        let share = worst * self.typical[query.class] / class.latency_target_ms.max(1.0);
         let chance = (JAM_TO - share) / (JAM_TO - JAM_FROM);
         let chance = if self.out() > 0.0 { chance } else { chance.max(JAM_LEAST) };
-        let jammed = class.floor >= class.need && unit(mix(self.random ^ id)) > chance;
+        let jammed = class.minimum_share >= class.required_share && unit(mix(self.random ^ id)) > chance;
         self.density[query.class] = density;
         let best = self.density.iter().copied().fold(0.0, f64::max).max(f64::MIN_POSITIVE);
         let rank = RANK_SHARE + (1.0 - RANK_SHARE) * self.density[query.class] / best;
         let limit = if query.over_quota { OVER_QUOTA_SHARE * rank } else { rank };
-        let shut = 1.0 - shut < class.floor - ROUNDING;
-        let waits = (HASTE * self.typical[query.class]).min(class.aim_ms);
+        let shut = 1.0 - shut < class.minimum_share - ROUNDING;
+        let waits = (HASTE * self.typical[query.class]).min(class.latency_target_ms);
         let hasty = query.deadline - now < waits && self.out() > 0.0;
         let over = used > limit;
-        let turned = [(over, Why::Limit), (shut, Why::Shut), (jammed, Why::Jammed), (hasty, Why::Hasty)];
+        let turned = [
+            (over, RejectionReason::OverLimit),
+            (shut, RejectionReason::NoHealthyReplica),
+            (jammed, RejectionReason::Saturated),
+            (hasty, RejectionReason::DeadlineTooShort),
+        ];
         let turned = turned.into_iter().find(|(turned, _)| *turned).map(|(_, why)| why);
-        if let Some(why) = turned.or(query.parts.is_empty().then_some(Why::Lost)) {
+        if let Some(why) = turned.or(query.parts.is_empty().then_some(RejectionReason::PartsLost)) {
             self.limit.refused |= over;
             self.end(id, why, actions);
             return;
@@ -146,10 +157,10 @@
     pub(super) fn learn_limit(&mut self, now: Millis, id: RequestId, served: bool) {
         let Some(query) = self.queries.get(&id).filter(|query| query.admitted) else { return };
         let class = &self.set.classes[query.class];
-        let lenience = (class.need / class.floor).min(PARTIAL_LENIENCE);
+        let lenience = (class.required_share / class.minimum_share).min(PARTIAL_LENIENCE);
         // Waiting for company takes its share of the aim first.
         let left = 1.0 - self.gather(query.class);
-        let share = self.typical[query.class] / (class.aim_ms.max(1.0) * lenience * left);
+        let share = self.typical[query.class] / (class.latency_target_ms.max(1.0) * lenience * left);
         let (seldom, missed) = (self.seldom(), !served || now > query.aim);
         let gain = if seldom { MISS_GAIN_SELDOM } else { MISS_GAIN };
         self.limit.misses += gain * (f64::from(missed) - self.limit.misses);
@@ -158,7 +169,7 @@
         let missing = seldom && self.limit.misses > MISSES_MOST;
         let over = (missing && missed) || share > LONG_SHARE * lenience;
         if share < SHORT_SHARE && pressed && served && !missing {
-            let quiet = RAISES_EACH_AIM * (now - self.limit.changed) / class.aim_ms.max(1.0);
+            let quiet = RAISES_EACH_AIM * (now - self.limit.changed) / class.latency_target_ms.max(1.0);
             self.limit.parts *= (1.0 + RAISE).powf(quiet.clamp(1.0, RAISES_AT_ONCE));
         } else if over && query.arrived >= self.limit.cut_at {
             let level = self.out().max(query.parts.len() as f64) / self.ready();
--- a/dispatch/src/aggregator/attempts.rs
+++ b/dispatch/src/aggregator/attempts.rs
@@ -38,7 +38,7 @@
         let first = part.may_have_run.into_iter().chain(running.then_some(part.sent)).reduce(f64::min);
         match (class.repeat, first) {
             (Repeat::Safe, _) | (_, None) => f64::INFINITY,
-            (Repeat::Keyed, Some(first)) => first + class.memory_ms,
+            (Repeat::Keyed, Some(first)) => first + class.deduplication_ms,
             (Repeat::Unsafe, Some(_)) => f64::NEG_INFINITY,
         }
     }
@@ -65,12 +65,12 @@
             let typical = self.typical[query.class];
             let in_time = now + self.light[query.class] <= query.aim;
             // Where any parts will do, another takes the place of a late one.
-            let spares = class.need < 1.0 && !query.second_step && self.spare(id).is_some();
+            let spares = class.required_share < 1.0 && !query.second_step && self.spare(id).is_some();
             let repeats = class.repeat != Repeat::Unsafe && (self.set.parallel || self.set.withdrawals);
             if !in_time || !(spares || repeats) {
                 continue;
             }
-            let latest = COPY_LATEST * class.aim_ms;
+            let latest = COPY_LATEST * class.latency_target_ms;
             let soon = typical > 0.0 && (spares || self.set.parallel);
             let after = if soon { (COPY_AFTER * typical).min(latest) } else { latest };
             let parts = query.parts.iter().filter_map(|&p| Some((p, self.parts.get(&p)?)));
--- a/dispatch/src/aggregator/mod.rs
+++ b/dispatch/src/aggregator/mod.rs
@@ -126,7 +126,7 @@
                 let query = Query {
                     number,
                     class,
-                    aim: (now + rules.aim_ms).min(deadline).max(now),
+                    aim: (now + rules.latency_target_ms).min(deadline).max(now),
                     deadline: deadline.min(now + rules.deadline_ms.max(0.0)),
                     expected: parts as usize,
                     arrived: now,
@@ -141,7 +141,8 @@
                 let Some((&query, open)) = self.queries.iter_mut().find(of) else { return };
                 open.parts.push(id);
                 if !open.second_step {
-                    let stretch = self.set.classes[open.class].aim_stretch * cost_ms.unwrap_or(0.0);
+                    let stretch =
+                        self.set.classes[open.class].latency_target_stretch * cost_ms.unwrap_or(0.0);
                     open.aim = (open.aim + stretch.max(0.0)).min(open.deadline.max(open.aim));
                 }
                 let weight = if weight > 0.0 { weight } else { 0.0 };
@@ -157,19 +158,19 @@
             Event::Leaving => self.leaving = true,
             Event::ClientGone { query } => self.forget(query),
             Event::Holders { shard, servers } => self.holders.tell(shard, servers),
-            Event::Heirs { part, heirs } => self.inherit(part, heirs),
+            Event::SuccessorParts { part, successors } => self.inherit(part, successors),
         }
     }
 
     /// Puts other parts in the place of one whose shard is no more. What was tried for it counts for each.
-    fn inherit(&mut self, id: RequestId, heirs: Vec<Heir>) {
+    fn inherit(&mut self, id: RequestId, heirs: Vec<SuccessorPart>) {
         let Some(old) = self.parts.get(&id).filter(|part| part.out == 0) else { return };
         let Some(query) = self.queries.get_mut(&old.query) else { return };
         query.expected = (query.expected + heirs.len()).saturating_sub(1);
         query.parts.retain(|part| *part != id);
         query.parts.extend(heirs.iter().map(|heir| heir.id));
         let Some(old) = self.parts.remove(&id) else { return };
-        for Heir { id, shard, weight } in heirs {
+        for SuccessorPart { id, shard, weight } in heirs {
             let tried = old.tried.clone();
             self.parts.insert(id, Part { shard, weight, tried, ..old });
         }
--- a/dispatch/src/aggregator/placement.rs
+++ b/dispatch/src/aggregator/placement.rs
@@ -1,7 +1,7 @@
 //! Where parts go: batch-filling over the replicas that hold their shards, in the order of `rank`.
 
 use super::*;
-use crate::filling;
+use crate::batch_filling;
 use crate::slots::slot;
 
 /// From this pace on, a server's count is multiplied by its pace; the tie-break tells so many steps apart.
@@ -22,8 +22,8 @@
     /// The share of its full capacity that a server surely has by now.
     fn capacity(&self, now: Millis, server: &Server) -> f64 {
         let age = (now - server.since).max(0.0);
-        let from = self.set.cold_from.clamp(0.01, 1.0);
-        (from + (1.0 - from) * age / self.set.cold_ms.max(1.0)).min(1.0)
+        let from = self.set.warm_up_start.clamp(0.01, 1.0);
+        (from + (1.0 - from) * age / self.set.warm_up_ms.max(1.0)).min(1.0)
     }
 
     /// Whether a cold server may take one more part of a class. What all aggregators may send it in any
@@ -39,7 +39,7 @@
         if capacity >= 1.0 {
             return true;
         }
-        let fall = self.set.fall_ms;
+        let fall = self.set.overload_window_ms;
         if self.leaving || (server.since < self.began && now < self.began + fall) {
             return false;
         }
@@ -122,7 +122,7 @@
             let (rank, sid) = aggregator.best(now, aggregator.parts.get(p)?, class)?;
             Some(((rank.distrust, rank.count), (rank, sid)))
         };
-        filling::fill(self, waiting, best, |aggregator, p, (rank, sid)| {
+        batch_filling::fill(self, waiting, best, |aggregator, p, (rank, sid)| {
             let Some(part) = aggregator.parts.get(&p) else { return };
             let shut = rank.distrust > 0 && now + HASTE * aggregator.typical[class] <= aim;
             let batch = aggregator.set.batch;
@@ -185,7 +185,7 @@
         }
         server.connections.used(now);
         server.outs.push(Out { part: id, attempt, sent: now, call, class: query.class, idle });
-        let old = now - self.set.cold_ms.max(self.set.fall_ms);
+        let old = now - self.set.warm_up_ms.max(self.set.overload_window_ms);
         let old = server.cold_sends.partition_point(|&(at, _)| at <= old);
         server.cold_sends.drain(..old);
         server.cold_sends.push_back((now, query.class));
@@ -193,13 +193,13 @@
             self.extras.push_back(now);
         }
         // Patience ends when the part is of no more use: some servers drop expired work.
-        let end = if class.late_share >= LATE_WORTH { query.deadline } else { query.aim };
+        let end = if class.late_value_share >= LATE_WORTH { query.deadline } else { query.aim };
         part.sent = if part.out > 0 { part.sent } else { now };
         part.last = now;
         part.tried.push(sid);
         part.out += 1;
         part.state = PartState::Out;
-        actions.push(Action::Send { part: id, server: sid, patience_ms: (end - now).max(1.0) });
+        actions.push(Action::Send { part: id, server: sid, timeout_ms: (end - now).max(1.0) });
         self.random = mix(self.random);
     }
 }
--- a/dispatch/src/aggregator/settle.rs
+++ b/dispatch/src/aggregator/settle.rs
@@ -29,12 +29,15 @@
             }
         }
         all_in &= query.parts.len() >= query.expected;
-        let need = if query.second_step { 1.0 } else { class.need };
-        let whole = all_in || (!query.second_step && inside >= need - ROUNDING);
-        let floor = if class.floor < class.need { class.floor } else { need };
-        let in_part = class.floor < class.need && inside >= floor - ROUNDING && inside > 0.0;
-        let due = now >= query.aim - margin && class.partial * inside / need >= class.late_share;
-        let give_up = if class.late_share >= LATE_WORTH { query.deadline } else { query.aim } - margin;
+        let required_share = if query.second_step { 1.0 } else { class.required_share };
+        let whole = all_in || (!query.second_step && inside >= required_share - ROUNDING);
+        let minimum_share =
+            if class.minimum_share < class.required_share { class.minimum_share } else { required_share };
+        let in_part =
+            class.minimum_share < class.required_share && inside >= minimum_share - ROUNDING && inside > 0.0;
+        let due = now >= query.aim - margin
+            && class.partial_value * inside / required_share >= class.late_value_share;
+        let give_up = if class.late_value_share >= LATE_WORTH { query.deadline } else { query.aim } - margin;
         // Guards against holding what no server on the list may take: past half of its time a query of which
         // nothing has been sent is better refused, while its client has time to come back.
         let nowhere = |p: &RequestId| {
@@ -45,11 +48,11 @@
         let stuck = now - query.arrived >= UNSENT_SHARE * (query.deadline - query.arrived)
             && !query.parts.is_empty()
             && query.parts.iter().all(nowhere);
-        let hopeless = query.blamed || stuck || 1.0 - lost < floor - ROUNDING;
+        let hopeless = query.blamed || stuck || 1.0 - lost < minimum_share - ROUNDING;
         if whole || (in_part && ((pending == 0) || due || now >= give_up || now > query.aim)) {
             let whole = whole && (!query.second_step || query.first_whole);
             actions.push(Action::Answer { query: id, whole });
-            let follows = class.follow_up > 0 && !query.second_step;
+            let follows = class.follow_up_parts > 0 && !query.second_step;
             self.learn_limit(now, id, true);
             if follows {
                 self.open_second_step(id, whole)
@@ -58,11 +61,11 @@
             }
         } else if hopeless || now >= give_up {
             let why = if stuck {
-                Why::Unlisted
+                RejectionReason::NoReplicaListed
             } else if hopeless {
-                Why::Lost
+                RejectionReason::PartsLost
             } else {
-                Why::Late
+                RejectionReason::TooLate
             };
             self.learn_limit(now, id, false);
             self.end(id, why, actions);
@@ -75,7 +78,7 @@
         let first = std::mem::take(&mut query.parts);
         let inside = |p: &RequestId| self.parts.get(p).is_some_and(|part| part.state == PartState::In);
         query.expected = first.iter().filter(|p| inside(p)).count();
-        query.expected = query.expected.min(self.set.classes[query.class].follow_up as usize);
+        query.expected = query.expected.min(self.set.classes[query.class].follow_up_parts as usize);
         query.second_step = true;
         query.first_whole = whole;
         first.iter().for_each(|part| drop(self.parts.remove(part)));
@@ -83,9 +86,9 @@
 
     /// Gives a query up, at once and with advice on when to return. A refusal says that a repeat
     /// does no harm, so it is not given where a part may have run and its class does not bear that.
-    pub(super) fn end(&mut self, id: RequestId, why: Why, actions: &mut Vec<Action>) {
+    pub(super) fn end(&mut self, id: RequestId, why: RejectionReason, actions: &mut Vec<Action>) {
         let Some(query) = self.queries.get(&id) else { return };
-        actions.push(Action::Because { query: id, why });
+        actions.push(Action::ReportRejection { query: id, reason: why });
         let class = &self.set.classes[query.class];
         // A client may come back as long as it waits, all its tries together, but for the last turn, which is
         // too short for an answer. A first step's parts are gone.
--- a/dispatch/src/asking.rs
+++ b/dispatch/src/asking.rs
@@ -34,7 +34,7 @@
 impl Asking {
     /// The first call, at a time that `spread`, from 0 up to 1, picks.
     pub(crate) fn new(set: &Settings, now: Millis, spread: f64) -> Self {
-        let (needed, every) = (set.subscribe, set.ask_every_ms);
+        let (needed, every) = (set.subscribe, set.list_refresh_ms);
         let every = if every >= ASK_AGAIN_MS { every } else { ASK_AGAIN_MS };
         let longest = (sharing(set.aggregators) * ASK_AGAIN_MS / 4.0).min(every * FIRST_SHARE);
         Self { needed, every, at: needed.then_some(now + spread * longest), failed: 0 }
--- a/dispatch/src/bin/simulator-adapter/wire.rs
+++ b/dispatch/src/bin/simulator-adapter/wire.rs
@@ -262,8 +262,8 @@
 
 fn write_action(out: &mut impl Write, names: &[String], action: &Action) -> std::io::Result<()> {
     match action {
-        Action::Send { part, server, patience_ms } => match names.get(*server as usize) {
-            Some(node) => writeln!(out, "SEND {part} {node} {patience_ms:.3}"),
+        Action::Send { part, server, timeout_ms } => match names.get(*server as usize) {
+            Some(node) => writeln!(out, "SEND {part} {node} {timeout_ms:.3}"),
             None => Ok(()),
         },
         Action::Release { server } => match names.get(*server as usize) {
@@ -273,7 +273,7 @@
         Action::Withdraw { part, attempt } => writeln!(out, "STOP_ATTEMPT {part} {attempt}"),
         Action::Answer { query, whole } => writeln!(out, "MERGE {query} {}", u8::from(*whole)),
         Action::Refuse { query, retry_after_ms } => writeln!(out, "TURN_AWAY {query} {retry_after_ms:.3}"),
-        Action::Because { .. } => Ok(()),
+        Action::ReportRejection { .. } => Ok(()),
         Action::Fail { query } => writeln!(out, "FINISH_ERROR {query}"),
         Action::Subscribe => writeln!(out, "LISTEN 1"),
         Action::Timer { wait_ms, token } => writeln!(out, "SCHEDULE {wait_ms:.3} {token}"),
--- a/dispatch/src/interface.rs
+++ b/dispatch/src/interface.rs
@@ -168,17 +168,17 @@
     },
     /// A part's shard is no more: others take its place, each with what was tried for it. Told while none of the
     /// part's attempts is out; the first attempt of each heir has the number that the part's next would have had.
-    Heirs {
+    SuccessorParts {
         /// The part.
         part: RequestId,
         /// What takes its place; their weights make up its own.
-        heirs: Vec<Heir>,
+        successors: Vec<SuccessorPart>,
     },
 }
 
 /// A part in the place of another.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Heir {
+pub struct SuccessorPart {
     /// Its id.
     pub id: RequestId,
     /// Its shard.
@@ -189,21 +189,21 @@
 
 /// Why a query is given up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Why {
+pub enum RejectionReason {
     /// As many parts are out as the learned limit allows.
-    Limit,
+    OverLimit,
     /// A shard has no replica that is trusted.
-    Shut,
+    NoHealthyReplica,
     /// A shard is too slow for the class's aim.
-    Jammed,
+    Saturated,
     /// Its client waits less than its parts usually take.
-    Hasty,
+    DeadlineTooShort,
     /// No server on the list holds its shards.
-    Unlisted,
+    NoReplicaListed,
     /// Too many parts can't be had any more.
-    Lost,
+    PartsLost,
     /// What is missing would come too late to be worth anything.
-    Late,
+    TooLate,
 }
 
 /// Something the host is asked to do.
@@ -216,7 +216,7 @@
         /// The server.
         server: ServerId,
         /// Time-out for the attempt.
-        patience_ms: Millis,
+        timeout_ms: Millis,
     },
     /// Close the idle connections to a server, so that the next send opens a new one.
     Release {
@@ -245,11 +245,11 @@
         retry_after_ms: Millis,
     },
     /// Why the query that the next action ends is given up; for the host's counters, nothing is to be done.
-    Because {
+    ReportRejection {
         /// The query.
         query: RequestId,
         /// Why.
-        why: Why,
+        reason: RejectionReason,
     },
     /// Final answer: failed, with no word on its effect.
     Fail {
--- a/dispatch/src/lib.rs
+++ b/dispatch/src/lib.rs
@@ -16,7 +16,7 @@
 //!     cells: 2,
 //!     reach: 2,
 //!     shards: 2,
-//!     classes: vec![Class { aim_ms: 500.0, deadline_ms: 2000.0, ..Class::default() }],
+//!     classes: vec![Class { latency_target_ms: 500.0, deadline_ms: 2000.0, ..Class::default() }],
 //!     ..Settings::default()
 //! };
 //! let mut aggregator = Aggregator::new(7, settings, 0.0);
@@ -41,7 +41,7 @@
 
 mod aggregator;
 mod asking;
-pub mod filling;
+pub mod batch_filling;
 mod holders;
 mod idle;
 mod interface;
--- a/dispatch/src/settings.rs
+++ b/dispatch/src/settings.rs
@@ -21,27 +21,27 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Class {
     /// An answer within this time earns its full worth.
-    pub aim_ms: Millis,
+    pub latency_target_ms: Millis,
     /// The aim grows by this many times the query's own work (0: it does not).
-    pub aim_stretch: f64,
+    pub latency_target_stretch: f64,
     /// The client gives up after this long, all its tries together.
     pub deadline_ms: Millis,
     /// The share of the worth that an answer after the aim earns.
-    pub late_share: f64,
+    pub late_value_share: f64,
     /// The worth of a whole answer.
-    pub worth: f64,
+    pub value: f64,
     /// Whether parts may be repeated.
     pub repeat: Repeat,
     /// How long servers drop repeats of a keyed part.
-    pub memory_ms: Millis,
+    pub deduplication_ms: Millis,
     /// The share of weight that makes a whole answer.
-    pub need: f64,
+    pub required_share: f64,
     /// The least share of weight that may be answered.
-    pub floor: f64,
+    pub minimum_share: f64,
     /// What an answer short of whole earns, times its share over `need`.
-    pub partial: f64,
+    pub partial_value: f64,
     /// Parts of the second step; 0 where there is none.
-    pub follow_up: u32,
+    pub follow_up_parts: u32,
 }
 
 /// A tenant's quota.
@@ -97,7 +97,7 @@
     /// The tenants; events name them by index.
     pub tenants: Vec<Tenant>,
     /// What a query over its tenant's share is worth, as a share of its class's worth.
-    pub over_share_worth: f64,
+    pub over_quota_value: f64,
     /// Number of cells; shard `s` is held by the servers of cells `(s + j) % cells`, `j < reach`.
     pub cells: u32,
     /// How many consecutive cells hold a shard.
@@ -117,7 +117,7 @@
     /// Whether the list must be subscribed to.
     pub subscribe: bool,
     /// How long without asking until the aggregator counts as told anyway.
-    pub ask_every_ms: Millis,
+    pub list_refresh_ms: Millis,
     /// The ration of further attempts, if any.
     pub budget: Option<Budget>,
     /// Time past a client's deadline in which a final answer still counts.
@@ -125,13 +125,13 @@
     /// Time after a drain notice in which sends must cease.
     pub drain_grace_ms: Millis,
     /// The share of its capacity at which a server starts, at the least.
-    pub cold_from: f64,
+    pub warm_up_start: f64,
     /// The time after which it is warm, at the most.
-    pub cold_ms: Millis,
+    pub warm_up_ms: Millis,
     /// A cold server sent more than this multiple of its present capacity ...
     pub overload_factor: f64,
     /// ... for this long falls over.
-    pub fall_ms: Millis,
+    pub overload_window_ms: Millis,
     /// The longest advice that clients follow; 0 where refusals carry none.
     pub max_retry_after_ms: Millis,
     /// Idle connections are closed after this long.
@@ -150,15 +150,20 @@
         set.max_attempts = set.max_attempts.max(1);
         set.turn_ms = if set.turn_ms.is_nan() { 1.0 } else { set.turn_ms.clamp(0.1, 1000.0) };
         for class in &mut set.classes {
-            class.need = if class.need > 0.0 { class.need.min(1.0) } else { 1.0 };
-            class.floor = if class.floor > 0.0 { class.floor.min(class.need) } else { class.need };
+            class.required_share =
+                if class.required_share > 0.0 { class.required_share.min(1.0) } else { 1.0 };
+            class.minimum_share = if class.minimum_share > 0.0 {
+                class.minimum_share.min(class.required_share)
+            } else {
+                class.required_share
+            };
         }
         set
     }
 
     /// The shortest aim of any class.
     pub(crate) fn shortest_aim(&self) -> Millis {
-        let aims = self.classes.iter().map(|class| class.aim_ms).filter(|aim| *aim > 0.0);
+        let aims = self.classes.iter().map(|class| class.latency_target_ms).filter(|aim| *aim > 0.0);
         let aim = aims.fold(f64::INFINITY, f64::min);
         if aim.is_finite() {
             aim
--- a/dispatch/src/setup.rs
+++ b/dispatch/src/setup.rs
@@ -106,7 +106,7 @@
         aggregators: pairs.float("replicas_of_me")? as u32,
         index: pairs.get("index").map(|_| pairs.count("index")).transpose()?.map(|index| index as u32),
         turn_ms: pairs.float("granularity_ms")?,
-        over_share_worth: pairs.float_or("over_share_worth", 1.0)?,
+        over_quota_value: pairs.float_or("over_share_worth", 1.0)?,
         cells: pairs.float("domain.cells")? as u32,
         reach: pairs.float("domain.reach")? as u32,
         shards: pairs.float("domain.slabs")? as u32,
@@ -121,13 +121,13 @@
             other => return Err(format!("registry_mode: expected automatic or subscribe, found `{other}`")),
         },
         idle_ms: pairs.float_or("limits.conn_idle_ms", 0.0)?,
-        ask_every_ms: pairs.float("invariants.ask_every_ms")?,
+        list_refresh_ms: pairs.float("invariants.ask_every_ms")?,
         answer_slack_ms: pairs.float("invariants.answer_slack_ms")?,
         drain_grace_ms: pairs.float("invariants.drain_grace_ms")?,
-        cold_from: pairs.float("invariants.cold_from")?,
-        cold_ms: pairs.float("invariants.cold_ms")?,
+        warm_up_start: pairs.float("invariants.cold_from")?,
+        warm_up_ms: pairs.float("invariants.cold_ms")?,
         overload_factor: pairs.float("invariants.overload_factor")?,
-        fall_ms: pairs.float("invariants.fall_ms")?,
+        overload_window_ms: pairs.float("invariants.fall_ms")?,
         ..Settings::default()
     };
     if pairs.flag("limits.retry_after")? {
@@ -152,22 +152,22 @@
 {
     let key = |field: &str| format!("categories.{i}.{field}");
     Ok(Class {
-        aim_ms: pairs.float(&key("aim_ms"))?,
-        aim_stretch: pairs.float_or(&key("aim_stretch"), 0.0)?,
+        latency_target_ms: pairs.float(&key("aim_ms"))?,
+        latency_target_stretch: pairs.float_or(&key("aim_stretch"), 0.0)?,
         deadline_ms: pairs.float(&key("deadline_ms"))?,
-        late_share: pairs.float(&key("late_share"))?,
-        worth: pairs.float(&key("importance"))?,
+        late_value_share: pairs.float(&key("late_share"))?,
+        value: pairs.float(&key("importance"))?,
         repeat: match pairs.text(&key("repeat"))? {
             "safe" => Repeat::Safe,
             "keyed" => Repeat::Keyed,
             "unsafe" => Repeat::Unsafe,
             other => return Err(format!("{}: unknown value `{other}`", key("repeat"))),
         },
-        memory_ms: pairs.float_or(&key("memory_span_ms"), 0.0)?,
-        need: pairs.by_class("domain.class_need", i)?,
-        floor: pairs.by_class("domain.min_share", i)?,
-        partial: pairs.by_class("domain.class_partial", i)?,
-        follow_up: pairs.by_class("domain.follow_up", i)? as u32,
+        deduplication_ms: pairs.float_or(&key("memory_span_ms"), 0.0)?,
+        required_share: pairs.by_class("domain.class_need", i)?,
+        minimum_share: pairs.by_class("domain.min_share", i)?,
+        partial_value: pairs.by_class("domain.class_partial", i)?,
+        follow_up_parts: pairs.by_class("domain.follow_up", i)? as u32,
     })
 }
 
--- a/dispatch/tests/cancel.rs
+++ b/dispatch/tests/cancel.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{class, settings, Rig};
-use gingerledge_dispatch::{Class, Entry, Event, Heir, ListKind, Outcome, Settings};
+use gingerledge_dispatch::{Class, Entry, Event, ListKind, Outcome, Settings, SuccessorPart};
 
 fn sends(rig: &Rig) -> usize {
     rig.sent.len()
@@ -117,7 +117,7 @@
 #[test]
 fn one_that_waits_for_company_is_dropped() {
     let plays = |cancels: bool| {
-        let classes = vec![Class { aim_ms: 1000.0, ..class() }];
+        let classes = vec![Class { latency_target_ms: 1000.0, ..class() }];
         let set = Settings { batch: 4, call_cost_ms: 50.0, classes, ..settings(1, 1, 1) };
         let mut rig = Rig::new(set, 1);
         rig.query(1, 0, &[0]);
@@ -141,7 +141,10 @@
     let mut rig = Rig::new(settings(3, 2, 3), 3);
     let parts = rig.arrive(1, 0, &[0]);
     cancel(&mut rig, 1);
-    rig.event(Event::Heirs { part: parts[0], heirs: vec![Heir { id: 5000, shard: 1, weight: 1.0 }] });
+    rig.event(Event::SuccessorParts {
+        part: parts[0],
+        successors: vec![SuccessorPart { id: 5000, shard: 1, weight: 1.0 }],
+    });
     rig.pass(4000.0);
     assert_eq!(sends(&rig), 0);
 }
--- a/dispatch/tests/cold.rs
+++ b/dispatch/tests/cold.rs
@@ -84,7 +84,7 @@
     let learns = if floods { 60.0 * f64::from(case.aggregators) } else { 0.0 };
     let (stops_at, starts_at, ends_at) = (learns + STOPS_AT, learns + STARTS_AT, learns + ENDS_AT);
     // It is warm then, and the rule is over.
-    let ends_at = if floods { starts_at + world.set.cold_ms } else { ends_at };
+    let ends_at = if floods { starts_at + world.set.warm_up_ms } else { ends_at };
     let (each, from) =
         (FLOOD_MS.max(f64::from(case.aggregators)), if case.demand == Demand::Pent { 3000.0 } else { 0.0 });
     let delay: Vec<Millis> = (0..case.aggregators)
@@ -178,9 +178,10 @@
         world.sent.iter().filter(told).map(|sent| (sent.at, sent.work / mean())).collect();
     let mut most = f64::NEG_INFINITY;
     for (n, &(at, _)) in sent.iter().enumerate() {
-        let window = sent[..=n].iter().rev().take_while(|one| one.0 > at - world.set.fall_ms);
+        let window = sent[..=n].iter().rev().take_while(|one| one.0 > at - world.set.overload_window_ms);
         let requests: f64 = window.map(|one| one.1).sum();
-        let allowed = world.set.overload_factor * world.capacity(COLD, at) * world.set.fall_ms / mean();
+        let allowed =
+            world.set.overload_factor * world.capacity(COLD, at) * world.set.overload_window_ms / mean();
         most = most.max(requests - (allowed + 2.0 * allowed.sqrt() + 2.0));
     }
     (most, mean() * sent.iter().map(|one| one.1).sum::<f64>())
--- a/dispatch/tests/cold_fleet.rs
+++ b/dispatch/tests/cold_fleet.rs
@@ -27,7 +27,7 @@
 fn set(aggregators: u32) -> Settings {
     let mut set = settings(STORES as u32, 1, STORES as u32);
     (set.aggregators, set.index) = (aggregators, Some(0));
-    set.classes = vec![Class { deadline_ms: 1000.0, aim_ms: 4000.0, ..class() }];
+    set.classes = vec![Class { deadline_ms: 1000.0, latency_target_ms: 4000.0, ..class() }];
     set
 }
 
@@ -46,7 +46,7 @@
     let starts_at = 3000.0;
     let mut serving: Vec<usize> = (0..aggregators as usize).collect();
     let mut old: Vec<usize> = Vec::new();
-    while world.now < starts_at + world.set.cold_ms {
+    while world.now < starts_at + world.set.warm_up_ms {
         let since = world.now - starts_at;
         if world.now == 2000.0 {
             world.stop(COLD);
@@ -85,8 +85,10 @@
     let sent: Vec<Millis> =
         world.sent.iter().filter(|sent| sent.told && sent.server == COLD).map(|s| s.at).collect();
     let over = sent.iter().enumerate().map(|(n, &at)| {
-        let window = sent[..=n].iter().rev().take_while(|one| **one > at - world.set.fall_ms).count();
-        let allowed = world.set.overload_factor * world.capacity(COLD, at) * world.set.fall_ms / WORK_MS;
+        let window =
+            sent[..=n].iter().rev().take_while(|one| **one > at - world.set.overload_window_ms).count();
+        let allowed =
+            world.set.overload_factor * world.capacity(COLD, at) * world.set.overload_window_ms / WORK_MS;
         window as f64 - (allowed + 2.0 * allowed.sqrt() + 2.0)
     });
     let after = sent.iter().filter(|at| **at >= starts_at + crosses_at).count();
--- a/dispatch/tests/common/fleet.rs
+++ b/dispatch/tests/common/fleet.rs
@@ -173,8 +173,8 @@
     /// The share of its capacity that a store has.
     pub fn capacity(&self, server: usize, at: Millis) -> f64 {
         let Some(since) = self.stores[server].since else { return 1.0 };
-        let from = self.set.cold_from;
-        (from + (1.0 - from) * (at - since).max(0.0) / self.set.cold_ms).min(1.0)
+        let from = self.set.warm_up_start;
+        (from + (1.0 - from) * (at - since).max(0.0) / self.set.warm_up_ms).min(1.0)
     }
 
     pub fn ask(&mut self, side: usize, class: usize, tenant: Option<usize>, shards: &[u32]) {
@@ -258,7 +258,7 @@
 
     fn act(&mut self, side: usize, action: Action) {
         match action {
-            Action::Send { part, server, patience_ms } => {
+            Action::Send { part, server, timeout_ms } => {
                 let attempt = *self.attempts.entry(part).and_modify(|n| *n += 1).or_insert(0);
                 let (server, class) = (server as usize, self.asked[(part >> 8) as usize].class);
                 let told = self.sides[side].told;
@@ -266,7 +266,7 @@
                     if self.uneven > 0.0 { self.uneven * (2.0 * self.chance.unit() - 1.0) } else { 0.0 };
                 let work = self.works[class] * (1.0 + uneven);
                 self.sent.push(Sent { at: self.now, server, class, work, told });
-                let (sent, until) = (self.now, self.now + patience_ms);
+                let (sent, until) = (self.now, self.now + timeout_ms);
                 let call = Call { side, part, attempt, sent, until, work, given_up: false };
                 if !self.stores[server].up {
                     self.end(server, &call, Outcome::Unreachable);
@@ -290,7 +290,7 @@
             }
             Action::Answer { query, .. } => {
                 let asked = &mut self.asked[query as usize];
-                let aim = asked.at + self.set.classes[asked.class].aim_ms;
+                let aim = asked.at + self.set.classes[asked.class].latency_target_ms;
                 asked.served = Some(asked.served.unwrap_or(true) && self.now <= aim);
             }
             Action::Refuse { query, .. } | Action::Fail { query } => {
--- a/dispatch/tests/common/mod.rs
+++ b/dispatch/tests/common/mod.rs
@@ -38,13 +38,13 @@
         batch: 1,
         max_attempts: 4,
         parallel: true,
-        ask_every_ms: 10_000.0,
+        list_refresh_ms: 10_000.0,
         answer_slack_ms: 20.0,
         drain_grace_ms: 500.0,
-        cold_from: 0.2,
-        cold_ms: 10_000.0,
+        warm_up_start: 0.2,
+        warm_up_ms: 10_000.0,
         overload_factor: 2.0,
-        fall_ms: 2000.0,
+        overload_window_ms: 2000.0,
         max_retry_after_ms: 500.0,
         ..Settings::default()
     }
@@ -52,13 +52,13 @@
 
 pub fn class() -> Class {
     Class {
-        aim_ms: 1000.0,
+        latency_target_ms: 1000.0,
         deadline_ms: 4000.0,
-        late_share: 0.3,
-        worth: 1.0,
-        need: 1.0,
-        floor: 1.0,
-        partial: 0.9,
+        late_value_share: 0.3,
+        value: 1.0,
+        required_share: 1.0,
+        minimum_share: 1.0,
+        partial_value: 0.9,
         ..Class::default()
     }
 }
@@ -98,9 +98,9 @@
     pub fn turn(&mut self) {
         self.aggregator.end_turn(self.now, &mut self.actions);
         for action in &self.actions[self.seen..] {
-            if let Action::Send { part, server, patience_ms } = *action {
+            if let Action::Send { part, server, timeout_ms } = *action {
                 let attempt = self.sent.iter().filter(|sent| sent.part == part).count() as u32;
-                self.sent.push(Sent { part, server, attempt, at: self.now, patience: patience_ms });
+                self.sent.push(Sent { part, server, attempt, at: self.now, patience: timeout_ms });
             }
         }
         self.seen = self.actions.len();
--- a/dispatch/tests/company.rs
+++ b/dispatch/tests/company.rs
@@ -127,7 +127,8 @@
 
 #[test]
 fn the_limit_bears_as_much_more_as_the_least_share_goes_into_a_whole_answer() {
-    let with = |floor| Settings { classes: vec![Class { floor, ..class() }], ..settings(4, 4, 1) };
+    let with =
+        |minimum_share| Settings { classes: vec![Class { minimum_share, ..class() }], ..settings(4, 4, 1) };
     let takes = 700.0;
     assert_eq!(refused(with(0.3), takes), 0, "three parts in ten will do: a late one costs little");
     assert!(refused(with(0.7), takes) > 0, "seven in ten are needed");
--- a/dispatch/tests/holders.rs
+++ b/dispatch/tests/holders.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{settings, Rig, Sent};
-use gingerledge_dispatch::{Action, Class, Event, Heir, Outcome, Repeat};
+use gingerledge_dispatch::{Action, Class, Event, Outcome, Repeat, SuccessorPart};
 
 fn rig() -> Rig {
     let mut set = settings(6, 2, 6);
@@ -64,8 +64,11 @@
     tell(&mut rig, 0, &[]);
     tell(&mut rig, 7, &[2]);
     tell(&mut rig, 8, &[3]);
-    let heirs = vec![Heir { id: 900, shard: 7, weight: 0.5 }, Heir { id: 901, shard: 8, weight: 0.5 }];
-    rig.event(Event::Heirs { part: sent.part, heirs });
+    let heirs = vec![
+        SuccessorPart { id: 900, shard: 7, weight: 0.5 },
+        SuccessorPart { id: 901, shard: 8, weight: 0.5 },
+    ];
+    rig.event(Event::SuccessorParts { part: sent.part, successors: heirs });
     rig.turn();
     let after: Vec<_> = rig.sent[1..].iter().map(|sent| (sent.part, sent.server)).collect();
     assert_eq!(after, [(900, 2), (901, 3)]);
@@ -87,7 +90,10 @@
     let sent = rig.sent[0];
     rig.end(sent, Outcome::Broken);
     tell(&mut rig, 7, &[2]);
-    rig.event(Event::Heirs { part: sent.part, heirs: vec![Heir { id: 900, shard: 7, weight: 1.0 }] });
+    rig.event(Event::SuccessorParts {
+        part: sent.part,
+        successors: vec![SuccessorPart { id: 900, shard: 7, weight: 1.0 }],
+    });
     rig.turn();
     assert_eq!(rig.sent.len(), 1, "{:?}", rig.sent);
 }
--- a/dispatch/tests/jams.rs
+++ b/dispatch/tests/jams.rs
@@ -28,7 +28,7 @@
     set.aggregators = aggregators;
     set.parallel = false;
     set.withdrawals = true;
-    set.classes = vec![Class { aim_ms: 1200.0, late_share: 0.0, ..class() }];
+    set.classes = vec![Class { latency_target_ms: 1200.0, late_value_share: 0.0, ..class() }];
     let side = |number: u32| side(number, &set);
     let mut sides: Vec<Side> = (0..aggregators).map(side).collect();
     // What waits at each server: whose part, and when it was sent.
--- a/dispatch/tests/rules.rs
+++ b/dispatch/tests/rules.rs
@@ -70,7 +70,7 @@
 #[test]
 fn a_second_step_that_never_ends_gets_a_final_answer() {
     let mut set = settings(4, 2, 4);
-    set.classes = vec![Class { follow_up: 2, ..class() }];
+    set.classes = vec![Class { follow_up_parts: 2, ..class() }];
     let mut rig = Rig::new(set, 4);
     rig.query(1, 0, &[0, 1, 2]);
     rig.now += 50.0;
@@ -93,7 +93,7 @@
 
 fn of(repeat: Repeat) -> Rig {
     let mut set = settings(4, 4, 4);
-    set.classes = vec![Class { repeat, memory_ms: 400.0, ..class() }];
+    set.classes = vec![Class { repeat, deduplication_ms: 400.0, ..class() }];
     Rig::new(set, 4)
 }
 
@@ -348,7 +348,7 @@
         for seed in 0..20 {
             let mut set = settings(1, 1, 1);
             set.aggregators = aggregators;
-            let (cold_ms, mut rig) = (set.cold_ms, Rig::seeded(seed, set, 1));
+            let (warm_up_ms, mut rig) = (set.warm_up_ms, Rig::seeded(seed, set, 1));
             rig.query(1, 0, &[0]);
             rig.now += 100.0;
             rig.end_from(0, Outcome::Success);
@@ -359,7 +359,7 @@
                 rig.query(id, 0, &[0]);
                 rig.pass(500.0);
                 id += 1;
-                assert!(rig.now <= start + cold_ms + 500.0, "{aggregators} aggregators, seed {seed}");
+                assert!(rig.now <= start + warm_up_ms + 500.0, "{aggregators} aggregators, seed {seed}");
             }
         }
     }
@@ -423,7 +423,7 @@
 
 fn partial() -> Rig {
     let mut set = settings(4, 2, 4);
-    set.classes = vec![Class { floor: 0.7, ..class() }];
+    set.classes = vec![Class { minimum_share: 0.7, ..class() }];
     Rig::new(set, 4)
 }
 
@@ -456,7 +456,7 @@
 fn a_second_step_is_whole_only_if_both_steps_are() {
     for lost in [false, true] {
         let mut set = settings(4, 2, 4);
-        set.classes = vec![Class { floor: 0.5, follow_up: 2, ..class() }];
+        set.classes = vec![Class { minimum_share: 0.5, follow_up_parts: 2, ..class() }];
         let mut rig = Rig::new(set, 4);
         rig.query(1, 0, &[0, 1, 2, 3]);
         let first = rig.sent.clone();
@@ -524,7 +524,7 @@
 #[test]
 fn an_aim_that_grows_with_the_work_is_waited_for() {
     let mut set = settings(2, 2, 2);
-    set.classes = vec![Class { floor: 0.5, aim_stretch: 2.0, ..class() }];
+    set.classes = vec![Class { minimum_share: 0.5, latency_target_stretch: 2.0, ..class() }];
     let mut rig = Rig::new(set, 2);
     let deadline = rig.now + 3000.0;
     let (number, parts) = (1, 2);
@@ -549,7 +549,7 @@
     // At the last attempt of a safe part, and of a keyed one that servers remember as long as its client waits.
     for repeat in [Repeat::Keyed, Repeat::Safe] {
         let mut set = Settings { max_attempts: 1, ..settings(4, 4, 4) };
-        set.classes = vec![Class { repeat, memory_ms: 4000.0, ..class() }];
+        set.classes = vec![Class { repeat, deduplication_ms: 4000.0, ..class() }];
         set.parallel = false;
         let mut rig = Rig::new(set, 4);
         rig.query(1, 0, &[0, 1]);
@@ -567,7 +567,7 @@
 fn a_keyed_query_that_its_client_may_repeat_past_the_memory_fails() {
     for (outcome, harmless) in [(Outcome::Failure, false), (Outcome::Unreachable, true)] {
         let mut set = Settings { max_attempts: 1, ..settings(4, 4, 4) };
-        set.classes = vec![Class { repeat: Repeat::Keyed, memory_ms: 3900.0, ..class() }];
+        set.classes = vec![Class { repeat: Repeat::Keyed, deduplication_ms: 3900.0, ..class() }];
         let mut rig = Rig::new(set, 4);
         rig.query(1, 0, &[0]);
         rig.now += 50.0;
--- a/dispatch/tests/shares.rs
+++ b/dispatch/tests/shares.rs
@@ -22,8 +22,8 @@
     let mut set = settings(STORES, 2, STORES);
     set.aggregators = aggregators;
     set.withdrawals = true;
-    set.over_share_worth = 0.2;
-    let of = |repeat, worth| Class { repeat, worth, deadline_ms: 2500.0, late_share: 0.0, ..class() };
+    set.over_quota_value = 0.2;
+    let of = |repeat, value| Class { repeat, value, deadline_ms: 2500.0, late_value_share: 0.0, ..class() };
     set.classes = vec![of(Repeat::Safe, 1.0), of(Repeat::Safe, 3.0), of(Repeat::Unsafe, 1.0)];
     set.tenants = OWN.iter().map(|own| Tenant { quota_per_s: own * quotas }).collect();
     set
--- a/dispatch/tests/symptoms.rs
+++ b/dispatch/tests/symptoms.rs
@@ -11,9 +11,9 @@
     warm_for(1000.0)
 }
 
-fn warm_for(aim_ms: f64) -> Rig {
+fn warm_for(latency_target_ms: f64) -> Rig {
     let mut set = settings(2, 2, 2);
-    set.classes = vec![Class { aim_ms, ..class() }; 2];
+    set.classes = vec![Class { latency_target_ms, ..class() }; 2];
     let mut rig = Rig::new(set, 2);
     for id in 100..110 {
         let from = rig.sent.len();
@@ -186,7 +186,7 @@
 #[test]
 fn under_pressure_a_partial_class_drops_its_lightest_parts_first() {
     let mut set = settings(2, 2, 2);
-    set.classes = vec![Class { floor: 0.3, ..class() }];
+    set.classes = vec![Class { minimum_share: 0.3, ..class() }];
     let mut rig = Rig::new(set, 2);
     let mut least = usize::MAX;
     for id in 1..200 {
@@ -269,9 +269,14 @@
 }
 
 /// Two servers without second copies; a part is out at either, of class 0 at server 0 first.
-fn two_out(aim_ms: f64) -> Rig {
+fn two_out(latency_target_ms: f64) -> Rig {
     let mut set = settings(2, 2, 2);
-    set.classes = vec![Class { aim_ms, deadline_ms: 4.0 * aim_ms, repeat: Repeat::Unsafe, ..class() }];
+    set.classes = vec![Class {
+        latency_target_ms,
+        deadline_ms: 4.0 * latency_target_ms,
+        repeat: Repeat::Unsafe,
+        ..class()
+    }];
     set.parallel = false;
     let mut rig = Rig::new(set, 2);
     rig.query(1, 0, &[0]);
@@ -322,11 +327,18 @@
 #[test]
 fn zero_and_absurd_settings_are_survived() {
     for odd in [0.0, -1.0, 1e300, f64::INFINITY, f64::NAN] {
-        let class = Class { aim_ms: odd, deadline_ms: odd, need: odd, floor: odd, worth: odd, ..class() };
+        let class = Class {
+            latency_target_ms: odd,
+            deadline_ms: odd,
+            required_share: odd,
+            minimum_share: odd,
+            value: odd,
+            ..class()
+        };
         let set = Settings {
             classes: vec![class],
-            fall_ms: odd,
-            cold_ms: odd,
+            overload_window_ms: odd,
+            warm_up_ms: odd,
             turn_ms: odd,
             ..Settings::default()
         };
@@ -439,7 +451,7 @@
 fn turned_away_while_all_miss(aggregators: u32) -> usize {
     let mut set = settings(10, 1, 10);
     (set.aggregators, set.parallel) = (aggregators, false);
-    set.classes = vec![Class { late_share: 0.0, ..class() }];
+    set.classes = vec![Class { late_value_share: 0.0, ..class() }];
     let mut rig = Rig::new(set, 10);
     let shards: Vec<u32> = (0..10).collect();
     let mut turned_away = 0;
@@ -472,7 +484,7 @@
 fn turned_away_after_misses(aggregators: u32) -> usize {
     let mut set = settings(30, 2, 30);
     (set.aggregators, set.parallel) = (aggregators, false);
-    set.classes = vec![Class { late_share: 0.0, ..class() }];
+    set.classes = vec![Class { late_value_share: 0.0, ..class() }];
     let mut rig = Rig::new(set, 30);
     let shards: Vec<u32> = (0..25).collect();
     let mut turned_away = 0;
@@ -593,7 +605,7 @@
 fn one_at_a_time(repeat: Repeat) -> Rig {
     let mut set = settings(2, 2, 2);
     (set.parallel, set.withdrawals) = (false, true);
-    set.classes = vec![Class { repeat, memory_ms: 2000.0, ..class() }];
+    set.classes = vec![Class { repeat, deduplication_ms: 2000.0, ..class() }];
     let mut rig = Rig::new(set, 2);
     rig.query(100, 0, &[0, 0]);
     rig.now += 100.0;
@@ -657,7 +669,7 @@
 
 fn any_two_of_three() -> Rig {
     let mut set = settings(3, 1, 3);
-    set.classes = vec![class(), Class { need: 0.6, floor: 0.6, ..class() }];
+    set.classes = vec![class(), Class { required_share: 0.6, minimum_share: 0.6, ..class() }];
     (set.parallel, set.withdrawals) = (false, true);
     Rig::new(set, 3)
 }
@@ -727,9 +739,9 @@
 // All parts are needed and one shard is jammed: what can't end in time is not begun.
 
 /// Queries let in, of 40, after parts of shard 0 took so many usual latencies; shard 1 stays quick.
-fn let_in(usual: f64, floor: f64, shards: &[u32]) -> usize {
+fn let_in(usual: f64, minimum_share: f64, shards: &[u32]) -> usize {
     let mut set = settings(2, 1, 2);
-    set.classes = vec![Class { floor, ..class() }];
+    set.classes = vec![Class { minimum_share, ..class() }];
     set.parallel = false;
     let mut rig = Rig::new(set, 2);
     for id in 1..60 {
--- a/system/data/src/rollout/plan/mod.rs
+++ b/system/data/src/rollout/plan/mod.rs
@@ -2,7 +2,7 @@
 //! and draws randomness from a seed.
 //!
 //! Groups start in the trainer's order and are placed together, each generation at the store with the fewest requests of this edge in
-//! flight ([`gingerledge_dispatch::filling`]).
+//! flight ([`gingerledge_dispatch::batch_filling`]).
 //!
 //! Invariant: an item gets exactly one result. [`JobPlan`] publishes each result once, and `abandoned` only after a rejection, as many
 //! failures as the route allows, the end of the retention time, or the removal of the route.
--- a/system/data/src/rollout/plan/placement.rs
+++ b/system/data/src/rollout/plan/placement.rs
@@ -1,9 +1,9 @@
-//! Places the generations of a group: batch-filling ([`gingerledge_dispatch::filling`]) over the eligible stores.
+//! Places the generations of a group: batch-filling ([`gingerledge_dispatch::batch_filling`]) over the eligible stores.
 
 use std::rc::Rc;
 use std::time::Duration;
 
-use gingerledge_dispatch::filling;
+use gingerledge_dispatch::batch_filling;
 
 use super::item::Item;
 use super::{GeneratedText, JobPlan, Rules};
@@ -188,7 +188,7 @@
             self.discard_text_if_version_lost(index);
         }
         let best_store = |round: &Self, &index: &u32| round.best_store(group, index);
-        filling::fill(self, items, best_store, |round, index, store| round.assign(group, index, store));
+        batch_filling::fill(self, items, best_store, |round, index, store| round.assign(group, index, store));
     }
 
     /// The version that a store must serve for an item: that of its text so far, where a text must be of a single version.
