--- /dev/null
+++ b/dispatch/src/aggregator/arrivals.rs
@@ -0,0 +1,97 @@
+//! Records queries and parts as they arrive, replaces parts whose shard has been split, and removes queries that have ended.
+
+use super::Aggregator;
+use crate::interface::{Action, Millis, RequestId, SuccessorPart};
+use crate::state::{Part, Query};
+
+/// The fields of [`Event::Query`](crate::Event::Query) that decisions use.
+pub(super) struct QueryArrival {
+    pub(super) id: RequestId,
+    pub(super) number: u64,
+    pub(super) class: usize,
+    pub(super) tenant: Option<usize>,
+    pub(super) deadline: Millis,
+    pub(super) parts: u32,
+}
+
+/// The fields of [`Event::Part`](crate::Event::Part).
+pub(super) struct PartArrival {
+    pub(super) id: RequestId,
+    pub(super) number: u64,
+    pub(super) shard: u32,
+    pub(super) weight: f64,
+    pub(super) cost_ms: Option<Millis>,
+}
+
+impl Aggregator {
+    /// Records a query; one of an unknown class fails.
+    pub(super) fn on_query(&mut self, now: Millis, arrival: QueryArrival, actions: &mut Vec<Action>) {
+        self.arrivals.push_back(now);
+        let quota = self.quotas.charge(&self.settings, now, arrival.tenant);
+        let Some(class) = self.settings.classes.get(arrival.class) else {
+            actions.push(Action::Fail { query: arrival.id });
+            return;
+        };
+        let query = Query {
+            number: arrival.number,
+            class: arrival.class,
+            target_at: (now + class.latency_target_ms).min(arrival.deadline).max(now),
+            deadline: arrival.deadline.min(now + class.deadline_ms.max(0.0)),
+            expected_parts: arrival.parts as usize,
+            arrived_at: now,
+            quota,
+            ..Query::default()
+        };
+        self.queries.insert(arrival.id, query);
+    }
+
+    /// Adds a part to its query, and its work to the query's latency target where the class says so.
+    pub(super) fn on_part(&mut self, now: Millis, arrival: PartArrival) {
+        self.arrivals.push_back(now);
+        let mut open_queries = self.queries.iter_mut();
+        let Some((&id, query)) = open_queries.find(|(_, query)| query.number == arrival.number) else {
+            return;
+        };
+        query.parts.push(arrival.id);
+        if !query.is_second_step() {
+            let class = &self.settings.classes[query.class];
+            let stretch = class.latency_target_stretch * arrival.cost_ms.unwrap_or(0.0);
+            let latest = query.deadline.max(query.target_at);
+            query.target_at = (query.target_at + stretch.max(0.0)).min(latest);
+        }
+        let part = Part {
+            query: id,
+            shard: arrival.shard,
+            // Not `max`: a weight that is not a number counts as none, too.
+            weight: if arrival.weight > 0.0 { arrival.weight } else { 0.0 },
+            outstanding_since: now,
+            last_sent: now,
+            ..Part::default()
+        };
+        self.parts.insert(arrival.id, part);
+    }
+
+    /// Replaces a part whose shard no longer exists by its successors. Its attempts count for each of them.
+    pub(super) fn replace_part(&mut self, id: RequestId, successors: Vec<SuccessorPart>) {
+        let Some(replaced) = self.parts.get(&id).filter(|part| part.outstanding_attempts == 0) else {
+            return;
+        };
+        let Some(query) = self.queries.get_mut(&replaced.query) else { return };
+        query.expected_parts = (query.expected_parts + successors.len()).saturating_sub(1);
+        query.parts.retain(|part| *part != id);
+        query.parts.extend(successors.iter().map(|successor| successor.id));
+        let Some(replaced) = self.parts.remove(&id) else { return };
+        for SuccessorPart { id, shard, weight } in successors {
+            let tried = replaced.tried.clone();
+            self.parts.insert(id, Part { shard, weight, tried, ..replaced });
+        }
+    }
+
+    /// Removes a query and its parts.
+    pub(super) fn remove_query(&mut self, id: RequestId) {
+        let Some(query) = self.queries.remove(&id) else { return };
+        for part in &query.parts {
+            self.parts.remove(part);
+        }
+    }
+}
--- a/dispatch/src/aggregator/health.rs
+++ b/dispatch/src/aggregator/health.rs
@@ -1,178 +1,153 @@
-//! What is learned of servers: who is on the list, who fails, who is slow, and how long parts usually take.
+//! Failure accrual and outlier ejection: learns from the outcome of each attempt, and ejects servers that fail.
+//!
+//! Suspicion goes by symptom. A response with an error ejects the server for its class, any other failure for all classes:
+//! for a short time that doubles with each failure in a row; then one call at a time is a trial, and until a success the
+//! server loses ties. This covers servers that fail immediately (and would look least loaded), fail in one class, are full,
+//! dead, cut off, or fail intermittently; attempts that were withdrawn, too: a lost query still waited for them. It does harm
+//! if a shared cause makes all replicas fail, or clients are impatient: then all are equally suspect, and counts decide.
 
-use super::*;
+use super::Aggregator;
+use crate::idle_connections::Lateness;
+use crate::interface::{Millis, Outcome, RequestId, ServerId};
+use crate::state::{FailureAccrual, PartState, Server};
 
-/// How fast the usual latency of a class, and a server's own pace against it, follow new samples.
-const TYPICAL_GAIN: f64 = 0.04;
-const PACE_GAIN: f64 = 0.25;
-/// A pace with no new sample returns to the usual with a time constant of so many times the shortest aim, so
-/// it is tried again; where a server is seldom sampled, of so many times the usual time between samples.
-const PACE_MEMORY_AIMS: f64 = 5.0;
-const PACE_MEMORY_GAPS: f64 = 2.0;
-const GAP_GAIN: f64 = 0.01;
-/// A silence of so many usual latencies counts as a pace of 1.
-const SILENCE: f64 = 2.0;
-/// The first and longest time that a failing server is kept out, in shortest aims: in absolute terms, where
-/// aims are short, one late part would keep a server out for as long as whole queries may last, and its
-/// neighbours on the ring would drown in its load.
-const HOLD_AIMS: f64 = 0.2;
-const HOLD_MAX_AIMS: f64 = 3.0;
-/// So many failures in a row, each after the hold of the one before, show that a process went down.
-const DOWN_AFTER: u32 = 2;
-const FLAKY_GAIN: f64 = 0.12;
+/// The shortest and longest ejection, in shortest latency targets. In absolute terms, where targets are short, one late part
+/// would eject a server for as long as whole queries may last, and its neighbours on the ring would drown in its load.
+const EJECTION_MIN_TARGETS: f64 = 0.2;
+const EJECTION_MAX_TARGETS: f64 = 3.0;
+/// Failures in a row are counted up to this many.
+const CONSECUTIVE_FAILURES_MAX: u32 = 8;
+/// This many failures in a row, each after the ejection of the one before, show that a process went down.
+const DOWN_AFTER_FAILURES: u32 = 2;
+/// Gain of a server's error rate.
+const ERROR_RATE_GAIN: f64 = 0.12;
 
-impl Aggregator {
-    /// Follows the list. A server that is draining or gone gets nothing from this turn on, without
-    /// using the grace. One listed with a new start begins anew: cold, and not suspected.
-    pub(super) fn list(&mut self, now: Millis, kind: ListKind, entries: Vec<Entry>) {
-        if kind == ListKind::Failed {
-            self.random = mix(self.random);
-            self.asking.fail(now, self.set.aggregators, unit(self.random));
-            return;
-        }
-        if kind != ListKind::Remembered {
-            self.asking.told();
+/// Identifies an attempt: one request for a part to a server.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct AttemptId {
+    pub(super) part: RequestId,
+    /// Which of the part's attempts, from 0.
+    pub(super) number: u32,
+    pub(super) server: ServerId,
+}
+
+impl FailureAccrual {
+    fn update_error_rate(&mut self, now: Millis, sample: f64) {
+        self.error_rate += ERROR_RATE_GAIN * (sample - self.error_rate);
+        self.updated_at = now;
+    }
+
+    /// A success ends the ejection; the error rate only falls with it.
+    fn on_success(&mut self, now: Millis) {
+        self.update_error_rate(now, 0.0);
+        self.consecutive = 0;
+        self.ejected_until = 0.0;
+    }
+
+    /// Failures during an ejection are of attempts sent before it, and say nothing new.
+    fn on_failure(&mut self, now: Millis, shortest_target: Millis) {
+        self.update_error_rate(now, 1.0);
+        if now >= self.ejected_until {
+            self.consecutive = (self.consecutive + 1).min(CONSECUTIVE_FAILURES_MAX);
+            let targets = EJECTION_MIN_TARGETS * f64::from(1u32 << (self.consecutive - 1));
+            self.ejected_until = now + targets.min(EJECTION_MAX_TARGETS) * shortest_target;
         }
-        if kind != ListKind::Changes {
-            self.servers.values_mut().for_each(|server| server.status = Status::Gone);
+    }
+}
+
+impl Server {
+    fn on_success(&mut self, now: Millis, wait: Millis, class: usize, process: usize) {
+        self.last_served = now;
+        if self.is_down {
+            // It was down and responds: a restart that is not on the list yet.
+            self.is_down = false;
+            self.started_at = self.started_at.max(now - wait);
         }
-        let faults = vec![Fault::default(); self.set.classes.len() + 1];
-        for entry in entries {
-            let server = self.servers.entry(entry.server).or_insert_with(|| Server {
-                faults: faults.clone(),
-                pace: 1.0,
-                sampled: f64::NEG_INFINITY,
-                served: f64::NEG_INFINITY,
-                since: f64::NEG_INFINITY,
-                ..Server::default()
-            });
-            server.status = entry.status;
-            server.zone = entry.zone;
-            server.cell = entry.cell % self.set.cells;
-            let since = if entry.since > 0.0 { entry.since } else { f64::NEG_INFINITY };
-            if since > server.since {
-                server.since = since;
-                server.faults.clone_from(&faults);
-                server.pace = 1.0;
-                server.down = false;
-            }
+        self.failures[class].on_success(now);
+        self.failures[process] = FailureAccrual::default();
+    }
+
+    fn on_failure(&mut self, now: Millis, outcome: Outcome, scope: usize, shortest_target: Millis) {
+        let failures = &mut self.failures[scope];
+        failures.on_failure(now, shortest_target);
+        // A single connection may break or fail to open while the process goes on; taken for a restart, it would leave
+        // a warm server's load to the others for all its warm-up.
+        let is_connection_failure = matches!(outcome, Outcome::Unreachable | Outcome::Broken);
+        self.is_down |= is_connection_failure && failures.consecutive >= DOWN_AFTER_FAILURES;
+    }
+}
+
+impl Aggregator {
+    /// Ends an attempt: takes it off its server's count, and learns from how it ended.
+    pub(super) fn on_outcome(&mut self, now: Millis, attempt: AttemptId, wait: Millis, outcome: Outcome) {
+        let class = self.end_attempt(now, attempt, wait, outcome);
+        self.accrue_failures(now, attempt.server, class, wait, outcome);
+        if let Some(class) = class {
+            self.sample_latency(now, attempt.server, class, wait, outcome);
         }
-        // What is gone is let go: days are long, and whoever replaces a server has another id.
-        self.servers.retain(|_, server| server.status != Status::Gone || !server.outs.is_empty());
-        let ready = self.servers.iter().filter(|(_, server)| server.status == Status::Ready);
-        self.holders.list(ready.map(|(&id, server)| (id, server.cell)));
+        self.remove_if_gone(attempt.server);
+        self.update_part(now, attempt.part, wait, outcome);
+    }
+
+    /// Removes an attempt from those outstanding; returns its class, if it was one of them.
+    fn end_attempt(&mut self, now: Millis, id: AttemptId, wait: Millis, outcome: Outcome) -> Option<usize> {
+        let server = self.servers.get_mut(&id.server)?;
+        let attempt = server.remove_attempt(id.part, id.number)?;
+        let is_late = wait > self.latencies[attempt.class].usual;
+        let lateness = if is_late { Lateness::Late } else { Lateness::InTime };
+        let connections = &mut server.connections;
+        self.idle_connections.on_attempt_ended(now, connections, attempt.connection, outcome, lateness);
+        Some(attempt.class)
     }
 
-    /// Takes an attempt off its server's count and learns from how it ended.
-    /// Suspicion goes by symptom. An answer with an error keeps the server out for its class, any
-    /// other failure for all classes: for a short time that doubles with each failure in a row; then
-    /// one call at a time is a trial, and until a success it loses ties. This covers servers that fail
-    /// at once (and would look least loaded), fail one class, are full, dead, cut off, or fail by turns;
-    /// what is withdrawn, too: a lost query still waited for it. It harms if a shared cause makes all
-    /// replicas fail, or clients are impatient: all are equally suspect and counts decide.
-    pub(super) fn outcome(
+    /// Counts a success or a failure of a server.
+    fn accrue_failures(
         &mut self,
         now: Millis,
-        of: (RequestId, u32, ServerId),
+        id: ServerId,
+        class: Option<usize>,
         wait: Millis,
         outcome: Outcome,
     ) {
-        let (id, attempt, sid) = of;
-        let mut class = None;
-        if let Some(server) = self.servers.get_mut(&sid) {
-            if let Some(at) = server.outs.iter().position(|out| out.part == id && out.attempt == attempt) {
-                let out = server.outs.remove(at);
-                class = Some(out.class);
-                let late = wait > self.typical[out.class];
-                self.idle.ended(now, &mut server.connections, out.idle, outcome, late);
-            }
-            let process = self.set.classes.len();
-            let of = if outcome == Outcome::Failure { class.unwrap_or(process) } else { process };
-            let served = outcome == Outcome::Success;
-            // Guards against a herd: a server that answers, if too late, is slow and no worse. Kept out, it
-            // stands idle while its load drowns the next replica, which is then late and kept out itself.
-            let slow = matches!(outcome, Outcome::Withdrawn | Outcome::TimedOut);
-            let answers = slow && server.served > now - wait;
-            let usual = class.map_or(0.0, |class| self.typical[class]);
-            if let (true, Some(class)) = (served, class) {
-                server.served = now;
-                if server.down {
-                    // It was down and answers: a restart that the list has not told yet.
-                    server.down = false;
-                    server.since = server.since.max(now - wait);
-                }
-                let fault = &mut server.faults[class];
-                fault.learn(now, 0.0, FLAKY_GAIN);
-                (fault.count, fault.until) = (0, 0.0);
-                server.faults[process] = Fault::default();
-                if usual == 0.0 {
-                    self.typical[class] = wait;
-                    self.light[class] = wait;
-                }
-                let light = &mut self.light[class];
-                *light += if wait < *light { 0.1 } else { 0.01 } * (wait - *light);
-            } else if !served && !answers && outcome != Outcome::Void {
-                let fault = &mut server.faults[of];
-                fault.learn(now, 1.0, FLAKY_GAIN);
-                // Failures within a hold are of sends before it, and say nothing new.
-                if now >= fault.until {
-                    fault.count = (fault.count + 1).min(8);
-                    let hold = HOLD_AIMS * f64::from(1u32 << (fault.count - 1));
-                    fault.until = now + hold.min(HOLD_MAX_AIMS) * self.aim;
-                }
-                // A single connection may break or fail to open while the process goes on; taken for a
-                // restart, it would leave a warm server's load to the others for all its warm-up.
-                let connection = matches!(outcome, Outcome::Unreachable | Outcome::Broken);
-                server.down |= connection && fault.count >= DOWN_AFTER;
+        let Some(server) = self.servers.get_mut(&id) else { return };
+        let process = self.settings.classes.len();
+        // Guards against a herd: a server that responds, if too late, is slow and no worse. If it were ejected, it would
+        // stand idle while its load drowns the next replica, which is then late and ejected itself.
+        let was_cut_short = matches!(outcome, Outcome::Withdrawn | Outcome::TimedOut);
+        let is_only_slow = was_cut_short && server.last_served > now - wait;
+        match (outcome, class) {
+            (Outcome::Success, Some(class)) => {
+                server.on_success(now, wait, class, process);
+                self.latencies[class].on_served(wait);
             }
-            let ended = served || outcome == Outcome::TimedOut || outcome == Outcome::Withdrawn;
-            if let (true, Some(class)) = (ended, class) {
-                let typical = &mut self.typical[class];
-                // What was cut short would have taken longer still.
-                let pace = wait / typical.max(0.1);
-                if served || (outcome == Outcome::Withdrawn && pace > server.pace) {
-                    server.pace += PACE_GAIN * (pace.min(20.0) - server.pace);
-                    let longest = 10.0 * PACE_MEMORY_AIMS * self.aim;
-                    self.gap += GAP_GAIN * ((now - server.sampled).min(longest) - self.gap);
-                    server.sampled = now;
-                }
-                let less = if served { 1.0 - TYPICAL_GAIN } else { 1.0 };
-                *typical *= if wait > *typical { 1.0 + TYPICAL_GAIN } else { less };
-            }
-        }
-        // Guards against keeping who is gone until the next list, which may be long in coming.
-        if self.servers.get(&sid).is_some_and(|s| s.status == Status::Gone && s.outs.is_empty()) {
-            self.servers.remove(&sid);
+            (Outcome::Success, None) | (Outcome::Void, _) => {}
+            _ if is_only_slow => {}
+            (Outcome::Failure, Some(class)) => server.on_failure(now, outcome, class, self.shortest_target),
+            _ => server.on_failure(now, outcome, process, self.shortest_target),
         }
+    }
+
+    /// Updates the part of an attempt that has ended.
+    fn update_part(&mut self, now: Millis, id: RequestId, wait: Millis, outcome: Outcome) {
         let Some(part) = self.parts.get_mut(&id) else { return };
-        part.out = part.out.saturating_sub(1);
-        part.leaving = false;
-        // A part that takes a second server down with it is blamed itself: its query is not passed on to
-        // the rest. Harms a query that meets two unrelated crashes; its client may come back.
-        if outcome == Outcome::Broken && part.may_have_run.is_some() {
-            self.queries.entry(part.query).and_modify(|query| query.blamed = true);
+        part.outstanding_attempts = part.outstanding_attempts.saturating_sub(1);
+        part.is_withdrawing = false;
+        // A part that takes a second server down with it is blamed itself: its query is not passed on to the rest. Does
+        // harm to a query that meets two unrelated crashes; its client may come back.
+        if outcome == Outcome::Broken && part.may_have_run_since.is_some() {
+            if let Some(query) = self.queries.get_mut(&part.query) {
+                query.is_query_of_death = true;
+            }
         }
         if outcome != Outcome::Success && !outcome.never_ran() {
-            // Of two copies the one sent later may end first.
-            part.may_have_run = Some(part.may_have_run.unwrap_or(f64::INFINITY).min(now - wait));
+            // Of two attempts, the one sent later may end first.
+            let earliest = part.may_have_run_since.unwrap_or(f64::INFINITY);
+            part.may_have_run_since = Some(earliest.min(now - wait));
         }
         if outcome == Outcome::Success {
-            part.state = PartState::In;
-        } else if part.state == PartState::Out && part.out == 0 {
+            part.state = PartState::Received;
+        } else if part.state == PartState::Outstanding && part.outstanding_attempts == 0 {
             part.state = PartState::Waiting;
         }
     }
-
-    pub(super) fn kept(&self, now: Millis, server: &Server) -> f64 {
-        (-(now - server.sampled) / (PACE_MEMORY_GAPS * self.gap).max(PACE_MEMORY_AIMS * self.aim)).exp()
-    }
-
-    /// How a server's latency compares with the usual. Silence counts: a server whose oldest part has
-    /// been out for long is slow whatever it did before. This guards against stalls, slow machines,
-    /// neighbours and lost ones alike, and against a fresh stall that shows in no count yet.
-    pub(super) fn pace(&self, now: Millis, server: &Server) -> f64 {
-        let pace = 1.0 + (server.pace - 1.0) * self.kept(now, server);
-        let silence = |out: &Out| (now - out.sent) / (SILENCE * self.typical[out.class]).max(1.0);
-        server.outs.first().filter(|o| self.typical[o.class] > 0.0).map_or(pace, |out| pace.max(silence(out)))
-    }
 }
--- a/dispatch/src/aggregator/placement.rs
+++ b/dispatch/src/aggregator/placement.rs
@@ -1,205 +1,261 @@
-//! Where parts go: batch-filling over the replicas that hold their shards, in the order of `rank`.
+//! Decides which replica serves a part: batch-filling over the replicas of its shard, in the order of [`ReplicaRank`].
 
-use super::*;
+use super::{Aggregator, LATE_ANSWER_MIN_VALUE, MIN_WAIT_USUAL_LATENCIES};
 use crate::batch_filling;
-use crate::slots::slot;
-
-/// From this pace on, a server's count is multiplied by its pace; the tie-break tells so many steps apart.
-const SLOW: f64 = 1.75;
-const PACE_STEPS: f64 = 2.0;
-/// From this recent share of errors on (more than two make), a server's count is raised by it, up to a most,
-/// and so many times more; it fades with so many shortest aims.
-const FLAKY: f64 = 0.25;
-const FLAKY_MOST: f64 = 0.8;
-const FLAKY_COUNTS: f64 = 2.0;
-const FLAKY_MEMORY_AIMS: f64 = 10.0;
-/// Among distrusted replicas, fewer failures in a row come first, up to so many.
-const DISTRUST_LEVELS: u32 = 3;
-/// The most of its aim that a part waits for company.
-const GATHER_MOST: f64 = 0.3;
+use crate::idle_connections::ConnectionUse;
+use crate::interface::{Action, Millis, RequestId, ServerId};
+use crate::pseudorandom::splitmix64;
+use crate::state::{FailureAccrual, OpenCall, OutstandingAttempt, Part, PartState, RecentSend, Server};
+
+/// From this latency ratio on, a server's calls are multiplied by it.
+const SLOW_LATENCY_RATIO: f64 = 1.75;
+/// Ties are broken by the latency ratio in this many steps per unit.
+const LATENCY_STEPS: f64 = 2.0;
+/// From this error rate on (more than two failures make), a server's calls are multiplied by [`FLAKY_CALL_FACTOR`] and
+/// divided by its success rate, for which the error rate counts up to a most.
+const FLAKY_ERROR_RATE: f64 = 0.25;
+const FLAKY_ERROR_RATE_MAX: f64 = 0.8;
+const FLAKY_CALL_FACTOR: f64 = 2.0;
+/// Time constant with which an error rate fades, in shortest latency targets.
+const ERROR_RATE_MEMORY_TARGETS: f64 = 10.0;
+/// Among ejected replicas, fewer failures in a row come first, up to this many.
+const EJECTION_LEVELS: u32 = 3;
+/// The most of its latency target that a part is delayed to share a call.
+const BATCHING_DELAY_MAX_SHARE: f64 = 0.3;
+/// The shortest time-out of an attempt.
+const TIMEOUT_MIN_MS: Millis = 1.0;
+
+/// The order of preference among the replicas of a part; the least is chosen.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct ReplicaRank {
+    /// Failures in a row while it is ejected, or while its trial is outstanding; else 0.
+    pub(super) ejection_level: u32,
+    /// Outstanding calls after the placement, scaled by how much longer work takes there.
+    pub(super) calls: u32,
+    /// Failures in a row, ejected or not.
+    consecutive_failures: u32,
+    /// The part would need a call of its own.
+    opens_call: bool,
+    /// The latency ratio, in steps.
+    pub(super) latency_steps: u32,
+    is_other_zone: bool,
+    /// Pseudorandom, so that ties rotate.
+    tie_breaker: u64,
+}
 
 impl Aggregator {
-    /// The share of its full capacity that a server surely has by now.
-    fn capacity(&self, now: Millis, server: &Server) -> f64 {
-        let age = (now - server.since).max(0.0);
-        let from = self.set.warm_up_start.clamp(0.01, 1.0);
-        (from + (1.0 - from) * age / self.set.warm_up_ms.max(1.0)).min(1.0)
+    /// The rank of a server for a part of a class; none if it may not be sent one.
+    pub(super) fn rank(&self, now: Millis, id: ServerId, class: usize) -> Option<ReplicaRank> {
+        let server = self.servers.get(&id)?;
+        if !self.has_warm_up_capacity(now, server, class) {
+            return None;
+        }
+        let joins_call = server.joinable_call(self.settings.batch).is_some();
+        let failures = &server.failures[class];
+        let process_failures = server.failures.last().unwrap_or(failures);
+        let consecutive = failures.consecutive.max(process_failures.consecutive).min(EJECTION_LEVELS);
+        let ejected_until = failures.ejected_until.max(process_failures.ejected_until);
+        let has_trial = !server.outstanding.is_empty() && !joins_call;
+        let is_ejected = now < ejected_until || has_trial;
+        let latency_ratio = self.latency_ratio(now, server);
+        let calls = f64::from(server.outstanding_calls() + u32::from(!joins_call));
+        Some(ReplicaRank {
+            ejection_level: if is_ejected { consecutive } else { 0 },
+            calls: (calls * self.work_scale(now, server, failures, latency_ratio)).round() as u32,
+            consecutive_failures: consecutive,
+            opens_call: !joins_call,
+            latency_steps: (latency_ratio * LATENCY_STEPS).round().max(LATENCY_STEPS) as u32,
+            is_other_zone: server.zone != self.settings.zone,
+            tie_breaker: splitmix64(self.random_state ^ u64::from(id)),
+        })
     }
 
-    /// Whether a cold server may take one more part of a class. What all aggregators may send it in any
-    /// window adds up to what the settings allow, taking the server to have one processor and a part's work
-    /// to be a low latency of its class, or while none is known, a whole window. Each may send the work of
-    /// the largest part as often as that goes into an equal share; once more whose slot has come: these
-    /// make up for what is cut off, and open one by one in the first window and as the server warms. Where
-    /// numbers are not told, slots lie by chance, and serve only for a share of less than a part. A process
-    /// about to end leaves its part to its successor, which waits until no window holds what went before
-    /// it. That harms where all holders are cold and all aggregators restart.
-    fn cold_room(&self, now: Millis, server: &Server, class: usize) -> bool {
-        let capacity = self.capacity(now, server);
-        if capacity >= 1.0 {
-            return true;
-        }
-        let fall = self.set.overload_window_ms;
-        if self.leaving || (server.since < self.began && now < self.began + fall) {
-            return false;
-        }
-        let work = |class: usize| if self.light[class] > 0.0 { self.light[class] } else { fall };
-        let largest = self.light.iter().copied().fold(work(class), f64::max);
-        let share = self.set.overload_factor * capacity * fall / f64::from(self.set.aggregators);
-        let spread = unit(mix(self.seed ^ u64::from(server.cell)));
-        let (whole, rest) = ((share / largest).floor(), (share / largest).fract());
-        let opened = rest * ((now - server.since) / fall).min(1.0);
-        let slotted = self.set.index.is_some() || whole == 0.0;
-        let slotted = slotted && slot(&self.set, self.numbers, server.cell, spread) < opened;
-        let own = (whole + f64::from(u8::from(slotted))) * largest;
-        // What was sent before its start never reached this process.
-        let from = (now - fall - self.set.turn_ms).max(server.since);
-        let sent = server.cold_sends.iter().filter(|&&(at, _)| at >= from);
-        let sent: f64 = sent.map(|&(_, of)| work(of)).sum();
-        sent + work(class) <= own + ROUNDING
+    /// How much longer work takes at a server that is slow, warms up, or fails some parts.
+    fn work_scale(&self, now: Millis, server: &Server, failures: &FailureAccrual, latency_ratio: f64) -> f64 {
+        let slowness = if latency_ratio >= SLOW_LATENCY_RATIO { latency_ratio } else { 1.0 };
+        self.flakiness(now, failures) * slowness / self.capacity(now, server)
     }
 
-    /// How good a place a server is for a part; the least is chosen.
-    /// First trust, then the count after the placement, by call. The count of a slow or a cold server
-    /// is scaled by how much longer work takes there, which acts only from `SLOW` on. Ties go to fewer
-    /// failures since a success, a call that it joins, the better pace, the own zone, and a rotation by seed.
-    pub(super) fn rank(&self, now: Millis, sid: ServerId, class: usize) -> Option<Rank> {
-        let server = self.servers.get(&sid)?;
-        if !self.cold_room(now, server, class) {
-            return None;
+    /// Guards against a server that fails some parts: errors come fast, so that outstanding calls understate its load, and
+    /// between its ejections it would draw parts from the others.
+    fn flakiness(&self, now: Millis, failures: &FailureAccrual) -> f64 {
+        let memory = ERROR_RATE_MEMORY_TARGETS * self.shortest_target;
+        let error_rate = failures.error_rate * (-(now - failures.updated_at) / memory).exp();
+        if error_rate >= FLAKY_ERROR_RATE {
+            FLAKY_CALL_FACTOR / (1.0 - error_rate.min(FLAKY_ERROR_RATE_MAX))
+        } else {
+            1.0
         }
-        let joins = server.room(self.set.batch).is_some();
-        let process = server.faults.last().unwrap_or(&server.faults[class]);
-        let doubt = server.faults[class].count.max(process.count).min(DISTRUST_LEVELS);
-        let until = server.faults[class].until.max(process.until);
-        let kept_out = now < until || (!server.outs.is_empty() && !joins);
-        let calls = server.calls() + u32::from(!joins);
-        let pace = self.pace(now, server);
-        // Guards against who answers some parts with errors: they come at once, so that a count of calls out
-        // makes light of it, and between its holds it would draw parts from the others.
-        let fault = &server.faults[class];
-        let errs = fault.share * (-(now - fault.learned) / (FLAKY_MEMORY_AIMS * self.aim)).exp();
-        let flaky = if errs >= FLAKY { FLAKY_COUNTS / (1.0 - errs.min(FLAKY_MOST)) } else { 1.0 };
-        let scale = flaky * if pace >= SLOW { pace } else { 1.0 } / self.capacity(now, server);
-        Some(Rank {
-            distrust: if kept_out { doubt } else { 0 },
-            count: (f64::from(calls) * scale).round() as u32,
-            doubt,
-            alone: !joins,
-            pace: (pace * PACE_STEPS).round().max(PACE_STEPS) as u32,
-            far: server.zone != self.set.zone,
-            turn: mix(self.random ^ u64::from(sid)),
-        })
     }
 
-    pub(super) fn best(&self, now: Millis, part: &Part, class: usize) -> Option<(Rank, ServerId)> {
-        self.holders
-            .of(part.shard)
-            .filter(|sid| part.out == 0 || !part.tried.contains(sid))
-            .filter_map(|sid| Some((self.rank(now, sid, class)?, sid)))
-            .min_by_key(|&(rank, sid)| (part.tried.contains(&sid), rank, sid))
+    /// The best replica for a part; one that it was not sent to yet comes first.
+    pub(super) fn best_replica(
+        &self,
+        now: Millis,
+        part: &Part,
+        class: usize,
+    ) -> Option<(ReplicaRank, ServerId)> {
+        let was_tried = |server: &ServerId| part.tried.contains(server);
+        self.replicas
+            .of_shard(part.shard)
+            .filter(|server| part.outstanding_attempts == 0 || !was_tried(server))
+            .filter_map(|server| Some((self.rank(now, server, class)?, server)))
+            .min_by_key(|&(rank, server)| (was_tried(&server), rank, server))
     }
 
-    /// Batch-filling: places a query's waiting parts together, the lowest count first. One that failed waits
-    /// while all its replicas are kept out and there is time, and keeps its attempts.
-    pub(super) fn fill(&mut self, now: Millis, id: RequestId, actions: &mut Vec<Action>) {
+    /// Batch-filling: places the waiting parts of a query together, the one with the fewest calls first.
+    pub(super) fn place_waiting_parts(&mut self, now: Millis, id: RequestId, actions: &mut Vec<Action>) {
         let Some(query) = self.queries.get(&id) else { return };
-        let (class, aim) = (query.class, query.aim);
-        let gathers = now < query.arrived + self.gather(class) * (aim - query.arrived);
+        let (class, target_at) = (query.class, query.target_at);
+        let delay = self.batching_delay_share(class) * (target_at - query.arrived_at);
+        let delay_until = query.arrived_at + delay;
+        let waiting = self.parts_to_place(now, id, class, actions);
+        let best = |aggregator: &Self, part: &RequestId| {
+            let part = aggregator.parts.get(part)?;
+            let (rank, server) = aggregator.best_replica(now, part, class)?;
+            Some(((rank.ejection_level, rank.calls), (rank, server)))
+        };
+        batch_filling::fill(self, waiting, best, |aggregator, id, (rank, server)| {
+            let Some(part) = aggregator.parts.get(&id) else { return };
+            let may_send = if part.tried.is_empty() {
+                now >= delay_until || aggregator.has_call_to_share(server)
+            } else {
+                aggregator.may_retry_at(now, rank, class, target_at)
+            };
+            if may_send {
+                aggregator.send(now, id, server, actions);
+            }
+        });
+    }
+
+    /// The waiting parts of a query that may be attempted. The others are given up, which may end the query.
+    fn parts_to_place(
+        &mut self,
+        now: Millis,
+        id: RequestId,
+        class: usize,
+        actions: &mut Vec<Action>,
+    ) -> Vec<RequestId> {
+        let Some(query) = self.queries.get(&id) else { return Vec::new() };
         let mut waiting = Vec::new();
-        for p in query.parts.clone() {
-            let Some(part) = self.parts.get(&p).filter(|part| part.state == PartState::Waiting) else {
+        for part_id in query.parts.clone() {
+            let Some(part) = self.parts.get(&part_id) else { continue };
+            if part.state != PartState::Waiting {
                 continue;
-            };
-            if self.may_repeat(now, part, &self.set.classes[class]) {
-                waiting.push(p);
+            }
+            if self.may_attempt(now, part, &self.settings.classes[class]) {
+                waiting.push(part_id);
             } else {
-                self.give_up_part(id, p);
-                self.settle(now, id, actions);
+                self.give_up_part(id, part_id);
+                self.end_if_due(now, id, actions);
             }
         }
-        let best = |aggregator: &Self, p: &RequestId| {
-            let (rank, sid) = aggregator.best(now, aggregator.parts.get(p)?, class)?;
-            Some(((rank.distrust, rank.count), (rank, sid)))
-        };
-        batch_filling::fill(self, waiting, best, |aggregator, p, (rank, sid)| {
-            let Some(part) = aggregator.parts.get(&p) else { return };
-            let shut = rank.distrust > 0 && now + HASTE * aggregator.typical[class] <= aim;
-            let batch = aggregator.set.batch;
-            let open = |server: &Server| server.room(batch).is_some() || server.calls() == 0;
-            let joins = aggregator.servers.get(&sid).is_some_and(open);
-            if part.tried.is_empty() && gathers && !joins {
-                return;
-            }
-            if !part.tried.is_empty() && (shut || !aggregator.may_spend(aggregator.set.budget, 0.0)) {
-                return;
-            }
-            aggregator.send(now, p, sid, actions);
-        });
+        waiting
+    }
+
+    /// Whether a new part has no reason to wait at a server: it joins a call opened in this turn, or no call is outstanding.
+    fn has_call_to_share(&self, server: ServerId) -> bool {
+        let Some(server) = self.servers.get(&server) else { return false };
+        server.joinable_call(self.settings.batch).is_some() || server.outstanding_calls() == 0
+    }
+
+    /// Whether a failed part is sent again to its best replica. It waits while all its replicas are ejected and there is
+    /// time, and keeps its attempts.
+    fn may_retry_at(&self, now: Millis, rank: ReplicaRank, class: usize, target_at: Millis) -> bool {
+        let has_time = now + MIN_WAIT_USUAL_LATENCIES * self.latencies[class].usual <= target_at;
+        let should_wait = rank.ejection_level > 0 && has_time;
+        !should_wait && self.has_budget(self.settings.budget, 0.0)
     }
 
-    /// For which share of its aim a new part may wait for a call to share: what a call of its own would add
-    /// to its work, up to a most. While no call is out at its replica it goes at once; else a call out is
-    /// answered first, and what came meanwhile goes as one. This guards against servers that spend on calls
-    /// what parts need: the longer they take, the fuller the calls. It could harm where a call is stuck and
-    /// its replica shows no worse than the others.
-    pub(super) fn gather(&self, class: usize) -> f64 {
-        let part = self.light[class];
-        if self.set.batch > 1 && part > 0.0 {
-            (self.set.call_cost_ms / part).clamp(0.0, GATHER_MOST)
+    /// The batching delay: for which share of its latency target a new part may wait for a call to share.
+    ///
+    /// It is what a call of its own would add to its work, up to a most. While no call is outstanding at its replica, the
+    /// part is sent at once; else it waits for an outstanding call to end, and what arrived meanwhile goes as one call. This
+    /// guards against servers that spend on calls what parts need: the longer they take, the fuller the calls. It could
+    /// do harm where a call hangs and its replica looks no worse than the others.
+    pub(super) fn batching_delay_share(&self, class: usize) -> f64 {
+        let part_work = self.latencies[class].low;
+        if self.settings.batch > 1 && part_work > 0.0 {
+            (self.settings.call_cost_ms / part_work).clamp(0.0, BATCHING_DELAY_MAX_SHARE)
         } else {
             0.0
         }
     }
 
-    /// A part that may not be sent again is lost; a spare one takes its place.
-    fn give_up_part(&mut self, id: RequestId, part: RequestId) {
-        self.parts.entry(part).and_modify(|part| part.state = PartState::Dead);
-        if let Some(part) = self.spare(id).and_then(|p| self.parts.get_mut(&p)) {
-            part.state = PartState::Waiting;
+    /// Sends a part to a server.
+    pub(super) fn send(&mut self, now: Millis, id: RequestId, to: ServerId, actions: &mut Vec<Action>) {
+        let Some(part) = self.parts.get(&id) else { return };
+        let Some(query) = self.queries.get(&part.query) else { return };
+        if !self.servers.contains_key(&to) || (part.outstanding_attempts > 0 && !self.settings.parallel) {
+            return;
+        }
+        let class = query.class;
+        let attempt = part.tried.len() as u32;
+        // The time-out ends when the part is of no more use: some servers drop expired work.
+        let earns_when_late = self.settings.classes[class].late_value_share >= LATE_ANSWER_MIN_VALUE;
+        let useful_until = if earns_when_late { query.deadline } else { query.target_at };
+        let timeout_ms = (useful_until - now).max(TIMEOUT_MIN_MS);
+
+        let call = self.join_or_open_call(to);
+        let connection = self.prepare_connection(now, to, actions);
+        let outstanding =
+            OutstandingAttempt { part: id, number: attempt, sent_at: now, call, class, connection };
+        self.record_at_server(now, to, outstanding);
+        if attempt > 0 {
+            self.retries.push_back(now);
         }
+        self.record_at_part(now, id, to);
+        actions.push(Action::Send { part: id, server: to, timeout_ms });
+        self.random_state = splitmix64(self.random_state);
     }
 
-    pub(super) fn spare(&self, id: RequestId) -> Option<RequestId> {
-        let spare = |p: &&RequestId| self.parts.get(p).is_some_and(|part| part.state == PartState::Spare);
-        self.queries.get(&id)?.parts.iter().find(spare).copied()
+    /// The call that carries the next part to a server: one opened in this turn that has room, or a new one.
+    fn join_or_open_call(&mut self, server: ServerId) -> u64 {
+        let next_call = self.last_call + 1;
+        let Some(server) = self.servers.get_mut(&server) else { return next_call };
+        let open = server.joinable_call(self.settings.batch).unwrap_or(OpenCall { id: next_call, parts: 0 });
+        server.open_call = Some(OpenCall { parts: open.parts + 1, ..open });
+        self.last_call = self.last_call.max(open.id);
+        open.id
     }
 
-    pub(super) fn send(&mut self, now: Millis, id: RequestId, sid: ServerId, actions: &mut Vec<Action>) {
-        let (Some(part), Some(server)) = (self.parts.get_mut(&id), self.servers.get_mut(&sid)) else {
-            return;
-        };
-        let Some(query) = self.queries.get(&part.query) else { return };
-        if part.out > 0 && !self.set.parallel {
-            return;
+    /// Closes a long idle connection before use where that is worth it; returns how long the connection used was idle.
+    fn prepare_connection(&mut self, now: Millis, id: ServerId, actions: &mut Vec<Action>) -> ConnectionUse {
+        let Some(server) = self.servers.get_mut(&id) else { return ConnectionUse::Recent };
+        let is_unused = server.outstanding.is_empty();
+        let is_long_idle = is_unused && self.idle_connections.is_long_idle(now, &server.connections);
+        server.connections.mark_used(now);
+        if !is_long_idle {
+            return ConnectionUse::Recent;
         }
-        let class = &self.set.classes[query.class];
-        let (call, members) = server.room(self.set.batch).unwrap_or((self.last_call + 1, 0));
-        self.last_call = self.last_call.max(call);
-        server.open = Some((call, members + 1));
-        let attempt = part.tried.len() as u32;
-        let mut idle = server.outs.is_empty() && self.idle.long(now, &server.connections);
-        if idle && self.idle.close(now) {
-            idle = false;
-            actions.push(Action::Release { server: sid });
+        if self.idle_connections.should_close(now) {
+            actions.push(Action::Release { server: id });
+            return ConnectionUse::Recent;
         }
-        server.connections.used(now);
-        server.outs.push(Out { part: id, attempt, sent: now, call, class: query.class, idle });
-        let old = now - self.set.warm_up_ms.max(self.set.overload_window_ms);
-        let old = server.cold_sends.partition_point(|&(at, _)| at <= old);
-        server.cold_sends.drain(..old);
-        server.cold_sends.push_back((now, query.class));
-        if attempt > 0 {
-            self.extras.push_back(now);
+        ConnectionUse::LongIdle
+    }
+
+    /// Records a send at its server, and forgets sends too old to count for its warm-up.
+    fn record_at_server(&mut self, now: Millis, id: ServerId, attempt: OutstandingAttempt) {
+        let Some(server) = self.servers.get_mut(&id) else { return };
+        let class = attempt.class;
+        server.outstanding.push(attempt);
+        let longest_window = self.settings.warm_up_ms.max(self.settings.overload_window_ms);
+        let expired_at = now - longest_window;
+        let expired = server.recent_sends.partition_point(|send| send.at <= expired_at);
+        server.recent_sends.drain(..expired);
+        server.recent_sends.push_back(RecentSend { at: now, class });
+    }
+
+    /// Records a send at its part.
+    fn record_at_part(&mut self, now: Millis, id: RequestId, server: ServerId) {
+        let Some(part) = self.parts.get_mut(&id) else { return };
+        if part.outstanding_attempts == 0 {
+            part.outstanding_since = now;
         }
-        // Patience ends when the part is of no more use: some servers drop expired work.
-        let end = if class.late_value_share >= LATE_WORTH { query.deadline } else { query.aim };
-        part.sent = if part.out > 0 { part.sent } else { now };
-        part.last = now;
-        part.tried.push(sid);
-        part.out += 1;
-        part.state = PartState::Out;
-        actions.push(Action::Send { part: id, server: sid, timeout_ms: (end - now).max(1.0) });
-        self.random = mix(self.random);
+        part.last_sent = now;
+        part.tried.push(server);
+        part.outstanding_attempts += 1;
+        part.state = PartState::Outstanding;
     }
 }
--- a/dispatch/src/lib.rs
+++ b/dispatch/src/lib.rs
@@ -1,4 +1,4 @@
-//! Decisions of a co-ordinator (aggregator) of queries over replicated shards.
+//! Dispatch of queries over replicated shards: the decisions of an aggregator, without I/O.
 //!
 //! A query needs answers from several shards; each shard is held by a few replicas. The
 //! [`Aggregator`] decides which replica serves each part, how long to wait, when to try again and
@@ -40,21 +40,24 @@
 //! ```
 
 mod aggregator;
-mod asking;
 pub mod batch_filling;
-mod holders;
-mod idle;
+mod idle_connections;
 mod interface;
-mod numbers;
+mod list_refresh;
+mod pseudorandom;
 mod quotas;
 mod settings;
 mod setup;
+mod shard_replicas;
 mod slots;
-mod tables;
+mod state;
 
 pub use aggregator::Aggregator;
-pub use interface::*;
-pub use settings::*;
+pub use interface::{
+    Action, Entry, Event, ListKind, Millis, Outcome, RejectionReason, RequestId, ServerId, Status,
+    SuccessorPart,
+};
+pub use settings::{Budget, Class, Repeat, ReportField, Settings, Tenant};
 pub use setup::Setup;
 
 #[cfg(doctest)]
--- a/dispatch/src/quotas.rs
+++ b/dispatch/src/quotas.rs
@@ -1,34 +1,59 @@
-//! Whether a tenant's query lies within its share: a bucket of tokens for each, filled at this aggregator's equal part of the
-//! tenant's quota. What follows from it the module decides.
+//! Token buckets of the tenants, each filled at this aggregator's equal share of the tenant's quota.
+//!
+//! The buckets tell whether a query is within its tenant's quota; what follows from that is decided in `src/aggregator`.
 
 use crate::{Millis, Settings, Tenant};
 
-/// So many seconds of its rate, or of one query a second where that is more, a bucket holds.
-const HELD_S: f64 = 2.0;
+/// A bucket holds the tokens of this many seconds at its rate, or at one query a second where that is more.
+const BUCKET_SECONDS: f64 = 2.0;
 
-/// Each tenant's tokens, and when they were last counted.
 #[derive(Debug)]
-pub(crate) struct Quotas(Vec<(f64, Millis)>);
+struct TokenBucket {
+    tokens: f64,
+    refilled_at: Millis,
+}
+
+/// Whether a query is within the quota of its tenant.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub(crate) enum QuotaState {
+    #[default]
+    Within,
+    Exceeded,
+}
+
+/// The token buckets of all tenants, by the tenant's index.
+#[derive(Debug)]
+pub(crate) struct TenantQuotas {
+    buckets: Vec<TokenBucket>,
+}
 
-impl Quotas {
-    /// The buckets of all tenants.
-    pub(crate) fn new(set: &Settings, now: Millis) -> Self {
-        Self(set.tenants.iter().map(|tenant| (own(set, tenant), now)).collect())
+impl TenantQuotas {
+    /// Buckets that hold the tokens of one second.
+    pub(crate) fn new(settings: &Settings, now: Millis) -> Self {
+        let bucket = |tenant| TokenBucket { tokens: rate_per_second(settings, tenant), refilled_at: now };
+        Self { buckets: settings.tenants.iter().map(bucket).collect() }
     }
 
-    /// Takes a token; false where there is none, so that the query lies over its tenant's share.
-    pub(crate) fn within(&mut self, set: &Settings, now: Millis, tenant: Option<usize>) -> bool {
-        let bucket = tenant.and_then(|t| Some((set.tenants.get(t)?, self.0.get_mut(t)?)));
-        let Some((tenant, bucket)) = bucket else { return true };
-        let own = own(set, tenant);
-        let tokens = (bucket.0 + own * (now - bucket.1) / 1000.0).min(own.max(1.0) * HELD_S);
-        let within = tokens >= 1.0;
-        *bucket = (tokens - f64::from(u8::from(within)), now);
-        within
+    /// Charges one query to its tenant. A query without a known tenant is always within its quota.
+    pub(crate) fn charge(&mut self, settings: &Settings, now: Millis, tenant: Option<usize>) -> QuotaState {
+        let Some(index) = tenant else { return QuotaState::Within };
+        let (Some(tenant), Some(bucket)) = (settings.tenants.get(index), self.buckets.get_mut(index)) else {
+            return QuotaState::Within;
+        };
+        let rate = rate_per_second(settings, tenant);
+        let refilled = bucket.tokens + rate * (now - bucket.refilled_at) / 1000.0;
+        bucket.tokens = refilled.min(rate.max(1.0) * BUCKET_SECONDS);
+        bucket.refilled_at = now;
+        if bucket.tokens >= 1.0 {
+            bucket.tokens -= 1.0;
+            QuotaState::Within
+        } else {
+            QuotaState::Exceeded
+        }
     }
 }
 
-/// This aggregator's part of a tenant's quota, a second.
-fn own(set: &Settings, tenant: &Tenant) -> f64 {
-    tenant.quota_per_s / f64::from(set.aggregators)
+/// This aggregator's share of a tenant's quota.
+fn rate_per_second(settings: &Settings, tenant: &Tenant) -> f64 {
+    tenant.quota_per_s / f64::from(settings.aggregators)
 }
--- a/dispatch/src/settings.rs
+++ b/dispatch/src/settings.rs
@@ -2,8 +2,14 @@
 
 use crate::Millis;
 
-/// The shortest aim where the settings state none.
-const AIM_MS: Millis = 1000.0;
+/// The shortest latency target where the settings state none.
+const DEFAULT_LATENCY_TARGET_MS: Millis = 1000.0;
+/// The shortest gap between two turns: its default, least and most.
+const DEFAULT_TURN_MS: Millis = 1.0;
+const MIN_TURN_MS: Millis = 0.1;
+const MAX_TURN_MS: Millis = 1000.0;
+/// The most cells of a ring.
+const MAX_CELLS: u32 = 1 << 16;
 
 /// Whether a part may be sent again after an attempt that may have run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -142,14 +148,18 @@
 
 impl Settings {
     /// With every value that can't be used replaced by the nearest that can.
-    pub(crate) fn sane(self) -> Self {
-        let mut set = self;
-        set.cells = set.cells.clamp(1, 1 << 16);
-        set.batch = set.batch.max(1);
-        set.aggregators = set.aggregators.max(1);
-        set.max_attempts = set.max_attempts.max(1);
-        set.turn_ms = if set.turn_ms.is_nan() { 1.0 } else { set.turn_ms.clamp(0.1, 1000.0) };
-        for class in &mut set.classes {
+    pub(crate) fn sanitized(self) -> Self {
+        let mut settings = self;
+        settings.cells = settings.cells.clamp(1, MAX_CELLS);
+        settings.batch = settings.batch.max(1);
+        settings.aggregators = settings.aggregators.max(1);
+        settings.max_attempts = settings.max_attempts.max(1);
+        settings.turn_ms = if settings.turn_ms.is_nan() {
+            DEFAULT_TURN_MS
+        } else {
+            settings.turn_ms.clamp(MIN_TURN_MS, MAX_TURN_MS)
+        };
+        for class in &mut settings.classes {
             class.required_share =
                 if class.required_share > 0.0 { class.required_share.min(1.0) } else { 1.0 };
             class.minimum_share = if class.minimum_share > 0.0 {
@@ -158,17 +168,17 @@
                 class.required_share
             };
         }
-        set
+        settings
     }
 
-    /// The shortest aim of any class.
-    pub(crate) fn shortest_aim(&self) -> Millis {
-        let aims = self.classes.iter().map(|class| class.latency_target_ms).filter(|aim| *aim > 0.0);
-        let aim = aims.fold(f64::INFINITY, f64::min);
-        if aim.is_finite() {
-            aim
+    /// The shortest latency target of any class.
+    pub(crate) fn shortest_latency_target(&self) -> Millis {
+        let targets = self.classes.iter().map(|class| class.latency_target_ms);
+        let shortest = targets.filter(|target| *target > 0.0).fold(f64::INFINITY, f64::min);
+        if shortest.is_finite() {
+            shortest
         } else {
-            AIM_MS
+            DEFAULT_LATENCY_TARGET_MS
         }
     }
 }
--- a/dispatch/src/slots.rs
+++ b/dispatch/src/slots.rs
@@ -1,13 +1,19 @@
-//! Whose slot lies where, among aggregators that can't ask one another. It owns no state and decides nothing but the order.
+//! Orders aggregators that cannot communicate: each has a slot between 0 and 1 for each key.
+//!
+//! It owns no state and decides nothing but the order.
 
-use crate::numbers::{mix, unit};
+use crate::pseudorandom::{splitmix64, unit_interval};
 use crate::Settings;
 
-/// Where among all aggregators this one's slot lies for something, from 0 up to 1. Slots lie evenly, in an order that differs
-/// by what they are for; where its own number is not told, `spread` says, and only chance keeps them apart. `numbers` is
-/// how many numbers there are: two processes of one number have one slot, however many processes count just now.
-pub(crate) fn slot(set: &Settings, numbers: u32, of: u32, spread: f64) -> f64 {
-    let among = f64::from(numbers.max(1));
-    let place = |index: u32| (f64::from(index) + spread) / among + unit(mix(u64::from(of)));
-    set.index.map_or(spread, |index| place(index).fract())
+/// The slot of this aggregator for `key`, from 0 up to 1.
+///
+/// The slots of `slot_count` aggregators are evenly spaced, in an order that depends on the key. `offset` shifts the slot
+/// within its space; where the aggregator does not know its own index, `offset` is the slot, and only chance keeps the
+/// aggregators apart. Two processes with the same index share a slot, however many processes there are at present.
+pub(crate) fn slot(settings: &Settings, slot_count: u32, key: u32, offset: f64) -> f64 {
+    let Some(index) = settings.index else { return offset };
+    let count = f64::from(slot_count.max(1));
+    let rotation = unit_interval(splitmix64(u64::from(key)));
+    let position = (f64::from(index) + offset) / count + rotation;
+    position.fract()
 }
