--- a/broker/src/config.rs
+++ b/broker/src/config.rs
@@ -160,10 +160,8 @@
         let settings = json.get("settings").ok_or_else(|| Error::new("settings", "missing"))?;
         let mut pairs = HashMap::new();
         flatten(settings, String::new(), &mut pairs);
-        let mut setup = Setup::read(&pairs).map_err(|fault| match fault.split_once(": ") {
-            Some((key, fault)) => Error::new(format!("settings.{key}"), fault),
-            None => Error::new("settings", fault),
-        })?;
+        let mut setup = Setup::read(&pairs)
+            .map_err(|error| Error::new(format!("settings.{}", error.key), error.fault.to_string()))?;
         if setup.settings.max_retry_after_ms <= 0.0 {
             // Refusals are answered at once and carry advice instead of being held back.
             setup.settings.max_retry_after_ms =
--- /dev/null
+++ b/dispatch/src/bin/simulator-adapter/actions.rs
@@ -0,0 +1,30 @@
+//! Writes actions as lines.
+
+use std::io::{self, Write};
+
+use gingerledge_dispatch::Action;
+
+use crate::instance::Instance;
+
+/// Writes an action. What names a server that the instance does not know, or has no line, is left out.
+pub fn write_action(output: &mut impl Write, instance: &Instance, action: &Action) -> io::Result<()> {
+    match action {
+        Action::Send { part, server, timeout_ms } => match instance.server_name(*server) {
+            Some(node) => writeln!(output, "SEND {part} {node} {timeout_ms:.3}"),
+            None => Ok(()),
+        },
+        Action::Release { server } => match instance.server_name(*server) {
+            Some(node) => writeln!(output, "RELEASE {node}"),
+            None => Ok(()),
+        },
+        Action::Withdraw { part, attempt } => writeln!(output, "STOP_ATTEMPT {part} {attempt}"),
+        Action::Answer { query, whole } => writeln!(output, "MERGE {query} {}", u8::from(*whole)),
+        Action::Refuse { query, retry_after_ms } => {
+            writeln!(output, "TURN_AWAY {query} {retry_after_ms:.3}")
+        }
+        Action::ReportRejection { .. } => Ok(()),
+        Action::Fail { query } => writeln!(output, "FINISH_ERROR {query}"),
+        Action::Subscribe => writeln!(output, "LISTEN 1"),
+        Action::Timer { wait_ms, token } => writeln!(output, "SCHEDULE {wait_ms:.3} {token}"),
+    }
+}
--- a/dispatch/src/bin/simulator-adapter/main.rs
+++ b/dispatch/src/bin/simulator-adapter/main.rs
@@ -1,17 +1,22 @@
-//! Hosts aggregators on the drill's line protocol: events on standard input, actions on standard
-//! output. It translates and decides nothing.
+//! Hosts aggregators on the simulator's line protocol: events on standard input, actions on standard output. It translates
+//! and decides nothing.
 
-mod wire;
+mod actions;
+mod error;
+mod events;
+mod fields;
+mod host;
+mod instance;
 
 use std::io::{self, BufWriter, Write};
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
-    let out = BufWriter::new(io::stdout().lock());
-    match wire::Host::new(out).run(io::stdin().lock()) {
+    let output = BufWriter::new(io::stdout().lock());
+    match host::Host::new(output).run(io::stdin().lock()) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(message) => {
-            let _ = writeln!(io::stderr(), "simulator-adapter: {message}");
+        Err(error) => {
+            let _ = writeln!(io::stderr(), "simulator-adapter: {error}");
             ExitCode::FAILURE
         }
     }
--- a/dispatch/src/interface.rs
+++ b/dispatch/src/interface.rs
@@ -1,5 +1,5 @@
-//! The aggregator's interface: what it is told ([`Event`]) and what it asks
-//! for ([`Action`]). Times and durations are milliseconds on the host's clock.
+//! The interface of an aggregator: the events that the host passes in ([`Event`]), and the actions that it carries out
+//! ([`Action`]). Times and durations are milliseconds on the host's clock.
 
 /// A point in time or a duration, in milliseconds.
 pub type Millis = f64;
@@ -11,38 +11,38 @@
 /// A server's state on the list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Status {
-    /// May be sent work.
+    /// May be sent parts.
     #[default]
     Ready,
-    /// Completes its work; to be sent nothing more.
+    /// Completes outstanding parts, and is sent no more.
     Draining,
-    /// Withdrawn.
+    /// Removed.
     Gone,
 }
 
-/// One line of the list of servers.
+/// A server on the list.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Entry {
     /// Which server.
     pub server: ServerId,
-    /// When its process last started; 0 means long ago.
+    /// When its process last started; 0 if that was long ago.
     pub since: Millis,
     /// Its zone, by index.
     pub zone: u32,
-    /// Its cell, which tells the shards it holds.
+    /// Its cell, which determines the shards it holds.
     pub cell: u32,
     /// Its state.
     pub status: Status,
 }
 
-/// How a list event is to be read.
+/// How the entries of a list event are to be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
     /// Changed entries only.
     Changes,
-    /// The complete list: who is absent is gone.
+    /// The complete list: servers that are absent are gone.
     Complete,
-    /// The complete list as last held before a restart, possibly out of date.
+    /// The complete list as stored before a restart, possibly out of date.
     Remembered,
     /// A call for the list failed or the subscription broke; no entries.
     Failed,
@@ -53,13 +53,13 @@
 pub enum Outcome {
     /// Served.
     Success,
-    /// The server answered with an error; it may have run.
+    /// The server responded with an error; the attempt may have run.
     Failure,
-    /// Turned away unseen: full, or draining.
+    /// Rejected before it ran: the server is full, or draining.
     Overloaded,
-    /// No answer in time; it may still run.
+    /// No response in time; it may still run.
     TimedOut,
-    /// No connection; it never ran.
+    /// No connection could be opened; it never ran.
     Unreachable,
     /// The connection broke; it may have run.
     Broken,
@@ -76,17 +76,17 @@
     }
 }
 
-/// Something the aggregator is told.
+/// Something that has happened.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// News of the servers.
+    /// An update of the list of servers, or its failure.
     List {
         /// How to read the entries.
         kind: ListKind,
         /// The entries.
         entries: Vec<Entry>,
     },
-    /// A query arrived; its parts follow in the same turn.
+    /// A query has arrived; its parts follow in the same turn.
     Query {
         /// Its id.
         id: RequestId,
@@ -96,7 +96,7 @@
         class: usize,
         /// Its tenant, by index.
         tenant: Option<usize>,
-        /// When the client abandons this try.
+        /// When the client abandons this attempt at the query.
         deadline: Millis,
         /// How many parts its first step has.
         parts: u32,
@@ -113,7 +113,7 @@
         shard: u32,
         /// Its weight; those of a step add up to 1.
         weight: f64,
-        /// A rough idea of its work, where there is one.
+        /// A rough estimate of its work, where there is one.
         cost_ms: Option<Millis>,
     },
     /// An attempt ended; exactly one for each [`Action::Send`].
@@ -131,7 +131,7 @@
         /// The server's load report, where one came along.
         report: Vec<f64>,
     },
-    /// The result of a probe.
+    /// The result of a health check.
     ProbeResult {
         /// The server.
         server: ServerId,
@@ -147,36 +147,36 @@
         /// As given in [`Action::Timer`].
         token: u64,
     },
-    /// There are so many aggregators now: two processes of one host count twice while both serve.
+    /// The number of aggregators has changed: two processes of one host count twice while both serve.
     Aggregators {
         /// How many.
         count: u32,
     },
-    /// This process is about to end, and another may serve in its place already, under the same number.
+    /// This process is shutting down, and its successor, with the same index, may already serve.
     Leaving,
-    /// The client of a query has left.
+    /// The client of a query has disconnected.
     ClientGone {
         /// The query.
         query: RequestId,
     },
-    /// Who holds a shard. From the first of these on the ring of cells counts no more.
+    /// The replicas of a shard. After the first of these events, the ring of cells is no longer used.
     Holders {
         /// The shard.
         shard: u32,
-        /// Its holders; none, once the shard is no more.
+        /// Its replicas; none once the shard no longer exists.
         servers: Vec<ServerId>,
     },
-    /// A part's shard is no more: others take its place, each with what was tried for it. Told while none of the
-    /// part's attempts is out; the first attempt of each heir has the number that the part's next would have had.
+    /// The shard of a part no longer exists: its successors take the part's place, each with the part's attempts. Sent while
+    /// none of these is outstanding; the first attempt of each successor has the number that the part's next would have had.
     SuccessorParts {
         /// The part.
         part: RequestId,
-        /// What takes its place; their weights make up its own.
+        /// Its successors; their weights add up to its own.
         successors: Vec<SuccessorPart>,
     },
 }
 
-/// A part in the place of another.
+/// A part that takes the place of another.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SuccessorPart {
     /// Its id.
@@ -187,29 +187,29 @@
     pub weight: f64,
 }
 
-/// Why a query is given up.
+/// Why a query is given up. Each reason has a counter in the host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectionReason {
-    /// As many parts are out as the learned limit allows.
+    /// As many parts are outstanding as the concurrency limit allows.
     OverLimit,
-    /// A shard has no replica that is trusted.
+    /// A shard has only replicas that are ejected.
     NoHealthyReplica,
-    /// A shard is too slow for the class's aim.
+    /// A shard is too slow for the latency target of the class.
     Saturated,
-    /// Its client waits less than its parts usually take.
+    /// The client waits less than parts usually take.
     DeadlineTooShort,
     /// No server on the list holds its shards.
     NoReplicaListed,
-    /// Too many parts can't be had any more.
+    /// Too many parts can no longer be served.
     PartsLost,
-    /// What is missing would come too late to be worth anything.
+    /// What is missing would come too late to have any value.
     TooLate,
 }
 
-/// Something the host is asked to do.
+/// Something that the host has to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Start an attempt. Attempts of a part count from 0 in the order of their sends.
+    /// Start an attempt. The attempts of a part are numbered from 0 in the order of these actions.
     Send {
         /// The part.
         part: RequestId,
@@ -218,40 +218,40 @@
         /// Time-out for the attempt.
         timeout_ms: Millis,
     },
-    /// Close the idle connections to a server, so that the next send opens a new one.
+    /// Close the idle connections to a server, so that the next attempt opens a new one.
     Release {
         /// The server.
         server: ServerId,
     },
-    /// Give up waiting for an attempt; its outcome follows, [`Outcome::Withdrawn`] unless another is under way.
+    /// Stop waiting for an attempt; its outcome follows: [`Outcome::Withdrawn`], unless another is already on its way.
     Withdraw {
         /// The part.
         part: RequestId,
         /// Which of its attempts, from 0.
         attempt: u32,
     },
-    /// Answer a query from the parts that are in; final, unless a second step follows.
+    /// Answer a query from the parts received; final, unless a second step follows.
     Answer {
         /// The query.
         query: RequestId,
-        /// Whether the answer is whole.
+        /// Whether the answer is complete.
         whole: bool,
     },
-    /// Final answer: refused; a repeat would do no harm.
+    /// Final answer: rejected; a repeat would do no harm.
     Refuse {
         /// The query.
         query: RequestId,
-        /// Advice on when to come back; 0 for none.
+        /// When the client should repeat the query; 0 for no advice.
         retry_after_ms: Millis,
     },
-    /// Why the query that the next action ends is given up; for the host's counters, nothing is to be done.
+    /// Count why the query that the next action ends is given up.
     ReportRejection {
         /// The query.
         query: RequestId,
         /// Why.
         reason: RejectionReason,
     },
-    /// Final answer: failed, with no word on its effect.
+    /// Final answer: failed; it is not known whether it took effect.
     Fail {
         /// The query.
         query: RequestId,
--- a/dispatch/src/lib.rs
+++ b/dispatch/src/lib.rs
@@ -58,7 +58,7 @@
     SuccessorPart,
 };
 pub use settings::{Budget, Class, Repeat, ReportField, Settings, Tenant};
-pub use setup::Setup;
+pub use setup::{Setup, SetupError, SetupFault};
 
 #[cfg(doctest)]
 #[doc = include_str!("../README.md")]
--- a/dispatch/src/settings.rs
+++ b/dispatch/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings that an aggregator is given at start, and what of them can be used.
+//! The settings of an aggregator, and how unusable values are replaced.
 
 use crate::Millis;
 
@@ -11,13 +11,13 @@
 /// The most cells of a ring.
 const MAX_CELLS: u32 = 1 << 16;
 
-/// Whether a part may be sent again after an attempt that may have run.
+/// Whether a part may be attempted again after an attempt that may have run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Repeat {
     /// Any number of times.
     #[default]
     Safe,
-    /// While the servers remember the first attempt ([`Class::memory_ms`]).
+    /// While the servers drop repeats of the first attempt ([`Class::memory_ms`]).
     Keyed,
     /// Never; only after outcomes that prove it did not run.
     Unsafe,
@@ -26,25 +26,25 @@
 /// A class of queries.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Class {
-    /// An answer within this time earns its full worth.
+    /// The latency target: an answer within this time earns its full value.
     pub latency_target_ms: Millis,
-    /// The aim grows by this many times the query's own work (0: it does not).
+    /// The latency target grows by this many times the query's own work (0: it does not).
     pub latency_target_stretch: f64,
-    /// The client gives up after this long, all its tries together.
+    /// The client gives up after this long, over all its repeats.
     pub deadline_ms: Millis,
-    /// The share of the worth that an answer after the aim earns.
+    /// The share of the value that an answer after the latency target earns.
     pub late_value_share: f64,
-    /// The worth of a whole answer.
+    /// The value of a complete answer.
     pub value: f64,
     /// Whether parts may be repeated.
     pub repeat: Repeat,
     /// How long servers drop repeats of a keyed part.
     pub deduplication_ms: Millis,
-    /// The share of weight that makes a whole answer.
+    /// The share of weight that makes an answer complete.
     pub required_share: f64,
     /// The least share of weight that may be answered.
     pub minimum_share: f64,
-    /// What an answer short of whole earns, times its share over `need`.
+    /// What a partial answer earns, times its share over `required_share`.
     pub partial_value: f64,
     /// Parts of the second step; 0 where there is none.
     pub follow_up_parts: u32,
@@ -53,16 +53,16 @@
 /// A tenant's quota.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Tenant {
-    /// Queries a second within its share, over all aggregators.
+    /// Queries a second within its quota, over all aggregators.
     pub quota_per_s: f64,
 }
 
-/// A ration of attempts beyond each part's first.
+/// A retry budget: the attempts allowed beyond the first of each part.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Budget {
-    /// Allowed whatever the traffic.
+    /// Attempts allowed whatever the traffic.
     pub free: f64,
-    /// Allowed for each query and part taken.
+    /// Attempts allowed for each query and part that arrived.
     pub ratio: f64,
     /// The sliding window.
     pub window_ms: Millis,
@@ -71,7 +71,7 @@
 /// The meaning of a figure in a server's load report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportField {
-    /// Requests in hand.
+    /// Requests in progress.
     InHand,
     /// Requests waiting.
     Waiting,
@@ -87,12 +87,12 @@
     Other,
 }
 
-/// What an aggregator is told at start.
+/// The settings of an aggregator.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Settings {
     /// How many aggregators share the servers.
     pub aggregators: u32,
-    /// The aggregator's own number among them, from 0, where it is known: it tells whose turn comes when.
+    /// The aggregator's own index among them, from 0, where it is known; it determines the aggregator's slot.
     pub index: Option<u32>,
     /// The aggregator's own zone, by index.
     pub zone: u32,
@@ -102,7 +102,7 @@
     pub classes: Vec<Class>,
     /// The tenants; events name them by index.
     pub tenants: Vec<Tenant>,
-    /// What a query over its tenant's share is worth, as a share of its class's worth.
+    /// The value of a query over its tenant's quota, as a share of its class's value.
     pub over_quota_value: f64,
     /// Number of cells; shard `s` is held by the servers of cells `(s + j) % cells`, `j < reach`.
     pub cells: u32,
@@ -112,33 +112,33 @@
     pub shards: u32,
     /// The most parts in one call; 1 where parts do not share calls.
     pub batch: u32,
-    /// Work of a call beside that of its parts.
+    /// The work of a call beyond that of its parts.
     pub call_cost_ms: Millis,
     /// The most attempts for one part.
     pub max_attempts: u32,
-    /// Whether two attempts of a part may be out at once.
+    /// Whether two attempts of a part may be outstanding at the same time.
     pub parallel: bool,
     /// Whether an attempt may be withdrawn ([`Action::Withdraw`]).
     pub withdrawals: bool,
     /// Whether the list must be subscribed to.
     pub subscribe: bool,
-    /// How long without asking until the aggregator counts as told anyway.
+    /// After how long without a call for the list the aggregator counts as informed of it anyway.
     pub list_refresh_ms: Millis,
-    /// The ration of further attempts, if any.
+    /// The retry budget, if any.
     pub budget: Option<Budget>,
     /// Time past a client's deadline in which a final answer still counts.
     pub answer_slack_ms: Millis,
-    /// Time after a drain notice in which sends must cease.
+    /// The time after a drain notice within which attempts must cease.
     pub drain_grace_ms: Millis,
-    /// The share of its capacity at which a server starts, at the least.
+    /// The least share of its capacity that a server starts with.
     pub warm_up_start: f64,
-    /// The time after which it is warm, at the most.
+    /// The longest time until it has all its capacity.
     pub warm_up_ms: Millis,
-    /// A cold server sent more than this multiple of its present capacity ...
+    /// A server that warms up fails if it is sent more than this multiple of its present capacity ...
     pub overload_factor: f64,
-    /// ... for this long falls over.
+    /// ... within a window of this length.
     pub overload_window_ms: Millis,
-    /// The longest advice that clients follow; 0 where refusals carry none.
+    /// The longest advice that clients follow; 0 where rejections carry none.
     pub max_retry_after_ms: Millis,
     /// Idle connections are closed after this long.
     pub idle_ms: Millis,
@@ -147,7 +147,7 @@
 }
 
 impl Settings {
-    /// With every value that can't be used replaced by the nearest that can.
+    /// Replaces each unusable value by the nearest usable one.
     pub(crate) fn sanitized(self) -> Self {
         let mut settings = self;
         settings.cells = settings.cells.clamp(1, MAX_CELLS);
--- a/dispatch/src/setup.rs
+++ b/dispatch/src/setup.rs
@@ -1,7 +1,10 @@
-//! Reads the settings that a host is given at start, by path (`categories.0.aim_ms`), into
-//! [`Settings`]; the simulator's adapter and the broker's configuration share it.
+//! Reads the settings that a host is given at start, by path (`categories.0.aim_ms`), into [`Settings`].
+//!
+//! The simulator's adapter and the broker's configuration share it. The keys are those of the platform's pages.
 
+use std::borrow::Borrow;
 use std::collections::HashMap;
+use std::fmt;
 use std::hash::Hash;
 
 use crate::{Budget, Class, Repeat, ReportField, Settings, Tenant};
@@ -11,168 +14,283 @@
 pub struct Setup {
     /// What the aggregator is given.
     pub settings: Settings,
-    /// Classes by name.
+    /// Indices of classes, by name.
     pub classes: HashMap<String, usize>,
-    /// Tenants by name.
+    /// Indices of tenants, by name.
     pub tenants: HashMap<String, usize>,
-    /// Zones by name.
+    /// Indices of zones, by name.
     pub zones: HashMap<String, u32>,
 }
 
-/// The values by path; lists of plain values are joined with commas, lists of objects have their
-/// length under `.count`.
-struct Pairs<'a, K, V>(&'a HashMap<K, V>);
+/// A setting that cannot be used. Its text begins with the key.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct SetupError {
+    /// The path of the setting.
+    pub key: String,
+    /// What is wrong with it.
+    pub fault: SetupFault,
+}
+
+/// What is wrong with a setting.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum SetupFault {
+    /// It is absent.
+    Missing,
+    /// It is not of the kind expected.
+    Unexpected {
+        /// What was expected.
+        expected: &'static str,
+        /// The value.
+        found: String,
+    },
+    /// It is not among the values known.
+    Unknown {
+        /// The value.
+        found: String,
+    },
+}
+
+impl fmt::Display for SetupError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "{}: {}", self.key, self.fault)
+    }
+}
 
-fn float(text: &str) -> Option<f64> {
-    text.parse().ok().filter(|v: &f64| v.is_finite())
+impl std::error::Error for SetupError {}
+
+impl fmt::Display for SetupFault {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Self::Missing => f.write_str("missing"),
+            Self::Unexpected { expected, found } => write!(f, "expected {expected}, found `{found}`"),
+            Self::Unknown { found } => write!(f, "unknown value `{found}`"),
+        }
+    }
 }
 
-impl<K, V> Pairs<'_, K, V>
+/// The values by path. Lists of plain values are joined with commas; lists of objects have their length under `.count`.
+struct Values<'a, K, V>(&'a HashMap<K, V>);
+
+impl<K, V> Values<'_, K, V>
 where
-    K: std::borrow::Borrow<str> + Hash + Eq,
+    K: Borrow<str> + Hash + Eq,
     V: AsRef<str>,
 {
     fn get(&self, key: &str) -> Option<&str> {
         self.0.get(key).map(AsRef::as_ref)
     }
 
-    fn text(&self, key: &str) -> Result<&str, String> {
-        self.get(key).ok_or_else(|| format!("{key}: missing"))
+    fn text(&self, key: &str) -> Result<&str, SetupError> {
+        self.get(key).ok_or_else(|| SetupError { key: key.to_owned(), fault: SetupFault::Missing })
     }
 
-    fn float(&self, key: &str) -> Result<f64, String> {
+    fn number(&self, key: &str) -> Result<f64, SetupError> {
         let text = self.text(key)?;
-        float(text).ok_or_else(|| format!("{key}: expected a number, found `{text}`"))
+        finite(text).ok_or_else(|| unexpected(key, "a number", text))
+    }
+
+    fn number_or(&self, key: &str, default: f64) -> Result<f64, SetupError> {
+        match self.get(key) {
+            None => Ok(default),
+            Some(_) => self.number(key),
+        }
     }
 
-    fn float_or(&self, key: &str, absent: f64) -> Result<f64, String> {
-        self.get(key).map_or(Ok(absent), |_| self.float(key))
+    /// A number rounded down to an integer.
+    fn integer(&self, key: &str) -> Result<u32, SetupError> {
+        Ok(self.number(key)? as u32)
     }
 
-    fn count(&self, key: &str) -> Result<usize, String> {
+    /// The length of a list, or an index; 0 where it is absent.
+    fn count(&self, key: &str) -> Result<usize, SetupError> {
         let Some(text) = self.get(key) else { return Ok(0) };
-        text.parse().map_err(|_| format!("{key}: expected a whole number, found `{text}`"))
+        text.parse().map_err(|_| unexpected(key, "a whole number", text))
     }
 
-    fn flag(&self, key: &str) -> Result<bool, String> {
+    fn boolean(&self, key: &str) -> Result<bool, SetupError> {
         match self.text(key)? {
             "true" | "1" => Ok(true),
             "false" | "0" => Ok(false),
-            other => Err(format!("{key}: expected true or false, found `{other}`")),
+            other => Err(unexpected(key, "true or false", other)),
         }
     }
 
-    /// A value stated once for each class: a list, or one value for all.
-    fn by_class(&self, key: &str, class: usize) -> Result<f64, String> {
+    /// A value given once for each class: a list, or one value for all.
+    fn by_class(&self, key: &str, class: usize) -> Result<f64, SetupError> {
         let text = self.text(key)?;
         let first = text.split(',').next().unwrap_or_default();
         let value = text.split(',').nth(class).unwrap_or(first);
-        float(value).ok_or_else(|| format!("{key}: expected numbers, found `{text}`"))
+        finite(value).ok_or_else(|| unexpected(key, "numbers", text))
     }
 }
 
+fn finite(text: &str) -> Option<f64> {
+    text.parse().ok().filter(|number: &f64| number.is_finite())
+}
+
+fn unexpected(key: &str, expected: &'static str, found: &str) -> SetupError {
+    SetupError { key: key.to_owned(), fault: SetupFault::Unexpected { expected, found: found.to_owned() } }
+}
+
 impl Setup {
-    /// Reads the settings; the message of a failure begins with the faulty key.
-    pub fn read<K, V>(values: &HashMap<K, V>) -> Result<Self, String>
+    /// Reads the settings.
+    ///
+    /// # Errors
+    ///
+    /// If a value is missing or cannot be used.
+    pub fn read<K, V>(values: &HashMap<K, V>) -> Result<Self, SetupError>
+    where
+        K: Borrow<str> + Hash + Eq,
+        V: AsRef<str>,
+    {
+        let values = Values(values);
+        let mut setup = Self { settings: read_general(&values)?, ..Self::default() };
+        setup.read_classes(&values)?;
+        setup.read_tenants(&values)?;
+        setup.read_zones(&values)?;
+        Ok(setup)
+    }
+
+    fn read_classes<K, V>(&mut self, values: &Values<'_, K, V>) -> Result<(), SetupError>
     where
-        K: std::borrow::Borrow<str> + Hash + Eq,
+        K: Borrow<str> + Hash + Eq,
         V: AsRef<str>,
     {
-        let pairs = Pairs(values);
-        let mut setup = Self { settings: general(&pairs)?, ..Self::default() };
-        let settings = &mut setup.settings;
-        for i in 0..pairs.count("categories.count")? {
-            let key = |field: &str| format!("categories.{i}.{field}");
-            setup.classes.insert(pairs.text(&key("name"))?.to_owned(), i);
-            settings.classes.push(class(&pairs, i)?);
+        for index in 0..values.count("categories.count")? {
+            let name = values.text(&format!("categories.{index}.name"))?;
+            self.classes.insert(name.to_owned(), index);
+            self.settings.classes.push(read_class(values, index)?);
         }
-        for i in 0..pairs.count("accounts.count")? {
-            setup.tenants.insert(pairs.text(&format!("accounts.{i}.name"))?.to_owned(), i);
-            let quota_per_s = pairs.float(&format!("accounts.{i}.quota_per_s"))?;
-            settings.tenants.push(Tenant { quota_per_s });
+        Ok(())
+    }
+
+    fn read_tenants<K, V>(&mut self, values: &Values<'_, K, V>) -> Result<(), SetupError>
+    where
+        K: Borrow<str> + Hash + Eq,
+        V: AsRef<str>,
+    {
+        for index in 0..values.count("accounts.count")? {
+            let name = values.text(&format!("accounts.{index}.name"))?;
+            self.tenants.insert(name.to_owned(), index);
+            let quota_per_s = values.number(&format!("accounts.{index}.quota_per_s"))?;
+            self.settings.tenants.push(Tenant { quota_per_s });
         }
-        setup.zones = pairs.text("azs")?.split(',').zip(0..).map(|(z, i)| (z.to_owned(), i)).collect();
-        settings.zone = setup.zones.get(pairs.text("my_zone")?).copied().unwrap_or(u32::MAX);
-        Ok(setup)
+        Ok(())
+    }
+
+    /// Reads the zones and the aggregator's own; one that is not listed gets the highest number.
+    fn read_zones<K, V>(&mut self, values: &Values<'_, K, V>) -> Result<(), SetupError>
+    where
+        K: Borrow<str> + Hash + Eq,
+        V: AsRef<str>,
+    {
+        let names = values.text("azs")?.split(',').map(str::to_owned);
+        self.zones = names.zip(0..).collect();
+        let own_zone = values.text("my_zone")?;
+        self.settings.zone = self.zones.get(own_zone).copied().unwrap_or(u32::MAX);
+        Ok(())
     }
 }
 
-fn general<K, V>(pairs: &Pairs<K, V>) -> Result<Settings, String>
+fn read_general<K, V>(values: &Values<'_, K, V>) -> Result<Settings, SetupError>
 where
-    K: std::borrow::Borrow<str> + Hash + Eq,
+    K: Borrow<str> + Hash + Eq,
     V: AsRef<str>,
 {
     let mut settings = Settings {
-        aggregators: pairs.float("replicas_of_me")? as u32,
-        index: pairs.get("index").map(|_| pairs.count("index")).transpose()?.map(|index| index as u32),
-        turn_ms: pairs.float("granularity_ms")?,
-        over_quota_value: pairs.float_or("over_share_worth", 1.0)?,
-        cells: pairs.float("domain.cells")? as u32,
-        reach: pairs.float("domain.reach")? as u32,
-        shards: pairs.float("domain.slabs")? as u32,
-        batch: pairs.float("domain.batch")? as u32,
-        call_cost_ms: pairs.float("domain.call_cost_ms")?,
-        max_attempts: pairs.float("limits.max_attempts")? as u32,
-        parallel: pairs.flag("limits.parallel_tries")?,
-        withdrawals: pairs.get("limits.may_cancel").is_some() && pairs.flag("limits.may_cancel")?,
-        subscribe: match pairs.text("registry_mode")? {
+        aggregators: values.integer("replicas_of_me")?,
+        index: read_index(values)?,
+        turn_ms: values.number("granularity_ms")?,
+        over_quota_value: values.number_or("over_share_worth", 1.0)?,
+        cells: values.integer("domain.cells")?,
+        reach: values.integer("domain.reach")?,
+        shards: values.integer("domain.slabs")?,
+        batch: values.integer("domain.batch")?,
+        call_cost_ms: values.number("domain.call_cost_ms")?,
+        max_attempts: values.integer("limits.max_attempts")?,
+        parallel: values.boolean("limits.parallel_tries")?,
+        withdrawals: values.get("limits.may_cancel").is_some() && values.boolean("limits.may_cancel")?,
+        subscribe: match values.text("registry_mode")? {
             "subscribe" => true,
             "automatic" => false,
-            other => return Err(format!("registry_mode: expected automatic or subscribe, found `{other}`")),
+            other => return Err(unexpected("registry_mode", "automatic or subscribe", other)),
         },
-        idle_ms: pairs.float_or("limits.conn_idle_ms", 0.0)?,
-        list_refresh_ms: pairs.float("invariants.ask_every_ms")?,
-        answer_slack_ms: pairs.float("invariants.answer_slack_ms")?,
-        drain_grace_ms: pairs.float("invariants.drain_grace_ms")?,
-        warm_up_start: pairs.float("invariants.cold_from")?,
-        warm_up_ms: pairs.float("invariants.cold_ms")?,
-        overload_factor: pairs.float("invariants.overload_factor")?,
-        overload_window_ms: pairs.float("invariants.fall_ms")?,
+        idle_ms: values.number_or("limits.conn_idle_ms", 0.0)?,
+        list_refresh_ms: values.number("invariants.ask_every_ms")?,
+        answer_slack_ms: values.number("invariants.answer_slack_ms")?,
+        drain_grace_ms: values.number("invariants.drain_grace_ms")?,
+        warm_up_start: values.number("invariants.cold_from")?,
+        warm_up_ms: values.number("invariants.cold_ms")?,
+        overload_factor: values.number("invariants.overload_factor")?,
+        overload_window_ms: values.number("invariants.fall_ms")?,
         ..Settings::default()
     };
-    if pairs.flag("limits.retry_after")? {
-        settings.max_retry_after_ms = pairs.float("limits.max_retry_after_ms")?;
-    }
-    if pairs.get("invariants.look_back_ms").is_some() {
-        settings.budget = Some(Budget {
-            free: pairs.float_or("invariants.extra_free", 0.0)?,
-            ratio: pairs.float_or("invariants.repeat_ratio", 0.0)?,
-            window_ms: pairs.float("invariants.look_back_ms")?,
-        });
+    if values.boolean("limits.retry_after")? {
+        settings.max_retry_after_ms = values.number("limits.max_retry_after_ms")?;
     }
-    let fields = pairs.get("report.fields").unwrap_or_default();
+    settings.budget = read_budget(values)?;
+    let fields = values.get("report.fields").unwrap_or_default();
     settings.report = fields.split(',').map(ReportField::named).collect();
     Ok(settings)
 }
 
-fn class<K, V>(pairs: &Pairs<K, V>, i: usize) -> Result<Class, String>
+fn read_index<K, V>(values: &Values<'_, K, V>) -> Result<Option<u32>, SetupError>
+where
+    K: Borrow<str> + Hash + Eq,
+    V: AsRef<str>,
+{
+    if values.get("index").is_none() {
+        return Ok(None);
+    }
+    Ok(Some(values.count("index")? as u32))
+}
+
+fn read_budget<K, V>(values: &Values<'_, K, V>) -> Result<Option<Budget>, SetupError>
+where
+    K: Borrow<str> + Hash + Eq,
+    V: AsRef<str>,
+{
+    if values.get("invariants.look_back_ms").is_none() {
+        return Ok(None);
+    }
+    Ok(Some(Budget {
+        free: values.number_or("invariants.extra_free", 0.0)?,
+        ratio: values.number_or("invariants.repeat_ratio", 0.0)?,
+        window_ms: values.number("invariants.look_back_ms")?,
+    }))
+}
+
+fn read_class<K, V>(values: &Values<'_, K, V>, index: usize) -> Result<Class, SetupError>
 where
-    K: std::borrow::Borrow<str> + Hash + Eq,
+    K: Borrow<str> + Hash + Eq,
     V: AsRef<str>,
 {
-    let key = |field: &str| format!("categories.{i}.{field}");
+    let key = |field: &str| format!("categories.{index}.{field}");
     Ok(Class {
-        latency_target_ms: pairs.float(&key("aim_ms"))?,
-        latency_target_stretch: pairs.float_or(&key("aim_stretch"), 0.0)?,
-        deadline_ms: pairs.float(&key("deadline_ms"))?,
-        late_value_share: pairs.float(&key("late_share"))?,
-        value: pairs.float(&key("importance"))?,
-        repeat: match pairs.text(&key("repeat"))? {
+        latency_target_ms: values.number(&key("aim_ms"))?,
+        latency_target_stretch: values.number_or(&key("aim_stretch"), 0.0)?,
+        deadline_ms: values.number(&key("deadline_ms"))?,
+        late_value_share: values.number(&key("late_share"))?,
+        value: values.number(&key("importance"))?,
+        repeat: match values.text(&key("repeat"))? {
             "safe" => Repeat::Safe,
             "keyed" => Repeat::Keyed,
             "unsafe" => Repeat::Unsafe,
-            other => return Err(format!("{}: unknown value `{other}`", key("repeat"))),
+            other => {
+                let fault = SetupFault::Unknown { found: other.to_owned() };
+                return Err(SetupError { key: key("repeat"), fault });
+            }
         },
-        deduplication_ms: pairs.float_or(&key("memory_span_ms"), 0.0)?,
-        required_share: pairs.by_class("domain.class_need", i)?,
-        minimum_share: pairs.by_class("domain.min_share", i)?,
-        partial_value: pairs.by_class("domain.class_partial", i)?,
-        follow_up_parts: pairs.by_class("domain.follow_up", i)? as u32,
+        deduplication_ms: values.number_or(&key("memory_span_ms"), 0.0)?,
+        required_share: values.by_class("domain.class_need", index)?,
+        minimum_share: values.by_class("domain.min_share", index)?,
+        partial_value: values.by_class("domain.class_partial", index)?,
+        follow_up_parts: values.by_class("domain.follow_up", index)? as u32,
     })
 }
 
 impl ReportField {
-    /// The figure that a load report calls so.
+    /// The figure that has this name in a load report.
     fn named(name: &str) -> Self {
         match name {
             "busy_reqs" => Self::InHand,
