--- a/dispatch/src/settings.rs
+++ b/dispatch/src/settings.rs
@@ -17,7 +17,7 @@
     /// Any number of times.
     #[default]
     Safe,
-    /// While the servers drop repeats of the first attempt ([`Class::memory_ms`]).
+    /// While the servers drop repeats of the first attempt ([`Class::deduplication_ms`]).
     Keyed,
     /// Never; only after outcomes that prove it did not run.
     Unsafe,
@@ -118,7 +118,7 @@
     pub max_attempts: u32,
     /// Whether two attempts of a part may be outstanding at the same time.
     pub parallel: bool,
-    /// Whether an attempt may be withdrawn ([`Action::Withdraw`]).
+    /// Whether an attempt may be withdrawn ([`Action::Withdraw`](crate::Action::Withdraw)).
     pub withdrawals: bool,
     /// Whether the list must be subscribed to.
     pub subscribe: bool,
--- a/dispatch/tests/adapter.rs
+++ b/dispatch/tests/adapter.rs
@@ -3,7 +3,7 @@
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
-fn drill(input: &str) -> Output {
+fn run_adapter(input: &str) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
@@ -44,7 +44,7 @@
 #[test]
 fn a_query_is_served_and_the_end_of_input_is_a_clean_exit() {
     let input = format!("CLOCK 0.0 1\n{}EOF_BATCH\n", day("router-1"));
-    let output = drill(&input);
+    let output = run_adapter(&input);
     assert!(output.status.success());
     let text = stdout(&output);
     assert_eq!(text.matches("SEND ").count(), 2, "{text}");
@@ -52,12 +52,12 @@
 }
 
 #[test]
-fn withdrawals_follow_the_settings() {
+fn withdrawals_are_written_only_where_the_settings_allow_them() {
     for allowed in [true, false] {
         let more = format!("some.new_key=5 limits.may_cancel={allowed} limits.conn_idle_ms=15000.0");
         let start = day("router-1").replace("some.new_key=5", &more);
         let later = "CLOCK 495.0 2\nSELECT router-1\nRING 0\nEOF_BATCH\n";
-        let text = stdout(&drill(&format!("CLOCK 0.0 1\n{start}EOF_BATCH\n{later}")));
+        let text = stdout(&run_adapter(&format!("CLOCK 0.0 1\n{start}EOF_BATCH\n{later}")));
         let stops = text.matches("STOP_ATTEMPT ").count();
         assert!(text.contains("TURN_AWAY 11 500.000"), "{text}");
         assert_eq!(stops, if allowed { 2 } else { 0 }, "{text}");
@@ -65,22 +65,23 @@
 }
 
 #[test]
-fn instances_share_nothing() {
-    let alone = stdout(&drill(&format!("CLOCK 0.0 1\n{}EOF_BATCH\n", day("router-1"))));
-    let both = stdout(&drill(&format!("CLOCK 0.0 1\n{}{}EOF_BATCH\n", day("router-2"), day("router-1"))));
+fn an_instance_acts_the_same_beside_another() {
+    let alone = stdout(&run_adapter(&format!("CLOCK 0.0 1\n{}EOF_BATCH\n", day("router-1"))));
+    let both =
+        stdout(&run_adapter(&format!("CLOCK 0.0 1\n{}{}EOF_BATCH\n", day("router-2"), day("router-1"))));
     let own = alone.strip_suffix("DONE 1\n").unwrap();
     assert!(both.contains(own), "{both}");
 }
 
 #[test]
-fn unknown_events_are_skipped_with_a_note() {
-    let output = drill(&format!("CLOCK 0.0 1\n{}NOVELTY 1 2\nEOF_BATCH\n", day("router-1")));
+fn an_unknown_event_is_skipped_with_a_message() {
+    let output = run_adapter(&format!("CLOCK 0.0 1\n{}NOVELTY 1 2\nEOF_BATCH\n", day("router-1")));
     assert!(output.status.success());
     assert!(String::from_utf8_lossy(&output.stderr).contains("NOVELTY"));
 }
 
 #[test]
-fn bad_input_ends_with_a_message_that_names_line_field_and_expectation() {
+fn malformed_input_ends_with_an_error_that_names_line_field_and_expectation() {
     let missing = setup().replace("domain.cells=2", "domain.cell=2");
     let cases = [
         ("CLOCK soon 1\nEOF_BATCH\n".to_owned(), ["line 1", "clock", "number"]),
@@ -96,7 +97,7 @@
         ("RING 1\n".to_owned(), ["line 1", "RING", "CLOCK"]),
     ];
     for (input, words) in cases {
-        let output = drill(&input);
+        let output = run_adapter(&input);
         let said = String::from_utf8_lossy(&output.stderr);
         assert!(!output.status.success(), "{input}");
         assert!(words.iter().all(|word| said.contains(word)), "{said} should name {words:?}");
@@ -106,10 +107,10 @@
 }
 
 #[test]
-fn malformed_limits_are_told_by_name() {
+fn malformed_limits_end_with_an_error_that_names_them() {
     for (key, value) in [("limits.conn_idle_ms", "soon"), ("limits.may_cancel", "perhaps")] {
         let start = day("router-1").replace("some.new_key=5", &format!("{key}={value}"));
-        let output = drill(&format!("CLOCK 0.0 1\n{start}EOF_BATCH\n"));
+        let output = run_adapter(&format!("CLOCK 0.0 1\n{start}EOF_BATCH\n"));
         assert!(!output.status.success());
         let told = String::from_utf8_lossy(&output.stderr).into_owned();
         assert!(told.contains(key) && told.contains(value), "{told}");
--- a/dispatch/tests/common/fleet.rs
+++ b/dispatch/tests/common/fleet.rs
@@ -10,14 +10,14 @@
 
 pub const STEP_MS: Millis = 5.0;
 /// There and back.
-const WIRE_MS: Millis = 2.0;
+const ROUND_TRIP_MS: Millis = 2.0;
 /// A store holds so many calls, and turns away what comes then.
 const QUEUE: usize = 200;
 
 /// Numbers that look random (SplitMix64).
-pub struct Chance(pub u64);
+pub struct RandomSource(pub u64);
 
-impl Chance {
+impl RandomSource {
     pub fn unit(&mut self) -> f64 {
         self.0 = self.0.wrapping_add(0x9E37_79B9_7F4A_7C15);
         let mut x = self.0;
@@ -32,7 +32,7 @@
 }
 
 struct Call {
-    side: usize,
+    process: usize,
     part: RequestId,
     attempt: u32,
     sent: Millis,
@@ -51,13 +51,13 @@
     free_at: Millis,
 }
 
-pub struct Side {
+pub struct AggregatorProcess {
     pub aggregator: Aggregator,
     number: u32,
     timer: Option<Millis>,
     events: Vec<Event>,
     /// Whether it was told of the last start.
-    pub told: bool,
+    pub knows_restart: bool,
     pub dead: bool,
 }
 
@@ -67,66 +67,66 @@
     pub server: usize,
     pub class: usize,
     pub work: Millis,
-    pub told: bool,
+    pub knows_restart: bool,
 }
 
-/// One query, and whether it was answered before its aim (none: no end yet).
-pub struct Asked {
+/// One query, and whether it was answered before its latency target (none: no end yet).
+pub struct QueryRecord {
     pub at: Millis,
     pub class: usize,
     pub tenant: Option<usize>,
     pub served: Option<bool>,
 }
 
-pub struct World {
+pub struct FleetSimulation {
     pub now: Millis,
     pub set: Settings,
     /// Work of a part, by class.
-    pub works: Vec<Millis>,
+    pub work_by_class: Vec<Millis>,
     pub stores: Vec<Store>,
-    pub sides: Vec<Side>,
+    pub processes: Vec<AggregatorProcess>,
     pub sent: Vec<Sent>,
-    pub asked: Vec<Asked>,
-    pub chance: Chance,
+    pub queries: Vec<QueryRecord>,
+    pub random: RandomSource,
     /// By so much of it a part's work is more or less than its class's, by chance.
-    pub uneven: f64,
-    /// Parts turned away as the queue was full.
-    pub turned_away: usize,
+    pub work_spread: f64,
+    /// Parts rejected as the queue was full.
+    pub rejected_parts: usize,
     attempts: HashMap<RequestId, u32>,
 }
 
-impl World {
-    pub fn new(seed: u64, set: Settings, works: &[Millis], stores: usize) -> Self {
-        let mut world = Self {
+impl FleetSimulation {
+    pub fn new(seed: u64, set: Settings, work_by_class: &[Millis], stores: usize) -> Self {
+        let mut fleet_simulation = Self {
             now: 0.0,
-            works: works.to_vec(),
+            work_by_class: work_by_class.to_vec(),
             stores: (0..stores).map(|_| Store { up: true, ..Store::default() }).collect(),
-            sides: Vec::new(),
+            processes: Vec::new(),
             sent: Vec::new(),
-            asked: Vec::new(),
-            chance: Chance(seed),
-            uneven: 0.0,
-            turned_away: 0,
+            queries: Vec::new(),
+            random: RandomSource(seed),
+            work_spread: 0.0,
+            rejected_parts: 0,
             attempts: HashMap::new(),
             set,
         };
-        for number in 0..world.set.aggregators {
-            let side = world.side(number);
-            world.sides.push(side);
+        for number in 0..fleet_simulation.set.aggregators {
+            let process = fleet_simulation.process(number);
+            fleet_simulation.processes.push(process);
         }
-        world
+        fleet_simulation
     }
 
     /// An aggregator that was told all there is to know.
-    fn side(&mut self, number: u32) -> Side {
+    fn process(&mut self, number: u32) -> AggregatorProcess {
         let mut set = self.set.clone();
         set.index = set.index.map(|_| number);
-        let seed = (self.chance.unit() * 1e15) as u64;
+        let seed = (self.random.unit() * 1e15) as u64;
         let aggregator = Aggregator::new(seed, set, self.now);
         let entries = (0..self.stores.len()).map(|server| self.entry(server)).collect();
         let events = vec![Event::List { kind: ListKind::Complete, entries }];
-        let told = self.stores.iter().any(|store| store.since.is_some());
-        Side { aggregator, number, timer: None, events, told, dead: false }
+        let knows_restart = self.stores.iter().any(|store| store.since.is_some());
+        AggregatorProcess { aggregator, number, timer: None, events, knows_restart, dead: false }
     }
 
     fn entry(&self, server: usize) -> Entry {
@@ -135,23 +135,23 @@
     }
 
     /// A new process of a broker; the old one goes on beside it. What discovery has told the broker, it knows at once.
-    pub fn another(&mut self, side: usize) -> usize {
-        let another = self.side(self.sides[side].number);
-        self.sides.push(another);
-        self.sides.len() - 1
+    pub fn start_process(&mut self, process: usize) -> usize {
+        let start_process = self.process(self.processes[process].number);
+        self.processes.push(start_process);
+        self.processes.len() - 1
     }
 
     /// A process ends; what it had taken is lost, and what it has sent is worked on all the same.
-    pub fn kill(&mut self, side: usize) {
-        self.sides[side].dead = true;
+    pub fn kill_process(&mut self, process: usize) {
+        self.processes[process].dead = true;
         let calls = self.stores.iter_mut().flat_map(|store| &mut store.calls);
-        calls.filter(|call| call.side == side).for_each(|call| call.given_up = true);
+        calls.filter(|call| call.process == process).for_each(|call| call.given_up = true);
     }
 
-    pub fn tell(&mut self, side: usize, server: usize) {
+    pub fn announce(&mut self, process: usize, server: usize) {
         let entries = vec![self.entry(server)];
-        self.sides[side].events.push(Event::List { kind: ListKind::Changes, entries });
-        self.sides[side].told = true;
+        self.processes[process].events.push(Event::List { kind: ListKind::Changes, entries });
+        self.processes[process].knows_restart = true;
     }
 
     /// A store's process ends; what it had taken is lost.
@@ -167,7 +167,7 @@
     pub fn start(&mut self, server: usize) {
         let store = &mut self.stores[server];
         (store.up, store.since, store.free_at) = (true, Some(self.now), self.now);
-        self.sides.iter_mut().for_each(|side| side.told = false);
+        self.processes.iter_mut().for_each(|process| process.knows_restart = false);
     }
 
     /// The share of its capacity that a store has.
@@ -177,12 +177,12 @@
         (from + (1.0 - from) * (at - since).max(0.0) / self.set.warm_up_ms).min(1.0)
     }
 
-    pub fn ask(&mut self, side: usize, class: usize, tenant: Option<usize>, shards: &[u32]) {
-        let id = self.asked.len() as u64;
-        self.asked.push(Asked { at: self.now, class, tenant, served: None });
+    pub fn send_query(&mut self, process: usize, class: usize, tenant: Option<usize>, shards: &[u32]) {
+        let id = self.queries.len() as u64;
+        self.queries.push(QueryRecord { at: self.now, class, tenant, served: None });
         let deadline = self.now + self.set.classes[class].deadline_ms;
         let parts = shards.len() as u32;
-        let events = &mut self.sides[side].events;
+        let events = &mut self.processes[process].events;
         events.push(Event::Query { id, number: id, class, tenant, deadline, parts, repeated: false });
         for (n, &shard) in shards.iter().enumerate() {
             let (id, weight) = ((id << 8) + n as u64, 1.0 / shards.len() as f64);
@@ -191,16 +191,16 @@
     }
 
     /// Something that a process is told by its host.
-    pub fn hear(&mut self, side: usize, event: Event) {
-        self.sides[side].events.push(event);
+    pub fn send_event(&mut self, process: usize, event: Event) {
+        self.processes[process].events.push(event);
     }
 
     fn end(&mut self, server: usize, call: &Call, outcome: Outcome) {
         let Call { part, attempt, sent, given_up, .. } = *call;
         if !given_up {
-            let (server, wait_ms, report) = (server as u32, self.now - sent + WIRE_MS, Vec::new());
+            let (server, wait_ms, report) = (server as u32, self.now - sent + ROUND_TRIP_MS, Vec::new());
             let event = Event::Outcome { part, attempt, server, wait_ms, outcome, report };
-            self.sides[call.side].events.push(event);
+            self.processes[call.process].events.push(event);
         }
     }
 
@@ -209,23 +209,23 @@
         for server in 0..self.stores.len() {
             self.work(server);
         }
-        for number in 0..self.sides.len() {
-            let side = &mut self.sides[number];
-            if side.dead {
+        for number in 0..self.processes.len() {
+            let process = &mut self.processes[number];
+            if process.dead {
                 continue;
             }
-            let due = side.timer.take_if(|at| *at <= self.now).is_some();
-            if !due && side.events.is_empty() {
+            let due = process.timer.take_if(|at| *at <= self.now).is_some();
+            if !due && process.events.is_empty() {
                 continue;
             }
             let mut actions = Vec::new();
             if due {
-                side.aggregator.handle(self.now, Event::Timer { token: 0 }, &mut actions);
+                process.aggregator.handle(self.now, Event::Timer { token: 0 }, &mut actions);
             }
-            for event in std::mem::take(&mut side.events) {
-                side.aggregator.handle(self.now, event, &mut actions);
+            for event in std::mem::take(&mut process.events) {
+                process.aggregator.handle(self.now, event, &mut actions);
             }
-            side.aggregator.end_turn(self.now, &mut actions);
+            process.aggregator.end_turn(self.now, &mut actions);
             actions.into_iter().for_each(|action| self.act(number, action));
         }
         self.now += STEP_MS;
@@ -256,22 +256,25 @@
         lost.iter().for_each(|call| self.end(server, call, Outcome::TimedOut));
     }
 
-    fn act(&mut self, side: usize, action: Action) {
+    fn act(&mut self, process: usize, action: Action) {
         match action {
             Action::Send { part, server, timeout_ms } => {
                 let attempt = *self.attempts.entry(part).and_modify(|n| *n += 1).or_insert(0);
-                let (server, class) = (server as usize, self.asked[(part >> 8) as usize].class);
-                let told = self.sides[side].told;
-                let uneven =
-                    if self.uneven > 0.0 { self.uneven * (2.0 * self.chance.unit() - 1.0) } else { 0.0 };
-                let work = self.works[class] * (1.0 + uneven);
-                self.sent.push(Sent { at: self.now, server, class, work, told });
+                let (server, class) = (server as usize, self.queries[(part >> 8) as usize].class);
+                let knows_restart = self.processes[process].knows_restart;
+                let work_spread = if self.work_spread > 0.0 {
+                    self.work_spread * (2.0 * self.random.unit() - 1.0)
+                } else {
+                    0.0
+                };
+                let work = self.work_by_class[class] * (1.0 + work_spread);
+                self.sent.push(Sent { at: self.now, server, class, work, knows_restart });
                 let (sent, until) = (self.now, self.now + timeout_ms);
-                let call = Call { side, part, attempt, sent, until, work, given_up: false };
+                let call = Call { process, part, attempt, sent, until, work, given_up: false };
                 if !self.stores[server].up {
                     self.end(server, &call, Outcome::Unreachable);
                 } else if self.stores[server].calls.len() >= QUEUE {
-                    self.turned_away += 1;
+                    self.rejected_parts += 1;
                     self.end(server, &call, Outcome::Overloaded);
                 } else {
                     self.stores[server].calls.push_back(call);
@@ -289,14 +292,14 @@
                 }
             }
             Action::Answer { query, .. } => {
-                let asked = &mut self.asked[query as usize];
-                let aim = asked.at + self.set.classes[asked.class].latency_target_ms;
-                asked.served = Some(asked.served.unwrap_or(true) && self.now <= aim);
+                let queries = &mut self.queries[query as usize];
+                let aim = queries.at + self.set.classes[queries.class].latency_target_ms;
+                queries.served = Some(queries.served.unwrap_or(true) && self.now <= aim);
             }
             Action::Refuse { query, .. } | Action::Fail { query } => {
-                self.asked[query as usize].served = Some(false);
+                self.queries[query as usize].served = Some(false);
             }
-            Action::Timer { wait_ms, .. } => self.sides[side].timer = Some(self.now + wait_ms),
+            Action::Timer { wait_ms, .. } => self.processes[process].timer = Some(self.now + wait_ms),
             _ => {}
         }
     }
--- a/dispatch/tests/common/mod.rs
+++ b/dispatch/tests/common/mod.rs
@@ -14,10 +14,10 @@
     pub server: ServerId,
     pub attempt: u32,
     pub at: Millis,
-    pub patience: Millis,
+    pub timeout: Millis,
 }
 
-pub struct Rig {
+pub struct Harness {
     pub now: Millis,
     pub aggregator: Aggregator,
     pub actions: Vec<Action>,
@@ -67,14 +67,14 @@
     Entry { server, cell: server, status: Status::Ready, ..Entry::default() }
 }
 
-impl Rig {
+impl Harness {
     /// An aggregator that has been told of `servers` servers, one a cell.
     pub fn new(settings: Settings, servers: u32) -> Self {
         Self::seeded(11, settings, servers)
     }
 
     pub fn seeded(seed: u64, settings: Settings, servers: u32) -> Self {
-        let mut rig = Self {
+        let mut harness = Self {
             now: 1000.0,
             aggregator: Aggregator::new(seed, settings, 1000.0),
             actions: Vec::new(),
@@ -82,44 +82,44 @@
             seen: 0,
             next: 1000,
         };
-        rig.list(ListKind::Complete, (0..servers).map(ready).collect());
-        rig
+        harness.update_list(ListKind::Complete, (0..servers).map(ready).collect());
+        harness
     }
 
-    pub fn event(&mut self, event: Event) {
+    pub fn handle(&mut self, event: Event) {
         self.aggregator.handle(self.now, event, &mut self.actions);
     }
 
-    pub fn list(&mut self, kind: ListKind, entries: Vec<Entry>) {
-        self.event(Event::List { kind, entries });
+    pub fn update_list(&mut self, kind: ListKind, entries: Vec<Entry>) {
+        self.handle(Event::List { kind, entries });
     }
 
     /// Ends the turn and notes the sends.
-    pub fn turn(&mut self) {
+    pub fn end_turn(&mut self) {
         self.aggregator.end_turn(self.now, &mut self.actions);
         for action in &self.actions[self.seen..] {
             if let Action::Send { part, server, timeout_ms } = *action {
                 let attempt = self.sent.iter().filter(|sent| sent.part == part).count() as u32;
-                self.sent.push(Sent { part, server, attempt, at: self.now, patience: timeout_ms });
+                self.sent.push(Sent { part, server, attempt, at: self.now, timeout: timeout_ms });
             }
         }
         self.seen = self.actions.len();
     }
 
     /// A query with equal parts at these shards, without ending the turn; returns the parts' ids.
-    pub fn arrive(&mut self, id: RequestId, class: usize, shards: &[u32]) -> Vec<RequestId> {
+    pub fn begin_query(&mut self, id: RequestId, class: usize, shards: &[u32]) -> Vec<RequestId> {
         let deadline = self.now + 3000.0;
         let parts = shards.len() as u32;
-        self.event(Event::Query { id, number: id, class, tenant: None, deadline, parts, repeated: false });
-        self.parts(id, shards)
+        self.handle(Event::Query { id, number: id, class, tenant: None, deadline, parts, repeated: false });
+        self.add_parts(id, shards)
     }
 
-    pub fn parts(&mut self, number: u64, shards: &[u32]) -> Vec<RequestId> {
+    pub fn add_parts(&mut self, number: u64, shards: &[u32]) -> Vec<RequestId> {
         let weight = 1.0 / shards.len() as f64;
         let mut ids = Vec::new();
         for &shard in shards {
             self.next += 1;
-            self.event(Event::Part { id: self.next, number, shard, weight, cost_ms: None });
+            self.handle(Event::Part { id: self.next, number, shard, weight, cost_ms: None });
             ids.push(self.next);
         }
         ids
@@ -127,37 +127,37 @@
 
     /// The same, and ends the turn.
     pub fn query(&mut self, id: RequestId, class: usize, shards: &[u32]) -> Vec<RequestId> {
-        let ids = self.arrive(id, class, shards);
-        self.turn();
+        let ids = self.begin_query(id, class, shards);
+        self.end_turn();
         ids
     }
 
-    pub fn end(&mut self, sent: Sent, outcome: Outcome) {
+    pub fn end_attempt(&mut self, sent: Sent, outcome: Outcome) {
         let Sent { part, server, attempt, at, .. } = sent;
         let wait_ms = self.now - at;
-        self.event(Event::Outcome { part, attempt, server, wait_ms, outcome, report: Vec::new() });
+        self.handle(Event::Outcome { part, attempt, server, wait_ms, outcome, report: Vec::new() });
     }
 
     /// Time passes in steps of a turn's tick, with a timer each.
-    pub fn pass(&mut self, ms: Millis) {
+    pub fn advance(&mut self, ms: Millis) {
         let end = self.now + ms;
         while self.now < end {
             self.now = (self.now + 5.0).min(end);
-            self.event(Event::Timer { token: 0 });
-            self.turn();
+            self.handle(Event::Timer { token: 0 });
+            self.end_turn();
         }
     }
 
     /// Every send so far that has not been reported ends this way, then the turn ends.
-    pub fn end_from(&mut self, from: usize, outcome: Outcome) {
+    pub fn end_attempts_from(&mut self, from: usize, outcome: Outcome) {
         for sent in self.sent[from..].to_vec() {
-            self.end(sent, outcome);
+            self.end_attempt(sent, outcome);
         }
-        self.turn();
+        self.end_turn();
     }
 
     /// Final answers and first-step answers of a query, in order.
-    pub fn answers(&self, id: RequestId) -> Vec<Action> {
+    pub fn answers_to(&self, id: RequestId) -> Vec<Action> {
         let of = |action: &&Action| match action {
             Action::Answer { query, .. } | Action::Refuse { query, .. } | Action::Fail { query } => {
                 *query == id
--- a/dispatch/tests/asking.rs
+++ b/dispatch/tests/list_refresh.rs
@@ -12,12 +12,12 @@
 const TURN_MS: Millis = 5.0;
 
 /// One aggregator that nobody asks anything; it acts when its timers fall due.
-struct Idle {
+struct IdleAggregator {
     aggregator: Aggregator,
     timer: Option<Millis>,
 }
 
-impl Idle {
+impl IdleAggregator {
     fn new(seed: u64, aggregators: u32) -> Self {
         let mut set = settings(12, 2, 12);
         (set.subscribe, set.aggregators, set.list_refresh_ms) = (true, aggregators, EVERY_MS);
@@ -47,7 +47,7 @@
     }
 
     /// When it asks next.
-    fn asks(&mut self) -> Millis {
+    fn next_call(&mut self) -> Millis {
         loop {
             let now = self.timer.expect("a timer");
             if self.turn(now, None) {
@@ -65,12 +65,12 @@
 fn unanswered(aggregators: u32, end: Millis) -> Vec<Millis> {
     let mut calls = Vec::new();
     for seed in 0..u64::from(aggregators) {
-        let mut idle = Idle::new(seed, aggregators);
-        let mut at = idle.asks();
+        let mut idle = IdleAggregator::new(seed, aggregators);
+        let mut at = idle.next_call();
         while at < end {
             calls.push(at);
             idle.fails(at + CALL_MS);
-            at = idle.asks();
+            at = idle.next_call();
         }
     }
     calls.sort_by(f64::total_cmp);
@@ -84,31 +84,31 @@
 }
 
 #[test]
-fn the_first_call_leaves_time_for_itself_before_the_list_counts_as_told() {
+fn the_first_call_can_end_before_the_list_counts_as_received() {
     for aggregators in SIZES {
         for seed in 0..200 {
-            let at = Idle::new(seed, aggregators).asks();
+            let at = IdleAggregator::new(seed, aggregators).next_call();
             assert!(at <= EVERY_MS / 2.0 + TURN_MS, "{aggregators} aggregators, seed {seed}: {at} ms");
         }
     }
 }
 
 #[test]
-fn however_often_calls_fail_the_next_one_comes_before_the_list_counts_as_told() {
+fn after_any_number_of_failures_the_next_call_can_end_before_the_list_counts_as_received() {
     for aggregators in SIZES {
         for seed in 0..20 {
-            let mut idle = Idle::new(seed, aggregators);
-            let mut asked = idle.asks();
+            let mut idle = IdleAggregator::new(seed, aggregators);
+            let mut queries = idle.next_call();
             for failures in 1..40 {
-                idle.fails(asked + CALL_MS);
-                let next = idle.asks();
+                idle.fails(queries + CALL_MS);
+                let next = idle.next_call();
                 let allowed = 4.0 * EVERY_MS - CALL_MS;
                 assert!(
-                    next - asked <= allowed,
+                    next - queries <= allowed,
                     "{aggregators} aggregators, seed {seed}: after {failures} failures {} ms",
-                    next - asked
+                    next - queries
                 );
-                asked = next;
+                queries = next;
             }
         }
     }
@@ -116,7 +116,7 @@
 
 /// The first calls come one by one, and those after failures no more often than the bound makes them.
 #[test]
-fn the_calls_of_a_fleet_are_spread_and_grow_rarer_while_they_fail() {
+fn calls_of_a_fleet_are_spread_and_back_off_while_they_fail() {
     for aggregators in SIZES {
         let calls = unanswered(aggregators, 300_000.0);
         let share = f64::from(aggregators) / (EVERY_MS / 2.0) * 1000.0;
--- a/dispatch/tests/placement.rs
+++ b/dispatch/tests/placement.rs
@@ -2,41 +2,41 @@
 
 mod common;
 
-use common::{ready, settings, Rig};
+use common::{ready, settings, Harness};
 use gingerledge_dispatch::{Entry, ListKind, Outcome, Status};
 
 #[test]
-fn counts_rise_at_each_placement_of_a_query() {
+fn each_placement_of_a_query_raises_the_calls_counted_for_the_next() {
     // Two replicas hold all four shards: two parts each, whatever the tie-break.
-    let mut rig = Rig::new(settings(2, 2, 4), 2);
-    rig.query(1, 0, &[0, 1, 2, 3]);
-    let on = |server| rig.sent.iter().filter(|sent| sent.server == server).count();
+    let mut harness = Harness::new(settings(2, 2, 4), 2);
+    harness.query(1, 0, &[0, 1, 2, 3]);
+    let on = |server| harness.sent.iter().filter(|sent| sent.server == server).count();
     assert_eq!((on(0), on(1)), (2, 2));
 }
 
 #[test]
-fn counts_carry_over_to_the_next_query_and_fall_on_any_outcome() {
+fn outstanding_calls_count_for_the_next_query_until_any_outcome() {
     for outcome in [Outcome::Success, Outcome::Void] {
-        let mut rig = Rig::new(settings(2, 2, 2), 2);
-        rig.query(1, 0, &[0]);
-        rig.query(2, 0, &[0]);
-        assert_ne!(rig.sent[0].server, rig.sent[1].server, "the second goes to the idle replica");
-        let first = rig.sent[0];
-        rig.now += 50.0;
-        rig.end(first, outcome);
-        rig.query(3, 0, &[0]);
-        let third = rig.sent.iter().rfind(|sent| sent.part > rig.sent[1].part).unwrap();
+        let mut harness = Harness::new(settings(2, 2, 2), 2);
+        harness.query(1, 0, &[0]);
+        harness.query(2, 0, &[0]);
+        assert_ne!(harness.sent[0].server, harness.sent[1].server, "the second goes to the idle replica");
+        let first = harness.sent[0];
+        harness.now += 50.0;
+        harness.end_attempt(first, outcome);
+        harness.query(3, 0, &[0]);
+        let third = harness.sent.iter().rfind(|sent| sent.part > harness.sent[1].part).unwrap();
         assert_eq!(third.server, first.server, "its count fell on {outcome:?}");
     }
 }
 
 #[test]
-fn the_part_with_the_lowest_count_is_placed_first() {
+fn the_part_with_the_fewest_calls_is_placed_first() {
     // Shard 0 is held by servers 0 and 1, shard 2 by 2 and 3; the former are busy.
-    let mut rig = Rig::new(settings(4, 2, 4), 4);
-    rig.query(1, 0, &[0, 0]);
-    let parts = rig.query(2, 0, &[0, 2]);
-    let order: Vec<_> = rig.sent[2..].iter().map(|sent| sent.part).collect();
+    let mut harness = Harness::new(settings(4, 2, 4), 4);
+    harness.query(1, 0, &[0, 0]);
+    let parts = harness.query(2, 0, &[0, 2]);
+    let order: Vec<_> = harness.sent[2..].iter().map(|sent| sent.part).collect();
     assert_eq!(order, [parts[1], parts[0]]);
 }
 
@@ -44,17 +44,17 @@
 fn parts_that_share_a_call_count_once() {
     let mut shared = settings(2, 2, 2);
     shared.batch = 4;
-    let mut rig = Rig::new(shared, 2);
+    let mut harness = Harness::new(shared, 2);
     let with = |status, server| Entry { status, ..ready(server) };
     // One call of four parts on server 0, then two calls of one part on server 1.
-    rig.list(ListKind::Changes, vec![with(Status::Draining, 1)]);
-    rig.query(1, 0, &[0, 0, 0, 0]);
-    rig.list(ListKind::Changes, vec![with(Status::Draining, 0), ready(1)]);
-    rig.query(2, 0, &[0]);
-    rig.query(3, 0, &[0]);
-    rig.list(ListKind::Changes, vec![ready(0)]);
-    rig.query(4, 0, &[0]);
-    let servers: Vec<_> = rig.sent.iter().map(|sent| sent.server).collect();
+    harness.update_list(ListKind::Changes, vec![with(Status::Draining, 1)]);
+    harness.query(1, 0, &[0, 0, 0, 0]);
+    harness.update_list(ListKind::Changes, vec![with(Status::Draining, 0), ready(1)]);
+    harness.query(2, 0, &[0]);
+    harness.query(3, 0, &[0]);
+    harness.update_list(ListKind::Changes, vec![ready(0)]);
+    harness.query(4, 0, &[0]);
+    let servers: Vec<_> = harness.sent.iter().map(|sent| sent.server).collect();
     assert_eq!(servers, [0, 0, 0, 0, 1, 1, 0], "four parts of one call count less than two calls");
 }
 
@@ -62,25 +62,25 @@
 fn a_call_carries_no_more_parts_than_allowed() {
     let mut shared = settings(2, 2, 8);
     shared.batch = 2;
-    let mut rig = Rig::new(shared, 2);
-    rig.query(1, 0, &[0, 1, 2, 3, 4, 5, 6, 7]);
-    let on = |server| rig.sent.iter().filter(|sent| sent.server == server).count();
+    let mut harness = Harness::new(shared, 2);
+    harness.query(1, 0, &[0, 1, 2, 3, 4, 5, 6, 7]);
+    let on = |server| harness.sent.iter().filter(|sent| sent.server == server).count();
     assert_eq!((on(0), on(1)), (4, 4), "two calls of two parts each");
 }
 
 #[test]
 fn equal_seeds_and_events_give_equal_actions() {
     let run = || {
-        let mut rig = Rig::new(settings(6, 3, 12), 6);
+        let mut harness = Harness::new(settings(6, 3, 12), 6);
         for id in 1..20 {
-            rig.query(id, 0, &[0, 3, 5, 7, 11]);
-            rig.pass(30.0);
+            harness.query(id, 0, &[0, 3, 5, 7, 11]);
+            harness.advance(30.0);
             if id % 3 == 0 {
-                rig.end_from(rig.sent.len() - 4, Outcome::Success);
+                harness.end_attempts_from(harness.sent.len() - 4, Outcome::Success);
             }
         }
-        rig.list(ListKind::Changes, vec![ready(2)]);
-        rig.actions
+        harness.update_list(ListKind::Changes, vec![ready(2)]);
+        harness.actions
     };
     assert_eq!(run(), run());
 }
