--- a/dispatch/tests/common/mod.rs
+++ b/dispatch/tests/common/mod.rs
@@ -4,7 +4,8 @@
 pub mod fleet;
 
 use gingerledge_dispatch::{
-    Action, Aggregator, Class, Entry, Event, ListKind, Millis, Outcome, RequestId, ServerId, Settings, Status,
+    Action, Aggregator, Class, Entry, Event, ListKind, Millis, Outcome, Repeat, RequestId, ServerId,
+    Settings, Status,
 };
 
 /// A send that the aggregator asked for.
@@ -167,3 +168,58 @@
         self.actions.iter().filter(of).cloned().collect()
     }
 }
+
+/// Two servers that hold every shard, and a usual latency of 100 ms learned from both.
+pub fn harness_with_latency_samples() -> Harness {
+    harness_with_latency_target(1000.0)
+}
+
+/// The same, with another latency target.
+pub fn harness_with_latency_target(latency_target_ms: f64) -> Harness {
+    let mut set = settings(2, 2, 2);
+    set.classes = vec![Class { latency_target_ms, ..class() }; 2];
+    let mut harness = Harness::new(set, 2);
+    for id in 100..110 {
+        let from = harness.sent.len();
+        harness.query(id, 0, &[0, 1]);
+        harness.query(id + 100, 1, &[0, 1]);
+        harness.now += 100.0;
+        harness.end_attempts_from(from, Outcome::Success);
+    }
+    harness
+}
+
+/// The server of the latest attempt.
+pub fn last_server(harness: &Harness) -> ServerId {
+    harness.sent.last().unwrap().server
+}
+
+/// The attempts withdrawn so far, by part and number.
+pub fn withdrawals(harness: &Harness) -> Vec<(u64, u32)> {
+    let of = |action: &Action| match *action {
+        Action::Withdraw { part, attempt } => Some((part, attempt)),
+        _ => None,
+    };
+    harness.actions.iter().filter_map(of).collect()
+}
+
+/// Two servers that hold every shard, with a latency sample of each; a late part moves, since a second attempt at once is not allowed.
+pub fn harness_without_parallel_attempts(repeat: Repeat) -> Harness {
+    let mut set = settings(2, 2, 2);
+    (set.parallel, set.withdrawals) = (false, true);
+    set.classes = vec![Class { repeat, deduplication_ms: 2000.0, ..class() }];
+    let mut harness = Harness::new(set, 2);
+    harness.query(100, 0, &[0, 0]);
+    harness.now += 100.0;
+    harness.end_attempts_from(0, Outcome::Success);
+    harness.sent.clear();
+    harness
+}
+
+/// Three servers with a shard each; in class 1, any two of three parts make an answer complete.
+pub fn harness_with_spare_parts() -> Harness {
+    let mut set = settings(3, 1, 3);
+    set.classes = vec![class(), Class { required_share: 0.6, minimum_share: 0.6, ..class() }];
+    (set.parallel, set.withdrawals) = (false, true);
+    Harness::new(set, 3)
+}
--- a/dispatch/tests/overload.rs
+++ b/dispatch/tests/overload.rs
@@ -1,5 +1,5 @@
 //! Many aggregators side by side on the same servers, in virtual time: an overload that all of them learned of ends when it ends.
-//! It holds the sum of all that each remembers. What the limit alone does after few misses is in `symptoms.rs`: here the rule that
+//! It holds the sum of all that each remembers. What the limit alone does after few misses is in `concurrency_limit.rs`: here the rule that
 //! had every query cut it gives the same figures.
 
 mod common;
