--- a/broker/src/admin.rs
+++ b/broker/src/admin.rs
@@ -18,8 +18,8 @@
 use crate::http::{self, Ending, Fault, Head, Kind, Stream};
 use crate::lifecycle::Lifecycle;
 use crate::limits::Places;
-use crate::plug::{self, Subsystem};
 use crate::rotation;
+use crate::subsystem::{self, Subsystem};
 
 /// A call comes whole within this time.
 const CALL_WITHIN: Duration = Duration::from_millis(2000);
@@ -78,7 +78,7 @@
 pub struct Door {
     lifecycle: Rc<Lifecycle>,
     discovery: Rc<Discovery>,
-    plugged: Rc<[Rc<dyn Subsystem>]>,
+    subsystems: Rc<[Rc<dyn Subsystem>]>,
     clock: Clock,
     counters: Rc<Counters>,
     executor: Rc<LocalExecutor<'static>>,
@@ -91,7 +91,7 @@
     pub fn new(
         lifecycle: &Rc<Lifecycle>,
         discovery: &Rc<Discovery>,
-        plugged: Rc<[Rc<dyn Subsystem>]>,
+        subsystems: Rc<[Rc<dyn Subsystem>]>,
         clock: Clock,
         counters: &Rc<Counters>,
         executor: &Rc<LocalExecutor<'static>>,
@@ -101,7 +101,7 @@
         Rc::new(Self {
             lifecycle,
             discovery,
-            plugged,
+            subsystems,
             clock,
             counters,
             executor,
@@ -147,9 +147,9 @@
                 let call = or(read, crowded).await;
                 this.waiting.borrow_mut().retain(|other| !other.same_channel(&leave));
                 if let Some(Some(call)) = call {
-                    let plug::Reply { status, kind, body } = match call {
+                    let subsystem::Reply { status, kind, body } = match call {
                         Ok((head, body)) => this.answer(&head, &body).await,
-                        Err((status, words)) => plug::Reply::words(status, &words),
+                        Err((status, words)) => subsystem::Reply::text(status, &words),
                     };
                     log::debug!("operators' door: {status}");
                     count(&this.counters.admin_calls);
@@ -192,15 +192,15 @@
     }
 
     /// Answers a call: the subsystem whose path it names does, or the door itself.
-    async fn answer(&self, head: &Head, body: &[u8]) -> plug::Reply {
-        if let Some(subsystem) = plug::of(&self.plugged, head.path()) {
-            return subsystem.ask(head, body).await;
+    async fn answer(&self, head: &Head, body: &[u8]) -> subsystem::Reply {
+        if let Some(subsystem) = subsystem::find(&self.subsystems, head.path()) {
+            return subsystem.handle_request(head, body).await;
         }
         let (status, words) = match call(head, body) {
             Ok(call) => self.carry_out(call).await,
             Err(no) => no,
         };
-        plug::Reply::words(status, &words)
+        subsystem::Reply::text(status, &words)
     }
 
     async fn carry_out(&self, call: Call) -> Reply {
--- a/broker/src/blocks/boss.rs
+++ b/broker/src/blocks/boss.rs
@@ -353,8 +353,8 @@
     /// This broker's own map follows at once; the others ask.
     fn publish(&self) {
         loop {
-            let news = self.news(self.blocks.routes.wanted(), self.blocks.routes.term());
-            if !matches!(self.blocks.learn(news), Some(crate::routes::Learned::More)) {
+            let news = self.news(self.blocks.routes.next_cursor(), self.blocks.routes.term());
+            if !matches!(self.blocks.learn(news), Some(crate::routes::MapUpdate::More)) {
                 return;
             }
         }
--- a/broker/src/blocks/follow.rs
+++ b/broker/src/blocks/follow.rs
@@ -11,7 +11,7 @@
 
 use super::Blocks;
 use crate::http::{self, Kind, Stream};
-use crate::routes::Learned;
+use crate::routes::MapUpdate;
 
 const ANSWER_WITHIN: Duration = Duration::from_millis(1000);
 /// Pokes are answered no more often than this: one change is told by many parts.
@@ -25,10 +25,10 @@
         if blocks.boss.borrow().is_none() && !blocks.set.coordinators.is_empty() {
             let at = blocks.set.coordinators[door % blocks.set.coordinators.len()];
             match ask(&blocks, at).await {
-                Some(Learned::More) => continue,
-                Some(Learned::All(_)) => {}
+                Some(MapUpdate::More) => continue,
+                Some(MapUpdate::All(_)) => {}
                 // Not the coordinator, or deposed.
-                Some(Learned::Old) | None => door += 1,
+                Some(MapUpdate::Old) | None => door += 1,
             }
         }
         Timer::after(LEAST_GAP).await;
@@ -42,8 +42,8 @@
     }
 }
 
-async fn ask(blocks: &Blocks, at: SocketAddr) -> Option<Learned> {
-    let (from, term) = (blocks.routes.wanted(), blocks.routes.term());
+async fn ask(blocks: &Blocks, at: SocketAddr) -> Option<MapUpdate> {
+    let (from, term) = (blocks.routes.next_cursor(), blocks.routes.term());
     let target = format!("/blocks/news?since={}&block={}&term={term}", from.version, from.block.0);
     let news: News = wire::unpack(&get(at, &target).await?)?;
     blocks.learn(news)
--- a/broker/src/blocks/mod.rs
+++ b/broker/src/blocks/mod.rs
@@ -18,6 +18,7 @@
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
 use async_io::Timer;
+use futures_core::future::LocalBoxFuture;
 use gingerledge_blocks::wire::{self, News};
 use gingerledge_blocks::{Snapshot, StoreId};
 
@@ -26,9 +27,9 @@
 use crate::discovery::Discovery;
 use crate::exchange::Exchange;
 use crate::http::Head;
-use crate::plug::{Host, Reply, Soon, Subsystem};
-use crate::routes::{Learned, Routes, Unfollowed};
+use crate::routes::{MapUpdate, MapUpdateError, Routes};
 use crate::store::Stores;
+use crate::subsystem::{Host, Reply, Subsystem};
 
 /// The coordinator replies within this time, or counts as not there.
 const ASK_WITHIN: Duration = Duration::from_millis(1500);
@@ -99,16 +100,16 @@
     }
 
     /// Takes a page of news in, and tells the core.
-    fn learn(&self, news: News) -> Option<Learned> {
-        match self.routes.learn(news) {
+    fn learn(&self, news: News) -> Option<MapUpdate> {
+        match self.routes.apply(news) {
             Ok(learned) => {
-                if let Learned::All(_) = learned {
-                    self.exchange.holders(self.stores.holders());
+                if let MapUpdate::All(_) = learned {
+                    self.exchange.block_owners_changed(self.stores.take_block_owner_changes());
                     let _ = self.changed.0.try_send(());
                 }
                 Some(learned)
             }
-            Err(fault @ Unfollowed::Unsound { .. }) => {
+            Err(fault @ MapUpdateError::Unsound { .. }) => {
                 log::error!(
                     "blocks: the map is not followed, the one held stays, and it is asked for again: {fault}"
                 );
@@ -138,7 +139,7 @@
             Ok(()) => {
                 let version = self.routes.version();
                 log::info!(version, term; "blocks: the map as it was kept");
-                self.exchange.holders(self.stores.holders());
+                self.exchange.block_owners_changed(self.stores.take_block_owner_changes());
             }
             Err(fault) => log::warn!("blocks: the map that was kept is not sound: {fault}"),
         }
@@ -167,16 +168,16 @@
     }
 
     /// Passes a call on to the coordinator, if it is here.
-    fn ask<'a>(&'a self, head: &'a Head, body: &'a [u8]) -> Soon<'a, Reply> {
+    fn handle_request<'a>(&'a self, head: &'a Head, body: &'a [u8]) -> LocalBoxFuture<'a, Reply> {
         Box::pin(async move {
             let call = match door::call(head, body) {
                 Ok(call) => call,
-                Err((status, words)) => return Reply::words(status, &words),
+                Err((status, words)) => return Reply::text(status, &words),
             };
             match self.ask(call).await {
-                None => Reply::words(503, "another broker coordinates, or none does just now"),
-                Some(call::Reply::Done(words)) => Reply::words(200, &words),
-                Some(call::Reply::No(words)) => Reply::words(409, &words),
+                None => Reply::text(503, "another broker coordinates, or none does just now"),
+                Some(call::Reply::Done(words)) => Reply::text(200, &words),
+                Some(call::Reply::No(words)) => Reply::text(409, &words),
                 Some(call::Reply::Json(value)) => Reply::json(&value),
                 Some(call::Reply::News(bytes)) => Reply::bytes(bytes),
             }
@@ -184,12 +185,12 @@
     }
 
     /// Asks for news of the map soon: a store has told of a newer epoch.
-    fn learn(&self) {
+    fn on_newer_epoch(&self) {
         let _ = self.poke.0.try_send(());
     }
 
     /// Lets the lease go, so that another broker need not wait for its end.
-    fn stop(&self) -> Soon<'_, ()> {
+    fn stop(&self) -> LocalBoxFuture<'_, ()> {
         Box::pin(async {
             self.stopping.set(true);
             if let Some(boss) = self.boss.borrow().as_ref() {
--- a/broker/src/core/guard.rs
+++ b/broker/src/core/guard.rs
@@ -1,32 +1,32 @@
-//! The checks that a host owes the module whatever it asks for, as the last guard of the rules on attempts: none past
-//! the most that a part may have, never two at once, none that could have an effect twice.
+//! The last check of the rules on attempts before one is sent, independent of what the decision module requested: no more
+//! than the maximum for a part, no two in parallel unless allowed, and none that could take effect twice.
 
 use gingerledge_dispatch::{Millis, Repeat, Settings};
 
-/// What is known of a part that is to be sent.
+/// The attempts of a part so far.
 #[derive(Clone, Copy, Debug)]
-pub struct Tried {
-    /// Its class, by index.
+pub struct AttemptHistory {
+    /// The class of its query, by index.
     pub class: usize,
-    /// Its attempts so far.
+    /// Number of attempts made so far.
     pub attempts: u32,
-    /// Whether one of them is out.
-    pub out: bool,
-    /// When the first that may have run, or is out, was sent.
+    /// Whether one of them is in flight.
+    pub in_flight: bool,
+    /// When the first one was sent that is in flight or may have been executed.
     pub first: Option<Millis>,
 }
 
-/// See the module's description.
+/// The limits that every attempt is checked against.
 #[derive(Clone, Debug)]
 pub struct Guard {
     max_attempts: u32,
     parallel: bool,
-    /// By class, whether what may have run may go again, and how long its stores remember.
+    /// For each class, whether an executed part may be retried, and how long stores remember idempotency keys.
     repeats: Vec<(Repeat, Millis)>,
 }
 
 impl Guard {
-    /// The checks by these settings.
+    /// The limits of these settings.
     pub fn new(settings: &Settings) -> Self {
         Self {
             max_attempts: settings.max_attempts.max(1),
@@ -35,14 +35,15 @@
         }
     }
 
-    /// For how long from now an attempt may go out; `None` if it must not be made.
-    pub fn allows(&self, now: Millis, tried: Tried) -> Option<Millis> {
-        let left = tried.first.map_or(f64::INFINITY, |first| match self.repeats.get(tried.class) {
+    /// For how many milliseconds from `now` the next attempt may be sent; `None` if it must not be made.
+    pub fn allows(&self, now: Millis, history: AttemptHistory) -> Option<Millis> {
+        let left = history.first.map_or(f64::INFINITY, |first| match self.repeats.get(history.class) {
             Some((Repeat::Keyed, memory)) => first + memory - now,
             Some((Repeat::Unsafe, _)) => f64::NEG_INFINITY,
             Some((Repeat::Safe, _)) | None => f64::INFINITY,
         });
-        let may = tried.attempts < self.max_attempts && (self.parallel || !tried.out) && left >= 0.0;
+        let may =
+            history.attempts < self.max_attempts && (self.parallel || !history.in_flight) && left >= 0.0;
         may.then_some(left)
     }
 }
--- a/broker/src/core/messages.rs
+++ b/broker/src/core/messages.rs
@@ -1,5 +1,5 @@
-//! What the core is told ([`Happening`]) and what it wants done ([`Command`]), and the types that both sides of it speak:
-//! questions, attempts, ends and final answers. Plain data, without any wire's form.
+//! The core's inputs ([`CoreEvent`]) and outputs ([`Command`]), and the types that both share: queries, attempt requests,
+//! attempt outcomes and final answers. Plain data that knows no wire format.
 
 use std::rc::Rc;
 
@@ -7,9 +7,9 @@
 use gingerledge_dispatch::{Entry, ListKind, Millis, Outcome, RejectionReason, RequestId, ServerId};
 
 use super::IdempotencyKey;
-use crate::routes::Told;
+use crate::routes::BlockOwners;
 
-/// Text that passes through unchanged.
+/// Bytes that pass through the broker unchanged.
 pub type Text = Rc<[u8]>;
 
 /// Identifies a query at this broker.
@@ -20,194 +20,195 @@
 pub struct AttemptId {
     /// The part.
     pub part: RequestId,
-    /// Its attempts count from 0.
+    /// Number of the attempt within its part, from 0.
     pub number: u32,
 }
 
-/// A part as the client asked for it.
+/// A part of a query, as the client requested it.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Ask {
+pub struct PartRequest {
     /// Its shard.
     pub shard: u32,
-    /// Its share of the whole answer.
+    /// Its share of the complete answer, from 0 to 1.
     pub weight: f64,
-    /// A guess at its work.
+    /// The client's estimate of its processing time.
     pub cost_ms: Option<Millis>,
-    /// The one weigher that it concerns, where the client says so.
+    /// The only weigher that it concerns, if the client names one.
     pub weigher: Option<u64>,
 }
 
-/// Which forms a query's text may be carried in; the core only passes it on.
+/// Formats in which a query's text may be sent to a store; the core only passes this on.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Form {
-    /// In frames only.
+    /// Frames only.
     #[default]
     Opaque,
-    /// It is a feature request too, for stores that offer such.
+    /// Also as a feature request, to stores that serve the feature API.
     Features,
 }
 
-/// A query as a front hands it over: checked, its names resolved.
+/// A validated query with its names resolved to indices, as a front submits it.
 #[derive(Clone, Debug)]
-pub struct Question {
-    /// Its name on the wire; the parts' names are made from it.
+pub struct Query {
+    /// Its id on the wire, from which the ids of its parts are derived.
     pub name: Rc<str>,
     /// Its class, by index.
     pub class: usize,
     /// Its tenant, by index.
     pub tenant: Option<usize>,
-    /// When its client stops waiting.
+    /// When its client stops waiting, in Unix milliseconds.
     pub deadline: Millis,
-    /// Whether the client marks it as a repeat.
+    /// Whether the client marked it as a retry.
     pub repeated: bool,
-    /// What stores tell its repeats by, in a class that is keyed.
+    /// Idempotency key by which stores detect retries; set in keyed classes only.
     pub key: Option<IdempotencyKey>,
-    /// Its parts; no two of one shard.
-    pub parts: Vec<Ask>,
-    /// What each part carries.
+    /// Its parts, at most one for each shard.
+    pub parts: Vec<PartRequest>,
+    /// The text that each part carries.
     pub text: Text,
-    /// The forms it may be carried in.
+    /// Formats in which the text may be sent.
     pub form: Form,
 }
 
-/// What a store gave for a part.
+/// The value that a store returned for a part.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Served {
-    /// Decides which shards a second step goes to.
+    /// Ranks shards for the second step of a class that has one.
     pub score: u64,
-    /// The value, as it came.
+    /// The value, unchanged.
     pub value: Text,
 }
 
-/// How an attempt ended.
+/// The result of one attempt at one store.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Ended {
-    /// The outcome; [`Outcome::Success`] only with a value.
+pub struct AttemptOutcome {
+    /// How it ended; [`Outcome::Success`] only together with a value.
     pub outcome: Outcome,
     /// The value of a success.
     pub served: Option<Served>,
-    /// The store's load report, where one came along.
+    /// The store's load report; empty if the response had none.
     pub report: Vec<f64>,
-    /// Of a part turned away at a fence, the newest epoch that the store knows of the block.
-    pub newer: Option<u64>,
+    /// The newest epoch of the block that the store knows, if it rejected the attempt's epoch.
+    pub newer_epoch: Option<u64>,
 }
 
-impl From<Outcome> for Ended {
+impl From<Outcome> for AttemptOutcome {
     fn from(outcome: Outcome) -> Self {
-        Self { outcome, served: None, report: Vec::new(), newer: None }
+        Self { outcome, served: None, report: Vec::new(), newer_epoch: None }
     }
 }
 
-/// A query's final answer.
+/// The one answer that a query gets.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Final {
-    /// Served from these parts, in the order of their shards.
+pub enum FinalAnswer {
+    /// Assembled from the parts that succeeded, in the order of their shards.
     Answered {
-        /// Whether it is marked whole.
+        /// Whether it is marked as complete.
         whole: bool,
         /// Shards and values.
         values: Vec<(u32, Text)>,
     },
-    /// Turned away; a repeat does no harm.
+    /// Rejected; a retry is harmless.
     Refused {
-        /// When to come back; 0 for no advice.
+        /// Suggested delay before a retry; 0 for no suggestion.
         retry_after_ms: Millis,
     },
-    /// Given up, with no word on its effect.
+    /// Failed; whether it took effect is unknown.
     Failed,
 }
 
-/// Something that happened outside.
+/// An input of the core.
 #[derive(Clone, Debug)]
-pub enum Happening {
-    /// A query was taken.
-    Asked(QueryId, Question),
-    /// Its client has left, or its time is up.
-    Gone(QueryId),
+pub enum CoreEvent {
+    /// A query was admitted.
+    QuerySubmitted(QueryId, Query),
+    /// A query's client disconnected, or its deadline passed.
+    ClientDisconnected(QueryId),
     /// An attempt ended.
-    Ended(AttemptId, Ended),
-    /// Discovery has told something.
-    Listed(ListKind, Vec<Entry>),
-    /// Who holds blocks now.
-    Holders(Told),
-    /// How many processes share this broker's part of everything.
-    Shared(u32),
-    /// This process is about to end; another may serve in its place already.
-    Leaving,
-    /// Nothing; whoever waits for its end knows that all before it has been decided on.
-    Mark(async_channel::Sender<()>),
+    AttemptEnded(AttemptId, AttemptOutcome),
+    /// Discovery reported a list of stores, changes to it, or a failure.
+    EndpointsListed(ListKind, Vec<Entry>),
+    /// The stores that own some blocks have changed.
+    BlockOwnersChanged(BlockOwners),
+    /// Number of processes that share this broker's quotas.
+    ProcessCountChanged(u32),
+    /// This process is shutting down; its successor may already serve.
+    ShutdownStarted,
+    /// Changes nothing. The sender is dropped once all events before it have been processed.
+    Barrier(async_channel::Sender<()>),
 }
 
-/// The first step that a part of the second rests on.
+/// Result of the first step, on which a part of the second step depends.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FirstStep {
-    /// The shards that were in.
+    /// The shards that answered.
     pub from: Vec<u32>,
-    /// Whether its answer was whole.
+    /// Whether the first step was complete.
     pub whole: bool,
 }
 
-/// What a store that moves blocks is told of a part, beside its block.
+/// Fencing data of an attempt at a block that may move: the store rejects the attempt if its epoch is out of date.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fence {
-    /// Under which epoch the part was placed.
+    /// The block's epoch when the store was chosen.
     pub epoch: Epoch,
-    /// The number that the client used.
+    /// The block number that the client used.
     pub named: u32,
-    /// Which of the block's weighers are asked for, if not all.
+    /// The weighers of the block that are requested, if not all.
     pub slice: Option<Span>,
-    /// The one weigher that it concerns.
+    /// The only weigher that it concerns, if the client named one.
     pub weigher: Option<u64>,
-    /// Whether it is an entry, which must not run twice.
+    /// Whether it is an entry (a write), which must run at most once.
     pub entry: bool,
 }
 
-/// An attempt to be made.
+/// A request for one attempt at one store.
 #[derive(Clone, Debug)]
-pub struct Order {
-    /// Which.
+pub struct AttemptRequest {
+    /// The attempt's id.
     pub attempt: AttemptId,
-    /// At which store.
+    /// The store.
     pub server: ServerId,
-    /// The query that it is for: nothing may begin once that is over.
-    pub asker: QueryId,
-    /// The query's name.
+    /// The query it belongs to: no byte may be sent once that has finished.
+    pub query_id: QueryId,
+    /// The query's id on the wire.
     pub query: Rc<str>,
-    /// The shard.
+    /// The shard to query.
     pub shard: u32,
-    /// What it carries.
+    /// The text to send.
     pub text: Text,
-    /// The forms it may be carried in.
+    /// Formats in which the text may be sent.
     pub form: Form,
-    /// How long to wait.
+    /// Time-out for the response.
     pub patience_ms: Millis,
-    /// It must not go out later than that from now: its store may have forgotten an attempt before it.
-    pub within_ms: Option<Millis>,
-    /// What the store tells its repeats by.
+    /// It must be sent within this time: later the store may no longer remember an earlier attempt of the part.
+    pub send_within_ms: Option<Millis>,
+    /// Idempotency key by which the store detects retries.
     pub key: Option<IdempotencyKey>,
-    /// Set for a part of the second step.
+    /// Result of the first step, for a part of the second.
     pub second: Option<Rc<FirstStep>>,
-    /// Set where blocks move.
+    /// Fencing data, where blocks may move.
     pub fence: Option<Fence>,
 }
 
-/// Something the core wants done.
+/// An output of the core.
 #[derive(Clone, Debug)]
 pub enum Command {
-    /// Make an attempt; exactly one [`Happening::Ended`] is owed for it.
-    Send(Order),
-    /// Stop waiting for an attempt; its end is still owed.
-    GiveUp(AttemptId),
-    /// Stop working on an attempt that nobody waits for any more, through no fault of its store's; its end is still owed.
-    Abandon(AttemptId),
+    /// Start an attempt. Exactly one [`CoreEvent::AttemptEnded`] must follow.
+    Send(AttemptRequest),
+    /// Give up an attempt that did not answer in time. Its [`CoreEvent::AttemptEnded`] must still follow.
+    Withdraw(AttemptId),
+    /// Cancel an attempt whose result is no longer needed, through no fault of its store. Its
+    /// [`CoreEvent::AttemptEnded`] must still follow.
+    Cancel(AttemptId),
     /// Close the idle connections to a store.
-    Release(ServerId),
-    /// Ask for news of the block map: a store knows more.
-    Learn,
-    /// Begin a watch on discovery.
+    CloseIdleConnections(ServerId),
+    /// Refresh the block map: a store reported a newer epoch.
+    RefreshBlockMap,
+    /// Open a watch on discovery.
     Subscribe,
-    /// Count why a query is given up.
-    Because(QueryId, RejectionReason),
+    /// Count the reason for which a query is rejected.
+    CountRejection(QueryId, RejectionReason),
     /// Give a query its final answer.
-    Finish(QueryId, Final),
+    Finish(QueryId, FinalAnswer),
 }
--- a/broker/src/core/mod.rs
+++ b/broker/src/core/mod.rs
@@ -1,15 +1,14 @@
-//! Requests, attempts and outcomes. [`Core`] hosts the [`Aggregator`]: it gives it what has
-//! happened in turns and translates its actions into [`Command`]s for whoever has the sockets. It
-//! knows no wire, socket or text format, and decides nothing of its own beyond the checks that a host
-//! owes the module ([`Guard`]).
+//! Open queries, their parts and attempts. [`Core`] hosts the decision module's [`Aggregator`]: in each turn it passes the
+//! new [`CoreEvent`]s on and translates the resulting actions into [`Command`]s for the driver, which owns the sockets.
+//! It knows no wire format, and makes no decision of its own beyond the last check of attempts ([`Guard`]).
 
-mod ending;
+mod completion;
 mod guard;
-mod heirs;
 mod key;
 mod messages;
+mod successors;
 
-pub use guard::{Guard, Tried};
+pub use guard::{AttemptHistory, Guard};
 pub use key::{BadKey, IdempotencyKey, KEY_MAX};
 pub use messages::*;
 
@@ -22,11 +21,11 @@
 };
 
 use crate::routes::{Routes, Target};
-use heirs::Held;
+use successors::ParkedAttempt;
 
 #[derive(Debug)]
-struct Query {
-    question: Question,
+struct OpenQuery {
+    request: Query,
     parts: Vec<RequestId>,
     second: Option<Rc<FirstStep>>,
 }
@@ -34,17 +33,17 @@
 #[derive(Debug)]
 struct Part {
     query: QueryId,
-    /// The living block, and what of it.
+    /// The current block, and the weighers requested of it, if not all.
     shard: u32,
     slice: Option<Span>,
     first: u64,
     weigher: Option<u64>,
-    /// The number that the client used.
+    /// The block number that the client used.
     named: u32,
     weight: f64,
     attempts: u32,
-    out: bool,
-    /// When the first attempt that may have run was sent.
+    in_flight: bool,
+    /// When the first attempt was sent that may have been executed.
     ran: Option<Millis>,
     served: Option<Served>,
 }
@@ -53,36 +52,37 @@
 struct Flight {
     server: ServerId,
     sent: Millis,
-    /// The epoch that it was placed under.
+    /// The block's epoch when the store was chosen.
     epoch: Option<Epoch>,
-    /// Its client has left.
-    abandoned: bool,
+    /// Whether its client disconnected.
+    is_cancelled: bool,
 }
 
-/// How often a turn is played again for what came of it at once: second steps, void attempts.
+/// How many times a turn handles the events that its own actions produced: second steps, attempts not made.
 const REPLAYS: usize = 4;
 
-/// Hosts one aggregator.
+/// Hosts one aggregator; a state machine without I/O.
 #[derive(Debug)]
 pub struct Core {
     aggregator: Aggregator,
     follow_up: Vec<u32>,
-    /// By class, whether no part may run twice.
-    entries: Vec<bool>,
+    /// For each class, whether a part must be executed at most once.
+    at_most_once: Vec<bool>,
     guard: Guard,
-    /// Whether attempts may be given up, and those that are because their clients have left.
+    /// Whether attempts may be withdrawn.
     withdrawals: bool,
-    abandoned: Vec<AttemptId>,
+    /// Attempts to be cancelled at the end of the turn, since their clients disconnected.
+    cancelled: Vec<AttemptId>,
     routes: Option<Rc<Routes>>,
-    held: Vec<Held>,
-    /// Queries given up here: their blocks have no heirs that could be asked.
-    ended: Vec<(QueryId, Final)>,
-    /// Attempts of theirs that nobody waits for any more.
+    parked: Vec<ParkedAttempt>,
+    /// Queries ended by the core itself, since no current block can serve them.
+    completed: Vec<(QueryId, FinalAnswer)>,
+    /// Attempts in flight of those queries.
     withdrawn: Vec<AttemptId>,
-    /// Whether a store has told of an epoch that is not known here.
-    learn: bool,
+    /// Whether a store reported an epoch newer than the block map's.
+    refresh_block_map: bool,
     aggregators: u32,
-    queries: BTreeMap<QueryId, Query>,
+    queries: BTreeMap<QueryId, OpenQuery>,
     parts: BTreeMap<RequestId, Part>,
     flights: BTreeMap<AttemptId, Flight>,
     next: RequestId,
@@ -90,23 +90,23 @@
 }
 
 impl Core {
-    /// A core that knows no store yet.
+    /// A core without stores, at a site where blocks never move.
     pub fn new(seed: u64, settings: Settings, now: Millis) -> Self {
         Self::with_routes(seed, settings, now, None)
     }
 
-    /// The same, where blocks move.
+    /// A core that resolves block numbers through `routes`, if blocks may move.
     pub fn with_routes(seed: u64, settings: Settings, now: Millis, routes: Option<Rc<Routes>>) -> Self {
         Self {
-            entries: settings.classes.iter().map(|class| class.repeat == Repeat::Unsafe).collect(),
+            at_most_once: settings.classes.iter().map(|class| class.repeat == Repeat::Unsafe).collect(),
             guard: Guard::new(&settings),
             withdrawals: settings.withdrawals,
-            abandoned: Vec::new(),
+            cancelled: Vec::new(),
             routes,
-            held: Vec::new(),
-            ended: Vec::new(),
+            parked: Vec::new(),
+            completed: Vec::new(),
             withdrawn: Vec::new(),
-            learn: false,
+            refresh_block_map: false,
             follow_up: settings.classes.iter().map(|class| class.follow_up_parts).collect(),
             aggregators: settings.aggregators.max(1),
             aggregator: Aggregator::new(seed, settings, now),
@@ -118,80 +118,80 @@
         }
     }
 
-    /// The same with other checks than the settings' own.
+    /// Replaces the attempt limits of the settings by others.
     pub fn with_guard(self, guard: Guard) -> Self {
         Self { guard, ..self }
     }
 
-    /// How many entries its tables and the module's hold, by name.
+    /// Number of entries in each table of the core and of the decision module, by name.
     pub fn sizes(&self) -> Vec<(&'static str, usize)> {
         let own = [
             ("open queries", self.queries.len()),
             ("open parts", self.parts.len()),
             ("flights", self.flights.len()),
-            ("held parts", self.held.len() + self.ended.len() + self.withdrawn.len()),
+            ("held parts", self.parked.len() + self.completed.len() + self.withdrawn.len()),
         ];
         own.into_iter().chain(self.aggregator.sizes()).collect()
     }
 
-    /// When the next turn is due though nothing happens.
+    /// When the next turn is due if no event arrives, in Unix milliseconds.
     pub fn due(&self) -> Option<Millis> {
-        let held = self.held.iter().map(|held| held.until);
-        held.chain(self.timer.map(|(at, _)| at)).min_by(f64::total_cmp)
+        let release_times = self.parked.iter().map(|attempt| attempt.until);
+        release_times.chain(self.timer.map(|(at, _)| at)).min_by(f64::total_cmp)
     }
 
-    /// Plays a turn: what has happened, then the decisions on it.
-    pub fn turn(&mut self, now: Millis, happened: impl IntoIterator<Item = Happening>) -> Vec<Command> {
+    /// Runs one turn: handles the events, then carries out the decisions on them.
+    pub fn turn(&mut self, now: Millis, happened: impl IntoIterator<Item = CoreEvent>) -> Vec<Command> {
         let (mut actions, mut commands) = (Vec::new(), Vec::new());
         if let Some((_, token)) = self.timer.take_if(|(at, _)| *at <= now) {
             self.aggregator.handle(now, Event::Timer { token }, &mut actions);
         }
-        for happening in happened {
-            self.take(now, happening, &mut actions);
+        for event in happened {
+            self.on_event(now, event, &mut actions);
         }
-        self.release(now, &mut actions);
+        self.release_parked(now, &mut actions);
         for _ in 0..REPLAYS {
             self.aggregator.end_turn(now, &mut actions);
-            let follows = self.carry_out(now, std::mem::take(&mut actions), &mut commands);
-            if follows.is_empty() {
+            let caused_events = self.execute(now, std::mem::take(&mut actions), &mut commands);
+            if caused_events.is_empty() {
                 break;
             }
-            for event in follows {
+            for event in caused_events {
                 self.aggregator.handle(now, event, &mut actions);
             }
         }
-        if std::mem::take(&mut self.learn) {
-            commands.push(Command::Learn);
+        if std::mem::take(&mut self.refresh_block_map) {
+            commands.push(Command::RefreshBlockMap);
         }
-        commands.extend(self.withdrawn.drain(..).map(Command::GiveUp));
-        commands.extend(self.abandoned.drain(..).map(Command::Abandon));
-        commands.extend(self.ended.drain(..).map(|(query, answer)| Command::Finish(query, answer)));
+        commands.extend(self.withdrawn.drain(..).map(Command::Withdraw));
+        commands.extend(self.cancelled.drain(..).map(Command::Cancel));
+        commands.extend(self.completed.drain(..).map(|(query, answer)| Command::Finish(query, answer)));
         commands
     }
 
-    fn take(&mut self, now: Millis, happening: Happening, actions: &mut Vec<Action>) {
-        match happening {
-            Happening::Asked(id, question) => self.asked(now, id, question, actions),
-            Happening::Gone(query) => {
-                self.abandon(query);
-                self.forget(query);
+    fn on_event(&mut self, now: Millis, event: CoreEvent, actions: &mut Vec<Action>) {
+        match event {
+            CoreEvent::QuerySubmitted(id, query) => self.on_query(now, id, query, actions),
+            CoreEvent::ClientDisconnected(query) => {
+                self.cancel_attempts(query);
+                self.remove_query(query);
                 self.aggregator.handle(now, Event::ClientGone { query }, actions);
             }
-            Happening::Ended(attempt, ended) => {
+            CoreEvent::AttemptEnded(attempt, ended) => {
                 if let Some(flight) = self.flights.remove(&attempt) {
-                    match ended.newer.filter(|_| ended.outcome == Outcome::Overloaded) {
-                        Some(newer) if self.routes.is_some() => self.hold(now, attempt, flight, newer),
-                        _ => self.over(now, attempt, &flight, ended, actions),
+                    match ended.newer_epoch.filter(|_| ended.outcome == Outcome::Overloaded) {
+                        Some(newer) if self.routes.is_some() => self.park(now, attempt, flight, newer),
+                        _ => self.on_attempt_ended(now, attempt, &flight, ended, actions),
                     }
                 }
             }
-            Happening::Holders(told) => self.told(now, told, actions),
-            Happening::Listed(kind, entries) => {
+            CoreEvent::BlockOwnersChanged(owners) => self.on_block_owners(now, owners, actions),
+            CoreEvent::EndpointsListed(kind, entries) => {
                 self.aggregator.handle(now, Event::List { kind, entries }, actions);
             }
-            Happening::Leaving => self.aggregator.handle(now, Event::Leaving, actions),
-            Happening::Mark(_) => {}
-            Happening::Shared(processes) => {
+            CoreEvent::ShutdownStarted => self.aggregator.handle(now, Event::Leaving, actions),
+            CoreEvent::Barrier(_) => {}
+            CoreEvent::ProcessCountChanged(processes) => {
                 self.aggregator.handle(
                     now,
                     Event::Aggregators { count: self.aggregators * processes },
@@ -201,25 +201,25 @@
         }
     }
 
-    /// An attempt is over.
-    fn over(
+    /// Passes the outcome of an attempt on to the decision module.
+    fn on_attempt_ended(
         &mut self,
         now: Millis,
         attempt: AttemptId,
         flight: &Flight,
-        ended: Ended,
+        ended: AttemptOutcome,
         actions: &mut Vec<Action>,
     ) {
         if let Some(part) = self.parts.get_mut(&attempt.part) {
-            part.out = false;
+            part.in_flight = false;
             if !ended.outcome.never_ran() {
                 part.ran = Some(part.ran.map_or(flight.sent, |first| first.min(flight.sent)));
             }
-            // Of two copies the second to end may well have failed: what came stays.
+            // Of two hedged attempts the second to end may have failed: the value received first stays.
             part.served = part.served.take().or(ended.served);
         }
-        // That a client left tells nothing of the store, however little of the answer had come by then.
-        let void = flight.abandoned && ended.outcome == Outcome::Withdrawn;
+        // A client that disconnected says nothing about the store's health.
+        let void = flight.is_cancelled && ended.outcome == Outcome::Withdrawn;
         let event = Event::Outcome {
             part: attempt.part,
             attempt: attempt.number,
@@ -231,58 +231,58 @@
         self.aggregator.handle(now, event, actions);
     }
 
-    fn asked(&mut self, now: Millis, id: QueryId, question: Question, actions: &mut Vec<Action>) {
-        let entry = self.entries.get(question.class).copied().unwrap_or(false);
+    fn on_query(&mut self, now: Millis, id: QueryId, query: Query, actions: &mut Vec<Action>) {
+        let entry = self.at_most_once.get(query.class).copied().unwrap_or(false);
         let mut parts = Vec::new();
-        for ask in &question.parts {
-            match self.targets(ask, entry) {
-                Ok(targets) => parts.extend(targets.into_iter().map(|target| (ask.clone(), target))),
-                // The map has changed since the query was taken; nothing of it has run.
+        for request in &query.parts {
+            match self.targets(request, entry) {
+                Ok(targets) => parts.extend(targets.into_iter().map(|target| (request.clone(), target))),
+                // The block map changed since the query was admitted; none of it has been executed.
                 Err(_) => {
-                    return self.ended.push((id, Final::Refused { retry_after_ms: 0.0 }));
+                    return self.completed.push((id, FinalAnswer::Refused { retry_after_ms: 0.0 }));
                 }
             }
         }
         let event = Event::Query {
             id,
             number: id,
-            class: question.class,
-            tenant: question.tenant,
-            deadline: question.deadline,
+            class: query.class,
+            tenant: query.tenant,
+            deadline: query.deadline,
             parts: parts.len() as u32,
-            repeated: question.repeated,
+            repeated: query.repeated,
         };
         self.aggregator.handle(now, event, actions);
-        self.queries.insert(id, Query { question, parts: Vec::new(), second: None });
-        for (ask, target) in parts {
-            let event = self.part(id, &ask, target, 0);
+        self.queries.insert(id, OpenQuery { request: query, parts: Vec::new(), second: None });
+        for (request, target) in parts {
+            let event = self.open_part(id, &request, target, 0);
             self.aggregator.handle(now, event, actions);
         }
     }
 
-    /// The blocks to be asked for what a client named: where none moves, that one.
-    fn targets(&self, ask: &Ask, entry: bool) -> Result<Vec<Target>, crate::routes::Unrouted> {
+    /// The current blocks that serve the block a client named: itself, where blocks never move.
+    fn targets(&self, request: &PartRequest, entry: bool) -> Result<Vec<Target>, crate::routes::RouteError> {
         match &self.routes {
-            None => Ok(vec![Target { block: ask.shard, first: 0, share: 1.0, slice: None }]),
-            Some(routes) => routes.targets(ask.shard, ask.weigher, entry),
+            None => Ok(vec![Target { block: request.shard, first: 0, share: 1.0, slice: None }]),
+            Some(routes) => routes.targets(request.shard, request.weigher, entry),
         }
     }
 
-    /// Opens a part of a query's present step.
-    fn part(&mut self, query: QueryId, ask: &Ask, target: Target, attempts: u32) -> Event {
+    /// Opens a part of a query's current step, and returns the decision module's event for it.
+    fn open_part(&mut self, query: QueryId, request: &PartRequest, target: Target, attempts: u32) -> Event {
         self.next += 1;
         let id = self.next;
-        let (shard, weight) = (target.block, ask.weight * target.share);
+        let (shard, weight) = (target.block, request.weight * target.share);
         let part = Part {
             query,
             shard,
             slice: target.slice,
             first: target.first,
-            weigher: ask.weigher,
-            named: ask.shard,
+            weigher: request.weigher,
+            named: request.shard,
             weight,
             attempts,
-            out: false,
+            in_flight: false,
             ran: None,
             served: None,
         };
@@ -290,42 +290,46 @@
         if let Some(open) = self.queries.get_mut(&query) {
             open.parts.push(id);
         }
-        Event::Part { id, number: query, shard, weight, cost_ms: ask.cost_ms.map(|ms| ms * target.share) }
+        Event::Part { id, number: query, shard, weight, cost_ms: request.cost_ms.map(|ms| ms * target.share) }
     }
 
-    /// Translates actions; returns what the aggregator has to be told of them at once.
-    fn carry_out(&mut self, now: Millis, actions: Vec<Action>, commands: &mut Vec<Command>) -> Vec<Event> {
-        let mut follows = Vec::new();
+    /// Translates actions into commands; returns the events that they cause in the aggregator within the same turn.
+    fn execute(&mut self, now: Millis, actions: Vec<Action>, commands: &mut Vec<Command>) -> Vec<Event> {
+        let mut caused_events = Vec::new();
         for action in actions {
             match action {
-                Action::Send { part, server, timeout_ms } => match self.send(now, part, server, timeout_ms) {
-                    Ok(order) => commands.push(Command::Send(order)),
-                    Err(number) => follows.push(Event::Outcome {
-                        part,
-                        attempt: number,
-                        server,
-                        wait_ms: 0.0,
-                        outcome: Outcome::Void,
-                        report: Vec::new(),
-                    }),
-                },
+                Action::Send { part, server, timeout_ms } => {
+                    match self.start_attempt(now, part, server, timeout_ms) {
+                        Ok(order) => commands.push(Command::Send(order)),
+                        Err(number) => caused_events.push(Event::Outcome {
+                            part,
+                            attempt: number,
+                            server,
+                            wait_ms: 0.0,
+                            outcome: Outcome::Void,
+                            report: Vec::new(),
+                        }),
+                    }
+                }
                 Action::Withdraw { part, attempt: number } => {
-                    commands.push(Command::GiveUp(AttemptId { part, number }));
+                    commands.push(Command::Withdraw(AttemptId { part, number }));
                 }
-                Action::Answer { query, whole } => match self.answer(query, whole) {
+                Action::Answer { query, whole } => match self.complete_step(query, whole) {
                     Ok(answer) => commands.push(Command::Finish(query, answer)),
-                    Err(parts) => follows.extend(parts),
+                    Err(parts) => caused_events.extend(parts),
                 },
                 Action::Refuse { query, retry_after_ms } => {
-                    self.forget(query);
-                    commands.push(Command::Finish(query, Final::Refused { retry_after_ms }));
+                    self.remove_query(query);
+                    commands.push(Command::Finish(query, FinalAnswer::Refused { retry_after_ms }));
+                }
+                Action::ReportRejection { query, reason } => {
+                    commands.push(Command::CountRejection(query, reason))
                 }
-                Action::ReportRejection { query, reason } => commands.push(Command::Because(query, reason)),
                 Action::Fail { query } => {
-                    self.forget(query);
-                    commands.push(Command::Finish(query, Final::Failed));
+                    self.remove_query(query);
+                    commands.push(Command::Finish(query, FinalAnswer::Failed));
                 }
-                Action::Release { server } => commands.push(Command::Release(server)),
+                Action::Release { server } => commands.push(Command::CloseIdleConnections(server)),
                 Action::Subscribe => commands.push(Command::Subscribe),
                 Action::Timer { wait_ms, token } => {
                     let at = now + wait_ms.max(0.0);
@@ -335,48 +339,49 @@
                 }
             }
         }
-        follows
+        caused_events
     }
 
-    /// An attempt, or the number of one that must not be made.
-    fn send(
+    /// Registers the next attempt of a part; `Err` with its number if it must not be made.
+    fn start_attempt(
         &mut self,
         now: Millis,
         id: RequestId,
         server: ServerId,
         patience_ms: Millis,
-    ) -> Result<Order, u32> {
+    ) -> Result<AttemptRequest, u32> {
         let part = self.parts.get_mut(&id).ok_or(0u32)?;
         let number = part.attempts;
         part.attempts += 1;
         let query = self.queries.get(&part.query).ok_or(number)?;
-        let left = query.question.deadline - now;
+        let left = query.request.deadline - now;
         let before = AttemptId { part: id, number: 0 }..AttemptId { part: id, number };
         let out = self.flights.range(before).map(|(_, flight)| flight.sent);
         let first = out.chain(part.ran).reduce(f64::min);
-        let tried = Tried { class: query.question.class, attempts: number, out: part.out, first };
-        let within = self.guard.allows(now, tried).filter(|_| left > 0.0).ok_or(number)?;
-        part.out = true;
+        let history =
+            AttemptHistory { class: query.request.class, attempts: number, in_flight: part.in_flight, first };
+        let within = self.guard.allows(now, history).filter(|_| left > 0.0).ok_or(number)?;
+        part.in_flight = true;
         let fence = self.routes.as_ref().map(|routes| Fence {
             epoch: routes.epoch(part.shard).unwrap_or_default(),
             named: part.named,
             slice: part.slice,
             weigher: part.weigher,
-            entry: self.entries.get(query.question.class).copied().unwrap_or(false),
+            entry: self.at_most_once.get(query.request.class).copied().unwrap_or(false),
         });
         let attempt = AttemptId { part: id, number };
         let epoch = fence.as_ref().map(|fence| fence.epoch);
-        self.flights.insert(attempt, Flight { server, sent: now, epoch, abandoned: false });
-        Ok(Order {
+        self.flights.insert(attempt, Flight { server, sent: now, epoch, is_cancelled: false });
+        Ok(AttemptRequest {
             attempt,
             server,
-            asker: part.query,
-            query: query.question.name.clone(),
+            query_id: part.query,
+            query: query.request.name.clone(),
             shard: part.shard,
-            text: query.question.text.clone(),
-            form: query.question.form,
-            within_ms: within.is_finite().then_some(within),
-            key: query.question.key.clone(),
+            text: query.request.text.clone(),
+            form: query.request.form,
+            send_within_ms: within.is_finite().then_some(within),
+            key: query.request.key.clone(),
             patience_ms: if patience_ms > 0.0 { patience_ms.min(left) } else { left },
             second: query.second.clone(),
             fence,
--- a/broker/src/discovery/calls.rs
+++ b/broker/src/discovery/calls.rs
@@ -69,7 +69,7 @@
                         }
                         calling = Some((call, Box::pin(self.clone().call(call))));
                     }
-                    Action::Failed => self.exchange.listed(ListKind::Failed, Vec::new()),
+                    Action::Failed => self.exchange.endpoints_listed(ListKind::Failed, Vec::new()),
                 }
             }
         }
--- a/broker/src/discovery/mod.rs
+++ b/broker/src/discovery/mod.rs
@@ -176,8 +176,8 @@
             self.stores.keep(&listed);
         }
         count(&self.counters.lists);
-        self.exchange.listed(kind, entries);
-        self.exchange.holders(self.stores.holders());
+        self.exchange.endpoints_listed(kind, entries);
+        self.exchange.block_owners_changed(self.stores.take_block_owner_changes());
         if !remembered {
             self.told.0.borrow_mut().take();
         }
@@ -230,7 +230,7 @@
             }
         };
         self.retell(&changed);
-        self.exchange.settled().await;
+        self.exchange.flush().await;
         let started = self.listed.borrow().get(id).map_or(0.0, |instance| instance.started_at_ms);
         let age =
             if started > 0.0 { format!("{:.1} s ago", (now - started) / 1000.0) } else { "long ago".into() };
@@ -248,7 +248,7 @@
         let listed = self.listed.borrow();
         let entries: Vec<_> = ids.iter().filter_map(|id| self.entry(listed.get(id)?)).collect();
         if !entries.is_empty() {
-            self.exchange.listed(ListKind::Changes, entries);
+            self.exchange.endpoints_listed(ListKind::Changes, entries);
         }
     }
 }
--- a/broker/src/exchange.rs
+++ b/broker/src/exchange.rs
@@ -1,6 +1,6 @@
-//! Where the client side and the store side meet, and the only place where they do. Fronts leave
-//! queries here and wait on a [`Ticket`]; the store side and discovery leave what has happened. The
-//! core takes all of it in turns and hands the final answers back, of which a query gets exactly one.
+//! The queue of events between the core and the rest of the broker, and the table of queries that await their answer.
+//! Fronts submit queries and wait on a [`PendingQuery`]; the store side and discovery add events. The core's driver takes
+//! all of them in turns and returns final answers, exactly one for each admitted query.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, VecDeque};
@@ -12,51 +12,52 @@
 use gingerledge_dispatch::{Entry, ListKind, RejectionReason};
 
 use crate::clock::Clock;
-use crate::core::{Ask, AttemptId, Ended, Final, Happening, QueryId, Question};
+use crate::core::{AttemptId, AttemptOutcome, CoreEvent, FinalAnswer, PartRequest, Query, QueryId};
 use crate::counters::{count, Counters};
 use crate::handover::Presence;
-use crate::routes::{Routes, Told, Unrouted};
+use crate::routes::{BlockOwners, RouteError, Routes};
 
-/// A query that could not be taken.
+/// Why a query was not admitted.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Untaken {
-    /// As many queries and parts are open as may be; a repeat later does no harm.
+pub enum SubmitError {
+    /// The maximum of open queries and parts is reached; a later retry is harmless.
     Full,
-    /// A query of this name is open.
+    /// A query with the same id is open.
     Duplicate,
-    /// A block that it names can't be asked.
-    Unrouted(Unrouted),
+    /// No store can serve a block that it names.
+    Unrouted(RouteError),
 }
 
 #[derive(Debug)]
-struct Waiting {
+struct PendingEntry {
     name: Rc<str>,
     size: usize,
-    answer: Sender<Final>,
+    answer: Sender<FinalAnswer>,
 }
 
-/// Shared by all sides; see the module's description.
+/// Shared by fronts, store side, discovery and the core's driver.
 #[derive(Debug)]
 pub struct Exchange {
     clock: Clock,
     counters: Rc<Counters>,
-    happened: RefCell<VecDeque<Happening>>,
-    waiting: RefCell<HashMap<QueryId, Waiting>>,
+    events: RefCell<VecDeque<CoreEvent>>,
+    pending: RefCell<HashMap<QueryId, PendingEntry>>,
     names: RefCell<HashMap<Rc<str>, QueryId>>,
-    /// Queries and parts open, and how many may be.
+    /// Number of open queries and parts.
     open: Cell<usize>,
+    /// Maximum of open queries and parts, over all processes of this broker.
     max_open: usize,
     presence: Rc<Presence>,
-    /// Where blocks move: the map, and by class whether no part may run twice.
+    /// Where blocks may move: the map, and for each class whether a part must be executed at most once.
     routes: Option<(Rc<Routes>, Vec<bool>)>,
     next: Cell<QueryId>,
-    /// When the turn began that is played now, or was last.
+    /// Start of the current turn, or of the last one.
     turn: Cell<Option<Instant>>,
     wake: (Sender<()>, Receiver<()>),
 }
 
 impl Exchange {
-    /// An exchange that holds at most `max_open` queries and parts, together with any other process.
+    /// An exchange that admits at most `max_open` queries and parts, shared with another process of this broker.
     pub fn new(
         clock: Clock,
         counters: Rc<Counters>,
@@ -68,8 +69,8 @@
             routes,
             clock,
             counters,
-            happened: RefCell::default(),
-            waiting: RefCell::default(),
+            events: RefCell::default(),
+            pending: RefCell::default(),
             names: RefCell::default(),
             open: Cell::new(0),
             max_open,
@@ -80,86 +81,92 @@
         })
     }
 
-    /// Takes a query in. From here on it is owed one final answer.
-    pub fn ask(self: &Rc<Self>, question: Question) -> Result<Ticket, Untaken> {
-        let size = 1 + self.parts(&question).map_err(Untaken::Unrouted)?;
-        if self.names.borrow().contains_key(&question.name) {
-            return Err(Untaken::Duplicate);
+    /// Admits a query; from here on it gets exactly one final answer.
+    ///
+    /// # Errors
+    ///
+    /// If the maximum of open queries is reached, its id is in use, or no store can serve one of its blocks.
+    pub fn submit(self: &Rc<Self>, query: Query) -> Result<PendingQuery, SubmitError> {
+        let size = 1 + self.parts(&query).map_err(SubmitError::Unrouted)?;
+        if self.names.borrow().contains_key(&query.name) {
+            return Err(SubmitError::Duplicate);
         }
         if self.open.get() + size > self.max_open / self.presence.processes() {
             count(&self.counters.queries_full);
-            return Err(Untaken::Full);
+            return Err(SubmitError::Full);
         }
         let id = self.next.get() + 1;
         self.next.set(id);
         self.open.set(self.open.get() + size);
         let (send, answer) = async_channel::bounded(1);
-        let name = question.name.clone();
+        let name = query.name.clone();
         self.names.borrow_mut().insert(name.clone(), id);
-        self.waiting.borrow_mut().insert(id, Waiting { name, size, answer: send });
+        self.pending.borrow_mut().insert(id, PendingEntry { name, size, answer: send });
         count(&self.counters.queries);
-        let deadline = question.deadline;
-        log::debug!("{}: class {} of {} parts taken", question.name, question.class, question.parts.len());
-        self.tell(Happening::Asked(id, question));
-        Ok(Ticket { exchange: self.clone(), id, deadline, answer })
+        let deadline = query.deadline;
+        log::debug!(query:% = query.name, class = query.class, parts = query.parts.len(); "query admitted");
+        self.push_event(CoreEvent::QuerySubmitted(id, query));
+        Ok(PendingQuery { exchange: self.clone(), id, deadline, answer })
     }
 
-    /// The map, where blocks move.
+    /// The block map, where blocks may move.
     pub fn routes(&self) -> Option<Rc<Routes>> {
         self.routes.as_ref().map(|(routes, _)| routes.clone())
     }
 
-    /// How many parts a query will have.
-    fn parts(&self, question: &Question) -> Result<usize, Unrouted> {
-        let Some((routes, entries)) = &self.routes else { return Ok(question.parts.len()) };
-        let entry = entries.get(question.class).copied().unwrap_or(false);
-        let targets = |ask: &Ask| routes.targets(ask.shard, ask.weigher, entry).map(|targets| targets.len());
-        question.parts.iter().map(targets).sum()
+    /// Number of parts that a query will have.
+    fn parts(&self, query: &Query) -> Result<usize, RouteError> {
+        let Some((routes, at_most_once)) = &self.routes else { return Ok(query.parts.len()) };
+        let at_most_once = at_most_once.get(query.class).copied().unwrap_or(false);
+        let targets = |part: &PartRequest| {
+            routes.targets(part.shard, part.weigher, at_most_once).map(|targets| targets.len())
+        };
+        query.parts.iter().map(targets).sum()
     }
 
-    /// Who holds blocks now.
-    pub fn holders(&self, told: Told) {
-        if !told.is_empty() {
-            self.tell(Happening::Holders(told));
+    /// Reports the current owners of blocks that have changed.
+    pub fn block_owners_changed(&self, owners: BlockOwners) {
+        if !owners.is_empty() {
+            self.push_event(CoreEvent::BlockOwnersChanged(owners));
         }
     }
 
-    /// The end of an attempt.
-    pub fn ended(&self, attempt: AttemptId, ended: Ended) {
-        self.tell(Happening::Ended(attempt, ended));
+    /// Reports the outcome of an attempt.
+    pub fn attempt_ended(&self, attempt: AttemptId, ended: AttemptOutcome) {
+        self.push_event(CoreEvent::AttemptEnded(attempt, ended));
     }
 
-    /// What discovery has told.
-    pub fn listed(&self, kind: ListKind, entries: Vec<Entry>) {
-        self.tell(Happening::Listed(kind, entries));
+    /// Reports a result of discovery.
+    pub fn endpoints_listed(&self, kind: ListKind, entries: Vec<Entry>) {
+        self.push_event(CoreEvent::EndpointsListed(kind, entries));
     }
 
-    /// How many processes share this broker's part.
-    pub fn shared(&self, processes: u32) {
-        self.tell(Happening::Shared(processes));
+    /// Reports the number of processes that share this broker's quotas.
+    pub fn process_count_changed(&self, processes: u32) {
+        self.push_event(CoreEvent::ProcessCountChanged(processes));
     }
 
-    /// This process is about to end.
-    pub fn leaving(&self) {
-        self.tell(Happening::Leaving);
+    /// Reports that this process is shutting down.
+    pub fn shutdown_started(&self) {
+        self.push_event(CoreEvent::ShutdownStarted);
     }
 
-    /// Resolves once the core has played a turn with all that was left here so far. The mark goes with the turn,
-    /// and nobody else runs until its commands are carried out.
-    pub async fn settled(&self) {
-        let (mark, gone) = async_channel::bounded(1);
-        self.tell(Happening::Mark(mark));
-        let _ = gone.recv().await;
+    /// Resolves once the core has handled all events added so far. The barrier is dropped in that turn, and no other task
+    /// runs before the turn's commands are carried out.
+    pub async fn flush(&self) {
+        let (barrier, dropped) = async_channel::bounded(1);
+        self.push_event(CoreEvent::Barrier(barrier));
+        let _ = dropped.recv().await;
     }
 
-    fn tell(&self, happening: Happening) {
-        self.happened.borrow_mut().push_back(happening);
-        // A full channel means that the core is to be woken anyway.
+    fn push_event(&self, event: CoreEvent) {
+        self.events.borrow_mut().push_back(event);
+        // A full channel means that a wake-up is already pending.
         let _ = self.wake.0.try_send(());
     }
 
-    /// Waits until something has happened, or until `due`.
-    pub async fn happened(&self, due: Option<f64>) -> VecDeque<Happening> {
+    /// Waits for events, at most until `due` (Unix milliseconds), and takes them.
+    pub async fn next_events(&self, due: Option<f64>) -> VecDeque<CoreEvent> {
         let timer = async {
             match due {
                 Some(at) => drop(Timer::after(self.clock.until(at)).await),
@@ -171,13 +178,13 @@
         };
         futures_lite::future::or(woken, timer).await;
         self.turn.set(Some(Instant::now()));
-        std::mem::take(&mut *self.happened.borrow_mut())
+        std::mem::take(&mut *self.events.borrow_mut())
     }
 
-    /// Counts why a query is given up; its final answer follows.
-    pub fn because(&self, id: QueryId, why: RejectionReason) {
-        if let Some(waiting) = self.waiting.borrow().get(&id) {
-            log::debug!("{}: given up: {why:?}", waiting.name);
+    /// Counts the reason for which a query is rejected; its final answer follows.
+    pub fn count_rejection(&self, id: QueryId, why: RejectionReason) {
+        if let Some(pending) = self.pending.borrow().get(&id) {
+            log::debug!(query:% = pending.name, reason:? = why; "query rejected");
         }
         count(match why {
             RejectionReason::OverLimit => &self.counters.over_limit,
@@ -190,85 +197,85 @@
         });
     }
 
-    /// Gives a query its final answer. A second one is dropped: the client has had the first.
-    pub fn finish(&self, id: QueryId, answer: Final) -> bool {
-        let Some(waiting) = self.close(id) else {
+    /// Delivers a query's final answer; false if it had one before or its client disconnected.
+    pub fn complete(&self, id: QueryId, answer: FinalAnswer) -> bool {
+        let Some(pending) = self.remove(id) else {
             count(&self.counters.finals_dropped);
             return false;
         };
         match &answer {
-            Final::Answered { whole, values } => {
-                log::debug!("{}: answered from {} parts, whole {whole}", waiting.name, values.len());
+            FinalAnswer::Answered { whole, values } => {
+                log::debug!(query:% = pending.name, parts = values.len(), complete = whole; "query answered");
             }
-            other => log::debug!("{}: {other:?}", waiting.name),
+            other => log::debug!(query:% = pending.name, answer:? = other; "query not answered"),
         }
         count(match answer {
-            Final::Answered { .. } => &self.counters.answered,
-            Final::Refused { .. } => &self.counters.refused,
-            Final::Failed => &self.counters.failed,
+            FinalAnswer::Answered { .. } => &self.counters.answered,
+            FinalAnswer::Refused { .. } => &self.counters.refused,
+            FinalAnswer::Failed => &self.counters.failed,
         });
-        waiting.answer.try_send(answer).is_ok()
+        pending.answer.try_send(answer).is_ok()
     }
 
-    fn close(&self, id: QueryId) -> Option<Waiting> {
-        let waiting = self.waiting.borrow_mut().remove(&id)?;
-        self.names.borrow_mut().remove(&waiting.name);
-        self.open.set(self.open.get() - waiting.size);
-        Some(waiting)
+    fn remove(&self, id: QueryId) -> Option<PendingEntry> {
+        let pending = self.pending.borrow_mut().remove(&id)?;
+        self.names.borrow_mut().remove(&pending.name);
+        self.open.set(self.open.get() - pending.size);
+        Some(pending)
     }
 
-    /// When the turn began that is played now, or was last.
+    /// Start of the current turn, or of the last one.
     pub fn turn_began(&self) -> Instant {
         self.turn.get().unwrap_or_else(Instant::now)
     }
 
-    /// Whether a query that was taken has had its final answer or lost its client. The store side asks at the last
-    /// moment before an attempt: a client that leaves is told to the core, whose word comes a turn later.
-    pub fn is_over(&self, id: QueryId) -> bool {
-        (1..=self.next.get()).contains(&id) && !self.waiting.borrow().contains_key(&id)
+    /// Whether an admitted query has had its final answer or lost its client. The store side checks this immediately before
+    /// it sends an attempt, since the core reacts to a disconnected client only in its next turn.
+    pub fn is_finished(&self, id: QueryId) -> bool {
+        (1..=self.next.get()).contains(&id) && !self.pending.borrow().contains_key(&id)
     }
 
-    /// How many queries wait for their final answer.
+    /// Number of queries that await their final answer.
     pub fn open_queries(&self) -> usize {
-        self.waiting.borrow().len()
+        self.pending.borrow().len()
     }
 }
 
-/// A query that has been taken. Dropped before its answer, its client has left.
+/// An admitted query that awaits its answer. Dropping it before that reports its client as disconnected.
 #[derive(Debug)]
-pub struct Ticket {
+pub struct PendingQuery {
     exchange: Rc<Exchange>,
     id: QueryId,
     deadline: f64,
-    answer: Receiver<Final>,
+    answer: Receiver<FinalAnswer>,
 }
 
-impl Ticket {
-    /// Waits for the final answer.
-    pub async fn answer(&self) -> Final {
-        let given = async { self.answer.recv().await.ok() };
-        // Guards the rule that no query goes without an answer in time, should the core ever owe one.
+impl PendingQuery {
+    /// Waits for the final answer, at most until the query's deadline.
+    pub async fn answer(&self) -> FinalAnswer {
+        let answered = async { self.answer.recv().await.ok() };
+        // A safeguard: every query is answered by its deadline, even if the core never completes it.
         let overdue = async {
             Timer::after(self.exchange.clock.until(self.deadline)).await;
             None
         };
-        if let Some(answer) = futures_lite::future::or(given, overdue).await {
+        if let Some(answer) = futures_lite::future::or(answered, overdue).await {
             return answer;
         }
-        if self.exchange.close(self.id).is_some() {
+        if self.exchange.remove(self.id).is_some() {
             count(&self.exchange.counters.overdue);
             count(&self.exchange.counters.failed);
-            self.exchange.tell(Happening::Gone(self.id));
+            self.exchange.push_event(CoreEvent::ClientDisconnected(self.id));
         }
-        Final::Failed
+        FinalAnswer::Failed
     }
 }
 
-impl Drop for Ticket {
+impl Drop for PendingQuery {
     fn drop(&mut self) {
-        if self.exchange.close(self.id).is_some() {
+        if self.exchange.remove(self.id).is_some() {
             count(&self.exchange.counters.clients_gone);
-            self.exchange.tell(Happening::Gone(self.id));
+            self.exchange.push_event(CoreEvent::ClientDisconnected(self.id));
         }
     }
 }
--- a/broker/src/fleet.rs
+++ b/broker/src/fleet.rs
@@ -8,6 +8,7 @@
 use std::time::Duration;
 
 use async_io::{Async, Timer};
+use futures_core::future::LocalBoxFuture;
 use futures_lite::future::or;
 use gingerledge_fleet::{Change, Members, Number, State, DATAGRAM_MOST};
 use serde_json::{json, Value};
@@ -17,7 +18,7 @@
 use crate::counters::Counters;
 use crate::faults;
 use crate::http::Head;
-use crate::plug::{Host, Reply, Soon, Subsystem};
+use crate::subsystem::{Host, Reply, Subsystem};
 
 /// After an error of the socket, such as a port that nobody listens on.
 const AGAIN: Duration = Duration::from_millis(20);
@@ -144,18 +145,18 @@
         "fleet"
     }
 
-    fn ask<'a>(&'a self, head: &'a Head, body: &'a [u8]) -> Soon<'a, Reply> {
+    fn handle_request<'a>(&'a self, head: &'a Head, body: &'a [u8]) -> LocalBoxFuture<'a, Reply> {
         let reply = match (head.method.as_str(), head.path()) {
             ("GET", "/fleet/members") if body.is_empty() => Reply::json(&self.shown()),
-            ("GET", "/fleet/members") => Reply::words(400, "/fleet/members takes no body"),
-            (_, "/fleet/members") => Reply::words(405, "/fleet/members takes GET"),
-            (_, path) => Reply::words(404, &format!("no such path: {path}")),
+            ("GET", "/fleet/members") => Reply::text(400, "/fleet/members takes no body"),
+            (_, "/fleet/members") => Reply::text(405, "/fleet/members takes GET"),
+            (_, path) => Reply::text(404, &format!("no such path: {path}")),
         };
         Box::pin(async { reply })
     }
 
     /// Says good-bye: the others need not miss this broker first.
-    fn stop(&self) -> Soon<'_, ()> {
+    fn stop(&self) -> LocalBoxFuture<'_, ()> {
         Box::pin(async {
             self.members.borrow_mut().leave(self.clock.now());
             self.tell().await;
--- a/broker/src/front/features/mod.rs
+++ b/broker/src/front/features/mod.rs
@@ -16,11 +16,11 @@
 use super::{key, Accepted, Reply, Service};
 use crate::clock::{Clock, Millis};
 use crate::config::features::{Collection, Features};
-use crate::core::{Ask, Final, Form, Question, Text};
-use crate::exchange::{Exchange, Untaken};
+use crate::core::{FinalAnswer, Form, PartRequest, Query, Text};
+use crate::exchange::{Exchange, SubmitError};
 use crate::geojson;
 use crate::http::{self, Head, BODY_MAX};
-use crate::routes::{Routes, Unrouted};
+use crate::routes::{RouteError, Routes};
 
 /// Left of a page's bytes for its links and the rest round the features.
 const FRAME: usize = 12 * 1024;
@@ -251,8 +251,8 @@
         let now = self.clock.now();
         let deadline = now + collection.timeout_ms;
         let weight = 1.0 / blocks.len() as f64;
-        let part = |shard: &u32| Ask { shard: *shard, weight, ..Ask::default() };
-        let question = Question {
+        let part = |shard: &u32| PartRequest { shard: *shard, weight, ..PartRequest::default() };
+        let query = Query {
             name: format!("f{:016x}", self.named.get()).into(),
             class: collection.class,
             tenant,
@@ -263,15 +263,15 @@
             text: reader.wanted.text().into_bytes().into(),
             form: Form::Features,
         };
-        let ticket = self.exchange.ask(question).map_err(|untaken| match untaken {
-            Untaken::Full => refused(self.full_retry_ms),
-            Untaken::Unrouted(Unrouted::NoMap) => refused(self.full_retry_ms),
-            Untaken::Unrouted(reason) => problem(503, "Service Unavailable", &reason.to_string()),
-            Untaken::Duplicate => problem(502, "Bad Gateway", "a query of this name is open"),
+        let ticket = self.exchange.submit(query).map_err(|untaken| match untaken {
+            SubmitError::Full => refused(self.full_retry_ms),
+            SubmitError::Unrouted(RouteError::NoMap) => refused(self.full_retry_ms),
+            SubmitError::Unrouted(reason) => problem(503, "Service Unavailable", &reason.to_string()),
+            SubmitError::Duplicate => problem(502, "Bad Gateway", "a query of this name is open"),
         })?;
         let clock = self.clock;
         let reply = move |answer| match answer {
-            Final::Answered { whole, values } => {
+            FinalAnswer::Answered { whole, values } => {
                 // One whose block has split meanwhile has a value for each heir.
                 let mut answered: Vec<u32> = values.iter().map(|(shard, _)| *shard).collect();
                 answered.dedup();
@@ -282,11 +282,11 @@
                     false => problem(502, "Bad Gateway", "not all weigher blocks answered"),
                 }
             }
-            Final::Refused { retry_after_ms } => refused(retry_after_ms),
-            Final::Failed if clock.now() + NEAR >= deadline => {
+            FinalAnswer::Refused { retry_after_ms } => refused(retry_after_ms),
+            FinalAnswer::Failed if clock.now() + NEAR >= deadline => {
                 problem(504, "Gateway Timeout", "the reading stores did not answer in time")
             }
-            Final::Failed => problem(502, "Bad Gateway", "the reading stores could not answer"),
+            FinalAnswer::Failed => problem(502, "Bad Gateway", "the reading stores could not answer"),
         };
         Ok(Accepted::Query(ticket, Box::new(reply)))
     }
--- a/broker/src/front/mod.rs
+++ b/broker/src/front/mod.rs
@@ -1,4 +1,4 @@
-//! The client side: what all fronts share. A front reads requests, makes [`crate::core::Question`]s of
+//! The client side: what all fronts share. A front reads requests, makes [`crate::core::Query`]s of
 //! them, waits for their answers at the exchange and writes those in its own form.
 
 mod client;
@@ -8,8 +8,8 @@
 pub mod platform;
 mod server;
 
-use crate::core::Final;
-use crate::exchange::Ticket;
+use crate::core::FinalAnswer;
+use crate::exchange::PendingQuery;
 use crate::http::{self, Head};
 
 pub use server::Server;
@@ -43,12 +43,12 @@
 }
 
 /// Makes the reply of a query's final answer.
-pub type Replier = Box<dyn FnOnce(Final) -> Reply>;
+pub type Replier = Box<dyn FnOnce(FinalAnswer) -> Reply>;
 
 /// What became of a request.
 pub enum Accepted {
     /// It was a query, and an answer is owed.
-    Query(Ticket, Replier),
+    Query(PendingQuery, Replier),
     /// It is answered at once.
     Reply(Reply),
 }
--- a/broker/src/front/platform.rs
+++ b/broker/src/front/platform.rs
@@ -8,11 +8,11 @@
 
 use super::{key, Accepted, Reply, Service};
 use crate::clock::Clock;
-use crate::core::{Ask, Final, Form, Question, Text};
-use crate::exchange::{Exchange, Untaken};
+use crate::core::{FinalAnswer, Form, PartRequest, Query, Text};
+use crate::exchange::{Exchange, SubmitError};
 use crate::http::{self, Head, BODY_MAX};
 use crate::lifecycle::Lifecycle;
-use crate::routes::Unrouted;
+use crate::routes::RouteError;
 
 /// No client waits longer.
 pub const TIMEOUT_MAX_MS: u64 = 600_000;
@@ -67,7 +67,7 @@
 }
 
 /// Reads a query.
-pub fn question(head: &Head, body: &[u8], names: &Names, now: Millis) -> Result<Question, Bad> {
+pub fn question(head: &Head, body: &[u8], names: &Names, now: Millis) -> Result<Query, Bad> {
     let need = |name: &'static str| {
         head.header(name).filter(|v| !v.is_empty()).ok_or_else(|| bad(400, format!("{name}: missing")))
     };
@@ -118,7 +118,7 @@
         }
         let cost_ms = price.filter(|us| us.is_finite() && *us >= 0.0).map(|us| us / 1000.0);
         let weigher = weigher.filter(|_| names.moves);
-        parts.push(Ask { shard: *range, weight: *portion, cost_ms, weigher });
+        parts.push(PartRequest { shard: *range, weight: *portion, cost_ms, weigher });
     }
     if parts.is_empty() {
         return Err(bad(400, "ranges: expected one at least"));
@@ -127,7 +127,7 @@
     if (sum - 1.0).abs() > PORTIONS_OFF {
         return Err(bad(400, format!("portion: together {sum}, expected 1")));
     }
-    Ok(Question {
+    Ok(Query {
         name: name.into(),
         class: class_index,
         tenant,
@@ -192,15 +192,15 @@
             ("GET" | "HEAD", "/ready" | "/health") => Reply::text(200, "ok"),
             ("POST", _) => match question(head, &body, &self.names, self.clock.now()) {
                 Err(Bad { status, what }) => Reply::text(status, &what),
-                Ok(question) => match self.exchange.ask(question) {
+                Ok(question) => match self.exchange.submit(question) {
                     Ok(ticket) => return Accepted::Query(ticket, Box::new(reply)),
-                    Err(Untaken::Full) => self.shed(),
-                    Err(Untaken::Unrouted(Unrouted::NoMap)) => self.shed(),
-                    Err(Untaken::Unrouted(reason @ Unrouted::Unknown(_))) => {
+                    Err(SubmitError::Full) => self.shed(),
+                    Err(SubmitError::Unrouted(RouteError::NoMap)) => self.shed(),
+                    Err(SubmitError::Unrouted(reason @ RouteError::Unknown(_))) => {
                         Reply::text(404, &format!("ranges: {reason}"))
                     }
-                    Err(Untaken::Unrouted(reason)) => Reply::text(409, &format!("ranges: {reason}")),
-                    Err(Untaken::Duplicate) => Reply::text(409, "X-Request-ID: such a request is open"),
+                    Err(SubmitError::Unrouted(reason)) => Reply::text(409, &format!("ranges: {reason}")),
+                    Err(SubmitError::Duplicate) => Reply::text(409, "X-Request-ID: such a request is open"),
                 },
             },
             ("GET" | "HEAD", _) => Reply::text(404, "no such path"),
@@ -214,22 +214,22 @@
     }
 
     fn shed(&self) -> Reply {
-        reply(Final::Refused { retry_after_ms: self.full_retry_ms })
+        reply(FinalAnswer::Refused { retry_after_ms: self.full_retry_ms })
     }
 }
 
-fn reply(final_answer: Final) -> Reply {
+fn reply(final_answer: FinalAnswer) -> Reply {
     match final_answer {
-        Final::Answered { whole, values } => match answer(whole, &values) {
+        FinalAnswer::Answered { whole, values } => match answer(whole, &values) {
             Some(body) => {
                 Reply { status: 200, headers: "Content-Type: application/json\r\n".to_owned(), body }
             }
             None => Reply::text(502, "the stores' values don't fit an answer"),
         },
-        Final::Refused { retry_after_ms } => {
+        FinalAnswer::Refused { retry_after_ms } => {
             let reply = Reply::text(503, "refused; trying again is harmless");
             Reply { headers: reply.headers + &retry_after(retry_after_ms), ..reply }
         }
-        Final::Failed => Reply::text(504, "failed"),
+        FinalAnswer::Failed => Reply::text(504, "failed"),
     }
 }
--- a/broker/src/routes.rs
+++ b/broker/src/routes.rs
@@ -1,6 +1,6 @@
-//! Where a part goes: the broker's copy of the block map, and which of its stores is which of the map's. It owns both. It
-//! promises that a block's old number is asked at whoever covers its weighers now, each for its slice, and that an entry
-//! is never guessed into one of several heirs. No I/O; there is none of it where blocks do not move.
+//! Routing of parts by the broker's copy of the block map, together with the core's ids of the map's stores. It owns both.
+//! A block number of any age resolves to the blocks that cover its weighers now, each with its slice; an entry is never
+//! assigned to one of several successors by guessing. No I/O. Not used where blocks never move.
 
 use std::cell::RefCell;
 use std::collections::{BTreeSet, HashMap};
@@ -13,71 +13,71 @@
 use gingerledge_dispatch::ServerId;
 use thiserror::Error;
 
-/// Why a part can't be asked anywhere.
+/// Why no block can serve a part.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub enum Unrouted {
-    /// The number was never given, or is forgotten.
+pub enum RouteError {
+    /// The block number was never assigned, or is no longer remembered.
     #[error("no block {0}")]
     Unknown(u32),
-    /// The block has split, and an entry belongs to one of its heirs only.
+    /// The block was split, and an entry belongs to exactly one of its successors.
     #[error("block {0} has split into {1:?}: name the weigher, or its block")]
     Ambiguous(u32, Vec<u32>),
-    /// The weigher is in no such block.
+    /// The block does not contain the weigher.
     #[error("block {0} does not hold weigher {1}")]
     Elsewhere(u32, u64),
-    /// There is no map yet.
+    /// No map has been received yet.
     #[error("no map of the blocks yet")]
     NoMap,
 }
 
-/// Why news of the map is not followed; the map held is as it was.
+/// Why an update of the map was not applied; the current map is unchanged.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub enum Unfollowed {
-    /// It does not fit the map held.
+pub enum MapUpdateError {
+    /// It does not fit the current map.
     #[error(transparent)]
     Map(#[from] MapError),
-    /// The map that it makes is not sound.
+    /// The resulting map is invalid.
     #[error("version {version} is not sound: {why}")]
     Unsound {
-        /// The version.
+        /// The version of the resulting map.
         version: u64,
-        /// What is wrong with it.
+        /// The first violated rule.
         why: String,
     },
 }
 
-/// A living block to be asked, and which of its weighers.
+/// A current block that serves a part, and the weighers requested of it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Target {
     /// The block.
     pub block: u32,
-    /// The first weigher asked for: the order of the values.
+    /// The first weigher requested, by which values are ordered.
     pub first: u64,
-    /// Its share of what was asked for.
+    /// Its share of the part, from 0 to 1.
     pub share: f64,
-    /// The weighers asked for, if not all of it.
+    /// The weighers requested, if not all of the block.
     pub slice: Option<Span>,
 }
 
-/// Stores, by the core's numbers, that may be asked for a block; nobody once it is no more.
-pub type Told = Vec<(u32, Vec<ServerId>)>;
+/// Blocks whose owners changed, each with its stores by the core's ids; a block that no longer exists has none.
+pub type BlockOwners = Vec<(u32, Vec<ServerId>)>;
 
 #[derive(Debug, Default)]
 struct Inner {
     map: BlockMap,
     term: u32,
-    /// The map's stores by number, and the core's by name.
+    /// Names of the map's stores, and the core's ids by name.
     names: HashMap<StoreId, String>,
     servers: HashMap<String, ServerId>,
-    /// Blocks that the core has to be told of.
+    /// Blocks whose owners must be reported to the core.
     dirty: BTreeSet<BlockId>,
-    /// A whole map or a catch-up whose pages are still coming.
+    /// Records of an update whose pages have not all arrived.
     pending: Vec<Record>,
-    pending_whole: bool,
-    pending_upto: Cursor,
+    pending_is_complete: bool,
+    pending_up_to: Cursor,
 }
 
-/// See the module's description.
+/// The block map and the core's ids of its stores.
 #[derive(Debug)]
 pub struct Routes {
     inner: RefCell<Inner>,
@@ -85,19 +85,19 @@
     retired: usize,
 }
 
-/// What came of a page of news.
+/// The effect of a page of an update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Learned {
-    /// There is more to come.
+pub enum MapUpdate {
+    /// More pages follow.
     More,
-    /// The map is the coordinator's, of this version.
+    /// The map equals the coordinator's at this version.
     All(u64),
-    /// It is older than what is known: a deposed coordinator's.
+    /// The page is from a coordinator of an earlier term, and was ignored.
     Old,
 }
 
 impl Routes {
-    /// No map yet. It may hold so many blocks, and remember so many that are no more.
+    /// An empty map for at most `most` current and `retired` former blocks.
     pub fn new(most: usize, retired: usize) -> Self {
         let inner = Inner { map: BlockMap::new(most, retired), ..Inner::default() };
         Self { inner: RefCell::new(inner), most, retired }
@@ -113,84 +113,94 @@
         self.inner.borrow().term
     }
 
-    /// Behind what news is wanted: the pages that have come, or the map as it is.
-    pub fn wanted(&self) -> Cursor {
+    /// Where the next page of updates must start.
+    pub fn next_cursor(&self) -> Cursor {
         let inner = self.inner.borrow();
         match inner.pending.is_empty() {
             true => Cursor::at(inner.map.version()),
-            false => inner.pending_upto,
+            false => inner.pending_up_to,
         }
     }
 
-    /// Notes the core's number of a store.
-    pub fn noted(&self, name: &str, server: ServerId) {
+    /// Records the core's id of a listed store.
+    pub fn store_listed(&self, name: &str, server: ServerId) {
         let mut inner = self.inner.borrow_mut();
         if inner.servers.insert(name.to_owned(), server) != Some(server) {
-            inner.dirty_store(name);
+            inner.mark_store_dirty(name);
         }
     }
 
-    /// Forgets a store that is gone.
-    pub fn gone(&self, name: &str) {
+    /// Removes a store that is no longer listed.
+    pub fn store_removed(&self, name: &str) {
         let mut inner = self.inner.borrow_mut();
         if inner.servers.remove(name).is_some() {
-            inner.dirty_store(name);
+            inner.mark_store_dirty(name);
         }
     }
 
-    /// Takes a page of news.
-    pub fn learn(&self, news: News) -> Result<Learned, Unfollowed> {
+    /// Applies a page of an update.
+    ///
+    /// # Errors
+    ///
+    /// If the update does not fit the current map or would make it invalid; the next one then starts from the beginning.
+    pub fn apply(&self, news: News) -> Result<MapUpdate, MapUpdateError> {
         let mut inner = self.inner.borrow_mut();
         if news.term < inner.term {
-            return Ok(Learned::Old);
+            return Ok(MapUpdate::Old);
         }
-        // Numbers of stores hold within a term and are carried over to the next; they never change.
+        // Numbers of stores are valid across terms and never change.
         inner.names.extend(news.stores);
         inner.term = news.term;
         if news.whole {
-            (inner.pending_whole, inner.pending) = (true, Vec::new());
+            (inner.pending_is_complete, inner.pending) = (true, Vec::new());
         }
         inner.pending.extend(news.records);
-        inner.pending_upto = news.upto;
-        // Guards the memory: no coordinator has more to tell than this.
+        inner.pending_up_to = news.upto;
+        // Bounds memory: no correct coordinator sends more records than this.
         if inner.pending.len() > 2 * (self.most + self.retired) + 1024 {
-            (inner.pending, inner.pending_whole, inner.term) = (Vec::new(), false, 0);
+            (inner.pending, inner.pending_is_complete, inner.term) = (Vec::new(), false, 0);
             return Err(MapError::Full(self.most).into());
         }
         if news.upto < Cursor::at(news.version) {
-            return Ok(Learned::More);
+            return Ok(MapUpdate::More);
         }
         let records = std::mem::take(&mut inner.pending);
-        let whole = std::mem::take(&mut inner.pending_whole);
+        let whole = std::mem::take(&mut inner.pending_is_complete);
         let touched: Vec<BlockId> = records.iter().map(Record::id).collect();
-        // What can't be used is asked for anew, from the beginning.
+        // After an error the next request starts from the beginning.
         let known = std::mem::take(&mut inner.term);
         if whole {
-            let map = whole_map(records, news.version, self.most, self.retired)?;
-            sound(&inner.names, news.version, |facts| validate::whole(&map, facts))?;
+            let map = map_from_records(records, news.version, self.most, self.retired)?;
+            validate_map(&inner.names, news.version, |facts| validate::whole(&map, facts))?;
             let before: Vec<BlockId> = inner.map.blocks().map(|block| block.id).collect();
             inner.map = map;
             inner.dirty.extend(before);
         } else {
             let records = inner.map.news(records);
-            sound(&inner.names, news.version, |facts| validate::batch(&inner.map, &records, facts).findings)?;
+            validate_map(&inner.names, news.version, |facts| {
+                validate::batch(&inner.map, &records, facts).findings
+            })?;
             inner.map.catch_up(records, news.version)?;
         }
         inner.term = known;
         inner.dirty.extend(touched);
-        Ok(Learned::All(news.version))
+        Ok(MapUpdate::All(news.version))
     }
 
-    /// Takes the map as it was kept.
+    /// Restores the map from its file.
+    ///
+    /// # Errors
+    ///
+    /// If the stored map is invalid.
     pub fn restore(
         &self,
         snapshot: &Snapshot,
         stores: &[(StoreId, String)],
         term: u32,
-    ) -> Result<(), Unfollowed> {
+    ) -> Result<(), MapUpdateError> {
         let map = BlockMap::restore(snapshot, self.most, self.retired)?;
         let names = stores.iter().cloned().collect();
-        sound(&names, snapshot.version, |facts| validate::whole(&map, facts))?;
+        validate_map(&names, snapshot.version, |facts| validate::whole(&map, facts))?;
         let mut inner = self.inner.borrow_mut();
         inner.dirty.extend(map.blocks().map(|block| block.id));
         inner.names = names;
@@ -198,7 +208,7 @@
         Ok(())
     }
 
-    /// The map and its stores, to be kept.
+    /// The map, its stores and its term, as stored in its file.
     pub fn snapshot(&self) -> (Snapshot, Vec<(StoreId, String)>, u32) {
         let inner = self.inner.borrow();
         let mut stores: Vec<_> = inner.names.iter().map(|(id, name)| (*id, name.clone())).collect();
@@ -206,36 +216,40 @@
         (inner.map.snapshot(), stores, inner.term)
     }
 
-    /// What the core has not been told yet.
-    pub fn take(&self) -> Told {
+    /// Takes the owner changes that have not been reported to the core.
+    pub fn take_owner_changes(&self) -> BlockOwners {
         let mut inner = self.inner.borrow_mut();
         let dirty = std::mem::take(&mut inner.dirty);
         dirty.into_iter().map(|id| (id.0, inner.servers_of(id))).collect()
     }
 
-    /// A living block's epoch.
+    /// Epoch of a current block.
     pub fn epoch(&self, block: u32) -> Option<Epoch> {
         self.inner.borrow().map.block(BlockId(block)).map(|block| block.epoch)
     }
 
-    /// Whether a block lives.
-    pub fn lives(&self, block: u32) -> bool {
+    /// Whether a block exists in the current map.
+    pub fn is_current(&self, block: u32) -> bool {
         self.inner.borrow().map.block(BlockId(block)).is_some()
     }
 
-    /// The living blocks that touch a box.
+    /// The current blocks that intersect a bounding box.
     pub fn in_extent(&self, extent: [f64; 4]) -> Vec<u32> {
         self.inner.borrow().map.in_extent(Extent(extent)).into_iter().map(|id| id.0).collect()
     }
 
-    /// Whom to ask for what a client named: a block's number of any age, perhaps one weigher in it. An entry goes to one
-    /// block or is refused.
-    pub fn targets(&self, named: u32, weigher: Option<u64>, entry: bool) -> Result<Vec<Target>, Unrouted> {
+    /// Resolves the block number that a client used, perhaps with one weigher in it, to current blocks. An entry resolves to
+    /// one block only.
+    ///
+    /// # Errors
+    ///
+    /// If the number is unknown, ambiguous for an entry, or does not contain the weigher.
+    pub fn targets(&self, named: u32, weigher: Option<u64>, entry: bool) -> Result<Vec<Target>, RouteError> {
         let inner = self.inner.borrow();
         if inner.map.version() == 0 {
-            return Err(Unrouted::NoMap);
+            return Err(RouteError::NoMap);
         }
-        let pieces = inner.map.resolve(BlockId(named)).ok_or(Unrouted::Unknown(named))?;
+        let pieces = inner.map.resolve(BlockId(named)).ok_or(RouteError::Unknown(named))?;
         let target = |block: BlockId, slice: Span, all: bool, share: f64| Target {
             block: block.0,
             first: slice.first,
@@ -244,34 +258,38 @@
         };
         if let Some(weigher) = weigher {
             let piece = pieces.iter().find(|piece| piece.slice.contains(weigher));
-            let piece = piece.ok_or(Unrouted::Elsewhere(named, weigher))?;
+            let piece = piece.ok_or(RouteError::Elsewhere(named, weigher))?;
             return Ok(vec![target(piece.block, piece.slice, piece.all, 1.0)]);
         }
         if entry && pieces.len() > 1 {
-            return Err(Unrouted::Ambiguous(named, pieces.iter().map(|piece| piece.block.0).collect()));
+            return Err(RouteError::Ambiguous(named, pieces.iter().map(|piece| piece.block.0).collect()));
         }
         let size = |span: Span| (span.end - span.first) as f64;
         let whole: f64 = pieces.iter().map(|piece| size(piece.slice)).sum();
         Ok(pieces.iter().map(|p| target(p.block, p.slice, p.all, size(p.slice) / whole)).collect())
     }
 
-    /// Who takes the place of a block that is no more, for a part that asked it for these weighers.
-    pub fn heirs(
+    /// The successors of a block that no longer exists, for a part that requested these weighers of it.
+    ///
+    /// # Errors
+    ///
+    /// As [`Routes::targets`].
+    pub fn successors(
         &self,
         block: u32,
         slice: Option<Span>,
         weigher: Option<u64>,
         entry: bool,
-    ) -> Result<Vec<Target>, Unrouted> {
+    ) -> Result<Vec<Target>, RouteError> {
         let mut targets = self.targets(block, weigher, entry)?;
         if let Some(wanted) = slice {
-            // Of each heir only what was asked of the block.
+            // Of each successor only the weighers that were requested of the block.
             let inner = self.inner.borrow();
             targets.retain_mut(|target| {
-                let Some(heir) = inner.map.block(BlockId(target.block)) else { return false };
-                let Some(part) = heir.span.meet(wanted) else { return false };
+                let Some(successor) = inner.map.block(BlockId(target.block)) else { return false };
+                let Some(part) = successor.span.meet(wanted) else { return false };
                 target.first = part.first;
-                target.slice = (part != heir.span).then_some(part);
+                target.slice = (part != successor.span).then_some(part);
                 target.share = (part.end - part.first) as f64 / (wanted.end - wanted.first).max(1) as f64;
                 true
             });
@@ -281,7 +299,7 @@
 }
 
 impl Inner {
-    fn dirty_store(&mut self, name: &str) {
+    fn mark_store_dirty(&mut self, name: &str) {
         let id = self.names.iter().find(|(_, known)| *known == name).map(|(id, _)| *id);
         let Some(id) = id else { return };
         let blocks: Vec<BlockId> = self.map.at_store(id).collect();
@@ -292,7 +310,7 @@
         let Some(block) = self.map.block(id) else { return Vec::new() };
         let server = |store: StoreId| self.servers.get(self.names.get(&store)?).copied();
         let servers: Vec<ServerId> = block.holders().filter_map(server).collect();
-        // Nobody known is not the same as no block: a number that no server has keeps it there.
+        // An existing block without a listed store keeps a placeholder id, so that it is not taken for a removed one.
         if servers.is_empty() {
             vec![ServerId::MAX]
         } else {
@@ -301,20 +319,25 @@
     }
 }
 
-/// Has a map or what is new in it proved. Of copies under way a broker knows nothing: that a range has gone to none but new
-/// holders the coordinator proved, at the version before.
-fn sound(
+/// Validates a map or an update of it. A broker knows nothing of transfers in progress: that a range moved only to its new
+/// owners was validated by the coordinator at the version before.
+fn validate_map(
     names: &HashMap<StoreId, String>,
     version: u64,
     prove: impl FnOnce(&Facts<'_>) -> Vec<Finding>,
-) -> Result<(), Unfollowed> {
+) -> Result<(), MapUpdateError> {
     let standing = |store| names.contains_key(&store).then_some(Standing::Listed);
     let text = |store| names.get(&store).map_or_else(|| store.to_string(), |name| format!("store {name}"));
     let found = prove(&Facts { standing: &standing, text: &text, copies: &|_, _| true });
-    validate::first_of(&found).map_or(Ok(()), |why| Err(Unfollowed::Unsound { version, why }))
+    validate::first_of(&found).map_or(Ok(()), |why| Err(MapUpdateError::Unsound { version, why }))
 }
 
-fn whole_map(records: Vec<Record>, version: u64, most: usize, retired: usize) -> Result<BlockMap, MapError> {
+fn map_from_records(
+    records: Vec<Record>,
+    version: u64,
+    most: usize,
+    retired: usize,
+) -> Result<BlockMap, MapError> {
     let mut snapshot = Snapshot { version, ..Snapshot::default() };
     let mut last = HashMap::new();
     for (n, record) in records.iter().enumerate() {
--- a/broker/src/service.rs
+++ b/broker/src/service.rs
@@ -28,12 +28,12 @@
 use crate::handover::{self, Other, Presence};
 use crate::lifecycle::Lifecycle;
 use crate::limits::{self, Budget, Wants};
-use crate::plug::{Host, Subsystem};
 use crate::readiness::become_able;
 use crate::rotation::Rotation;
 use crate::routes::Routes;
 use crate::store::link::Limits;
 use crate::store::{Stores, Word};
+use crate::subsystem::{Host, Subsystem};
 
 /// The end is waited for no longer than any request may wait and its answer be written. That is a guard only: each connection
 /// ends in a time of its own. To end sooner would lose what was taken, where deadlines are long; to end later than SIGKILL is
@@ -90,7 +90,7 @@
     discovery: Rc<Discovery>,
     lifecycle: Rc<Lifecycle>,
     presence: Rc<Presence>,
-    plugged: Rc<[Rc<dyn Subsystem>]>,
+    subsystems: Rc<[Rc<dyn Subsystem>]>,
 }
 
 fn listen(
@@ -213,20 +213,20 @@
             stores: stores.clone(),
             discovery: discovery.clone(),
         };
-        let mut plugged: Vec<Rc<dyn Subsystem>> = Vec::new();
+        let mut subsystems: Vec<Rc<dyn Subsystem>> = Vec::new();
         if let (Some(set), Some(routes)) = (config.blocks, routes.clone()) {
-            plugged.push(Blocks::start(set, &host, routes));
+            subsystems.push(Blocks::start(set, &host, routes));
         }
         if let Some(set) = config.fleet {
-            plugged.push(Fleet::start(set, &host, config.seed)?);
+            subsystems.push(Fleet::start(set, &host, config.seed)?);
         }
-        let plugged: Rc<[_]> = plugged.into();
+        let subsystems: Rc<[_]> = subsystems.into();
         let mut admin = None;
         if let Some(at) = config.admin {
             let (listener, at) = listen("LB_ADMIN_ADDR", at, TcpListener::bind)?;
             executor
                 .spawn(
-                    Door::new(&lifecycle, &discovery, plugged.clone(), clock, &counters, &executor)
+                    Door::new(&lifecycle, &discovery, subsystems.clone(), clock, &counters, &executor)
                         .run(listener, budget.admin),
                 )
                 .detach();
@@ -239,11 +239,18 @@
         executor.spawn(become_able(lifecycle.clone(), discovery.clone(), (beside, calls), known)).detach();
         executor.spawn(follow_rotation(discovery.clone())).detach();
         let sharing = exchange.clone();
-        let share = move |other| sharing.shared(if other == Other::Serves { 2 } else { 1 });
+        let share = move |other| sharing.process_count_changed(if other == Other::Serves { 2 } else { 1 });
         share(presence.other());
         executor.spawn(presence.clone().watch(share)).detach();
         executor
-            .spawn(drive(core, clock, exchange.clone(), stores.clone(), discovery.clone(), plugged.clone()))
+            .spawn(drive(
+                core,
+                clock,
+                exchange.clone(),
+                stores.clone(),
+                discovery.clone(),
+                subsystems.clone(),
+            ))
             .detach();
         Ok(Self {
             platform,
@@ -255,7 +262,7 @@
             discovery,
             lifecycle,
             presence,
-            plugged,
+            subsystems,
         })
     }
 
@@ -296,13 +303,13 @@
     pub async fn stop(&self) {
         log::info!("stopping: {} queries open", self.exchange.open_queries());
         // From here on a successor may serve: stores that are cold get nothing from two processes of one broker.
-        self.exchange.leaving();
+        self.exchange.shutdown_started();
         let succeeded = self.presence.look() == Other::Serves;
         self.presence.leave();
         // First of all: what is taken and what is left to lie counts from the signal.
         self.lifecycle.leave(succeeded);
         let subsystems = async {
-            for subsystem in self.plugged.iter() {
+            for subsystem in self.subsystems.iter() {
                 subsystem.stop().await;
             }
         };
@@ -339,7 +346,7 @@
     exchange: Rc<Exchange>,
     stores: Rc<Stores>,
     discovery: Rc<Discovery>,
-    plugged: Rc<[Rc<dyn Subsystem>]>,
+    subsystems: Rc<[Rc<dyn Subsystem>]>,
 ) {
     let mut happened = Default::default();
     loop {
@@ -348,16 +355,18 @@
         for command in core.turn(clock.now(), std::mem::take(&mut happened)) {
             match command {
                 Command::Send(order) => stores.send(order),
-                Command::GiveUp(attempt) => stores.stop(attempt, Word::GiveUp),
-                Command::Abandon(attempt) => stores.stop(attempt, Word::Abandon),
-                Command::Release(server) => stores.release(server),
-                Command::Learn => plugged.iter().for_each(|subsystem| subsystem.learn()),
+                Command::Withdraw(attempt) => stores.stop(attempt, Word::GiveUp),
+                Command::Cancel(attempt) => stores.stop(attempt, Word::Abandon),
+                Command::CloseIdleConnections(server) => stores.release(server),
+                Command::RefreshBlockMap => {
+                    subsystems.iter().for_each(|subsystem| subsystem.on_newer_epoch())
+                }
                 Command::Subscribe => discovery.subscribe(),
-                Command::Because(query, why) => exchange.because(query, why),
-                Command::Finish(query, answer) => drop(exchange.finish(query, answer)),
+                Command::CountRejection(query, why) => exchange.count_rejection(query, why),
+                Command::Finish(query, answer) => drop(exchange.complete(query, answer)),
             }
         }
         stores.turn_over();
-        happened = exchange.happened(core.due()).await;
+        happened = exchange.next_events(core.due()).await;
     }
 }
--- a/broker/src/store/attempts.rs
+++ b/broker/src/store/attempts.rs
@@ -15,7 +15,7 @@
 use super::link::{Link, Part};
 use super::{frame, Site, Stores, Word};
 use crate::clock::millis;
-use crate::core::{AttemptId, Ended, Form, Order};
+use crate::core::{AttemptId, AttemptOutcome, AttemptRequest, Form};
 use crate::counters::count;
 
 /// After an attempt has been given up, its answer may still be under way, and another attempt that goes
@@ -32,13 +32,13 @@
 const ROUND: Duration = Duration::from_millis(1);
 
 /// An attempt to be made, and where the core's word to give it up comes.
-type Attempt = (Order, Receiver<Word>);
+type Attempt = (AttemptRequest, Receiver<Word>);
 /// What stops an attempt: its outcome, and whether it was waited for in vain.
 type Stop = Pin<Box<dyn Future<Output = (Outcome, bool)>>>;
 
 impl Stores {
     /// Notes an attempt that is to be made when the turn is over ([`Stores::turn_over`]); its end goes to the exchange.
-    pub fn send(&self, order: Order) {
+    pub fn send(&self, order: AttemptRequest) {
         count(&self.counters.attempts);
         let (stop, stopped) = async_channel::bounded(1);
         self.stops.borrow_mut().insert(order.attempt, stop);
@@ -67,7 +67,7 @@
     fn make(self: &Rc<Self>, orders: Vec<Attempt>, began: Instant) {
         let mut calls: Vec<(Rc<Site>, Vec<Attempt>)> = Vec::new();
         for (order, stopped) in orders {
-            if self.exchange.is_over(order.asker) {
+            if self.exchange.is_finished(order.query_id) {
                 self.ended(order.attempt, Outcome::Void.into());
                 continue;
             }
@@ -110,11 +110,11 @@
     }
 
     /// Runs an attempt to its end, with what stops it: its patience, or the core's word.
-    fn follow<F: Future<Output = Ended> + 'static>(
+    fn follow<F: Future<Output = AttemptOutcome> + 'static>(
         self: &Rc<Self>,
-        order: Order,
+        order: AttemptRequest,
         stopped: Receiver<Word>,
-        attempt: impl FnOnce(Order, Stop) -> F,
+        attempt: impl FnOnce(AttemptRequest, Stop) -> F,
     ) {
         let (id, began) = (order.attempt, Instant::now());
         // Nobody pays for the text where it is not logged.
@@ -141,7 +141,7 @@
         self.executor.spawn(task).detach();
     }
 
-    fn ended(&self, id: AttemptId, ended: Ended) {
+    fn ended(&self, id: AttemptId, ended: AttemptOutcome) {
         self.stops.borrow_mut().remove(&id);
         count(match ended.outcome {
             Outcome::Success => &self.counters.served,
@@ -153,11 +153,17 @@
             Outcome::Withdrawn => &self.counters.withdrawn,
             Outcome::Void => &self.counters.void,
         });
-        self.exchange.ended(id, ended);
+        self.exchange.attempt_ended(id, ended);
     }
 
     /// Waits for the end of a part on a link.
-    async fn wait(&self, link: &Link, id: Rc<str>, ended: Receiver<Ended>, stop: Stop) -> Ended {
+    async fn wait(
+        &self,
+        link: &Link,
+        id: Rc<str>,
+        ended: Receiver<AttemptOutcome>,
+        stop: Stop,
+    ) -> AttemptOutcome {
         let end = async { Ok(ended.recv().await.unwrap_or(Outcome::Broken.into())) };
         let (outcome, in_vain) = match or(end, async { Err(stop.await) }).await {
             Ok(ended) => return ended,
@@ -177,10 +183,16 @@
     }
 
     /// The same in feature form. Its connection carries nothing else: closing it gives the attempt up.
-    async fn ask(&self, site: &Site, order: &Order, by: Option<Instant>, stop: Stop) -> Ended {
+    async fn ask(
+        &self,
+        site: &Site,
+        order: &AttemptRequest,
+        by: Option<Instant>,
+        stop: Stop,
+    ) -> AttemptOutcome {
         let Some(driver) = &site.features else { return Outcome::Void.into() };
         let written = Cell::new(false);
-        let wanted = || by.is_none_or(|by| Instant::now() < by) && !self.exchange.is_over(order.asker);
+        let wanted = || by.is_none_or(|by| Instant::now() < by) && !self.exchange.is_finished(order.query_id);
         let end = async { Ok(driver.ask(self, site, order, wanted, &written).await) };
         match or(end, async { Err(stop.await) }).await {
             Ok(ended) => ended,
@@ -234,8 +246,8 @@
 }
 
 /// A part's id.
-fn id(order: &Order) -> Rc<str> {
-    let Order { query, shard, .. } = order;
+fn id(order: &AttemptRequest) -> Rc<str> {
+    let AttemptRequest { query, shard, .. } = order;
     let step = if order.second.is_some() { ".r" } else { "" };
     match &order.fence {
         // The entry's key is what stands before the last dash: the same wherever its block goes.
@@ -245,12 +257,12 @@
 }
 
 /// The last moment for an attempt. It counts from the beginning of its turn, as the core's clock does.
-fn by(order: &Order, began: Instant) -> Option<Instant> {
-    order.within_ms.map(|ms| began + millis(ms))
+fn by(order: &AttemptRequest, began: Instant) -> Option<Instant> {
+    order.send_within_ms.map(|ms| began + millis(ms))
 }
 
 /// A part as a call carries it.
-fn part(order: &Order, began: Instant) -> Part {
+fn part(order: &AttemptRequest, began: Instant) -> Part {
     let mut list = format!("d={}", order.patience_ms.max(1.0).floor());
     if let Some(key) = &order.key {
         list.push_str(&format!(",k={}", key.as_str()));
@@ -273,5 +285,5 @@
     }
     let id = id(order);
     let bytes = frame::part(&id, order.shard, &list, &order.text);
-    Part { id, bytes, by: by(order, began), asker: order.asker }
+    Part { id, bytes, by: by(order, began), query_id: order.query_id }
 }
--- a/broker/src/store/features.rs
+++ b/broker/src/store/features.rs
@@ -15,7 +15,7 @@
 
 use super::link::{write_while, Limits};
 use super::{Site, Stores};
-use crate::core::{Ended, Order, Served};
+use crate::core::{AttemptOutcome, AttemptRequest, Served};
 use crate::counters::count;
 use crate::front::key;
 use crate::geojson;
@@ -67,10 +67,10 @@
         &self,
         stores: &Stores,
         site: &Site,
-        order: &Order,
+        order: &AttemptRequest,
         wanted: impl Fn() -> bool,
         written: &Cell<bool>,
-    ) -> Ended {
+    ) -> AttemptOutcome {
         let counters = &*stores.counters;
         let (mut stream, place) = match self.connect(stores).await {
             Ok(connected) => connected,
@@ -104,7 +104,7 @@
         match head.status {
             200 if geojson::readable(&body) => {
                 let served = Some(Served { score: 0, value: body.into() });
-                Ended { outcome: Outcome::Success, served, report: Vec::new(), newer: None }
+                AttemptOutcome { outcome: Outcome::Success, served, report: Vec::new(), newer_epoch: None }
             }
             200 => {
                 count(&counters.bad_frames);
@@ -112,8 +112,8 @@
             }
             // The store says that it did not look at the request.
             429 | 503 => {
-                let newer = head.header(EPOCH).and_then(|text| text.parse().ok());
-                Ended { newer, ..Outcome::Overloaded.into() }
+                let newer_epoch = head.header(EPOCH).and_then(|text| text.parse().ok());
+                AttemptOutcome { newer_epoch, ..Outcome::Overloaded.into() }
             }
             _ => Outcome::Failure.into(),
         }
@@ -129,8 +129,8 @@
 /// Under which epoch the part was placed; in an answer that turns it away, the newest one.
 const EPOCH: &str = "X-Block-Epoch";
 
-fn request(order: &Order, address: SocketAddr) -> Vec<u8> {
-    let Order { query, shard, patience_ms, .. } = order;
+fn request(order: &AttemptRequest, address: SocketAddr) -> Vec<u8> {
+    let AttemptRequest { query, shard, patience_ms, .. } = order;
     let fence = order.fence.as_ref().map_or(String::new(), |fence| {
         let slice = fence.slice.map(|s| format!("X-Block-Slice: {}-{}\r\n", s.first, s.end));
         format!("{EPOCH}: {}\r\n{}", fence.epoch.0, slice.unwrap_or_default())
--- a/broker/src/store/link.rs
+++ b/broker/src/store/link.rs
@@ -22,7 +22,7 @@
 use gingerledge_dispatch::Outcome;
 
 use super::{frame, Site};
-use crate::core::{Ended, QueryId};
+use crate::core::{AttemptOutcome, QueryId};
 use crate::counters::{count, Counters};
 use crate::exchange::Exchange;
 use crate::faults;
@@ -48,7 +48,7 @@
 
 #[derive(Debug)]
 struct Flight {
-    ended: Sender<Ended>,
+    ended: Sender<AttemptOutcome>,
     stage: Stage,
     /// When it was queued.
     since: Instant,
@@ -84,7 +84,7 @@
     /// It must not be written later.
     pub by: Option<Instant>,
     /// The query that it is of: once that is over, it must not be written.
-    pub asker: QueryId,
+    pub query_id: QueryId,
 }
 
 /// A connection, or one that is being opened.
@@ -177,13 +177,13 @@
     }
 
     /// Queues parts that share a call. The end of each comes on its channel.
-    pub fn call(&self, parts: impl IntoIterator<Item = Part>) -> Vec<Receiver<Ended>> {
+    pub fn call(&self, parts: impl IntoIterator<Item = Part>) -> Vec<Receiver<AttemptOutcome>> {
         self.calls.set(self.calls.get() + 1);
         parts.into_iter().map(|part| self.join(part)).collect()
     }
 
     /// Queues a part for the last call.
-    fn join(&self, part: Part) -> Receiver<Ended> {
+    fn join(&self, part: Part) -> Receiver<AttemptOutcome> {
         let (send, ended) = async_channel::bounded(1);
         let id = part.id.clone();
         // Guards against a client that uses an id again while a part of that id is still out here: the
--- a/broker/src/store/link/reading.rs
+++ b/broker/src/store/link/reading.rs
@@ -11,7 +11,7 @@
 
 use super::super::frame::{self, End, Frame};
 use super::{Ending, Flight, Limits, Link, Stage};
-use crate::core::{Ended, Served};
+use crate::core::{AttemptOutcome, Served};
 use crate::counters::count;
 
 /// An answer is written in one go; the rest of one that has begun comes within this time, or never.
@@ -85,7 +85,7 @@
                     End::Later => Outcome::Overloaded,
                 };
                 let served = (end == End::Good).then(|| Served { score, value: value.into() });
-                let _ = flight.ended.try_send(Ended { outcome, served, report, newer });
+                let _ = flight.ended.try_send(AttemptOutcome { outcome, served, report, newer_epoch: newer });
                 if self.closing.get() {
                     self.wake();
                 }
--- a/broker/src/store/link/writing.rs
+++ b/broker/src/store/link/writing.rs
@@ -194,6 +194,6 @@
 
     /// Whether its client waits, and its store surely remembers an attempt before it.
     fn is_wanted(&self, part: &Part) -> bool {
-        part.by.is_none_or(|by| Instant::now() < by) && !self.exchange.is_over(part.asker)
+        part.by.is_none_or(|by| Instant::now() < by) && !self.exchange.is_finished(part.query_id)
     }
 }
--- a/broker/src/store/mod.rs
+++ b/broker/src/store/mod.rs
@@ -18,12 +18,12 @@
 use async_executor::LocalExecutor;
 use gingerledge_dispatch::ServerId;
 
-use crate::core::{AttemptId, Order};
+use crate::core::{AttemptId, AttemptRequest};
 use crate::counters::Counters;
 use crate::exchange::Exchange;
 use crate::handover::Presence;
 use crate::limits::Places;
-use crate::routes::{Routes, Told};
+use crate::routes::{BlockOwners, Routes};
 use link::{Limits, Link};
 
 /// Nothing is written to a store so much before the grace after its drain ends: that counts from when discovery told
@@ -77,7 +77,7 @@
     offers: HashMap<String, SocketAddr>,
     stops: RefCell<HashMap<AttemptId, Sender<Word>>>,
     /// What is to be sent once the turn is over.
-    orders: RefCell<Vec<(Order, Receiver<Word>)>>,
+    orders: RefCell<Vec<(AttemptRequest, Receiver<Word>)>>,
     /// Told of the numbers that stores have, where blocks move.
     routes: Option<Rc<Routes>>,
     /// For connections of both forms: open, or being opened.
@@ -141,14 +141,14 @@
             set_ready(site, ready);
         }
         if let Some(routes) = &self.routes {
-            routes.noted(name, id);
+            routes.store_listed(name, id);
         }
         id
     }
 
     /// What has changed of who holds blocks, for the core.
-    pub fn holders(&self) -> Told {
-        self.routes.as_ref().map(|routes| routes.take()).unwrap_or_default()
+    pub fn take_block_owner_changes(&self) -> BlockOwners {
+        self.routes.as_ref().map(|routes| routes.take_owner_changes()).unwrap_or_default()
     }
 
     /// Where a store listens, and whether it wants new work.
@@ -170,7 +170,7 @@
     pub fn remove(&self, name: &str) -> Option<ServerId> {
         let id = self.names.borrow_mut().remove(name)?;
         if let Some(routes) = &self.routes {
-            routes.gone(name);
+            routes.store_removed(name);
         }
         if let Some(site) = self.sites.borrow_mut().remove(&id) {
             set_ready(&site, false);
--- a/broker/tests/calls.rs
+++ b/broker/tests/calls.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 
 use common::rig::{play, Rig, LONG};
-use gingerledge::core::Order;
+use gingerledge::core::AttemptRequest;
 use gingerledge::store::frame;
 use gingerledge_dispatch::Outcome;
 use gingerledge_testkit::scripted::{exchange, listener, query, run, World};
@@ -105,8 +105,8 @@
 #[test]
 fn a_repeat_that_comes_too_late_to_be_written_is_left_out() {
     play(Rig::new(32, 8, 1000), |mut rig| async move {
-        rig.sides.stores.send(Order { within_ms: Some(0.0), ..rig.order(0, LONG) });
-        rig.sides.stores.send(Order { within_ms: Some(LONG), ..rig.order(1, LONG) });
+        rig.sides.stores.send(AttemptRequest { send_within_ms: Some(0.0), ..rig.order(0, LONG) });
+        rig.sides.stores.send(AttemptRequest { send_within_ms: Some(LONG), ..rig.order(1, LONG) });
         rig.turn([2]);
         let mut peer = rig.accept().await;
         assert_eq!(peer.call().await, ids(&[1, 2]));
--- a/broker/tests/common/rig.rs
+++ b/broker/tests/common/rig.rs
@@ -9,8 +9,8 @@
 use async_io::{Async, Timer};
 use futures_lite::AsyncReadExt;
 use gingerledge::clock::Clock;
-use gingerledge::core::{Ask, AttemptId, Form, Happening, Order, QueryId, Question};
-use gingerledge::exchange::Ticket;
+use gingerledge::core::{AttemptId, AttemptRequest, CoreEvent, Form, PartRequest, Query, QueryId};
+use gingerledge::exchange::PendingQuery;
 use gingerledge::store::frame;
 use gingerledge::store::link::Limits;
 use gingerledge::store::Word;
@@ -78,17 +78,17 @@
         Self { sides, store, at, server, ended: BTreeMap::new() }
     }
 
-    pub fn order(&self, part: u64, patience_ms: f64) -> Order {
-        Order {
+    pub fn order(&self, part: u64, patience_ms: f64) -> AttemptRequest {
+        AttemptRequest {
             attempt: AttemptId { part, number: 0 },
             server: self.server,
-            asker: 0,
+            query_id: 0,
             query: "q".into(),
             shard: part as u32,
             text: Rc::from(&b"c41e"[..]),
             form: Form::Opaque,
             patience_ms,
-            within_ms: None,
+            send_within_ms: None,
             key: None,
             second: None,
             fence: None,
@@ -96,25 +96,25 @@
     }
 
     /// A query of one part that is taken, and its number.
-    pub fn asked(&self) -> (Ticket, QueryId) {
+    pub fn asked(&self) -> (PendingQuery, QueryId) {
         self.asked_as("q")
     }
 
     /// The same under another name.
-    pub fn asked_as(&self, name: &str) -> (Ticket, QueryId) {
-        let question = Question {
+    pub fn asked_as(&self, name: &str) -> (PendingQuery, QueryId) {
+        let question = Query {
             name: name.into(),
             class: 0,
             tenant: None,
             deadline: Clock::new().now() + LONG,
             repeated: false,
             key: None,
-            parts: vec![Ask::default()],
+            parts: vec![PartRequest::default()],
             text: Rc::from(&b"c41e"[..]),
             form: Form::Opaque,
         };
         let before = self.sides.counters.queries.get();
-        (self.sides.exchange.ask(question).unwrap(), before + 1)
+        (self.sides.exchange.submit(question).unwrap(), before + 1)
     }
 
     /// A turn that sends these parts.
@@ -134,8 +134,8 @@
     /// Waits until so many parts have ended.
     pub async fn ends(&mut self, count: usize) -> &BTreeMap<u64, Outcome> {
         while self.ended.len() < count {
-            for happening in self.sides.exchange.happened(None).await {
-                if let Happening::Ended(attempt, ended) = happening {
+            for event in self.sides.exchange.next_events(None).await {
+                if let CoreEvent::AttemptEnded(attempt, ended) = event {
                     assert_eq!(self.ended.insert(attempt.part, ended.outcome), None, "ends once");
                 }
             }
--- a/broker/tests/core.rs
+++ b/broker/tests/core.rs
@@ -8,10 +8,11 @@
 use common::{alone, Sides};
 use gingerledge::clock::Clock;
 use gingerledge::core::{
-    Ask, AttemptId, Command, Core, Ended, Final, Form, Happening, Order, Question, Served,
+    AttemptId, AttemptOutcome, AttemptRequest, Command, Core, CoreEvent, FinalAnswer, Form, PartRequest,
+    Query, Served,
 };
 use gingerledge::counters::Counters;
-use gingerledge::exchange::{Exchange, Untaken};
+use gingerledge::exchange::{Exchange, SubmitError};
 use gingerledge_dispatch::{Class, Entry, ListKind, Outcome, Settings};
 
 fn core(class: Class) -> Core {
@@ -35,19 +36,20 @@
     };
     let mut core = Core::new(7, settings, 0.0);
     let entries = (0..3).map(|n| Entry { server: n, cell: n, ..Entry::default() }).collect();
-    core.turn(0.0, [Happening::Listed(ListKind::Complete, entries)]);
+    core.turn(0.0, [CoreEvent::EndpointsListed(ListKind::Complete, entries)]);
     core
 }
 
-fn question(name: &str, shards: &[u32], deadline: f64) -> Question {
+fn question(name: &str, shards: &[u32], deadline: f64) -> Query {
     let weight = 1.0 / shards.len() as f64;
-    let parts = shards.iter().map(|shard| Ask { shard: *shard, weight, ..Ask::default() }).collect();
+    let parts =
+        shards.iter().map(|shard| PartRequest { shard: *shard, weight, ..PartRequest::default() }).collect();
     let (text, form) = (Rc::from(&b"c41e"[..]), Form::Opaque);
     let (name, key) = (name.into(), None);
-    Question { name, class: 0, tenant: None, deadline, repeated: false, key, parts, text, form }
+    Query { name, class: 0, tenant: None, deadline, repeated: false, key, parts, text, form }
 }
 
-fn orders(commands: &[Command]) -> Vec<Order> {
+fn orders(commands: &[Command]) -> Vec<AttemptRequest> {
     let order = |command: &Command| match command {
         Command::Send(order) => Some(order.clone()),
         _ => None,
@@ -55,7 +57,7 @@
     commands.iter().filter_map(order).collect()
 }
 
-fn finals(commands: &[Command]) -> Vec<Final> {
+fn finals(commands: &[Command]) -> Vec<FinalAnswer> {
     let last = |command: &Command| match command {
         Command::Finish(_, answer) => Some(answer.clone()),
         _ => None,
@@ -63,21 +65,24 @@
     commands.iter().filter_map(last).collect()
 }
 
-fn good(attempt: AttemptId, score: u64, value: &[u8]) -> Happening {
+fn good(attempt: AttemptId, score: u64, value: &[u8]) -> CoreEvent {
     let served = Some(Served { score, value: value.into() });
-    Happening::Ended(attempt, Ended { outcome: Outcome::Success, served, report: Vec::new(), newer: None })
+    CoreEvent::AttemptEnded(
+        attempt,
+        AttemptOutcome { outcome: Outcome::Success, served, report: Vec::new(), newer_epoch: None },
+    )
 }
 
 #[test]
 fn a_query_is_answered_once_with_its_values_in_the_order_of_shards() {
     let mut core = core(Class::default());
-    let sent = orders(&core.turn(1.0, [Happening::Asked(1, question("q", &[2, 0], 900.0))]));
+    let sent = orders(&core.turn(1.0, [CoreEvent::QuerySubmitted(1, question("q", &[2, 0], 900.0))]));
     assert_eq!(sent.len(), 2);
     assert!(sent.iter().all(|order| order.patience_ms <= 899.0 && &*order.query == "q"));
     let first = core.turn(5.0, [good(sent[0].attempt, 1, b"a")]);
     assert!(finals(&first).is_empty());
     let end = finals(&core.turn(6.0, [good(sent[1].attempt, 2, b"b"), good(sent[1].attempt, 2, b"again")]));
-    let [Final::Answered { whole: true, values }] = &end[..] else { panic!("{end:?}") };
+    let [FinalAnswer::Answered { whole: true, values }] = &end[..] else { panic!("{end:?}") };
     let shards: Vec<u32> = values.iter().map(|(shard, _)| *shard).collect();
     assert_eq!(shards, [0, 2]);
     assert!(core.turn(7.0, [good(sent[0].attempt, 1, b"late")]).is_empty());
@@ -86,7 +91,7 @@
 #[test]
 fn a_second_step_opens_in_the_same_turn_at_the_highest_scores() {
     let mut core = core(Class { follow_up_parts: 2, ..Class::default() });
-    let sent = orders(&core.turn(1.0, [Happening::Asked(1, question("q", &[0, 1, 2], 900.0))]));
+    let sent = orders(&core.turn(1.0, [CoreEvent::QuerySubmitted(1, question("q", &[0, 1, 2], 900.0))]));
     let ends = sent.iter().map(|order| good(order.attempt, [5, 1, 9][order.shard as usize], b"x"));
     let second = core.turn(2.0, ends.collect::<Vec<_>>());
     assert!(finals(&second).is_empty());
@@ -96,18 +101,18 @@
     let first = second[0].second.as_ref().unwrap();
     assert_eq!((&first.from[..], first.whole), (&[0, 1, 2][..], true));
     let ends = second.iter().map(|order| good(order.attempt, 0, b"y")).collect::<Vec<_>>();
-    assert!(matches!(&finals(&core.turn(3.0, ends))[..], [Final::Answered { whole: true, .. }]));
+    assert!(matches!(&finals(&core.turn(3.0, ends))[..], [FinalAnswer::Answered { whole: true, .. }]));
 }
 
 #[test]
 fn a_part_has_three_attempts_at_the_most_and_never_two_at_once() {
     let mut core = core(Class::default());
-    let mut waiting = orders(&core.turn(1.0, [Happening::Asked(1, question("q", &[0], 1900.0))]));
+    let mut waiting = orders(&core.turn(1.0, [CoreEvent::QuerySubmitted(1, question("q", &[0], 1900.0))]));
     let (mut now, mut made, mut ended) = (1.0, 0, Vec::new());
     while now < 2000.0 {
         assert!(waiting.len() <= 1, "two at once: {waiting:?}");
         made += waiting.len();
-        let ends = waiting.drain(..).map(|o| Happening::Ended(o.attempt, Outcome::Failure.into()));
+        let ends = waiting.drain(..).map(|o| CoreEvent::AttemptEnded(o.attempt, Outcome::Failure.into()));
         let ends: Vec<_> = ends.collect();
         now += 5.0;
         let commands = core.turn(now, ends);
@@ -116,7 +121,7 @@
     }
     assert_eq!(made, 3);
     // Safe to repeat, so refused; and as soon as the last attempt failed, not held until the deadline.
-    assert!(matches!(ended[..], [(at, Final::Refused { .. })] if at < 1500.0), "{ended:?}");
+    assert!(matches!(ended[..], [(at, FinalAnswer::Refused { .. })] if at < 1500.0), "{ended:?}");
 }
 
 /// Where two attempts may be out at once, the one that was not waited for ends later, and may fail.
@@ -124,7 +129,8 @@
 fn the_value_of_a_part_stays_when_its_second_copy_fails() {
     let mut core = with(Class::default(), Settings { parallel: true, ..Settings::default() });
     for (id, now) in [(1, 1.0), (2, 20.0)] {
-        let sent = orders(&core.turn(now, [Happening::Asked(id, question("q", &[0, 1], now + 1900.0))]));
+        let sent =
+            orders(&core.turn(now, [CoreEvent::QuerySubmitted(id, question("q", &[0, 1], now + 1900.0))]));
         let ends: Vec<_> = sent.iter().map(|order| good(order.attempt, 1, b"x")).collect();
         core.turn(now + 10.0, ends.into_iter().take(if id == 1 { 2 } else { 1 }));
         if id == 1 {
@@ -137,18 +143,18 @@
             copy = orders(&core.turn(at, []));
         }
         let late = sent.iter().find(|order| order.shard == copy[0].shard).unwrap();
-        let failed = |order: &Order| Happening::Ended(order.attempt, Outcome::Failure.into());
+        let failed = |order: &AttemptRequest| CoreEvent::AttemptEnded(order.attempt, Outcome::Failure.into());
         let end = core.turn(at, [good(copy[0].attempt, 1, b"y"), failed(late)]);
         let end = finals(&end);
-        assert!(matches!(&end[..], [Final::Answered { values, .. }] if values.len() == 2), "{end:?}");
+        assert!(matches!(&end[..], [FinalAnswer::Answered { values, .. }] if values.len() == 2), "{end:?}");
     }
 }
 
 #[test]
 fn a_query_whose_client_left_is_forgotten() {
     let mut core = core(Class::default());
-    let sent = orders(&core.turn(1.0, [Happening::Asked(1, question("q", &[0], 900.0))]));
-    core.turn(2.0, [Happening::Gone(1)]);
+    let sent = orders(&core.turn(1.0, [CoreEvent::QuerySubmitted(1, question("q", &[0], 900.0))]));
+    core.turn(2.0, [CoreEvent::ClientDisconnected(1)]);
     assert!(core.turn(3.0, [good(sent[0].attempt, 1, b"a")]).is_empty());
     assert!(finals(&core.turn(2000.0, [])).is_empty());
 }
@@ -161,32 +167,32 @@
 #[test]
 fn the_exchange_gives_each_query_one_final_answer() {
     let (exchange, counters, clock) = exchange();
-    let ticket = exchange.ask(question("q", &[0], clock.now() + 60_000.0)).unwrap();
-    let happened = async_io::block_on(exchange.happened(None));
-    let Some(Happening::Asked(id, _)) = happened.front() else { panic!("{happened:?}") };
-    assert!(exchange.finish(*id, Final::Failed));
-    assert!(!exchange.finish(*id, Final::Refused { retry_after_ms: 0.0 }));
-    assert_eq!(async_io::block_on(ticket.answer()), Final::Failed);
+    let ticket = exchange.submit(question("q", &[0], clock.now() + 60_000.0)).unwrap();
+    let happened = async_io::block_on(exchange.next_events(None));
+    let Some(CoreEvent::QuerySubmitted(id, _)) = happened.front() else { panic!("{happened:?}") };
+    assert!(exchange.complete(*id, FinalAnswer::Failed));
+    assert!(!exchange.complete(*id, FinalAnswer::Refused { retry_after_ms: 0.0 }));
+    assert_eq!(async_io::block_on(ticket.answer()), FinalAnswer::Failed);
     assert_eq!((counters.failed.get(), counters.refused.get(), counters.finals_dropped.get()), (1, 0, 1));
 }
 
 #[test]
 fn a_query_that_the_core_forgot_still_ends_at_its_deadline() {
     let (exchange, counters, clock) = exchange();
-    let ticket = exchange.ask(question("q", &[0], clock.now() + 20.0)).unwrap();
-    assert_eq!(async_io::block_on(ticket.answer()), Final::Failed);
+    let ticket = exchange.submit(question("q", &[0], clock.now() + 20.0)).unwrap();
+    assert_eq!(async_io::block_on(ticket.answer()), FinalAnswer::Failed);
     assert_eq!((counters.overdue.get(), exchange.open_queries()), (1, 0));
-    let happened = async_io::block_on(exchange.happened(None));
-    assert!(matches!(happened.back(), Some(Happening::Gone(_))), "the core is told");
+    let happened = async_io::block_on(exchange.next_events(None));
+    assert!(matches!(happened.back(), Some(CoreEvent::ClientDisconnected(_))), "the core is told");
 }
 
 #[test]
 fn the_exchange_is_bounded_and_knows_names_that_are_open() {
     let (exchange, counters, clock) = exchange();
-    let ask = |name: &str, shards: &[u32]| exchange.ask(question(name, shards, clock.now() + 60_000.0));
+    let ask = |name: &str, shards: &[u32]| exchange.submit(question(name, shards, clock.now() + 60_000.0));
     let first = ask("a", &[0]).unwrap();
-    assert_eq!(ask("a", &[0]).unwrap_err(), Untaken::Duplicate);
-    assert_eq!(ask("b", &[0, 1]).unwrap_err(), Untaken::Full);
+    assert_eq!(ask("a", &[0]).unwrap_err(), SubmitError::Duplicate);
+    assert_eq!(ask("b", &[0, 1]).unwrap_err(), SubmitError::Full);
     drop(first);
     assert_eq!(counters.clients_gone.get(), 1);
     ask("a", &[0, 1, 2]).unwrap();
@@ -225,13 +231,13 @@
             ..Settings::default()
         };
         let mut core = with(Class::default(), cold);
-        let sent = orders(&core.turn(1.0, [Happening::Asked(1, question("q", &[0], 900.0))]));
+        let sent = orders(&core.turn(1.0, [CoreEvent::QuerySubmitted(1, question("q", &[0], 900.0))]));
         core.turn(11.0, [good(sent[0].attempt, 1, b"v")]);
         let entries = (0..3).map(|n| Entry { server: n, cell: n, since: 20.0, ..Entry::default() }).collect();
-        core.turn(20.0, [Happening::Listed(ListKind::Complete, entries)]);
-        let told = leaves.then_some(Happening::Leaving);
+        core.turn(20.0, [CoreEvent::EndpointsListed(ListKind::Complete, entries)]);
+        let told = leaves.then_some(CoreEvent::ShutdownStarted);
         core.turn(21.0, told);
-        orders(&core.turn(22.0, [Happening::Asked(2, question("r", &[1], 1900.0))])).len()
+        orders(&core.turn(22.0, [CoreEvent::QuerySubmitted(2, question("r", &[1], 1900.0))])).len()
     };
     assert_eq!((orders_of(false), orders_of(true)), (1, 0));
 }
--- a/broker/tests/drawn/answers.rs
+++ b/broker/tests/drawn/answers.rs
@@ -2,14 +2,14 @@
 
 use std::rc::Rc;
 
-use gingerledge::core::{Final, FirstStep, Order};
+use gingerledge::core::{AttemptRequest, FinalAnswer, FirstStep};
 use gingerledge_dispatch::Repeat;
 
 use crate::rules::{hold, Held, Ledger, Piece, Try, INSTANT, ROUNDING};
 
 impl Ledger {
     /// A turn's orders are looked at for second steps first: their parts count as taken in it.
-    pub fn opened(&mut self, broker: usize, now: f64, order: &Order) -> Held {
+    pub fn opened(&mut self, broker: usize, now: f64, order: &AttemptRequest) -> Held {
         let ask: usize = order.query[1..].parse().unwrap_or(usize::MAX);
         let known = self.records.get(ask).is_some_and(|record| record.broker == broker);
         match &order.second {
@@ -53,7 +53,7 @@
     }
 
     /// A final answer.
-    pub fn finished(&mut self, broker: usize, now: f64, ask: usize, last: &Final) -> Held {
+    pub fn finished(&mut self, broker: usize, now: f64, ask: usize, last: &FinalAnswer) -> Held {
         let record = &mut self.records[ask];
         let said = |what: &str| format!("query {ask} at {now:.3} ms: {what}: {last:?}, {record:?}");
         let owed = record.taken.is_some() && record.broker == broker && !record.gone && !record.ended;
@@ -63,8 +63,8 @@
         let class = &self.set.classes[record.class];
         let pieces = record.second.as_ref().map_or(&record.first, |(_, pieces)| pieces);
         match last {
-            Final::Failed => {}
-            Final::Refused { retry_after_ms } => {
+            FinalAnswer::Failed => {}
+            FinalAnswer::Refused { retry_after_ms } => {
                 let most = self.set.max_retry_after_ms + INSTANT;
                 hold((0.0..=most).contains(retry_after_ms), "one answer", || said("advice"))?;
                 let ran = |t: &Try| t.end.is_none_or(|end| !end.never_ran());
@@ -73,7 +73,7 @@
                 let harmless = class.repeat != Repeat::Unsafe || !ran;
                 hold(harmless, "effect", || said("refused, and may have run"))?;
             }
-            Final::Answered { whole, values } => {
+            FinalAnswer::Answered { whole, values } => {
                 let mut weight = 0.0;
                 for (at, (shard, value)) in values.iter().enumerate() {
                     let given = pieces.iter().find(|piece| piece.shard == *shard);
--- a/broker/tests/drawn/host.rs
+++ b/broker/tests/drawn/host.rs
@@ -3,7 +3,7 @@
 
 use std::rc::Rc;
 
-use gingerledge::core::{Ask, Command, Core, Form, Happening, Order, Question};
+use gingerledge::core::{AttemptRequest, Command, Core, CoreEvent, Form, PartRequest, Query};
 use gingerledge_dispatch::{Entry, ListKind, Outcome, ServerId, Status};
 
 use crate::rules::{hold, Held};
@@ -16,8 +16,8 @@
 /// No two turns of a broker lie closer where nothing happens: the clock's own steps.
 const INSTANT_MS: f64 = 0.001;
 
-pub fn question(ask: usize, asked: &Asked, base: f64, parts: Vec<Ask>) -> Question {
-    Question {
+pub fn question(ask: usize, asked: &Asked, base: f64, parts: Vec<PartRequest>) -> Query {
+    Query {
         name: format!("q{ask}").into(),
         class: asked.class,
         tenant: asked.tenant,
@@ -71,7 +71,7 @@
     }
 
     /// Leaves word for a broker's next turn.
-    pub fn leave_word(&mut self, broker: usize, word: Happening, flight: Option<usize>) {
+    pub fn leave_word(&mut self, broker: usize, word: CoreEvent, flight: Option<usize>) {
         if self.hosts[broker].core.is_some() {
             self.hosts[broker].inbox.push((word, flight));
             self.plan(broker, self.now);
@@ -96,10 +96,10 @@
         self.hosts[broker].idle_turns += usize::from(inbox.is_empty());
         for (word, flight) in &inbox {
             match word {
-                Happening::Asked(id, _) => self.ledger.taken(*id as usize - 1, now),
-                Happening::Gone(id) => self.ledger.left(*id as usize - 1),
-                Happening::Listed(kind, entries) => self.ledger.told(broker, now, *kind, entries),
-                Happening::Ended(attempt, ended) => {
+                CoreEvent::QuerySubmitted(id, _) => self.ledger.taken(*id as usize - 1, now),
+                CoreEvent::ClientDisconnected(id) => self.ledger.left(*id as usize - 1),
+                CoreEvent::EndpointsListed(kind, entries) => self.ledger.told(broker, now, *kind, entries),
+                CoreEvent::AttemptEnded(attempt, ended) => {
                     let given = ended.served.clone().map(|served| (served.score, served.value));
                     if let Some(flight) = flight {
                         self.hosts[broker].flights.remove(attempt);
@@ -126,7 +126,7 @@
                     let place = self.ledger.sent(broker, now, &order)?;
                     orders.push(self.fly(broker, order, place));
                 }
-                Command::GiveUp(attempt) | Command::Abandon(attempt) => {
+                Command::Withdraw(attempt) | Command::Cancel(attempt) => {
                     if let Some(&flight) = self.hosts[broker].flights.get(&attempt) {
                         let way = self.way(broker, self.flights[flight].server, &[flight as u64, 12]);
                         self.at(now + way, What::Cancel(flight));
@@ -139,7 +139,8 @@
                     let wait = 1.0 + self.roll(&[broker as u64, now.to_bits(), 13]) * 50.0;
                     self.at(now + wait, What::Answer(broker, self.hosts[broker].life));
                 }
-                Command::Release(_) | Command::Learn | Command::Because(..) => {}
+                Command::CloseIdleConnections(_) | Command::RefreshBlockMap | Command::CountRejection(..) => {
+                }
             }
         }
         self.call_out(broker, orders);
@@ -152,7 +153,7 @@
     }
 
     /// An attempt leaves its broker.
-    fn fly(&mut self, broker: usize, order: Order, place: crate::rules::Place) -> usize {
+    fn fly(&mut self, broker: usize, order: AttemptRequest, place: crate::rules::Place) -> usize {
         let (id, kind) = (self.flights.len(), &self.scene.kind);
         let asked = &self.scene.asks[place.ask];
         let work = asked.parts.iter().find(|part| part.0 == order.shard).map_or(1.0, |part| part.2);
@@ -319,7 +320,7 @@
         let entries = self.ledger.listed[heard..upto].iter().map(|(_, entry)| entry.clone()).collect();
         self.hosts[broker].heard = upto;
         self.ledger.books[broker].heard = upto;
-        self.leave_word(broker, Happening::Listed(ListKind::Changes, entries), None);
+        self.leave_word(broker, CoreEvent::EndpointsListed(ListKind::Changes, entries), None);
     }
 
     /// The whole list as it stood after so many changes.
@@ -333,7 +334,7 @@
             self.hosts[broker].heard = upto;
             self.ledger.books[broker].heard = upto;
         }
-        self.leave_word(broker, Happening::Listed(kind, entries), None);
+        self.leave_word(broker, CoreEvent::EndpointsListed(kind, entries), None);
     }
 
     /// A call for the list is answered, or not.
@@ -344,7 +345,7 @@
         let fails = self.roll(&[broker as u64, self.now.to_bits(), 32]) < self.scene.telling.call_fails;
         if fails || self.now < self.deaf {
             self.ledger.tally.met("calls for the list that failed");
-            self.leave_word(broker, Happening::Listed(ListKind::Failed, Vec::new()), None);
+            self.leave_word(broker, CoreEvent::EndpointsListed(ListKind::Failed, Vec::new()), None);
         } else {
             self.list(broker, ListKind::Complete, self.ledger.listed.len());
         }
@@ -355,7 +356,7 @@
         self.deaf = self.deaf.max(until);
         for broker in 0..self.hosts.len() {
             if breaks && self.scene.settings.subscribe && self.ledger.follows(broker) {
-                self.leave_word(broker, Happening::Listed(ListKind::Failed, Vec::new()), None);
+                self.leave_word(broker, CoreEvent::EndpointsListed(ListKind::Failed, Vec::new()), None);
             }
         }
     }
--- a/broker/tests/drawn/least.rs
+++ b/broker/tests/drawn/least.rs
@@ -2,7 +2,9 @@
 
 use std::rc::Rc;
 
-use gingerledge::core::{Ask, AttemptId, Command, Core, Ended, Form, Happening, Order, Question, Served};
+use gingerledge::core::{
+    AttemptId, AttemptOutcome, AttemptRequest, Command, Core, CoreEvent, Form, PartRequest, Query, Served,
+};
 use gingerledge_dispatch::{Class, Entry, ListKind, Outcome, Repeat, Settings};
 
 fn class(repeat: Repeat) -> Class {
@@ -31,22 +33,22 @@
     };
     let mut core = Core::new(7, settings, 0.0);
     let entries = (0..stores).map(|server| Entry { server, ..Entry::default() }).collect();
-    core.turn(0.0, [Happening::Listed(ListKind::Complete, entries)]);
+    core.turn(0.0, [CoreEvent::EndpointsListed(ListKind::Complete, entries)]);
     core
 }
 
 /// Asks for so many parts.
-fn ask(core: &mut Core, now: f64, id: u64, class: usize, parts: u32) -> Vec<Order> {
+fn ask(core: &mut Core, now: f64, id: u64, class: usize, parts: u32) -> Vec<AttemptRequest> {
     let weight = 1.0 / f64::from(parts);
-    let parts = (0..parts).map(|shard| Ask { shard, weight, ..Ask::default() }).collect();
+    let parts = (0..parts).map(|shard| PartRequest { shard, weight, ..PartRequest::default() }).collect();
     let (name, text) = (format!("q{id}").into(), Rc::from(&b"x"[..]));
     let deadline = now + 1900.0;
     let (tenant, repeated, key, form) = (None, false, None, Form::Opaque);
-    let question = Question { name, class, tenant, deadline, repeated, key, parts, text, form };
-    orders(core.turn(now, [Happening::Asked(id, question)]))
+    let question = Query { name, class, tenant, deadline, repeated, key, parts, text, form };
+    orders(core.turn(now, [CoreEvent::QuerySubmitted(id, question)]))
 }
 
-fn orders(commands: Vec<Command>) -> Vec<Order> {
+fn orders(commands: Vec<Command>) -> Vec<AttemptRequest> {
     let order = |command| match command {
         Command::Send(order) => Some(order),
         _ => None,
@@ -54,9 +56,9 @@
     commands.into_iter().filter_map(order).collect()
 }
 
-fn good(attempt: AttemptId) -> Happening {
+fn good(attempt: AttemptId) -> CoreEvent {
     let served = Some(Served { score: 1, value: Rc::from(&b"v"[..]) });
-    Happening::Ended(attempt, Ended { served, ..Ended::from(Outcome::Success) })
+    CoreEvent::AttemptEnded(attempt, AttemptOutcome { served, ..AttemptOutcome::from(Outcome::Success) })
 }
 
 /// The window of a keyed part runs from the first attempt that was sent, whichever of two ended first.
@@ -76,9 +78,9 @@
         copy = orders(core.turn(now, []));
         assert!(now < 400.0, "no second copy");
     }
-    core.turn(now + 1.0, [Happening::Ended(copy[0].attempt, Outcome::Broken.into())]);
+    core.turn(now + 1.0, [CoreEvent::AttemptEnded(copy[0].attempt, Outcome::Broken.into())]);
     // What the first copy left may be forgotten 400 ms after it was sent.
-    let sent = orders(core.turn(505.0, [Happening::Ended(first, Outcome::TimedOut.into())]));
+    let sent = orders(core.turn(505.0, [CoreEvent::AttemptEnded(first, Outcome::TimedOut.into())]));
     assert!(sent.is_empty(), "sent again 405 ms after the first attempt: {sent:?}");
 }
 
@@ -103,7 +105,7 @@
         );
     }
     let started = Entry { since: 500.0, ..Entry::default() };
-    core.turn(500.0, [Happening::Listed(ListKind::Changes, vec![started])]);
+    core.turn(500.0, [CoreEvent::EndpointsListed(ListKind::Changes, vec![started])]);
     let mut sent = 0.0;
     for n in 0..200 {
         let class = usize::from(n >= 100);
--- a/broker/tests/drawn/rules.rs
+++ b/broker/tests/drawn/rules.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-use gingerledge::core::{FirstStep, Order, Text};
+use gingerledge::core::{AttemptRequest, FirstStep, Text};
 use gingerledge_dispatch::{Entry, ListKind, Outcome, Repeat, ServerId, Settings, Status};
 
 use crate::scenario::Scenario;
@@ -242,7 +242,7 @@
     }
 
     /// A broker makes an attempt.
-    pub fn sent(&mut self, broker: usize, now: f64, order: &Order) -> Result<Place, Breach> {
+    pub fn sent(&mut self, broker: usize, now: f64, order: &AttemptRequest) -> Result<Place, Breach> {
         let ask: usize = order.query[1..].parse().unwrap_or(usize::MAX);
         let said = |what: String| format!("query {ask}, shard {} at {now:.3} ms: {what}", order.shard);
         let Some(record) = self.records.get(ask).filter(|record| record.broker == broker) else {
--- a/broker/tests/drawn/tally.rs
+++ b/broker/tests/drawn/tally.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use gingerledge::core::Final;
+use gingerledge::core::FinalAnswer;
 use gingerledge_dispatch::Repeat;
 
 /// What a whole run has to meet.
@@ -56,12 +56,12 @@
         self.met_if(out > 0, "two at once");
     }
 
-    pub fn finished(&mut self, last: &Final) {
+    pub fn finished(&mut self, last: &FinalAnswer) {
         self.met(match last {
-            Final::Answered { whole: true, .. } => "whole answers",
-            Final::Answered { .. } => "answers in part",
-            Final::Refused { .. } => "refusals",
-            Final::Failed => "failures",
+            FinalAnswer::Answered { whole: true, .. } => "whole answers",
+            FinalAnswer::Answered { .. } => "answers in part",
+            FinalAnswer::Refused { .. } => "refusals",
+            FinalAnswer::Failed => "failures",
         });
     }
 
--- a/broker/tests/drawn/world.rs
+++ b/broker/tests/drawn/world.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, BinaryHeap};
 use std::rc::Rc;
 
-use gingerledge::core::{AttemptId, Core, Ended, Happening, Served, Text};
+use gingerledge::core::{AttemptId, AttemptOutcome, Core, CoreEvent, Served, Text};
 use gingerledge_dispatch::{Entry, ListKind, Outcome, ServerId, Status};
 
 use crate::rules::{hold, Held, Ledger, Place};
@@ -17,7 +17,7 @@
 #[derive(Debug)]
 pub enum What {
     Turn(usize),
-    Ask(usize),
+    PartRequest(usize),
     Leave(usize),
     Fault(usize),
     /// Parts of one call reach a store.
@@ -64,7 +64,7 @@
     pub core: Option<Core>,
     /// Grows with each start.
     pub life: u32,
-    pub inbox: Vec<(Happening, Option<usize>)>,
+    pub inbox: Vec<(CoreEvent, Option<usize>)>,
     pub last: f64,
     pub planned: Option<u64>,
     pub flights: BTreeMap<AttemptId, usize>,
@@ -125,7 +125,7 @@
             world.ledger.listed.push((f64::NEG_INFINITY, entry));
         }
         (0..scene.brokers.len()).for_each(|broker| world.at(0.0, What::Start(broker)));
-        (0..scene.asks.len()).for_each(|ask| world.at(scene.asks[ask].at, What::Ask(ask)));
+        (0..scene.asks.len()).for_each(|ask| world.at(scene.asks[ask].at, What::PartRequest(ask)));
         (0..scene.faults.len()).for_each(|fault| world.at(scene.faults[fault].0, What::Fault(fault)));
         world
     }
@@ -201,11 +201,11 @@
                 }
             }
             What::Start(broker) => self.start(broker),
-            What::Ask(ask) => self.ask(ask),
+            What::PartRequest(ask) => self.ask(ask),
             What::Leave(ask) => {
                 let broker = self.scene.asks[ask].broker;
                 if self.ledger.open(ask) {
-                    self.leave_word(broker, Happening::Gone(ask as u64 + 1), None);
+                    self.leave_word(broker, CoreEvent::ClientDisconnected(ask as u64 + 1), None);
                 }
             }
             What::Fault(fault) => self.fault(fault),
@@ -229,7 +229,7 @@
                 }
             }
             What::Shared(broker, processes) => {
-                self.leave_word(broker, Happening::Shared(processes), None);
+                self.leave_word(broker, CoreEvent::ProcessCountChanged(processes), None);
             }
         }
         Ok(())
@@ -237,7 +237,7 @@
 
     fn ask(&mut self, ask: usize) {
         let asked = &self.scene.asks[ask];
-        let parts = asked.parts.iter().map(|&(shard, weight, _, cost_ms)| gingerledge::core::Ask {
+        let parts = asked.parts.iter().map(|&(shard, weight, _, cost_ms)| gingerledge::core::PartRequest {
             shard,
             weight,
             cost_ms,
@@ -251,7 +251,7 @@
         if let Some(at) = asked.leaves {
             self.at(at, What::Leave(ask));
         }
-        self.leave_word(broker, Happening::Asked(ask as u64 + 1, question), None);
+        self.leave_word(broker, CoreEvent::QuerySubmitted(ask as u64 + 1, question), None);
     }
 
     /// An attempt ends at its broker, if it has not before.
@@ -264,8 +264,8 @@
             .then(|| Served { score: flight.score, value: flight.value.clone() });
         let (broker, attempt) = (flight.broker, flight.attempt);
         let report = if reports { self.report(id) } else { Vec::new() };
-        let ended = Ended { served, report, ..Ended::from(outcome) };
-        self.leave_word(broker, Happening::Ended(attempt, ended), Some(id));
+        let ended = AttemptOutcome { served, report, ..AttemptOutcome::from(outcome) };
+        self.leave_word(broker, CoreEvent::AttemptEnded(attempt, ended), Some(id));
     }
 
     /// A load report of as many figures as there are, now and then of garbage.
--- a/broker/tests/endings_store.rs
+++ b/broker/tests/endings_store.rs
@@ -11,7 +11,7 @@
 use async_io::{Async, Timer};
 use common::rig::{at_rest, play, shut, Peer, Rig, GUARD, LONG};
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
-use gingerledge::core::{Form, Order};
+use gingerledge::core::{AttemptRequest, Form};
 use gingerledge::http::{Kind, Stream};
 use gingerledge::store::frame;
 use gingerledge::store::link::Limits;
@@ -40,12 +40,12 @@
 /// has whole may have run and the rest never did: the ends say just that.
 async fn stalled(mut rig: Rig, crossing: Crossing) {
     rustix::net::sockopt::set_socket_recv_buffer_size(rig.store.get_ref(), 4096).unwrap();
-    let (ticket, asker) = rig.asked();
-    let within_ms = (crossing == Crossing::WindowOver).then_some(1500.0);
+    let (ticket, query_id) = rig.asked();
+    let send_within_ms = (crossing == Crossing::WindowOver).then_some(1500.0);
     let text: Rc<[u8]> = vec![b'x'; 60_000].into();
     let sent = Instant::now();
     for part in 0..PARTS {
-        let order = Order { asker, within_ms, text: text.clone(), ..rig.order(part, LONG) };
+        let order = AttemptRequest { query_id, send_within_ms, text: text.clone(), ..rig.order(part, LONG) };
         rig.sides.stores.send(order);
     }
     rig.sides.stores.turn_over();
@@ -122,9 +122,9 @@
             Rig::within(Limits { dial: Duration::from_secs(30), ..limits() }, 1000, features),
             |mut rig| async move {
                 let queued = shut(&rig.store);
-                let (ticket, asker) = rig.asked();
+                let (ticket, query_id) = rig.asked();
                 let form = if features { Form::Features } else { Form::Opaque };
-                rig.sides.stores.send(Order { asker, form, ..rig.order(0, LONG) });
+                rig.sides.stores.send(AttemptRequest { query_id, form, ..rig.order(0, LONG) });
                 rig.sides.stores.turn_over();
                 until(|| rig.sides.counters.dials.get() == 1).await;
                 Timer::after(Duration::from_millis(50)).await;
@@ -160,7 +160,7 @@
         peer.call().await;
         peer.answer("q.0").await;
         rig.ends(1).await;
-        let (ticket, asker) = rig.asked();
+        let (ticket, query_id) = rig.asked();
         let (stays, kept) = rig.asked_as("stays");
         // A front's connection: its end drops the ticket.
         let (front, at) = gingerledge_testkit::scripted::listener();
@@ -172,12 +172,12 @@
         };
         rig.sides.executor.spawn(watch).detach();
         // A turn begins, and takes long.
-        rig.sides.exchange.happened(None).await;
+        rig.sides.exchange.next_events(None).await;
         Timer::after(Duration::from_millis(100)).await;
         // The client leaves, and before anybody could look the turn ends.
         drop(client);
-        rig.sides.stores.send(Order { asker, ..rig.order(1, LONG) });
-        rig.sides.stores.send(Order { asker: kept, ..rig.order(2, LONG) });
+        rig.sides.stores.send(AttemptRequest { query_id, ..rig.order(1, LONG) });
+        rig.sides.stores.send(AttemptRequest { query_id: kept, ..rig.order(2, LONG) });
         rig.sides.stores.turn_over();
         assert_eq!(peer.call().await, ["q.2"]);
         assert_eq!(rig.ends(2).await[&1], Outcome::Void);
@@ -189,11 +189,16 @@
 fn the_window_of_a_repeat_counts_from_the_beginning_of_its_turn() {
     for features in [false, true] {
         play(Rig::within(limits(), 1000, features), |mut rig| async move {
-            let (_ticket, asker) = rig.asked();
-            rig.sides.exchange.happened(None).await;
+            let (_ticket, query_id) = rig.asked();
+            rig.sides.exchange.next_events(None).await;
             Timer::after(Duration::from_millis(100)).await;
             let form = if features { Form::Features } else { Form::Opaque };
-            rig.sides.stores.send(Order { asker, form, within_ms: Some(60.0), ..rig.order(0, LONG) });
+            rig.sides.stores.send(AttemptRequest {
+                query_id,
+                form,
+                send_within_ms: Some(60.0),
+                ..rig.order(0, LONG)
+            });
             rig.sides.stores.turn_over();
             assert_eq!(rig.ends(1).await[&0], Outcome::Void);
         });
@@ -216,7 +221,7 @@
 }
 
 fn ask(rig: &Rig, part: u64) {
-    rig.sides.stores.send(Order { form: Form::Features, ..rig.order(part, LONG) });
+    rig.sides.stores.send(AttemptRequest { form: Form::Features, ..rig.order(part, LONG) });
     rig.sides.stores.turn_over();
 }
 
--- a/broker/tests/golden.rs
+++ b/broker/tests/golden.rs
@@ -19,9 +19,9 @@
 use gingerledge::geojson::{page, Id};
 use gingerledge::handover::{Other, Presence};
 use gingerledge::http::{self, parse_head, Head};
-use gingerledge::plug::{self, Host, Subsystem};
 use gingerledge::rotation::{Marks, Rotation};
 use gingerledge::store::frame::{self, End, Frame};
+use gingerledge::subsystem::{self, Host, Subsystem};
 use gingerledge_blocks::*;
 use gingerledge_golden::{compare, read, Sample};
 use gingerledge_testkit::scripted;
@@ -315,8 +315,8 @@
             Sample::new("answer on a kept connection", http::answer(200, "", b"{}", true)),
             Sample::new("page", read.features.join(",")),
             Sample::new("next", next),
-            Sample::new("admin words", plug::Reply::words(409, "paused").body),
-            Sample::new("admin JSON", plug::Reply::json(&json!({ "b": 1, "a": [null, 0.5] })).body),
+            Sample::new("admin words", subsystem::Reply::text(409, "paused").body),
+            Sample::new("admin JSON", subsystem::Reply::json(&json!({ "b": 1, "a": [null, 0.5] })).body),
             Sample::new("counters", Counters::default().to_string()),
         ],
     );
@@ -414,7 +414,7 @@
     };
     let fleet = gingerledge::fleet::Fleet::start(set, &host, 1).unwrap();
     let request = head("GET /fleet/members HTTP/1.1");
-    let reply = futures_lite::future::block_on(fleet.ask(&request, b""));
+    let reply = futures_lite::future::block_on(fleet.handle_request(&request, b""));
     let mut shown: serde_json::Value = serde_json::from_slice(&reply.body).unwrap();
     // The clock's time is the only thing in it that differs from run to run.
     for member in shown["members"].as_array_mut().unwrap() {
--- a/broker/tests/keyed.rs
+++ b/broker/tests/keyed.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 
 use gingerledge::core::{
-    Ask, Command, Core, Form, Guard, Happening, IdempotencyKey, Order, Question, KEY_MAX,
+    AttemptRequest, Command, Core, CoreEvent, Form, Guard, IdempotencyKey, PartRequest, Query, KEY_MAX,
 };
 use gingerledge_dispatch::{Class, Entry, ListKind, Outcome, Repeat, Settings};
 use gingerledge_testkit::scripted::{exchange, get, query, run, Mood, World};
@@ -122,7 +122,7 @@
     });
 }
 
-fn orders(commands: Vec<Command>) -> Vec<Order> {
+fn orders(commands: Vec<Command>) -> Vec<AttemptRequest> {
     let order = |command| if let Command::Send(order) = command { Some(order) } else { None };
     commands.into_iter().filter_map(order).collect()
 }
@@ -160,22 +160,22 @@
         settings.classes[0].deduplication_ms = 8000.0;
         let mut core = Core::new(7, settings, 0.0).with_guard(guard);
         let entries = (0..3).map(|n| Entry { server: n, cell: n, ..Entry::default() }).collect();
-        core.turn(0.0, [Happening::Listed(ListKind::Complete, entries)]);
-        let question = Question {
+        core.turn(0.0, [CoreEvent::EndpointsListed(ListKind::Complete, entries)]);
+        let question = Query {
             name: "q".into(),
             class: 0,
             tenant: None,
             deadline: 9000.0,
             repeated: false,
             key: Some(IdempotencyKey::new(KEY).unwrap()),
-            parts: vec![Ask { shard: 0, weight: 1.0, ..Ask::default() }],
+            parts: vec![PartRequest { shard: 0, weight: 1.0, ..PartRequest::default() }],
             text: Rc::from(&b"x"[..]),
             form: Form::Opaque,
         };
-        let first = orders(core.turn(1.0, [Happening::Asked(1, question)]));
-        let [Order { attempt, key: Some(key), .. }] = &first[..] else { panic!("{first:?}") };
+        let first = orders(core.turn(1.0, [CoreEvent::QuerySubmitted(1, question)]));
+        let [AttemptRequest { attempt, key: Some(key), .. }] = &first[..] else { panic!("{first:?}") };
         assert_eq!(key.as_str(), KEY);
-        let second = orders(core.turn(1.0 + after, [Happening::Ended(*attempt, outcome.into())]));
+        let second = orders(core.turn(1.0 + after, [CoreEvent::AttemptEnded(*attempt, outcome.into())]));
         assert_eq!(second.len() == 1, again, "{outcome:?} after {after} ms");
         assert!(second.iter().all(|order| order.key == first[0].key));
     }
--- a/broker/tests/steady.rs
+++ b/broker/tests/steady.rs
@@ -9,8 +9,10 @@
 
 use common::Sides;
 use fastrand::Rng;
-use gingerledge::core::{Ask, AttemptId, Command, Core, Ended, Form, Happening, QueryId, Question, Served};
-use gingerledge::exchange::Ticket;
+use gingerledge::core::{
+    AttemptId, AttemptOutcome, Command, Core, CoreEvent, Form, PartRequest, Query, QueryId, Served,
+};
+use gingerledge::exchange::PendingQuery;
 use gingerledge_dispatch::{Class, Outcome, Repeat, Settings};
 
 const CELLS: usize = 20;
@@ -25,7 +27,7 @@
     now: f64,
     core: Core,
     sides: Sides,
-    tickets: HashMap<QueryId, Ticket>,
+    tickets: HashMap<QueryId, PendingQuery>,
     /// When attempts end, and how.
     ends: BTreeMap<(u64, AttemptId), Outcome>,
     due: HashMap<AttemptId, u64>,
@@ -105,18 +107,18 @@
         let (first, parts) = (self.rng.usize(..CELLS), [8, 4, 2][class]);
         let shards = (0..parts).map(|n| ((first + n) % CELLS) as u32);
         let weight = 1.0 / parts as f64;
-        let question = Question {
+        let question = Query {
             name: format!("q{}", self.asked).into(),
             class,
             tenant: None,
             deadline: self.now + 300.0 + self.rng.f64() * 2700.0,
             repeated: false,
             key: None,
-            parts: shards.map(|shard| Ask { shard, weight, ..Ask::default() }).collect(),
+            parts: shards.map(|shard| PartRequest { shard, weight, ..PartRequest::default() }).collect(),
             text: Rc::from(&b"x"[..]),
             form: Form::Opaque,
         };
-        if let Ok(ticket) = self.sides.exchange.ask(question) {
+        if let Ok(ticket) = self.sides.exchange.submit(question) {
             self.tickets.insert(self.asked, ticket);
         }
     }
@@ -142,7 +144,7 @@
             let gone = self.tickets.keys().copied().min();
             gone.map(|id| self.tickets.remove(&id));
         }
-        let waiting = async_io::block_on(self.sides.exchange.happened(Some(0.0)));
+        let waiting = async_io::block_on(self.sides.exchange.next_events(Some(0.0)));
         let mut happened: Vec<_> = waiting.into();
         while let Some(((at, attempt), outcome)) = self.ends.pop_first() {
             if at as f64 > self.now {
@@ -152,8 +154,8 @@
             self.due.remove(&attempt);
             let served =
                 (outcome == Outcome::Success).then(|| Served { score: 1, value: Rc::from(&b"v"[..]) });
-            let ended = Ended { outcome, served, report: Vec::new(), newer: None };
-            happened.push(Happening::Ended(attempt, ended));
+            let ended = AttemptOutcome { outcome, served, report: Vec::new(), newer_epoch: None };
+            happened.push(CoreEvent::AttemptEnded(attempt, ended));
         }
         for command in self.core.turn(self.now, happened) {
             match command {
@@ -168,11 +170,11 @@
                     };
                     self.end_at(order.attempt, wait.min(order.patience_ms), outcome);
                 }
-                Command::GiveUp(attempt) if self.due.contains_key(&attempt) => {
+                Command::Withdraw(attempt) if self.due.contains_key(&attempt) => {
                     self.end_at(attempt, 8.0, Outcome::Withdrawn);
                 }
                 Command::Finish(query, answer) => {
-                    self.sides.exchange.finish(query, answer);
+                    self.sides.exchange.complete(query, answer);
                     self.tickets.remove(&query);
                 }
                 _ => {}
