--- a/broker/src/admin.rs
+++ b/broker/src/admin.rs
@@ -1,5 +1,5 @@
-//! The operators' door: HTTP/1.1, one call to a connection. It reads a call, makes a [`Call`] of it and
-//! passes that on; a 2xx means that it is done. Calls below a subsystem's path are that subsystem's ([`plug`]).
+//! The admin endpoint of operators: HTTP/1.1, one request for each connection. A request is parsed to a [`Call`] and carried
+//! out before its 2xx response. Requests below a subsystem's path are handled by it ([`subsystem`]).
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -14,10 +14,10 @@
 
 use crate::clock::Clock;
 use crate::counters::{count, Counters};
-use crate::discovery::{Discovery, Unrotated};
+use crate::discovery::{Discovery, RotationError};
 use crate::http::{self, Ending, Fault, Head, Kind, Stream};
 use crate::lifecycle::Lifecycle;
-use crate::limits::Places;
+use crate::limits::ConnectionSlots;
 use crate::rotation;
 use crate::subsystem::{self, Subsystem};
 
@@ -26,31 +26,35 @@
 const WRITE_WITHIN: Duration = Duration::from_millis(1000);
 /// The answer is on its way, and the caller may be sending still.
 const LINGER: Duration = Duration::from_millis(250);
-const ACCEPT_AGAIN: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// What an operator asks for.
+/// An operator's request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Call {
-    /// To take a reading store out, or (false) to put it back.
+    /// Disable a reading store, or enable it again.
     Store {
-        /// Which.
+        /// Id of the store.
         id: String,
-        /// Whether it is to be out.
+        /// Whether to disable it.
         out: bool,
     },
-    /// Whether this process can serve.
+    /// Report whether this process is ready.
     Ready,
-    /// To drain the broker.
+    /// Start to drain the broker.
     Drain,
-    /// To end the drain.
+    /// End the drain.
     Undrain,
 }
 
-/// A status and a few words.
+/// An HTTP status and a text.
 pub type Reply = (u16, String);
 
-/// Makes a call of a request, or says what is wrong with it.
-pub fn call(head: &Head, body: &[u8]) -> Result<Call, Reply> {
+/// Parses a request.
+///
+/// # Errors
+///
+/// The response to a request that is no call.
+pub fn parse_call(head: &Head, body: &[u8]) -> Result<Call, Reply> {
     let id = std::str::from_utf8(body).unwrap_or_default().trim();
     let store = |out| ("PUT", Call::Store { id: id.to_owned(), out });
     let (method, call) = match head.path() {
@@ -74,20 +78,20 @@
     Ok(call)
 }
 
-/// The door.
-pub struct Door {
+/// Serves the admin endpoint.
+pub struct AdminServer {
     lifecycle: Rc<Lifecycle>,
     discovery: Rc<Discovery>,
     subsystems: Rc<[Rc<dyn Subsystem>]>,
     clock: Clock,
     counters: Rc<Counters>,
     executor: Rc<LocalExecutor<'static>>,
-    /// Connections without a whole call, the oldest first.
+    /// Connections without a complete request, oldest first.
     waiting: RefCell<VecDeque<Sender<()>>>,
 }
 
-impl Door {
-    /// A door to this broker.
+impl AdminServer {
+    /// The admin endpoint of this broker.
     pub fn new(
         lifecycle: &Rc<Lifecycle>,
         discovery: &Rc<Discovery>,
@@ -111,28 +115,28 @@
 
     /// Accepts and serves, for as long as the process runs.
     pub async fn run(self: Rc<Self>, listener: Async<TcpListener>, most: usize) {
-        let places = Places::new(most);
+        let slots = ConnectionSlots::new(most);
         loop {
-            let Some(held) = places.take() else {
-                // Guards against callers that hold a connection without a call: they never hold up one.
-                self.make_room();
+            let Some(slot) = slots.try_acquire() else {
+                // Callers that hold connections without a request must not delay others.
+                self.evict_oldest();
                 let later = async {
-                    Timer::after(ACCEPT_AGAIN).await;
+                    Timer::after(ACCEPT_RETRY_DELAY).await;
                 };
-                or(places.freed(), later).await;
+                or(slots.freed(), later).await;
                 continue;
             };
             let socket = match listener.accept().await {
                 Ok((socket, _)) => socket,
                 Err(e) => {
-                    log::warn!("operators' door: {e}");
-                    Timer::after(ACCEPT_AGAIN).await;
+                    log::warn!(error:% = e; "accepting an operator's connection failed");
+                    Timer::after(ACCEPT_RETRY_DELAY).await;
                     continue;
                 }
             };
-            // Half are for those whose call has been answered.
-            if places.taken() > most.div_ceil(2) {
-                self.make_room();
+            // Half of the slots are for connections whose request was answered.
+            if slots.taken() > most.div_ceil(2) {
+                self.evict_oldest();
             }
             let this = self.clone();
             let (leave, left) = async_channel::bounded(1);
@@ -140,18 +144,18 @@
             let serve = async move {
                 let mut stream = Stream::new(socket);
                 let read = async { Some(this.read(&mut stream).await) };
-                let crowded = async {
+                let evicted = async {
                     let _ = left.recv().await;
                     None
                 };
-                let call = or(read, crowded).await;
+                let call = or(read, evicted).await;
                 this.waiting.borrow_mut().retain(|other| !other.same_channel(&leave));
                 if let Some(Some(call)) = call {
                     let subsystem::Reply { status, kind, body } = match call {
                         Ok((head, body)) => this.answer(&head, &body).await,
                         Err((status, words)) => subsystem::Reply::text(status, &words),
                     };
-                    log::debug!("operators' door: {status}");
+                    log::debug!(status; "admin request answered");
                     count(&this.counters.admin_calls);
                     let bytes = http::answer(status, &format!("Content-Type: {kind}\r\n"), &body, false);
                     if stream.write(&bytes, WRITE_WITHIN).await.is_ok() {
@@ -160,20 +164,20 @@
                 } else if call.is_none() {
                     stream.finish(LINGER).await;
                 }
-                drop(held);
+                drop(slot);
             };
             self.executor.spawn(serve).detach();
         }
     }
 
-    /// Has the oldest connection without a whole call make room.
-    fn make_room(&self) {
+    /// Evicts the oldest connection without a complete request.
+    fn evict_oldest(&self) {
         if let Some(oldest) = self.waiting.borrow_mut().pop_front() {
             let _ = oldest.try_send(());
         }
     }
 
-    /// Reads a call; nothing if the caller has closed.
+    /// Reads a request; `None` if the caller closed the connection.
     async fn read(&self, stream: &mut Stream) -> Option<Result<(Head, Vec<u8>), Reply>> {
         let by = Instant::now() + CALL_WITHIN;
         let left = || by.saturating_duration_since(Instant::now());
@@ -191,12 +195,12 @@
         Some(Err((fault.status(), fault.to_string())))
     }
 
-    /// Answers a call: the subsystem whose path it names does, or the door itself.
+    /// Handles a request, or passes it to the subsystem whose path it names.
     async fn answer(&self, head: &Head, body: &[u8]) -> subsystem::Reply {
         if let Some(subsystem) = subsystem::find(&self.subsystems, head.path()) {
             return subsystem.handle_request(head, body).await;
         }
-        let (status, words) = match call(head, body) {
+        let (status, words) = match parse_call(head, body) {
             Ok(call) => self.carry_out(call).await,
             Err(no) => no,
         };
@@ -212,11 +216,11 @@
                 self.lifecycle.drain();
                 yes("draining")
             }
-            Call::Store { id, out } => match self.discovery.rotate(&id, out, self.clock.now()).await {
+            Call::Store { id, out } => match self.discovery.set_disabled(&id, out, self.clock.now()).await {
                 Ok(()) => yes(if out { "out" } else { "back" }),
-                Err(Unrotated::Unknown) => (404, format!("no store {id}")),
-                Err(Unrotated::NoList) => (503, "no list of stores yet".to_owned()),
-                Err(Unrotated::Unwritten(e)) => (500, format!("not done: {e}")),
+                Err(RotationError::Unknown) => (404, format!("no store {id}")),
+                Err(RotationError::NoList) => (503, "no list of stores yet".to_owned()),
+                Err(RotationError::Unwritten(e)) => (500, format!("not done: {e}")),
             },
             Call::Undrain if self.lifecycle.undrain() => yes("serving"),
             Call::Undrain => (409, "about to end".to_owned()),
--- a/broker/src/blocks/boss.rs
+++ b/broker/src/blocks/boss.rs
@@ -327,7 +327,8 @@
 
     /// Whether a store waits to be empty.
     fn leaves(&self, store: StoreId) -> bool {
-        let ready = self.coordinator.name(store).and_then(|name| self.blocks.stores.site(name));
+        let ready =
+            self.coordinator.name(store).and_then(|name| self.blocks.stores.address_and_readiness(name));
         ready.is_some_and(|(_, ready)| !ready)
     }
 
--- a/broker/src/blocks/mod.rs
+++ b/broker/src/blocks/mod.rs
@@ -158,7 +158,7 @@
     }
 
     fn address(&self, store: &str) -> Option<SocketAddr> {
-        self.stores.site(store).map(|(address, _)| address)
+        self.stores.address_and_readiness(store).map(|(address, _)| address)
     }
 }
 
--- a/broker/src/cli/blocks.rs
+++ b/broker/src/cli/blocks.rs
@@ -4,12 +4,12 @@
 use serde_json::{json, Value};
 
 use super::table::{rows, table, text};
-use super::{door, validate, Look};
+use super::{admin, validate, QueryArguments};
 
 #[derive(Args)]
 pub struct Arguments {
     #[command(flatten)]
-    look: Look,
+    query: QueryArguments,
     #[command(subcommand)]
     what: Command,
 }
@@ -81,9 +81,9 @@
 pub fn run(arguments: &Arguments) -> Result<(), String> {
     let put = |path: &str, body: Value| {
         let body = if body.is_null() { String::new() } else { body.to_string() };
-        let said = door::ask(arguments.look.door, "PUT", path, &body)?;
+        let said = admin::request(arguments.query.admin, "PUT", path, &body)?;
         let words = String::from_utf8_lossy(&said).trim().to_owned();
-        match arguments.look.json {
+        match arguments.query.json {
             true => println!("{}", json!({ "done": words })),
             false => println!("{words}"),
         }
@@ -104,7 +104,7 @@
         Command::Split { block, at } => put("/blocks/split", json!({ "block": block, "at": at })),
         Command::Merge { block, with } => put("/blocks/merge", json!({ "block": block, "with": with })),
         Command::Abandon { change } => put("/blocks/abandon", json!({ "change": change })),
-        Command::Validate { file, against } => validate::run(file, against.as_deref(), arguments.look.json),
+        Command::Validate { file, against } => validate::run(file, against.as_deref(), arguments.query.json),
         Command::Pause => put("/blocks/pause", Value::Null),
         Command::Resume => put("/blocks/resume", Value::Null),
     }
@@ -114,14 +114,14 @@
     let mut next = Some(from);
     let (mut first, mut blocks) = (None, Vec::new());
     while let Some(at) = next {
-        let page = door::json(arguments.look.door, "GET", &format!("/blocks?from={at}"))?;
+        let page = admin::json(arguments.query.admin, "GET", &format!("/blocks?from={at}"))?;
         next = page["next"].as_u64().map(|next| next as u32).filter(|_| !changes);
         blocks.extend(page["blocks"].as_array().cloned().unwrap_or_default());
         first.get_or_insert(page);
     }
     let mut shown = first.unwrap_or_default();
     shown["blocks"] = if changes { json!([]) } else { blocks.into() };
-    if arguments.look.json {
+    if arguments.query.json {
         println!("{shown}");
         return Ok(());
     }
@@ -153,8 +153,8 @@
 }
 
 fn plan(arguments: &Arguments, run: bool) -> Result<(), String> {
-    let plan = door::json(arguments.look.door, if run { "PUT" } else { "GET" }, "/blocks/plan")?;
-    if arguments.look.json {
+    let plan = admin::json(arguments.query.admin, if run { "PUT" } else { "GET" }, "/blocks/plan")?;
+    if arguments.query.json {
         println!("{plan}");
         return Ok(());
     }
--- a/broker/src/cli/fleet.rs
+++ b/broker/src/cli/fleet.rs
@@ -1,13 +1,13 @@
 //! `gingerledge fleet`: who of the brokers lives, as one of them sees it.
 
 use super::table::{rows, table};
-use super::{door, Look};
+use super::{admin, QueryArguments};
 use clap::{Args, Subcommand};
 
 #[derive(Args)]
 pub struct Arguments {
     #[command(flatten)]
-    look: Look,
+    query: QueryArguments,
     #[command(subcommand)]
     what: Command,
 }
@@ -21,8 +21,8 @@
 /// Carries a command out.
 pub fn run(arguments: &Arguments) -> Result<(), String> {
     let Command::Members = arguments.what;
-    let shown = door::json(arguments.look.door, "GET", "/fleet/members")?;
-    if arguments.look.json {
+    let shown = admin::json(arguments.query.admin, "GET", "/fleet/members")?;
+    if arguments.query.json {
         println!("{shown}");
         return Ok(());
     }
--- a/broker/src/cli/mod.rs
+++ b/broker/src/cli/mod.rs
@@ -1,7 +1,7 @@
 //! The command line: to serve, to check configuration, and to speak to the operators' door of a broker that runs.
 
+mod admin;
 mod blocks;
-mod door;
 mod fleet;
 mod table;
 mod validate;
@@ -40,17 +40,17 @@
 
 /// Where to call.
 #[derive(Args, Clone, Copy, Debug)]
-struct Door {
+struct AdminArguments {
     /// The operators' door.
-    #[arg(long, env = "LB_ADMIN_ADDR", global = true)]
-    door: Option<SocketAddr>,
+    #[arg(id = "door", long, value_name = "DOOR", env = "LB_ADMIN_ADDR", global = true)]
+    address: Option<SocketAddr>,
 }
 
 /// Where to call for something to look at, and how it is printed.
 #[derive(Args, Clone, Copy, Debug)]
-struct Look {
+struct QueryArguments {
     #[command(flatten)]
-    door: Door,
+    admin: AdminArguments,
     /// Print what the door says as JSON.
     #[arg(long, global = true)]
     json: bool,
@@ -59,7 +59,7 @@
 #[derive(Args)]
 struct BrokerArguments {
     #[command(flatten)]
-    door: Door,
+    admin: AdminArguments,
     #[command(subcommand)]
     what: BrokerCommand,
 }
@@ -77,7 +77,7 @@
 #[derive(Args)]
 struct StoreArguments {
     #[command(flatten)]
-    door: Door,
+    admin: AdminArguments,
     #[command(subcommand)]
     what: StoreCommand,
 }
@@ -103,20 +103,20 @@
         Some(Command::Check) => check().map_err(|e| e.to_string()),
         Some(Command::Blocks(arguments)) => blocks::run(&arguments),
         Some(Command::Fleet(arguments)) => fleet::run(&arguments),
-        Some(Command::Broker(BrokerArguments { door, what })) => {
+        Some(Command::Broker(BrokerArguments { admin, what })) => {
             let (method, path) = match what {
                 BrokerCommand::Ready => ("GET", "/ready"),
                 BrokerCommand::Drain => ("PUT", "/drain"),
                 BrokerCommand::Undrain => ("PUT", "/undrain"),
             };
-            door::say(door, method, path, "")
+            admin::print(admin, method, path, "")
         }
-        Some(Command::Store(StoreArguments { door, what })) => {
+        Some(Command::Store(StoreArguments { admin, what })) => {
             let (path, store) = match &what {
                 StoreCommand::Out { store } => ("/reading-stores/disable", store),
                 StoreCommand::Back { store } => ("/reading-stores/enable", store),
             };
-            door::say(door, "PUT", path, store)
+            admin::print(admin, "PUT", path, store)
         }
     };
     match done {
--- a/broker/src/discovery/calls.rs
+++ b/broker/src/discovery/calls.rs
@@ -1,5 +1,5 @@
-//! The calls: carries out what [`Watching`] asks for. A call has no time of its own: when it is silent the machine
-//! says, and it is dropped.
+//! The driver of [`Watching`](super::watching::Watching): makes its calls to the discovery service. Time-outs are decided by
+//! the machine alone; a call that timed out is dropped.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -17,13 +17,13 @@
 use crate::faults;
 use crate::http::{self, Kind, Stream};
 
-/// Longer than the machine waits for anything.
-const LONG: Duration = Duration::from_secs(3600);
+/// Longer than any wait of the machine.
+const UNBOUNDED: Duration = Duration::from_secs(3600);
 
 type Calling = Pin<Box<dyn Future<Output = String>>>;
 
 impl Discovery {
-    /// Calls discovery whenever that is due, and keeps a watch for as long as it stands.
+    /// Calls discovery whenever the machine requests it, for as long as the process runs.
     pub async fn run(self: Rc<Self>) {
         let mut calling: Option<(Call, Calling)> = None;
         loop {
@@ -32,7 +32,7 @@
                 (Event::Moved, None)
             };
             let wanted = async {
-                let _ = self.asks.1.recv().await;
+                let _ = self.subscriptions.1.recv().await;
                 (Event::Wanted, None)
             };
             let ended = async {
@@ -54,13 +54,13 @@
             };
             let (event, fault) = or(or(moved, ended), or(wanted, late)).await;
             if let (Some(fault), Some((call, _))) = (fault, calling.take_if(|_| event == Event::Ended)) {
-                self.note_fault(call, &fault);
+                self.log_fault(call, &fault);
             }
-            for action in self.happened(event) {
+            for action in self.on_event(event) {
                 match action {
                     Action::Leave => {
                         if let Some((call, _)) = calling.take().filter(|_| event == Event::Due) {
-                            self.note_fault(call, "silent");
+                            self.log_fault(call, "silent");
                         }
                     }
                     Action::Call(call) => {
@@ -75,21 +75,21 @@
         }
     }
 
-    fn happened(&self, event: Event) -> Vec<Action> {
+    fn on_event(&self, event: Event) -> Vec<Action> {
         self.watching.borrow_mut().handle(event, Instant::now())
     }
 
-    fn note_fault(&self, call: Call, fault: &str) {
+    fn log_fault(&self, call: Call, fault: &str) {
         if call == Call::Watch {
             count(&self.counters.list_failures);
         }
-        // An agent that is silent is called several times a second.
+        // An unresponsive agent is called several times a second.
         let level =
             if self.watching.borrow().unanswered() < 2 { log::Level::Info } else { log::Level::Debug };
-        log::log!(level, "discovery: {call:?} ended: {fault}");
+        log::log!(level, call:?, fault; "discovery call ended");
     }
 
-    /// Calls; resolves with what ended it.
+    /// Makes a call; resolves with the reason for its end.
     async fn call(self: Rc<Self>, call: Call) -> String {
         match call {
             Call::Watch => match self.watch().await {
@@ -97,8 +97,8 @@
             },
             Call::List => match self.fetch().await {
                 Ok(list) => {
-                    self.hear(&list);
-                    self.happened(Event::Heard);
+                    self.on_list(&list);
+                    self.on_event(Event::Heard);
                     "the list was given, and no watch".to_owned()
                 }
                 Err(fault) => fault,
@@ -106,12 +106,12 @@
         }
     }
 
-    /// Tells the core of a list that came.
-    fn hear(&self, list: &List) {
+    /// Applies a received list, and reports to the machine whether it was newer.
+    fn on_list(&self, list: &List) {
         let before = self.since.get();
-        self.tell(list, false);
+        self.apply(list, false);
         if self.since.get() != before {
-            self.happened(Event::Told);
+            self.on_event(Event::Told);
         }
     }
 
@@ -120,16 +120,16 @@
         if faults::point("discovery.call") {
             return Err("no call: a fault on demand".to_owned());
         }
-        let socket = http::connect(address, LONG).await.map_err(|e| e.to_string())?;
-        self.happened(Event::Connected);
+        let socket = http::connect(address, UNBOUNDED).await.map_err(|e| e.to_string())?;
+        self.on_event(Event::Connected);
         // Guards a large fleet: the list of a thousand stores, in one chunk, is longer than any other body.
         let mut stream = Stream::new(socket).up_to(LIST_MAX);
         let request = format!("GET {target} HTTP/1.1\r\nHost: {address}\r\nAccept: application/json\r\n\r\n");
-        stream.write(request.as_bytes(), LONG).await.map_err(|e| e.to_string())?;
-        let head = stream.head(Kind::Answer, LONG).await.map_err(|e| format!("{e:?}"))?;
+        stream.write(request.as_bytes(), UNBOUNDED).await.map_err(|e| e.to_string())?;
+        let head = stream.head(Kind::Answer, UNBOUNDED).await.map_err(|e| format!("{e:?}"))?;
         match head.status {
             200 => {
-                self.happened(Event::Answered);
+                self.on_event(Event::Answered);
                 Ok((stream, head))
             }
             status => Err(format!("status {status}")),
@@ -138,11 +138,11 @@
 
     async fn fetch(&self) -> Result<List, String> {
         let (mut stream, head) = self.get("/v1/endpoints").await?;
-        let body = stream.body(head.framing, LONG).await.map_err(|e| format!("{e:?}"))?;
+        let body = stream.body(head.framing, UNBOUNDED).await.map_err(|e| format!("{e:?}"))?;
         parse(&body).map_err(|fault| fault.to_string())
     }
 
-    /// Watches until the watch ends, which it always does with a fault.
+    /// Reads a watch until it ends, which always is an error.
     async fn watch(&self) -> Result<std::convert::Infallible, String> {
         let target = match self.since.get() {
             Some(version) => format!("/v1/endpoints?follow=1&since={version}"),
@@ -154,26 +154,28 @@
         }
         let mut lists = Lists::default();
         loop {
-            let chunk = stream.chunk(LONG).await.map_err(|e| format!("{e:?}"))?;
+            let chunk = stream.chunk(UNBOUNDED).await.map_err(|e| format!("{e:?}"))?;
             let chunk = chunk.ok_or("ended")?;
             lists.push(&chunk);
-            let mut whole = false;
+            let mut complete = false;
             while let Some(list) = lists.next().map_err(|fault| fault.to_string())? {
-                whole = true;
-                if let Some(held) = self.since.get().filter(|held| !list.reset && list.generation < *held) {
-                    // Guards against changes to a list that is no longer held: they would bring back what is gone, or take
-                    // out what came since. Only a whole list may be older, of a service that began anew; it is asked for next.
+                complete = true;
+                if let Some(current) =
+                    self.since.get().filter(|current| !list.reset && list.generation < *current)
+                {
+                    // Changes to an older list would restore removed stores or remove newer ones. Only a complete list may be
+                    // older, from a restarted service; it is requested next.
                     self.since.set(None);
-                    self.happened(Event::Told);
-                    return Err(format!("changes of generation {} to a list of {held}", list.generation));
+                    self.on_event(Event::Told);
+                    return Err(format!("changes of generation {} to a list of {current}", list.generation));
                 }
-                self.hear(&list);
+                self.on_list(&list);
             }
-            // Guards clients, on the same thread, against a watch that talks faster than it can be read.
+            // Lets other tasks of this thread run, even if the watch sends faster than it can be read.
             yield_now().await;
-            // Guards against the beginning of a list with empty lines behind it: what began has to come whole.
-            if whole || !lists.begun() {
-                self.happened(Event::Heard);
+            // Heartbeats behind the beginning of a list do not count: the list must be completed first.
+            if complete || !lists.begun() {
+                self.on_event(Event::Heard);
             }
         }
     }
--- a/broker/src/discovery/list.rs
+++ b/broker/src/discovery/list.rs
@@ -1,14 +1,14 @@
-//! Lists as discovery writes them: their form, and how they are read from bytes that come in pieces.
+//! The lists that discovery sends: their format, and an incremental parser for those of a watch.
 
 use std::fmt;
 
 use serde::Deserialize;
 
-/// No list has more entries; no list, and no line of a watch, is longer.
+/// Bounds on the entries of a list, and on the bytes of a list or of a line of a watch.
 const ENTRIES_MAX: usize = 4096;
 pub(super) const LIST_MAX: usize = ENTRIES_MAX * 256;
-/// A watch on which nothing is under way keeps no more room.
-const ROOM: usize = 16 * 1024;
+/// Buffer capacity kept between two lists of a watch.
+const IDLE_BUFFER_MAX: usize = 16 * 1024;
 
 /// One line of a list.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
@@ -88,7 +88,7 @@
 }
 
 impl Lists {
-    /// Takes a chunk in.
+    /// Adds a chunk.
     pub fn push(&mut self, chunk: &[u8]) {
         self.bytes.extend_from_slice(chunk);
     }
@@ -131,9 +131,9 @@
         if self.bytes.len() > LIST_MAX {
             return Err(Fault("a list on a watch is too long".to_owned()));
         }
-        // Guards against a watch that keeps the room of its longest list for good.
+        // Releases the memory of a long list.
         if self.bytes.is_empty() {
-            self.bytes.shrink_to(ROOM);
+            self.bytes.shrink_to(IDLE_BUFFER_MAX);
         }
         Ok(None)
     }
--- a/broker/src/discovery/mod.rs
+++ b/broker/src/discovery/mod.rs
@@ -1,6 +1,6 @@
-//! Discovery: what is listed, less what was taken out by hand, and the core told of it. A watch on the list is
-//! begun when the core asks for one, and where discovery has moved to another address; where lists are pushed,
-//! from the first moment.
+//! Discovery of stores: keeps the endpoint list current, removes stores that an operator disabled, and reports changes to
+//! the core and the store side. A watch is opened when the core requests one and when the service's address changes; where
+//! an agent pushes lists, at the start.
 
 mod calls;
 mod list;
@@ -26,53 +26,53 @@
 pub use list::{parse, Fault, Instance, Lifecycle, List, Lists};
 use watching::{Waits, Watching};
 
-/// How often, and how long apart, a lock that another process holds is tried.
-const LOCK_TRIES: u32 = 50;
-const LOCK_AGAIN: Duration = Duration::from_millis(5);
+/// Retries for a file lock that another process holds, and the delay between them.
+const LOCK_RETRIES: u32 = 50;
+const LOCK_RETRY_DELAY: Duration = Duration::from_millis(5);
 
-/// Why a store could not be taken out or put back.
+/// Why a store could not be disabled or enabled.
 #[derive(Debug)]
-pub enum Unrotated {
-    /// No list has named it.
+pub enum RotationError {
+    /// No list names the store.
     Unknown,
-    /// There is no list yet.
+    /// No list has been received yet.
     NoList,
     /// The file could not be written.
     Unwritten(io::Error),
 }
 
-/// A store as the list has it, less what was taken out by hand.
+/// A listed store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
     /// Its name.
     pub name: String,
     /// Its zone, by index.
     pub zone: u32,
-    /// Whether it may be given work.
+    /// Whether it accepts work: it is up and not disabled.
     pub ready: bool,
 }
 
-/// Begins watches.
+/// The discovery client and the current endpoint list.
 pub struct Discovery {
     address: Cell<SocketAddr>,
-    /// The version known.
+    /// Version of the current list.
     since: Cell<Option<u64>>,
     zones: std::collections::HashMap<String, u32>,
     exchange: Rc<Exchange>,
     stores: Rc<Stores>,
     counters: Rc<Counters>,
-    asks: (Sender<()>, Receiver<()>),
+    subscriptions: (Sender<()>, Receiver<()>),
     moved: (Sender<()>, Receiver<()>),
-    /// What it told last of each store, and those that were taken out by hand.
+    /// The latest entry of each store.
     listed: RefCell<BTreeMap<String, Instance>>,
     rotation: Rc<Rotation>,
     watching: RefCell<Watching>,
-    /// Closed once discovery itself has told its list.
-    told: (RefCell<Option<Sender<()>>>, Receiver<()>),
+    /// The sender is dropped once the service has sent a list.
+    first_list: (RefCell<Option<Sender<()>>>, Receiver<()>),
 }
 
 impl Discovery {
-    /// Discovery at this address.
+    /// A client of the service at this address.
     pub fn new(
         address: SocketAddr,
         zones: std::collections::HashMap<String, u32>,
@@ -82,10 +82,10 @@
         counters: Rc<Counters>,
         waits: Waits,
     ) -> Rc<Self> {
-        let (asks, moved) = (async_channel::bounded(1), async_channel::bounded(1));
+        let (subscriptions, moved) = (async_channel::bounded(1), async_channel::bounded(1));
         let (address, since) = (Cell::new(address), Cell::new(None));
-        let (telling, told) = async_channel::bounded(1);
-        let told = (RefCell::new(Some(telling)), told);
+        let (first_list_pending, first_list) = async_channel::bounded(1);
+        let first_list = (RefCell::new(Some(first_list_pending)), first_list);
         Rc::new(Self {
             address,
             since,
@@ -93,63 +93,63 @@
             exchange,
             stores,
             counters,
-            asks,
+            subscriptions,
             moved,
             listed: RefCell::default(),
             rotation,
             watching: RefCell::new(Watching::new(waits, Instant::now())),
-            told,
+            first_list,
         })
     }
 
-    /// Follows discovery to another address. What stands with the old one is left at once: it closes its
-    /// watches soon, and what the new one has to tell counts as told 4 s from now.
+    /// Switches to another address of the service. The call to the old one is dropped immediately: it closes its watches
+    /// soon, and changes at the new one must be applied within 4 s.
     pub fn follow(&self, address: SocketAddr) {
         if self.address.replace(address) != address {
-            log::info!("discovery: now at {address}");
-            // Its versions may be others there, so the whole list is asked for.
+            log::info!(address:%; "discovery address changed");
+            // Versions may differ there, so the complete list is requested.
             self.since.set(None);
             let _ = self.moved.0.try_send(());
         }
     }
 
-    /// Asks for a watch; one that stands is kept.
+    /// Requests a watch, unless one is open.
     pub fn subscribe(&self) {
-        let _ = self.asks.0.try_send(());
+        let _ = self.subscriptions.0.try_send(());
     }
 
-    /// How long a process that has no list waits with its first call.
-    pub fn first_call(&self) -> Duration {
-        self.watching.borrow().first_call()
+    /// Delay of the first call of a process that has no list.
+    pub fn first_call_delay(&self) -> Duration {
+        self.watching.borrow().first_call_delay()
     }
 
-    /// Resolves once discovery has told its list.
-    pub async fn told(&self) {
-        let _ = self.told.1.recv().await;
+    /// Resolves once the service has sent a list.
+    pub async fn first_list(&self) {
+        let _ = self.first_list.1.recv().await;
     }
 
-    /// Whether discovery has told its list.
-    pub fn has_told(&self) -> bool {
-        self.told.0.borrow().is_none()
+    /// Whether the service has sent a list.
+    pub fn has_list(&self) -> bool {
+        self.first_list.0.borrow().is_none()
     }
 
-    /// Whether any list names a store.
-    pub fn known(&self) -> bool {
-        self.stores.known() > 0
+    /// Whether any store is listed.
+    pub fn has_stores(&self) -> bool {
+        self.stores.endpoint_count() > 0
     }
 
-    /// The stores on the list.
+    /// The listed stores.
     pub fn fleet(&self) -> Vec<Member> {
         let member = |instance: &Instance| Member {
             name: instance.instance_id.clone(),
             zone: self.zones.get(&instance.zone).copied().unwrap_or(u32::MAX),
-            ready: instance.lifecycle == Lifecycle::Up && !self.rotation.is_out(&instance.instance_id),
+            ready: instance.lifecycle == Lifecycle::Up && !self.rotation.is_disabled(&instance.instance_id),
         };
         self.listed.borrow().values().map(member).collect()
     }
 
-    /// Tells the core of a list, less what was taken out by hand.
-    pub fn tell(&self, list: &List, remembered: bool) {
+    /// Applies a list, without the stores that are disabled. `remembered` marks one that is not from the service itself.
+    pub fn apply(&self, list: &List, remembered: bool) {
         self.since.set(Some(list.generation));
         let mut listed = self.listed.borrow_mut();
         if remembered || list.reset {
@@ -157,7 +157,7 @@
         }
         let mut entries = Vec::with_capacity(list.instances.len());
         for instance in &list.instances {
-            // Of one that was never known there is nothing to tell.
+            // The removal of a store that was never listed is ignored.
             let entry = self.entry(instance);
             match instance.lifecycle {
                 Lifecycle::Removed => drop(listed.remove(&instance.instance_id)),
@@ -173,21 +173,21 @@
         };
         if kind != ListKind::Changes {
             let listed: Vec<_> = entries.iter().map(|entry| entry.server).collect();
-            self.stores.keep(&listed);
+            self.stores.retain(&listed);
         }
         count(&self.counters.lists);
         self.exchange.endpoints_listed(kind, entries);
         self.exchange.block_owners_changed(self.stores.take_block_owner_changes());
         if !remembered {
-            self.told.0.borrow_mut().take();
+            self.first_list.0.borrow_mut().take();
         }
     }
 
-    /// An entry as the core is told of it.
+    /// The core's entry of a store; `None` if it is not known or its address is invalid.
     fn entry(&self, instance: &Instance) -> Option<Entry> {
         let id = &instance.instance_id;
         let status = match instance.lifecycle {
-            Lifecycle::Up if self.rotation.is_out(id) => Status::Draining,
+            Lifecycle::Up if self.rotation.is_disabled(id) => Status::Draining,
             Lifecycle::Up => Status::Ready,
             Lifecycle::Draining => Status::Draining,
             Lifecycle::Removed => Status::Gone,
@@ -196,9 +196,9 @@
             server: match status {
                 Status::Gone => self.stores.remove(id)?,
                 _ => match instance.host_port.parse() {
-                    Ok(address) => self.stores.note(id, address, status == Status::Ready),
+                    Ok(address) => self.stores.upsert(id, address, status == Status::Ready),
                     Err(_) => {
-                        log::warn!("discovery: `{}` is no address", instance.host_port);
+                        log::warn!(store = instance.instance_id, address = instance.host_port; "listed store has an invalid address");
                         return None;
                     }
                 },
@@ -210,26 +210,30 @@
         })
     }
 
-    /// Takes a store out by hand, or puts it back; done once this resolves.
-    pub async fn rotate(&self, id: &str, out: bool, now: Millis) -> Result<(), Unrotated> {
-        if !self.listed.borrow().contains_key(id) && !self.rotation.is_out(id) {
-            // Another process may have been told so a moment ago.
+    /// Disables a store (`out`), or enables it again. In effect once this resolves.
+    ///
+    /// # Errors
+    ///
+    /// If the store is not listed or its state could not be saved.
+    pub async fn set_disabled(&self, id: &str, out: bool, now: Millis) -> Result<(), RotationError> {
+        if !self.listed.borrow().contains_key(id) && !self.rotation.is_disabled(id) {
+            // Another process of this broker may have disabled it just now.
             self.follow_rotation();
-            if !self.rotation.is_out(id) {
-                return Err(if self.has_told() { Unrotated::Unknown } else { Unrotated::NoList });
+            if !self.rotation.is_disabled(id) {
+                return Err(if self.has_list() { RotationError::Unknown } else { RotationError::NoList });
             }
         }
-        let mut tries = 0..LOCK_TRIES;
+        let mut retries = 0..LOCK_RETRIES;
         let changed = loop {
-            let changed = if out { self.rotation.take_out(id, now) } else { self.rotation.put_back(id, now) };
+            let changed = if out { self.rotation.disable(id, now) } else { self.rotation.enable(id, now) };
             match changed {
-                Err(e) if e.kind() == io::ErrorKind::WouldBlock && tries.next().is_some() => {
-                    Timer::after(LOCK_AGAIN).await;
+                Err(e) if e.kind() == io::ErrorKind::WouldBlock && retries.next().is_some() => {
+                    Timer::after(LOCK_RETRY_DELAY).await;
                 }
-                changed => break changed.map_err(Unrotated::Unwritten)?,
+                changed => break changed.map_err(RotationError::Unwritten)?,
             }
         };
-        self.retell(&changed);
+        self.report_again(&changed);
         self.exchange.flush().await;
         let started = self.listed.borrow().get(id).map_or(0.0, |instance| instance.started_at_ms);
         let age =
@@ -238,13 +242,13 @@
         Ok(())
     }
 
-    /// Follows what another process of this broker was told of stores out.
+    /// Applies the stores that another process of this broker disabled or enabled.
     pub fn follow_rotation(&self) {
-        self.retell(&self.rotation.follow());
+        self.report_again(&self.rotation.follow());
     }
 
-    /// Tells the core once more of some stores on the list.
-    fn retell(&self, ids: &[String]) {
+    /// Reports some listed stores to the core again.
+    fn report_again(&self, ids: &[String]) {
         let listed = self.listed.borrow();
         let entries: Vec<_> = ids.iter().filter_map(|id| self.entry(listed.get(id)?)).collect();
         if !entries.is_empty() {
--- a/broker/src/discovery/watching.rs
+++ b/broker/src/discovery/watching.rs
@@ -42,13 +42,13 @@
 /// Two calls that a busy discovery refuses then leave time for a third.
 const PERIOD_LEAST: Duration = Duration::from_millis(1500);
 /// While nothing changes, an empty line comes so often.
-pub const BEAT: Duration = Duration::from_millis(2000);
+pub const HEARTBEAT: Duration = Duration::from_millis(2000);
 /// One may be so late where a call more is a call of the whole fleet.
-const BEAT_LATER: Duration = Duration::from_millis(1400);
+const HEARTBEAT_SLACK_FLEET: Duration = Duration::from_millis(1400);
 /// Brokers have their places in a period so far apart, or as far as it has room for all.
-const APART: Duration = Duration::from_millis(40);
+const BROKER_SPACING: Duration = Duration::from_millis(40);
 /// An empty line may be so late where a call more costs nothing.
-const BEAT_LATE: Duration = Duration::from_millis(500);
+const HEARTBEAT_SLACK_AGENT: Duration = Duration::from_millis(500);
 const CONNECT: Duration = Duration::from_millis(1000);
 /// A call waits in turn with those of other brokers.
 const TURN: Duration = Duration::from_millis(2500);
@@ -57,7 +57,7 @@
 /// Guards against an agent that is slow after all, and would never be let finish: so many calls that were not
 /// answered double the wait, up to [`PATIENCE`].
 const SLOWER: u32 = 128;
-const PATIENCE: Duration = Duration::from_millis(1000);
+const STAGE_TIMEOUT_MAX: Duration = Duration::from_millis(1000);
 
 /// A new process has to be ready within 10 s, whatever discovery does. One with no list refuses what it is asked, and
 /// trying again is harmless; two more seconds are for its start and for whoever looks whether it is ready.
@@ -97,28 +97,28 @@
             // Whoever knows no number goes by that of its process: these are spread, too.
             let number = settings.index.unwrap_or_else(std::process::id);
             let brokers = settings.aggregators.max(1);
-            let pace = (APART * brokers).clamp(PERIOD_LEAST, PERIOD);
-            let apart = APART.min(pace / brokers);
+            let pace = (BROKER_SPACING * brokers).clamp(PERIOD_LEAST, PERIOD);
+            let spacing = BROKER_SPACING.min(pace / brokers);
             return Self {
                 pushed: false,
                 connect: CONNECT,
                 head: TURN,
                 body: TURN,
-                silence: BEAT + BEAT_LATER,
+                silence: HEARTBEAT + HEARTBEAT_SLACK_FLEET,
                 whole: PERIOD * 3 / 4,
                 pace,
-                place: apart * (number % brokers),
+                place: spacing * (number % brokers),
                 first,
                 ready: READY,
             };
         }
         let pace = millis((settings.drain_grace_ms / 2.0).clamp(PACE[0], PACE[1]));
-        let (silence, whole) = (BEAT + BEAT_LATE, 3 * PATIENCE);
+        let (silence, whole) = (HEARTBEAT + HEARTBEAT_SLACK_AGENT, 3 * STAGE_TIMEOUT_MAX);
         Self {
             pushed: true,
             connect: pace,
             head: pace,
-            body: PATIENCE,
+            body: STAGE_TIMEOUT_MAX,
             silence,
             whole,
             pace,
@@ -129,7 +129,7 @@
     }
 }
 
-/// What is called for.
+/// What a call requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Call {
     /// A watch.
@@ -138,47 +138,47 @@
     List,
 }
 
-/// What happened.
+/// An input.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// The core asks for a watch; one that stands is kept. Once there was a call, the next ones are not the core's to time.
+    /// The core requests a watch. Only the first call is timed by the core; this is ignored afterwards.
     Wanted,
-    /// Discovery is at another address.
+    /// The address of discovery has changed.
     Moved,
-    /// The call's connection is up.
+    /// The call's connection is established.
     Connected,
-    /// The head of its answer is there, and good.
+    /// The head of a successful response has arrived.
     Answered,
-    /// The call told something that is whole; of a watch, that nothing changed will do.
+    /// The call returned something complete: a list, or a heartbeat of a watch.
     Heard,
-    /// It has led to a newer list.
+    /// It returned a newer list.
     Told,
-    /// The call is over.
+    /// The call has ended.
     Ended,
-    /// Time has passed.
+    /// The time of [`Watching::due`] has come.
     Due,
 }
 
-/// What is to be done.
+/// An output.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Leave the call that is out.
+    /// Drop the current call.
     Leave,
-    /// Call.
+    /// Make a call.
     Call(Call),
-    /// Tell the core of the failure.
+    /// Report a failure to the core.
     Failed,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
-    Resting,
+    Idle,
     Connecting,
     Asked,
     Answering,
 }
 
-/// The machine. At most one call is out.
+/// The machine. At most one call is in flight.
 #[derive(Debug)]
 pub struct Watching {
     waits: Waits,
@@ -187,31 +187,31 @@
     began: Instant,
     /// When the next thing is due; while a call is out it only moves on.
     due: Option<Instant>,
-    /// Whether the call that is out has led to a newer list.
-    told: bool,
-    /// Since when the call that is out has told what is whole.
-    heard: Option<Instant>,
-    /// Calls in a row without any answer.
+    /// Whether the current call has returned a newer list.
+    has_newer_list: bool,
+    /// When the current call first returned something complete.
+    complete_since: Option<Instant>,
+    /// Consecutive calls without a response.
     unanswered: u32,
-    /// Calls in a row after the last watch that stood.
+    /// Consecutive calls since the last established watch.
     failed: u32,
-    /// What is called for next.
+    /// The next call.
     next: Call,
-    /// When the last list that was asked for was, if it was given; none once a watch is.
+    /// Start of the last successful call for a list; `None` once a watch is established.
     given: Option<Instant>,
 }
 
 impl Watching {
-    /// One that calls at once where lists are pushed, and otherwise once the core asks.
+    /// A machine that calls immediately where lists are pushed, and otherwise on the core's request.
     pub fn new(waits: Waits, now: Instant) -> Self {
         Self {
             waits,
-            stage: Stage::Resting,
+            stage: Stage::Idle,
             call: Call::Watch,
             began: now,
             due: waits.pushed.then_some(now),
-            told: false,
-            heard: None,
+            has_newer_list: false,
+            complete_since: None,
             unanswered: 0,
             failed: 0,
             next: Call::Watch,
@@ -219,61 +219,61 @@
         }
     }
 
-    /// How long a process that has no list waits with its first call, so that those that start at once don't call at once.
-    pub fn first_call(&self) -> Duration {
+    /// Delay of the first call of a process without a list, which spreads the calls of brokers that start together.
+    pub fn first_call_delay(&self) -> Duration {
         self.waits.place / 2
     }
 
-    /// When [`Event::Due`] is to come.
+    /// When [`Event::Due`] must be delivered.
     pub fn due(&self) -> Option<Instant> {
         self.due
     }
 
-    /// Calls in a row without any answer.
+    /// Consecutive calls without a response.
     pub fn unanswered(&self) -> u32 {
         self.unanswered
     }
 
-    /// Takes an event; what does not fit the stage changes nothing.
+    /// Handles an event; one that does not fit the current stage is ignored.
     pub fn handle(&mut self, event: Event, now: Instant) -> Vec<Action> {
         match (event, self.stage) {
-            (Event::Wanted, Stage::Resting) if self.due.is_none() => self.begin(Call::Watch, now),
+            (Event::Wanted, Stage::Idle) if self.due.is_none() => self.start_call(Call::Watch, now),
             (Event::Moved, _) => {
                 (self.unanswered, self.failed, self.next, self.given) = (0, 0, Call::Watch, None);
                 let mut actions = vec![Action::Leave];
                 if self.waits.pushed {
-                    actions.extend(self.begin(Call::Watch, now));
+                    actions.extend(self.start_call(Call::Watch, now));
                 } else {
                     // Guards the new address against all brokers of a large fleet at once.
-                    (self.stage, self.due) = (Stage::Resting, Some(now + self.waits.place / 4));
+                    (self.stage, self.due) = (Stage::Idle, Some(now + self.waits.place / 4));
                 }
                 actions
             }
             (Event::Connected, Stage::Connecting) => {
-                self.go_on(Stage::Asked, now + self.patience(self.waits.head))
+                self.enter_stage(Stage::Asked, now + self.stage_timeout(self.waits.head))
             }
             (Event::Answered, Stage::Asked) => {
                 self.unanswered = 0;
-                self.go_on(Stage::Answering, now + self.waits.body)
+                self.enter_stage(Stage::Answering, now + self.waits.body)
             }
             (Event::Heard, Stage::Answering) => {
-                self.heard = self.heard.or(Some(now));
+                self.complete_since = self.complete_since.or(Some(now));
                 if self.call == Call::Watch {
                     self.due = self.due.max(Some(now + self.waits.silence));
                 }
                 Vec::new()
             }
             (Event::Told, Stage::Answering) => {
-                self.told = true;
+                self.has_newer_list = true;
                 Vec::new()
             }
-            (Event::Ended, Stage::Resting) => Vec::new(),
-            (Event::Ended, _) => self.over(now, false),
+            (Event::Ended, Stage::Idle) => Vec::new(),
+            (Event::Ended, _) => self.on_call_ended(now, false),
             (Event::Due, stage) if self.due.is_some_and(|due| due <= now) => match stage {
-                Stage::Resting => self.begin(self.next, now),
+                Stage::Idle => self.start_call(self.next, now),
                 _ => {
                     let mut actions = vec![Action::Leave];
-                    actions.extend(self.over(now, true));
+                    actions.extend(self.on_call_ended(now, true));
                     actions
                 }
             },
@@ -281,73 +281,74 @@
         }
     }
 
-    fn begin(&mut self, call: Call, now: Instant) -> Vec<Action> {
+    fn start_call(&mut self, call: Call, now: Instant) -> Vec<Action> {
         (self.stage, self.call, self.began) = (Stage::Connecting, call, now);
-        (self.told, self.heard) = (false, None);
-        self.due = Some(now + self.patience(self.waits.connect));
+        (self.has_newer_list, self.complete_since) = (false, None);
+        self.due = Some(now + self.stage_timeout(self.waits.connect));
         vec![Action::Call(call)]
     }
 
-    /// On to the next stage; until something is told, no further than the whole call may last.
-    fn go_on(&mut self, stage: Stage, due: Instant) -> Vec<Action> {
+    /// Enters the next stage of a call, whose time-out is bounded by that of the whole call until it has returned something.
+    fn enter_stage(&mut self, stage: Stage, due: Instant) -> Vec<Action> {
         self.stage = stage;
         let whole = self.waits.whole / if self.given.is_some() && self.call == Call::Watch { 2 } else { 1 };
         self.due = self.due.max(Some(due.min(self.began + whole)));
         Vec::new()
     }
 
-    fn patience(&self, wait: Duration) -> Duration {
+    fn stage_timeout(&self, wait: Duration) -> Duration {
         if !self.waits.pushed {
             return wait;
         }
-        (wait + wait * self.unanswered / SLOWER).min(PATIENCE.max(wait))
+        (wait + wait * self.unanswered / SLOWER).min(STAGE_TIMEOUT_MAX.max(wait))
     }
 
-    /// The call is over, or was `silent` for too long.
-    fn over(&mut self, now: Instant, silent: bool) -> Vec<Action> {
+    /// Handles the end of a call, or its time-out (`silent`), and schedules the next one.
+    fn on_call_ended(&mut self, now: Instant, silent: bool) -> Vec<Action> {
         if self.stage != Stage::Answering {
             self.unanswered = self.unanswered.saturating_add(1);
         }
         let (called, connected) = (self.call, self.stage != Stage::Connecting);
         if self.waits.pushed {
             // An agent is called for nothing, so a list is asked for at once, in case that watches are what can't be had.
-            if called == Call::Watch && !self.told {
-                return self.begin(Call::List, now);
+            if called == Call::Watch && !self.has_newer_list {
+                return self.start_call(Call::List, now);
             }
-            self.stage = Stage::Resting;
+            self.stage = Stage::Idle;
             self.due = Some(now.max(self.began + self.waits.pace));
             return Vec::new();
         }
-        let gave = self.heard.is_some();
-        if let Some(given) = self.given.filter(|_| called == Call::Watch && !gave) {
+        let has_given = self.complete_since.is_some();
+        if let Some(given) = self.given.filter(|_| called == Call::Watch && !has_given) {
             // Lists are given and watches can't be had: the list is asked for as if no watch had been.
             (self.stage, self.next, self.due) =
-                (Stage::Resting, Call::List, Some(now.max(given + self.waits.pace)));
+                (Stage::Idle, Call::List, Some(now.max(given + self.waits.pace)));
             return vec![Action::Failed];
         }
-        self.given = (called == Call::List && gave).then_some(self.began);
+        self.given = (called == Call::List && has_given).then_some(self.began);
         // In case that watches are what can't be had; who can't be connected to says nothing of that.
-        self.next = if called == Call::Watch && !gave && connected { Call::List } else { Call::Watch };
-        let stood = called == Call::Watch && self.heard.is_some_and(|since| now >= since + self.waits.pace);
-        self.failed = if stood { 1 } else { self.failed.saturating_add(1) };
+        self.next = if called == Call::Watch && !has_given && connected { Call::List } else { Call::Watch };
+        let was_established =
+            called == Call::Watch && self.complete_since.is_some_and(|since| now >= since + self.waits.pace);
+        self.failed = if was_established { 1 } else { self.failed.saturating_add(1) };
         let Waits { pace, place, .. } = self.waits;
-        let next = if silent && gave {
+        let next = if silent && has_given {
             now + place * 3 / 20
         } else {
-            let from = if stood { now } else { self.began };
-            let (wait, share) = self.gap();
+            let from = if was_established { now } else { self.began };
+            let (wait, share) = self.backoff();
             // A watch between two lists has half the time, so that the lists lie no further apart than other calls.
             let most = if self.given.is_some() { pace / 2 } else { pace };
             (now.max(from + wait) + share).min(from + most)
         };
-        (self.stage, self.due) = (Stage::Resting, Some(next.max(now)));
+        (self.stage, self.due) = (Stage::Idle, Some(next.max(now)));
         vec![Action::Failed]
     }
 
     /// From the beginning of a call that failed, or the end of a watch that stood, to the next call: a wait, and a share
     /// of the broker's place, whatever the call itself took; the waits leave room for that. A quarter four times, so that
     /// brokers that began together, as at an end of all watches, are each at their place after the fourth.
-    fn gap(&self) -> (Duration, Duration) {
+    fn backoff(&self) -> (Duration, Duration) {
         let Waits { pace, place, .. } = self.waits;
         match self.failed {
             0 | 1 => (pace / 16, place / 4),
--- a/broker/src/fleet.rs
+++ b/broker/src/fleet.rs
@@ -1,5 +1,5 @@
-//! The fleet's sense of itself: the driver of `gingerledge-fleet`. It owns the socket on which brokers hear each other; who lives
-//! is decided by the machine. Operators see it at `/fleet/members`.
+//! The driver of `gingerledge-fleet`, the membership of brokers. It owns the socket for datagrams between brokers; which
+//! members are alive is decided by the machine. Operators read it at `/fleet/members`.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -21,7 +21,7 @@
 use crate::subsystem::{Host, Reply, Subsystem};
 
 /// After an error of the socket, such as a port that nobody listens on.
-const AGAIN: Duration = Duration::from_millis(20);
+const RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// The driver.
 pub struct Fleet {
@@ -49,7 +49,7 @@
             clock: host.clock,
             counters: host.counters.clone(),
         });
-        log::info!(members = this.peers.len(), own; "fleet: hears others on {}", set.listen);
+        log::info!(members = this.peers.len(), own; "fleet membership listens on {}", set.listen);
         host.executor.spawn(this.clone().run()).detach();
         Ok(this)
     }
@@ -58,36 +58,36 @@
         let mut datagram = [0; DATAGRAM_MOST + 1];
         loop {
             let due = self.members.borrow().due();
-            let heard = async { Some(self.socket.recv_from(&mut datagram).await) };
+            let received = async { Some(self.socket.recv_from(&mut datagram).await) };
             let late = async {
                 Timer::after(self.clock.until(due)).await;
                 None
             };
-            match or(heard, late).await {
+            match or(received, late).await {
                 None => {}
-                Some(Ok((n, from))) => self.hear(from, &datagram[..n]),
+                Some(Ok((n, from))) => self.on_datagram(from, &datagram[..n]),
                 Some(Err(fault)) => {
-                    log::debug!("fleet: {fault}");
-                    Timer::after(AGAIN).await;
+                    log::debug!(fault:%; "receiving a fleet datagram failed");
+                    Timer::after(RETRY_DELAY).await;
                 }
             }
             self.members.borrow_mut().turn(self.clock.now());
-            self.tell().await;
+            self.flush().await;
             // Nothing above need wait: the rest of the broker has its turn all the same.
             futures_lite::future::yield_now().await;
         }
     }
 
-    fn hear(&self, from: SocketAddr, bytes: &[u8]) {
-        // What comes from nobody's address is nobody's word.
+    fn on_datagram(&self, from: SocketAddr, bytes: &[u8]) {
+        // Datagrams from unknown addresses are ignored.
         let Some(number) = self.numbers.get(&from).filter(|_| !faults::point("fleet.hear")) else { return };
         if let Err(fault) = self.members.borrow_mut().hear(*number, bytes, self.clock.now()) {
-            log::debug!("fleet: a datagram of broker {number} changes nothing: {fault}");
+            log::debug!(member = number, fault:%; "fleet datagram ignored");
         }
     }
 
-    /// Sends what is to be sent, and logs what has changed.
-    async fn tell(&self) {
+    /// Sends pending datagrams and logs membership changes.
+    async fn flush(&self) {
         let (outgoing, changes, living) = {
             let mut members = self.members.borrow_mut();
             let outgoing: Vec<_> = members.outgoing().collect();
@@ -101,12 +101,12 @@
         };
         for change in changes {
             match change {
-                Change::Joined(member) => log::info!(member, living; "fleet: a member lives"),
-                Change::Left(member) => log::info!(member, living; "fleet: a member is gone"),
-                Change::Renewed(member) => log::info!(member, living; "fleet: a member has come anew"),
-                Change::Alone => log::warn!("fleet: nobody else lives, as far as can be seen"),
-                Change::Returned => log::info!("fleet: the others took this broker for gone; it comes back"),
-                Change::Paused(ms) => log::warn!(ms; "fleet: this process stood still"),
+                Change::Joined(member) => log::info!(member, living; "fleet member joined"),
+                Change::Left(member) => log::info!(member, living; "fleet member left or failed"),
+                Change::Renewed(member) => log::info!(member, living; "fleet member restarted"),
+                Change::Alone => log::warn!("no other fleet member is reachable"),
+                Change::Returned => log::info!("other fleet members declared this broker failed; rejoining"),
+                Change::Paused(ms) => log::warn!(ms; "process was paused"),
             }
         }
         for (to, bytes) in outgoing {
@@ -115,7 +115,7 @@
                 continue;
             }
             if let Err(fault) = self.socket.send_to(&bytes, *peer).await {
-                log::debug!("fleet: to broker {to}: {fault}");
+                log::debug!(member = to, fault:%; "sending a fleet datagram failed");
             }
         }
     }
@@ -155,11 +155,11 @@
         Box::pin(async { reply })
     }
 
-    /// Says good-bye: the others need not miss this broker first.
+    /// Announces the departure, so that others need not detect it.
     fn stop(&self) -> LocalBoxFuture<'_, ()> {
         Box::pin(async {
             self.members.borrow_mut().leave(self.clock.now());
-            self.tell().await;
+            self.flush().await;
         })
     }
 }
--- a/broker/src/front/client.rs
+++ b/broker/src/front/client.rs
@@ -1,13 +1,13 @@
 //! One client's connection, and all the ways in which it ends. A connection that may carry requests is a [`Client`]; one that
-//! carries no more is [`Shut`], on which nothing can be read as a request; and [`Ended`] can be made here alone, so that
+//! carries no more is [`HalfClosed`], on which nothing can be read as a request; and [`Closed`] can be made here alone, so that
 //! whoever serves a connection has to have ended it in order:
 //!
 //! ```text
-//! Client --answer, the last--> Shut --linger--> Ended
-//!   |----look, nothing there--> Shut               the write side is shut once nothing lay unread
-//!   |----look, a request------> Client + Asked     it is served: its client could not know of the close
-//!   |----too late-------------> Shut               what lies there was not read: its client sends it again elsewhere
-//!   `----gone-----------------> Ended              the client closed, or the connection broke: nothing is owed
+//! Client --last answer----------> HalfClosed --linger--> Closed
+//!   |----final read, nothing----> HalfClosed           the write side is shut down once nothing is unread
+//!   |----final read, a request--> Client + Request     it is served: its client could not know of the close
+//!   |----close unread-----------> HalfClosed           unread bytes stay unread: the client sends them again elsewhere
+//!   `----disconnected-----------> Closed               the client closed, or the connection broke: nothing is owed
 //! ```
 //!
 //! A client that closes has gone. So has one that shuts its write side alone: it looks the same, and no client of ours
@@ -27,69 +27,69 @@
 use crate::http::{self, Ending, Fault, Framing, Head, Kind, Stream};
 
 /// A request this long is like any other; the memory for longer ones is bounded.
-const USUAL_BODY: usize = 4096;
+const UNRESERVED_BODY_MAX: usize = 4096;
 /// A connection that has ended is heard for so long: the answer is on its way, and the client may be sending still. A reset
 /// would take the answer with it. Longer than a round trip on a poor link.
 const LINGER: Duration = Duration::from_millis(500);
 
-/// The memory for long bodies.
-pub struct Bodies {
-    most: usize,
-    held: Cell<usize>,
+/// The bound on memory for long request bodies.
+pub struct BodyMemory {
+    limit: usize,
+    reserved: Cell<usize>,
     presence: Rc<Presence>,
 }
 
-impl Bodies {
-    /// So many bytes, for all processes together.
-    pub fn new(most: usize, presence: &Rc<Presence>) -> Rc<Self> {
-        Rc::new(Self { most, held: Cell::new(0), presence: presence.clone() })
+impl BodyMemory {
+    /// A bound in bytes, shared by all processes of this broker.
+    pub fn new(limit: usize, presence: &Rc<Presence>) -> Rc<Self> {
+        Rc::new(Self { limit, reserved: Cell::new(0), presence: presence.clone() })
     }
 
-    fn hold(self: &Rc<Self>, framing: Framing) -> Option<Held> {
+    fn reserve(self: &Rc<Self>, framing: Framing) -> Option<BodyReservation> {
         let size = match framing {
-            Framing::Length(length) if length <= USUAL_BODY => 0,
+            Framing::Length(length) if length <= UNRESERVED_BODY_MAX => 0,
             Framing::Length(length) => length,
             Framing::Chunked | Framing::Close => http::BODY_MAX,
         };
-        let held = self.held.get() + size;
-        (held <= self.most / self.presence.processes()).then(|| {
-            self.held.set(held);
-            Held { all: self.clone(), size }
+        let reserved = self.reserved.get() + size;
+        (reserved <= self.limit / self.presence.processes()).then(|| {
+            self.reserved.set(reserved);
+            BodyReservation { all: self.clone(), size }
         })
     }
 }
 
-/// Memory for a long body; given back when dropped.
-struct Held {
-    all: Rc<Bodies>,
+/// Memory reserved for a long body, released when dropped.
+struct BodyReservation {
+    all: Rc<BodyMemory>,
     size: usize,
 }
 
-impl Drop for Held {
+impl Drop for BodyReservation {
     fn drop(&mut self) {
-        self.all.held.set(self.all.held.get() - self.size);
+        self.all.reserved.set(self.all.reserved.get() - self.size);
     }
 }
 
-/// A request that has come whole.
-pub struct Asked {
+/// A complete request.
+pub struct Request {
     /// Its head.
     pub head: Head,
     /// Its body.
     pub body: Vec<u8>,
-    _held: Held,
+    _reservation: BodyReservation,
 }
 
 /// Why there is no request.
 pub enum NoRequest {
-    /// The client has gone.
-    Gone,
-    /// It did not come whole in time.
+    /// The client disconnected.
+    Disconnected,
+    /// It was not complete in time.
     Stalled,
-    /// It can't be read.
+    /// It is invalid.
     Fault(Fault),
-    /// There is no room for it now.
-    NoRoom,
+    /// A limit on memory or requests is reached.
+    NoCapacity,
 }
 
 impl From<Ending> for NoRequest {
@@ -97,7 +97,7 @@
         match ending {
             Ending::Fault(fault) => Self::Fault(fault),
             Ending::Stalled => Self::Stalled,
-            Ending::Closed | Ending::Cut => Self::Gone,
+            Ending::Closed | Ending::Cut => Self::Disconnected,
         }
     }
 }
@@ -106,29 +106,29 @@
 pub struct Client {
     stream: Stream,
     /// The head of a request whose body has not come whole.
-    head: Option<(Head, Held)>,
+    head: Option<(Head, BodyReservation)>,
 }
 
-/// What a last look found.
-pub enum Look {
+/// The result of a final read.
+pub enum FinalRead {
     /// A request.
-    Asked(Client, Asked),
+    Request(Client, Request),
     /// What can't be read, or has no room.
-    Unfit(Client, NoRequest),
+    Invalid(Client, NoRequest),
     /// Nothing, or a part of a request, which was not taken.
-    Nothing(Shut),
+    Nothing(HalfClosed),
     /// The client has gone.
-    Gone(Ended),
+    Disconnected(Closed),
 }
 
-/// What became of a connection with its answer.
+/// The state of a connection after an answer.
 pub enum Answered {
     /// It may carry another request.
-    Kept(Client),
+    Reusable(Client),
     /// It was the last.
-    Last(Shut),
+    Last(HalfClosed),
     /// It could not be written.
-    Unwritten(Ended),
+    Unwritten(Closed),
 }
 
 impl Client {
@@ -148,85 +148,85 @@
     }
 
     /// Reads a request. Dropped in the midst of it, it goes on where it was when it is called again.
-    pub async fn request(&mut self, bodies: &Rc<Bodies>, by: Instant) -> Result<Asked, NoRequest> {
+    pub async fn request(&mut self, bodies: &Rc<BodyMemory>, by: Instant) -> Result<Request, NoRequest> {
         let left = || by.saturating_duration_since(Instant::now());
-        let (head, held) = match self.head.take() {
+        let (head, reserved) = match self.head.take() {
             Some(begun) => begun,
             None => {
                 let head = self.stream.head(Kind::Request, left()).await?;
-                let held = bodies.hold(head.framing).ok_or(NoRequest::NoRoom)?;
+                let reserved = bodies.reserve(head.framing).ok_or(NoRequest::NoCapacity)?;
                 if head.expects && head.framing != Framing::Length(0) {
                     let _ = self.stream.write(b"HTTP/1.1 100 Continue\r\n\r\n", left()).await;
                 }
-                (head, held)
+                (head, reserved)
             }
         };
         let framing = head.framing;
-        self.head = Some((head, held));
+        self.head = Some((head, reserved));
         let body = self.stream.body(framing, left()).await?;
         match self.head.take() {
-            Some((head, held)) => Ok(Asked { head, body, _held: held }),
-            None => Err(NoRequest::Gone),
+            Some((head, reserved)) => Ok(Request { head, body, _reservation: reserved }),
+            None => Err(NoRequest::Disconnected),
         }
     }
 
     /// Resolves once the client has gone.
-    pub async fn left(&mut self) {
-        self.stream.left().await;
+    pub async fn disconnected(&mut self) {
+        self.stream.peer_closed().await;
     }
 
     /// Writes an answer; the last one where `keep_alive` is false, or bytes behind its request had to be dropped.
     pub async fn answer(mut self, reply: &Reply, keep_alive: bool, within: Duration) -> Answered {
-        let keep_alive = keep_alive && !self.stream.spilt();
+        let keep_alive = keep_alive && !self.stream.has_dropped_bytes();
         let bytes = http::answer(reply.status, &reply.headers, &reply.body, keep_alive);
         match self.stream.write(&bytes, within).await {
             Err(e) => {
-                log::debug!("answer not written: {e}");
-                Answered::Unwritten(Ended(()))
+                log::debug!(error:% = e; "answer was not written");
+                Answered::Unwritten(Closed(()))
             }
-            Ok(()) if keep_alive => Answered::Kept(self),
-            Ok(()) => Answered::Last(self.shut()),
+            Ok(()) if keep_alive => Answered::Reusable(self),
+            Ok(()) => Answered::Last(self.half_close()),
         }
     }
 
     /// Looks once more, without waiting, before a connection is closed that owes no answer: what has come by now is no
     /// crossing.
-    pub async fn look(mut self, bodies: &Rc<Bodies>) -> Look {
+    pub async fn final_read(mut self, bodies: &Rc<BodyMemory>) -> FinalRead {
         match self.request(bodies, Instant::now()).await {
-            Ok(asked) => Look::Asked(self, asked),
-            Err(NoRequest::Stalled) => Look::Nothing(self.shut()),
-            Err(NoRequest::Gone) => Look::Gone(Ended(())),
-            Err(unfit) => Look::Unfit(self, unfit),
+            Ok(request) => FinalRead::Request(self, request),
+            Err(NoRequest::Stalled) => FinalRead::Nothing(self.half_close()),
+            Err(NoRequest::Disconnected) => FinalRead::Disconnected(Closed(())),
+            Err(invalid) => FinalRead::Invalid(self, invalid),
         }
     }
 
     /// Closes it without a look: what is taken now could be cut off by the end of the process.
-    pub fn too_late(self) -> Shut {
-        self.shut()
+    pub fn close_unread(self) -> HalfClosed {
+        self.half_close()
     }
 
-    fn shut(self) -> Shut {
+    fn half_close(self) -> HalfClosed {
         // One that is broken already shows that when it lingers.
         let _ = self.stream.shut();
-        Shut(self.stream)
+        HalfClosed(self.stream)
     }
 
     /// The client has gone, and nothing is owed.
-    pub fn gone(self) -> Ended {
-        Ended(())
+    pub fn into_closed(self) -> Closed {
+        Closed(())
     }
 }
 
 /// A connection that carries no more requests: its client has been told.
-pub struct Shut(Stream);
+pub struct HalfClosed(Stream);
 
-impl Shut {
+impl HalfClosed {
     /// Drops what still comes until the client closes too, for a while, or until its place is needed.
-    pub async fn linger(self, needed: impl Future<Output = ()>) -> Ended {
+    pub async fn linger(self, needed: impl Future<Output = ()>) -> Closed {
         or(self.0.finish(LINGER), needed).await;
-        Ended(())
+        Closed(())
     }
 }
 
 /// Proof that a connection was ended in one of the ways above.
-pub struct Ended(());
+pub struct Closed(());
--- a/broker/src/front/features/mod.rs
+++ b/broker/src/front/features/mod.rs
@@ -68,7 +68,7 @@
 }
 
 /// Whether a client takes this media type. The most exact range that matches decides.
-fn takes(head: &Head, kind: &str) -> bool {
+fn accepts(head: &Head, kind: &str) -> bool {
     let Some(accept) = head.header("Accept").filter(|accept| !accept.is_empty()) else { return true };
     let plain = kind.split(';').next().unwrap_or(kind);
     let (mut taken, mut exactness) = (false, 0);
@@ -144,7 +144,7 @@
 
     fn acceptable(&self, head: &Head, kind: &str) -> Result<(), Reply> {
         let by_name = head.query().split('&').any(|pair| pair == "f=json");
-        match by_name || takes(head, kind) {
+        match by_name || accepts(head, kind) {
             true => Ok(()),
             false => Err(problem(406, "Not Acceptable", &format!("this is given as {kind}"))),
         }
@@ -172,7 +172,7 @@
             ["collections", id, "items"] => {
                 let collection = self.collection(id)?;
                 let wanted = self.wanted(head, collection)?;
-                self.ask(head, collection, wanted)
+                self.submit(head, collection, wanted)
             }
             ["collections", id, "items", feature] if !feature.is_empty() => {
                 let collection = self.collection(id)?;
@@ -180,7 +180,7 @@
                 let collection_id = collection.id.clone();
                 let position =
                     Position { collection: collection_id, bbox: None, datetime: None, limit: 1, after: None };
-                self.ask(head, collection, Wanted { position, single: Some(feature.to_owned()) })
+                self.submit(head, collection, Wanted { position, single: Some(feature.to_owned()) })
             }
             _ => Err(problem(404, "Not Found", "there is no such path")),
         }
@@ -226,7 +226,7 @@
 
     fn tenant(&self, head: &Head) -> Result<Option<usize>, Reply> {
         let header = self.set.club_header.as_deref();
-        let Some((name, said)) = header.and_then(|name| Some((name, head.header(name)?))) else {
+        let Some((name, given)) = header.and_then(|name| Some((name, head.header(name)?))) else {
             return match self.set.default_tenant {
                 None if !self.set.clubs.is_empty() => {
                     Err(bad(Bad(format!("{}: missing", header.unwrap_or_default()))))
@@ -234,11 +234,11 @@
                 tenant => Ok(tenant),
             };
         };
-        let known = self.set.clubs.get(said).copied();
-        known.map(Some).ok_or_else(|| bad(Bad(format!("{name}: unknown club `{said}`"))))
+        let known = self.set.clubs.get(given).copied();
+        known.map(Some).ok_or_else(|| bad(Bad(format!("{name}: unknown club `{given}`"))))
     }
 
-    fn ask(&self, head: &Head, collection: &Collection, wanted: Wanted) -> Result<Accepted, Reply> {
+    fn submit(&self, head: &Head, collection: &Collection, wanted: Wanted) -> Result<Accepted, Reply> {
         let tenant = self.tenant(head)?;
         let key = key::of(head, collection.keyed).map_err(|fault| bad(Bad(fault.to_string())))?;
         let blocks = self.blocks(wanted.position.bbox.as_deref())?;
@@ -263,7 +263,7 @@
             text: reader.wanted.text().into_bytes().into(),
             form: Form::Features,
         };
-        let ticket = self.exchange.submit(query).map_err(|untaken| match untaken {
+        let ticket = self.exchange.submit(query).map_err(|error| match error {
             SubmitError::Full => refused(self.full_retry_ms),
             SubmitError::Unrouted(RouteError::NoMap) => refused(self.full_retry_ms),
             SubmitError::Unrouted(reason) => problem(503, "Service Unavailable", &reason.to_string()),
@@ -301,7 +301,7 @@
         problem(fault.status(), "Unreadable", &fault.to_string())
     }
 
-    fn shed(&self) -> Reply {
+    fn overloaded(&self) -> Reply {
         refused(self.full_retry_ms)
     }
 }
--- a/broker/src/front/mod.rs
+++ b/broker/src/front/mod.rs
@@ -2,7 +2,7 @@
 //! them, waits for their answers at the exchange and writes those in its own form.
 
 mod client;
-mod crowd;
+mod connection_limit;
 pub mod features;
 pub mod key;
 pub mod platform;
@@ -38,8 +38,8 @@
     fn accept(&self, head: &Head, body: Vec<u8>) -> Accepted;
     /// The reply to a request that could not be read.
     fn unreadable(&self, fault: http::Fault) -> Reply;
-    /// The refusal of a request on a connection too many.
-    fn shed(&self) -> Reply;
+    /// The rejection of a request when too many are in progress.
+    fn overloaded(&self) -> Reply;
 }
 
 /// Makes the reply of a query's final answer.
--- a/broker/src/front/platform.rs
+++ b/broker/src/front/platform.rs
@@ -194,8 +194,8 @@
                 Err(Bad { status, what }) => Reply::text(status, &what),
                 Ok(question) => match self.exchange.submit(question) {
                     Ok(ticket) => return Accepted::Query(ticket, Box::new(reply)),
-                    Err(SubmitError::Full) => self.shed(),
-                    Err(SubmitError::Unrouted(RouteError::NoMap)) => self.shed(),
+                    Err(SubmitError::Full) => self.overloaded(),
+                    Err(SubmitError::Unrouted(RouteError::NoMap)) => self.overloaded(),
                     Err(SubmitError::Unrouted(reason @ RouteError::Unknown(_))) => {
                         Reply::text(404, &format!("ranges: {reason}"))
                     }
@@ -213,7 +213,7 @@
         Reply::text(fault.status(), &fault.to_string())
     }
 
-    fn shed(&self) -> Reply {
+    fn overloaded(&self) -> Reply {
         reply(FinalAnswer::Refused { retry_after_ms: self.full_retry_ms })
     }
 }
--- a/broker/src/front/server.rs
+++ b/broker/src/front/server.rs
@@ -1,5 +1,6 @@
-//! Accepts clients and serves them. A connection is accepted once there is a place for it ([`Places`]); till then it waits at
-//! the listener, and those that ask nothing make room ([`Crowd`]). What a connection goes through is in [`client`](super::client).
+//! Accepts clients and serves them. A connection is accepted once a slot is free ([`ConnectionSlots`]); until then it waits in
+//! the listener's backlog, and idle ones are evicted ([`ConnectionLimit`]). The states of a connection are in
+//! [`client`](super::client).
 
 use std::cell::Cell;
 use std::net::TcpListener;
@@ -10,23 +11,23 @@
 use async_io::{Async, Timer};
 use futures_lite::future::or;
 
-use super::client::{Answered, Asked, Bodies, Client, Ended, Look, NoRequest, Shut};
-use super::crowd::Crowd;
+use super::client::{Answered, BodyMemory, Client, Closed, FinalRead, HalfClosed, NoRequest, Request};
+use super::connection_limit::ConnectionLimit;
 use super::{Accepted, Reply, Service};
 use crate::config::Waits;
 use crate::counters::{count, Counters};
 use crate::handover::{Other, Presence};
 use crate::http::Fault;
 use crate::lifecycle::Lifecycle;
-use crate::limits::{Clients, Place, Places};
+use crate::limits::{Clients, ConnectionSlot, ConnectionSlots};
 
-/// After a failed accept (the system has no descriptor left, say) the next is tried so much later.
-const ACCEPT_AGAIN: Duration = Duration::from_millis(20);
-/// Where all places are taken, who may make room is looked for again so much later.
-const LOOK_AGAIN: Duration = Duration::from_millis(5);
-/// A client that sends bad requests is read again so much later, and closed after so many.
-const BAD_PAUSE: Duration = Duration::from_millis(50);
-const BAD_MOST: u32 = 8;
+/// Delay after a failed accept, such as for a lack of descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// Interval at which connections to evict are looked for while no slot is free.
+const SLOT_RECHECK_DELAY: Duration = Duration::from_millis(5);
+/// Delay after each invalid request of a client, and the number of them after which its connection is closed.
+const BAD_REQUEST_DELAY: Duration = Duration::from_millis(50);
+const BAD_REQUESTS_MAX: u32 = 8;
 
 /// Serves connections from a listener until the broker leaves.
 pub struct Server<S> {
@@ -37,31 +38,31 @@
     executor: Rc<LocalExecutor<'static>>,
     waits: Waits,
     clients: Clients,
-    places: Rc<Places>,
-    /// Requests that are being answered.
+    slots: Rc<ConnectionSlots>,
+    /// Number of requests in progress.
     open: Cell<usize>,
-    bodies: Rc<Bodies>,
-    crowd: Crowd,
+    bodies: Rc<BodyMemory>,
+    connection_limit: ConnectionLimit,
 }
 
-/// What a connection brings next.
+/// The next input of a connection.
 enum Next {
-    /// A request; whether it is the last.
-    Asked(Client, Asked, bool),
-    /// What can't be read, or has no room: an answer is owed, the last.
-    Unfit(Client, Reply),
-    /// Nothing.
-    Over(Shut),
-    /// The client has gone.
-    Gone(Ended),
+    /// A request, and whether it is the last.
+    Request(Client, Request, bool),
+    /// An invalid request, or one over the limits: the reply, which is the last.
+    Invalid(Client, Reply),
+    /// The connection closes without a request.
+    Ended(HalfClosed),
+    /// The client disconnected.
+    Disconnected(Closed),
 }
 
-/// Why a request is no longer waited for.
+/// Why the server stops waiting for a request.
 enum Stop {
-    /// Nothing has come for too long, or others need the room more.
-    Over,
-    /// The broker is about to be empty, or to end.
-    Late,
+    /// It timed out, or the connection was evicted.
+    Ended,
+    /// The broker is draining or shutting down.
+    ShuttingDown,
 }
 
 impl<S: Service + 'static> Server<S> {
@@ -83,10 +84,10 @@
             executor: executor.clone(),
             waits,
             clients,
-            places: Places::new(clients.all()),
+            slots: ConnectionSlots::new(clients.all()),
             open: Cell::new(0),
-            bodies: Bodies::new(bodies, presence),
-            crowd: Crowd::default(),
+            bodies: BodyMemory::new(bodies, presence),
+            connection_limit: ConnectionLimit::default(),
         })
     }
 
@@ -98,7 +99,7 @@
             self.lifecycle.able().await;
         }
         loop {
-            let place = async { Some(self.place().await) };
+            let slot = async { Some(self.acquire_slot().await) };
             let leaves = async {
                 match own {
                     true => self.lifecycle.late().await,
@@ -106,7 +107,7 @@
                 }
                 None
             };
-            let Some(place) = or(leaves, place).await else { return };
+            let Some(slot) = or(leaves, slot).await else { return };
             let accept = async { Some(listener.accept().await) };
             let closed = async {
                 self.lifecycle.accepting_over().await;
@@ -120,12 +121,12 @@
             };
             match taken {
                 None => return,
-                Some(Ok((socket, _))) => self.clone().begin(socket, place),
+                Some(Ok((socket, _))) => self.clone().spawn_connection(socket, slot),
                 Some(Err(e)) => {
-                    log::warn!("accept: {e}");
+                    log::warn!(error:% = e; "accepting a client failed");
                     // Others hold more than the limits say: who asks nothing goes first here too.
-                    self.crowd.make_room();
-                    Timer::after(ACCEPT_AGAIN).await;
+                    self.connection_limit.evict_idle();
+                    Timer::after(ACCEPT_RETRY_DELAY).await;
                 }
             }
         }
@@ -133,103 +134,105 @@
 
     /// Waits for a place. Those that are too many make room as soon as they may: in a crowd that comes in one go nobody
     /// has waited long enough yet. Those that linger go on doing so for a moment.
-    async fn place(&self) -> Place {
+    async fn acquire_slot(&self) -> ConnectionSlot {
         loop {
-            if let Some(place) = self.places.take() {
-                return place;
+            if let Some(slot) = self.slots.try_acquire() {
+                return slot;
             }
-            self.crowd.hurry();
-            let over = self.places.taken().saturating_sub(self.clients.most + self.crowd.ends());
-            for _ in 0..over {
-                self.crowd.make_room();
+            self.connection_limit.evict_closing();
+            let excess =
+                self.slots.taken().saturating_sub(self.clients.most + self.connection_limit.closing_count());
+            for _ in 0..excess {
+                self.connection_limit.evict_idle();
             }
             let later = async {
-                Timer::after(LOOK_AGAIN).await;
+                Timer::after(SLOT_RECHECK_DELAY).await;
             };
-            or(self.places.freed(), later).await;
+            or(self.slots.freed(), later).await;
         }
     }
 
-    fn begin(self: Rc<Self>, socket: Async<std::net::TcpStream>, place: Place) {
+    fn spawn_connection(self: Rc<Self>, socket: Async<std::net::TcpStream>, slot: ConnectionSlot) {
         count(&self.counters.connections);
-        if self.places.taken() > self.clients.most {
-            self.crowd.make_room();
+        if self.slots.taken() > self.clients.most {
+            self.connection_limit.evict_idle();
         }
         let (this, connection) = (self.clone(), self.lifecycle.connection());
         let task = async move {
-            let Ended { .. } = this.serve(Client::new(socket)).await;
-            drop((place, connection));
+            let Closed { .. } = this.serve(Client::new(socket)).await;
+            drop((slot, connection));
         };
         self.executor.spawn(task).detach();
     }
 
     /// Reads the next request of a connection; of one that was accepted just now, the first.
     async fn next(&self, mut client: Client, accepted: Option<Instant>) -> Next {
-        if self.lifecycle.too_late() {
-            return Next::Over(client.too_late());
+        if self.lifecycle.is_too_late() {
+            return Next::Ended(client.close_unread());
         }
-        let stands = accepted.map_or_else(|| self.crowd.kept(), |_| self.crowd.fresh());
+        let eviction = accepted
+            .map_or_else(|| self.connection_limit.track_reused(), |_| self.connection_limit.track_new());
         let first_by = accepted.map(|at| at + self.waits.read);
         if !client.begun() {
             let within = first_by.map_or(self.waits.idle, |by| by.saturating_duration_since(Instant::now()));
             let first = async { client.first(within).await.map_err(Some) };
-            let over = async {
-                or(stands.wanted(), self.lifecycle.idle_over(accepted)).await;
+            let ended = async {
+                or(eviction.requested(), self.lifecycle.idle_over(accepted)).await;
                 Err(None)
             };
-            match or(first, over).await {
+            match or(first, ended).await {
                 Ok(()) => {}
-                Err(Some(NoRequest::Gone)) => return Next::Gone(client.gone()),
-                Err(_) => return self.stopped(client, Stop::Over).await,
+                Err(Some(NoRequest::Disconnected)) => return Next::Disconnected(client.into_closed()),
+                Err(_) => return self.on_stop(client, Stop::Ended).await,
             }
         }
         // One that has been of use is let finish a request that has begun.
-        let stands = accepted.is_some().then_some(stands);
+        let eviction = accepted.is_some().then_some(eviction);
         let by = first_by.unwrap_or_else(|| Instant::now() + self.waits.read);
         let request = async { Ok(client.request(&self.bodies, by).await) };
-        let crowded = async {
-            match &stands {
-                Some(stands) => stands.wanted().await,
+        let evicted = async {
+            match &eviction {
+                Some(eviction) => eviction.requested().await,
                 None => futures_lite::future::pending().await,
             }
-            Err(Stop::Over)
+            Err(Stop::Ended)
         };
         let late = async {
             self.lifecycle.reading_over(accepted).await;
-            Err(Stop::Late)
+            Err(Stop::ShuttingDown)
         };
-        match or(request, or(crowded, late)).await {
-            Ok(request) => self.came(client, request, false),
-            Err(stop) => self.stopped(client, stop).await,
+        match or(request, or(evicted, late)).await {
+            Ok(request) => self.on_request(client, request, false),
+            Err(stop) => self.on_stop(client, stop).await,
         }
     }
 
     /// Looks once more at a connection on which no request is waited for any longer.
-    async fn stopped(&self, mut client: Client, stop: Stop) -> Next {
-        if self.lifecycle.too_late() {
-            return Next::Over(client.too_late());
+    async fn on_stop(&self, mut client: Client, stop: Stop) -> Next {
+        if self.lifecycle.is_too_late() {
+            return Next::Ended(client.close_unread());
         }
         match stop {
-            Stop::Over => match client.look(&self.bodies).await {
-                Look::Asked(client, asked) => self.came(client, Ok(asked), true),
-                Look::Unfit(client, unfit) => self.came(client, Err(unfit), true),
-                Look::Nothing(shut) => Next::Over(shut),
-                Look::Gone(ended) => Next::Gone(ended),
+            Stop::Ended => match client.final_read(&self.bodies).await {
+                FinalRead::Request(client, request) => self.on_request(client, Ok(request), true),
+                FinalRead::Invalid(client, invalid) => self.on_request(client, Err(invalid), true),
+                FinalRead::Nothing(shut) => Next::Ended(shut),
+                FinalRead::Disconnected(ended) => Next::Disconnected(ended),
             },
             // Part of a request has come: its client is told that the rest is not waited for.
-            Stop::Late => {
+            Stop::ShuttingDown => {
                 let request = client.request(&self.bodies, Instant::now()).await;
-                self.came(client, request, true)
+                self.on_request(client, request, true)
             }
         }
     }
 
-    fn came(&self, client: Client, request: Result<Asked, NoRequest>, last: bool) -> Next {
+    fn on_request(&self, client: Client, request: Result<Request, NoRequest>, last: bool) -> Next {
         let fault = match request {
-            Ok(_) if self.open.get() >= self.clients.most => NoRequest::NoRoom,
-            Ok(asked) => {
+            Ok(_) if self.open.get() >= self.clients.most => NoRequest::NoCapacity,
+            Ok(request) => {
                 count(&self.counters.requests);
-                return Next::Asked(client, asked, last);
+                return Next::Request(client, request, last);
             }
             Err(fault) => fault,
         };
@@ -238,57 +241,57 @@
             self.service.unreadable(fault)
         };
         match fault {
-            NoRequest::Gone => Next::Gone(client.gone()),
-            NoRequest::NoRoom => {
+            NoRequest::Disconnected => Next::Disconnected(client.into_closed()),
+            NoRequest::NoCapacity => {
                 count(&self.counters.connections_shed);
-                Next::Unfit(client, self.service.shed())
+                Next::Invalid(client, self.service.overloaded())
             }
-            NoRequest::Stalled => Next::Unfit(client, unreadable(Fault::Stalled)),
-            NoRequest::Fault(fault) => Next::Unfit(client, unreadable(fault)),
+            NoRequest::Stalled => Next::Invalid(client, unreadable(Fault::Stalled)),
+            NoRequest::Fault(fault) => Next::Invalid(client, unreadable(fault)),
         }
     }
 
-    async fn serve(&self, mut client: Client) -> Ended {
+    async fn serve(&self, mut client: Client) -> Closed {
         let (mut accepted, mut bad) = (Some(Instant::now()), 0);
         loop {
             let (mut asking, reply, keep_alive) = match self.next(client, accepted.take()).await {
-                Next::Asked(client, asked, last) => match self.answer(client, asked).await {
+                Next::Request(client, request, last) => match self.answer(client, request).await {
                     Ok((client, reply, keep_alive)) => (client, reply, keep_alive && !last),
                     Err(ended) => return ended,
                 },
-                Next::Unfit(client, reply) => (client, reply, false),
-                Next::Over(shut) => return self.linger(shut).await,
-                Next::Gone(ended) => return ended,
+                Next::Invalid(client, reply) => (client, reply, false),
+                Next::Ended(shut) => return self.linger(shut).await,
+                Next::Disconnected(ended) => return ended,
             };
             // Guards against a client that sends the same again the moment it is turned away: it would
             // have the thread to itself.
-            let unfit = (400..500).contains(&reply.status) && reply.status != 429;
-            bad += u32::from(unfit);
-            let keep_alive = keep_alive && !self.lifecycle.closing() && bad < BAD_MOST;
+            let invalid = (400..500).contains(&reply.status) && reply.status != 429;
+            bad += u32::from(invalid);
+            let keep_alive = keep_alive && !self.lifecycle.closing() && bad < BAD_REQUESTS_MAX;
             asking = match asking.answer(&reply, keep_alive, self.waits.write).await {
-                Answered::Kept(client) => client,
+                Answered::Reusable(client) => client,
                 Answered::Last(shut) => return self.linger(shut).await,
                 Answered::Unwritten(ended) => {
                     count(&self.counters.unwritten);
                     return ended;
                 }
             };
-            if unfit {
-                Timer::after(BAD_PAUSE).await;
+            if invalid {
+                Timer::after(BAD_REQUEST_DELAY).await;
             }
             client = asking;
         }
     }
 
-    async fn linger(&self, shut: Shut) -> Ended {
-        let stands = self.crowd.ending();
-        shut.linger(stands.wanted()).await
+    async fn linger(&self, shut: HalfClosed) -> Closed {
+        let eviction = self.connection_limit.track_closing();
+        shut.linger(eviction.requested()).await
     }
 
     /// Waits for a request's answer, unless its client goes first: dropping the ticket tells the core. Also tells whether the
     /// connection may carry another.
-    async fn answer(&self, mut client: Client, asked: Asked) -> Result<(Client, Reply, bool), Ended> {
-        let Asked { head, body, .. } = asked;
+    async fn answer(&self, mut client: Client, request: Request) -> Result<(Client, Reply, bool), Closed> {
+        let Request { head, body, .. } = request;
         let (ticket, replier) = match self.service.accept(&head, body) {
             Accepted::Reply(reply) => {
                 if (400..500).contains(&reply.status) && reply.status != 429 {
@@ -301,7 +304,7 @@
         self.open.set(self.open.get() + 1);
         let answer = async { Some(ticket.answer().await) };
         let left = async {
-            client.left().await;
+            client.disconnected().await;
             None
         };
         let answer = or(answer, left).await;
@@ -309,7 +312,7 @@
         drop(ticket);
         match answer {
             Some(answer) => Ok((client, replier(answer), head.keep_alive)),
-            None => Err(client.gone()),
+            None => Err(client.into_closed()),
         }
     }
 }
--- a/broker/src/handover.rs
+++ b/broker/src/handover.rs
@@ -14,11 +14,11 @@
 use rustix::net::{sockopt, SocketType};
 use rustix::process::{getpid, pidfd_getfd, pidfd_open, PidfdFlags, PidfdGetfdFlags};
 
-/// How often each process looks for the other.
-const LOOK: Duration = Duration::from_millis(100);
-/// A look takes a lock for a moment; whoever starts in that moment tries again, so often and so much later.
-const TRIES: u32 = 20;
-const TRY_AGAIN: Duration = Duration::from_millis(5);
+/// Interval at which each process checks for the other.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// A check holds a lock for a moment; a process that starts in that moment retries.
+const LOCK_RETRIES: u32 = 20;
+const LOCK_RETRY_DELAY: Duration = Duration::from_millis(5);
 
 /// Takes over a listening socket that the process was started with, for `at`.
 pub fn inherited(fd: i32, at: SocketAddr) -> Result<TcpListener, String> {
@@ -39,15 +39,15 @@
     Ok(listener)
 }
 
-/// So many connections may wait at a listener until they are accepted: more than a crowd brings while none has a place. Past
-/// that the system turns connections away without a word, and they come again after seconds.
-const WAITING: i32 = 1024;
+/// Length of a listener's accept backlog: more than arrive at once while no slot is free. Past it the kernel drops
+/// connections silently, and clients retry after seconds.
+const ACCEPT_BACKLOG: i32 = 1024;
 
 /// A listener of this process's own.
 pub fn listen_alone(at: SocketAddr) -> io::Result<TcpListener> {
     let listener = TcpListener::bind(at)?;
     // It listens already, if with a short queue.
-    let _ = rustix::net::listen(&listener, WAITING);
+    let _ = rustix::net::listen(&listener, ACCEPT_BACKLOG);
     Ok(listener)
 }
 
@@ -59,7 +59,7 @@
     sockopt::set_socket_reuseaddr(&socket, true)?;
     sockopt::set_socket_reuseport(&socket, true)?;
     bind(&socket, &at)?;
-    listen(&socket, WAITING)?;
+    listen(&socket, ACCEPT_BACKLOG)?;
     Ok(TcpListener::from(socket))
 }
 
@@ -71,7 +71,7 @@
     None,
     /// It serves, or is about to.
     Serves,
-    /// It has been told to end.
+    /// It is shutting down.
     Leaves,
 }
 
@@ -88,24 +88,28 @@
 }
 
 impl Presence {
-    /// Takes a place. Both being taken, this process goes without one: it sees the others, not they it.
-    pub fn take(dir: Option<&Path>, listen: SocketAddr) -> Rc<Self> {
+    /// Registers this process. If two others are registered it stays unregistered: it sees them, but they do not see it.
+    pub fn register(dir: Option<&Path>, listen: SocketAddr) -> Rc<Self> {
         let open = |n: u32| {
             let path = dir?.join(format!("gingerledge-{listen}.{n}"));
             let opened = OpenOptions::new().create(true).truncate(false).write(true).open(&path);
-            opened.map_err(|e| log::warn!("no place among the processes: {}: {e}", path.display())).ok()
+            opened
+                .map_err(
+                    |e| log::warn!(file:% = path.display(), error:% = e; "registering this process failed"),
+                )
+                .ok()
         };
         let files = open(0).zip(open(1)).map(|(first, second)| {
-            for _ in 0..TRIES {
+            for _ in 0..LOCK_RETRIES {
                 if lock(&first, FlockOperation::NonBlockingLockExclusive) {
                     return (first, second);
                 }
                 if lock(&second, FlockOperation::NonBlockingLockExclusive) {
                     return (second, first);
                 }
-                std::thread::sleep(TRY_AGAIN);
+                std::thread::sleep(LOCK_RETRY_DELAY);
             }
-            log::warn!("two other processes of this broker are there");
+            log::warn!("two other processes of this broker are registered");
             (second, first)
         });
         let presence = Self { files, other: Cell::default() };
@@ -160,7 +164,7 @@
             if self.look() != before {
                 seen(self.other());
             }
-            Timer::after(LOOK).await;
+            Timer::after(CHECK_INTERVAL).await;
         }
     }
 }
--- a/broker/src/http/stream.rs
+++ b/broker/src/http/stream.rs
@@ -13,8 +13,8 @@
 /// What is of no use is read in pieces of this size and dropped. After so many bytes others have their turn for so
 /// long: a peer that sends without end costs a small part of the thread, and what a peer that has gone left behind in both
 /// machines' buffers (some MB) is through within some tens of milliseconds.
-const DROP_PIECE: usize = 16 * 1024;
-const DROP_BURST: usize = 16 * DROP_PIECE;
+const DROP_BUFFER: usize = 16 * 1024;
+const DROP_BURST: usize = 16 * DROP_BUFFER;
 const DROP_PAUSE: Duration = Duration::from_millis(1);
 /// Longer than anything is waited for; a wait that ends is begun again.
 const LONG: Duration = Duration::from_secs(3600);
@@ -39,11 +39,11 @@
     buffer: Vec<u8>,
     ended: Cell<bool>,
     /// No body, and no chunk, is longer.
-    most: usize,
+    body_max: usize,
     /// The chunks of a body that have come so far.
     chunks: Vec<u8>,
     /// Whether bytes were dropped: no further message can be read.
-    spilt: bool,
+    has_dropped_bytes: bool,
 }
 
 impl Stream {
@@ -52,12 +52,12 @@
         // Answers are small and waited for.
         let _ = socket.get_ref().set_nodelay(true);
         let (buffer, chunks, ended) = (Vec::new(), Vec::new(), Cell::new(false));
-        Self { socket, buffer, ended, most: BODY_MAX, chunks, spilt: false }
+        Self { socket, buffer, ended, body_max: BODY_MAX, chunks, has_dropped_bytes: false }
     }
 
     /// Reads bodies and chunks of so many bytes at the most.
-    pub fn up_to(self, most: usize) -> Self {
-        Self { most, ..self }
+    pub fn up_to(self, body_max: usize) -> Self {
+        Self { body_max, ..self }
     }
 
     /// Whether bytes of a next message are there.
@@ -72,8 +72,8 @@
 
     /// Reads more; false at the end of the stream.
     async fn more(&mut self, within: Duration) -> Result<bool, Ending> {
-        let mut piece = [0; 4096];
-        let read = async { Some((&self.socket).read(&mut piece).await) };
+        let mut chunk_buffer = [0; 4096];
+        let read = async { Some((&self.socket).read(&mut chunk_buffer).await) };
         let late = async {
             Timer::after(within).await;
             None
@@ -86,7 +86,7 @@
                 Ok(false)
             }
             Some(Ok(n)) => {
-                self.buffer.extend_from_slice(&piece[..n]);
+                self.buffer.extend_from_slice(&chunk_buffer[..n]);
                 Ok(true)
             }
         }
@@ -130,7 +130,9 @@
         let until = Instant::now() + within;
         let mut body = Vec::new();
         match framing {
-            Framing::Length(length) if length > self.most => return Err(Ending::Fault(Fault::BodyTooLong)),
+            Framing::Length(length) if length > self.body_max => {
+                return Err(Ending::Fault(Fault::BodyTooLong))
+            }
             Framing::Length(length) => {
                 while self.buffer.len() < length {
                     self.more_before(until).await?;
@@ -142,7 +144,7 @@
             Framing::Chunked => {
                 while let Some(chunk) = self.chunk_before(until).await? {
                     self.chunks.extend_from_slice(&chunk);
-                    if self.chunks.len() > self.most {
+                    if self.chunks.len() > self.body_max {
                         return Err(Ending::Fault(Fault::BodyTooLong));
                     }
                 }
@@ -154,7 +156,7 @@
                         Err(Ending::Cut) if self.ended.get() => {}
                         other => other?,
                     }
-                    if self.buffer.len() > self.most {
+                    if self.buffer.len() > self.body_max {
                         return Err(Ending::Fault(Fault::BodyTooLong));
                     }
                 }
@@ -171,7 +173,7 @@
 
     async fn chunk_before(&mut self, until: Instant) -> Result<Option<Vec<u8>>, Ending> {
         loop {
-            match parse_chunk(&self.buffer, self.most).map_err(Ending::Fault)? {
+            match parse_chunk(&self.buffer, self.body_max).map_err(Ending::Fault)? {
                 Some(Chunk::Last { next }) => {
                     self.buffer.drain(..next);
                     return Ok(None);
@@ -189,7 +191,7 @@
     /// Resolves once the peer has closed or the connection broke. Bytes of a next message that come
     /// meanwhile are kept, up to the longest head; past that they are dropped, and the connection can carry no further
     /// message ([`Stream::spilt`]). Guards against a peer that sends much at once and goes: its end stands behind all of it.
-    pub async fn left(&mut self) {
+    pub async fn peer_closed(&mut self) {
         while self.buffer.len() < HEAD_MAX {
             if !matches!(self.more(LONG).await, Ok(true) | Err(Ending::Stalled)) {
                 return;
@@ -199,21 +201,21 @@
     }
 
     /// Whether bytes that came have been dropped.
-    pub fn spilt(&self) -> bool {
-        self.spilt
+    pub fn has_dropped_bytes(&self) -> bool {
+        self.has_dropped_bytes
     }
 
     /// Reads and drops what comes until the peer has closed or the connection broke.
     async fn drain(&mut self) {
-        let mut piece = vec![0; DROP_PIECE];
+        let mut chunk_buffer = vec![0; DROP_BUFFER];
         loop {
             let mut taken = 0;
             while taken < DROP_BURST {
-                match (&self.socket).read(&mut piece).await {
+                match (&self.socket).read(&mut chunk_buffer).await {
                     Ok(0) | Err(_) => return,
                     Ok(n) => taken += n,
                 }
-                self.spilt = true;
+                self.has_dropped_bytes = true;
             }
             Timer::after(DROP_PAUSE).await;
         }
--- a/broker/src/lifecycle.rs
+++ b/broker/src/lifecycle.rs
@@ -30,12 +30,12 @@
 pub enum Phase {
     /// It takes requests.
     Serving,
-    /// Told to drain: what comes is still served, and every answer ends its connection.
+    /// Draining: new requests are still served, and every answer closes its connection.
     Draining {
         /// From when on.
         since: Instant,
     },
-    /// Told to end.
+    /// Shutting down.
     Leaving {
         /// From when on.
         since: Instant,
@@ -55,11 +55,11 @@
     }
 }
 
-/// The state machine; shared by all doors.
+/// The state machine, shared by fronts and the admin endpoint.
 #[derive(Debug)]
 pub struct Lifecycle {
     phase: Cell<Phase>,
-    /// Whether it knows enough to serve; from then on for good.
+    /// Whether it has become ready to serve; never reset.
     able: Cell<bool>,
     changed: Event,
     connections: Cell<usize>,
@@ -100,10 +100,10 @@
         }
     }
 
-    /// Resolves once it can serve, or has been told to end.
+    /// Resolves once it can serve or is shutting down.
     pub async fn able(&self) {
-        let told = |phase| matches!(phase, Phase::Leaving { .. });
-        self.reached(|phase| (self.able.get() || told(phase)).then(Instant::now)).await
+        let is_leaving = |phase| matches!(phase, Phase::Leaving { .. });
+        self.reached(|phase| (self.able.get() || is_leaving(phase)).then(Instant::now)).await
     }
 
     /// Whether answers end their connections.
@@ -173,7 +173,7 @@
 
     /// Whether a request that has not been read is left to lie: SIGKILL might find it unanswered. Its client finds the
     /// connection closed, and sends it once more elsewhere.
-    pub fn too_late(&self) -> bool {
+    pub fn is_too_late(&self) -> bool {
         matches!(self.phase(), Phase::Leaving { since, .. } if since.elapsed() >= LEAVE_TAKEN)
     }
 
--- a/broker/src/limits.rs
+++ b/broker/src/limits.rs
@@ -2,7 +2,7 @@
 //! within the limit whatever happens, also while two processes of this broker are there (`broker/tests/descriptors.rs`), so
 //! that no side can take what another needs: clients that only stand about leave room for discovery's call and for dials.
 //!
-//! A side that has used its part up waits for a place of its own ([`Places`]); it never tries without one.
+//! A side that has used its part up waits for a place of its own ([`ConnectionSlots`]); it never tries without one.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -32,9 +32,9 @@
 /// Orders and copies to stores, where blocks move, hold one in so many.
 const BLOCKS_SHARE: usize = 8;
 
-/// What the division goes by.
+/// The inputs of a [`Budget`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Wants {
+pub struct BudgetRequest {
     /// `limits.sockets`: for all processes of this broker together.
     pub sockets: usize,
     /// What the system lets this process hold, if it says.
@@ -85,8 +85,8 @@
 }
 
 impl Budget {
-    /// Divides.
-    pub fn of(wants: Wants) -> Self {
+    /// Divides the descriptors.
+    pub fn of(wants: BudgetRequest) -> Self {
         let processes = if wants.shared { 2 } else { 1 };
         let own = (wants.sockets / processes).min(wants.allowed.unwrap_or(usize::MAX));
         let files = if wants.blocks { BLOCK_FILES } else { 0 };
@@ -120,46 +120,46 @@
     limit.current.and_then(|most| most.try_into().ok())
 }
 
-/// Places for connections of one side, of which each is held by one connection.
+/// A bounded number of connections; each connection holds a slot.
 #[derive(Debug)]
-pub struct Places {
+pub struct ConnectionSlots {
     most: usize,
     taken: Cell<usize>,
     freed: Event,
 }
 
-/// One place; given back when dropped.
+/// The slot of one connection, released when dropped.
 #[derive(Debug)]
-pub struct Place(Rc<Places>);
+pub struct ConnectionSlot(Rc<ConnectionSlots>);
 
-impl Drop for Place {
+impl Drop for ConnectionSlot {
     fn drop(&mut self) {
         self.0.taken.set(self.0.taken.get() - 1);
         self.0.freed.notify(1);
     }
 }
 
-impl Places {
-    /// So many.
+impl ConnectionSlots {
+    /// A bound of `most` connections.
     pub fn new(most: usize) -> Rc<Self> {
         Rc::new(Self { most, taken: Cell::new(0), freed: Event::new() })
     }
 
-    /// How many are taken.
+    /// Number of slots in use.
     pub fn taken(&self) -> usize {
         self.taken.get()
     }
 
-    /// A place, if one is free.
-    pub fn take(self: &Rc<Self>) -> Option<Place> {
+    /// Acquires a slot, if one is free.
+    pub fn try_acquire(self: &Rc<Self>) -> Option<ConnectionSlot> {
         let free = self.taken.get() < self.most;
         free.then(|| {
             self.taken.set(self.taken.get() + 1);
-            Place(self.clone())
+            ConnectionSlot(self.clone())
         })
     }
 
-    /// Resolves when a place is given back after this call; whoever waits looks again.
+    /// Resolves when a slot is released after this call; the caller must then try again.
     pub async fn freed(&self) {
         self.freed.listen().await;
     }
--- a/broker/src/rotation.rs
+++ b/broker/src/rotation.rs
@@ -1,5 +1,5 @@
-//! Reading stores taken out by hand: one set of ids, which outlives lists, new configurations and upgrades.
-//! It lies in a small file that two processes of one broker share.
+//! The stores that operators disabled: one set of ids that outlives endpoint lists, configurations and upgrades, in a small
+//! file shared by the two processes that a broker may have.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -14,20 +14,20 @@
 use crate::clock::Millis;
 use crate::faults;
 
-/// No id is longer.
+/// Maximum length of a store id.
 pub const ID_MAX: usize = 128;
-/// So many stores may be out, and so many are remembered that were put back.
+/// Maximum of disabled stores, and of remembered enabled ones.
 const IDS_MAX: usize = 512;
-/// No file is longer.
+/// Maximum length of the file, in bytes.
 const FILE_MAX: u64 = 192 * 1024;
 
-/// What the file says.
+/// The contents of the file.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Marks {
-    /// Those that are out, and since when, in whole milliseconds of Unix time.
-    pub out: BTreeMap<String, u64>,
-    /// Those put back: since when they had been out, and when they came back.
-    pub back: BTreeMap<String, (u64, u64)>,
+pub struct DisabledStores {
+    /// Disabled stores, and since when, in Unix milliseconds.
+    pub disabled: BTreeMap<String, u64>,
+    /// Stores enabled again: when they had been disabled and when enabled, in Unix milliseconds.
+    pub enabled: BTreeMap<String, (u64, u64)>,
 }
 
 /// Whether this can be a store's id: up to 128 visible characters.
@@ -35,65 +35,65 @@
     (1..=ID_MAX).contains(&text.len()) && text.bytes().all(|b| b.is_ascii_graphic())
 }
 
-impl Marks {
-    /// Reads a file's text; what can't be read is passed over and counted.
+impl DisabledStores {
+    /// Parses a file; also returns the number of lines that are invalid.
     pub fn parse(bytes: &[u8]) -> (Self, usize) {
-        let (mut marks, mut unread) = (Self::default(), 0);
+        let (mut stores, mut unreadable) = (Self::default(), 0);
         for line in bytes.split_inclusive(|b| *b == b'\n') {
             // A line without its end may be cut short, and an id with it.
             let line = line.strip_suffix(b"\n").unwrap_or_default();
             let words: Vec<&str> = std::str::from_utf8(line).unwrap_or_default().split(' ').collect();
             match words[..] {
-                ["out", id, since] if is_id(id) && marks.out.len() < IDS_MAX => match since.parse() {
-                    Ok(since) => drop(marks.out.insert(id.to_owned(), since)),
-                    Err(_) => unread += 1,
+                ["out", id, since] if is_id(id) && stores.disabled.len() < IDS_MAX => match since.parse() {
+                    Ok(since) => drop(stores.disabled.insert(id.to_owned(), since)),
+                    Err(_) => unreadable += 1,
                 },
-                ["back", id, since, at] if is_id(id) && marks.back.len() < IDS_MAX => {
+                ["back", id, since, at] if is_id(id) && stores.enabled.len() < IDS_MAX => {
                     match (since.parse(), at.parse()) {
-                        (Ok(since), Ok(at)) => drop(marks.back.insert(id.to_owned(), (since, at))),
-                        _ => unread += 1,
+                        (Ok(since), Ok(at)) => drop(stores.enabled.insert(id.to_owned(), (since, at))),
+                        _ => unreadable += 1,
                     }
                 }
-                _ => unread += 1,
+                _ => unreadable += 1,
             }
         }
-        marks.back.retain(|id, _| !marks.out.contains_key(id));
-        (marks, unread)
+        stores.enabled.retain(|id, _| !stores.disabled.contains_key(id));
+        (stores, unreadable)
     }
 
-    /// The same as text.
+    /// The text of the file.
     pub fn text(&self) -> String {
-        let out = self.out.iter().map(|(id, since)| format!("out {id} {since}\n"));
-        let back = self.back.iter().map(|(id, (since, at))| format!("back {id} {since} {at}\n"));
+        let out = self.disabled.iter().map(|(id, since)| format!("out {id} {since}\n"));
+        let back = self.enabled.iter().map(|(id, (since, at))| format!("back {id} {since} {at}\n"));
         out.chain(back).collect()
     }
 
-    /// Takes a store out; false if there is no room for one more. One that is out stays so from the first call on.
-    fn take_out(&mut self, id: &str, now: Millis) -> bool {
-        if self.out.len() >= IDS_MAX && !self.out.contains_key(id) {
+    /// Disables a store; false if too many are. A disabled store keeps its first time.
+    fn disable(&mut self, id: &str, now: Millis) -> bool {
+        if self.disabled.len() >= IDS_MAX && !self.disabled.contains_key(id) {
             return false;
         }
-        self.back.remove(id);
-        self.out.entry(id.to_owned()).or_insert(now.max(0.0) as u64);
+        self.enabled.remove(id);
+        self.disabled.entry(id.to_owned()).or_insert(now.max(0.0) as u64);
         true
     }
 
-    /// Puts a store back, and forgets those that have been back for so long that they are warm.
-    fn put_back(&mut self, id: &str, now: Millis, cold_ms: Millis) {
-        let Some(since) = self.out.remove(id) else { return };
-        self.back.retain(|_, (_, at)| *at as Millis + cold_ms > now);
-        while self.back.len() >= IDS_MAX {
-            self.back.pop_first();
+    /// Enables a store, and removes those that were enabled longer than a warm-up ago.
+    fn enable(&mut self, id: &str, now: Millis, cold_ms: Millis) {
+        let Some(since) = self.disabled.remove(id) else { return };
+        self.enabled.retain(|_, (_, at)| *at as Millis + cold_ms > now);
+        while self.enabled.len() >= IDS_MAX {
+            self.enabled.pop_first();
         }
-        self.back.insert(id.to_owned(), (since, now.max(0.0) as u64));
+        self.enabled.insert(id.to_owned(), (since, now.max(0.0) as u64));
     }
 
-    /// The ids of which this and another say different things.
-    fn differ(&self, other: &Self) -> Vec<String> {
-        let sides = [self, other].map(|marks| marks.out.keys().chain(marks.back.keys()));
+    /// The ids whose state differs between this and another.
+    fn differences(&self, other: &Self) -> Vec<String> {
+        let sides = [self, other].map(|stores| stores.disabled.keys().chain(stores.enabled.keys()));
         let differs = |id: &&String| {
-            self.out.contains_key(*id) != other.out.contains_key(*id)
-                || self.back.get(*id) != other.back.get(*id)
+            self.disabled.contains_key(*id) != other.disabled.contains_key(*id)
+                || self.enabled.get(*id) != other.enabled.get(*id)
         };
         let mut ids: Vec<String> = sides.into_iter().flatten().filter(differs).cloned().collect();
         ids.sort_unstable();
@@ -105,12 +105,12 @@
 /// What shows that the file has been replaced.
 type Stamp = Option<(SystemTime, u64)>;
 
-/// The set, and its file.
+/// The disabled stores and their file.
 #[derive(Debug)]
 pub struct Rotation {
     file: Option<PathBuf>,
     cold_ms: Millis,
-    marks: RefCell<Marks>,
+    stores: RefCell<DisabledStores>,
     seen: Cell<Stamp>,
 }
 
@@ -118,46 +118,54 @@
     /// The set as an earlier process left it. Without a folder it lasts as long as this process.
     pub fn open(dir: Option<&Path>, listen: SocketAddr, cold_ms: Millis) -> Self {
         let file = dir.map(|dir| dir.join(format!("gingerledge-{listen}.out")));
-        let rotation = Self { file, cold_ms, marks: RefCell::default(), seen: Cell::new(None) };
+        let rotation = Self { file, cold_ms, stores: RefCell::default(), seen: Cell::new(None) };
         rotation.read(true);
         rotation
     }
 
-    /// Whether this store is out.
-    pub fn is_out(&self, id: &str) -> bool {
-        self.marks.borrow().out.contains_key(id)
+    /// Whether a store is disabled.
+    pub fn is_disabled(&self, id: &str) -> bool {
+        self.stores.borrow().disabled.contains_key(id)
     }
 
     /// When this store started. One that was put back was restarted while it was out: as listed, if the list
     /// tells a start since then, and otherwise it counts as started when it came back.
     pub fn started(&self, id: &str, listed: Millis) -> Millis {
-        match self.marks.borrow().back.get(id) {
+        match self.stores.borrow().enabled.get(id) {
             Some((since, at)) if listed < *since as Millis => *at as Millis,
             _ => listed,
         }
     }
 
-    /// How many stores are out.
+    /// Number of disabled stores.
     pub fn count(&self) -> usize {
-        self.marks.borrow().out.len()
+        self.stores.borrow().disabled.len()
     }
 
-    /// Takes a store out, at this time. An error has changed nothing.
-    pub fn take_out(&self, id: &str, now: Millis) -> io::Result<Vec<String>> {
-        self.change(|marks| marks.take_out(id, now))
+    /// Disables a store, at `now`; returns the stores whose state changed.
+    ///
+    /// # Errors
+    ///
+    /// If the file could not be locked or written, or too many stores are disabled; nothing has changed then.
+    pub fn disable(&self, id: &str, now: Millis) -> io::Result<Vec<String>> {
+        self.change(|stores| stores.disable(id, now))
     }
 
-    /// Puts a store back, at this time. An error has changed nothing.
-    pub fn put_back(&self, id: &str, now: Millis) -> io::Result<Vec<String>> {
-        self.change(|marks| {
-            marks.put_back(id, now, self.cold_ms);
+    /// Enables a store, at `now`; returns the stores whose state changed.
+    ///
+    /// # Errors
+    ///
+    /// If the file could not be locked or written; nothing has changed then.
+    pub fn enable(&self, id: &str, now: Millis) -> io::Result<Vec<String>> {
+        self.change(|stores| {
+            stores.enable(id, now, self.cold_ms);
             true
         })
     }
 
     /// Changes the file's marks under its lock, so that no call at another process is undone; returns all
     /// stores of which something else is true now. While another process has the lock it would block.
-    fn change(&self, change: impl FnOnce(&mut Marks) -> bool) -> io::Result<Vec<String>> {
+    fn change(&self, change: impl FnOnce(&mut DisabledStores) -> bool) -> io::Result<Vec<String>> {
         let lock = self.file.as_ref().map(|file| {
             let path = file.with_extension("lock");
             let lock = OpenOptions::new().create(true).truncate(false).write(true).open(path)?;
@@ -166,8 +174,8 @@
         });
         let _lock = lock.transpose()?;
         let mut changed = self.follow();
-        let mut marks = self.marks.borrow().clone();
-        if !change(&mut marks) {
+        let mut stores = self.stores.borrow().clone();
+        if !change(&mut stores) {
             return Err(io::Error::new(io::ErrorKind::StorageFull, "too many stores are out"));
         }
         if let Some(file) = &self.file {
@@ -176,11 +184,11 @@
             }
             // Beside it and then over it: whoever reads finds the old one or the new one, whole.
             let beside = file.with_extension("new");
-            File::create(&beside)?.write_all(marks.text().as_bytes())?;
+            File::create(&beside)?.write_all(stores.text().as_bytes())?;
             std::fs::rename(&beside, file)?;
             self.seen.set(stamp(file));
         }
-        changed.extend(self.marks.replace(marks.clone()).differ(&marks));
+        changed.extend(self.stores.replace(stores.clone()).differences(&stores));
         Ok(changed)
     }
 
@@ -202,15 +210,15 @@
             log::warn!("stores out: {}: {e}", file.display());
             return Vec::new();
         }
-        let (marks, unread) = Marks::parse(&bytes);
-        if unread > 0 {
-            log::warn!("stores out: {}: {unread} lines can't be read", file.display());
+        let (stores, unreadable) = DisabledStores::parse(&bytes);
+        if unreadable > 0 {
+            log::warn!("stores out: {}: {unreadable} lines can't be read", file.display());
             if !start {
                 return Vec::new();
             }
         }
-        log::info!("stores out: {:?}", marks.out.keys());
-        self.marks.replace(marks.clone()).differ(&marks)
+        log::info!("stores out: {:?}", stores.disabled.keys());
+        self.stores.replace(stores.clone()).differences(&stores)
     }
 }
 
--- a/broker/src/service.rs
+++ b/broker/src/service.rs
@@ -1,4 +1,4 @@
-//! Puts the parts together and runs them on one thread: fronts, core, stores and discovery.
+//! Assembles the broker and runs it on one thread: fronts, core, stores and discovery.
 
 use std::cell::Cell;
 use std::io;
@@ -12,7 +12,7 @@
 use futures_lite::StreamExt;
 use gingerledge_dispatch::Repeat;
 
-use crate::admin::Door;
+use crate::admin::AdminServer;
 use crate::blocks::Blocks;
 use crate::clock::{millis, Clock, Millis};
 use crate::config::{Config, Error};
@@ -27,12 +27,12 @@
 use crate::front::Server;
 use crate::handover::{self, Other, Presence};
 use crate::lifecycle::Lifecycle;
-use crate::limits::{self, Budget, Wants};
-use crate::readiness::become_able;
+use crate::limits::{self, Budget, BudgetRequest};
+use crate::readiness::become_ready;
 use crate::rotation::Rotation;
 use crate::routes::Routes;
 use crate::store::link::Limits;
-use crate::store::{Stores, Word};
+use crate::store::{StopReason, Stores};
 use crate::subsystem::{Host, Subsystem};
 
 /// The end is waited for no longer than any request may wait and its answer be written. That is a guard only: each connection
@@ -48,7 +48,11 @@
 /// How often what another process was told is looked for; either may be called, and both have to follow in 1 s.
 const FOLLOW: Duration = Duration::from_millis(100);
 
-/// Runs the broker until it is told to stop. `again` reads the configuration once more, on SIGHUP.
+/// Runs the broker until SIGTERM or SIGINT. `again` reloads the configuration on SIGHUP.
+///
+/// # Errors
+///
+/// If the configuration can't be applied, such as for an address that is in use.
 pub fn run(config: Config, clock: Clock, again: impl Fn() -> Result<SocketAddr, Error>) -> Result<(), Error> {
     let executor = Rc::new(LocalExecutor::new());
     let serving = async {
@@ -62,26 +66,26 @@
     async_io::block_on(executor.run(serving))
 }
 
-/// How many entries the tables hold that grow and shrink with what happens.
+/// Sizes of the tables that grow and shrink with the load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Sizes {
     /// Stores known by name.
     pub stores: usize,
     /// Connections to stores.
     pub links: usize,
-    /// Attempts that are out.
+    /// Attempts in flight.
     pub attempts: usize,
-    /// Queries that wait for their final answer.
+    /// Queries that await their final answer.
     pub queries: usize,
 }
 
-/// A broker that serves.
+/// A running broker.
 pub struct Broker {
     /// Where the platform's clients connect.
     pub platform: SocketAddr,
     /// Where the feature front's clients connect, if it is set up.
     pub features: Option<SocketAddr>,
-    /// Where operators call, if there is such a door.
+    /// Address of the admin endpoint, if there is one.
     pub admin: Option<SocketAddr>,
     /// What it has counted.
     pub counters: Rc<Counters>,
@@ -104,12 +108,16 @@
 }
 
 impl Broker {
-    /// Starts one on this executor.
+    /// Starts a broker on this executor.
+    ///
+    /// # Errors
+    ///
+    /// If a listener can't be opened or the stored list is invalid.
     pub fn start(config: Config, clock: Clock, executor: Rc<LocalExecutor<'static>>) -> Result<Self, Error> {
         let counters = Rc::new(Counters::default());
-        let presence = Presence::take(config.state_dir.as_deref(), config.listen);
+        let presence = Presence::register(config.state_dir.as_deref(), config.listen);
         let lifecycle = Lifecycle::new();
-        let budget = Budget::of(Wants {
+        let budget = Budget::of(BudgetRequest {
             sockets: config.sockets,
             allowed: limits::allowed(),
             shared: config.listener.is_some(),
@@ -152,7 +160,7 @@
         let known = config.known.map(|known| discovery::parse(known.to_string().as_bytes())).transpose();
         let mut known = known.map_err(|fault| Error::new("known", fault.to_string()))?;
         if !calls.pushed {
-            known.take().iter().for_each(|known| discovery.tell(known, true));
+            known.take().iter().for_each(|known| discovery.apply(known, true));
         }
 
         let bodies = (config.memory_mb << 20) / BODIES_SHARE;
@@ -226,17 +234,17 @@
             let (listener, at) = listen("LB_ADMIN_ADDR", at, TcpListener::bind)?;
             executor
                 .spawn(
-                    Door::new(&lifecycle, &discovery, subsystems.clone(), clock, &counters, &executor)
+                    AdminServer::new(&lifecycle, &discovery, subsystems.clone(), clock, &counters, &executor)
                         .run(listener, budget.admin),
                 )
                 .detach();
-            log::info!("operators' door at {at}");
+            log::info!("admin endpoint: operators' door at {at}");
             admin = Some(at);
         }
         let core = Core::with_routes(config.seed, settings, clock.now(), routes);
         executor.spawn(discovery.clone().run()).detach();
         let beside = presence.other() != Other::None;
-        executor.spawn(become_able(lifecycle.clone(), discovery.clone(), (beside, calls), known)).detach();
+        executor.spawn(become_ready(lifecycle.clone(), discovery.clone(), (beside, calls), known)).detach();
         executor.spawn(follow_rotation(discovery.clone())).detach();
         let sharing = exchange.clone();
         let share = move |other| sharing.process_count_changed(if other == Other::Serves { 2 } else { 1 });
@@ -266,12 +274,12 @@
         })
     }
 
-    /// How much it holds now.
+    /// Current sizes of its tables.
     pub fn sizes(&self) -> Sizes {
         Sizes {
-            stores: self.stores.known(),
-            links: self.stores.links(),
-            attempts: self.stores.attempts(),
+            stores: self.stores.endpoint_count(),
+            links: self.stores.link_count(),
+            attempts: self.stores.attempt_count(),
             queries: self.exchange.open_queries(),
         }
     }
@@ -285,7 +293,7 @@
                 Ok(Signal::Hup) => self.reload(again()),
                 Ok(Signal::Term | Signal::Int) => return,
                 Ok(_) => {}
-                Err(e) => log::warn!("signals: {e}"),
+                Err(e) => log::warn!(error:% = e; "reading a signal failed"),
             }
         }
     }
@@ -295,11 +303,11 @@
     pub fn reload(&self, again: Result<SocketAddr, Error>) {
         match again {
             Ok(discovery) => self.discovery.follow(discovery),
-            Err(error) => log::error!("configuration not read again: {error}; the old one stays"),
+            Err(error) => log::error!("configuration reload failed, the old one stays: {error}"),
         }
     }
 
-    /// Stops taking requests and finishes those taken.
+    /// Shuts down gracefully: accepts no more requests and finishes those in progress.
     pub async fn stop(&self) {
         log::info!("stopping: {} queries open", self.exchange.open_queries());
         // From here on a successor may serve: stores that are cold get nothing from two processes of one broker.
@@ -325,7 +333,7 @@
     }
 }
 
-/// Follows stores that another process took out or put back.
+/// Applies changes to disabled stores by another process of this broker.
 async fn follow_rotation(discovery: Rc<Discovery>) {
     loop {
         Timer::after(FOLLOW).await;
@@ -339,7 +347,7 @@
     seed.rotate_left(17) ^ now.to_bits() ^ u64::from(std::process::id()).rotate_left(40)
 }
 
-/// Plays the core's turns: one whenever something has happened or is due.
+/// Drives the core: runs a turn whenever events have arrived or one is due.
 async fn drive(
     mut core: Core,
     clock: Clock,
@@ -350,14 +358,14 @@
 ) {
     let mut happened = Default::default();
     loop {
-        // Where told to, the whole process stands still here, as under a long pause of its machine.
+        // Fault injection: the whole process may be paused here.
         let _ = faults::point("core.turn");
         for command in core.turn(clock.now(), std::mem::take(&mut happened)) {
             match command {
                 Command::Send(order) => stores.send(order),
-                Command::Withdraw(attempt) => stores.stop(attempt, Word::GiveUp),
-                Command::Cancel(attempt) => stores.stop(attempt, Word::Abandon),
-                Command::CloseIdleConnections(server) => stores.release(server),
+                Command::Withdraw(attempt) => stores.stop(attempt, StopReason::NoAnswer),
+                Command::Cancel(attempt) => stores.stop(attempt, StopReason::NotNeeded),
+                Command::CloseIdleConnections(server) => stores.close_idle_links(server),
                 Command::RefreshBlockMap => {
                     subsystems.iter().for_each(|subsystem| subsystem.on_newer_epoch())
                 }
--- a/broker/src/store/attempts.rs
+++ b/broker/src/store/attempts.rs
@@ -1,5 +1,5 @@
-//! Attempts at stores. Those of one turn at one store share calls, up to the number in the settings; each has its own
-//! task, timer and end all the same, and one that is given up before its call is written is not in it.
+//! Attempts at stores. Those of one turn at one store share calls, up to the batch size of the settings; each still has its
+//! own task, time-out and outcome, and one that is withdrawn before its call is written is left out of it.
 
 use std::cell::Cell;
 use std::future::Future;
@@ -13,135 +13,139 @@
 use gingerledge_dispatch::Outcome;
 
 use super::link::{Link, Part};
-use super::{frame, Site, Stores, Word};
+use super::{frame, Endpoint, StopReason, Stores};
 use crate::clock::millis;
 use crate::core::{AttemptId, AttemptOutcome, AttemptRequest, Form};
 use crate::counters::count;
 
-/// After an attempt has been given up, its answer may still be under way, and another attempt that goes
-/// out at once could reach its store before this one learns of it. Both are waited for so long: many times
-/// the longest way between zones, since a store on a busy machine reads one connection later than another.
-const GIVING_UP: Duration = Duration::from_millis(25);
-/// After a spoilt answer, from any store, parts share no connections for so long where others can be had,
-/// up to so many for a store: the next one then takes no more parts down with it.
-const SPOILT_MEMORY: Duration = Duration::from_secs(30);
-const LINKS_APART: usize = 6;
+/// Delay between the withdrawal of an attempt and its reported outcome. Its answer may be in flight, and the next attempt
+/// must not reach its store before the withdrawal has reached this one. Many times the latency between zones, since a
+/// store on a busy machine may read one connection later than another.
+const WITHDRAWAL_DELAY: Duration = Duration::from_millis(25);
+/// For this time after a corrupt answer from any store, parts do not share connections, up to this number of connections
+/// for each store: the next corrupt answer then fails one part only.
+const CORRUPTION_MEMORY: Duration = Duration::from_secs(30);
+const UNSHARED_LINKS_MAX: usize = 6;
 
-/// After a turn that took so long, its attempts wait for a round in which the fronts hear of clients that left meanwhile.
+/// After a turn of this length its attempts wait until the fronts have seen which clients disconnected meanwhile.
 const LONG_TURN: Duration = Duration::from_millis(20);
-const ROUND: Duration = Duration::from_millis(1);
+const EVENT_LOOP_PASS: Duration = Duration::from_millis(1);
 
-/// An attempt to be made, and where the core's word to give it up comes.
-type Attempt = (AttemptRequest, Receiver<Word>);
-/// What stops an attempt: its outcome, and whether it was waited for in vain.
+/// An attempt to be started, and the channel by which the core stops it.
+type Attempt = (AttemptRequest, Receiver<StopReason>);
+/// Resolves when an attempt must stop: with its outcome, and whether the store failed to answer.
 type Stop = Pin<Box<dyn Future<Output = (Outcome, bool)>>>;
 
 impl Stores {
-    /// Notes an attempt that is to be made when the turn is over ([`Stores::turn_over`]); its end goes to the exchange.
+    /// Queues an attempt until the end of the turn ([`Stores::turn_over`]); its outcome goes to the exchange.
     pub fn send(&self, order: AttemptRequest) {
         count(&self.counters.attempts);
-        let (stop, stopped) = async_channel::bounded(1);
+        let (stop, stop_requests) = async_channel::bounded(1);
         self.stops.borrow_mut().insert(order.attempt, stop);
-        self.orders.borrow_mut().push((order, stopped));
+        self.orders.borrow_mut().push((order, stop_requests));
     }
 
-    /// Makes the attempts of the turn. Those at one store share calls.
+    /// Starts the queued attempts of the turn. Those at one store share calls.
     pub fn turn_over(self: &Rc<Self>) {
         let orders = self.orders.take();
         let began = self.exchange.turn_began();
         if orders.is_empty() || began.elapsed() < LONG_TURN {
-            return self.make(orders, began);
+            return self.start_attempts(orders, began);
         }
-        // Guards against clients that left while nobody looked at their connections: what their sockets tell is taken in
-        // first. The second round lets the fronts run that the first has woken.
+        // Clients may have disconnected during the turn: their sockets are read first. The second pass runs the tasks of the
+        // fronts that the first one has woken.
         let this = self.clone();
         let later = async move {
             for _ in 0..2 {
-                Timer::after(ROUND).await;
+                Timer::after(EVENT_LOOP_PASS).await;
             }
-            this.make(orders, began);
+            this.start_attempts(orders, began);
         };
         self.executor.spawn(later).detach();
     }
 
-    fn make(self: &Rc<Self>, orders: Vec<Attempt>, began: Instant) {
-        let mut calls: Vec<(Rc<Site>, Vec<Attempt>)> = Vec::new();
-        for (order, stopped) in orders {
+    fn start_attempts(self: &Rc<Self>, orders: Vec<Attempt>, began: Instant) {
+        let mut calls: Vec<(Rc<Endpoint>, Vec<Attempt>)> = Vec::new();
+        for (order, stop_requests) in orders {
             if self.exchange.is_finished(order.query_id) {
-                self.ended(order.attempt, Outcome::Void.into());
+                self.finish(order.attempt, Outcome::Void.into());
                 continue;
             }
-            let Some(site) = self.sites.borrow().get(&order.server).cloned() else {
-                self.ended(order.attempt, Outcome::Void.into());
+            let Some(endpoint) = self.endpoints.borrow().get(&order.server).cloned() else {
+                self.finish(order.attempt, Outcome::Void.into());
                 continue;
             };
-            if site.features.is_some() && order.form == Form::Features {
+            if endpoint.features.is_some() && order.form == Form::Features {
                 let this = self.clone();
-                self.follow(order, stopped, |order, stop| async move {
-                    let by = by(&order, began);
-                    this.ask(&site, &order, by, stop).await
+                self.spawn_attempt(order, stop_requests, |order, stop| async move {
+                    let by = send_deadline(&order, began);
+                    this.attempt_by_features(&endpoint, &order, by, stop).await
                 });
                 continue;
             }
-            let joint =
-                calls.iter_mut().find(|(at, call)| Rc::ptr_eq(at, &site) && call.len() < self.joint());
-            match joint {
-                Some((_, call)) => call.push((order, stopped)),
-                None => calls.push((site, vec![(order, stopped)])),
+            let open_call = calls
+                .iter_mut()
+                .find(|(at, call)| Rc::ptr_eq(at, &endpoint) && call.len() < self.parts_per_call());
+            match open_call {
+                Some((_, call)) => call.push((order, stop_requests)),
+                None => calls.push((endpoint, vec![(order, stop_requests)])),
             }
         }
-        for (site, call) in calls {
-            let link = self.link(&site, call.len());
+        for (endpoint, call) in calls {
+            let link = self.link(&endpoint, call.len());
             let ends = link.call(call.iter().map(|(order, _)| part(order, began)));
-            for ((order, stopped), ended) in call.into_iter().zip(ends) {
-                let (this, link, id) = (self.clone(), link.clone(), id(&order));
-                self.follow(order, stopped, |_, stop| async move { this.wait(&link, id, ended, stop).await });
+            for ((order, stop_requests), ended) in call.into_iter().zip(ends) {
+                let (this, link, id) = (self.clone(), link.clone(), part_id(&order));
+                self.spawn_attempt(order, stop_requests, |_, stop| async move {
+                    this.await_part(&link, id, ended, stop).await
+                });
             }
         }
     }
 
-    /// How many parts may share a call now.
-    fn joint(&self) -> usize {
-        if self.apart() {
+    /// How many parts may share a call at present.
+    fn parts_per_call(&self) -> usize {
+        if self.avoids_sharing() {
             1
         } else {
             self.limits.batch.min(self.limits.streams).max(1)
         }
     }
 
-    /// Runs an attempt to its end, with what stops it: its patience, or the core's word.
-    fn follow<F: Future<Output = AttemptOutcome> + 'static>(
+    /// Spawns the task of an attempt, which ends by its time-out or the core's stop request at the latest.
+    fn spawn_attempt<F: Future<Output = AttemptOutcome> + 'static>(
         self: &Rc<Self>,
         order: AttemptRequest,
-        stopped: Receiver<Word>,
+        stop_requests: Receiver<StopReason>,
         attempt: impl FnOnce(AttemptRequest, Stop) -> F,
     ) {
         let (id, began) = (order.attempt, Instant::now());
-        // Nobody pays for the text where it is not logged.
-        let told = log::log_enabled!(log::Level::Debug).then(|| {
-            let sites = self.sites.borrow();
-            let store = sites.get(&order.server).map_or("?", |site| site.name.as_str());
+        // The text is only built if it is logged.
+        let description = log::log_enabled!(log::Level::Debug).then(|| {
+            let endpoints = self.endpoints.borrow();
+            let store = endpoints.get(&order.server).map_or("?", |endpoint| endpoint.name.as_str());
             format!("{}.{} attempt {} at {store}", order.query, order.shard, id.number)
         });
-        let patience = millis(order.patience_ms);
-        let patience = async move {
-            Timer::after(patience).await;
+        let timeout = millis(order.patience_ms);
+        let timeout = async move {
+            Timer::after(timeout).await;
             (Outcome::TimedOut, true)
         };
-        let withdrawn = async move { (Outcome::Withdrawn, stopped.recv().await != Ok(Word::Abandon)) };
-        let attempt = attempt(order, Box::pin(or(patience, withdrawn)));
+        let withdrawn =
+            async move { (Outcome::Withdrawn, stop_requests.recv().await != Ok(StopReason::NotNeeded)) };
+        let attempt = attempt(order, Box::pin(or(timeout, withdrawn)));
         let this = self.clone();
         let task = async move {
             let ended = attempt.await;
-            if let Some(told) = told {
-                log::debug!("{told}: {:?} after {:?}", ended.outcome, began.elapsed());
+            if let Some(description) = description {
+                log::debug!(outcome:? = ended.outcome, elapsed:? = began.elapsed(); "{description} ended");
             }
-            this.ended(id, ended);
+            this.finish(id, ended);
         };
         self.executor.spawn(task).detach();
     }
 
-    fn ended(&self, id: AttemptId, ended: AttemptOutcome) {
+    fn finish(&self, id: AttemptId, ended: AttemptOutcome) {
         self.stops.borrow_mut().remove(&id);
         count(match ended.outcome {
             Outcome::Success => &self.counters.served,
@@ -156,8 +160,8 @@
         self.exchange.attempt_ended(id, ended);
     }
 
-    /// Waits for the end of a part on a link.
-    async fn wait(
+    /// Waits for the outcome of a part on a link.
+    async fn await_part(
         &self,
         link: &Link,
         id: Rc<str>,
@@ -165,88 +169,88 @@
         stop: Stop,
     ) -> AttemptOutcome {
         let end = async { Ok(ended.recv().await.unwrap_or(Outcome::Broken.into())) };
-        let (outcome, in_vain) = match or(end, async { Err(stop.await) }).await {
+        let (outcome, without_answer) = match or(end, async { Err(stop.await) }).await {
             Ok(ended) => return ended,
             Err(stopped) => stopped,
         };
-        if link.give_up(&id) {
+        if link.withdraw(&id) {
             return Outcome::Void.into();
         }
-        let settled = async {
-            Timer::after(GIVING_UP).await;
+        let grace_over = async {
+            Timer::after(WITHDRAWAL_DELAY).await;
             outcome.into()
         };
         let last = async { ended.recv().await.unwrap_or(outcome.into()) };
-        let ended = or(last, settled).await;
-        link.forget(&id, in_vain, &self.limits);
+        let ended = or(last, grace_over).await;
+        link.forget(&id, without_answer, &self.limits);
         ended
     }
 
-    /// The same in feature form. Its connection carries nothing else: closing it gives the attempt up.
-    async fn ask(
+    /// Makes an attempt by the feature API. Its connection carries nothing else: closing it withdraws the attempt.
+    async fn attempt_by_features(
         &self,
-        site: &Site,
+        endpoint: &Endpoint,
         order: &AttemptRequest,
         by: Option<Instant>,
         stop: Stop,
     ) -> AttemptOutcome {
-        let Some(driver) = &site.features else { return Outcome::Void.into() };
+        let Some(driver) = &endpoint.features else { return Outcome::Void.into() };
         let written = Cell::new(false);
         let wanted = || by.is_none_or(|by| Instant::now() < by) && !self.exchange.is_finished(order.query_id);
-        let end = async { Ok(driver.ask(self, site, order, wanted, &written).await) };
+        let end = async { Ok(driver.attempt(self, endpoint, order, wanted, &written).await) };
         match or(end, async { Err(stop.await) }).await {
             Ok(ended) => ended,
             Err(_) if !written.get() => Outcome::Void.into(),
             Err((outcome, _)) => {
-                Timer::after(GIVING_UP).await;
+                Timer::after(WITHDRAWAL_DELAY).await;
                 outcome.into()
             }
         }
     }
 
-    /// Whether parts are to share no connections.
-    fn apart(&self) -> bool {
-        self.spoilt.get().is_some_and(|at| at.elapsed() < SPOILT_MEMORY)
+    /// Whether parts must not share connections at present.
+    fn avoids_sharing(&self) -> bool {
+        self.last_corruption.get().is_some_and(|at| at.elapsed() < CORRUPTION_MEMORY)
     }
 
-    /// A connection with room for so many more parts; a new one where none has.
-    fn link(self: &Rc<Self>, site: &Rc<Site>, parts: usize) -> Rc<Link> {
-        let mut links = site.links.borrow_mut();
-        let mut room = links.iter().filter(|link| link.has_room(parts, &self.limits));
-        let apart = self.apart();
-        if !apart {
-            if let Some(link) = room.next() {
+    /// A link that can carry this many more parts; a new one if there is none.
+    fn link(self: &Rc<Self>, endpoint: &Rc<Endpoint>, parts: usize) -> Rc<Link> {
+        let mut links = endpoint.links.borrow_mut();
+        let mut usable = links.iter().filter(|link| link.can_carry(parts, &self.limits));
+        let unshared = self.avoids_sharing();
+        if !unshared {
+            if let Some(link) = usable.next() {
                 return link.clone();
             }
-        } else if let Some(link) = room.min_by_key(|link| link.load()) {
-            let more =
-                links.len() < LINKS_APART && self.links.get() < self.limits.links / self.presence.processes();
+        } else if let Some(link) = usable.min_by_key(|link| link.load()) {
+            let more = links.len() < UNSHARED_LINKS_MAX
+                && self.links.get() < self.limits.links / self.presence.processes();
             if link.load() == 0 || !more {
                 return link.clone();
             }
         }
-        if !apart {
-            links.iter().filter(|link| link.idle()).for_each(|link| link.retire());
+        if !unshared {
+            links.iter().filter(|link| link.is_idle()).for_each(|link| link.retire());
         }
-        let link = Link::new(site.clone(), self.counters.clone(), self.exchange.clone());
+        let link = Link::new(endpoint.clone(), self.counters.clone(), self.exchange.clone());
         links.push(link.clone());
         self.links.set(self.links.get() + 1);
-        let (this, site, running) = (self.clone(), site.clone(), link.clone());
+        let (this, endpoint, running) = (self.clone(), endpoint.clone(), link.clone());
         let run = async move {
-            let place = this.place().await;
-            if running.clone().run(this.limits.clone(), place).await {
-                this.spoilt.set(Some(Instant::now()));
+            let slot = this.acquire_slot().await;
+            if running.clone().run(this.limits.clone(), slot).await {
+                this.last_corruption.set(Some(Instant::now()));
             }
             this.links.set(this.links.get() - 1);
-            site.links.borrow_mut().retain(|link| !Rc::ptr_eq(link, &running));
+            endpoint.links.borrow_mut().retain(|link| !Rc::ptr_eq(link, &running));
         };
         self.executor.spawn(run).detach();
         link
     }
 }
 
-/// A part's id.
-fn id(order: &AttemptRequest) -> Rc<str> {
+/// A part's id on the wire.
+fn part_id(order: &AttemptRequest) -> Rc<str> {
     let AttemptRequest { query, shard, .. } = order;
     let step = if order.second.is_some() { ".r" } else { "" };
     match &order.fence {
@@ -256,12 +260,12 @@
     }
 }
 
-/// The last moment for an attempt. It counts from the beginning of its turn, as the core's clock does.
-fn by(order: &AttemptRequest, began: Instant) -> Option<Instant> {
+/// The latest time to send an attempt, counted from the start of its turn, as by the core's clock.
+fn send_deadline(order: &AttemptRequest, began: Instant) -> Option<Instant> {
     order.send_within_ms.map(|ms| began + millis(ms))
 }
 
-/// A part as a call carries it.
+/// Encodes a part of a call.
 fn part(order: &AttemptRequest, began: Instant) -> Part {
     let mut list = format!("d={}", order.patience_ms.max(1.0).floor());
     if let Some(key) = &order.key {
@@ -283,7 +287,7 @@
         let from: Vec<String> = first.from.iter().map(u32::to_string).collect();
         list.push_str(&format!(",from={},whole={}", from.join("+"), u8::from(first.whole)));
     }
-    let id = id(order);
+    let id = part_id(order);
     let bytes = frame::part(&id, order.shard, &list, &order.text);
-    Part { id, bytes, by: by(order, began), query_id: order.query_id }
+    Part { id, bytes, by: send_deadline(order, began), query_id: order.query_id }
 }
--- a/broker/src/store/features.rs
+++ b/broker/src/store/features.rs
@@ -14,16 +14,16 @@
 use gingerledge_dispatch::Outcome;
 
 use super::link::{write_while, Limits};
-use super::{Site, Stores};
+use super::{Endpoint, Stores};
 use crate::core::{AttemptOutcome, AttemptRequest, Served};
 use crate::counters::count;
 use crate::front::key;
 use crate::geojson;
 use crate::http::{self, Ending, Kind, Stream};
-use crate::limits::Place;
+use crate::limits::ConnectionSlot;
 
 /// Connections kept for later requests.
-const KEPT: usize = 8;
+const IDLE_CONNECTIONS_MAX: usize = 8;
 /// Longer than any attempt waits; the attempt's own timer is the one that ends it.
 const READ_WITHIN: Duration = Duration::from_secs(600);
 
@@ -32,52 +32,52 @@
     address: SocketAddr,
     dial: Duration,
     idle: Duration,
-    kept: RefCell<Vec<(Stream, Place, Instant)>>,
+    idle_connections: RefCell<Vec<(Stream, ConnectionSlot, Instant)>>,
 }
 
 impl Driver {
     /// A driver for the store that offers the feature form at this address.
     pub fn new(address: SocketAddr, limits: &Limits) -> Self {
-        Self { address, dial: limits.dial, idle: limits.idle, kept: RefCell::default() }
+        Self { address, dial: limits.dial, idle: limits.idle, idle_connections: RefCell::default() }
     }
 
     /// A connection; it says what became of the attempt where there is none.
-    async fn connect(&self, stores: &Stores) -> Result<(Stream, Place), Outcome> {
-        self.kept.borrow_mut().retain(|(_, _, since)| since.elapsed() < self.idle);
+    async fn connect(&self, stores: &Stores) -> Result<(Stream, ConnectionSlot), Outcome> {
+        self.idle_connections.borrow_mut().retain(|(_, _, since)| since.elapsed() < self.idle);
         loop {
-            let Some((stream, place, _)) = self.kept.borrow_mut().pop() else { break };
-            if silent(&stream).await {
-                return Ok((stream, place));
+            let Some((stream, slot, _)) = self.idle_connections.borrow_mut().pop() else { break };
+            if is_silent(&stream).await {
+                return Ok((stream, slot));
             }
         }
         // Nothing is known of the store where there is no place.
-        let place = stores.place().await.ok_or(Outcome::Void)?;
+        let slot = stores.acquire_slot().await.ok_or(Outcome::Void)?;
         count(&stores.counters.dials);
         let socket = http::connect(self.address, self.dial).await.map_err(|_| Outcome::Unreachable)?;
-        Ok((Stream::new(socket), place))
+        Ok((Stream::new(socket), slot))
     }
 
     /// Closes the connections that carry nothing.
-    pub fn let_idle_go(&self) {
-        drop(self.kept.take());
+    pub fn close_idle(&self) {
+        drop(self.idle_connections.take());
     }
 
     /// Makes an attempt, if it is `wanted` up to its last byte. `written` is set with that: from then on it may run.
-    pub async fn ask(
+    pub async fn attempt(
         &self,
         stores: &Stores,
-        site: &Site,
+        endpoint: &Endpoint,
         order: &AttemptRequest,
         wanted: impl Fn() -> bool,
         written: &Cell<bool>,
     ) -> AttemptOutcome {
         let counters = &*stores.counters;
-        let (mut stream, place) = match self.connect(stores).await {
+        let (mut stream, slot) = match self.connect(stores).await {
             Ok(connected) => connected,
             Err(outcome) => return outcome.into(),
         };
-        let may = |begun: bool| (begun || site.may_send()) && wanted();
-        match write_while(stream.socket(), &request(order, self.address), 0, may).await {
+        let may_write = |begun: bool| (begun || endpoint.may_send()) && wanted();
+        match write_while(stream.socket(), &request(order, self.address), 0, may_write).await {
             Ok(true) => {}
             Ok(false) => return Outcome::Void.into(),
             Err(_) => return Outcome::Unreachable.into(),
@@ -91,15 +91,15 @@
         let (head, body) = match answer.await {
             Ok(answer) => answer,
             Err(Ending::Fault(fault)) => {
-                log::debug!("{}: {fault}", site.name);
+                log::debug!(store = endpoint.name, fault:%; "response of a store is invalid");
                 count(&counters.bad_frames);
                 return Outcome::Failure.into();
             }
             Err(_) => return Outcome::Broken.into(),
         };
         let reusable = head.keep_alive && head.framing != http::Framing::Close && !stream.begun();
-        if reusable && self.kept.borrow().len() < KEPT {
-            self.kept.borrow_mut().push((stream, place, Instant::now()));
+        if reusable && self.idle_connections.borrow().len() < IDLE_CONNECTIONS_MAX {
+            self.idle_connections.borrow_mut().push((stream, slot, Instant::now()));
         }
         match head.status {
             200 if geojson::readable(&body) => {
@@ -121,7 +121,7 @@
 }
 
 /// Whether nothing has come on a connection at rest, not even its end.
-async fn silent(stream: &Stream) -> bool {
+async fn is_silent(stream: &Stream) -> bool {
     let (mut socket, mut byte) = (stream.socket(), [0]);
     futures_lite::future::poll_once(socket.read(&mut byte)).await.is_none()
 }
--- a/broker/src/store/link.rs
+++ b/broker/src/store/link.rs
@@ -21,13 +21,13 @@
 use async_io::Timer;
 use gingerledge_dispatch::Outcome;
 
-use super::{frame, Site};
+use super::{frame, Endpoint};
 use crate::core::{AttemptOutcome, QueryId};
 use crate::counters::{count, Counters};
 use crate::exchange::Exchange;
 use crate::faults;
 use crate::http;
-use crate::limits::Place;
+use crate::limits::ConnectionSlot;
 
 /// For each part that a link may carry, so many of those it carried last are remembered.
 const REMEMBERED: usize = 4;
@@ -89,7 +89,7 @@
 
 /// A connection, or one that is being opened.
 pub struct Link {
-    site: Rc<Site>,
+    endpoint: Rc<Endpoint>,
     counters: Rc<Counters>,
     exchange: Rc<Exchange>,
     flights: RefCell<HashMap<Rc<str>, Flight>>,
@@ -99,38 +99,38 @@
     /// Parts that ended here lately: an answer to one of them is late or a second copy, no more.
     ended: RefCell<VecDeque<Rc<str>>>,
     wake: (Sender<()>, Receiver<()>),
-    used: Cell<Instant>,
+    last_used: Cell<Instant>,
     /// When an answer came last.
-    heard: Cell<Instant>,
-    closing: Cell<bool>,
+    last_answer_at: Cell<Instant>,
+    is_closing: Cell<bool>,
     /// Part of an answer has come, and the rest not yet.
-    partial: Cell<bool>,
+    has_partial_answer: Cell<bool>,
     /// A part was given up while its call was being written: the rest of that must not follow.
-    cut: Cell<bool>,
+    is_aborted: Cell<bool>,
 }
 
 /// Why a link ended.
 struct Ending {
     /// The store sent what it should not have: its parts may have run, but it did not break.
-    spoilt: bool,
+    is_corrupt: bool,
     why: String,
 }
 
 impl Ending {
-    fn broke(why: impl Into<String>) -> Self {
-        Self { spoilt: false, why: why.into() }
+    fn disconnected(why: impl Into<String>) -> Self {
+        Self { is_corrupt: false, why: why.into() }
     }
 
-    fn spoilt(why: impl ToString) -> Self {
-        Self { spoilt: true, why: why.to_string() }
+    fn corrupt(why: impl ToString) -> Self {
+        Self { is_corrupt: true, why: why.to_string() }
     }
 }
 
 impl Link {
     /// A link to be opened by [`Link::run`].
-    pub fn new(site: Rc<Site>, counters: Rc<Counters>, exchange: Rc<Exchange>) -> Rc<Self> {
+    pub fn new(endpoint: Rc<Endpoint>, counters: Rc<Counters>, exchange: Rc<Exchange>) -> Rc<Self> {
         Rc::new(Self {
-            site,
+            endpoint,
             counters,
             exchange,
             flights: RefCell::default(),
@@ -138,26 +138,26 @@
             calls: Cell::new(0),
             ended: RefCell::default(),
             wake: async_channel::bounded(1),
-            used: Cell::new(Instant::now()),
-            heard: Cell::new(Instant::now()),
-            closing: Cell::new(false),
-            partial: Cell::new(false),
-            cut: Cell::new(false),
+            last_used: Cell::new(Instant::now()),
+            last_answer_at: Cell::new(Instant::now()),
+            is_closing: Cell::new(false),
+            has_partial_answer: Cell::new(false),
+            is_aborted: Cell::new(false),
         })
     }
 
     /// Whether it can carry so many more parts now. One that has stood idle for nearly as long as the store
     /// bears is not used: a call that crosses the store's close would end as a reset. Nor is one in the
     /// midst of an answer: if that never ends, the next answer would be taken for its rest.
-    pub fn has_room(&self, parts: usize, limits: &Limits) -> bool {
-        !self.closing.get()
-            && !self.partial.get()
+    pub fn can_carry(&self, parts: usize, limits: &Limits) -> bool {
+        !self.is_closing.get()
+            && !self.has_partial_answer.get()
             && self.flights.borrow().len() + parts <= limits.streams
-            && (!self.idle() || self.used.get().elapsed() < limits.idle)
+            && (!self.is_idle() || self.last_used.get().elapsed() < limits.idle)
     }
 
     /// Whether it carries nothing.
-    pub fn idle(&self) -> bool {
+    pub fn is_idle(&self) -> bool {
         self.flights.borrow().is_empty() && self.queue.borrow().is_empty()
     }
 
@@ -168,7 +168,7 @@
 
     /// Takes no more parts; closes once it carries nothing.
     pub fn retire(&self) {
-        self.closing.set(true);
+        self.is_closing.set(true);
         self.wake();
     }
 
@@ -196,13 +196,13 @@
             .borrow_mut()
             .insert(id, Flight { ended: send, stage: Stage::Queued, since: Instant::now() });
         self.queue.borrow_mut().push_back(Outgoing::Part(part, self.calls.get()));
-        self.used.set(Instant::now());
+        self.last_used.set(Instant::now());
         self.wake();
         ended
     }
 
     /// Gives a part up: takes it back if its call has not been written whole (true), or tells the store.
-    pub fn give_up(&self, id: &Rc<str>) -> bool {
+    pub fn withdraw(&self, id: &Rc<str>) -> bool {
         let mut queue = self.queue.borrow_mut();
         let queued = queue.iter().position(|out| matches!(out, Outgoing::Part(part, _) if part.id == *id));
         if let Some(at) = queued {
@@ -214,8 +214,8 @@
         let begun = |flight: &Flight| flight.stage == Stage::Begun;
         if self.flights.borrow().get(id).is_some_and(begun) {
             self.flights.borrow_mut().remove(id);
-            self.cut.set(true);
-            self.closing.set(true);
+            self.is_aborted.set(true);
+            self.is_closing.set(true);
             return true;
         }
         queue.push_back(Outgoing::Frame(frame::frame(frame::GIVE_UP, id.as_bytes())));
@@ -225,17 +225,19 @@
     }
 
     /// Forgets a part that is no longer waited for, and may have been waited for in vain.
-    pub fn forget(&self, id: &Rc<str>, in_vain: bool, limits: &Limits) {
+    pub fn forget(&self, id: &Rc<str>, without_answer: bool, limits: &Limits) {
         let flight = self.flights.borrow_mut().remove(id);
         // Guards against a connection that fell silent while its store is well, and shows no other sign of it:
         // nothing came while this part waited. The next part is better off on a new one.
-        let silent = in_vain
-            && flight.is_some_and(|flight| flight.stage == Stage::Written && self.heard.get() < flight.since);
-        if silent && !self.closing.replace(true) {
+        let was_silent = without_answer
+            && flight.is_some_and(|flight| {
+                flight.stage == Stage::Written && self.last_answer_at.get() < flight.since
+            });
+        if was_silent && !self.is_closing.replace(true) {
             count(&self.counters.links_silent);
         }
         self.remember(id.clone(), limits);
-        self.used.set(Instant::now());
+        self.last_used.set(Instant::now());
         self.wake();
     }
 
@@ -249,17 +251,17 @@
 
     /// Opens the connection and serves it until it ends; true if the store sent what it should not have.
     /// Without a place for it nothing is opened, and nothing said of the store.
-    pub async fn run(self: Rc<Self>, limits: Rc<Limits>, place: Option<Place>) -> bool {
-        let full = place.is_none();
-        let dialled = match place.is_some() && !faults::point("store.dial") {
+    pub async fn run(self: Rc<Self>, limits: Rc<Limits>, slot: Option<ConnectionSlot>) -> bool {
+        let full = slot.is_none();
+        let dialled = match slot.is_some() && !faults::point("store.dial") {
             false => Err(std::io::ErrorKind::ConnectionRefused.into()),
             true => {
                 count(&self.counters.dials);
-                let dial = http::connect(self.site.address.get(), limits.dial);
+                let dial = http::connect(self.endpoint.address.get(), limits.dial);
                 let swept = async {
                     loop {
-                        Timer::after(writing::LOOK).await;
-                        self.sweep();
+                        Timer::after(writing::RECHECK_INTERVAL).await;
+                        self.void_unsendable();
                     }
                 };
                 futures_lite::future::or(dial, swept).await
@@ -270,19 +272,19 @@
                 let _ = socket.get_ref().set_nodelay(true);
                 futures_lite::future::or(self.read(&socket, &limits), self.write(&socket, &limits)).await
             }
-            Err(e) => Ending::broke(format!("not opened: {e}")),
+            Err(e) => Ending::disconnected(format!("not opened: {e}")),
         };
-        log::debug!("{}: connection ended: {}", self.site.name, ending.why);
-        if ending.spoilt {
+        log::debug!(store = self.endpoint.name, reason = ending.why; "connection to a store closed");
+        if ending.is_corrupt {
             count(&self.counters.bad_frames);
         }
-        self.closing.set(true);
+        self.is_closing.set(true);
         self.queue.borrow_mut().clear();
         let flights = std::mem::take(&mut *self.flights.borrow_mut());
         for flight in flights.into_values() {
             // Guards against taking a store that answers, if badly, for one that went down and is cold when
             // it comes back: that is what a break tells the module.
-            let outcome = match (flight.stage == Stage::Written, ending.spoilt) {
+            let outcome = match (flight.stage == Stage::Written, ending.is_corrupt) {
                 (true, true) => Outcome::Failure,
                 (true, false) => Outcome::Broken,
                 (false, true) => Outcome::Void,
@@ -291,6 +293,6 @@
             };
             let _ = flight.ended.try_send(outcome.into());
         }
-        ending.spoilt
+        ending.is_corrupt
     }
 }
--- a/broker/src/store/link/reading.rs
+++ b/broker/src/store/link/reading.rs
@@ -15,7 +15,7 @@
 use crate::counters::count;
 
 /// An answer is written in one go; the rest of one that has begun comes within this time, or never.
-const REST_WITHIN: Duration = Duration::from_millis(100);
+const REMAINDER_TIMEOUT: Duration = Duration::from_millis(100);
 /// So many bytes of what can't be used are logged.
 const LOGGED: usize = 96;
 
@@ -25,51 +25,51 @@
         loop {
             let read = async { Some(socket.read(&mut piece).await) };
             let late = async {
-                match self.partial.get() {
-                    true => drop(Timer::after(REST_WITHIN).await),
+                match self.has_partial_answer.get() {
+                    true => drop(Timer::after(REMAINDER_TIMEOUT).await),
                     false => futures_lite::future::pending().await,
                 }
                 None
             };
             match futures_lite::future::or(read, late).await {
-                None => return Ending::spoilt("an answer without its end"),
-                Some(Ok(0)) => return Ending::broke("closed by the store"),
+                None => return Ending::corrupt("an answer without its end"),
+                Some(Ok(0)) => return Ending::disconnected("closed by the store"),
                 Some(Ok(n)) => buffer.extend_from_slice(&piece[..n]),
-                Some(Err(e)) => return Ending::broke(format!("reading: {e}")),
+                Some(Err(e)) => return Ending::disconnected(format!("reading: {e}")),
             }
             let mut at = 0;
             loop {
                 let taken = frame::split(&buffer[at..]).map_err(|fault| fault.to_string());
                 let taken = taken.and_then(|frame| match frame {
-                    Some((letter, rest, length)) => self.take(letter, rest, limits).map(|()| length),
+                    Some((letter, rest, length)) => self.on_frame(letter, rest, limits).map(|()| length),
                     None => Ok(0),
                 });
                 match taken {
                     Ok(0) => break,
                     Ok(length) => at += length,
                     Err(fault) => {
-                        log::debug!("{}: unusable: {}", self.site.name, start(&buffer[at..]));
-                        return Ending::spoilt(fault);
+                        log::debug!(store = self.endpoint.name, bytes:% = start(&buffer[at..]); "frame of a store is invalid");
+                        return Ending::corrupt(fault);
                     }
                 }
             }
             buffer.drain(..at);
-            self.partial.set(!buffer.is_empty());
+            self.has_partial_answer.set(!buffer.is_empty());
             // Guards against noise that looks like the beginning of an answer: nobody waits for one. What is queued has not
             // been written; behind half a line its own answer could not be read.
             let waited = |flight: &Flight| flight.stage != Stage::Queued;
-            if self.partial.get() && !self.flights.borrow().values().any(waited) {
-                log::debug!("{}: left over: {}", self.site.name, start(&buffer));
-                return Ending::spoilt("more than belongs to an answer");
+            if self.has_partial_answer.get() && !self.flights.borrow().values().any(waited) {
+                log::debug!(store = self.endpoint.name, bytes:% = start(&buffer); "store sent more than an answer");
+                return Ending::corrupt("more than belongs to an answer");
             }
         }
     }
 
-    fn take(&self, letter: u8, rest: &[u8], limits: &Limits) -> Result<(), String> {
+    fn on_frame(&self, letter: u8, rest: &[u8], limits: &Limits) -> Result<(), String> {
         match frame::parse(letter, rest).map_err(|fault| fault.to_string())? {
             Frame::Answer { id, end, score, report, newer, value } => {
-                self.used.set(Instant::now());
-                self.heard.set(Instant::now());
+                self.last_used.set(Instant::now());
+                self.last_answer_at.set(Instant::now());
                 let Some((id, flight)) = self.flights.borrow_mut().remove_entry(id) else {
                     // Guards against an answer that bears another's id: who waits for it waits in vain.
                     if !self.ended.borrow().iter().any(|ended| **ended == *id) {
@@ -86,7 +86,7 @@
                 };
                 let served = (end == End::Good).then(|| Served { score, value: value.into() });
                 let _ = flight.ended.try_send(AttemptOutcome { outcome, served, report, newer_epoch: newer });
-                if self.closing.get() {
+                if self.is_closing.get() {
                     self.wake();
                 }
                 Ok(())
--- a/broker/src/store/link/writing.rs
+++ b/broker/src/store/link/writing.rs
@@ -18,13 +18,13 @@
 use crate::counters::count;
 
 /// A store that takes no byte for so long is stalled.
-const WRITE_WITHIN: Duration = Duration::from_secs(5);
+const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
 /// What waits for a connection or behind a stalled write is looked at so often. Short against the 100 ms within which
 /// nothing more may begin for a client that has left.
-pub(super) const LOOK: Duration = Duration::from_millis(20);
+pub(super) const RECHECK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Writes what the socket takes at once; 0 if it takes nothing now.
-fn some(socket: &Async<TcpStream>, bytes: &[u8]) -> io::Result<usize> {
+fn write_available(socket: &Async<TcpStream>, bytes: &[u8]) -> io::Result<usize> {
     loop {
         match socket.get_ref().write(bytes) {
             Ok(0) => return Err(io::ErrorKind::WriteZero.into()),
@@ -36,14 +36,14 @@
 }
 
 /// Waits until the socket takes more, or until it is time to look again.
-async fn room(socket: &Async<TcpStream>) {
+async fn writable_or_due(socket: &Async<TcpStream>) {
     let look = async {
-        Timer::after(LOOK).await;
+        Timer::after(RECHECK_INTERVAL).await;
     };
-    let room = async {
+    let writable = async {
         let _ = socket.writable().await;
     };
-    futures_lite::future::or(room, look).await;
+    futures_lite::future::or(writable, look).await;
 }
 
 /// Writes the bytes from `at` on; false if they may not go on. `may` is asked before each write, with whether any byte is out.
@@ -58,9 +58,9 @@
         if !may(at > 0) {
             return Ok(false);
         }
-        match some(socket, &bytes[at..])? {
-            0 if moved.elapsed() >= WRITE_WITHIN => return Err(io::ErrorKind::TimedOut.into()),
-            0 => room(socket).await,
+        match write_available(socket, &bytes[at..])? {
+            0 if moved.elapsed() >= WRITE_TIMEOUT => return Err(io::ErrorKind::TimedOut.into()),
+            0 => writable_or_due(socket).await,
             n => (at, moved) = (at + n, Instant::now()),
         }
     }
@@ -79,37 +79,37 @@
         let mut stalled = None;
         loop {
             if let Some(call) = self.next_frame(limits) {
-                let taken = match some(socket, &call.bytes) {
+                let taken = match write_available(socket, &call.bytes) {
                     Ok(taken) => taken,
-                    Err(e) => return Ending::broke(format!("writing: {e}")),
+                    Err(e) => return Ending::disconnected(format!("writing: {e}")),
                 };
                 if taken == 0 {
-                    self.put_back(call);
-                    if stalled.get_or_insert_with(Instant::now).elapsed() >= WRITE_WITHIN {
-                        return Ending::broke("writing: the store takes nothing");
+                    self.requeue(call);
+                    if stalled.get_or_insert_with(Instant::now).elapsed() >= WRITE_TIMEOUT {
+                        return Ending::disconnected("writing: the store takes nothing");
                     }
-                    room(socket).await;
-                    self.sweep();
+                    writable_or_due(socket).await;
+                    self.void_unsendable();
                     continue;
                 }
                 stalled = None;
                 if !call.parts.is_empty() {
                     count(&self.counters.calls);
                 }
-                self.reached(&call, Stage::Begun);
+                self.set_stage(&call, Stage::Begun);
                 let may = |_| {
-                    self.sweep();
-                    call.parts.iter().all(|(part, _)| self.may_go_on(part))
+                    self.void_unsendable();
+                    call.parts.iter().all(|(part, _)| self.may_continue(part))
                 };
                 match write_while(socket, &call.bytes, taken, may).await {
-                    Ok(true) => self.reached(&call, Stage::Written),
-                    Ok(false) => return Ending::broke("a call was left without its end"),
-                    Err(e) => return Ending::broke(format!("writing: {e}")),
+                    Ok(true) => self.set_stage(&call, Stage::Written),
+                    Ok(false) => return Ending::disconnected("a call was left without its end"),
+                    Err(e) => return Ending::disconnected(format!("writing: {e}")),
                 }
                 continue;
             }
-            if self.idle() && (self.closing.get() || self.used.get().elapsed() >= limits.idle) {
-                return Ending::broke("idle");
+            if self.is_idle() && (self.is_closing.get() || self.last_used.get().elapsed() >= limits.idle) {
+                return Ending::disconnected("idle");
             }
             let idle = async {
                 Timer::after(limits.idle).await;
@@ -129,7 +129,7 @@
             match queue.pop_front() {
                 None if parts.is_empty() => return None,
                 Some(Outgoing::Frame(bytes)) if parts.is_empty() => return Some(Call { bytes, parts }),
-                Some(Outgoing::Part(part, _)) if !self.may_begin(&part) => self.void(&part),
+                Some(Outgoing::Part(part, _)) if !self.may_begin(&part) => self.end_as_void(&part),
                 Some(Outgoing::Part(part, call))
                     if parts.last().is_none_or(|(_, joint)| {
                         *joint == call
@@ -150,7 +150,7 @@
     }
 
     /// Of a frame no byte was taken: what is given up or may not go out any more is to be found in the queue.
-    fn put_back(&self, call: Call) {
+    fn requeue(&self, call: Call) {
         let mut queue = self.queue.borrow_mut();
         if call.parts.is_empty() {
             return queue.push_front(Outgoing::Frame(call.bytes));
@@ -159,23 +159,23 @@
     }
 
     /// Lets go of what waits and may not be written any more.
-    pub(super) fn sweep(&self) {
+    pub(super) fn void_unsendable(&self) {
         self.queue.borrow_mut().retain(|out| match out {
             Outgoing::Part(part, _) if !self.may_begin(part) => {
-                self.void(part);
+                self.end_as_void(part);
                 false
             }
             _ => true,
         });
     }
 
-    fn void(&self, part: &Part) {
+    fn end_as_void(&self, part: &Part) {
         if let Some(flight) = self.flights.borrow_mut().remove(&part.id) {
             let _ = flight.ended.try_send(Outcome::Void.into());
         }
     }
 
-    fn reached(&self, call: &Call, stage: Stage) {
+    fn set_stage(&self, call: &Call, stage: Stage) {
         let mut flights = self.flights.borrow_mut();
         for (part, _) in &call.parts {
             if let Some(flight) = flights.get_mut(&part.id) {
@@ -185,11 +185,11 @@
     }
 
     fn may_begin(&self, part: &Part) -> bool {
-        self.site.may_send() && self.is_wanted(part)
+        self.endpoint.may_send() && self.is_wanted(part)
     }
 
-    fn may_go_on(&self, part: &Part) -> bool {
-        !self.cut.get() && self.is_wanted(part)
+    fn may_continue(&self, part: &Part) -> bool {
+        !self.is_aborted.get() && self.is_wanted(part)
     }
 
     /// Whether its client waits, and its store surely remembers an attempt before it.
--- a/broker/src/store/mod.rs
+++ b/broker/src/store/mod.rs
@@ -1,12 +1,11 @@
-//! The store side: who the stores are ([`Site`]), the connections to them ([`link`]), and the
-//! attempts on those connections ([`attempts`]). Each attempt is a task with a timer of its own; its end
-//! goes to the [`Exchange`].
+//! The store side: the known stores ([`Endpoint`]), the connections to them ([`link`]), and the attempts on those
+//! connections ([`attempts`]). Each attempt is a task with its own time-out; its outcome goes to the [`Exchange`].
 
 pub mod attempts;
+mod capacity;
 pub mod features;
 pub mod frame;
 pub mod link;
-mod room;
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap};
@@ -22,7 +21,7 @@
 use crate::counters::Counters;
 use crate::exchange::Exchange;
 use crate::handover::Presence;
-use crate::limits::Places;
+use crate::limits::ConnectionSlots;
 use crate::routes::{BlockOwners, Routes};
 use link::{Limits, Link};
 
@@ -31,8 +30,8 @@
 /// Where little or nothing of it remains, what still waits for its connection is placed anew at once, and no more lost.
 const DRAIN_MARGIN: Duration = Duration::from_millis(200);
 
-/// A store as discovery names it.
-pub struct Site {
+/// A store, as listed by discovery.
+pub struct Endpoint {
     /// Its name, the same at every broker.
     pub name: String,
     /// Where it listens.
@@ -40,12 +39,12 @@
     drained: Cell<Option<Instant>>,
     grace: Duration,
     links: RefCell<Vec<Rc<Link>>>,
-    /// Its feature form, if it offers one.
+    /// Client of its feature API, if it serves one.
     features: Option<features::Driver>,
 }
 
-impl Site {
-    /// Whether a frame may still be written to it.
+impl Endpoint {
+    /// Whether new work may still be sent to it: it is not draining, or within the grace period.
     pub fn may_send(&self) -> bool {
         self.drained.get().is_none_or(|at| at.elapsed() < self.grace)
     }
@@ -53,14 +52,14 @@
 
 /// Why the core stops an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Word {
-    /// It was waited for in vain.
-    GiveUp,
-    /// Nobody waits for it any more.
-    Abandon,
+pub enum StopReason {
+    /// The store did not answer in time.
+    NoAnswer,
+    /// The result is no longer needed, for reasons other than the store.
+    NotNeeded,
 }
 
-/// The stores, and the attempts that are out at them.
+/// The known stores and the attempts in flight.
 pub struct Stores {
     executor: Rc<LocalExecutor<'static>>,
     exchange: Rc<Exchange>,
@@ -68,27 +67,27 @@
     limits: Rc<Limits>,
     presence: Rc<Presence>,
     grace: Duration,
-    /// Those on the list. What is removed lives on only in its links, until they have ended.
-    sites: RefCell<BTreeMap<ServerId, Rc<Site>>>,
+    /// Listed stores. A removed one exists only in its links, until these have ended.
+    endpoints: RefCell<BTreeMap<ServerId, Rc<Endpoint>>>,
     names: RefCell<HashMap<String, ServerId>>,
-    /// The numbers given so far; none is used again.
-    numbered: Cell<ServerId>,
-    /// Stores that offer the feature form, and where.
+    /// The last assigned id; ids are never reused.
+    last_id: Cell<ServerId>,
+    /// Addresses of the feature APIs, by store.
     offers: HashMap<String, SocketAddr>,
-    stops: RefCell<HashMap<AttemptId, Sender<Word>>>,
-    /// What is to be sent once the turn is over.
-    orders: RefCell<Vec<(AttemptRequest, Receiver<Word>)>>,
-    /// Told of the numbers that stores have, where blocks move.
+    stops: RefCell<HashMap<AttemptId, Sender<StopReason>>>,
+    /// Attempts to be started at the end of the turn.
+    orders: RefCell<Vec<(AttemptRequest, Receiver<StopReason>)>>,
+    /// The block map, where blocks may move; it needs the ids of stores.
     routes: Option<Rc<Routes>>,
-    /// For connections of both forms: open, or being opened.
-    places: Rc<Places>,
-    /// Links open or waiting for a place, and when one ended by a spoilt answer.
+    /// Slots for connections of both kinds, open or being opened.
+    slots: Rc<ConnectionSlots>,
+    /// Number of links open or waiting for a slot, and the time of the last corrupt answer.
     links: Cell<usize>,
-    spoilt: Cell<Option<Instant>>,
+    last_corruption: Cell<Option<Instant>>,
 }
 
 impl Stores {
-    /// No stores yet.
+    /// A store side without stores.
     pub fn new(
         executor: Rc<LocalExecutor<'static>>,
         exchange: Rc<Exchange>,
@@ -101,29 +100,29 @@
         Rc::new(Self {
             executor,
             routes: exchange.routes(),
-            places: Places::new(limits.links),
+            slots: ConnectionSlots::new(limits.links),
             exchange,
             counters,
             limits: Rc::new(limits),
             presence,
             grace: drain_grace.saturating_sub(DRAIN_MARGIN),
-            sites: RefCell::default(),
+            endpoints: RefCell::default(),
             names: RefCell::default(),
-            numbered: Cell::new(0),
+            last_id: Cell::new(0),
             offers,
             stops: RefCell::default(),
             orders: RefCell::default(),
             links: Cell::new(0),
-            spoilt: Cell::new(None),
+            last_corruption: Cell::new(None),
         })
     }
 
-    /// Notes what discovery tells of a store; returns the number that the core knows it by.
-    pub fn note(&self, name: &str, address: SocketAddr, ready: bool) -> ServerId {
-        let mut sites = self.sites.borrow_mut();
+    /// Adds or updates a listed store; returns the core's id of it.
+    pub fn upsert(&self, name: &str, address: SocketAddr, ready: bool) -> ServerId {
+        let mut endpoints = self.endpoints.borrow_mut();
         let id = *self.names.borrow_mut().entry(name.to_owned()).or_insert_with(|| {
-            let id = self.numbered.replace(self.numbered.get() + 1);
-            let site = Rc::new(Site {
+            let id = self.last_id.replace(self.last_id.get() + 1);
+            let endpoint = Rc::new(Endpoint {
                 name: name.to_owned(),
                 address: Cell::new(address),
                 drained: Cell::new(None),
@@ -131,14 +130,14 @@
                 links: RefCell::default(),
                 features: self.offers.get(name).map(|at| features::Driver::new(*at, &self.limits)),
             });
-            sites.insert(id, site);
+            endpoints.insert(id, endpoint);
             id
         });
-        if let Some(site) = sites.get(&id) {
-            if site.address.replace(address) != address {
-                site.links.borrow().iter().for_each(|link| link.retire());
+        if let Some(endpoint) = endpoints.get(&id) {
+            if endpoint.address.replace(address) != address {
+                endpoint.links.borrow().iter().for_each(|link| link.retire());
             }
-            set_ready(site, ready);
+            set_ready(endpoint, ready);
         }
         if let Some(routes) = &self.routes {
             routes.store_listed(name, id);
@@ -146,16 +145,16 @@
         id
     }
 
-    /// What has changed of who holds blocks, for the core.
+    /// Takes the owner changes of blocks that the core has not seen.
     pub fn take_block_owner_changes(&self) -> BlockOwners {
         self.routes.as_ref().map(|routes| routes.take_owner_changes()).unwrap_or_default()
     }
 
-    /// Where a store listens, and whether it wants new work.
-    pub fn site(&self, name: &str) -> Option<(SocketAddr, bool)> {
+    /// A store's address, and whether it accepts new work.
+    pub fn address_and_readiness(&self, name: &str) -> Option<(SocketAddr, bool)> {
         let id = *self.names.borrow().get(name)?;
-        let sites = self.sites.borrow();
-        sites.get(&id).map(|site| (site.address.get(), site.drained.get().is_none()))
+        let endpoints = self.endpoints.borrow();
+        endpoints.get(&id).map(|endpoint| (endpoint.address.get(), endpoint.drained.get().is_none()))
     }
 
     /// The names of all stores known.
@@ -165,65 +164,67 @@
         names
     }
 
-    /// Lets a store go that is gone; returns the number that it had. Guards against keeping all the stores
-    /// of a long day, which are replaced by others with other names again and again.
+    /// Removes a store; returns the id that it had. Stores are replaced under new names all the time, so the table must not
+    /// keep old ones.
     pub fn remove(&self, name: &str) -> Option<ServerId> {
         let id = self.names.borrow_mut().remove(name)?;
         if let Some(routes) = &self.routes {
             routes.store_removed(name);
         }
-        if let Some(site) = self.sites.borrow_mut().remove(&id) {
-            set_ready(&site, false);
+        if let Some(endpoint) = self.endpoints.borrow_mut().remove(&id) {
+            set_ready(&endpoint, false);
         }
         Some(id)
     }
 
-    /// Lets every store go that is not among these.
-    pub fn keep(&self, listed: &[ServerId]) {
-        let gone = |(id, site): (&ServerId, &Rc<Site>)| (!listed.contains(id)).then(|| site.name.clone());
-        let gone: Vec<String> = self.sites.borrow().iter().filter_map(gone).collect();
-        for name in gone {
+    /// Removes all stores but these.
+    pub fn retain(&self, listed: &[ServerId]) {
+        let removed = |(id, endpoint): (&ServerId, &Rc<Endpoint>)| {
+            (!listed.contains(id)).then(|| endpoint.name.clone())
+        };
+        let removed: Vec<String> = self.endpoints.borrow().iter().filter_map(removed).collect();
+        for name in removed {
             self.remove(&name);
         }
     }
 
-    /// How many stores are known.
-    pub fn known(&self) -> usize {
-        self.sites.borrow().len()
+    /// Number of listed stores.
+    pub fn endpoint_count(&self) -> usize {
+        self.endpoints.borrow().len()
     }
 
-    /// How many connections are open, or being opened.
-    pub fn links(&self) -> usize {
+    /// Number of links open or being opened.
+    pub fn link_count(&self) -> usize {
         self.links.get()
     }
 
-    /// How many attempts are out.
-    pub fn attempts(&self) -> usize {
+    /// Number of attempts in flight.
+    pub fn attempt_count(&self) -> usize {
         self.stops.borrow().len()
     }
 
     /// Closes the idle connections to a store.
-    pub fn release(&self, server: ServerId) {
-        if let Some(site) = self.sites.borrow().get(&server) {
-            site.links.borrow().iter().filter(|link| link.idle()).for_each(|link| link.retire());
+    pub fn close_idle_links(&self, server: ServerId) {
+        if let Some(endpoint) = self.endpoints.borrow().get(&server) {
+            endpoint.links.borrow().iter().filter(|link| link.is_idle()).for_each(|link| link.retire());
         }
     }
 
-    /// Stops waiting for an attempt; its end still goes to the exchange.
-    pub fn stop(&self, attempt: AttemptId, word: Word) {
+    /// Stops an attempt; its outcome still goes to the exchange.
+    pub fn stop(&self, attempt: AttemptId, reason: StopReason) {
         if let Some(stop) = self.stops.borrow().get(&attempt) {
-            let _ = stop.try_send(word);
+            let _ = stop.try_send(reason);
         }
     }
 }
 
-fn set_ready(site: &Site, ready: bool) {
-    match (ready, site.drained.get()) {
-        (true, _) => site.drained.set(None),
+fn set_ready(endpoint: &Endpoint, ready: bool) {
+    match (ready, endpoint.drained.get()) {
+        (true, _) => endpoint.drained.set(None),
         (false, None) => {
-            site.drained.set(Some(Instant::now()));
+            endpoint.drained.set(Some(Instant::now()));
             // Each closes once it carries nothing.
-            site.links.borrow().iter().for_each(|link| link.retire());
+            endpoint.links.borrow().iter().for_each(|link| link.retire());
         }
         (false, Some(_)) => {}
     }
--- a/broker/tests/calls.rs
+++ b/broker/tests/calls.rs
@@ -29,7 +29,7 @@
             peer.answer(&format!("q.{part}")).await;
         }
         assert!(rig.ends(7).await.values().all(|outcome| *outcome == Outcome::Success));
-        assert_eq!(rig.sides.stores.links(), 1);
+        assert_eq!(rig.sides.stores.link_count(), 1);
     });
 }
 
@@ -95,7 +95,7 @@
     // So short a grace is over at once.
     play(Rig::new(32, 8, 150), |mut rig| async move {
         rig.turn(0..3);
-        rig.sides.stores.note("s-0", rig.at, false);
+        rig.sides.stores.upsert("s-0", rig.at, false);
         let mut peer = rig.accept().await;
         assert_eq!(peer.frame().await, None);
         assert!(rig.ends(3).await.values().all(|outcome| *outcome == Outcome::Void));
--- a/broker/tests/common/mod.rs
+++ b/broker/tests/common/mod.rs
@@ -24,7 +24,7 @@
 
 /// A process that knows of no other.
 pub fn alone() -> Rc<Presence> {
-    Presence::take(None, ([127, 0, 0, 1], 0).into())
+    Presence::register(None, ([127, 0, 0, 1], 0).into())
 }
 
 /// Exchange, store side and discovery without any socket.
@@ -78,6 +78,6 @@
         };
         let all: Vec<Value> = entries.iter().map(entry).collect();
         let text = json!({ "generation": 1, "reset": reset, "instances": all }).to_string();
-        self.discovery.tell(&discovery::parse(text.as_bytes()).unwrap(), false);
+        self.discovery.apply(&discovery::parse(text.as_bytes()).unwrap(), false);
     }
 }
--- a/broker/tests/common/rig.rs
+++ b/broker/tests/common/rig.rs
@@ -13,7 +13,7 @@
 use gingerledge::exchange::PendingQuery;
 use gingerledge::store::frame;
 use gingerledge::store::link::Limits;
-use gingerledge::store::Word;
+use gingerledge::store::StopReason;
 use gingerledge_dispatch::{Outcome, ServerId};
 use gingerledge_testkit::scripted::{listener, parts};
 
@@ -74,7 +74,7 @@
         let (store, at) = listener();
         let offers = features.then(|| ("s-0".to_owned(), at)).into_iter().collect();
         let sides = Sides::offering(100, limits, Duration::from_millis(grace_ms), offers);
-        let server = sides.stores.note("s-0", at, true);
+        let server = sides.stores.upsert("s-0", at, true);
         Self { sides, store, at, server, ended: BTreeMap::new() }
     }
 
@@ -124,7 +124,7 @@
     }
 
     pub fn stop(&self, part: u64) {
-        self.sides.stores.stop(AttemptId { part, number: 0 }, Word::GiveUp);
+        self.sides.stores.stop(AttemptId { part, number: 0 }, StopReason::NoAnswer);
     }
 
     pub async fn accept(&self) -> Peer {
--- a/broker/tests/core.rs
+++ b/broker/tests/core.rs
@@ -211,12 +211,12 @@
     for n in 2..100 {
         list(false, &[(n - 2, "draining")]);
         list(false, &[(n - 2, "removed"), (n, "up")]);
-        assert_eq!(stores.known(), 2);
+        assert_eq!(stores.endpoint_count(), 2);
     }
     // One that was never known; then a whole list without one that was.
     list(false, &[(1000, "removed")]);
     list(true, &[(99, "up")]);
-    assert_eq!(stores.known(), 1);
+    assert_eq!(stores.endpoint_count(), 1);
 }
 
 /// Another process may have taken its place already, and use this broker's part of a cold store's budget.
--- a/broker/tests/descriptors.rs
+++ b/broker/tests/descriptors.rs
@@ -9,7 +9,7 @@
 
 use async_io::{Async, Timer};
 use common::program::Program;
-use gingerledge::limits::{Budget, Wants};
+use gingerledge::limits::{Budget, BudgetRequest};
 use gingerledge_testkit::scripted::{exchange, get, query, run, until, Mood, Service, World};
 use serde_json::json;
 
@@ -18,7 +18,7 @@
 fn the_parts_are_within_the_limit_whatever_it_is() {
     let seed = 20_261_202;
     let mut rng = fastrand::Rng::with_seed(seed);
-    let fit = |wants: Wants| {
+    let fit = |wants: BudgetRequest| {
         let budget = Budget::of(wants);
         let processes = if wants.shared { 2 } else { 1 };
         let sum = budget.sum();
@@ -34,7 +34,7 @@
     };
     let mut draw = |sockets: usize| {
         let own = sockets / 2;
-        Wants {
+        BudgetRequest {
             sockets,
             allowed: rng.bool().then(|| rng.usize(32..=own.max(32) * 4)),
             shared: rng.bool(),
--- a/broker/tests/endings_store.rs
+++ b/broker/tests/endings_store.rs
@@ -56,7 +56,7 @@
     match crossing {
         Crossing::ClientLeft => drop(ticket),
         Crossing::GivenUp => rig.stop(cut),
-        Crossing::Drains => drop(rig.sides.stores.note("s-0", rig.at, false)),
+        Crossing::Drains => drop(rig.sides.stores.upsert("s-0", rig.at, false)),
         Crossing::WindowOver | Crossing::Nothing => {}
     }
     // Until here the store took nothing. From now on it reads, and what was not barred would follow.
@@ -128,7 +128,7 @@
                 rig.sides.stores.turn_over();
                 until(|| rig.sides.counters.dials.get() == 1).await;
                 Timer::after(Duration::from_millis(50)).await;
-                assert_eq!(rig.sides.stores.attempts(), 1, "the dial is up");
+                assert_eq!(rig.sides.stores.attempt_count(), 1, "the dial is up");
                 drop(ticket);
                 if !features {
                     assert_eq!(rig.ends(1).await[&0], Outcome::Void, "before the dial is up");
@@ -143,7 +143,7 @@
                     assert!(peer.1.is_empty(), "a request was begun");
                     assert_eq!(rig.ends(1).await[&0], Outcome::Void);
                 } else {
-                    rig.sides.stores.note("s-0", rig.at, false);
+                    rig.sides.stores.upsert("s-0", rig.at, false);
                     assert_eq!(peer.frame().await, None);
                     assert!(peer.1.is_empty(), "a call was begun");
                 }
--- a/broker/tests/golden.rs
+++ b/broker/tests/golden.rs
@@ -19,7 +19,7 @@
 use gingerledge::geojson::{page, Id};
 use gingerledge::handover::{Other, Presence};
 use gingerledge::http::{self, parse_head, Head};
-use gingerledge::rotation::{Marks, Rotation};
+use gingerledge::rotation::{DisabledStores, Rotation};
 use gingerledge::store::frame::{self, End, Frame};
 use gingerledge::subsystem::{self, Host, Subsystem};
 use gingerledge_blocks::*;
@@ -59,22 +59,22 @@
     let (dir, at) = (folder("rotation"), ([127, 0, 0, 1], 8080).into());
     let rotation = Rotation::open(Some(&dir), at, 1e12);
     for (store, now) in [("s-1", 1.7e12), ("s-2", 1.7e12 + 5.0), ("s-3", 1.7e12 + 7.0)] {
-        rotation.take_out(store, now).unwrap();
+        rotation.disable(store, now).unwrap();
     }
-    rotation.put_back("s-2", 1.7e12 + 900.0).unwrap();
+    rotation.enable("s-2", 1.7e12 + 900.0).unwrap();
     compare(&file("rotation.txt"), &files(&dir, "changed"));
     let recorded = read(&file("rotation.txt")).remove("changed, gingerledge-127.0.0.1-8080.out").unwrap();
-    let (marks, unread) = Marks::parse(&recorded);
-    assert_eq!((unread, marks.text().into_bytes()), (0, recorded.clone()));
-    assert_eq!(marks.out.get("s-1"), Some(&1_700_000_000_000));
-    assert_eq!(marks.back.get("s-2"), Some(&(1_700_000_000_005, 1_700_000_000_900)));
+    let (stores, unreadable) = DisabledStores::parse(&recorded);
+    assert_eq!((unreadable, stores.text().into_bytes()), (0, recorded.clone()));
+    assert_eq!(stores.disabled.get("s-1"), Some(&1_700_000_000_000));
+    assert_eq!(stores.enabled.get("s-2"), Some(&(1_700_000_000_005, 1_700_000_000_900)));
     // An earlier process's file is taken up by the next.
     let other = folder("rotation-next");
     fs::write(other.join("gingerledge-127.0.0.1:8080.out"), &recorded).unwrap();
     let next = Rotation::open(Some(&other), at, 1e12);
-    assert!(next.is_out("s-1") && !next.is_out("s-2") && next.is_out("s-3"));
-    next.put_back("s-1", 1.7e12 + 901.0).unwrap();
-    next.take_out("s-1", 1.7e12).unwrap();
+    assert!(next.is_disabled("s-1") && !next.is_disabled("s-2") && next.is_disabled("s-3"));
+    next.enable("s-1", 1.7e12 + 901.0).unwrap();
+    next.disable("s-1", 1.7e12).unwrap();
     assert_eq!(fs::read(other.join("gingerledge-127.0.0.1:8080.out")).unwrap(), recorded);
     let _ = (fs::remove_dir_all(dir), fs::remove_dir_all(other));
 }
@@ -82,9 +82,9 @@
 #[test]
 fn the_files_of_a_handover_are_what_they_were() {
     let (dir, at) = (folder("handover"), ([127, 0, 0, 1], 8080).into());
-    let first = Presence::take(Some(&dir), at);
+    let first = Presence::register(Some(&dir), at);
     let mut samples = files(&dir, "one process");
-    let second = Presence::take(Some(&dir), at);
+    let second = Presence::register(Some(&dir), at);
     assert_eq!((first.look(), second.look()), (Other::Serves, Other::Serves));
     first.leave();
     assert_eq!(second.look(), Other::Leaves);
