--- a/broker/tests/handover.rs
+++ b/broker/tests/handover.rs
@@ -61,9 +61,9 @@
     let at: SocketAddr = ([127, 0, 0, 1], 8080).into();
     // A file that is no lock of ours, and what a kill leaves behind, stop nobody.
     std::fs::write(folder.0.join(format!("gingerledge-{at}.0")), [0xff; 100]).unwrap();
-    let old = Presence::take(Some(&folder.0), at);
+    let old = Presence::register(Some(&folder.0), at);
     assert_eq!((old.look(), old.processes()), (Other::None, 1));
-    let new = Presence::take(Some(&folder.0), at);
+    let new = Presence::register(Some(&folder.0), at);
     assert_eq!((new.other(), new.processes()), (Other::Serves, 2));
     assert_eq!((old.look(), old.processes()), (Other::Serves, 2));
     old.leave();
@@ -72,11 +72,11 @@
     drop(old);
     assert_eq!((new.look(), new.processes()), (Other::None, 1));
     // The next upgrade finds the place that is free.
-    let next = Presence::take(Some(&folder.0), at);
+    let next = Presence::register(Some(&folder.0), at);
     assert_eq!((next.look(), new.look()), (Other::Serves, Other::Serves));
     // Without a folder it goes alone.
-    assert_eq!(Presence::take(None, at).look(), Other::None);
-    assert_eq!(Presence::take(Some(&folder.0.join("missing")), at).look(), Other::None);
+    assert_eq!(Presence::register(None, at).look(), Other::None);
+    assert_eq!(Presence::register(Some(&folder.0.join("missing")), at).look(), Other::None);
 }
 
 /// The program, as the platform starts it.
--- a/broker/tests/operations.rs
+++ b/broker/tests/operations.rs
@@ -211,14 +211,14 @@
 #[test]
 fn a_store_put_back_counts_as_started_when_the_list_says_or_when_it_came_back() {
     let rotation = Rotation::open(None, ([127, 0, 0, 1], 0).into(), 13_000.0);
-    rotation.take_out("s-1", 5000.0).unwrap();
-    rotation.take_out("s-1", 6000.0).unwrap();
-    assert_eq!(rotation.put_back("s-1", 10_000.0).unwrap(), ["s-1"]);
+    rotation.disable("s-1", 5000.0).unwrap();
+    rotation.disable("s-1", 6000.0).unwrap();
+    assert_eq!(rotation.enable("s-1", 10_000.0).unwrap(), ["s-1"]);
     assert_eq!(rotation.started("s-1", 0.0), 10_000.0, "no restart is listed");
     assert_eq!(rotation.started("s-1", 4000.0), 10_000.0, "an earlier one says nothing");
     assert_eq!(rotation.started("s-1", 8000.0), 8000.0, "restarted while it was out, and listed so");
     assert_eq!(rotation.started("s-2", 4000.0), 4000.0, "of others the list decides");
-    assert!(rotation.put_back("s-1", 11_000.0).unwrap().is_empty(), "it is back already");
+    assert!(rotation.enable("s-1", 11_000.0).unwrap().is_empty(), "it is back already");
 }
 
 /// Discovery may not have told of the restart yet: a store put back counts as started at that moment.
--- a/broker/tests/parsers.rs
+++ b/broker/tests/parsers.rs
@@ -11,7 +11,7 @@
 use gingerledge::front::platform::{answer, question, Names};
 use gingerledge::geojson::{self, page, Id};
 use gingerledge::http::{parse_chunk, parse_head, Chunk, Fault, Framing, Kind, BODY_MAX, HEAD_MAX};
-use gingerledge::rotation::Marks;
+use gingerledge::rotation::DisabledStores;
 use gingerledge::store::frame::{self, Frame};
 
 const REQUEST: &[u8] = b"POST /yard-compare HTTP/1.1\r\nHost: service.internal\r\nX-Request-ID: 9b1f\r\n\
@@ -51,11 +51,13 @@
 fn operators_calls_are_read_whatever_comes() {
     let text: &[u8] = b"PUT /drain HTTP/1.1\r\nHost: broker\r\nContent-Length: 0\r\n\r\n";
     let read = |bytes: &[u8]| parse_head(bytes, Kind::Request).ok().flatten();
-    cuts(text, |pieces| grow(pieces, |bytes| read(bytes).map(|(head, at)| (admin::call(&head, b""), at))));
-    garbage(text, |bytes| drop(read(bytes).map(|(head, at)| admin::call(&head, &bytes[at..]))));
+    cuts(text, |pieces| {
+        grow(pieces, |bytes| read(bytes).map(|(head, at)| (admin::parse_call(&head, b""), at)))
+    });
+    garbage(text, |bytes| drop(read(bytes).map(|(head, at)| admin::parse_call(&head, &bytes[at..]))));
     let status = |line: &str, body: &[u8]| {
         let (head, _) = read(format!("{line} HTTP/1.1\r\n\r\n").as_bytes()).unwrap();
-        admin::call(&head, body).map_err(|(status, _)| status)
+        admin::parse_call(&head, body).map_err(|(status, _)| status)
     };
     assert_eq!(status("GET /ready", b""), Ok(admin::Call::Ready));
     assert_eq!(status("PUT /undrain", b""), Ok(admin::Call::Undrain));
@@ -72,18 +74,18 @@
 #[test]
 fn marks_of_stores_out_are_read_as_written_and_spoilt_ones_passed_over() {
     let text = b"out s-1 17\nout s-2 18\nback s-3 19 1764000000000\n";
-    let (marks, unread) = Marks::parse(text);
-    assert_eq!((marks.out.len(), marks.back["s-3"], unread), (2, (19, 1_764_000_000_000), 0));
-    assert_eq!(marks.text().as_bytes(), text);
+    let (stores, unreadable) = DisabledStores::parse(text);
+    assert_eq!((stores.disabled.len(), stores.enabled["s-3"], unreadable), (2, (19, 1_764_000_000_000), 0));
+    assert_eq!(stores.text().as_bytes(), text);
     // Cut short, an id must not be taken for another.
-    assert_eq!(Marks::parse(&text[..20]), (Marks::parse(b"out s-1 17\n").0, 1));
+    assert_eq!(DisabledStores::parse(&text[..20]), (DisabledStores::parse(b"out s-1 17\n").0, 1));
     garbage(text, |bytes| {
-        let (marks, _) = Marks::parse(bytes);
-        assert_eq!(Marks::parse(marks.text().as_bytes()), (marks, 0));
+        let (stores, _) = DisabledStores::parse(bytes);
+        assert_eq!(DisabledStores::parse(stores.text().as_bytes()), (stores, 0));
     });
     let many: String = (0..10_000).map(|n| format!("out s-{n} 1\nback t-{n} 1 2\n")).collect();
-    let (marks, _) = Marks::parse(many.as_bytes());
-    assert!(marks.out.len() <= 512 && marks.back.len() <= 512);
+    let (stores, _) = DisabledStores::parse(many.as_bytes());
+    assert!(stores.disabled.len() <= 512 && stores.enabled.len() <= 512);
 }
 
 #[test]
--- a/broker/tests/process.rs
+++ b/broker/tests/process.rs
@@ -147,7 +147,7 @@
         config["discovery"] = json!("127.0.0.1:7");
         std::fs::write(&file.0, config.to_string()).unwrap();
         signal(&child, "-HUP");
-        until("now at 127.0.0.1:7");
+        until("discovery address changed address=127.0.0.1:7");
         signal(&child, "-TERM");
         until("counters: ");
         assert_eq!(child.wait().unwrap().code(), Some(0));
--- a/broker/tests/steady.rs
+++ b/broker/tests/steady.rs
@@ -183,7 +183,7 @@
     }
 
     fn sizes(&self) -> HashMap<&'static str, usize> {
-        self.core.sizes().into_iter().chain([("known", self.sides.stores.known())]).collect()
+        self.core.sizes().into_iter().chain([("known", self.sides.stores.endpoint_count())]).collect()
     }
 }
 
--- a/broker/tests/watching.rs
+++ b/broker/tests/watching.rs
@@ -6,7 +6,7 @@
 
 use fastrand::Rng;
 use gingerledge::discovery::watching::{
-    Action, Call, Event, Waits, Watching, ANSWER, BEAT, MARGIN, PERIOD, TOLD_AFTER,
+    Action, Call, Event, Waits, Watching, ANSWER, HEARTBEAT, MARGIN, PERIOD, TOLD_AFTER,
 };
 use gingerledge_dispatch::Settings;
 
@@ -23,7 +23,7 @@
     for (aggregators, index) in [(1, 0), (2, 1), (100, 99), (300, 0), (300, 299), (1000, 999)] {
         let set = Settings { subscribe: true, aggregators, index: Some(index), ..Settings::default() };
         let set = Waits::of(&set);
-        assert!(!set.pushed && set.silence > BEAT + ms(1000), "a watch that stands is kept");
+        assert!(!set.pushed && set.silence > HEARTBEAT + ms(1000), "a watch that stands is kept");
         assert_eq!(PERIOD + ANSWER + MARGIN, TOLD_AFTER);
         assert!(set.pace <= PERIOD && set.whole <= PERIOD && set.head <= set.whole, "a call");
         assert!(set.connect + ANSWER <= set.whole, "who can be reached is let finish");
@@ -36,7 +36,7 @@
 fn where_lists_are_pushed_an_agent_that_speaks_again_is_heard_within_half_of_a_drains_grace() {
     for grace in [0.0, 100.0, 250.0, 1000.0, 10_000.0] {
         let set = waits(true, grace);
-        assert!(set.pushed && set.silence > BEAT, "a watch that stands is kept");
+        assert!(set.pushed && set.silence > HEARTBEAT, "a watch that stands is kept");
         assert!(set.silence + set.connect + set.head < TOLD_AFTER, "a watch");
         assert!(set.body + set.connect + set.head < TOLD_AFTER, "a list that begins and stops");
         let half = ms(grace as u64 / 2).max(ms(100));
--- a/testkit/broker/tests/members.rs
+++ b/testkit/broker/tests/members.rs
@@ -66,7 +66,7 @@
 /// In the logs of some, none of these was ever gone.
 fn nobody_blames(fleet: &Fleet, some: &[usize], these: &[usize]) {
     for (who, member) in some.iter().flat_map(|who| these.iter().map(move |member| (who, member))) {
-        let words = format!("a member is gone member={member} ");
+        let words = format!("fleet member left or failed member={member} ");
         assert!(!fleet.log(*who).contains(&words), "{who} took {member} for gone");
     }
 }
@@ -127,7 +127,7 @@
         fleet.wake(3);
         agree(&fleet, &all(8), &all(8)).await;
         nobody_blames(&fleet, &[3], &up);
-        assert!(fleet.log(3).contains("this process stood still"), "{}", fleet.log(3));
+        assert!(fleet.log(3).contains("process was paused"), "{}", fleet.log(3));
         bounded(&fleet);
     });
 }
