--- a/broker/src/cli/mod.rs
+++ b/broker/src/cli/mod.rs
@@ -140,7 +140,7 @@
     let clock = Clock::new();
     let config = Config::read(var, read)?;
     crate::logger::start_as(&config.name, config.log, config.log_json, clock);
-    crate::service::run(config, clock, || Config::discovery_again(var, read))
+    crate::service::run(config, clock, || Config::reload_discovery(var, read))
 }
 
 /// Says what the configuration sets up, or what is wrong with it.
--- a/broker/src/config.rs
+++ b/broker/src/config.rs
@@ -40,7 +40,7 @@
 
 impl std::error::Error for Error {}
 
-/// How long clients may take: devices on poor links are slow, and stalled ones must not stay for ever.
+/// Time-outs of client connections: devices on poor links are slow, and stalled ones must not stay connected forever.
 #[derive(Clone, Copy, Debug)]
 pub struct Waits {
     /// A connection between requests is closed after so long.
@@ -51,46 +51,46 @@
     pub write: Duration,
 }
 
-/// Everything that the program is told at its start.
+/// The program's complete configuration.
 #[derive(Debug)]
 pub struct Config {
     /// The broker's name.
     pub name: String,
-    /// Where clients connect.
+    /// Address for the platform's clients.
     pub listen: SocketAddr,
-    /// Where operators call, if anywhere.
+    /// Address of the admin endpoint, if there is one.
     pub admin: Option<SocketAddr>,
-    /// The descriptor on which the platform listens already, if it does.
+    /// Descriptor of an inherited listener for the platform's clients.
     pub listener: Option<i32>,
-    /// The only folder that may be written to.
+    /// The only directory that may be written to.
     pub state_dir: Option<PathBuf>,
-    /// Where discovery listens.
+    /// Address of the discovery service.
     pub discovery: SocketAddr,
-    /// For random numbers.
+    /// Seed for random numbers.
     pub seed: u64,
-    /// How many file descriptors the process may hold.
+    /// Maximum of file descriptors, over all processes of this broker.
     pub sockets: usize,
-    /// How much memory it may use, in MB.
+    /// Memory limit in MB.
     pub memory_mb: usize,
-    /// The list as this broker last had it, in discovery's form.
-    pub known: Option<Value>,
-    /// What the decisions go by, and the names of classes, tenants and zones.
+    /// The last list of an earlier process, in discovery's format.
+    pub remembered_list: Option<Value>,
+    /// Settings of the decision module, and the names of classes, tenants and zones.
     pub setup: Setup,
-    /// How many queries and parts may be open.
+    /// Maximum of open queries and parts.
     pub max_open: usize,
-    /// How many parts a connection to a store carries at once.
+    /// Maximum of parts in flight on a connection to a store.
     pub streams: usize,
-    /// A connection to a store that is not up by then has failed.
+    /// Time-out for opening a connection to a store.
     pub dial_timeout_ms: Millis,
-    /// A store closes a connection that has stood idle so long.
+    /// Idle time after which a store closes a connection.
     pub idle_ms: Millis,
-    /// How long clients may take.
+    /// Time-outs of client connections.
     pub waits: Waits,
-    /// How long discovery may.
+    /// Time-outs of calls to discovery.
     pub calls: watching::Waits,
-    /// What goes to the log.
+    /// Log level.
     pub log: LevelFilter,
-    /// Whether as JSON lines.
+    /// Whether the log is written as JSON lines.
     pub log_json: bool,
     /// The feature front, where the operator has set one up.
     pub features: Option<features::Features>,
@@ -104,7 +104,7 @@
 const RETRY_AFTER_MS: Millis = 1000.0;
 const LEAST_SOCKETS: usize = 64;
 const LEAST_MEMORY_MB: usize = 16;
-/// Stalled and hostile clients are let go this soon, and connections between requests.
+/// Default time-outs for a request and for an idle connection.
 const READ_MS: u64 = 2500;
 const IDLE_MS: u64 = 2500;
 /// Descriptors have numbers below this.
@@ -113,6 +113,10 @@
 
 impl Config {
     /// Reads the environment through `var`, and the files that it names through `read`.
+    ///
+    /// # Errors
+    ///
+    /// Names the first key that is missing or invalid.
     pub fn read(
         var: impl Fn(&str) -> Option<String>,
         read: impl Fn(&str) -> std::io::Result<String>,
@@ -125,16 +129,16 @@
         let json: Value =
             serde_json::from_str(&text).map_err(|e| Error::new("LB_CONFIG", format!("not JSON: {e}")))?;
         // The environment goes before the file.
-        let told = |env: &str, key: &str| match var(env) {
+        let text_setting = |env: &str, key: &str| match var(env) {
             Some(text) => Ok((env.to_owned(), text)),
             None => match json.get(key).and_then(Value::as_str) {
                 Some(text) => Ok((key.to_owned(), text.to_owned())),
                 None => Err(Error::new(env, format!("not set, and no text `{key}` in LB_CONFIG"))),
             },
         };
-        let (_, name) = told("LB_NAME", "name")?;
-        let listen = address(told("LB_LISTEN", "listen")?)?;
-        let discovery = address(told("LB_DISCOVERY", "discovery")?)?;
+        let (_, name) = text_setting("LB_NAME", "name")?;
+        let listen = address(text_setting("LB_LISTEN", "listen")?)?;
+        let discovery = address(text_setting("LB_DISCOVERY", "discovery")?)?;
         let admin = match (var("LB_ADMIN_ADDR"), json.get("admin_addr")) {
             (Some(text), _) => Some(address(("LB_ADMIN_ADDR".to_owned(), text))?),
             (None, None | Some(Value::Null)) => None,
@@ -235,7 +239,7 @@
             seed,
             sockets,
             memory_mb,
-            known: json.get("known").filter(|known| !known.is_null()).cloned(),
+            remembered_list: json.get("known").filter(|known| !known.is_null()).cloned(),
             max_open: number(&pairs, "limits.max_open", 200.0, 2.0, 100_000.0)? as usize,
             streams: number(&pairs, "limits.streams_per_conn", 32.0, 1.0, 100_000.0)? as usize,
             dial_timeout_ms: number(&pairs, "limits.dial_timeout_ms", 250.0, 1.0, 60_000.0)?,
@@ -251,9 +255,13 @@
         })
     }
 
-    /// Reads a configuration that took the place of the one at the start, and checks all of it; returns
-    /// where discovery is now. The environment can't have changed since, so for that the file alone counts.
-    pub fn discovery_again(
+    /// Reads and validates a replaced configuration file; returns the new address of discovery. Environment variables can't
+    /// have changed since the start, so the file alone decides it.
+    ///
+    /// # Errors
+    ///
+    /// As [`Config::read`].
+    pub fn reload_discovery(
         var: impl Fn(&str) -> Option<String>,
         read: impl Fn(&str) -> std::io::Result<String>,
     ) -> Result<SocketAddr, Error> {
--- a/broker/src/core/messages.rs
+++ b/broker/src/core/messages.rs
@@ -180,13 +180,13 @@
     /// Formats in which the text may be sent.
     pub form: Form,
     /// Time-out for the response.
-    pub patience_ms: Millis,
+    pub timeout_ms: Millis,
     /// It must be sent within this time: later the store may no longer remember an earlier attempt of the part.
     pub send_within_ms: Option<Millis>,
     /// Idempotency key by which the store detects retries.
     pub key: Option<IdempotencyKey>,
     /// Result of the first step, for a part of the second.
-    pub second: Option<Rc<FirstStep>>,
+    pub first_step: Option<Rc<FirstStep>>,
     /// Fencing data, where blocks may move.
     pub fence: Option<Fence>,
 }
--- a/broker/src/core/mod.rs
+++ b/broker/src/core/mod.rs
@@ -348,7 +348,7 @@
         now: Millis,
         id: RequestId,
         server: ServerId,
-        patience_ms: Millis,
+        timeout_ms: Millis,
     ) -> Result<AttemptRequest, u32> {
         let part = self.parts.get_mut(&id).ok_or(0u32)?;
         let number = part.attempts;
@@ -382,8 +382,8 @@
             form: query.request.form,
             send_within_ms: within.is_finite().then_some(within),
             key: query.request.key.clone(),
-            patience_ms: if patience_ms > 0.0 { patience_ms.min(left) } else { left },
-            second: query.second.clone(),
+            timeout_ms: if timeout_ms > 0.0 { timeout_ms.min(left) } else { left },
+            first_step: query.second.clone(),
             fence,
         })
     }
--- a/broker/src/discovery/calls.rs
+++ b/broker/src/discovery/calls.rs
@@ -29,17 +29,17 @@
         loop {
             let moved = async {
                 let _ = self.moved.1.recv().await;
-                (Event::Moved, None)
+                (Event::AddressChanged, None)
             };
             let wanted = async {
                 let _ = self.subscriptions.1.recv().await;
-                (Event::Wanted, None)
+                (Event::WatchRequested, None)
             };
             let ended = async {
                 match calling.as_mut() {
                     Some((_, calling)) => {
                         let fault = calling.await;
-                        (Event::Ended, Some(fault))
+                        (Event::CallEnded, Some(fault))
                     }
                     None => pending().await,
                 }
@@ -50,16 +50,16 @@
                     Some(due) => drop(Timer::at(due).await),
                     None => pending().await,
                 }
-                (Event::Due, None)
+                (Event::TimeoutElapsed, None)
             };
             let (event, fault) = or(or(moved, ended), or(wanted, late)).await;
-            if let (Some(fault), Some((call, _))) = (fault, calling.take_if(|_| event == Event::Ended)) {
+            if let (Some(fault), Some((call, _))) = (fault, calling.take_if(|_| event == Event::CallEnded)) {
                 self.log_fault(call, &fault);
             }
             for action in self.on_event(event) {
                 match action {
-                    Action::Leave => {
-                        if let Some((call, _)) = calling.take().filter(|_| event == Event::Due) {
+                    Action::DropCall => {
+                        if let Some((call, _)) = calling.take().filter(|_| event == Event::TimeoutElapsed) {
                             self.log_fault(call, "silent");
                         }
                     }
@@ -69,7 +69,7 @@
                         }
                         calling = Some((call, Box::pin(self.clone().call(call))));
                     }
-                    Action::Failed => self.exchange.endpoints_listed(ListKind::Failed, Vec::new()),
+                    Action::ReportFailure => self.exchange.endpoints_listed(ListKind::Failed, Vec::new()),
                 }
             }
         }
@@ -98,7 +98,7 @@
             Call::List => match self.fetch().await {
                 Ok(list) => {
                     self.on_list(&list);
-                    self.on_event(Event::Heard);
+                    self.on_event(Event::CompleteReceived);
                     "the list was given, and no watch".to_owned()
                 }
                 Err(fault) => fault,
@@ -111,7 +111,7 @@
         let before = self.since.get();
         self.apply(list, false);
         if self.since.get() != before {
-            self.on_event(Event::Told);
+            self.on_event(Event::NewerListReceived);
         }
     }
 
@@ -129,7 +129,7 @@
         let head = stream.head(Kind::Answer, UNBOUNDED).await.map_err(|e| format!("{e:?}"))?;
         match head.status {
             200 => {
-                self.on_event(Event::Answered);
+                self.on_event(Event::HeadReceived);
                 Ok((stream, head))
             }
             status => Err(format!("status {status}")),
@@ -166,7 +166,7 @@
                     // Changes to an older list would restore removed stores or remove newer ones. Only a complete list may be
                     // older, from a restarted service; it is requested next.
                     self.since.set(None);
-                    self.on_event(Event::Told);
+                    self.on_event(Event::NewerListReceived);
                     return Err(format!("changes of generation {} to a list of {current}", list.generation));
                 }
                 self.on_list(&list);
@@ -175,7 +175,7 @@
             yield_now().await;
             // Heartbeats behind the beginning of a list do not count: the list must be completed first.
             if complete || !lists.begun() {
-                self.on_event(Event::Heard);
+                self.on_event(Event::CompleteReceived);
             }
         }
     }
--- a/broker/src/discovery/watching.rs
+++ b/broker/src/discovery/watching.rs
@@ -1,28 +1,28 @@
-//! When discovery is called, and when a call or a watch counts as silent. A machine without I/O: events and the
-//! time in, actions out. It knows neither lists nor sockets.
+//! When to call the discovery service, and when a call or a watch has timed out. A state machine without I/O: events and the
+//! time in, actions out. It knows neither the contents of lists nor sockets.
 //!
-//! **The promise.** Whatever became of the calls before, and in whatever order they failed: what discovery has at a time
-//! at which it can be reached is in hand [`TOLD_AFTER`] (6 s) after that time, less [`MARGIN`]. It rests on one thing: that a
-//! call that goes out while discovery can be reached is answered within [`ANSWER`], its place in the queue included.
+//! **Guarantee.** Whatever the outcomes of earlier calls, in whatever order: the state that discovery has at a time at which it
+//! is reachable has been received [`UPDATE_DEADLINE`] (6 s) after that time, less [`MARGIN`]. One assumption: a call made
+//! while discovery is reachable is answered within [`ANSWER`], including its time in the service's queue.
 //!
-//! - Lists asked for, one service for the whole fleet. From any moment on, the next call goes out within [`PERIOD`] = 4 s:
-//!   - a call that has told nothing is given up 3 s after it began, however far it came; one that failed or was given
-//!     up is followed a period after it *began*, at the latest;
-//!   - where watches can't be had and lists are given, that holds of the calls for lists, with a watch tried between two;
-//!   - a watch that ends is followed within a period of its end; one that is silent is given up 3.4 s after the last
-//!     that came whole, and followed within 0.6 s.
+//! - Lists are requested (one service for the whole fleet). From any moment the next call starts within [`PERIOD`] = 4 s:
+//!   - a call that has returned nothing is dropped 3 s after its start, whatever its stage; the call after a failed or dropped
+//!     one starts a period after the *start* of that one, at the latest;
+//!   - where watches fail and lists succeed, the same holds for the calls for lists, with a watch tried between two of them;
+//!   - a watch that ends is followed by a call within a period of its end; one without a heartbeat is dropped 3.4 s after the
+//!     last complete one, and followed by a call within 0.6 s.
 //!
-//!   So 4 + 1.6 + 0.4 = 6 s, and no state knows of more failures than one. That the next call is counted from
-//!   the beginning of the one before also keeps a fleet spread that once is: each broker has its place in the
-//!   period, by its number, and four waits that grow lead there from any common beginning (the last of `Watching::gap`). From
-//!   then on 300 brokers call 75 times a second, evenly, for as long as discovery is down, or has too many callers: as
-//!   seldom as the promise lets them. Fewer than 100 call 25 times a second, and each once in 1.5 s at the most.
-//! - Lists pushed, an agent of the broker's own that answers at once and for nothing: called from the first moment, and
-//!   again `pace` after a call that failed, for as long as it is silent: what it has when it speaks again counts
-//!   at once, so the pace is half of a drain's grace. Watch silent: out after `silence + connect`, at most
-//!   2.5 + 0.5 s; any call: `connect + head + body`, 3 s at the most, before the next.
+//!   So 4 + 1.6 + 0.4 = 6 s, and no state needs to count more than one failure. Since the next call is counted from the
+//!   start of the one before, calls of a fleet stay spread out: each broker has its offset in the period, by its number, and
+//!   four growing waits lead there from any common start (the last case of `Watching::backoff`). From then on 300 brokers
+//!   make 75 calls a second, evenly, for as long as discovery is down or overloaded: as few as the guarantee permits. Fewer
+//!   than 100 brokers make 25 calls a second, each broker at most one in 1.5 s.
+//! - Lists are pushed (by an agent on the broker's machine, which answers immediately and at no cost): called from the start,
+//!   and again `pace` after the start of a failed call, for as long as it does not respond. Its state counts from the moment
+//!   at which it responds again, so the pace is half of the drain grace. A watch without heartbeats ends after
+//!   `heartbeat_timeout + connect`, at most 2.5 + 0.5 s; any other call after `connect + head + body`, at most 3 s.
 //!
-//! While nothing can be heard the list stays in use; `docs/design/standing.md` says why.
+//! While discovery is unreachable the last list stays in use; `docs/design/standing.md` says why.
 
 use std::time::{Duration, Instant};
 
@@ -30,99 +30,97 @@
 
 use crate::clock::millis;
 
-/// What a watch that fell silent missed counts as told so much later.
-pub const TOLD_AFTER: Duration = Duration::from_millis(6000);
-/// Kept of it for the process's own turns, and for a machine that is busy.
+/// Time after which a change that a silent watch missed must have been received.
+pub const UPDATE_DEADLINE: Duration = Duration::from_millis(6000);
+/// Part of it reserved for the process's own turns on a busy machine.
 pub const MARGIN: Duration = Duration::from_millis(400);
-/// Who can be reached answers a call within so long, its connection and its place in the queue included.
+/// Time within which a reachable service answers a call, including connecting and queueing.
 pub const ANSWER: Duration = Duration::from_millis(1600);
-/// From any moment to the next call, at the most, where lists are asked for.
+/// Maximum time from any moment to the start of the next call, where lists are requested.
 pub const PERIOD: Duration = Duration::from_millis(4000);
-/// A small fleet calls more often, since that costs discovery little: a call each [`APART`], and no broker more often than this.
-/// Two calls that a busy discovery refuses then leave time for a third.
-const PERIOD_LEAST: Duration = Duration::from_millis(1500);
-/// While nothing changes, an empty line comes so often.
+/// Minimum time between the calls of one broker. A small fleet calls more often, one call each [`BROKER_SPACING`], which
+/// leaves time for a third call after two that an overloaded service refused.
+const PERIOD_MIN: Duration = Duration::from_millis(1500);
+/// Interval of heartbeats (empty lines) on a watch without changes.
 pub const HEARTBEAT: Duration = Duration::from_millis(2000);
-/// One may be so late where a call more is a call of the whole fleet.
+/// Tolerated delay of a heartbeat where a further call would be one of the whole fleet.
 const HEARTBEAT_SLACK_FLEET: Duration = Duration::from_millis(1400);
-/// Brokers have their places in a period so far apart, or as far as it has room for all.
+/// Distance between the offsets of two brokers within a period, or less if the period is too short for all.
 const BROKER_SPACING: Duration = Duration::from_millis(40);
-/// An empty line may be so late where a call more costs nothing.
+/// Tolerated delay of a heartbeat where a further call costs nothing.
 const HEARTBEAT_SLACK_AGENT: Duration = Duration::from_millis(500);
 const CONNECT: Duration = Duration::from_millis(1000);
-/// A call waits in turn with those of other brokers.
+/// Time-out for stages in which a call queues behind those of other brokers.
 const TURN: Duration = Duration::from_millis(2500);
-/// Calls of an agent that is silent, whatever a drain's grace.
+/// Bounds on the pace of calls to an unresponsive agent, in milliseconds.
 const PACE: [f64; 2] = [100.0, 500.0];
-/// Guards against an agent that is slow after all, and would never be let finish: so many calls that were not
-/// answered double the wait, up to [`PATIENCE`].
-const SLOWER: u32 = 128;
+/// Number of unanswered calls that double the time-out, up to [`STAGE_TIMEOUT_MAX`], so that a slow agent can finish.
+const UNANSWERED_PER_DOUBLING: u32 = 128;
 const STAGE_TIMEOUT_MAX: Duration = Duration::from_millis(1000);
 
-/// A new process has to be ready within 10 s, whatever discovery does. One with no list refuses what it is asked, and
-/// trying again is harmless; two more seconds are for its start and for whoever looks whether it is ready.
+/// A new process must be ready within 10 s whatever discovery does, since without a list it rejects queries as safe to retry.
+/// Two seconds remain for its start and for the readiness probe.
 const READY: Duration = Duration::from_millis(8000);
 
-/// The waits, each from where the one before ended.
+/// The time-outs of the stages of a call, each counted from the end of the stage before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Waits {
-    /// Whether an agent has the lists pushed, and is called for nothing.
+    /// Whether an agent on this machine pushes lists, so that calls cost nothing.
     pub pushed: bool,
-    /// A connection is up.
+    /// The connection is established.
     pub connect: Duration,
-    /// The answer's head is there.
+    /// The response's head is complete.
     pub head: Duration,
-    /// The first piece of a watch, or the whole of a list.
+    /// The first chunk of a watch, or the complete list.
     pub body: Duration,
-    /// More of a watch has come whole.
-    pub silence: Duration,
-    /// A call has told something, from its beginning on; where lists are asked for.
-    pub whole: Duration,
-    /// From the beginning of one call to the next after it; where lists are asked for it is longest after several
-    /// failures.
+    /// The next heartbeat or list of a watch is complete.
+    pub heartbeat_timeout: Duration,
+    /// A call has returned something complete, counted from its start; where lists are requested.
+    pub call_timeout: Duration,
+    /// From the start of one call to the start of the next; where lists are requested, the maximum after several failures.
     pub pace: Duration,
-    /// Where lists are asked for: the broker's place in that time, among all.
-    pub place: Duration,
-    /// A new process has its first list, or goes by the one that it finds in its configuration.
+    /// Where lists are requested: the broker's offset within the pace, which spreads the calls of the fleet.
+    pub stagger: Duration,
+    /// A new process has its first list, or falls back to the one in its configuration.
     pub first: Duration,
-    /// A new process that has no list at all is ready without one.
+    /// A new process without any list becomes ready.
     pub ready: Duration,
 }
 
 impl Waits {
-    /// As the settings have it.
+    /// The time-outs for these settings.
     pub fn of(settings: &Settings) -> Self {
         let first = Duration::from_millis(1000);
         if settings.subscribe {
             // Whoever knows no number goes by that of its process: these are spread, too.
             let number = settings.index.unwrap_or_else(std::process::id);
             let brokers = settings.aggregators.max(1);
-            let pace = (BROKER_SPACING * brokers).clamp(PERIOD_LEAST, PERIOD);
+            let pace = (BROKER_SPACING * brokers).clamp(PERIOD_MIN, PERIOD);
             let spacing = BROKER_SPACING.min(pace / brokers);
             return Self {
                 pushed: false,
                 connect: CONNECT,
                 head: TURN,
                 body: TURN,
-                silence: HEARTBEAT + HEARTBEAT_SLACK_FLEET,
-                whole: PERIOD * 3 / 4,
+                heartbeat_timeout: HEARTBEAT + HEARTBEAT_SLACK_FLEET,
+                call_timeout: PERIOD * 3 / 4,
                 pace,
-                place: spacing * (number % brokers),
+                stagger: spacing * (number % brokers),
                 first,
                 ready: READY,
             };
         }
         let pace = millis((settings.drain_grace_ms / 2.0).clamp(PACE[0], PACE[1]));
-        let (silence, whole) = (HEARTBEAT + HEARTBEAT_SLACK_AGENT, 3 * STAGE_TIMEOUT_MAX);
+        let (heartbeat_timeout, call_timeout) = (HEARTBEAT + HEARTBEAT_SLACK_AGENT, 3 * STAGE_TIMEOUT_MAX);
         Self {
             pushed: true,
             connect: pace,
             head: pace,
             body: STAGE_TIMEOUT_MAX,
-            silence,
-            whole,
+            heartbeat_timeout,
+            call_timeout,
             pace,
-            place: Duration::ZERO,
+            stagger: Duration::ZERO,
             first,
             ready: READY,
         }
@@ -142,40 +140,40 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event {
     /// The core requests a watch. Only the first call is timed by the core; this is ignored afterwards.
-    Wanted,
+    WatchRequested,
     /// The address of discovery has changed.
-    Moved,
+    AddressChanged,
     /// The call's connection is established.
     Connected,
     /// The head of a successful response has arrived.
-    Answered,
+    HeadReceived,
     /// The call returned something complete: a list, or a heartbeat of a watch.
-    Heard,
+    CompleteReceived,
     /// It returned a newer list.
-    Told,
+    NewerListReceived,
     /// The call has ended.
-    Ended,
+    CallEnded,
     /// The time of [`Watching::due`] has come.
-    Due,
+    TimeoutElapsed,
 }
 
 /// An output.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Drop the current call.
-    Leave,
+    DropCall,
     /// Make a call.
     Call(Call),
     /// Report a failure to the core.
-    Failed,
+    ReportFailure,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
     Idle,
     Connecting,
-    Asked,
-    Answering,
+    AwaitingHead,
+    Receiving,
 }
 
 /// The machine. At most one call is in flight.
@@ -221,7 +219,7 @@
 
     /// Delay of the first call of a process without a list, which spreads the calls of brokers that start together.
     pub fn first_call_delay(&self) -> Duration {
-        self.waits.place / 2
+        self.waits.stagger / 2
     }
 
     /// When [`Event::Due`] must be delivered.
@@ -237,42 +235,42 @@
     /// Handles an event; one that does not fit the current stage is ignored.
     pub fn handle(&mut self, event: Event, now: Instant) -> Vec<Action> {
         match (event, self.stage) {
-            (Event::Wanted, Stage::Idle) if self.due.is_none() => self.start_call(Call::Watch, now),
-            (Event::Moved, _) => {
+            (Event::WatchRequested, Stage::Idle) if self.due.is_none() => self.start_call(Call::Watch, now),
+            (Event::AddressChanged, _) => {
                 (self.unanswered, self.failed, self.next, self.given) = (0, 0, Call::Watch, None);
-                let mut actions = vec![Action::Leave];
+                let mut actions = vec![Action::DropCall];
                 if self.waits.pushed {
                     actions.extend(self.start_call(Call::Watch, now));
                 } else {
-                    // Guards the new address against all brokers of a large fleet at once.
-                    (self.stage, self.due) = (Stage::Idle, Some(now + self.waits.place / 4));
+                    // Spreads the first calls of a large fleet at the new address.
+                    (self.stage, self.due) = (Stage::Idle, Some(now + self.waits.stagger / 4));
                 }
                 actions
             }
             (Event::Connected, Stage::Connecting) => {
-                self.enter_stage(Stage::Asked, now + self.stage_timeout(self.waits.head))
+                self.enter_stage(Stage::AwaitingHead, now + self.stage_timeout(self.waits.head))
             }
-            (Event::Answered, Stage::Asked) => {
+            (Event::HeadReceived, Stage::AwaitingHead) => {
                 self.unanswered = 0;
-                self.enter_stage(Stage::Answering, now + self.waits.body)
+                self.enter_stage(Stage::Receiving, now + self.waits.body)
             }
-            (Event::Heard, Stage::Answering) => {
+            (Event::CompleteReceived, Stage::Receiving) => {
                 self.complete_since = self.complete_since.or(Some(now));
                 if self.call == Call::Watch {
-                    self.due = self.due.max(Some(now + self.waits.silence));
+                    self.due = self.due.max(Some(now + self.waits.heartbeat_timeout));
                 }
                 Vec::new()
             }
-            (Event::Told, Stage::Answering) => {
+            (Event::NewerListReceived, Stage::Receiving) => {
                 self.has_newer_list = true;
                 Vec::new()
             }
-            (Event::Ended, Stage::Idle) => Vec::new(),
-            (Event::Ended, _) => self.on_call_ended(now, false),
-            (Event::Due, stage) if self.due.is_some_and(|due| due <= now) => match stage {
+            (Event::CallEnded, Stage::Idle) => Vec::new(),
+            (Event::CallEnded, _) => self.on_call_ended(now, false),
+            (Event::TimeoutElapsed, stage) if self.due.is_some_and(|due| due <= now) => match stage {
                 Stage::Idle => self.start_call(self.next, now),
                 _ => {
-                    let mut actions = vec![Action::Leave];
+                    let mut actions = vec![Action::DropCall];
                     actions.extend(self.on_call_ended(now, true));
                     actions
                 }
@@ -291,8 +289,9 @@
     /// Enters the next stage of a call, whose time-out is bounded by that of the whole call until it has returned something.
     fn enter_stage(&mut self, stage: Stage, due: Instant) -> Vec<Action> {
         self.stage = stage;
-        let whole = self.waits.whole / if self.given.is_some() && self.call == Call::Watch { 2 } else { 1 };
-        self.due = self.due.max(Some(due.min(self.began + whole)));
+        let call_timeout =
+            self.waits.call_timeout / if self.given.is_some() && self.call == Call::Watch { 2 } else { 1 };
+        self.due = self.due.max(Some(due.min(self.began + call_timeout)));
         Vec::new()
     }
 
@@ -300,17 +299,17 @@
         if !self.waits.pushed {
             return wait;
         }
-        (wait + wait * self.unanswered / SLOWER).min(STAGE_TIMEOUT_MAX.max(wait))
+        (wait + wait * self.unanswered / UNANSWERED_PER_DOUBLING).min(STAGE_TIMEOUT_MAX.max(wait))
     }
 
     /// Handles the end of a call, or its time-out (`silent`), and schedules the next one.
     fn on_call_ended(&mut self, now: Instant, silent: bool) -> Vec<Action> {
-        if self.stage != Stage::Answering {
+        if self.stage != Stage::Receiving {
             self.unanswered = self.unanswered.saturating_add(1);
         }
         let (called, connected) = (self.call, self.stage != Stage::Connecting);
         if self.waits.pushed {
-            // An agent is called for nothing, so a list is asked for at once, in case that watches are what can't be had.
+            // Calls to an agent cost nothing: a list is requested immediately, in case that only watches fail.
             if called == Call::Watch && !self.has_newer_list {
                 return self.start_call(Call::List, now);
             }
@@ -318,43 +317,44 @@
             self.due = Some(now.max(self.began + self.waits.pace));
             return Vec::new();
         }
-        let has_given = self.complete_since.is_some();
-        if let Some(given) = self.given.filter(|_| called == Call::Watch && !has_given) {
-            // Lists are given and watches can't be had: the list is asked for as if no watch had been.
+        let returned_something = self.complete_since.is_some();
+        if let Some(given) = self.given.filter(|_| called == Call::Watch && !returned_something) {
+            // Lists succeed and watches fail: the next list is scheduled as if no watch had been tried.
             (self.stage, self.next, self.due) =
                 (Stage::Idle, Call::List, Some(now.max(given + self.waits.pace)));
-            return vec![Action::Failed];
+            return vec![Action::ReportFailure];
         }
-        self.given = (called == Call::List && has_given).then_some(self.began);
-        // In case that watches are what can't be had; who can't be connected to says nothing of that.
-        self.next = if called == Call::Watch && !has_given && connected { Call::List } else { Call::Watch };
+        self.given = (called == Call::List && returned_something).then_some(self.began);
+        // In case that only watches fail; a failed connection says nothing about that.
+        self.next =
+            if called == Call::Watch && !returned_something && connected { Call::List } else { Call::Watch };
         let was_established =
             called == Call::Watch && self.complete_since.is_some_and(|since| now >= since + self.waits.pace);
         self.failed = if was_established { 1 } else { self.failed.saturating_add(1) };
-        let Waits { pace, place, .. } = self.waits;
-        let next = if silent && has_given {
-            now + place * 3 / 20
+        let Waits { pace, stagger, .. } = self.waits;
+        let next = if silent && returned_something {
+            now + stagger * 3 / 20
         } else {
             let from = if was_established { now } else { self.began };
             let (wait, share) = self.backoff();
-            // A watch between two lists has half the time, so that the lists lie no further apart than other calls.
+            // A watch between two lists has half the time, so that the lists are no further apart than other calls.
             let most = if self.given.is_some() { pace / 2 } else { pace };
             (now.max(from + wait) + share).min(from + most)
         };
         (self.stage, self.due) = (Stage::Idle, Some(next.max(now)));
-        vec![Action::Failed]
+        vec![Action::ReportFailure]
     }
 
-    /// From the beginning of a call that failed, or the end of a watch that stood, to the next call: a wait, and a share
-    /// of the broker's place, whatever the call itself took; the waits leave room for that. A quarter four times, so that
-    /// brokers that began together, as at an end of all watches, are each at their place after the fourth.
+    /// The wait from the start of a failed call, or the end of an established watch, to the next call, and the share of the
+    /// broker's offset added to it. The offset is added in four quarters, so that brokers that start together, as at the end
+    /// of all watches, have each reached their offset after the fourth call.
     fn backoff(&self) -> (Duration, Duration) {
-        let Waits { pace, place, .. } = self.waits;
+        let Waits { pace, stagger, .. } = self.waits;
         match self.failed {
-            0 | 1 => (pace / 16, place / 4),
-            2 => (pace / 4, place / 4),
-            3 => (pace / 2, place / 4),
-            4 => (pace * 3 / 4, place / 4),
+            0 | 1 => (pace / 16, stagger / 4),
+            2 => (pace / 4, stagger / 4),
+            3 => (pace / 2, stagger / 4),
+            4 => (pace * 3 / 4, stagger / 4),
             _ => (pace, Duration::ZERO),
         }
     }
--- a/broker/src/service.rs
+++ b/broker/src/service.rs
@@ -15,7 +15,7 @@
 use crate::admin::AdminServer;
 use crate::blocks::Blocks;
 use crate::clock::{millis, Clock, Millis};
-use crate::config::{Config, Error};
+use crate::config::{Config, Error, Waits};
 use crate::core::{Command, Core};
 use crate::counters::Counters;
 use crate::discovery::{self, Discovery};
@@ -24,10 +24,10 @@
 use crate::fleet::Fleet;
 use crate::front::features::Front;
 use crate::front::platform::{Names, Platform, TIMEOUT_MAX_MS};
-use crate::front::Server;
+use crate::front::{Server, Service};
 use crate::handover::{self, Other, Presence};
 use crate::lifecycle::Lifecycle;
-use crate::limits::{self, Budget, BudgetRequest};
+use crate::limits::{self, Budget, BudgetRequest, Clients};
 use crate::readiness::become_ready;
 use crate::rotation::Rotation;
 use crate::routes::Routes;
@@ -53,13 +53,17 @@
 /// # Errors
 ///
 /// If the configuration can't be applied, such as for an address that is in use.
-pub fn run(config: Config, clock: Clock, again: impl Fn() -> Result<SocketAddr, Error>) -> Result<(), Error> {
+pub fn run(
+    config: Config,
+    clock: Clock,
+    reload: impl Fn() -> Result<SocketAddr, Error>,
+) -> Result<(), Error> {
     let executor = Rc::new(LocalExecutor::new());
     let serving = async {
         let signals = Signals::new([Signal::Term, Signal::Int, Signal::Usr1, Signal::Hup])
             .map_err(|e| Error::new("signals", e.to_string()))?;
         let broker = Broker::start(config, clock, executor.clone())?;
-        broker.watch(signals, again).await;
+        broker.watch(signals, reload).await;
         broker.stop().await;
         Ok(())
     };
@@ -107,6 +111,71 @@
     bound.map_err(|e| Error::new(key, format!("can't listen on {at}: {e}")))
 }
 
+/// The listener for the platform's clients: the inherited one, or one of this process's own.
+fn platform_listener(
+    inherited: Option<i32>,
+    at: SocketAddr,
+) -> Result<(Async<TcpListener>, SocketAddr), Error> {
+    let Some(descriptor) = inherited else { return listen("LB_LISTEN", at, handover::listen_alone) };
+    let listener = handover::inherited(descriptor, at).map_err(|e| Error::new("LB_FD", e))?;
+    let listener = Async::new(listener).map_err(|e| Error::new("LB_FD", e.to_string()))?;
+    Ok((listener, at))
+}
+
+fn descriptor_budget(config: &Config) -> Budget {
+    Budget::of(BudgetRequest {
+        sockets: config.sockets,
+        allowed: limits::allowed(),
+        shared: config.listener.is_some(),
+        features: config.features.as_ref().map(|set| set.connections),
+        admin: config.admin.is_some(),
+        blocks: config.blocks.is_some(),
+    })
+}
+
+fn link_limits(config: &Config, budget: &Budget) -> Limits {
+    Limits {
+        streams: config.streams,
+        batch: config.setup.settings.batch.max(1) as usize,
+        links: budget.stores,
+        dial: millis(config.dial_timeout_ms),
+        idle: millis(config.idle_ms * IDLE_SHARE),
+    }
+}
+
+/// What the servers of all fronts share.
+struct FrontContext<'a> {
+    lifecycle: &'a Rc<Lifecycle>,
+    presence: &'a Rc<Presence>,
+    counters: &'a Rc<Counters>,
+    executor: &'a Rc<LocalExecutor<'static>>,
+    waits: Waits,
+    /// Bytes of long request bodies that a front may hold.
+    body_bytes: usize,
+}
+
+impl FrontContext<'_> {
+    /// Spawns the server of a front, which runs until the broker shuts down.
+    fn spawn<S: Service + 'static>(
+        &self,
+        front: S,
+        clients: Clients,
+        listener: Async<TcpListener>,
+        own_listener: bool,
+    ) {
+        let server = Server::new(
+            front,
+            (self.lifecycle, self.presence),
+            self.counters,
+            self.executor,
+            self.waits,
+            clients,
+            self.body_bytes,
+        );
+        self.executor.spawn(server.run(listener, own_listener)).detach();
+    }
+}
+
 impl Broker {
     /// Starts a broker on this executor.
     ///
@@ -117,29 +186,16 @@
         let counters = Rc::new(Counters::default());
         let presence = Presence::register(config.state_dir.as_deref(), config.listen);
         let lifecycle = Lifecycle::new();
-        let budget = Budget::of(BudgetRequest {
-            sockets: config.sockets,
-            allowed: limits::allowed(),
-            shared: config.listener.is_some(),
-            features: config.features.as_ref().map(|set| set.connections),
-            admin: config.admin.is_some(),
-            blocks: config.blocks.is_some(),
-        });
+        let budget = descriptor_budget(&config);
         log::debug!("descriptors: {budget:?}");
-        let limits = Limits {
-            streams: config.streams,
-            batch: config.setup.settings.batch.max(1) as usize,
-            links: budget.stores,
-            dial: millis(config.dial_timeout_ms),
-            idle: millis(config.idle_ms * IDLE_SHARE),
-        };
+        let limits = link_limits(&config, &budget);
         let setup = config.setup;
         let settings = setup.settings;
         let routes =
             config.blocks.as_ref().map(|set| Rc::new(Routes::new(set.bounds.blocks, set.bounds.retired)));
-        let entries = settings.classes.iter().map(|class| class.repeat == Repeat::Unsafe).collect();
-        let known = routes.clone().map(|routes| (routes, entries));
-        let exchange = Exchange::new(clock, counters.clone(), config.max_open, presence.clone(), known);
+        let at_most_once = settings.classes.iter().map(|class| class.repeat == Repeat::Unsafe).collect();
+        let routing = routes.clone().map(|routes| (routes, at_most_once));
+        let exchange = Exchange::new(clock, counters.clone(), config.max_open, presence.clone(), routing);
         let full_retry_ms = settings.max_retry_after_ms;
         let grace = millis(settings.drain_grace_ms);
         let set = config.features.map(Rc::new);
@@ -154,24 +210,32 @@
             offers,
         );
         let rotation = Rotation::open(config.state_dir.as_deref(), config.listen, settings.warm_up_ms);
-        let (told, noted) = (exchange.clone(), stores.clone());
-        let (calls, rotation, counted) = (config.calls, Rc::new(rotation), counters.clone());
-        let discovery = Discovery::new(config.discovery, setup.zones, told, noted, rotation, counted, calls);
-        let known = config.known.map(|known| discovery::parse(known.to_string().as_bytes())).transpose();
-        let mut known = known.map_err(|fault| Error::new("known", fault.to_string()))?;
+        let calls = config.calls;
+        let discovery = Discovery::new(
+            config.discovery,
+            setup.zones,
+            exchange.clone(),
+            stores.clone(),
+            Rc::new(rotation),
+            counters.clone(),
+            calls,
+        );
+        let remembered = config.remembered_list.map(|list| discovery::parse(list.to_string().as_bytes()));
+        let mut remembered =
+            remembered.transpose().map_err(|fault| Error::new("known", fault.to_string()))?;
         if !calls.pushed {
-            known.take().iter().for_each(|known| discovery.apply(known, true));
+            remembered.take().iter().for_each(|list| discovery.apply(list, true));
         }
 
-        let bodies = (config.memory_mb << 20) / BODIES_SHARE;
-        let (listener, platform) = match config.listener {
-            None => listen("LB_LISTEN", config.listen, handover::listen_alone)?,
-            Some(fd) => {
-                let taken = handover::inherited(fd, config.listen).map_err(|e| Error::new("LB_FD", e))?;
-                let taken = Async::new(taken).map_err(|e| Error::new("LB_FD", e.to_string()))?;
-                (taken, config.listen)
-            }
+        let fronts = FrontContext {
+            lifecycle: &lifecycle,
+            presence: &presence,
+            counters: &counters,
+            executor: &executor,
+            waits: config.waits,
+            body_bytes: (config.memory_mb << 20) / BODIES_SHARE,
         };
+        let (listener, platform) = platform_listener(config.listener, config.listen)?;
         let inherited = config.listener.is_some();
         let names = Names {
             keyed: settings.classes.iter().map(|class| class.repeat == Repeat::Keyed).collect(),
@@ -180,12 +244,14 @@
             shards: settings.shards,
             moves: routes.is_some(),
         };
-        let (shared, lifecycle_shown) = (exchange.clone(), lifecycle.clone());
-        let front = Platform { exchange: shared, names, clock, lifecycle: lifecycle_shown, full_retry_ms };
-        let waits = config.waits;
-        let server =
-            Server::new(front, (&lifecycle, &presence), &counters, &executor, waits, budget.platform, bodies);
-        executor.spawn(server.run(listener, !inherited)).detach();
+        let front = Platform {
+            exchange: exchange.clone(),
+            names,
+            clock,
+            lifecycle: lifecycle.clone(),
+            full_retry_ms,
+        };
+        fronts.spawn(front, budget.platform, listener, !inherited);
         log::info!("serving on {platform}");
         let mut features = None;
         if let Some(set) = set {
@@ -199,16 +265,7 @@
                 routes: routes.clone(),
                 full_retry_ms,
             };
-            let server = Server::new(
-                front,
-                (&lifecycle, &presence),
-                &counters,
-                &executor,
-                waits,
-                budget.features,
-                bodies,
-            );
-            executor.spawn(server.run(listener, true)).detach();
+            fronts.spawn(front, budget.features, listener, true);
             log::info!("serving features on {at}");
             features = Some(at);
         }
@@ -243,8 +300,10 @@
         }
         let core = Core::with_routes(config.seed, settings, clock.now(), routes);
         executor.spawn(discovery.clone().run()).detach();
-        let beside = presence.other() != Other::None;
-        executor.spawn(become_ready(lifecycle.clone(), discovery.clone(), (beside, calls), known)).detach();
+        let has_other_process = presence.other() != Other::None;
+        executor
+            .spawn(become_ready(lifecycle.clone(), discovery.clone(), (has_other_process, calls), remembered))
+            .detach();
         executor.spawn(follow_rotation(discovery.clone())).detach();
         let sharing = exchange.clone();
         let share = move |other| sharing.process_count_changed(if other == Other::Serves { 2 } else { 1 });
@@ -286,11 +345,11 @@
 
     /// Prints the counters on SIGUSR1 and reads the configuration again on SIGHUP; returns on SIGTERM or
     /// SIGINT.
-    async fn watch(&self, mut signals: Signals, again: impl Fn() -> Result<SocketAddr, Error>) {
+    async fn watch(&self, mut signals: Signals, reload: impl Fn() -> Result<SocketAddr, Error>) {
         while let Some(signal) = signals.next().await {
             match signal {
                 Ok(Signal::Usr1) => log::info!("counters: {}", self.counters),
-                Ok(Signal::Hup) => self.reload(again()),
+                Ok(Signal::Hup) => self.reload(reload()),
                 Ok(Signal::Term | Signal::Int) => return,
                 Ok(_) => {}
                 Err(e) => log::warn!(error:% = e; "reading a signal failed"),
@@ -300,8 +359,8 @@
 
     /// Follows the discovery of a configuration that was read again; all other settings stay as they were
     /// at the start. One that can't be used changes nothing.
-    pub fn reload(&self, again: Result<SocketAddr, Error>) {
-        match again {
+    pub fn reload(&self, discovery: Result<SocketAddr, Error>) {
+        match discovery {
             Ok(discovery) => self.discovery.follow(discovery),
             Err(error) => log::error!("configuration reload failed, the old one stays: {error}"),
         }
--- a/broker/src/store/attempts.rs
+++ b/broker/src/store/attempts.rs
@@ -126,7 +126,7 @@
             let store = endpoints.get(&order.server).map_or("?", |endpoint| endpoint.name.as_str());
             format!("{}.{} attempt {} at {store}", order.query, order.shard, id.number)
         });
-        let timeout = millis(order.patience_ms);
+        let timeout = millis(order.timeout_ms);
         let timeout = async move {
             Timer::after(timeout).await;
             (Outcome::TimedOut, true)
@@ -252,7 +252,7 @@
 /// A part's id on the wire.
 fn part_id(order: &AttemptRequest) -> Rc<str> {
     let AttemptRequest { query, shard, .. } = order;
-    let step = if order.second.is_some() { ".r" } else { "" };
+    let step = if order.first_step.is_some() { ".r" } else { "" };
     match &order.fence {
         // The entry's key is what stands before the last dash: the same wherever its block goes.
         Some(fence) if fence.named != *shard => format!("{query}.{}-{shard}{step}", fence.named).into(),
@@ -267,7 +267,7 @@
 
 /// Encodes a part of a call.
 fn part(order: &AttemptRequest, began: Instant) -> Part {
-    let mut list = format!("d={}", order.patience_ms.max(1.0).floor());
+    let mut list = format!("d={}", order.timeout_ms.max(1.0).floor());
     if let Some(key) = &order.key {
         list.push_str(&format!(",k={}", key.as_str()));
     }
@@ -283,7 +283,7 @@
             list.push_str(",w=1");
         }
     }
-    if let Some(first) = &order.second {
+    if let Some(first) = &order.first_step {
         let from: Vec<String> = first.from.iter().map(u32::to_string).collect();
         list.push_str(&format!(",from={},whole={}", from.join("+"), u8::from(first.whole)));
     }
--- a/broker/src/store/features.rs
+++ b/broker/src/store/features.rs
@@ -130,14 +130,14 @@
 const EPOCH: &str = "X-Block-Epoch";
 
 fn request(order: &AttemptRequest, address: SocketAddr) -> Vec<u8> {
-    let AttemptRequest { query, shard, patience_ms, .. } = order;
+    let AttemptRequest { query, shard, timeout_ms, .. } = order;
     let fence = order.fence.as_ref().map_or(String::new(), |fence| {
         let slice = fence.slice.map(|s| format!("X-Block-Slice: {}-{}\r\n", s.first, s.end));
         format!("{EPOCH}: {}\r\n{}", fence.epoch.0, slice.unwrap_or_default())
     });
     let key =
         order.key.as_ref().map_or(String::new(), |key| format!("{}: {}\r\n", key::HEADER, key.as_str()));
-    let wait = patience_ms.max(1.0).floor();
+    let wait = timeout_ms.max(1.0).floor();
     let mut bytes = b"GET /".to_vec();
     bytes.extend_from_slice(&order.text);
     let head = format!(
--- a/broker/tests/adversity.rs
+++ b/broker/tests/adversity.rs
@@ -74,27 +74,27 @@
 }
 
 #[test]
-fn a_discovery_that_refuses_every_call_leaves_the_old_list_and_is_asked_again() {
+fn a_discovery_that_refuses_every_call_leaves_the_old_list_and_is_called_again() {
     run(3, |world| unheard(world, Service::Refuses));
 }
 
 #[test]
-fn a_discovery_that_resets_connections_leaves_the_old_list_and_is_asked_again() {
+fn a_discovery_that_resets_connections_leaves_the_old_list_and_is_called_again() {
     run(3, |world| unheard(world, Service::Resets));
 }
 
 #[test]
-fn a_discovery_that_hangs_leaves_the_old_list_and_is_asked_again() {
+fn a_discovery_that_hangs_leaves_the_old_list_and_is_called_again() {
     run(3, |world| unheard(world, Service::Hangs));
 }
 
 #[test]
-fn a_list_that_ends_in_its_midst_changes_nothing_and_is_asked_for_again() {
+fn a_truncated_list_changes_nothing_and_is_requested_again() {
     run(3, |world| unheard(world, Service::Cuts));
 }
 
 #[test]
-fn a_list_that_is_none_changes_nothing_and_is_asked_for_again() {
+fn an_invalid_list_changes_nothing_and_is_requested_again() {
     run(3, |world| unheard(world, Service::Garbles));
 }
 
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn stores_long_gone_on_the_old_list_cost_refusals_and_are_let_go_once_the_list_is_there() {
+fn stale_stores_of_the_old_list_cost_rejections_and_are_removed_by_the_first_list() {
     run(3, |world| async move {
         world.service.set(Service::Refuses);
         *world.known.borrow_mut() = Some(long_gone(3));
@@ -169,7 +169,7 @@
 
 /// Of every block one holder is well.
 #[test]
-fn a_store_that_refuses_connections_is_gone_round_and_nothing_that_never_ran_is_failed() {
+fn a_store_that_refuses_connections_is_avoided_and_no_unexecuted_query_fails() {
     run(3, |world| async move {
         let broker = world.broker(world.settings(), None).await;
         world.tell(1, elsewhere("s-1", closed()), &broker).await;
@@ -231,7 +231,7 @@
 }
 
 #[test]
-fn a_store_under_a_new_id_is_another_and_its_old_self_is_let_go() {
+fn a_store_under_a_new_id_is_another_and_the_old_one_is_removed() {
     run(2, |world| async move {
         let broker = world.broker(world.settings(), None).await;
         for n in 0..20 {
--- a/broker/tests/bad_input.rs
+++ b/broker/tests/bad_input.rs
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn bad_clients_are_told_or_closed_and_good_ones_beside_them_are_answered() {
+fn bad_clients_are_answered_or_closed_and_good_ones_beside_them_are_served() {
     run(2, |world| async move {
         let config = json!({ "name": "n0", "listen": "127.0.0.1:0", "discovery": world.discovery.to_string(),
             "limits": { "sockets": SOCKETS }, "settings": world.settings() });
--- a/broker/tests/common/rig.rs
+++ b/broker/tests/common/rig.rs
@@ -78,7 +78,7 @@
         Self { sides, store, at, server, ended: BTreeMap::new() }
     }
 
-    pub fn order(&self, part: u64, patience_ms: f64) -> AttemptRequest {
+    pub fn order(&self, part: u64, timeout_ms: f64) -> AttemptRequest {
         AttemptRequest {
             attempt: AttemptId { part, number: 0 },
             server: self.server,
@@ -87,10 +87,10 @@
             shard: part as u32,
             text: Rc::from(&b"c41e"[..]),
             form: Form::Opaque,
-            patience_ms,
+            timeout_ms,
             send_within_ms: None,
             key: None,
-            second: None,
+            first_step: None,
             fence: None,
         }
     }
--- a/broker/tests/config.rs
+++ b/broker/tests/config.rs
@@ -36,7 +36,7 @@
         assert_eq!(read_one.setup.settings.zone, 0);
         assert_eq!(read_one.setup.tenants["north-woods-club"], 1);
         assert!(read_one.setup.settings.max_retry_after_ms > 0.0, "refusals carry advice");
-        assert!(read_one.features.is_none() && read_one.known.is_none());
+        assert!(read_one.features.is_none() && read_one.remembered_list.is_none());
         given["settings"]["limits"].as_object_mut().unwrap().remove("conn_idle_ms");
         given.as_object_mut().unwrap().remove("limits");
         let read_two = read(&given, None, &[]).unwrap();
@@ -134,7 +134,7 @@
             "LB_DISCOVERY" => Some("127.0.0.1:1".to_owned()),
             _ => None,
         };
-        let again = |given: &Value| Config::discovery_again(var, |_| Ok(given.to_string()));
+        let again = |given: &Value| Config::reload_discovery(var, |_| Ok(given.to_string()));
         assert_eq!(again(&given).unwrap().to_string(), "127.0.0.1:8500");
         given["discovery"] = json!("elsewhere");
         assert!(again(&given).unwrap_err().to_string().starts_with("discovery: expected address:port"));
--- a/broker/tests/core.rs
+++ b/broker/tests/core.rs
@@ -78,7 +78,7 @@
     let mut core = core(Class::default());
     let sent = orders(&core.turn(1.0, [CoreEvent::QuerySubmitted(1, question("q", &[2, 0], 900.0))]));
     assert_eq!(sent.len(), 2);
-    assert!(sent.iter().all(|order| order.patience_ms <= 899.0 && &*order.query == "q"));
+    assert!(sent.iter().all(|order| order.timeout_ms <= 899.0 && &*order.query == "q"));
     let first = core.turn(5.0, [good(sent[0].attempt, 1, b"a")]);
     assert!(finals(&first).is_empty());
     let end = finals(&core.turn(6.0, [good(sent[1].attempt, 2, b"b"), good(sent[1].attempt, 2, b"again")]));
@@ -98,7 +98,7 @@
     let mut second = orders(&second);
     second.sort_by_key(|order| order.shard);
     assert_eq!(second.iter().map(|order| order.shard).collect::<Vec<_>>(), [0, 2]);
-    let first = second[0].second.as_ref().unwrap();
+    let first = second[0].first_step.as_ref().unwrap();
     assert_eq!((&first.from[..], first.whole), (&[0, 1, 2][..], true));
     let ends = second.iter().map(|order| good(order.attempt, 0, b"y")).collect::<Vec<_>>();
     assert!(matches!(&finals(&core.turn(3.0, ends))[..], [FinalAnswer::Answered { whole: true, .. }]));
@@ -200,7 +200,7 @@
 
 /// A store that is replaced never comes back under its name, and days are long.
 #[test]
-fn stores_that_are_gone_are_let_go() {
+fn removed_stores_leave_the_tables() {
     let sides = Sides::new(100);
     let stores = &sides.stores;
     let list = |reset: bool, entries: &[(usize, &str)]| {
--- a/broker/tests/discovery.rs
+++ b/broker/tests/discovery.rs
@@ -23,7 +23,18 @@
     let ms = Duration::from_millis;
     let (connect, head, body, silence) = (ms(500), ms(100), ms(100), ms(200));
     let (whole, pace, place) = (ms(700), ms(10), ms(0));
-    Waits { pushed, connect, head, body, silence, whole, pace, place, first: NEVER, ready: NEVER }
+    Waits {
+        pushed,
+        connect,
+        head,
+        body,
+        heartbeat_timeout: silence,
+        call_timeout: whole,
+        pace,
+        stagger: place,
+        first: NEVER,
+        ready: NEVER,
+    }
 }
 
 fn settings(world: &World, pushed: bool) -> Value {
@@ -68,14 +79,14 @@
 }
 
 #[test]
-fn pushed_lists_are_heard_again_after_any_silence() {
+fn pushed_lists_are_received_again_after_any_time_out() {
     for service in [Service::Hangs, Service::Begins, Service::Opens] {
         run(3, |world| missed(world, true, service));
     }
 }
 
 #[test]
-fn pushed_lists_are_heard_again_after_any_failure() {
+fn pushed_lists_are_received_again_after_any_failure() {
     for service in [Service::Resets, Service::Refuses, Service::Cuts, Service::Garbles] {
         run(3, |world| missed(world, true, service));
     }
@@ -125,7 +136,7 @@
 }
 
 #[test]
-fn no_part_goes_out_on_an_older_list_before_a_pushed_one_was_asked_for() {
+fn no_part_is_sent_by_an_older_list_before_a_pushed_one_was_requested() {
     run(3, |world| async move {
         *world.known.borrow_mut() = Some(world.list());
         world.service.set(Service::Hangs);
@@ -143,7 +154,7 @@
 }
 
 #[test]
-fn an_agent_that_stays_silent_holds_a_new_process_back_for_a_bounded_time_only() {
+fn an_unresponsive_agent_delays_a_new_process_for_a_bounded_time_only() {
     run(3, |world| async move {
         *world.known.borrow_mut() = Some(world.list());
         world.service.set(Service::Hangs);
@@ -161,7 +172,7 @@
 }
 
 #[test]
-fn pushed_lists_are_followed_to_another_address_and_asked_for_until_heard() {
+fn pushed_lists_are_requested_at_a_new_address_until_received() {
     run(3, |world| async move {
         let broker = world.broker(settings(&world, true), None).await;
         let ((address, had), told) = (world.more_discovery(), broker.counters.lists.get());
@@ -191,7 +202,7 @@
 /// A list of a megabyte that comes a byte at a time: nothing is told before it is whole, wherever it is cut, and each byte
 /// costs the same.
 #[test]
-fn a_list_of_a_megabyte_is_read_byte_by_byte_and_told_once_whole() {
+fn a_list_of_a_megabyte_is_read_byte_by_byte_and_applied_once_complete() {
     let entry = |n: usize| {
         json!({ "instanceId": format!("s-{n}"), "hostPort": "127.0.0.1:9", "zone": "a{[\\\"",
         "cell": n, "lifecycle": "up", "startedAtMs": 0, "note": "x".repeat(139) })
--- a/broker/tests/drawn/answers.rs
+++ b/broker/tests/drawn/answers.rs
@@ -12,7 +12,7 @@
     pub fn opened(&mut self, broker: usize, now: f64, order: &AttemptRequest) -> Held {
         let ask: usize = order.query[1..].parse().unwrap_or(usize::MAX);
         let known = self.records.get(ask).is_some_and(|record| record.broker == broker);
-        match &order.second {
+        match &order.first_step {
             Some(step) if known => self.second_step(ask, now, step, order.shard),
             _ => Ok(()),
         }
--- a/broker/tests/drawn/host.rs
+++ b/broker/tests/drawn/host.rs
@@ -166,7 +166,7 @@
             _ => Fate::Served,
         };
         let score = (self.roll(&[place.ask as u64, u64::from(order.shard), 16]) * 1e6) as u64;
-        self.at(self.now + order.patience_ms, What::Patience(id));
+        self.at(self.now + order.timeout_ms, What::Patience(id));
         self.hosts[broker].flights.insert(order.attempt, id);
         self.flights.push(Flight {
             broker,
--- a/broker/tests/drawn/rules.rs
+++ b/broker/tests/drawn/rules.rs
@@ -251,7 +251,7 @@
         let open = record.taken.is_some() && !record.gone && !record.ended;
         hold(open, "open", || said("sent for a query that is over".into()))?;
         let class = self.set.classes[record.class].clone();
-        let first = record.second.is_none() || order.second.is_some();
+        let first = record.second.is_none() || order.first_step.is_some();
         hold(first, "open", || said("first step sent after the second".into()))?;
         let pieces = record.second.as_ref().map_or(&record.first, |(_, pieces)| pieces);
         let piece = pieces.iter().position(|piece| piece.shard == order.shard);
@@ -277,7 +277,7 @@
         let tried = || format!("{:?} again, memory {} ms, {tries:?}", class.repeat, class.deduplication_ms);
         hold(allowed, "effect", || said(tried()))?;
         self.tally.sent(class.repeat, number, out, first.is_some());
-        self.tally.met_if(order.second.is_some(), "second steps");
+        self.tally.met_if(order.first_step.is_some(), "second steps");
         self.drained(broker, now, order.server).map_err(|what| Breach { rule: "drain", text: said(what) })?;
         let told = self.books[broker].told.get(&order.server);
         let reach = self.set.reach.min(self.set.cells);
@@ -285,12 +285,12 @@
         let fits = told.is_some_and(|told| holds(told.cell));
         hold(fits, "holder", || said(format!("store {} does not hold it", order.server)))?;
         let left = self.records[ask].deadline - now;
-        let patient = order.patience_ms > 0.0 && order.patience_ms <= left + 1.0;
-        hold(patient, "open", || said(format!("{} ms of patience, {left} ms left", order.patience_ms)))?;
+        let patient = order.timeout_ms > 0.0 && order.timeout_ms <= left + 1.0;
+        hold(patient, "open", || said(format!("{} ms of patience, {left} ms left", order.timeout_ms)))?;
         if number > 0 {
             self.spend(broker, now)?;
         }
-        let place = Place { ask, second: order.second.is_some(), piece: index, number };
+        let place = Place { ask, second: order.first_step.is_some(), piece: index, number };
         self.pieces(place).tries.push(Try { at: now, end: None });
         Ok(place)
     }
--- a/broker/tests/endings_client.rs
+++ b/broker/tests/endings_client.rs
@@ -70,7 +70,7 @@
 
 /// All of it, and the end, may be there before the broker looks: then nothing is sent on at all.
 #[test]
-fn who_sends_and_goes_before_it_is_heard_costs_no_attempt() {
+fn a_client_that_disconnects_before_its_request_is_read_costs_no_attempt() {
     run(1, |world| async move {
         let broker = silent(&world).await;
         for (n, behind) in [0usize, 20_000, 60_000].into_iter().enumerate() {
@@ -88,7 +88,7 @@
 
 /// A client that shuts its write side says no more and can't be told from one that closes: it has gone.
 #[test]
-fn who_shuts_its_write_side_has_gone() {
+fn a_client_that_shuts_its_write_side_counts_as_disconnected() {
     run(1, |world| async move {
         let broker = silent(&world).await;
         let mut client = connect(broker.platform).await;
--- a/broker/tests/endings_shutdown.rs
+++ b/broker/tests/endings_shutdown.rs
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn a_request_that_crosses_the_close_of_a_crowded_connection_is_dropped_and_not_reset() {
+fn a_request_that_crosses_the_close_of_an_evicted_connection_is_dropped_and_not_reset() {
     run(1, |world| async move {
         world.env.borrow_mut().extend(PATIENT);
         world.sockets.set(64);
--- a/broker/tests/endings_store.rs
+++ b/broker/tests/endings_store.rs
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn a_call_half_written_when_its_client_leaves_never_gets_its_end() {
+fn a_call_half_written_when_its_client_disconnects_is_never_completed() {
     play(Rig::within(limits(), 1000, false), |rig| stalled(rig, Crossing::ClientLeft));
 }
 
@@ -153,7 +153,7 @@
 }
 
 #[test]
-fn after_a_long_turn_clients_that_left_meanwhile_are_heard_before_anything_begins() {
+fn after_a_long_turn_disconnected_clients_are_noticed_before_any_attempt_begins() {
     play(Rig::within(limits(), 1000, false), |mut rig| async move {
         rig.turn([0]);
         let mut peer = rig.accept().await;
--- a/broker/tests/features.rs
+++ b/broker/tests/features.rs
@@ -263,7 +263,7 @@
 }
 
 #[test]
-fn trouble_at_all_holders_is_told_as_it_is() {
+fn a_fault_at_all_owners_is_reported_as_it_is() {
     for (mood, statuses) in [
         (Mood::Errs, &[502, 503][..]),
         (Mood::Garbage, &[502, 503][..]),
--- a/broker/tests/golden.rs
+++ b/broker/tests/golden.rs
@@ -371,7 +371,7 @@
     assert_eq!(ports, [8080, 8081, 8082]);
     assert_eq!((config.max_open, config.streams), (77, 5));
     assert_eq!((config.dial_timeout_ms, config.idle_ms), (99.0, 1234.0));
-    assert!(config.known.is_some());
+    assert!(config.remembered_list.is_some());
     let fleet = config.fleet.unwrap();
     assert_eq!((fleet.listen.port(), fleet.peers.len(), fleet.settings.own), (8083, 2, 1));
     assert_eq!(
--- a/broker/tests/handover.rs
+++ b/broker/tests/handover.rs
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn two_processes_see_each_other_until_one_is_gone() {
+fn two_processes_see_each_other_until_one_ends() {
     let folder = Folder::new("presence");
     let at: SocketAddr = ([127, 0, 0, 1], 8080).into();
     // A file that is no lock of ours, and what a kill leaves behind, stop nobody.
--- a/broker/tests/native.rs
+++ b/broker/tests/native.rs
@@ -64,7 +64,7 @@
 
 /// A break would tell the module that the store went down, and is cold when it answers again.
 #[test]
-fn a_spoilt_answer_is_a_failure_at_once_and_no_break() {
+fn a_corrupt_answer_is_an_immediate_failure_and_no_broken_connection() {
     for mood in [Mood::Garbage, Mood::WrongId, Mood::Half] {
         run(2, |world| async move {
             *world.mood.borrow_mut() = vec![mood; 2];
@@ -99,7 +99,7 @@
 
 /// The store is well: only what is sent on the old connection is lost, and shows nothing but silence.
 #[test]
-fn a_connection_that_fell_silent_gets_nothing_new() {
+fn an_unresponsive_connection_gets_no_new_parts() {
     run(1, |world| async move {
         let broker = world.broker(world.settings(), None).await;
         let ask = |id: &str, timeout: u64| {
@@ -122,7 +122,7 @@
 
 /// A spoilt answer takes all parts on its connection with it.
 #[test]
-fn once_an_answer_was_spoilt_parts_share_no_connections() {
+fn after_a_corrupt_answer_parts_share_no_connections() {
     run(2, |world| async move {
         let broker = world.broker(world.settings(), None).await;
         let ask = |id: &str| {
@@ -183,7 +183,7 @@
 }
 
 #[test]
-fn silence_ends_in_one_answer_before_the_deadline_and_the_store_is_told() {
+fn a_silent_store_ends_in_one_answer_before_the_deadline_and_a_withdrawal() {
     run(2, |world| async move {
         *world.mood.borrow_mut() = vec![Mood::Silent; 2];
         let broker = world.broker(world.settings(), None).await;
@@ -305,7 +305,7 @@
 }
 
 #[test]
-fn devices_on_poor_links_are_served_and_stalled_ones_are_let_go() {
+fn devices_on_poor_links_are_served_and_stalled_ones_are_closed() {
     run(2, |world| async move {
         *world.env.borrow_mut() = vec![("LB_IDLE_MS", "150"), ("LB_READ_MS", "400"), ("LB_WRITE_MS", "400")];
         let broker = world.broker(world.settings(), None).await;
@@ -342,7 +342,7 @@
 
 /// Clients may hold half of 64 descriptors.
 #[test]
-fn too_many_connections_close_those_that_never_asked_first() {
+fn too_many_connections_evict_those_without_any_request_first() {
     run(2, |world| async move {
         world.sockets.set(64);
         world.env.borrow_mut().extend([("LB_IDLE_MS", "60000"), ("LB_READ_MS", "60000")]);
@@ -422,7 +422,7 @@
 }
 
 #[test]
-fn who_connects_and_says_nothing_is_let_go_as_soon_as_who_stalls() {
+fn a_client_that_sends_nothing_is_closed_as_soon_as_one_that_stalls() {
     run(2, |world| async move {
         world.env.borrow_mut().extend([("LB_IDLE_MS", "600000"), ("LB_READ_MS", "150")]);
         let broker = world.broker(world.settings(), None).await;
@@ -449,7 +449,7 @@
 }
 
 #[test]
-fn a_list_is_fetched_where_no_watch_is_to_be_had_and_the_watch_asked_for_again() {
+fn a_list_is_fetched_where_watches_fail_and_the_watch_is_requested_again() {
     run(2, |world| async move {
         world.service.set(Service::NoWatch);
         let broker = world.broker(world.settings(), None).await;
@@ -501,7 +501,7 @@
 
 /// The machine behind a watch may vanish without a word; what it would have told counts as told 6 s later.
 #[test]
-fn a_watch_that_falls_silent_is_begun_again() {
+fn a_watch_without_heartbeats_is_reopened() {
     run(2, |world| async move {
         world.service.set(Service::Mute);
         let broker = world.broker(world.settings(), None).await;
--- a/broker/tests/parsers.rs
+++ b/broker/tests/parsers.rs
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn marks_of_stores_out_are_read_as_written_and_spoilt_ones_passed_over() {
+fn disabled_stores_are_read_as_written_and_invalid_lines_skipped() {
     let text = b"out s-1 17\nout s-2 18\nback s-3 19 1764000000000\n";
     let (stores, unreadable) = DisabledStores::parse(text);
     assert_eq!((stores.disabled.len(), stores.enabled["s-3"], unreadable), (2, (19, 1_764_000_000_000), 0));
--- a/broker/tests/steady.rs
+++ b/broker/tests/steady.rs
@@ -165,10 +165,10 @@
                         2..=3 => (Outcome::Overloaded, 5.0),
                         4..=5 => (Outcome::Unreachable, 5.0),
                         6 => (Outcome::Broken, 40.0),
-                        7..=9 => (Outcome::TimedOut, order.patience_ms),
+                        7..=9 => (Outcome::TimedOut, order.timeout_ms),
                         _ => (Outcome::Success, 20.0 + self.rng.f64() * 150.0),
                     };
-                    self.end_at(order.attempt, wait.min(order.patience_ms), outcome);
+                    self.end_at(order.attempt, wait.min(order.timeout_ms), outcome);
                 }
                 Command::Withdraw(attempt) if self.due.contains_key(&attempt) => {
                     self.end_at(attempt, 8.0, Outcome::Withdrawn);
--- a/broker/tests/told/fleet.rs
+++ b/broker/tests/told/fleet.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use fastrand::Rng;
-use gingerledge::discovery::watching::{Action, Call, Event, Waits, Watching, TOLD_AFTER};
+use gingerledge::discovery::watching::{Action, Call, Event, Waits, Watching, UPDATE_DEADLINE};
 use gingerledge_dispatch::{Action as Decides, Aggregator, Event as Happens, ListKind, Settings};
 
 /// All times are in microseconds.
@@ -179,7 +179,7 @@
                     self.brokers[n].timer = Some(at);
                     self.at(at, n, What::Timer);
                 }
-                Decides::Subscribe => self.handle(n, Event::Wanted),
+                Decides::Subscribe => self.handle(n, Event::WatchRequested),
                 _ => {}
             }
         }
@@ -187,13 +187,13 @@
 
     fn handle(&mut self, n: usize, event: Event) {
         let now = self.base + Duration::from_micros(self.now);
-        if event == Event::Ended {
+        if event == Event::CallEnded {
             self.brokers[n].out = None;
         }
         for action in self.brokers[n].machine.handle(event, now) {
             match action {
-                Action::Leave => self.brokers[n].out = None,
-                Action::Failed => {
+                Action::DropCall => self.brokers[n].out = None,
+                Action::ReportFailure => {
                     self.turn(n, Some(Happens::List { kind: ListKind::Failed, entries: vec![] }))
                 }
                 Action::Call(call) => {
@@ -257,7 +257,7 @@
                 }
             }
             Step::Answered => {
-                self.handle(n, Event::Answered);
+                self.handle(n, Event::HeadReceived);
                 let at = self.soon();
                 match self.mood() {
                     Mood::Spoils => self.net(at, n, Step::Ended),
@@ -269,13 +269,13 @@
                 let news = changes > self.brokers[n].has.last().unwrap().1;
                 if news {
                     self.brokers[n].has.push((self.now, changes));
-                    self.handle(n, Event::Told);
+                    self.handle(n, Event::NewerListReceived);
                 }
                 if news || watch {
                     let whole = Happens::List { kind: ListKind::Complete, entries: vec![] };
                     self.turn(n, Some(whole));
                 }
-                self.handle(n, Event::Heard);
+                self.handle(n, Event::CompleteReceived);
                 if !watch {
                     self.step(n, Step::Ended);
                     return;
@@ -285,14 +285,14 @@
                 let at = beat.min(next.saturating_add(10 * MS));
                 self.net(at, n, Step::Tells(self.changed(at)));
             }
-            Step::Ended => self.handle(n, Event::Ended),
+            Step::Ended => self.handle(n, Event::CallEnded),
         }
     }
 
     /// All are told at once that discovery is at another address.
     pub fn moved(&mut self) {
         for n in 0..self.brokers.len() {
-            self.handle(n, Event::Moved);
+            self.handle(n, Event::AddressChanged);
         }
     }
 
@@ -318,7 +318,7 @@
                 What::Due => {
                     let due = self.brokers[n].machine.due();
                     if due.is_some_and(|due| due <= self.base + Duration::from_micros(self.now)) {
-                        self.handle(n, Event::Due);
+                        self.handle(n, Event::TimeoutElapsed);
                     }
                 }
                 What::Timer => {
@@ -331,7 +331,7 @@
                     if self.phases[phase].open == Open::Reset {
                         for n in 0..self.brokers.len() {
                             if self.brokers[n].out.is_some() {
-                                self.handle(n, Event::Ended);
+                                self.handle(n, Event::CallEnded);
                             }
                         }
                     }
@@ -342,13 +342,13 @@
 
     /// Every change that discovery had while it could be reached for 6 s is in hand by then, at every broker.
     pub fn told_in_time(&self, what: &str) {
-        let within = TOLD_AFTER.as_micros() as Micros - MARGIN;
+        let within = UPDATE_DEADLINE.as_micros() as Micros - MARGIN;
         for (n, phase) in self.phases.iter().enumerate().filter(|(_, phase)| phase.mood == Mood::Serves) {
             let end = self.phases.get(n + 1).map_or(self.now, |next| next.from);
             // What was made before counts from the moment at which it could be reached.
             let mut from: Vec<Micros> = self.changes.iter().map(|at| (*at).max(phase.from)).collect();
             from.dedup_by_key(|at| *at);
-            for at in from.into_iter().filter(|at| at + TOLD_AFTER.as_micros() as Micros <= end) {
+            for at in from.into_iter().filter(|at| at + UPDATE_DEADLINE.as_micros() as Micros <= end) {
                 for (index, broker) in self.brokers.iter().enumerate() {
                     let (has, changes) = (&broker.has, self.changed(at));
                     let (got, _) = has.iter().find(|has| has.1 >= changes).copied().unwrap_or((end, 0));
--- a/broker/tests/told/sockets.rs
+++ b/broker/tests/told/sockets.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use async_io::Async;
-use gingerledge::discovery::watching::TOLD_AFTER;
+use gingerledge::discovery::watching::UPDATE_DEADLINE;
 use gingerledge::http::{answer, Kind, Stream};
 use gingerledge::service::Broker;
 use gingerledge_testkit::scripted::{exchange, listener, query, run, until, Service, World};
@@ -117,7 +117,7 @@
     assert!(!watch, "the list is asked for, after a watch that told nothing");
     stream.write(&answer(200, "", world.list().to_string().as_bytes(), false), LONG).await.unwrap();
     until(|| broker.counters.lists.get() > lists).await;
-    assert!(reachable.elapsed() < TOLD_AFTER, "told {:?} later", reachable.elapsed());
+    assert!(reachable.elapsed() < UPDATE_DEADLINE, "told {:?} later", reachable.elapsed());
     follows(&world, &broker).await;
 
     // And a watch is open again, in its turn.
@@ -156,7 +156,7 @@
             let watch = stream.head(Kind::Request, LONG).await.unwrap().query().contains("follow=1");
             assert!(watch, "{way}: a watch that told something is followed by a watch");
             if n > 0 {
-                assert!(ended.elapsed() < TOLD_AFTER, "{way}");
+                assert!(ended.elapsed() < UPDATE_DEADLINE, "{way}");
             }
             let lists = broker.counters.lists.get();
             let mut listed = world.listed.borrow()[0].clone();
@@ -196,7 +196,7 @@
         let (began, listener) = (Instant::now(), Async::<TcpListener>::bind(address).unwrap());
         let mut script = Script { listener, address, crowd: Vec::new() };
         let (_, watch) = script.call().await;
-        assert!(watch && began.elapsed() < TOLD_AFTER);
+        assert!(watch && began.elapsed() < UPDATE_DEADLINE);
     });
 }
 
--- a/broker/tests/told_when_full.rs
+++ b/broker/tests/told_when_full.rs
@@ -4,7 +4,7 @@
 
 use std::time::Instant;
 
-use gingerledge::discovery::watching::TOLD_AFTER;
+use gingerledge::discovery::watching::UPDATE_DEADLINE;
 use gingerledge_testkit::scripted::{run, until, Service};
 use rustix::process::{getrlimit, setrlimit, Resource, Rlimit};
 
@@ -27,6 +27,6 @@
         setrlimit(Resource::Nofile, before).unwrap();
         let since = Instant::now();
         until(|| broker.counters.lists.get() > lists).await;
-        assert!(since.elapsed() < TOLD_AFTER, "{:?}", since.elapsed());
+        assert!(since.elapsed() < UPDATE_DEADLINE, "{:?}", since.elapsed());
     });
 }
--- a/broker/tests/watching.rs
+++ b/broker/tests/watching.rs
@@ -6,7 +6,7 @@
 
 use fastrand::Rng;
 use gingerledge::discovery::watching::{
-    Action, Call, Event, Waits, Watching, ANSWER, HEARTBEAT, MARGIN, PERIOD, TOLD_AFTER,
+    Action, Call, Event, Waits, Watching, ANSWER, HEARTBEAT, MARGIN, PERIOD, UPDATE_DEADLINE,
 };
 use gingerledge_dispatch::Settings;
 
@@ -19,26 +19,26 @@
 }
 
 #[test]
-fn where_lists_are_asked_for_every_ask_again_is_out_before_what_was_missed_counts() {
+fn where_lists_are_requested_every_next_call_is_out_before_a_missed_change_counts() {
     for (aggregators, index) in [(1, 0), (2, 1), (100, 99), (300, 0), (300, 299), (1000, 999)] {
         let set = Settings { subscribe: true, aggregators, index: Some(index), ..Settings::default() };
         let set = Waits::of(&set);
-        assert!(!set.pushed && set.silence > HEARTBEAT + ms(1000), "a watch that stands is kept");
-        assert_eq!(PERIOD + ANSWER + MARGIN, TOLD_AFTER);
-        assert!(set.pace <= PERIOD && set.whole <= PERIOD && set.head <= set.whole, "a call");
-        assert!(set.connect + ANSWER <= set.whole, "who can be reached is let finish");
-        assert!(set.silence + set.place * 3 / 20 <= PERIOD, "a watch");
-        assert!(set.place < set.pace, "each has a place of its own");
+        assert!(!set.pushed && set.heartbeat_timeout > HEARTBEAT + ms(1000), "a watch that stands is kept");
+        assert_eq!(PERIOD + ANSWER + MARGIN, UPDATE_DEADLINE);
+        assert!(set.pace <= PERIOD && set.call_timeout <= PERIOD && set.head <= set.call_timeout, "a call");
+        assert!(set.connect + ANSWER <= set.call_timeout, "who can be reached is let finish");
+        assert!(set.heartbeat_timeout + set.stagger * 3 / 20 <= PERIOD, "a watch");
+        assert!(set.stagger < set.pace, "each has a place of its own");
     }
 }
 
 #[test]
-fn where_lists_are_pushed_an_agent_that_speaks_again_is_heard_within_half_of_a_drains_grace() {
+fn where_lists_are_pushed_a_recovered_agent_is_called_within_half_of_a_drain_grace() {
     for grace in [0.0, 100.0, 250.0, 1000.0, 10_000.0] {
         let set = waits(true, grace);
-        assert!(set.pushed && set.silence > HEARTBEAT, "a watch that stands is kept");
-        assert!(set.silence + set.connect + set.head < TOLD_AFTER, "a watch");
-        assert!(set.body + set.connect + set.head < TOLD_AFTER, "a list that begins and stops");
+        assert!(set.pushed && set.heartbeat_timeout > HEARTBEAT, "a watch that stands is kept");
+        assert!(set.heartbeat_timeout + set.connect + set.head < UPDATE_DEADLINE, "a watch");
+        assert!(set.body + set.connect + set.head < UPDATE_DEADLINE, "a list that begins and stops");
         let half = ms(grace as u64 / 2).max(ms(100));
         assert!(set.pace <= half && set.connect <= half && set.head <= half, "{grace}: {set:?}");
     }
@@ -110,19 +110,19 @@
     fn handle(&mut self, event: Event) {
         let (was, due) = (self.call, self.machine.due());
         let actions = self.machine.handle(event, self.now);
-        if matches!(event, Event::Ended) {
+        if matches!(event, Event::CallEnded) {
             (self.call, self.next) = (None, None);
         }
         for action in &actions {
             match action {
-                Action::Leave => (self.call, self.next) = (None, None),
+                Action::DropCall => (self.call, self.next) = (None, None),
                 Action::Call(call) => {
                     assert!(self.call.is_none(), "one call at a time");
                     (self.call, self.heard) = (Some(*call), self.now);
                     self.calls.push(self.now);
                     self.next = self.step(Event::Connected, Mood::Unconnected);
                 }
-                Action::Failed => {
+                Action::ReportFailure => {
                     assert!(!self.waits.pushed && self.call.is_none());
                     self.wanted = Some(self.now + ms(self.rng.u64(500..=1500)));
                 }
@@ -140,9 +140,9 @@
         let soon = self.now + ms(self.rng.u64(1..20));
         match self.mood {
             mood if mood == silent => None,
-            Mood::Refuses if event == Event::Connected => Some((soon, Event::Ended)),
-            Mood::Busy if event == Event::Answered => Some((soon, Event::Ended)),
-            Mood::Breaks if event == Event::Heard => Some((soon, Event::Ended)),
+            Mood::Refuses if event == Event::Connected => Some((soon, Event::CallEnded)),
+            Mood::Busy if event == Event::HeadReceived => Some((soon, Event::CallEnded)),
+            Mood::Breaks if event == Event::CompleteReceived => Some((soon, Event::CallEnded)),
             _ => Some((soon, event)),
         }
     }
@@ -153,27 +153,28 @@
             Event::Connected => {
                 self.heard = self.now;
                 self.handle(event);
-                self.next = self.step(Event::Answered, Mood::Unanswered);
+                self.next = self.step(Event::HeadReceived, Mood::Unanswered);
             }
-            Event::Answered => {
+            Event::HeadReceived => {
                 self.heard = self.now;
                 self.handle(event);
-                self.next = self.step(Event::Heard, Mood::Begins);
+                self.next = self.step(Event::CompleteReceived, Mood::Begins);
             }
-            Event::Heard if self.call == Some(Call::List) => {
+            Event::CompleteReceived if self.call == Some(Call::List) => {
                 self.told += 1;
-                self.handle(Event::Told);
-                self.handle(Event::Ended);
+                self.handle(Event::NewerListReceived);
+                self.handle(Event::CallEnded);
             }
-            Event::Heard => {
+            Event::CompleteReceived => {
                 self.heard = self.now;
                 if self.rng.bool() {
                     self.told += 1;
-                    self.handle(Event::Told);
+                    self.handle(Event::NewerListReceived);
                 }
                 self.handle(event);
                 let silent = matches!(self.mood, Mood::Silent | Mood::Unanswered | Mood::Unconnected);
-                self.next = (!silent).then(|| (self.now + ms(self.rng.u64(1..=2000)), Event::Heard));
+                self.next =
+                    (!silent).then(|| (self.now + ms(self.rng.u64(1..=2000)), Event::CompleteReceived));
             }
             _ => self.handle(event),
         }
@@ -190,15 +191,15 @@
         if let Some((_, event)) = self.next.take_if(|next| next.0 <= self.now) {
             self.play(event);
         } else if self.wanted.take_if(|at| *at <= self.now).is_some() {
-            self.handle(Event::Wanted);
+            self.handle(Event::WatchRequested);
         } else {
             let (calls, was, heard) = (self.calls.len(), self.call, self.heard);
-            self.handle(Event::Due);
+            self.handle(Event::TimeoutElapsed);
             if was.is_some() {
                 assert!(self.call.is_none() || self.calls.len() > calls, "what is silent is left");
                 // Where it is asked again after a wait, that comes on top; nobody else is waited for.
                 let next = if self.calls.len() > calls { self.now } else { self.machine.due().unwrap() };
-                assert!(next + ANSWER + MARGIN <= heard + TOLD_AFTER, "in time");
+                assert!(next + ANSWER + MARGIN <= heard + UPDATE_DEADLINE, "in time");
             }
         }
         true
@@ -212,7 +213,7 @@
         for _ in 0..40 {
             play.mood = MOODS[play.rng.usize(..MOODS.len())];
             if play.rng.u8(..10) == 0 {
-                play.handle(Event::Moved);
+                play.handle(Event::AddressChanged);
             }
             let until = play.now + ms(play.rng.u64(1..15_000));
             while play.pass(until) {}
@@ -231,7 +232,7 @@
 }
 
 #[test]
-fn an_agent_silent_for_long_is_called_all_the_time_and_heard_at_once() {
+fn an_unresponsive_agent_is_called_continually_and_received_immediately() {
     for (seed, mood) in
         (0..50).flat_map(|seed| [Mood::Unconnected, Mood::Unanswered, Mood::Refuses].map(|m| (seed, m)))
     {
@@ -245,14 +246,14 @@
         while play.pass(back) {}
         (play.mood, play.told) = (Mood::Well, 0);
         let answered = play.now + ms(250 + 50);
-        while play.next.is_none_or(|next| next.1 != Event::Heard) && play.pass(answered) {}
+        while play.next.is_none_or(|next| next.1 != Event::CompleteReceived) && play.pass(answered) {}
         assert!(play.now < answered, "seed {seed}, {mood:?}: heard within a drain's grace");
     }
 }
 
 /// What the new agent has counts 4 s after SIGHUP, whatever the old one did, and whatever its own first calls met.
 #[test]
-fn an_agent_at_another_address_is_heard_in_time_after_any_chain_of_failures() {
+fn an_agent_at_another_address_is_received_in_time_after_any_chain_of_failures() {
     for seed in 0..300 {
         let mut play = Play::new(seed, waits(true, 250.0));
         // So long that calls are let wait longer.
@@ -262,7 +263,7 @@
             while play.pass(until) {}
         }
         play.mood = MOODS[play.rng.usize(..MOODS.len())];
-        play.handle(Event::Moved);
+        play.handle(Event::AddressChanged);
         assert!(play.call.is_some() && play.calls.last() == Some(&play.now), "called at once");
         let moved = play.now;
         let reachable = moved + ms(play.rng.u64(0..1000));
@@ -270,7 +271,10 @@
         (play.mood, play.told) = (Mood::Well, 0);
         // What is out may be a watch that stood before discovery failed, or a call that hangs at any step.
         let counts = moved + ms(4000) - MARGIN;
-        while play.told == 0 && play.next.is_none_or(|next| next.1 != Event::Heard) && play.pass(counts) {}
+        while play.told == 0
+            && play.next.is_none_or(|next| next.1 != Event::CompleteReceived)
+            && play.pass(counts)
+        {}
         assert!(play.now < counts, "seed {seed}: {:?} after SIGHUP", play.now - moved);
     }
 }
@@ -283,7 +287,7 @@
     let long = play.now + ms(300_000);
     while play.pass(long) {}
     assert!(play.machine.unanswered() > 128);
-    play.handle(Event::Moved);
+    play.handle(Event::AddressChanged);
     let moved = play.now;
     let calls = play.calls.len();
     while play.calls.len() < calls + 3 && play.pass(moved + ms(10_000)) {}
@@ -295,7 +299,7 @@
     let set = waits(true, 250.0);
     let (mut now, mut calls) = (Instant::now(), 0);
     let mut machine = Watching::new(set, now);
-    machine.handle(Event::Due, now);
+    machine.handle(Event::TimeoutElapsed, now);
     loop {
         machine.handle(Event::Connected, now);
         let answer = now + ms(400);
@@ -303,7 +307,11 @@
             break;
         }
         now = machine.due().unwrap();
-        while !machine.handle(Event::Due, now).iter().any(|action| matches!(action, Action::Call(_))) {
+        while !machine
+            .handle(Event::TimeoutElapsed, now)
+            .iter()
+            .any(|action| matches!(action, Action::Call(_)))
+        {
             now = machine.due().unwrap();
         }
         calls += 1;
@@ -317,48 +325,51 @@
         let set = Settings { subscribe: true, aggregators: 300, index: Some(place), ..Settings::default() };
         let mut now = Instant::now();
         let mut machine = Watching::new(Waits::of(&set), now);
-        assert_eq!(machine.handle(Event::Wanted, now), [Action::Call(Call::Watch)]);
+        assert_eq!(machine.handle(Event::WatchRequested, now), [Action::Call(Call::Watch)]);
         for call in 1..40 {
             let began = now;
             machine.handle(Event::Connected, now);
-            assert_eq!(machine.handle(Event::Ended, now), [Action::Failed]);
-            assert_eq!(machine.handle(Event::Wanted, now), [], "the core does not hurry it");
+            assert_eq!(machine.handle(Event::CallEnded, now), [Action::ReportFailure]);
+            assert_eq!(machine.handle(Event::WatchRequested, now), [], "the core does not hurry it");
             now = machine.due().unwrap();
             assert!(now >= began + ms(250) && now <= began + PERIOD, "{call}");
             assert!(call <= 4 || now == began + PERIOD, "{call}");
             // In case that watches are what can't be had, every second call is for the list.
             let next = if call % 2 == 1 { Call::List } else { Call::Watch };
-            assert_eq!(machine.handle(Event::Due, now), [Action::Call(next)]);
+            assert_eq!(machine.handle(Event::TimeoutElapsed, now), [Action::Call(next)]);
         }
     }
 }
 
 /// Lists are given and watches fail, whether at once or after a long wait.
 #[test]
-fn where_watches_cant_be_had_lists_are_asked_for_within_a_period_of_each_other() {
+fn where_watches_fail_lists_are_requested_within_a_period_of_each_other() {
     for silent in [false, true] {
         let mut now = Instant::now();
         let mut machine = Watching::new(waits(false, 1000.0), now);
-        machine.handle(Event::Wanted, now);
+        machine.handle(Event::WatchRequested, now);
         let (mut call, mut lists) = (Call::Watch, Vec::new());
         for _ in 0..60 {
             machine.handle(Event::Connected, now);
             if call == Call::List {
                 lists.push(now);
                 now += ms(10);
-                for event in [Event::Answered, Event::Told, Event::Heard, Event::Ended] {
+                for event in
+                    [Event::HeadReceived, Event::NewerListReceived, Event::CompleteReceived, Event::CallEnded]
+                {
                     machine.handle(event, now);
                 }
             } else if !silent {
-                machine.handle(Event::Ended, now);
+                machine.handle(Event::CallEnded, now);
             }
             let mut out = None;
             while out.is_none() {
                 now = machine.due().unwrap();
-                out = machine.handle(Event::Due, now).into_iter().find_map(|action| match action {
-                    Action::Call(call) => Some(call),
-                    _ => None,
-                });
+                out =
+                    machine.handle(Event::TimeoutElapsed, now).into_iter().find_map(|action| match action {
+                        Action::Call(call) => Some(call),
+                        _ => None,
+                    });
             }
             call = out.unwrap();
         }
--- a/testkit/broker/src/broker.rs
+++ b/testkit/broker/src/broker.rs
@@ -25,7 +25,7 @@
     let read = |path: &str| std::fs::read_to_string(path);
     let ran = Config::read(var, read).and_then(|config| {
         gingerledge::logger::start(&config.name, config.log, clock);
-        gingerledge::service::run(config, clock, || Config::discovery_again(var, read))
+        gingerledge::service::run(config, clock, || Config::reload_discovery(var, read))
     });
     Some(match ran {
         Ok(()) => ExitCode::SUCCESS,
