--- a/broker/src/front/client.rs
+++ b/broker/src/front/client.rs
@@ -26,7 +26,7 @@
 use crate::handover::Presence;
 use crate::http::{self, Ending, Fault, Framing, Head, Kind, Stream};
 
-/// A request this long is like any other; the memory for longer ones is bounded.
+/// Bodies up to this length need no reservation; the memory for longer ones is bounded.
 const UNRESERVED_BODY_MAX: usize = 4096;
 /// A connection that has ended is heard for so long: the answer is on its way, and the client may be sending still. A reset
 /// would take the answer with it. Longer than a round trip on a poor link.
@@ -105,7 +105,7 @@
 /// A connection that may carry requests.
 pub struct Client {
     stream: Stream,
-    /// The head of a request whose body has not come whole.
+    /// The head of a request whose body is incomplete.
     head: Option<(Head, BodyReservation)>,
 }
 
@@ -113,26 +113,26 @@
 pub enum FinalRead {
     /// A request.
     Request(Client, Request),
-    /// What can't be read, or has no room.
+    /// An invalid request, or one over the limits.
     Invalid(Client, NoRequest),
-    /// Nothing, or a part of a request, which was not taken.
+    /// Nothing, or an incomplete request.
     Nothing(HalfClosed),
-    /// The client has gone.
+    /// The client disconnected.
     Disconnected(Closed),
 }
 
 /// The state of a connection after an answer.
 pub enum Answered {
-    /// It may carry another request.
+    /// The connection may carry another request.
     Reusable(Client),
-    /// It was the last.
+    /// It was the last one.
     Last(HalfClosed),
     /// It could not be written.
     Unwritten(Closed),
 }
 
 impl Client {
-    /// A connection that was accepted.
+    /// Wraps an accepted connection.
     pub fn new(socket: Async<TcpStream>) -> Self {
         Self { stream: Stream::new(socket), head: None }
     }
@@ -170,7 +170,7 @@
         }
     }
 
-    /// Resolves once the client has gone.
+    /// Resolves once the client has disconnected.
     pub async fn disconnected(&mut self) {
         self.stream.peer_closed().await;
     }
@@ -189,8 +189,7 @@
         }
     }
 
-    /// Looks once more, without waiting, before a connection is closed that owes no answer: what has come by now is no
-    /// crossing.
+    /// Reads once more, without waiting, before an idle connection is closed: a request that arrived by now is served.
     pub async fn final_read(mut self, bodies: &Rc<BodyMemory>) -> FinalRead {
         match self.request(bodies, Instant::now()).await {
             Ok(request) => FinalRead::Request(self, request),
@@ -200,28 +199,28 @@
         }
     }
 
-    /// Closes it without a look: what is taken now could be cut off by the end of the process.
+    /// Closes without a final read: a request accepted now could be cut off by the end of the process.
     pub fn close_unread(self) -> HalfClosed {
         self.half_close()
     }
 
     fn half_close(self) -> HalfClosed {
-        // One that is broken already shows that when it lingers.
+        // An error shows again when the connection lingers.
         let _ = self.stream.shut();
         HalfClosed(self.stream)
     }
 
-    /// The client has gone, and nothing is owed.
+    /// Ends a connection whose client disconnected.
     pub fn into_closed(self) -> Closed {
         Closed(())
     }
 }
 
-/// A connection that carries no more requests: its client has been told.
+/// A connection that carries no more requests: its write side is shut down.
 pub struct HalfClosed(Stream);
 
 impl HalfClosed {
-    /// Drops what still comes until the client closes too, for a while, or until its place is needed.
+    /// Drops received bytes until the client closes too, for a bounded time, or until `needed` resolves.
     pub async fn linger(self, needed: impl Future<Output = ()>) -> Closed {
         or(self.0.finish(LINGER), needed).await;
         Closed(())
--- a/broker/src/http.rs
+++ b/broker/src/http.rs
@@ -1,6 +1,5 @@
-//! HTTP/1.1 as all sides read it: the platform's front, the feature front, discovery's watch and
-//! stores that speak the feature form. Parsing is by httparse on a bounded buffer and does no I/O;
-//! [`Stream`] adds a socket and a timer for each wait.
+//! HTTP/1.1 for all parts of the broker: both fronts, the admin endpoint, discovery, and stores with a feature API. Parsing is
+//! by httparse on a bounded buffer and does no I/O; [`Stream`] adds a socket and a time-out for each wait.
 
 mod parse;
 mod stream;
@@ -10,15 +9,15 @@
 pub use parse::{parse_chunk, parse_head, Chunk, Kind};
 pub use stream::{connect, write_all, Ending, Stream};
 
-/// No head is longer.
+/// Maximum length of a head, in bytes.
 pub const HEAD_MAX: usize = 16 * 1024;
-/// No body is longer, but where a stream was told otherwise ([`Stream::up_to`]).
+/// Maximum length of a body, in bytes, unless [`Stream::up_to`] sets another.
 pub const BODY_MAX: usize = 64 * 1024;
 
 /// Why a message could not be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// Not HTTP, or framing that can't be trusted.
+    /// Not HTTP, or ambiguous framing.
     Malformed,
     /// The head is too long.
     HeadTooLong,
@@ -26,12 +25,12 @@
     BodyTooLong,
     /// A transfer coding other than `chunked`.
     Coding,
-    /// It did not come in time.
+    /// It was not complete in time.
     Stalled,
 }
 
 impl Fault {
-    /// The status that tells a client of it.
+    /// The HTTP status for a client.
     pub fn status(self) -> u16 {
         match self {
             Self::Malformed => 400,
@@ -58,20 +57,20 @@
 /// How a body ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
-    /// After so many bytes.
+    /// After this number of bytes.
     Length(usize),
     /// With the last chunk.
     Chunked,
-    /// With the connection (answers only).
+    /// With the end of the connection (responses only).
     Close,
 }
 
-/// The head of a request or an answer.
+/// The head of a request or a response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Head {
-    /// The method; empty in an answer.
+    /// The method; empty in a response.
     pub method: String,
-    /// The target; empty in an answer.
+    /// The target; empty in a response.
     pub target: String,
     /// The status; 0 in a request.
     pub status: u16,
@@ -91,7 +90,7 @@
         std::str::from_utf8(value).ok().map(str::trim)
     }
 
-    /// All headers of this name, as they came.
+    /// The values of all headers of this name, unchanged.
     pub fn values<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a [u8]> {
         self.headers.iter().filter(move |(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, value)| &value[..])
     }
@@ -107,7 +106,7 @@
     }
 }
 
-/// An answer's bytes. `headers` are whole lines, each with its line end.
+/// Encodes a response. `headers` are complete lines, each with its line end.
 pub fn answer(status: u16, headers: &str, body: &[u8], keep_alive: bool) -> Vec<u8> {
     let reason = match status {
         200 => "OK",
--- a/broker/src/http/parse.rs
+++ b/broker/src/http/parse.rs
@@ -1,22 +1,22 @@
-//! Heads and chunks off the front of a buffer: pure, bounded, and without any I/O. What frames a body is read strictly:
-//! whoever reads it otherwise would see another message in it.
+//! Parses heads and chunks from the start of a buffer: pure, bounded, without I/O. Headers that frame a body are read strictly
+//! (RFC 9112, section 6.3), since another reader could otherwise find a different message in the same bytes.
 
 use super::{Fault, Framing, Head, BODY_MAX, HEAD_MAX};
 
 const HEADERS_MAX: usize = 64;
-/// No line that names a chunk's length is longer, extensions included.
+/// Maximum length of a chunk's size line, extensions included.
 const CHUNK_LINE_MAX: usize = 256;
 
-/// Which end's messages are read.
+/// The kind of message that is read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
     /// Requests, by a server.
     Request,
-    /// Answers, by a client.
+    /// Responses, by a client.
     Answer,
 }
 
-/// Reads a head; `None` until it is whole. Returns its length too.
+/// Parses a head and returns it with its length; `None` until it is complete.
 pub fn parse_head(bytes: &[u8], kind: Kind) -> Result<Option<(Head, usize)>, Fault> {
     let seen = &bytes[..bytes.len().min(HEAD_MAX)];
     let mut headers = [httparse::EMPTY_HEADER; HEADERS_MAX];
@@ -60,8 +60,8 @@
     Ok(Some((head, length)))
 }
 
-/// How the body ends. A length beside a coding, or two lengths that differ, could hide a second
-/// message from somebody on the way, so both end the connection.
+/// Determines how the body ends. A length beside a transfer coding, or two different lengths, permit request smuggling, so
+/// both are errors.
 fn framing(headers: &[(String, Vec<u8>)], kind: Kind, status: u16) -> Result<Framing, Fault> {
     let of = |name: &'static str| headers.iter().filter(move |(n, _)| n.eq_ignore_ascii_case(name));
     let mut length = None;
--- a/broker/src/http/stream.rs
+++ b/broker/src/http/stream.rs
@@ -1,4 +1,4 @@
-//! A socket with what has been read of it: messages piece by piece, with a time for each wait.
+//! A connection with its read buffer: reads messages incrementally, with a time-out for each wait.
 
 use std::cell::Cell;
 use std::io;
@@ -16,7 +16,7 @@
 const DROP_BUFFER: usize = 16 * 1024;
 const DROP_BURST: usize = 16 * DROP_BUFFER;
 const DROP_PAUSE: Duration = Duration::from_millis(1);
-/// Longer than anything is waited for; a wait that ends is begun again.
+/// Longer than any wait; a wait that ends is restarted.
 const LONG: Duration = Duration::from_secs(3600);
 
 /// Why reading from a peer ended.
@@ -26,28 +26,28 @@
     Closed,
     /// The peer closed, or the connection broke, inside a message.
     Cut,
-    /// Nothing came for too long.
+    /// The wait timed out.
     Stalled,
-    /// What came can't be read.
+    /// The message is invalid.
     Fault(Fault),
 }
 
-/// A peer's connection with what has been read of it.
+/// A connection to a peer with its read buffer.
 #[derive(Debug)]
 pub struct Stream {
     socket: Async<TcpStream>,
     buffer: Vec<u8>,
     ended: Cell<bool>,
-    /// No body, and no chunk, is longer.
+    /// Maximum length of a body or a chunk, in bytes.
     body_max: usize,
-    /// The chunks of a body that have come so far.
+    /// The chunks received so far of the current body.
     chunks: Vec<u8>,
-    /// Whether bytes were dropped: no further message can be read.
+    /// Whether received bytes were dropped, so that no further message can be read.
     has_dropped_bytes: bool,
 }
 
 impl Stream {
-    /// Takes a connection over.
+    /// Wraps an open connection.
     pub fn new(socket: Async<TcpStream>) -> Self {
         // Answers are small and waited for.
         let _ = socket.get_ref().set_nodelay(true);
@@ -55,17 +55,17 @@
         Self { socket, buffer, ended, body_max: BODY_MAX, chunks, has_dropped_bytes: false }
     }
 
-    /// Reads bodies and chunks of so many bytes at the most.
+    /// Sets the maximum length of a body or a chunk, in bytes.
     pub fn up_to(self, body_max: usize) -> Self {
         Self { body_max, ..self }
     }
 
-    /// Whether bytes of a next message are there.
+    /// Whether bytes of a next message have been read.
     pub fn begun(&self) -> bool {
         !self.buffer.is_empty()
     }
 
-    /// The connection itself, for whoever has to look between two writes.
+    /// The socket, for callers that check conditions between two writes.
     pub fn socket(&self) -> &Async<TcpStream> {
         &self.socket
     }
@@ -102,8 +102,7 @@
         Ok(())
     }
 
-    /// Reads a head. The whole of it has `within`, so that a peer who sends a byte now and then
-    /// doesn't hold the connection for ever.
+    /// Reads a head. `within` bounds all of it, so that a peer that sends single bytes can't hold the connection forever.
     pub async fn head(&mut self, kind: Kind, within: Duration) -> Result<Head, Ending> {
         let until = Instant::now() + within;
         loop {
@@ -138,7 +137,7 @@
                     self.more_before(until).await?;
                 }
                 body.extend(self.buffer.drain(..length));
-                // Guards against a connection that keeps the room of its longest body for good.
+                // Releases the memory of a long body.
                 self.buffer.shrink_to(HEAD_MAX);
             }
             Framing::Chunked => {
@@ -166,7 +165,7 @@
         Ok(body)
     }
 
-    /// Reads the next chunk of a body that goes on and on; `None` after the last.
+    /// Reads the next chunk of an unbounded body; `None` after the last.
     pub async fn chunk(&mut self, within: Duration) -> Result<Option<Vec<u8>>, Ending> {
         self.chunk_before(Instant::now() + within).await
     }
@@ -200,12 +199,12 @@
         self.drain().await;
     }
 
-    /// Whether bytes that came have been dropped.
+    /// Whether received bytes have been dropped.
     pub fn has_dropped_bytes(&self) -> bool {
         self.has_dropped_bytes
     }
 
-    /// Reads and drops what comes until the peer has closed or the connection broke.
+    /// Reads and drops bytes until the peer closes or the connection breaks.
     async fn drain(&mut self) {
         let mut chunk_buffer = vec![0; DROP_BUFFER];
         loop {
@@ -221,12 +220,12 @@
         }
     }
 
-    /// Writes all of it, within a time for the whole.
+    /// Writes all bytes within a time.
     pub async fn write(&mut self, bytes: &[u8], within: Duration) -> io::Result<()> {
         write_all(&self.socket, bytes, within).await
     }
 
-    /// Tells the peer that nothing more comes.
+    /// Shuts the write side down.
     pub fn shut(&self) -> io::Result<()> {
         self.socket.get_ref().shutdown(std::net::Shutdown::Write)
     }
@@ -244,7 +243,7 @@
     }
 }
 
-/// Writes all of it, within a time for the whole: a peer that reads nothing is given up.
+/// Writes all bytes within a time; a peer that reads nothing is an error.
 pub async fn write_all(mut socket: &Async<TcpStream>, bytes: &[u8], within: Duration) -> io::Result<()> {
     let late = async {
         Timer::after(within).await;
@@ -253,7 +252,7 @@
     futures_lite::future::or(socket.write_all(bytes), late).await
 }
 
-/// Connects within a time.
+/// Opens a connection within a time.
 pub async fn connect(address: std::net::SocketAddr, within: Duration) -> io::Result<Async<TcpStream>> {
     let late = async {
         Timer::after(within).await;
--- a/broker/src/limits.rs
+++ b/broker/src/limits.rs
@@ -1,8 +1,8 @@
-//! How the descriptors under `limits.sockets` are divided: the one place that says how many each side may hold. The sum is
-//! within the limit whatever happens, also while two processes of this broker are there (`broker/tests/descriptors.rs`), so
-//! that no side can take what another needs: clients that only stand about leave room for discovery's call and for dials.
+//! The division of the file descriptors under `limits.sockets`: how many each side of the broker may hold. The sum never
+//! exceeds the limit, also while two processes of this broker run (`broker/tests/descriptors.rs`), so that no side can starve
+//! another: idle clients leave descriptors for discovery and for connections to stores.
 //!
-//! A side that has used its part up waits for a place of its own ([`ConnectionSlots`]); it never tries without one.
+//! A side that has used up its part waits for a slot of its own ([`ConnectionSlots`]) and never connects without one.
 
 use std::cell::Cell;
 use std::rc::Rc;
--- a/broker/src/store/features.rs
+++ b/broker/src/store/features.rs
@@ -1,5 +1,5 @@
-//! Attempts at stores that offer the feature form: a part is a GET for the features of one block, on a
-//! connection that carries one request at a time. The answer's body is the part's value, as it came.
+//! Attempts at stores with a feature API: a part is a GET for the features of one block, on a connection that carries one
+//! request at a time. The body of the response is the part's value, unchanged.
 //!
 //! A connection is kept for a later request only where nothing lies behind the answer, and used again only while it is
 //! silent: a store that closed it, or left bytes on it, is dialled anew. What may be written is looked at before each
@@ -27,7 +27,7 @@
 /// Longer than any attempt waits; the attempt's own timer is the one that ends it.
 const READ_WITHIN: Duration = Duration::from_secs(600);
 
-/// Speaks the feature form to one store.
+/// The client of one store's feature API.
 pub struct Driver {
     address: SocketAddr,
     dial: Duration,
@@ -36,12 +36,12 @@
 }
 
 impl Driver {
-    /// A driver for the store that offers the feature form at this address.
+    /// A client of the feature API at this address.
     pub fn new(address: SocketAddr, limits: &Limits) -> Self {
         Self { address, dial: limits.dial, idle: limits.idle, idle_connections: RefCell::default() }
     }
 
-    /// A connection; it says what became of the attempt where there is none.
+    /// An idle or new connection; `Err` with the attempt's outcome if there is none.
     async fn connect(&self, stores: &Stores) -> Result<(Stream, ConnectionSlot), Outcome> {
         self.idle_connections.borrow_mut().retain(|(_, _, since)| since.elapsed() < self.idle);
         loop {
@@ -50,19 +50,20 @@
                 return Ok((stream, slot));
             }
         }
-        // Nothing is known of the store where there is no place.
+        // A lack of slots says nothing about the store.
         let slot = stores.acquire_slot().await.ok_or(Outcome::Void)?;
         count(&stores.counters.dials);
         let socket = http::connect(self.address, self.dial).await.map_err(|_| Outcome::Unreachable)?;
         Ok((Stream::new(socket), slot))
     }
 
-    /// Closes the connections that carry nothing.
+    /// Closes idle connections.
     pub fn close_idle(&self) {
         drop(self.idle_connections.take());
     }
 
-    /// Makes an attempt, if it is `wanted` up to its last byte. `written` is set with that: from then on it may run.
+    /// Makes an attempt, as long as it is `wanted` until its last byte is written. `written` is set then: from there on it may
+    /// be executed.
     pub async fn attempt(
         &self,
         stores: &Stores,
@@ -110,7 +111,7 @@
                 count(&counters.bad_frames);
                 Outcome::Failure.into()
             }
-            // The store says that it did not look at the request.
+            // The store rejected the request without executing it.
             429 | 503 => {
                 let newer_epoch = head.header(EPOCH).and_then(|text| text.parse().ok());
                 AttemptOutcome { newer_epoch, ..Outcome::Overloaded.into() }
@@ -120,7 +121,7 @@
     }
 }
 
-/// Whether nothing has come on a connection at rest, not even its end.
+/// Whether nothing has arrived on an idle connection, not even its end.
 async fn is_silent(stream: &Stream) -> bool {
     let (mut socket, mut byte) = (stream.socket(), [0]);
     futures_lite::future::poll_once(socket.read(&mut byte)).await.is_none()
--- a/broker/src/store/frame.rs
+++ b/broker/src/store/frame.rs
@@ -5,22 +5,22 @@
 
 use crate::http::BODY_MAX;
 
-/// No line inside a frame is longer.
+/// Maximum length of a line in a frame.
 const LINE_MAX: usize = 1024;
-/// No frame is longer: a longer value would fit no client's answer.
+/// Maximum length of a frame: a longer value would not fit a client's answer.
 pub const FRAME_MAX: usize = BODY_MAX + LINE_MAX;
 
 /// A call, for one part or several.
 pub const CALL: u8 = b'm';
-/// A part given up.
+/// A withdrawn part.
 pub const GIVE_UP: u8 = b'n';
-/// A probe.
+/// A health check.
 pub const PROBE: u8 = b'o';
-/// A probe for load.
+/// A health check that requests a load report.
 pub const LOAD: u8 = b'p';
 /// A part's answer.
 pub const ANSWER: u8 = b'q';
-/// The frame before could not be used.
+/// The previous frame was invalid.
 pub const COMPLAINT: u8 = b'r';
 
 /// How a store ended a part.
@@ -30,7 +30,7 @@
     Good,
     /// An error; it may have run.
     Bad,
-    /// Turned away unseen.
+    /// Rejected without being executed.
     Later,
 }
 
@@ -47,20 +47,20 @@
         score: u64,
         /// The load report, if there is one.
         report: Vec<f64>,
-        /// Of a part turned away at a fence, the newest epoch of its block (`epoch=` in place of the report).
+        /// The newest epoch of the block, if the part's epoch was rejected (`epoch=` in place of the report).
         newer: Option<u64>,
         /// The value.
         value: &'a [u8],
     },
-    /// The answer to a probe.
+    /// The answer to a health check.
     Probed,
-    /// The answer to a probe for load, with its report if it was allowed.
+    /// The answer to a health check that requested a load report, which may be empty.
     Loaded(Vec<f64>),
-    /// The frame before could not be used; the store closes the connection.
+    /// The previous frame was invalid; the store closes the connection.
     Complaint(&'a [u8]),
 }
 
-/// Why a frame could not be used.
+/// Why a frame is invalid.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fault(&'static str);
 
@@ -89,7 +89,7 @@
 /// A frame's letter, its rest, and the length of it all.
 pub type Split<'a> = (u8, &'a [u8], usize);
 
-/// Splits the first frame off; `None` until it is whole.
+/// Splits the first frame off; `None` until it is complete.
 pub fn split(bytes: &[u8]) -> Result<Option<Split<'_>>, Fault> {
     let Some((length, after)) = bytes.split_first_chunk::<4>() else { return Ok(None) };
     let length = u32::from_le_bytes(*length) as usize;
--- a/broker/src/store/link.rs
+++ b/broker/src/store/link.rs
@@ -1,5 +1,5 @@
-//! One connection to a store. It carries many parts at once; its own task opens it, writes what is
-//! queued ([`writing`]) and reads what comes ([`reading`]).
+//! One connection to a store, which multiplexes many parts. Its own task opens it, writes queued frames ([`writing`]) and
+//! reads responses ([`reading`]).
 //!
 //! Whatever ends it, every part on it gets its outcome: of a call that was not written whole none ran, of one that was each
 //! may have. It ends when the store closes it (one half will do), resets it, sends what it should not have or takes nothing for
@@ -29,20 +29,20 @@
 use crate::http;
 use crate::limits::ConnectionSlot;
 
-/// For each part that a link may carry, so many of those it carried last are remembered.
+/// Number of ended parts remembered for each part that a link may carry.
 const REMEMBERED: usize = 4;
 
-/// What a link needs to know of its surroundings.
+/// The limits of links.
 pub struct Limits {
-    /// How many parts it carries at once.
+    /// Maximum of parts in flight.
     pub streams: usize,
-    /// How many parts of one turn may share a call, which is a frame.
+    /// Maximum of parts of one turn in a call, which is one frame.
     pub batch: usize,
-    /// How many connections to stores there may be, of both forms.
+    /// Maximum of connections to stores, of both kinds.
     pub links: usize,
-    /// It has failed if it is not up by then.
+    /// Time-out for opening a connection.
     pub dial: Duration,
-    /// It is closed before use once it has stood idle so long.
+    /// Idle time after which a connection is closed instead of being used.
     pub idle: Duration,
 }
 
@@ -54,23 +54,23 @@
     since: Instant,
 }
 
-/// How much of a part's call is out.
+/// How much of a part's call has been written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
     /// No byte.
     Queued,
     /// The first.
     Begun,
-    /// The last: from then on it may run.
+    /// The last: from here on it may be executed.
     Written,
 }
 
-/// What waits to be written.
+/// An element of the write queue.
 #[derive(Debug)]
 enum Outgoing {
-    /// A part; those of one call lie next to each other.
+    /// A part and the number of its call; those of one call are adjacent.
     Part(Part, u64),
-    /// A whole frame.
+    /// A complete frame.
     Frame(Vec<u8>),
 }
 
@@ -81,37 +81,37 @@
     pub id: Rc<str>,
     /// Its line and its text.
     pub bytes: Vec<u8>,
-    /// It must not be written later.
+    /// The latest time at which it may be written.
     pub by: Option<Instant>,
-    /// The query that it is of: once that is over, it must not be written.
+    /// Its query: once that has finished, the part must not be written.
     pub query_id: QueryId,
 }
 
-/// A connection, or one that is being opened.
+/// A connection to a store, open or being opened.
 pub struct Link {
     endpoint: Rc<Endpoint>,
     counters: Rc<Counters>,
     exchange: Rc<Exchange>,
     flights: RefCell<HashMap<Rc<str>, Flight>>,
     queue: RefCell<VecDeque<Outgoing>>,
-    /// Numbers the calls.
+    /// Number of the last call.
     calls: Cell<u64>,
-    /// Parts that ended here lately: an answer to one of them is late or a second copy, no more.
+    /// Recently ended parts: a response to one of them is late or a duplicate, and no error.
     ended: RefCell<VecDeque<Rc<str>>>,
     wake: (Sender<()>, Receiver<()>),
     last_used: Cell<Instant>,
-    /// When an answer came last.
+    /// When the last response arrived.
     last_answer_at: Cell<Instant>,
     is_closing: Cell<bool>,
-    /// Part of an answer has come, and the rest not yet.
+    /// Whether a response has been received in part.
     has_partial_answer: Cell<bool>,
-    /// A part was given up while its call was being written: the rest of that must not follow.
+    /// Whether a part was withdrawn while its call was being written, whose remainder must not be sent.
     is_aborted: Cell<bool>,
 }
 
 /// Why a link ended.
 struct Ending {
-    /// The store sent what it should not have: its parts may have run, but it did not break.
+    /// Whether the store sent invalid data: its parts may have been executed.
     is_corrupt: bool,
     why: String,
 }
@@ -146,9 +146,9 @@
         })
     }
 
-    /// Whether it can carry so many more parts now. One that has stood idle for nearly as long as the store
-    /// bears is not used: a call that crosses the store's close would end as a reset. Nor is one in the
-    /// midst of an answer: if that never ends, the next answer would be taken for its rest.
+    /// Whether it can carry this many more parts. One that was idle for nearly as long as the store permits is not used: a
+    /// call that crosses the store's close would end in a reset. Nor is one with a partial response: should that never be
+    /// completed, the next response would be taken for its remainder.
     pub fn can_carry(&self, parts: usize, limits: &Limits) -> bool {
         !self.is_closing.get()
             && !self.has_partial_answer.get()
@@ -156,17 +156,17 @@
             && (!self.is_idle() || self.last_used.get().elapsed() < limits.idle)
     }
 
-    /// Whether it carries nothing.
+    /// Whether it carries no part and has nothing to write.
     pub fn is_idle(&self) -> bool {
         self.flights.borrow().is_empty() && self.queue.borrow().is_empty()
     }
 
-    /// How many parts it carries.
+    /// Number of parts in flight.
     pub fn load(&self) -> usize {
         self.flights.borrow().len()
     }
 
-    /// Takes no more parts; closes once it carries nothing.
+    /// Accepts no more parts; closes once idle.
     pub fn retire(&self) {
         self.is_closing.set(true);
         self.wake();
@@ -176,7 +176,7 @@
         let _ = self.wake.0.try_send(());
     }
 
-    /// Queues parts that share a call. The end of each comes on its channel.
+    /// Queues parts that share a call; the outcome of each arrives on its channel.
     pub fn call(&self, parts: impl IntoIterator<Item = Part>) -> Vec<Receiver<AttemptOutcome>> {
         self.calls.set(self.calls.get() + 1);
         parts.into_iter().map(|part| self.join(part)).collect()
@@ -186,8 +186,7 @@
     fn join(&self, part: Part) -> Receiver<AttemptOutcome> {
         let (send, ended) = async_channel::bounded(1);
         let id = part.id.clone();
-        // Guards against a client that uses an id again while a part of that id is still out here: the
-        // answer to the one would be taken for the other's.
+        // A client may reuse an id while a part of that id is in flight here: its response would be taken for the new part's.
         if self.flights.borrow().contains_key(&id) {
             let _ = send.try_send(Outcome::Void.into());
             return ended;
@@ -201,7 +200,7 @@
         ended
     }
 
-    /// Gives a part up: takes it back if its call has not been written whole (true), or tells the store.
+    /// Withdraws a part. True if its call was not completely written, so that it never runs; otherwise the store is notified.
     pub fn withdraw(&self, id: &Rc<str>) -> bool {
         let mut queue = self.queue.borrow_mut();
         let queued = queue.iter().position(|out| matches!(out, Outgoing::Part(part, _) if part.id == *id));
@@ -210,7 +209,7 @@
             self.flights.borrow_mut().remove(id);
             return true;
         }
-        // Guards the rule on two attempts at once: the rest of its call would let it run after all. The link closes.
+        // The remainder of the call would let the part run beside the next attempt. The link closes.
         let begun = |flight: &Flight| flight.stage == Stage::Begun;
         if self.flights.borrow().get(id).is_some_and(begun) {
             self.flights.borrow_mut().remove(id);
@@ -224,11 +223,11 @@
         false
     }
 
-    /// Forgets a part that is no longer waited for, and may have been waited for in vain.
+    /// Removes a part whose outcome is no longer awaited; `without_answer` if the store failed to answer it.
     pub fn forget(&self, id: &Rc<str>, without_answer: bool, limits: &Limits) {
         let flight = self.flights.borrow_mut().remove(id);
-        // Guards against a connection that fell silent while its store is well, and shows no other sign of it:
-        // nothing came while this part waited. The next part is better off on a new one.
+        // A connection may become unresponsive though its store is healthy, without any other sign: nothing arrived while
+        // this part was in flight. The next part uses a new connection.
         let was_silent = without_answer
             && flight.is_some_and(|flight| {
                 flight.stage == Stage::Written && self.last_answer_at.get() < flight.since
@@ -249,8 +248,8 @@
         ended.push_back(id);
     }
 
-    /// Opens the connection and serves it until it ends; true if the store sent what it should not have.
-    /// Without a place for it nothing is opened, and nothing said of the store.
+    /// Opens the connection and serves it until it ends; true if the store sent invalid data. Without a slot it is not opened,
+    /// which says nothing about the store.
     pub async fn run(self: Rc<Self>, limits: Rc<Limits>, slot: Option<ConnectionSlot>) -> bool {
         let full = slot.is_none();
         let dialled = match slot.is_some() && !faults::point("store.dial") {
@@ -282,8 +281,7 @@
         self.queue.borrow_mut().clear();
         let flights = std::mem::take(&mut *self.flights.borrow_mut());
         for flight in flights.into_values() {
-            // Guards against taking a store that answers, if badly, for one that went down and is cold when
-            // it comes back: that is what a break tells the module.
+            // A store that sent invalid data did not restart: `Broken` would make the decision module treat it as warming up.
             let outcome = match (flight.stage == Stage::Written, ending.is_corrupt) {
                 (true, true) => Outcome::Failure,
                 (true, false) => Outcome::Broken,
--- a/broker/src/store/link/reading.rs
+++ b/broker/src/store/link/reading.rs
@@ -14,9 +14,9 @@
 use crate::core::{AttemptOutcome, Served};
 use crate::counters::count;
 
-/// An answer is written in one go; the rest of one that has begun comes within this time, or never.
+/// Time-out for the remainder of a response whose first bytes have arrived; stores write responses in one go.
 const REMAINDER_TIMEOUT: Duration = Duration::from_millis(100);
-/// So many bytes of what can't be used are logged.
+/// Number of bytes of an invalid frame that are logged.
 const LOGGED: usize = 96;
 
 impl Link {
@@ -71,7 +71,7 @@
                 self.last_used.set(Instant::now());
                 self.last_answer_at.set(Instant::now());
                 let Some((id, flight)) = self.flights.borrow_mut().remove_entry(id) else {
-                    // Guards against an answer that bears another's id: who waits for it waits in vain.
+                    // A response with an unknown id means that some other part waits in vain.
                     if !self.ended.borrow().iter().any(|ended| **ended == *id) {
                         return Err("an answer to a part that was not asked for".to_owned());
                     }
@@ -97,7 +97,7 @@
     }
 }
 
-/// The first bytes of what came, for the log.
+/// The first bytes of a frame, for the log.
 fn start(bytes: &[u8]) -> std::slice::EscapeAscii<'_> {
     bytes[..bytes.len().min(LOGGED)].escape_ascii()
 }
--- a/broker/src/store/link/writing.rs
+++ b/broker/src/store/link/writing.rs
@@ -17,13 +17,13 @@
 use super::{Ending, Limits, Link, Outgoing, Part, Stage};
 use crate::counters::count;
 
-/// A store that takes no byte for so long is stalled.
+/// Time-out for a store that accepts no bytes.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
 /// What waits for a connection or behind a stalled write is looked at so often. Short against the 100 ms within which
 /// nothing more may begin for a client that has left.
 pub(super) const RECHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Writes what the socket takes at once; 0 if it takes nothing now.
+/// Writes as much as the socket accepts without waiting; 0 if it accepts nothing now.
 fn write_available(socket: &Async<TcpStream>, bytes: &[u8]) -> io::Result<usize> {
     loop {
         match socket.get_ref().write(bytes) {
@@ -35,7 +35,7 @@
     }
 }
 
-/// Waits until the socket takes more, or until it is time to look again.
+/// Waits until the socket is writable, at most for the recheck interval.
 async fn writable_or_due(socket: &Async<TcpStream>) {
     let look = async {
         Timer::after(RECHECK_INTERVAL).await;
@@ -67,10 +67,10 @@
     Ok(true)
 }
 
-/// A frame put together.
+/// A frame to be written.
 struct Call {
     bytes: Vec<u8>,
-    /// The parts in it, and the call that they are of; none in a frame of another kind.
+    /// Its parts with the number of their call; empty in a frame of another kind.
     parts: Vec<(Part, u64)>,
 }
 
@@ -121,7 +121,7 @@
         }
     }
 
-    /// The next frame to be written. A call is put together now, so that what has been given up meanwhile is not in it.
+    /// The next frame to be written. A call is assembled here, so that it holds no part withdrawn meanwhile.
     fn next_frame(&self, limits: &Limits) -> Option<Call> {
         let mut queue = self.queue.borrow_mut();
         let (mut rest, mut parts) = (Vec::new(), Vec::<(Part, u64)>::new());
@@ -149,7 +149,7 @@
         }
     }
 
-    /// Of a frame no byte was taken: what is given up or may not go out any more is to be found in the queue.
+    /// Returns a frame of which no byte was written to the queue, where its parts may still be withdrawn.
     fn requeue(&self, call: Call) {
         let mut queue = self.queue.borrow_mut();
         if call.parts.is_empty() {
@@ -158,7 +158,7 @@
         call.parts.into_iter().rev().for_each(|(part, call)| queue.push_front(Outgoing::Part(part, call)));
     }
 
-    /// Lets go of what waits and may not be written any more.
+    /// Ends queued parts that may no longer be sent.
     pub(super) fn void_unsendable(&self) {
         self.queue.borrow_mut().retain(|out| match out {
             Outgoing::Part(part, _) if !self.may_begin(part) => {
@@ -192,7 +192,7 @@
         !self.is_aborted.get() && self.is_wanted(part)
     }
 
-    /// Whether its client waits, and its store surely remembers an attempt before it.
+    /// Whether its query is open and its send deadline has not passed.
     fn is_wanted(&self, part: &Part) -> bool {
         part.by.is_none_or(|by| Instant::now() < by) && !self.exchange.is_finished(part.query_id)
     }
