--- a/broker/src/discovery/watching.rs
+++ b/broker/src/discovery/watching.rs
@@ -222,7 +222,7 @@
         self.waits.stagger / 2
     }
 
-    /// When [`Event::Due`] must be delivered.
+    /// When [`Event::TimeoutElapsed`] must be delivered.
     pub fn due(&self) -> Option<Instant> {
         self.due
     }
--- a/broker/src/http/stream.rs
+++ b/broker/src/http/stream.rs
@@ -189,7 +189,7 @@
 
     /// Resolves once the peer has closed or the connection broke. Bytes of a next message that come
     /// meanwhile are kept, up to the longest head; past that they are dropped, and the connection can carry no further
-    /// message ([`Stream::spilt`]). Guards against a peer that sends much at once and goes: its end stands behind all of it.
+    /// message ([`Stream::has_dropped_bytes`]). Guards against a peer that sends much at once and goes: its end stands behind all of it.
     pub async fn peer_closed(&mut self) {
         while self.buffer.len() < HEAD_MAX {
             if !matches!(self.more(LONG).await, Ok(true) | Err(Ending::Stalled)) {
--- a/broker/src/store/link/writing.rs
+++ b/broker/src/store/link/writing.rs
@@ -1,7 +1,7 @@
 //! Writing a link, and the last check of what may be written.
 //!
 //! A part may begin to be written while its client waits, its store takes work and its window for repeats is open; all three are
-//! looked at when the socket takes the first byte of its call, and while it takes none every [`LOOK`]. A part that may not
+//! looked at when the socket takes the first byte of its call, and while it takes none every [`RECHECK_INTERVAL`]. A part that may not
 //! never ran: its end is void. Once the first byte is out the store's drain counts no more (a send counts from its first
 //! byte), the client and the window do, for an attempt counts from its last byte; so does whether anyone still waits for the
 //! part. A call of which one part must not go on is left without its end and the link is closed: none of its parts ran.
