--- a/system/control/src/node/chain_host.rs
+++ b/system/control/src/node/chain_host.rs
@@ -10,7 +10,7 @@
 use gingerledge_wire::{Command, CommandOutcome, Entry, FreshnessTick};
 
 use super::clock::Clock;
-use super::commands::SubmittedCommand;
+use super::submitted_command::SubmittedCommand;
 use super::NodeError;
 use crate::state::ControlState;
 
--- a/system/control/src/node/commands/mod.rs
+++ b/system/control/src/node/commands/mod.rs
@@ -1,6 +1,5 @@
 //! Commands on their way to the head of the control chain, and their outcomes on the way back: the driver of [`Submissions`].
 
-mod entry;
 mod submissions;
 
 use std::net::SocketAddr;
@@ -16,8 +15,8 @@
 use super::messenger::Messenger;
 use super::peers::PeerDirectory;
 use super::request::BeginRetirementOutcome;
+use super::submitted_command::SubmittedCommand;
 
-pub(super) use entry::SubmittedCommand;
 pub use submissions::{SubmissionSettings, Submissions};
 
 /// A caller waits for an outcome at most this long.
--- a/system/control/src/node/mod.rs
+++ b/system/control/src/node/mod.rs
@@ -25,6 +25,7 @@
 mod session_host;
 mod start;
 mod status;
+mod submitted_command;
 
 use std::time::Duration;
 
--- a/system/control/src/node/routing/chain_actions.rs
+++ b/system/control/src/node/routing/chain_actions.rs
@@ -5,8 +5,8 @@
 use gingerledge_storage::WriterEvent;
 use gingerledge_wire::{Command, CommandOutcome, Envelope, FreshnessTick};
 
-use crate::node::commands::SubmittedCommand;
 use crate::node::disk::DiskOutput;
+use crate::node::submitted_command::SubmittedCommand;
 use crate::node::{Node, NodeError};
 
 impl Node {
--- a/system/control/src/node/routing/messages.rs
+++ b/system/control/src/node/routing/messages.rs
@@ -7,8 +7,8 @@
 use gingerledge_transport::{Inbox, Incoming};
 use gingerledge_wire::{BackendReport, ControlMessage, Envelope, Key, NodeRecord, Role};
 
-use crate::node::commands::SubmittedCommand;
 use crate::node::coordinator_tasks::LoadResult;
+use crate::node::submitted_command::SubmittedCommand;
 use crate::node::{Node, MAX_EVENTS_PER_PASS};
 
 impl Node {
--- a/system/control/src/node/commands/entry.rs
+++ b/system/control/src/node/submitted_command.rs
@@ -8,7 +8,7 @@
 
 /// One entry of the control chain. Encoded by the order of the fields.
 #[derive(Debug, Serialize, Deserialize)]
-pub(in crate::node) struct SubmittedCommand {
+pub(super) struct SubmittedCommand {
     /// The number under which the submitter waits for the outcome.
     pub request: u64,
     /// Where the outcome goes.
@@ -23,7 +23,7 @@
     /// # Errors
     ///
     /// The bytes are no entry.
-    pub(in crate::node) fn decode(bytes: &[u8]) -> Result<Self, DecodeError> {
+    pub(super) fn decode(bytes: &[u8]) -> Result<Self, DecodeError> {
         bincode::serde::decode_from_slice(bytes, bincode::config::standard()).map(|(entry, _)| entry)
     }
 
--- a/system/data/src/stores/attempt.rs
+++ b/system/data/src/stores/attempt.rs
@@ -5,7 +5,7 @@
 use gingerledge_protocol::Verdict;
 use snafu::Snafu;
 
-use super::response::Rejection;
+use super::rejection::Rejection;
 
 /// The time-outs of the phases of one attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/system/data/src/stores/mod.rs
+++ b/system/data/src/stores/mod.rs
@@ -6,6 +6,7 @@
 mod health;
 mod in_flight;
 mod pool;
+mod rejection;
 mod response;
 pub mod response_class;
 
@@ -17,7 +18,8 @@
 pub use client::StoreClient;
 pub use health::StoreHealth;
 pub use in_flight::{InFlightCounts, InFlightGuard};
-pub use response::{Rejection, StoreBody, StoreLoad, StoreResponse};
+pub use rejection::{Rejection, StoreLoad};
+pub use response::{StoreBody, StoreResponse};
 
 /// A store, as the registry names it.
 #[derive(Clone, Debug, PartialEq, Eq)]
--- a/system/data/src/stores/response.rs
+++ b/system/data/src/stores/response.rs
@@ -14,32 +14,11 @@
 
 use super::attempt::AttemptError;
 use super::pool::PooledConnection;
+use super::rejection::StoreLoad;
 
 /// The most frames of an unread body that are polled to find its end.
 const MAX_UNREAD_FRAMES: usize = 4;
 
-/// The load that a store reports.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct StoreLoad {
-    /// Requests that run.
-    pub running: u32,
-    /// Requests that wait.
-    pub waiting: u32,
-    /// Requests that can run at once.
-    pub slots: u32,
-}
-
-/// A store's response that it did not run a request.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Rejection {
-    /// Its status.
-    pub status: StatusCode,
-    /// After which time it may be retried there.
-    pub retry_after: Option<Duration>,
-    /// The load that it reported, if any.
-    pub load: Option<StoreLoad>,
-}
-
 /// A store's own response to a request, which has run.
 pub struct StoreResponse {
     /// Its status.
--- a/system/data/src/stores/response_class.rs
+++ b/system/data/src/stores/response_class.rs
@@ -4,7 +4,7 @@
 
 use hyper::http::{header, HeaderMap, Method, StatusCode};
 
-use super::response::{Rejection, StoreLoad};
+use super::rejection::{Rejection, StoreLoad};
 use crate::headers;
 
 /// The class of a response.
