--- a/system/chain/tests/golden.rs
+++ b/system/chain/tests/golden.rs
@@ -1,58 +1,11 @@
 //! The encoded form of every message and of every durable record of a chain: equal to what was recorded once, byte for byte. A control
 //! node and a backend both write them with the standard configuration of bincode, as frames do.
 
-use std::collections::BTreeMap;
-use std::path::{Path, PathBuf};
-
 use gingerledge_chain::{
     AgreementMessage, ChainMessage, Heartbeat, LogRecord, MemberId, Membership, ProposalNumber,
     ReplicaMessage, View,
 };
-use gingerledge_golden::{compare, read, Sample};
-use serde::de::DeserializeOwned;
-use serde::Serialize;
-
-/// The samples of one golden file.
-struct Golden {
-    path: PathBuf,
-    recorded: BTreeMap<String, Vec<u8>>,
-    samples: Vec<Sample>,
-}
-
-impl Golden {
-    fn new(file: &str) -> Self {
-        let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(file);
-        let recorded = if path.exists() { read(&path) } else { BTreeMap::new() };
-        Self { path, recorded, samples: Vec::new() }
-    }
-
-    /// Adds a value, and compares it with what is recorded under its name.
-    fn add_equal<T: Serialize + DeserializeOwned + PartialEq>(&mut self, name: &str, value: &T) {
-        self.samples.push(Sample::new(name, encode(value)));
-        if let Some(decoded) = self.decode_recorded::<T>(name) {
-            assert!(decoded == *value, "{name}: the recorded bytes decode to another value");
-        }
-    }
-
-    fn decode_recorded<T: Serialize + DeserializeOwned>(&self, name: &str) -> Option<T> {
-        let bytes = self.recorded.get(name)?;
-        let (decoded, read): (T, usize) =
-            bincode::serde::decode_from_slice(bytes, bincode::config::standard())
-                .unwrap_or_else(|error| panic!("{name}: {error}"));
-        assert_eq!(read, bytes.len(), "{name}: bytes are left over");
-        assert_eq!(&encode(&decoded), bytes, "{name}: decoded and encoded again");
-        Some(decoded)
-    }
-
-    fn check(&self) {
-        compare(&self.path, &self.samples);
-    }
-}
-
-/// The bytes of a value in a frame and in the records on disks.
-fn encode<T: Serialize>(value: &T) -> Vec<u8> {
-    bincode::serde::encode_to_vec(value, bincode::config::standard()).expect("encodes")
-}
+use gingerledge_golden::EncodedValues;
 
 fn proposal() -> ProposalNumber {
     ProposalNumber { counter: 21, proposer: 70_000 }
@@ -158,7 +111,7 @@
 
 #[test]
 fn members_and_views_are_written_as_before() {
-    let mut golden = Golden::new("members.txt");
+    let mut golden = EncodedValues::new(env!("CARGO_MANIFEST_DIR"), "members.txt");
     golden.add_equal("member", &MemberId(77_000));
     golden.add_equal("ballot", &proposal());
     golden.add_equal("members", &members());
@@ -170,7 +123,7 @@
 
 #[test]
 fn messages_are_written_as_before() {
-    let mut golden = Golden::new("messages.txt");
+    let mut golden = EncodedValues::new(env!("CARGO_MANIFEST_DIR"), "messages.txt");
     for (name, message) in replica_messages() {
         golden.add_equal(&format!("replica message {name}"), &message);
         golden.add_equal(&format!("chain message of replica {name}"), &ChainMessage::Replica(message));
@@ -184,7 +137,7 @@
 
 #[test]
 fn durable_records_are_written_as_before() {
-    let mut golden = Golden::new("records.txt");
+    let mut golden = EncodedValues::new(env!("CARGO_MANIFEST_DIR"), "records.txt");
     for (name, record) in records() {
         golden.add_equal(&format!("record {name}"), &record);
     }
--- a/system/wire/tests/golden.rs
+++ b/system/wire/tests/golden.rs
@@ -3,13 +3,11 @@
 //! The names of the samples are their identities in the files; they stay when the types are renamed. Types that can't be compared
 //! are decoded and encoded again.
 
-use std::collections::BTreeMap;
 use std::net::SocketAddr;
-use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
 use gingerledge_chain::{AgreementMessage, ChainMessage, ReplicaMessage};
-use gingerledge_golden::{compare, read, Sample};
+use gingerledge_golden::EncodedValues;
 use gingerledge_protocol::{AppliedUpdate, ConfigurationDocument, LoadedModel, StoreState};
 use gingerledge_wire::{
     partition_of, stable_hash, BackendReport, Command, CommandOutcome, ControlMessage, Coordinator,
@@ -17,56 +15,6 @@
     JobsResponse, Key, LeaseMessage, NodeRecord, PartialText, PartitionRecord, RelayMessage, ResultRecord,
     RetirementState, Role, ScoringRecord, StoreRecord, Value,
 };
-use serde::de::DeserializeOwned;
-use serde::Serialize;
-
-/// The samples of one golden file.
-struct Golden {
-    path: PathBuf,
-    recorded: BTreeMap<String, Vec<u8>>,
-    samples: Vec<Sample>,
-}
-
-impl Golden {
-    fn new(file: &str) -> Self {
-        let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(file);
-        let recorded = if path.exists() { read(&path) } else { BTreeMap::new() };
-        Self { path, recorded, samples: Vec::new() }
-    }
-
-    /// Adds a value that can't be compared, and decodes what is recorded under its name.
-    fn add<T: Serialize + DeserializeOwned>(&mut self, name: &str, value: &T) {
-        self.samples.push(Sample::new(name, encode(value)));
-        self.decode_recorded::<T>(name);
-    }
-
-    /// Adds a value, and compares it with what is recorded under its name.
-    fn add_equal<T: Serialize + DeserializeOwned + PartialEq>(&mut self, name: &str, value: &T) {
-        self.samples.push(Sample::new(name, encode(value)));
-        if let Some(decoded) = self.decode_recorded::<T>(name) {
-            assert!(decoded == *value, "{name}: the recorded bytes decode to another value");
-        }
-    }
-
-    fn decode_recorded<T: Serialize + DeserializeOwned>(&self, name: &str) -> Option<T> {
-        let bytes = self.recorded.get(name)?;
-        let (decoded, read): (T, usize) =
-            bincode::serde::decode_from_slice(bytes, bincode::config::standard())
-                .unwrap_or_else(|error| panic!("{name}: {error}"));
-        assert_eq!(read, bytes.len(), "{name}: bytes are left over");
-        assert_eq!(&encode(&decoded), bytes, "{name}: decoded and encoded again");
-        Some(decoded)
-    }
-
-    fn check(&self) {
-        compare(&self.path, &self.samples);
-    }
-}
-
-/// The bytes of a value in a frame and in the records on disks.
-fn encode<T: Serialize>(value: &T) -> Vec<u8> {
-    bincode::serde::encode_to_vec(value, bincode::config::standard()).expect("encodes")
-}
 
 fn address(last: u8, port: u16) -> SocketAddr {
     SocketAddr::from(([10, 1, 2, last], port))
@@ -492,7 +440,7 @@
 
 #[test]
 fn commands_and_outcomes_have_the_recorded_bytes() {
-    let mut golden = Golden::new("commands.txt");
+    let mut golden = EncodedValues::new(env!("CARGO_MANIFEST_DIR"), "commands.txt");
     for (name, command) in commands() {
         golden.add_equal(&format!("command {name}"), &command);
     }
@@ -506,7 +454,7 @@
 
 #[test]
 fn messages_of_control_nodes_have_the_recorded_bytes() {
-    let mut golden = Golden::new("control.txt");
+    let mut golden = EncodedValues::new(env!("CARGO_MANIFEST_DIR"), "control.txt");
     golden.add_equal("backend report", &report());
     golden.add_equal("backend report bare", &BackendReport::default());
     for (name, message) in control_messages() {
@@ -525,7 +473,7 @@
 
 #[test]
 fn batch_jobs_and_their_messages_have_the_recorded_bytes() {
-    let mut golden = Golden::new("jobs.txt");
+    let mut golden = EncodedValues::new(env!("CARGO_MANIFEST_DIR"), "jobs.txt");
     golden.add_equal("job", &job());
     golden.add_equal("job bare", &bare_job());
     golden.add_equal("item", &item());
@@ -552,7 +500,7 @@
 
 #[test]
 fn nodes_and_entries_of_the_registry_have_the_recorded_bytes() {
-    let mut golden = Golden::new("registry.txt");
+    let mut golden = EncodedValues::new(env!("CARGO_MANIFEST_DIR"), "registry.txt");
     golden.add_equal("role edge", &Role::Edge);
     golden.add_equal("role control", &Role::Control);
     golden.add_equal("role backend", &Role::Backend);
@@ -577,7 +525,7 @@
 
 #[test]
 fn messages_of_the_relay_tree_have_the_recorded_bytes() {
-    let mut golden = Golden::new("relay.txt");
+    let mut golden = EncodedValues::new(env!("CARGO_MANIFEST_DIR"), "relay.txt");
     golden.add_equal("tick", &tick());
     for (name, message) in relay_messages() {
         golden.add(&format!("relay message {name}"), &message);
@@ -587,7 +535,7 @@
 
 #[test]
 fn envelopes_have_the_recorded_bytes() {
-    let mut golden = Golden::new("envelopes.txt");
+    let mut golden = EncodedValues::new(env!("CARGO_MANIFEST_DIR"), "envelopes.txt");
     let lease = LeaseMessage::Release { generation: 4 };
     let replica = ReplicaMessage::RequestResume { epoch: 6 };
     let agreement = ChainMessage::Agreement(AgreementMessage::RequestMembership { epoch: 2 });
@@ -603,7 +551,7 @@
 
 #[test]
 fn hashes_and_partitions_are_the_recorded_ones() {
-    let mut golden = Golden::new("hashes.txt");
+    let mut golden = EncodedValues::new(env!("CARGO_MANIFEST_DIR"), "hashes.txt");
     for name in ["", "a", "job-1", "job-2", "model-a", "zone-b", "a name with \u{e9}"] {
         golden.add_equal(&format!("hash of {name:?}"), &stable_hash(name));
         golden.add_equal(&format!("partition of {name:?}"), &partition_of(name));
--- a/testkit/golden/src/lib.rs
+++ b/testkit/golden/src/lib.rs
@@ -7,11 +7,14 @@
 #![warn(unreachable_pub)]
 
 pub mod disk_image;
+mod encoded_values;
 
 use std::collections::BTreeMap;
 use std::fs;
 use std::path::Path;
 
+pub use encoded_values::EncodedValues;
+
 /// The variable of the environment that makes [`compare`] write the file in place of comparing with it. It is set by hand, with the
 /// code whose bytes are to be kept; with it set, [`compare`] always panics once it has written, so that no run of it passes.
 pub const WRITE_VARIABLE: &str = "GOLDEN_WRITE";
