--- a/system/control/src/state/backends.rs
+++ b/system/control/src/state/backends.rs
@@ -1,4 +1,5 @@
-//! Where the disks of backends are, so that a coordinator that has just started tells a lost disk from a silent backend.
+//! The registered network addresses of backends, keyed by disk identity. A coordinator that has just started uses them to tell a
+//! lost disk from a backend that has not reported yet.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -6,23 +7,24 @@
 use gingerledge_wire::CommandOutcome;
 use serde::{Deserialize, Serialize};
 
-/// Most registered backends.
+/// Maximum number of registered backends.
 pub const MAX_BACKENDS: usize = 4_096;
 
-/// The address of each backend's disk, by its identity.
+/// Address of each backend, by the identity of its disk.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BackendAddresses {
     addresses: BTreeMap<u64, SocketAddr>,
 }
 
 impl BackendAddresses {
-    /// Where the backend with this disk receives messages, if it is registered.
+    /// Address at which the backend with disk identity `member` receives internal messages, if it is registered.
     #[must_use]
     pub fn get(&self, member: u64) -> Option<SocketAddr> {
         self.addresses.get(&member).copied()
     }
 
-    /// Registers the address of a disk. Where the register is full, disks without partitions are removed.
+    /// Registers the address of the backend with disk identity `member`. If the register is full, entries of disks that hold no
+    /// partitions are removed first.
     pub(super) fn register(
         &mut self,
         member: u64,
--- a/system/control/src/state/configuration.rs
+++ b/system/control/src/state/configuration.rs
@@ -1,14 +1,16 @@
-//! The operator's configuration, and the outcomes of the changes before it.
+//! The operator's configuration, and the history of changes that decides the outcome of repeated calls.
 //!
-//! Each change names the version that it builds on, its base. Versions only rise, so at most one change is ever applied on a base, and the
-//! outcome of a change depends on its base alone:
+//! Each change names the version that it builds on, its base. Versions only increase, so at most one change is ever applied on a
+//! base, and the outcome of a change depends on its base alone:
 //!
-//! - The base is the current version: the change is applied, or it is invalid and stays so, since a version that does not rise now never
-//!   will.
-//! - The base is older: the change that was applied on it is remembered for the newest [`APPLIED_HISTORY`] bases. A repetition of it is
-//!   answered as applied, any other change as a conflict. For a base that is older still the outcome is indeterminate.
-//! - The base is newer: the change is rejected, and remembered until the version has passed its base, so that a repetition of the call is
-//!   never applied after the first was answered. Where [`REJECTED_HISTORY`] are remembered already, the outcome is indeterminate.
+//! - The base is the current version: the change is applied, or it is invalid and stays invalid, since a version that is not
+//!   above the current one now never will be.
+//! - The base is older: the change that was applied on it is remembered for the newest [`APPLIED_HISTORY`] bases. A repetition of
+//!   that change is answered as applied, any other change as a conflict. For bases older than that history the outcome is
+//!   indeterminate.
+//! - The base is newer: the change is rejected, and remembered until the version has passed its base, so that a repetition of the
+//!   call is never applied after the first call was answered. If [`REJECTED_HISTORY`] changes are remembered already, the outcome
+//!   is indeterminate.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -18,23 +20,23 @@
 use serde::{Deserialize, Serialize};
 use sha2::{Digest as _, Sha256};
 
-/// How many of the newest applied changes are remembered, so that a repeated call is answered as applied.
+/// Number of newest applied changes that are remembered, so that a repeated call is answered as applied.
 pub const APPLIED_HISTORY: usize = 4_096;
-/// How many changes that were rejected because of a newer base are remembered.
+/// Maximum number of remembered changes that were rejected because their base was newer than the current version.
 pub const REJECTED_HISTORY: usize = 1_024;
 
-/// The first half of the SHA-256 of a configuration's bytes.
+/// The first 16 bytes of the SHA-256 of a configuration's bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 struct Digest([u8; 16]);
 
-/// The form of a change: a replacement and an update are never the same change.
+/// The kind of a change. A replacement and an update are never the same change, even with equal bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 enum ChangeKind {
     Replacement,
     Update,
 }
 
-/// Identifies a change among all on the same base.
+/// Identifies a change among all changes on the same base.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 struct Change {
     kind: ChangeKind,
@@ -42,22 +44,23 @@
     digest: Digest,
 }
 
-/// The configuration in force, with the changes before it.
+/// The configuration in force, with the history of changes.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigurationState {
     sequence: u64,
     version: u64,
     document: Option<ConfigurationDocument>,
-    /// The newest changes that were applied, by base.
+    /// The newest applied changes, by base.
     applied: BTreeMap<u64, Change>,
-    /// Whether changes on bases before all of these were applied, and are not remembered any more.
-    has_evicted: bool,
-    /// Changes that were rejected on bases that are newer than the version.
+    /// Whether applied changes were evicted from `applied`: the outcomes of changes on bases older than its first entry are not
+    /// known any more.
+    has_evicted_applied: bool,
+    /// Changes that were rejected because their base was newer than the current version, with that base.
     rejected: BTreeSet<(u64, Change)>,
 }
 
 impl ConfigurationState {
-    /// The operator's version in force; 0 before the first.
+    /// The operator's version of the configuration in force; 0 before the first configuration.
     #[must_use]
     pub fn version(&self) -> u64 {
         self.version
@@ -69,7 +72,7 @@
         self.document.as_ref()
     }
 
-    /// The index of the entry of the control chain that put it in force.
+    /// Index of the control chain entry that put the configuration in force; 0 before the first configuration.
     #[must_use]
     pub fn sequence(&self) -> u64 {
         self.sequence
@@ -104,7 +107,7 @@
         let Some(mut document) = self.document.clone() else {
             return CommandOutcome::Invalid { reason: "there is no configuration yet to update".to_owned() };
         };
-        // The configuration of a base never changes, so what is invalid on it now stays invalid.
+        // The configuration with a given version never changes, so an update that is invalid on it now stays invalid.
         match document.apply(AppliedUpdate { base: self.sequence, sequence, json: Arc::clone(json) }) {
             Ok(()) => {
                 self.apply(sequence, base, change, document);
@@ -114,7 +117,7 @@
         }
     }
 
-    /// The outcome of a change, as far as its base and version decide it.
+    /// The outcome of a change if its base and version decide it; `None` if the change may be applied.
     fn outcome_by_version(&mut self, base: u64, change: Change) -> Option<CommandOutcome> {
         if base < self.version {
             return Some(self.outcome_on_older_base(base, change));
@@ -140,13 +143,13 @@
         self.applied.insert(base, change);
         if self.applied.len() > APPLIED_HISTORY {
             self.applied.pop_first();
-            self.has_evicted = true;
+            self.has_evicted_applied = true;
         }
-        // What was rejected on a base that is passed by now can't be applied any more.
+        // Changes that were rejected on bases below the new version can't be applied any more.
         self.rejected.retain(|(base, _)| *base >= change.version);
     }
 
-    /// The outcome of a change on a version that is not current any more.
+    /// The outcome of a change whose base is older than the current version.
     fn outcome_on_older_base(&self, base: u64, change: Change) -> CommandOutcome {
         match self.applied.get(&base) {
             Some(applied) if *applied == change => CommandOutcome::Applied,
@@ -158,7 +161,7 @@
 
     fn is_evicted(&self, base: u64) -> bool {
         let oldest = self.applied.first_key_value().map(|(oldest, _)| *oldest);
-        self.has_evicted && oldest.is_some_and(|oldest| base < oldest)
+        self.has_evicted_applied && oldest.is_some_and(|oldest| base < oldest)
     }
 
     fn reject(&mut self, base: u64, change: Change) -> CommandOutcome {
--- a/system/control/src/state/mod.rs
+++ b/system/control/src/state/mod.rs
@@ -1,9 +1,10 @@
-//! The durable state of the control plane: a deterministic machine that every control node feeds the same commands in the same
-//! order. It holds the operator's configuration, the named versions of weights, the coordinator's fencing token, the chains of
-//! the partitions of batch jobs, and the retirements of backends.
+//! The durable state of the control plane: a deterministic state machine to which every control node applies the same commands in
+//! the same order. It holds the operator's configuration, the named versions of weights, the coordinator's fencing token, the
+//! chains of the partitions of batch jobs, the retirements of backends, and the registered addresses of backends.
 //!
-//! It promises: a command that was applied is answered [`CommandOutcome::Applied`] whenever it comes again; of two configurations on one
-//! base at most one is applied; versions, epochs and fencing tokens only rise. It does no I/O and knows no time.
+//! Guarantees: a command that was applied is answered [`CommandOutcome::Applied`] whenever it is repeated; of two configurations
+//! on one base at most one is applied; versions, epochs and fencing tokens only increase. The state machine does no I/O and does
+//! not depend on time.
 
 mod backends;
 mod configuration;
@@ -21,28 +22,28 @@
 pub use partitions::PartitionState;
 pub use retirements::{Retirement, Retirements, MAX_RETIREMENTS};
 
-/// Most models with a named version.
+/// Maximum number of models with a named version.
 pub const MAX_MODELS: usize = 4_096;
 
-/// Why a state can't be encoded or a snapshot can't be decoded.
+/// An error from encoding the state or decoding a snapshot.
 #[derive(Debug, Snafu)]
 pub enum SnapshotError {
     /// The state can't be encoded.
     #[snafu(display("the control state can't be encoded: {source}"))]
-    Unwritable {
-        /// Why.
+    Encode {
+        /// The encoder's error.
         source: bincode::error::EncodeError,
     },
     /// The snapshot can't be decoded.
     #[snafu(display("the snapshot of the control state is unreadable: {source}"))]
-    Unreadable {
-        /// Why.
+    Decode {
+        /// The decoder's error.
         source: bincode::error::DecodeError,
     },
-    /// Bytes follow the state.
+    /// Surplus bytes follow the encoded state.
     #[snafu(display("the snapshot of the control state has {bytes} bytes too many"))]
     TrailingBytes {
-        /// How many.
+        /// Number of surplus bytes.
         bytes: usize,
     },
 }
@@ -50,11 +51,12 @@
 /// The newest fencing token and its owner.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FencingState {
-    /// The token.
+    /// The newest token.
     pub token: u64,
     /// The coordinator that owns it.
     pub owner: Coordinator,
-    /// The newest owner on another machine, whose orders may still be in flight: none once an owner since then has waited for them.
+    /// The most recent owner on another machine, whose orders may still be in flight; `None` once a later owner has waited until
+    /// those orders can't arrive any more.
     pub previous_owner: Option<Coordinator>,
 }
 
@@ -70,7 +72,7 @@
 }
 
 impl ControlState {
-    /// Applies the command of the chain's entry `index`; indexes rise.
+    /// Applies the command in entry `index` of the control chain. Indexes must increase from call to call.
     pub fn apply(&mut self, index: u64, command: &Command) -> CommandOutcome {
         match command {
             Command::Noop => CommandOutcome::Applied,
@@ -106,11 +108,11 @@
     }
 
     fn name_version(&mut self, model: &str, version: u64) -> CommandOutcome {
-        let known = self.versions.get(model).copied();
-        if known.is_none() && self.versions.len() >= MAX_MODELS {
+        let named_version = self.versions.get(model).copied();
+        if named_version.is_none() && self.versions.len() >= MAX_MODELS {
             return CommandOutcome::Invalid { reason: "too many models have named versions".to_owned() };
         }
-        if version > known.unwrap_or(1) {
+        if version > named_version.unwrap_or(1) {
             self.versions.insert(model.to_owned(), version);
         }
         CommandOutcome::Applied
@@ -148,7 +150,7 @@
         self.fencing.as_ref()
     }
 
-    /// The operator's configuration.
+    /// The operator's configuration, with its history.
     #[must_use]
     pub fn configuration(&self) -> &ConfigurationState {
         &self.configuration
@@ -178,7 +180,7 @@
         &self.backends
     }
 
-    /// The parts of the state that all nodes follow, as entries of the registry.
+    /// The parts of the state that are distributed to all nodes, as entries of the registry.
     pub fn registry_entries(&self) -> Vec<Entry> {
         let mut entries = Vec::new();
         entries.extend(self.configuration.entry());
@@ -188,7 +190,7 @@
         entries
     }
 
-    /// What a command that was just applied may have changed, as entries of the registry.
+    /// The registry entries that a command may have changed when it was applied.
     pub fn changed_entries(&self, command: &Command) -> Vec<Entry> {
         let entry = match command {
             Command::ReplaceConfiguration { .. } | Command::UpdateConfiguration { .. } => {
@@ -216,21 +218,21 @@
     ///
     /// The state can't be encoded.
     pub fn snapshot(&self) -> Result<Vec<u8>, SnapshotError> {
-        bincode::serde::encode_to_vec(self, bincode::config::standard()).context(UnwritableSnafu)
+        bincode::serde::encode_to_vec(self, bincode::config::standard()).context(EncodeSnafu)
     }
 
-    /// Decodes a state from the bytes of [`ControlState::snapshot`]; the initial one from none.
+    /// Decodes a state from the bytes of [`ControlState::snapshot`]. Empty bytes give the initial state.
     ///
     /// # Errors
     ///
-    /// The bytes are no snapshot.
+    /// The bytes are not a snapshot.
     pub fn restore(bytes: &[u8]) -> Result<Self, SnapshotError> {
         if bytes.is_empty() {
             return Ok(Self::default());
         }
-        let (state, read) =
-            bincode::serde::decode_from_slice(bytes, bincode::config::standard()).context(UnreadableSnafu)?;
-        ensure!(read == bytes.len(), TrailingBytesSnafu { bytes: bytes.len() - read });
+        let (state, bytes_read) =
+            bincode::serde::decode_from_slice(bytes, bincode::config::standard()).context(DecodeSnafu)?;
+        ensure!(bytes_read == bytes.len(), TrailingBytesSnafu { bytes: bytes.len() - bytes_read });
         Ok(state)
     }
 }
@@ -239,14 +241,15 @@
     Entry { key: Key::NamedVersion(model.to_owned()), version, value: Value::Version(version) }
 }
 
-/// More members than this can't become in sync within one epoch; the entry's version counts them.
-const IN_SYNC_PER_EPOCH: u64 = 256;
+/// Number of registry versions reserved for each epoch of a partition. The version of a partition's entry is its epoch times this
+/// number plus the number of members in sync, which is always smaller.
+const VERSIONS_PER_EPOCH: u64 = 256;
 
 fn partition_entry(partition: u16, record: &PartitionRecord) -> Entry {
-    let in_sync = (record.in_sync.len() as u64).min(IN_SYNC_PER_EPOCH - 1);
+    let in_sync = (record.in_sync.len() as u64).min(VERSIONS_PER_EPOCH - 1);
     Entry {
         key: Key::Partition(partition),
-        version: record.epoch * IN_SYNC_PER_EPOCH + in_sync,
+        version: record.epoch * VERSIONS_PER_EPOCH + in_sync,
         value: Value::Partition(record.clone()),
     }
 }
--- a/system/control/src/state/partitions.rs
+++ b/system/control/src/state/partitions.rs
@@ -1,38 +1,38 @@
-//! The chains of the partitions of batch jobs.
+//! The replication chains of the partitions of batch jobs.
 
 use std::collections::BTreeMap;
 
 use gingerledge_wire::{CommandOutcome, PartitionRecord, PARTITION_COUNT};
 use serde::{Deserialize, Serialize};
 
-/// Most members of the chain of a partition.
-const MAX_CHAIN: usize = 16;
+/// Maximum number of members of the chain of a partition.
+const MAX_CHAIN_LENGTH: usize = 16;
 
-/// The chain of each partition.
+/// The chain of each partition, by partition number.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PartitionState {
     records: BTreeMap<u16, PartitionRecord>,
 }
 
 impl PartitionState {
-    /// The chain of a partition.
+    /// The chain of a partition, if it has one.
     #[must_use]
     pub fn get(&self, partition: u16) -> Option<&PartitionRecord> {
         self.records.get(&partition)
     }
 
-    /// All partitions that have a chain.
+    /// All partitions that have a chain, with their chains.
     pub fn all(&self) -> impl Iterator<Item = (u16, &PartitionRecord)> {
         self.records.iter().map(|(partition, record)| (*partition, record))
     }
 
-    /// Whether a member is in any chain.
+    /// Whether the backend with disk identity `member` is in any chain.
     #[must_use]
     pub fn is_member(&self, member: u64) -> bool {
         self.records.values().any(|record| record.chain.contains(&member))
     }
 
-    /// Whether every partition has so many replicas in sync.
+    /// Whether every partition that has a chain has at least `replicas` members in sync.
     #[must_use]
     pub fn all_have_replicas(&self, replicas: u64) -> bool {
         self.records.values().all(|record| record.in_sync.len() as u64 >= replicas)
@@ -76,7 +76,7 @@
         if record.in_sync.contains(&member) {
             return CommandOutcome::Applied;
         }
-        // A member is brought in sync by the one before it, which is in sync too then, but may not have reported so yet.
+        // A member is brought in sync by its predecessor, which is then in sync too but may not have reported so yet.
         if record.chain.get(record.in_sync.len()) != Some(&member) {
             return CommandOutcome::Conflict { current: epoch };
         }
@@ -85,7 +85,7 @@
     }
 }
 
-/// Why a new chain is invalid: it would lose data, or is no chain.
+/// The reason why a new chain is invalid: it would lose data, or is not well-formed. `None` if it is valid.
 fn rejection_reason(
     partition: u16,
     current: Option<&PartitionRecord>,
@@ -94,8 +94,9 @@
     if partition >= PARTITION_COUNT {
         return Some("no such partition");
     }
-    let unique = next.chain.iter().enumerate().all(|(at, member)| !next.chain[..at].contains(member));
-    if next.chain.is_empty() || next.chain.len() > MAX_CHAIN || !unique {
+    let is_unique =
+        next.chain.iter().enumerate().all(|(position, member)| !next.chain[..position].contains(member));
+    if next.chain.is_empty() || next.chain.len() > MAX_CHAIN_LENGTH || !is_unique {
         return Some("the chain is empty, too long, or names a member twice");
     }
     if !next.in_sync.iter().all(|member| next.chain.contains(member)) {
