--- a/system/control/src/http/body.rs
+++ b/system/control/src/http/body.rs
@@ -1,4 +1,4 @@
-//! Reads the bodies of calls within bounds of size and time.
+//! Reads the bodies of HTTP calls with limits on their size and on the time for reading them.
 
 use std::time::Duration;
 
@@ -11,14 +11,14 @@
 
 use super::reject;
 
-/// The largest body of a small call.
+/// Maximum size of the body of a call other than a change of the configuration, in bytes.
 pub(super) const MAX_SMALL_BODY_BYTES: usize = 256 * 1024;
-/// The largest configuration.
+/// Maximum size of the body of a configuration change, in bytes.
 pub(super) const MAX_CONFIGURATION_BYTES: usize = 40 * 1024 * 1024;
-/// A body has to arrive within this time.
+/// Maximum time for reading a body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// The complete body. If it can't be read, the call is answered with the reason, and none is returned.
+/// Reads the complete body. If it can't be read, the call is answered with the reason and `None` is returned.
 pub(super) async fn read(request: &mut Request, response: &mut Response, max_bytes: usize) -> Option<Bytes> {
     match timeout(BODY_TIMEOUT, request.payload_with_max_size(max_bytes)).await {
         Ok(Ok(body)) => Some(body.clone()),
@@ -41,7 +41,7 @@
     }
 }
 
-/// A small body in JSON. If it can't be read, the call is answered with the reason, and none is returned.
+/// Reads a small body and parses it as JSON. If that fails, the call is answered with the reason and `None` is returned.
 pub(super) async fn read_json<T: DeserializeOwned>(
     request: &mut Request,
     response: &mut Response,
--- a/system/control/src/http/configuration.rs
+++ b/system/control/src/http/configuration.rs
@@ -1,4 +1,4 @@
-//! The operator's configuration: replacing, updating and reading it.
+//! Calls that replace, update and read the operator's configuration.
 
 use std::sync::Arc;
 
@@ -13,42 +13,42 @@
 use crate::node;
 
 const BASE_VERSION: &str = "Base-Version";
-/// Most bodies that are read at the same time, so that large ones fit into memory.
+/// Maximum number of bodies that are read at the same time, so that large ones fit into memory.
 const MAX_CONCURRENT_BODIES: usize = 3;
 
-/// The form of a change of the configuration.
+/// The kind of a change of the configuration.
 #[derive(Clone, Copy)]
-enum ChangeForm {
-    /// A complete configuration.
+enum ChangeKind {
+    /// The body is a complete configuration.
     Replacement,
-    /// Named items.
+    /// The body adds, changes and removes named items of the current configuration.
     Update,
 }
 
-/// `POST /configuration/replace` and `POST /configuration/update`
+/// Handler of `POST /configuration/replace` and `POST /configuration/update`.
 #[derive(Clone)]
 pub(super) struct Change {
     node: NodeHandle,
-    form: ChangeForm,
+    kind: ChangeKind,
     bodies: Arc<Semaphore>,
 }
 
 impl Change {
-    /// The handlers of replacements and of updates, which share the bound on concurrent bodies.
+    /// Creates the handlers of replacements and of updates, which share the limit on concurrent bodies.
     pub(super) fn handlers(node: &NodeHandle) -> (Self, Self) {
         let bodies = Arc::new(Semaphore::new(MAX_CONCURRENT_BODIES));
-        let replacement = Self { node: node.clone(), form: ChangeForm::Replacement, bodies };
-        let update = Self { form: ChangeForm::Update, ..replacement.clone() };
+        let replacement = Self { node: node.clone(), kind: ChangeKind::Replacement, bodies };
+        let update = Self { kind: ChangeKind::Update, ..replacement.clone() };
         (replacement, update)
     }
 }
 
-impl ChangeForm {
-    /// The command for a body.
+impl ChangeKind {
+    /// Parses a body and returns the command for it.
     ///
     /// # Errors
     ///
-    /// The body is invalid whatever configuration it is applied to.
+    /// The body is invalid regardless of the configuration that it is applied to.
     fn command(self, base: u64, bytes: &[u8]) -> Result<Command, InvalidConfiguration> {
         let json = Arc::new(bytes.to_vec());
         match self {
@@ -74,14 +74,14 @@
             let reason = format!("{BASE_VERSION}: missing, or no version");
             return reject(response, StatusCode::BAD_REQUEST, reason);
         };
-        match self.form.command(base, &bytes) {
+        match self.kind.command(base, &bytes) {
             Ok(command) => respond(response, self.node.submit(command).await),
             Err(error) => reject(response, StatusCode::BAD_REQUEST, error.to_string()),
         }
     }
 }
 
-/// `GET /configuration/read`
+/// Handler of `GET /configuration/read`.
 pub(super) struct Read {
     pub(super) node: NodeHandle,
 }
--- a/system/control/src/http/mod.rs
+++ b/system/control/src/http/mod.rs
@@ -1,5 +1,5 @@
-//! The HTTP side, for stores, trainers and the operator: reads calls, sends requests to the node, and responds. A valid call is never
-//! answered with a 4xx because of a fault on this side; an outcome that is not known is a 503.
+//! The HTTP server for stores, trainers and the operator: reads calls, sends requests to the node, and responds. A valid call is
+//! never answered with a 4xx status because of a fault of the control plane; an unknown outcome is answered with status 503.
 
 mod body;
 mod configuration;
@@ -25,26 +25,27 @@
 }
 
 impl NodeHandle {
-    /// A handle that puts its requests into this queue.
+    /// Creates a handle that sends its requests to this queue.
     #[must_use]
     pub fn new(requests: mpsc::Sender<Request>) -> Self {
         Self { requests }
     }
 
-    /// Sends a request to the node; none if its queue is full, it ends, or it has no response.
+    /// Sends a request to the node and returns the response; `None` if the queue is full, the node is stopping, or the node has
+    /// no response.
     async fn request<T>(&self, request: impl FnOnce(oneshot::Sender<T>) -> Request) -> Option<T> {
         let (reply, answer) = oneshot::channel();
         self.requests.try_send(request(reply)).ok()?;
         answer.await.ok()
     }
 
-    /// Passes a command through the chain; none if its outcome is not known.
+    /// Submits a command to the chain and returns its outcome; `None` if it is not known.
     async fn submit(&self, command: Command) -> Option<CommandOutcome> {
         self.request(|reply| Request::Submit { command, reply }).await.flatten()
     }
 }
 
-/// All routes.
+/// Creates the router of all calls.
 #[must_use]
 pub fn router(node: &NodeHandle) -> Router {
     let node = node.clone();
@@ -80,13 +81,13 @@
     }
 }
 
-/// The outcome is not known, or the node has no response now.
+/// Responds with status 503, because the outcome is not known or the node has no response now.
 fn unavailable(response: &mut Response) {
     response.status_code(StatusCode::SERVICE_UNAVAILABLE);
     response.render(Text::Plain("not known now; the call may be repeated\n"));
 }
 
-/// The call itself is invalid.
+/// Responds with an error status and the reason why the call is rejected.
 fn reject(response: &mut Response, status: StatusCode, reason: String) {
     response.status_code(status);
     response.render(Text::Plain(reason + "\n"));
--- a/system/control/src/http/retire.rs
+++ b/system/control/src/http/retire.rs
@@ -1,4 +1,4 @@
-//! Retirements of backends.
+//! Calls that begin and read retirements of backends.
 
 use gingerledge_wire::RetirementState;
 use salvo::http::StatusCode;
@@ -9,7 +9,7 @@
 use super::{body, reject, unavailable, NodeHandle};
 use crate::node::{self, BeginRetirementOutcome};
 
-/// `POST /retire/NODE/begin`
+/// Handler of `POST /retire/NODE/begin`.
 pub(super) struct Begin {
     pub(super) node: NodeHandle,
 }
@@ -17,7 +17,7 @@
 #[salvo::handler]
 impl Begin {
     async fn handle(&self, request: &mut Request, response: &mut Response) {
-        // The deadline in the body changes nothing: a backend is retired as fast as possible.
+        // The deadline in the body is ignored: a backend is retired as fast as possible.
         if body::read(request, response, body::MAX_SMALL_BODY_BYTES).await.is_none() {
             return;
         }
@@ -37,7 +37,7 @@
     }
 }
 
-/// `GET /retire/NODE/read`
+/// Handler of `GET /retire/NODE/read`.
 pub(super) struct Read {
     pub(super) node: NodeHandle,
 }
--- a/system/control/src/http/server.rs
+++ b/system/control/src/http/server.rs
@@ -12,16 +12,16 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{watch, OwnedSemaphorePermit, Semaphore};
 
-/// Time before the next attempt after accepting a connection has failed.
-const ACCEPT_RETRY: Duration = Duration::from_millis(50);
+/// Delay before the next attempt after accepting a connection has failed.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Bounds of the server.
+/// Limits and time-outs of the server.
 #[derive(Clone, Copy, Debug)]
 pub struct ServerSettings {
-    /// Most connections at a time.
-    pub connections: usize,
-    /// A connection that sends no request head for this long is closed.
-    pub idle: Duration,
+    /// Maximum number of concurrent connections.
+    pub max_connections: usize,
+    /// A connection that sends no complete request head for this time is closed.
+    pub idle_timeout: Duration,
 }
 
 /// Serves until `stop` is true, and then until the calls in progress are answered.
@@ -32,7 +32,7 @@
     mut stop: watch::Receiver<bool>,
 ) {
     let service = Arc::new(Service::new(router));
-    let permits = Arc::new(Semaphore::new(settings.connections));
+    let permits = Arc::new(Semaphore::new(settings.max_connections));
     loop {
         let Ok(permit) = Arc::clone(&permits).acquire_owned().await else { return };
         let accepted = tokio::select! {
@@ -45,15 +45,15 @@
                 tokio::spawn(connection.run(stream, peer, permit));
             }
             Err(error) => {
-                log::warn!(error:% = error; "accept failed");
-                tokio::time::sleep(ACCEPT_RETRY).await;
+                log::warn!(error:% = error; "accepting a connection failed");
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
     drop(listener);
-    // All permits are back once all connections have ended.
-    let all = u32::try_from(settings.connections).unwrap_or(u32::MAX);
-    let _ = permits.acquire_many(all).await;
+    // All permits are released once all connections have ended.
+    let all_permits = u32::try_from(settings.max_connections).unwrap_or(u32::MAX);
+    let _ = permits.acquire_many(all_permits).await;
 }
 
 struct Connection {
@@ -76,19 +76,19 @@
             None,
         );
         let mut builder = http1::Builder::new();
-        builder.timer(TokioTimer::new()).header_read_timeout(self.settings.idle).keep_alive(true);
+        builder.timer(TokioTimer::new()).header_read_timeout(self.settings.idle_timeout).keep_alive(true);
         let connection = builder.serve_connection(TokioIo::new(stream), handler);
         tokio::pin!(connection);
         tokio::select! {
-            ended = connection.as_mut() => return log_end(ended),
+            ended = connection.as_mut() => return log_connection_end(ended),
             _ = self.stop.wait_for(|stopped| *stopped) => {}
         }
         connection.as_mut().graceful_shutdown();
-        log_end(connection.await);
+        log_connection_end(connection.await);
     }
 }
 
-fn log_end(ended: Result<(), hyper::Error>) {
+fn log_connection_end(ended: Result<(), hyper::Error>) {
     if let Err(error) = ended {
         log::debug!(error:% = error; "connection failed");
     }
--- a/system/control/src/http/versions.rs
+++ b/system/control/src/http/versions.rs
@@ -1,4 +1,4 @@
-//! Named versions of weights.
+//! The call that names a version of a model's weights.
 
 use gingerledge_wire::Command;
 use salvo::http::StatusCode;
@@ -14,7 +14,7 @@
     version: u64,
 }
 
-/// `POST /version-put`
+/// Handler of `POST /version-put`.
 pub(super) struct Put {
     pub(super) node: NodeHandle,
 }
--- a/system/control/src/lib.rs
+++ b/system/control/src/lib.rs
@@ -1,12 +1,13 @@
-//! The control plane: configuration, sessions of stores and nodes, versions of weights, and the map of the partitions of batch jobs.
+//! The control plane: configuration, sessions of stores and nodes, versions of weights, and the assignment of the partitions of
+//! batch jobs to backends.
 //!
 //! - [`state`] is the durable state, which the control chain replicates to all control nodes;
-//! - [`sessions`] follows the stores and nodes by their heartbeats; it needs no disk, since heartbeats come again;
-//! - [`coordinator`] has the planners of the one control node that holds the coordinator lease;
-//! - [`node`] drives all machines of one control node;
+//! - [`sessions`] tracks the stores and nodes by their heartbeats; it is not stored on disk, since heartbeats are repeated;
+//! - [`coordinator`] contains the planners of the control node that holds the coordinator lease;
+//! - [`node`] drives all state machines of one control node;
 //! - [`http`] serves stores, trainers and the operator.
 //!
-//! The first three do no I/O. [`run`] assembles the whole.
+//! The first three modules do no I/O. [`run`] assembles and runs a control node.
 
 #![warn(unreachable_pub)]
 
@@ -31,34 +32,34 @@
 const RESERVED_DESCRIPTORS: u64 = 800;
 const MIN_CONNECTIONS: u64 = 64;
 const MAX_CONNECTIONS: u64 = 8_192;
-/// A connection of a store or the operator that is idle for longer is closed.
+/// A connection of a store or of the operator that is idle for longer than this is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
-/// Calls in progress are waited for at most this long when the process ends.
-const MAX_CALL_DRAIN: Duration = Duration::from_millis(1_500);
+/// Maximum time for which the ending process waits for calls in progress.
+const MAX_CALL_DRAIN_TIME: Duration = Duration::from_millis(1_500);
 const LISTEN_BACKLOG: u32 = 1_024;
 
-/// Why the control program ends.
+/// An error that ends the control program.
 #[derive(Debug, Snafu)]
 pub enum RunError {
-    /// The settings name no address for stores and the operator.
+    /// The settings contain no listening address for stores and the operator.
     #[snafu(display("settings: listen.controlPlane: is missing"))]
     NoAddress,
-    /// The address can't be listened on.
+    /// Listening on the address failed.
     #[snafu(display("listen.controlPlane: {source}"))]
     Listen {
-        /// Why.
+        /// The I/O error.
         source: std::io::Error,
     },
-    /// The node does not start.
+    /// The node can't start.
     #[snafu(display("{source}"))]
     Start {
-        /// Why.
+        /// The error of the start.
         source: node::StartError,
     },
     /// The node can't continue.
     #[snafu(display("{source}"))]
     Node {
-        /// Why.
+        /// The error of the node.
         source: node::NodeError,
     },
 }
@@ -73,8 +74,8 @@
     let connections = settings.limits.file_descriptors.saturating_sub(RESERVED_DESCRIPTORS) / 2;
     let connections = connections.clamp(MIN_CONNECTIONS, MAX_CONNECTIONS);
     let server_settings = ServerSettings {
-        connections: usize::try_from(connections).unwrap_or(usize::MAX),
-        idle: IDLE_TIMEOUT,
+        max_connections: usize::try_from(connections).unwrap_or(usize::MAX),
+        idle_timeout: IDLE_TIMEOUT,
     };
     let handles = node::start(Arc::new(settings)).await.context(StartSnafu)?;
     let listener = listen(address).context(ListenSnafu)?;
@@ -83,11 +84,11 @@
     let server = tokio::spawn(http::serve(listener, router, server_settings, server_stop));
     let stopping = async {
         stop.await;
-        // The node runs on until the server's requests are answered.
+        // The node continues to run until the server's requests are answered.
         let _ = stop_server.send(true);
     };
     handles.node.run(handles.sources, stopping).await.context(NodeSnafu)?;
-    let _ = tokio::time::timeout(MAX_CALL_DRAIN, server).await;
+    let _ = tokio::time::timeout(MAX_CALL_DRAIN_TIME, server).await;
     Ok(())
 }
 
