--- a/system/control/src/coordinator/backends.rs
+++ b/system/control/src/coordinator/backends.rs
@@ -1,4 +1,4 @@
-//! Which backends can be used, by what they have reported themselves.
+//! Tracks the reports of backends and derives from them which backends can be used.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -6,16 +6,17 @@
 
 use gingerledge_wire::{BackendReport, NodeRecord, PartitionRecord};
 
-use super::partitions::{Backend, Condition};
+use super::partitions::{Backend, BackendCondition};
 
-/// Time-outs of the reports of backends.
+/// Time-outs for the reports of backends.
 #[derive(Clone, Copy, Debug)]
 pub struct BackendSettings {
-    /// A backend without a report for this long is lost.
+    /// A backend that has not reported for this long counts as failed.
     pub report_timeout: Duration,
-    /// One that has not reported yet to a new coordinator has this long.
+    /// Time after a node has become the coordinator during which a backend without a recent report counts as unknown and not yet
+    /// as failed.
     pub grace_period: Duration,
-    /// The first partitions wait this long after the first report, so that they are spread over all backends.
+    /// Delay between the first report and the placement of the first partitions, so that they are spread over all backends.
     pub settling_time: Duration,
 }
 
@@ -29,39 +30,39 @@
     }
 }
 
-/// Most backends whose reports are retained.
+/// Maximum number of backends whose reports are retained.
 const MAX_BACKENDS: usize = 4_096;
-/// A report is dropped this long after it came.
-const RETENTION: Duration = Duration::from_secs(120);
+/// A report is dropped this long after its receipt.
+const REPORT_RETENTION: Duration = Duration::from_secs(120);
 
 #[derive(Clone, Debug)]
 struct ReportedBackend {
     record: NodeRecord,
     report: BackendReport,
-    last_report: Duration,
+    last_report_at: Duration,
 }
 
-/// A member that has reported itself in sync with a partition.
+/// A backend that has reported that its replica of a partition is in sync.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ReplicaInSync {
-    /// The partition.
+    /// Number of the partition.
     pub partition: u16,
-    /// The epoch in which it became in sync.
+    /// Epoch of the partition in which the replica became in sync.
     pub epoch: u64,
-    /// The member.
+    /// Identity of the backend's disk.
     pub member: u64,
 }
 
-/// What backends have reported, by the identity of their disks.
+/// The latest reports of backends, by the identity of their disks.
 #[derive(Clone, Debug, Default)]
 pub struct BackendReports {
     settings: BackendSettings,
     backends: BTreeMap<u64, ReportedBackend>,
-    first_report: Option<Duration>,
+    first_report_at: Option<Duration>,
 }
 
 impl BackendReports {
-    /// Nothing reported yet.
+    /// Creates a collection without reports.
     #[must_use]
     pub fn new(settings: BackendSettings) -> Self {
         Self { settings, ..Self::default() }
@@ -69,99 +70,102 @@
 
     /// Records the report of a backend.
     pub fn on_report(&mut self, now: Duration, record: &NodeRecord, report: BackendReport) {
-        self.backends.retain(|_, backend| now.saturating_sub(backend.last_report) < RETENTION);
+        self.backends.retain(|_, backend| now.saturating_sub(backend.last_report_at) < REPORT_RETENTION);
         if self.backends.len() >= MAX_BACKENDS && !self.backends.contains_key(&record.member) {
             return;
         }
-        self.first_report.get_or_insert(now);
+        self.first_report_at.get_or_insert(now);
         self.backends
-            .insert(record.member, ReportedBackend { record: record.clone(), report, last_report: now });
+            .insert(record.member, ReportedBackend { record: record.clone(), report, last_report_at: now });
     }
 
-    /// Restarts the time-outs of all backends, after this process stood still and received nothing.
+    /// Restarts the time-outs of all backends, after this process was suspended and received nothing.
     pub fn restart_timeouts(&mut self, now: Duration) {
         for backend in self.backends.values_mut() {
-            backend.last_report = now;
+            backend.last_report_at = now;
         }
     }
 
-    /// Whether `settling_time` has passed since the first report, so that the first partitions may be placed.
+    /// Whether `settling_time` has passed coordinating_since the first report, so that the first partitions may be placed.
     #[must_use]
     pub fn has_settled(&self, now: Duration) -> bool {
-        self.first_report.is_some_and(|first| now >= first + self.settings.settling_time)
+        self.first_report_at.is_some_and(|first| now >= first + self.settings.settling_time)
     }
 
-    /// All backends that have reported, or that are in `chains`, and whether they can be used. The coordinator has been one since
-    /// `since`; `address_of` says where a disk was.
+    /// Returns all backends that have reported or that are in `chains`, and whether they can be used. This node has been the
+    /// coordinator since `coordinating_since`; `address_of` returns the registered address of a backend.
     pub fn conditions<'a>(
         &self,
         now: Duration,
-        since: Duration,
+        coordinating_since: Duration,
         chains: impl Iterator<Item = &'a PartitionRecord>,
         address_of: impl Fn(u64) -> Option<SocketAddr>,
         is_retiring: impl Fn(u64) -> bool,
     ) -> Vec<Backend> {
-        let unreported =
-            if now < since + self.settings.grace_period { Condition::Unknown } else { Condition::Lost };
+        let unreported_condition = if now < coordinating_since + self.settings.grace_period {
+            BackendCondition::Unknown
+        } else {
+            BackendCondition::Failed
+        };
         let mut backends: BTreeMap<u64, Backend> = chains
             .flat_map(|record| record.chain.iter().copied())
-            .map(|member| (member, Backend { member, zone: String::new(), condition: unreported }))
+            .map(|member| (member, Backend { member, zone: String::new(), condition: unreported_condition }))
             .collect();
         for (&member, reported) in &self.backends {
-            let condition = self.condition(now, since, reported, is_retiring(member));
+            let condition = self.condition(now, coordinating_since, reported, is_retiring(member));
             backends.insert(member, Backend { member, zone: reported.record.zone.clone(), condition });
         }
         for backend in backends.values_mut() {
             if address_of(backend.member).is_some_and(|address| self.is_replaced(backend.member, address)) {
-                backend.condition = Condition::Lost;
+                backend.condition = BackendCondition::Failed;
             }
         }
         backends.into_values().collect()
     }
 
-    /// Whether another disk has reported from a backend's address since the backend itself did: one process runs there, so the disk
-    /// before is lost.
+    /// Whether another disk has reported from `address` since the backend `member` last did. Only one process runs at an address,
+    /// so the former disk is lost then.
     fn is_replaced(&self, member: u64, address: SocketAddr) -> bool {
-        let last_report = self.backends.get(&member).map(|backend| backend.last_report);
+        let last_report = self.backends.get(&member).map(|backend| backend.last_report_at);
         self.backends.iter().any(|(&other, backend)| {
-            other != member && backend.record.address == address && Some(backend.last_report) > last_report
+            other != member && backend.record.address == address && Some(backend.last_report_at) > last_report
         })
     }
 
-    /// Backends that report from another address than the registered one, with the address of the report.
+    /// Backends whose reports come from another address than the registered one, with the address of the latest report.
     pub fn unregistered(&self, registered: impl Fn(u64) -> Option<SocketAddr>) -> Vec<(u64, SocketAddr)> {
-        let all = self.backends.iter().map(|(&member, backend)| (member, backend.record.address));
-        all.filter(|&(member, address)| registered(member) != Some(address)).collect()
+        let addresses = self.backends.iter().map(|(&member, backend)| (member, backend.record.address));
+        addresses.filter(|&(member, address)| registered(member) != Some(address)).collect()
     }
 
     fn condition(
         &self,
         now: Duration,
-        since: Duration,
+        coordinating_since: Duration,
         backend: &ReportedBackend,
-        retiring: bool,
-    ) -> Condition {
-        let is_overdue = now.saturating_sub(backend.last_report) > self.settings.report_timeout;
-        if is_overdue && now < since + self.settings.grace_period {
-            Condition::Unknown
+        is_retiring: bool,
+    ) -> BackendCondition {
+        let is_overdue = now.saturating_sub(backend.last_report_at) > self.settings.report_timeout;
+        if is_overdue && now < coordinating_since + self.settings.grace_period {
+            BackendCondition::Unknown
         } else if is_overdue || backend.report.disk_stalled {
-            Condition::Lost
-        } else if retiring {
-            Condition::Retiring
+            BackendCondition::Failed
+        } else if is_retiring {
+            BackendCondition::Retiring
         } else {
-            Condition::Usable
+            BackendCondition::Usable
         }
     }
 
-    /// Members that report themselves in sync where the partition's record does not show it yet.
+    /// Members that report themselves in sync while the partition's record does not show it yet.
     pub fn newly_in_sync<'a>(
         &self,
-        current: impl Fn(u16) -> Option<&'a PartitionRecord>,
+        current_record: impl Fn(u16) -> Option<&'a PartitionRecord>,
     ) -> Vec<ReplicaInSync> {
         let mut in_sync = Vec::new();
         for (&member, backend) in &self.backends {
             for &(partition, epoch) in &backend.report.in_sync {
-                let is_new = current(partition).is_some_and(|record| {
+                let is_new = current_record(partition).is_some_and(|record| {
                     record.epoch == epoch && record.chain.get(record.in_sync.len()) == Some(&member)
                 });
                 if is_new {
--- a/system/control/src/coordinator/load_schedule.rs
+++ b/system/control/src/coordinator/load_schedule.rs
@@ -1,4 +1,4 @@
-//! The schedule of loads of weights, sans I/O: which are in flight, which may start, and when a failed one is retried.
+//! The schedule of loads of weights, sans I/O: which loads are in flight, which may start, and when a failed one is retried.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -6,27 +6,28 @@
 use super::load_window::{FinishedLoad, LoadWindow};
 use super::weights::{Load, LoadMethod};
 
-/// Most services whose load windows are kept; where there are more, all windows are dropped.
+/// Maximum number of services whose load windows are kept. When another service is added, all windows are dropped.
 const MAX_SERVICES: usize = 64;
 
-/// Bounds and times of loads.
+/// Assumed durations and retry delays of loads.
 #[derive(Clone, Copy, Debug)]
 pub struct LoadScheduleSettings {
-    /// The usual time of a load while none has been measured. A store that lets its running requests end first counts as loading for
-    /// as long as a load usually takes. After that it is assumed to wait for them, which slows no other store down.
-    pub assumed_load: Duration,
-    /// A load at a store that was busy is retried after this long.
-    pub busy_retry: Duration,
-    /// A load that was rejected or not answered is retried after this long.
-    pub failed_retry: Duration,
+    /// Assumed duration of a load until one has been measured. A store that lets its running requests end first counts as loading
+    /// for the typical duration of a load. After that it is assumed to wait for those requests, which does not slow down other
+    /// stores.
+    pub assumed_load_duration: Duration,
+    /// Delay before the retry of a load at a store that was busy.
+    pub busy_retry_delay: Duration,
+    /// Delay before the retry of a load that was rejected or not answered.
+    pub failed_retry_delay: Duration,
 }
 
 impl Default for LoadScheduleSettings {
     fn default() -> Self {
         Self {
-            assumed_load: Duration::from_millis(500),
-            busy_retry: Duration::from_millis(300),
-            failed_retry: Duration::from_millis(1_200),
+            assumed_load_duration: Duration::from_millis(500),
+            busy_retry_delay: Duration::from_millis(300),
+            failed_retry_delay: Duration::from_millis(1_200),
         }
     }
 }
@@ -34,13 +35,13 @@
 /// The outcome of a load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadOutcome {
-    /// The store has the version.
+    /// The store has loaded the version.
     Done,
-    /// Another order is in progress there.
+    /// Another order is in progress at the store.
     Busy,
-    /// The store has seen a higher fencing token.
+    /// The store has received a higher fencing token.
     Fenced,
-    /// The store rejected the order, is another one now, or did not answer.
+    /// The store rejected the order, did not answer, or another store runs at its address now.
     Failed,
 }
 
@@ -48,79 +49,79 @@
 #[derive(Clone, Debug)]
 struct InFlightLoad {
     service: String,
-    began: Duration,
+    started_at: Duration,
     method: LoadMethod,
     concurrency: usize,
-    /// It counts against the concurrency limit until then.
-    counts_until: Duration,
+    /// Time until which the load counts against the concurrency limit.
+    counted_until: Duration,
 }
 
-/// The loads in flight, by store; a store processes one order at a time.
+/// The loads in flight and their retries, by store. A store processes one order at a time.
 #[derive(Clone, Debug, Default)]
 pub struct LoadSchedule {
     settings: LoadScheduleSettings,
     in_flight: BTreeMap<String, InFlightLoad>,
-    not_before: BTreeMap<String, Duration>,
-    /// Services with a load that was due and had to wait for those in flight.
-    saturated: BTreeSet<String>,
+    retry_at: BTreeMap<String, Duration>,
+    /// Services with a due load that was delayed by the concurrency limit.
+    saturated_services: BTreeSet<String>,
     windows: BTreeMap<String, LoadWindow>,
 }
 
-/// A load that is to start now.
+/// A load that has been scheduled to start now.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StartedLoad {
-    /// The load.
+    /// The load to start.
     pub load: Load,
-    /// How long it usually takes, if any was measured.
-    pub usual: Option<Duration>,
+    /// Typical duration of a load of the service, if one was measured.
+    pub typical_duration: Option<Duration>,
 }
 
 impl LoadSchedule {
-    /// A schedule without loads.
+    /// Creates a schedule without loads.
     #[must_use]
     pub fn new(settings: LoadScheduleSettings) -> Self {
         Self { settings, ..Self::default() }
     }
 
-    /// The due loads of a service that start now, and are in flight from now on.
+    /// Selects the due loads of a service that may start now. The selected loads are in flight from now on.
     pub fn start(&mut self, now: Duration, service: &str, due: &[Load]) -> Vec<StartedLoad> {
         if self.windows.len() >= MAX_SERVICES && !self.windows.contains_key(service) {
             self.windows.clear();
         }
         let window = self.windows.entry(service.to_owned()).or_default();
-        let (limit, usual) = (window.limit(), window.usual());
-        self.not_before.retain(|_, at| *at > now);
-        let counts = |other: &&InFlightLoad| other.service == service && other.counts_until > now;
-        let mut running = self.in_flight.values().filter(counts).count();
+        let (limit, typical_duration) = (window.limit(), window.typical_duration());
+        self.retry_at.retain(|_, at| *at > now);
+        let is_counted = |other: &&InFlightLoad| other.service == service && other.counted_until > now;
+        let mut running_loads = self.in_flight.values().filter(is_counted).count();
         let mut started = Vec::new();
-        self.saturated.remove(service);
+        self.saturated_services.remove(service);
         for load in due {
-            if self.in_flight.contains_key(&load.id) || self.not_before.contains_key(&load.id) {
+            if self.in_flight.contains_key(&load.id) || self.retry_at.contains_key(&load.id) {
                 continue;
             }
-            if running >= limit {
-                self.saturated.insert(service.to_owned());
+            if running_loads >= limit {
+                self.saturated_services.insert(service.to_owned());
                 break;
             }
-            let counts_until = match load.method {
-                LoadMethod::Blocking => now + usual.unwrap_or(self.settings.assumed_load),
+            let counted_until = match load.method {
+                LoadMethod::Blocking => now + typical_duration.unwrap_or(self.settings.assumed_load_duration),
                 LoadMethod::Preserve => Duration::MAX,
             };
-            running += 1;
+            running_loads += 1;
             let in_flight = InFlightLoad {
                 service: service.to_owned(),
-                began: now,
+                started_at: now,
                 method: load.method,
-                concurrency: running,
-                counts_until,
+                concurrency: running_loads,
+                counted_until,
             };
             self.in_flight.insert(load.id.clone(), in_flight);
-            started.push(StartedLoad { load: load.clone(), usual });
+            started.push(StartedLoad { load: load.clone(), typical_duration });
         }
         started
     }
 
-    /// A load has ended.
+    /// Processes the outcome of a load at the store `id`.
     pub fn on_load_ended(&mut self, now: Duration, id: &str, outcome: LoadOutcome) {
         let load = self.in_flight.remove(id);
         let delay = match outcome {
@@ -129,10 +130,10 @@
                 return;
             }
             LoadOutcome::Fenced => return,
-            LoadOutcome::Busy => self.settings.busy_retry,
-            LoadOutcome::Failed => self.settings.failed_retry,
+            LoadOutcome::Busy => self.settings.busy_retry_delay,
+            LoadOutcome::Failed => self.settings.failed_retry_delay,
         };
-        self.not_before.insert(id.to_owned(), now + delay);
+        self.retry_at.insert(id.to_owned(), now + delay);
     }
 
     fn on_load_succeeded(&mut self, now: Duration, load: &InFlightLoad) {
@@ -140,35 +141,36 @@
         let may_have_waited = load.method == LoadMethod::Blocking;
         window.on_load_finished(
             now,
-            FinishedLoad { began: load.began, may_have_waited, concurrency: load.concurrency },
+            FinishedLoad { started_at: load.started_at, may_have_waited, concurrency: load.concurrency },
         );
     }
 
-    /// How many stores of a service may load concurrently now.
+    /// Number of stores of a service that may load concurrently now.
     #[must_use]
     pub fn limit(&self, service: &str) -> usize {
         self.windows.get(service).cloned().unwrap_or_default().limit()
     }
 
-    /// When a load may start that could not before, though none has ended: a failed one may be retried, or one in flight stops counting
-    /// against the limit.
+    /// Next time at which another load may start although none in flight has ended: a failed load may be retried, or a load in
+    /// flight stops counting against the limit.
     #[must_use]
     pub fn next_evaluation(&self) -> Option<Duration> {
-        let blocking = self.in_flight.values().filter(|load| self.saturated.contains(&load.service));
-        let counting = blocking.map(|load| load.counts_until);
-        self.not_before.values().copied().chain(counting).min()
+        let saturating_loads =
+            self.in_flight.values().filter(|load| self.saturated_services.contains(&load.service));
+        let count_ends = saturating_loads.map(|load| load.counted_until);
+        self.retry_at.values().copied().chain(count_ends).min()
     }
 
-    /// How many loads are in flight.
+    /// Number of loads in flight.
     #[must_use]
-    pub fn in_flight(&self) -> usize {
+    pub fn in_flight_count(&self) -> usize {
         self.in_flight.len()
     }
 
-    /// Drops all loads in flight. The measured times are kept.
+    /// Drops all loads in flight and their retries. The measured durations are kept.
     pub fn clear(&mut self) {
         self.in_flight.clear();
-        self.not_before.clear();
-        self.saturated.clear();
+        self.retry_at.clear();
+        self.saturated_services.clear();
     }
 }
--- a/system/control/src/coordinator/mod.rs
+++ b/system/control/src/coordinator/mod.rs
@@ -1,8 +1,10 @@
-//! The work of the one control node that holds the lease: planners that compare what is wanted with what is, sans I/O.
+//! Planners of the control node that holds the coordinator lease, sans I/O. They compare the wanted state of the system with its
+//! current state.
 //!
-//! [`backends`] says which backends can be used, [`partitions`] which chains of the partitions of batch jobs should change,
-//! [`weights`] which stores should load which version, [`model_usage`] how their running requests may end, and and [`load_schedule`]
-//! when loads start. Each is a function of what is known now; the caller carries the result out, and calls them again.
+//! [`backends`] determines which backends can be used, [`partitions`] plans changes to the chains of the partitions of batch
+//! jobs, [`weights`] which stores should load which version, [`model_usage`] how the running requests of those stores may end,
+//! and [`load_schedule`] when loads start. The planners decide from the information available at the call; the caller carries out
+//! the result and calls them again.
 
 pub mod backends;
 pub mod load_schedule;
@@ -11,10 +13,10 @@
 pub mod partitions;
 pub mod weights;
 
-/// The score of a candidate for a subject in rendezvous hashing (Thaler & Ravishankar 1998): the highest wins, and a candidate that goes
-/// changes nothing for the others.
+/// The score of a candidate for a subject in rendezvous hashing (Thaler & Ravishankar 1998): the candidate with the highest score
+/// is chosen, and the removal of a candidate does not change the scores of the others.
 #[must_use]
-pub fn rendezvous(subject: u64, candidate: u64) -> u64 {
+pub fn rendezvous_score(subject: u64, candidate: u64) -> u64 {
     mix(subject.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ mix(candidate))
 }
 
--- a/system/control/src/node/coordinator_tasks/leadership.rs
+++ b/system/control/src/node/coordinator_tasks/leadership.rs
@@ -1,32 +1,33 @@
-//! How far this node is in becoming the coordinator.
+//! The progress of this node in becoming the coordinator.
 
 use std::fmt::{Display, Formatter};
 use std::time::Duration;
 
-/// The state of this node's leadership. Its text is what `status` shows to operators.
+/// The state of this node's leadership. The `status` response shows its `Display` text to operators, so that text must not
+/// change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::node) enum Leadership {
-    /// It does not hold the coordinator lease.
+    /// The node does not hold the coordinator lease.
     Follower,
-    /// It holds the lease, and has submitted the command that allocates its fencing token.
+    /// The node holds the lease, and has submitted the command that allocates its fencing token.
     AllocatingToken {
-        /// Since when it has held the lease.
+        /// Time since which the node has held the lease.
         lease_since: Duration,
     },
-    /// Its token is allocated; it coordinates once its own state shows the token.
+    /// The fencing token is allocated. The node coordinates once its own state contains the token.
     TokenAllocated {
         /// The fencing token.
         token: u64,
-        /// Since when it has held the lease.
+        /// Time since which the node has held the lease.
         lease_since: Duration,
     },
-    /// It coordinates.
+    /// The node is the coordinator.
     Active {
         /// The fencing token.
         token: u64,
-        /// Since when it coordinates.
+        /// Time since which the node has been the coordinator.
         since: Duration,
-        /// Orders may be sent to stores from then on.
+        /// Time from which orders may be sent to stores.
         orders_from: Duration,
     },
 }
--- a/system/control/src/node/coordinator_tasks/load_task.rs
+++ b/system/control/src/node/coordinator_tasks/load_task.rs
@@ -1,9 +1,9 @@
-//! One load of a version at a store: a task with a connection of its own, which sends the order and polls until the store has the version.
-//! An order is sent only while the coordinator lease is held, which is checked again before each.
+//! Carries out one load of a version at a store: a task with its own connection that sends the order and polls until the store
+//! has the version. An order is sent only while the coordinator lease is held, which is checked again before each.
 //!
-//! A store that loads beside its running requests is polled by the same order again, which it answers at once: its reports are some hundred
-//! milliseconds old, and the next step of a trainer may be waiting. Where a store lets its requests end first, which may take long, its
-//! reports are polled.
+//! A store that loads while its requests continue is polled by sending the same order again, which it answers at once: its
+//! reports are some hundred milliseconds old, and the next step of a trainer may be waiting. For a store that lets its requests
+//! end first, which may take long, the reports are polled instead.
 
 use std::error::Error;
 use std::net::SocketAddr;
@@ -27,20 +27,20 @@
 
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(700);
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1_200);
-/// While the usual time of a load is unknown, a store is polled first after this long.
-const FIRST_ORDER_POLL: Duration = Duration::from_millis(260);
-/// The first poll comes after this part of the usual time of a load, in percent, so that a quicker one is noticed.
-const FIRST_ORDER_POLL_PERCENT: u32 = 95;
+/// Delay before the first poll by order while the typical duration of a load is unknown.
+const FIRST_ORDER_POLL_DELAY: Duration = Duration::from_millis(260);
+/// Delay before the first poll by order, in percent of the typical duration of a load, so that a quicker load is noticed.
+const FIRST_ORDER_POLL_DELAY_PERCENT: u32 = 95;
 const MIN_ORDER_POLL_INTERVAL: Duration = Duration::from_millis(60);
-/// A load that waits for no request shows in reports after about this long.
-const FIRST_REPORT_POLL: Duration = Duration::from_millis(330);
+/// Delay before the first poll of reports: the approximate time after which reports show a load that does not wait for requests.
+const FIRST_REPORT_POLL_DELAY: Duration = Duration::from_millis(330);
 const MIN_REPORT_POLL_INTERVAL: Duration = Duration::from_millis(150);
 const MAX_POLL_INTERVAL: Duration = Duration::from_millis(400);
-/// Requests that end first may take long; after this the order is sent anew.
+/// Maximum duration of a load, since requests that end first may take long. After this time the order is sent again.
 const LOAD_TIMEOUT: Duration = Duration::from_secs(12);
 const MAX_RESPONSE_BYTES: usize = 256 * 1024;
 
-/// Why the outcome of a load is not known.
+/// An error because of which the outcome of a load is not known.
 #[derive(Debug, Snafu)]
 enum LoadError {
     #[snafu(display("connecting timed out"))]
@@ -67,36 +67,36 @@
     LoadTimeout,
 }
 
-/// The result of a load.
+/// The result of a load at a store.
 #[derive(Clone, Debug)]
 pub(in crate::node) struct LoadResult {
-    /// The store.
+    /// Instance id of the store.
     pub id: String,
     pub model: String,
     pub version: u64,
     pub outcome: LoadOutcome,
 }
 
-/// One load to be carried out.
+/// A load to be carried out.
 #[derive(Debug)]
 pub(super) struct LoadTask {
-    /// The store.
+    /// Instance id of the store.
     pub id: String,
     pub address: SocketAddr,
     pub order: Order,
     pub method: LoadMethod,
-    /// How long a load usually takes, as far as that is known.
-    pub usual: Option<Duration>,
+    /// Typical duration of a load, if it is known.
+    pub typical_duration: Option<Duration>,
     pub gate: OrderGate,
     pub results: UnboundedSender<LoadResult>,
 }
 
-/// The times between polls: a first one, and then growing ones.
+/// The intervals between polls: a first one, followed by growing ones.
 #[derive(Debug)]
 struct PollIntervals {
     next: Duration,
     after_next: Duration,
-    /// Each interval after the first two is so much longer than the one before, as a fraction.
+    /// Ratio of each interval after the second to the one before, as numerator and denominator.
     growth: (u32, u32),
 }
 
@@ -110,11 +110,11 @@
 }
 
 impl LoadTask {
-    /// Carries the load out and sends its result.
+    /// Carries out the load and sends its result.
     pub(super) async fn run(self) {
         let outcome = self.load().await.unwrap_or(LoadOutcome::Failed);
         let Order { model, version, .. } = self.order;
-        // The receiver is gone while the process ends.
+        // The receiver has been dropped if the process is ending.
         let _ = self.results.send(LoadResult { id: self.id, model, version, outcome });
     }
 
@@ -140,15 +140,16 @@
 
     /// Sends the order again until the store answers that it has the version.
     async fn poll_by_order(&self, sender: &mut SendRequest<Full<Bytes>>) -> Result<LoadOutcome, LoadError> {
-        let begun = Instant::now();
-        let usual = self.usual.map(|usual| usual * FIRST_ORDER_POLL_PERCENT / 100);
+        let started = Instant::now();
+        let first_poll =
+            self.typical_duration.map(|duration| duration * FIRST_ORDER_POLL_DELAY_PERCENT / 100);
         let mut intervals = PollIntervals {
-            next: usual.unwrap_or(FIRST_ORDER_POLL),
+            next: first_poll.unwrap_or(FIRST_ORDER_POLL_DELAY),
             after_next: MIN_ORDER_POLL_INTERVAL,
             growth: (5, 4),
         };
         sleep(intervals.advance()).await;
-        while begun.elapsed() < LOAD_TIMEOUT {
+        while started.elapsed() < LOAD_TIMEOUT {
             match self.send_order(sender).await? {
                 // The load is still in progress.
                 StatusCode::ACCEPTED | StatusCode::CONFLICT => {}
@@ -161,10 +162,13 @@
 
     /// Requests reports until one shows the version. Unlike orders they need no lease, so it is checked here.
     async fn poll_reports(&self, sender: &mut SendRequest<Full<Bytes>>) -> Result<LoadOutcome, LoadError> {
-        let begun = Instant::now();
-        let mut intervals =
-            PollIntervals { next: FIRST_REPORT_POLL, after_next: MIN_REPORT_POLL_INTERVAL, growth: (3, 2) };
-        while begun.elapsed() < LOAD_TIMEOUT && self.gate.is_open() {
+        let started = Instant::now();
+        let mut intervals = PollIntervals {
+            next: FIRST_REPORT_POLL_DELAY,
+            after_next: MIN_REPORT_POLL_INTERVAL,
+            growth: (3, 2),
+        };
+        while started.elapsed() < LOAD_TIMEOUT && self.gate.is_open() {
             sleep(intervals.advance()).await;
             let (status, body) = self.call(sender, "GET", "/report", Vec::new()).await?;
             ensure!(status == StatusCode::OK, ReportRefusedSnafu { status });
@@ -177,7 +181,7 @@
         LoadTimeoutSnafu.fail()
     }
 
-    /// The outcome of an order that the store has neither accepted nor put off.
+    /// The outcome of an order that the store has neither accepted nor rejected as busy.
     fn final_outcome(&self, status: StatusCode) -> LoadOutcome {
         match status {
             StatusCode::OK => LoadOutcome::Done,
--- a/system/control/src/node/coordinator_tasks/mod.rs
+++ b/system/control/src/node/coordinator_tasks/mod.rs
@@ -1,9 +1,10 @@
-//! The work of the coordinator: while this node holds the coordinator lease it allocates a fencing token, and then compares again and again
-//! what is wanted with what is, and submits commands and sends orders to bring the two together. The planners are in
+//! The tasks of the coordinator. While this node holds the coordinator lease it allocates a fencing token, and then repeatedly
+//! compares the wanted state with the current state, and submits commands and sends orders to reconcile them. The planners are in
 //! [`crate::coordinator`].
 //!
-//! Only the holder of the newest fencing token coordinates (Burrows' Chubby calls such a token a sequencer). Stores that check tokens reject
-//! the orders of former coordinators; others are protected by time, since the orders of two coordinators keep a lease apart.
+//! Only the holder of the newest fencing token coordinates (Burrows' Chubby calls such a token a sequencer). Stores that check
+//! tokens reject the orders of former coordinators. Other stores are protected by time: the orders of two coordinators are at
+//! least the lease time apart.
 
 mod leadership;
 mod load_task;
@@ -30,24 +31,24 @@
 use partitions::PartitionTask;
 use weights::WeightTask;
 
-/// An order may be in flight for this long, so the orders of two coordinators keep so much more apart.
-const MAX_ORDER_FLIGHT: Duration = Duration::from_millis(400);
-/// A previous coordinator that was not seen for this long has ended or is partitioned from this node.
+/// Maximum time for which an order is in flight. The orders of two coordinators are kept further apart by this time.
+const MAX_ORDER_FLIGHT_TIME: Duration = Duration::from_millis(400);
+/// A previous coordinator that was not seen for this time has ended or is partitioned from this node.
 const PREVIOUS_COORDINATOR_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// All stores have sent a heartbeat after this part of their interval, in percent.
+/// Time after the start by which all stores have sent a heartbeat, in percent of their heartbeat interval.
 const FIRST_HEARTBEATS_PERCENT: u32 = 130;
 
-/// What the coordinator goes by.
+/// Settings of the coordinator tasks.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct CoordinatorSettings {
-    /// How many machines may be lost at a time.
+    /// Number of machines that may fail at the same time.
     fault_tolerance: usize,
-    /// The orders of two coordinators keep this far apart.
+    /// Minimum time between the orders of two coordinators.
     lease_time: Duration,
-    /// Time between the heartbeats of a store.
-    store_interval: Duration,
+    /// Interval between the heartbeats of a store.
+    store_heartbeat_interval: Duration,
     /// Whether stores check fencing tokens.
-    do_stores_check_tokens: bool,
+    stores_check_tokens: bool,
 }
 
 impl From<&Settings> for CoordinatorSettings {
@@ -55,13 +56,13 @@
         Self {
             fault_tolerance: settings.fault_tolerance.machines,
             lease_time: Duration::from_millis(settings.bounds.lease_ms),
-            store_interval: Duration::from_millis(settings.heartbeat_ms),
-            do_stores_check_tokens: settings.bounds.fencing,
+            store_heartbeat_interval: Duration::from_millis(settings.heartbeat_ms),
+            stores_check_tokens: settings.bounds.fencing,
         }
     }
 }
 
-/// What the coordinator compares: the replicated state, and what is known of the system.
+/// The input of the coordinator: the replicated state, the registry, and the directory of the control nodes.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct CoordinatorView<'a> {
     pub state: &'a ControlState,
@@ -73,7 +74,7 @@
 #[derive(Debug)]
 pub(super) struct CoordinatorTasks {
     clock: Clock,
-    own: NodeRecord,
+    own_record: NodeRecord,
     settings: CoordinatorSettings,
     leadership: Leadership,
     is_handover_in_flight: bool,
@@ -82,10 +83,11 @@
 }
 
 impl CoordinatorTasks {
-    /// The tasks of a node; the results of loads go to `load_results`, and come back in [`Self::on_load_result`].
+    /// Creates the coordinator tasks of a node. The results of loads are sent to `load_results` and have to be passed to
+    /// [`Self::on_load_result`].
     pub(super) fn new(
         clock: Clock,
-        own: NodeRecord,
+        own_record: NodeRecord,
         settings: CoordinatorSettings,
         load_results: UnboundedSender<LoadResult>,
     ) -> Self {
@@ -95,32 +97,32 @@
             leadership: Leadership::Follower,
             is_handover_in_flight: false,
             partitions: PartitionTask::new(settings.fault_tolerance),
-            weights: WeightTask::new(clock, own.name.clone(), load_results),
-            own,
+            weights: WeightTask::new(clock, own_record.name.clone(), load_results),
+            own_record,
         }
     }
 
-    /// How far this node is in becoming the coordinator.
+    /// The progress of this node in becoming the coordinator.
     pub(super) fn leadership(&self) -> Leadership {
         self.leadership
     }
 
-    /// A backend has reported.
+    /// Processes the report of a backend.
     pub(super) fn on_backend_report(&mut self, now: Duration, node: &NodeRecord, report: BackendReport) {
         self.partitions.on_backend_report(now, node, report);
     }
 
-    /// This process stood still and received no reports.
+    /// Restarts the time-outs of reports, after this process was suspended and received none.
     pub(super) fn restart_timeouts(&mut self, now: Duration) {
         self.partitions.restart_timeouts(now);
     }
 
-    /// An entry of the registry has changed that the weights depend on.
+    /// Processes a change of a registry entry that the weights depend on.
     pub(super) fn on_weight_inputs_changed(&mut self) {
         self.weights.mark_dirty();
     }
 
-    /// An edge has seen a batch job for a model.
+    /// Processes an edge's notice of a batch job for a model.
     pub(super) fn on_model_used(
         &mut self,
         configuration: &ConfigurationState,
@@ -132,7 +134,7 @@
         self.weights.on_model_used(configuration, model, host, path, min_version);
     }
 
-    /// A load at a store has ended. A store that has seen a newer fencing token ends the leadership.
+    /// Processes the result of a load at a store. A store that has received a newer fencing token ends the leadership.
     pub(super) fn on_load_result(
         &mut self,
         now: Duration,
@@ -142,11 +144,11 @@
     ) {
         let is_fenced = self.weights.on_load_result(now, result, sessions, relay);
         if is_fenced {
-            self.end();
+            self.end_leadership();
         }
     }
 
-    /// The lease is held until then. The work begins with the next run.
+    /// Processes the acquisition or renewal of the lease, which is held until `until`. Coordination starts with the next run.
     pub(super) fn on_lease_held(&mut self, until: Duration) {
         if let Leadership::Active { orders_from, .. } = self.leadership {
             if self.clock.now() >= orders_from {
@@ -155,17 +157,17 @@
         }
     }
 
-    /// The lease is lost.
+    /// Processes the loss of the lease.
     pub(super) fn on_lease_lost(&mut self) {
-        self.end();
+        self.end_leadership();
     }
 
-    fn end(&mut self) {
+    fn end_leadership(&mut self) {
         self.leadership = Leadership::Follower;
         self.weights.stop();
     }
 
-    /// Compares everything once. `lease_until` says until when this node holds the coordinator lease, if it does.
+    /// Runs all coordinator tasks once. `lease_until` is the time until which this node holds the coordinator lease, if it does.
     pub(super) fn run(
         &mut self,
         now: Duration,
@@ -175,7 +177,7 @@
     ) {
         let Some(lease_until) = lease_until else {
             if self.leadership != Leadership::Follower {
-                self.end();
+                self.end_leadership();
             }
             return;
         };
@@ -188,7 +190,7 @@
             Leadership::Active { token, since, orders_from } => {
                 if view.state.fencing_token() > token {
                     log::info!(token; "coordinator superseded by a newer fencing token");
-                    self.end();
+                    self.end_leadership();
                     return;
                 }
                 self.partitions.run(now, token, since, view.state, commands);
@@ -204,8 +206,10 @@
 
     fn allocate_token(&mut self, now: Duration, commands: &mut CommandClient) {
         self.leadership = Leadership::AllocatingToken { lease_since: now };
-        let command =
-            Command::AllocateFencingToken { incarnation: self.own.incarnation, address: self.own.address };
+        let command = Command::AllocateFencingToken {
+            incarnation: self.own_record.incarnation,
+            address: self.own_record.address,
+        };
         if commands.submit_for_coordinator(command, CoordinatorCommand::FencingToken).is_err() {
             self.on_token_outcome(None);
         }
@@ -228,43 +232,45 @@
     ) {
         let Some(fencing) = view.state.fencing() else { return };
         if fencing.token > token {
-            self.end();
+            self.end_leadership();
             return;
         }
         if fencing.token < token {
             return;
         }
         let orders_from = if self.must_wait_for(fencing.previous_owner.as_ref(), now, view.directory) {
-            lease_since + self.settings.lease_time + MAX_ORDER_FLIGHT
+            lease_since + self.settings.lease_time + MAX_ORDER_FLIGHT_TIME
         } else {
             now
         };
-        // After a start, the registry lacks stores whose heartbeats are still to come: loads would go to the wrong ones.
-        let all_stores_known = FIRST_HEARTBEATS_PERCENT * self.settings.store_interval / 100;
-        let orders_from = orders_from.max(all_stores_known);
+        // After a start, the registry lacks stores whose first heartbeats are still to come, so the loads would be planned for
+        // the wrong stores.
+        let all_stores_known_at = FIRST_HEARTBEATS_PERCENT * self.settings.store_heartbeat_interval / 100;
+        let orders_from = orders_from.max(all_stores_known_at);
         log::info!(token; "coordinator active");
         self.leadership = Leadership::Active { token, since: now, orders_from };
         self.weights.mark_dirty();
-        self.partitions.forget_in_flight();
+        self.partitions.clear_in_flight();
     }
 
-    /// Whether orders of the previous coordinator may still arrive: it may have sent them until its lease ended. Stores that check
-    /// fencing tokens reject them from now on, so there only a process that is known to be alive is waited for.
+    /// Whether orders of the previous coordinator may still arrive. It may have sent orders until its lease ended. Stores that
+    /// check fencing tokens reject them from now on, so with such stores the wait is needed only for a process that is known to
+    /// be alive.
     fn must_wait_for(
         &self,
         previous: Option<&Coordinator>,
         now: Duration,
         directory: &PeerDirectory,
     ) -> bool {
-        let Some(previous) = previous.filter(|previous| previous.address != self.own.address) else {
+        let Some(previous) = previous.filter(|previous| previous.address != self.own_record.address) else {
             return false;
         };
         let seen_since = now.saturating_sub(PREVIOUS_COORDINATOR_TIMEOUT);
-        !self.settings.do_stores_check_tokens
+        !self.settings.stores_check_tokens
             || directory.is_alive(previous.address, previous.incarnation, seen_since)
     }
 
-    /// Records, for the next coordinator on this machine, that orders of the previous machine can't arrive any more.
+    /// Records for the next coordinator on this machine that orders of the previous coordinator's machine can't arrive any more.
     fn complete_handover(&mut self, token: u64, state: &ControlState, commands: &mut CommandClient) {
         let is_incomplete =
             state.fencing().is_some_and(|fencing| fencing.token == token && fencing.previous_owner.is_some());
@@ -276,7 +282,7 @@
             commands.submit_for_coordinator(command, CoordinatorCommand::Handover).is_ok();
     }
 
-    /// The outcome of a command of this coordinator has come, or its time is over.
+    /// Processes the outcome of a command of this coordinator, which is unknown if the command has expired.
     pub(super) fn on_command_outcome(&mut self, outcome: CoordinatorOutcome) {
         let CoordinatorOutcome { command, outcome } = outcome;
         match command {
--- a/system/control/src/node/coordinator_tasks/order_gate.rs
+++ b/system/control/src/node/coordinator_tasks/order_gate.rs
@@ -1,4 +1,4 @@
-//! Until when orders may be sent to stores, shared with the tasks that send them.
+//! The deadline for sending orders to stores, shared with the tasks that send them.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
@@ -6,7 +6,7 @@
 
 use crate::node::clock::Clock;
 
-/// A gate that is open only while the coordinator lease is held.
+/// A gate that is open only while the coordinator lease is held. Clones share the same state.
 #[derive(Clone, Debug)]
 pub(super) struct OrderGate {
     clock: Clock,
@@ -14,12 +14,12 @@
 }
 
 impl OrderGate {
-    /// A closed gate.
+    /// Creates a closed gate.
     pub(super) fn new(clock: Clock) -> Self {
         Self { clock, open_until_ms: Arc::new(AtomicU64::new(0)) }
     }
 
-    /// Opens the gate until a time.
+    /// Opens the gate until the given time.
     pub(super) fn open_until(&self, until: Duration) {
         self.open_until_ms.store(u64::try_from(until.as_millis()).unwrap_or(u64::MAX), Ordering::Relaxed);
     }
--- a/system/control/src/node/coordinator_tasks/partitions.rs
+++ b/system/control/src/node/coordinator_tasks/partitions.rs
@@ -1,5 +1,5 @@
-//! Repairs the chains of the partitions of batch jobs, registers where the disks of backends are, and completes retirements. One command
-//! at a time is in flight for each partition, each backend, and for all retirements.
+//! Repairs the chains of the partitions of batch jobs, registers the addresses of backends, and completes retirements. At most
+//! one command is in flight for each partition, for each backend, and for all retirements together.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -7,11 +7,11 @@
 use gingerledge_wire::{BackendReport, Command, CommandOutcome, NodeRecord, RetirementState};
 
 use crate::coordinator::backends::{BackendReports, BackendSettings};
-use crate::coordinator::partitions::{Backends, Change};
+use crate::coordinator::partitions::{Backends, ChainChange};
 use crate::node::commands::{CommandClient, CoordinatorCommand};
 use crate::state::ControlState;
 
-/// The coordinator's work on partitions and backends.
+/// The coordinator's task for partitions and backends.
 #[derive(Debug)]
 pub(super) struct PartitionTask {
     fault_tolerance: usize,
@@ -32,45 +32,50 @@
         }
     }
 
-    /// A backend has reported.
+    /// Processes the report of a backend.
     pub(super) fn on_backend_report(&mut self, now: Duration, node: &NodeRecord, report: BackendReport) {
         self.reports.on_report(now, node, report);
     }
 
-    /// This process stood still and received no reports.
+    /// Restarts the time-outs of reports, after this process was suspended and received none.
     pub(super) fn restart_timeouts(&mut self, now: Duration) {
         self.reports.restart_timeouts(now);
     }
 
-    /// The outcomes of commands of a former leadership are not waited for.
-    pub(super) fn forget_in_flight(&mut self) {
+    /// Clears the record of commands in flight, since the outcomes of commands of a former leadership are not waited for.
+    pub(super) fn clear_in_flight(&mut self) {
         self.partitions_in_flight.clear();
         self.registrations_in_flight.clear();
     }
 
-    /// Submits what should change. The node has coordinated under `token` since `since`.
+    /// Submits all changes that are needed now. The node has coordinated under `token` since `coordinating_since`.
     pub(super) fn run(
         &mut self,
         now: Duration,
         token: u64,
-        since: Duration,
+        coordinating_since: Duration,
         state: &ControlState,
         commands: &mut CommandClient,
     ) {
         self.submit_replicas_in_sync(state, commands);
         self.submit_registrations(state, commands);
-        for Change { partition, record } in self.planned_changes(now, since, state) {
+        for ChainChange { partition, record } in self.planned_changes(now, coordinating_since, state) {
             let command = Command::SetPartition { partition, record, fencing_token: token };
             self.submit_change(partition, command, commands);
         }
     }
 
-    fn planned_changes(&self, now: Duration, since: Duration, state: &ControlState) -> Vec<Change> {
+    fn planned_changes(
+        &self,
+        now: Duration,
+        coordinating_since: Duration,
+        state: &ControlState,
+    ) -> Vec<ChainChange> {
         let partitions = state.partitions();
         let chains = partitions.all().map(|(_, record)| record);
         let address_of = |member| state.backends().get(member);
         let is_retiring = |member| state.retirements().contains_member(member);
-        let conditions = self.reports.conditions(now, since, chains, address_of, is_retiring);
+        let conditions = self.reports.conditions(now, coordinating_since, chains, address_of, is_retiring);
         let backends = Backends::new(conditions, self.fault_tolerance);
         let has_settled = self.reports.has_settled(now);
         let mut changes = backends.plan(|partition| partitions.get(partition));
@@ -87,7 +92,7 @@
         }
     }
 
-    /// Submits the change of a partition unless another one is in flight.
+    /// Submits the change of a partition unless another change of it is in flight.
     fn submit_change(&mut self, partition: u16, command: Command, commands: &mut CommandClient) {
         if !self.partitions_in_flight.insert(partition) {
             return;
@@ -98,7 +103,8 @@
         }
     }
 
-    /// Registers where the disks are, since the next coordinator may know nothing but that.
+    /// Registers the addresses of backends. After a failover the next coordinator may know nothing else about where their disks
+    /// are.
     fn submit_registrations(&mut self, state: &ControlState, commands: &mut CommandClient) {
         for (member, address) in self.reports.unregistered(|member| state.backends().get(member)) {
             if !self.registrations_in_flight.insert(member) {
@@ -118,22 +124,22 @@
     pub(super) fn on_partition_outcome(&mut self, partition: u16, outcome: Option<&CommandOutcome>) {
         self.partitions_in_flight.remove(&partition);
         if outcome != Some(&CommandOutcome::Applied) {
-            log::info!(partition, outcome:?; "partition change rejected");
+            log::info!(partition, outcome:?; "partition change not applied");
         }
     }
 
-    /// Completes the retirement of one backend that is in no chain any more, once every chain has all its replicas elsewhere. A chain that
-    /// lost the backend while it was unreachable may still be filling its replacement: until then, losing the machine would be a second
-    /// loss.
+    /// Completes the retirement of one backend that is not in a chain any more, once every chain has all its replicas on other
+    /// backends. A chain that lost the backend while it was unreachable may still be filling its replacement: until then, losing
+    /// the machine would be a second loss.
     pub(super) fn complete_retirement(&mut self, state: &ControlState, commands: &mut CommandClient) {
         let replicas = self.fault_tolerance as u64 + 1;
         if self.is_retirement_in_flight || !state.partitions().all_have_replicas(replicas) {
             return;
         }
-        let completed = state.retirements().all().find(|(_, retirement)| {
+        let completable = state.retirements().all().find(|(_, retirement)| {
             retirement.state == RetirementState::Active && !state.partitions().is_member(retirement.member)
         });
-        let Some((name, retirement)) = completed else { return };
+        let Some((name, retirement)) = completable else { return };
         let command =
             Command::CompleteRetirement { name: name.to_owned(), member: retirement.member, replicas };
         self.is_retirement_in_flight =
--- a/system/control/src/node/coordinator_tasks/weights.rs
+++ b/system/control/src/node/coordinator_tasks/weights.rs
@@ -1,4 +1,4 @@
-//! Brings the named versions of weights to the stores.
+//! Loads the named versions of weights at the stores.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -19,15 +19,15 @@
 use crate::node::session_host::SessionHost;
 use crate::state::{ConfigurationState, ControlState};
 
-/// The coordinator's work on weights.
+/// The coordinator's task for weights.
 #[derive(Debug)]
 pub(super) struct WeightTask {
-    /// The name under which orders are sent.
+    /// Name of this node, which orders carry as their holder.
     holder: String,
     follower: ConfigurationFollower,
     usage: ModelUsage,
     schedule: LoadSchedule,
-    /// Something that the loads depend on has changed since the last run.
+    /// Whether an input of the planning has changed since the last run.
     is_dirty: bool,
     gate: OrderGate,
     results: UnboundedSender<LoadResult>,
@@ -46,17 +46,17 @@
         }
     }
 
-    /// Has the next run look at all stores again.
+    /// Makes the next run plan the loads of all stores again.
     pub(super) fn mark_dirty(&mut self) {
         self.is_dirty = true;
     }
 
-    /// Orders may be sent until then.
+    /// Allows orders to be sent until the given time.
     pub(super) fn allow_orders_until(&self, until: Duration) {
         self.gate.open_until(until);
     }
 
-    /// Orders may not be sent any more, and those in flight are forgotten.
+    /// Forbids sending orders, and drops the loads in flight.
     pub(super) fn stop(&mut self) {
         self.gate.close();
         self.schedule.clear();
@@ -64,12 +64,12 @@
 
     /// Starts the loads that are due.
     pub(super) fn run(&mut self, now: Duration, token: u64, state: &ControlState, registry: &Registry) {
-        let is_retry_due = self.schedule.next_evaluation().is_some_and(|at| at <= now);
-        if !self.is_dirty && !is_retry_due {
+        let is_evaluation_due = self.schedule.next_evaluation().is_some_and(|at| at <= now);
+        if !self.is_dirty && !is_evaluation_due {
             return;
         }
         self.is_dirty = false;
-        self.follow(state.configuration());
+        self.apply_configuration(state.configuration());
         for (name, service) in &self.engine_services(state.versions(), registry) {
             for started in self.schedule.start(now, name, &due_loads(service)) {
                 self.send_order(started, token, registry);
@@ -77,7 +77,7 @@
         }
     }
 
-    /// An edge has seen a batch job for a model.
+    /// Processes an edge's notice of a batch job for a model.
     pub(super) fn on_model_used(
         &mut self,
         configuration: &ConfigurationState,
@@ -86,14 +86,14 @@
         path: &str,
         min_version: u64,
     ) {
-        self.follow(configuration);
+        self.apply_configuration(configuration);
         let configuration = self.configuration();
         if self.usage.on_job_seen(&configuration, model, host, path, min_version) {
             self.is_dirty = true;
         }
     }
 
-    /// A load has ended. Returns whether the store has seen a newer fencing token.
+    /// Processes the result of a load. Returns whether the store has received a newer fencing token.
     pub(super) fn on_load_result(
         &mut self,
         now: Duration,
@@ -111,20 +111,20 @@
         outcome == LoadOutcome::Fenced
     }
 
-    /// Reads the newest configuration; one that can't be read leaves the one before.
-    fn follow(&mut self, state: &ConfigurationState) {
+    /// Applies the newest configuration. If it can't be read, the previous one stays in use.
+    fn apply_configuration(&mut self, state: &ConfigurationState) {
         let Some(document) = state.document() else { return };
         if let Err(error) = self.follower.apply_document(state.sequence(), document) {
             log::error!(index = state.sequence(), error:% = error; "configuration unreadable");
         }
     }
 
-    /// The configuration; an empty one before the first.
+    /// The current configuration; an empty one before the first.
     fn configuration(&self) -> Arc<Configuration> {
         self.follower.configuration().cloned().unwrap_or_default()
     }
 
-    /// The services whose stores have models, with their stores that take requests.
+    /// The services whose stores have models, with their stores that accept requests.
     fn engine_services(
         &mut self,
         named_versions: &BTreeMap<String, u64>,
@@ -165,13 +165,13 @@
             .collect()
     }
 
-    /// Sends the order of a load in a task of its own, which ends by its time-outs, and soon after the lease does.
+    /// Sends the order of a load in a task of its own, which ends by its time-outs, or soon after the lease has ended.
     fn send_order(&self, started: StartedLoad, token: u64, registry: &Registry) {
-        let StartedLoad { load, usual } = started;
+        let StartedLoad { load, typical_duration } = started;
         let Some(address) = store_address(registry, &load.id) else {
             let outcome = LoadOutcome::Failed;
             let result = LoadResult { id: load.id, model: load.model, version: load.version, outcome };
-            // The node owns the receiver too.
+            // The node owns the receiver too, so sending can't fail.
             let _ = self.results.send(result);
             return;
         };
@@ -190,7 +190,7 @@
             address,
             order,
             method: load.method,
-            usual,
+            typical_duration,
             gate: self.gate.clone(),
             results: self.results.clone(),
         };
--- a/system/control/tests/partitions.rs
+++ b/system/control/tests/partitions.rs
@@ -4,22 +4,22 @@
 use std::time::Duration;
 
 use gingerledge_control::coordinator::backends::{BackendReports, BackendSettings};
-use gingerledge_control::coordinator::partitions::{Backend, Backends, Change, Condition};
+use gingerledge_control::coordinator::partitions::{Backend, BackendCondition, Backends, ChainChange};
 use gingerledge_control::state::ControlState;
 use gingerledge_wire::{
     BackendReport, Command, CommandOutcome, NodeRecord, PartitionRecord, Role, PARTITION_COUNT,
 };
 use yare::parameterized;
 
-use Condition::{Lost, Retiring, Unknown, Usable};
+use BackendCondition::{Failed, Retiring, Unknown, Usable};
 
 const FAULT_TOLERANCE: usize = 1;
 
-fn backend(member: u64, zone: &str, condition: Condition) -> Backend {
+fn backend(member: u64, zone: &str, condition: BackendCondition) -> Backend {
     Backend { member, zone: zone.to_owned(), condition }
 }
 
-fn backends(conditions: &[Condition]) -> Backends {
+fn backends(conditions: &[BackendCondition]) -> Backends {
     let all = conditions
         .iter()
         .enumerate()
@@ -42,7 +42,7 @@
     let found = backends(&[Usable; 4]).plan(|_| None);
     assert_eq!(found.len(), usize::from(PARTITION_COUNT));
     let mut chains: BTreeMap<u64, usize> = BTreeMap::new();
-    for Change { record, .. } in &found {
+    for ChainChange { record, .. } in &found {
         assert_eq!((record.epoch, record.chain.len(), record.in_sync.len()), (1, 2, 2));
         for member in &record.chain {
             *chains.entry(*member).or_default() += 1;
@@ -55,7 +55,7 @@
 #[test]
 fn two_backends_of_one_zone_are_taken_together_only_if_there_is_no_other() {
     let crowded = [backend(1, "a", Usable), backend(2, "a", Usable), backend(3, "b", Usable)];
-    for Change { record, .. } in Backends::new(crowded.clone(), FAULT_TOLERANCE).plan(|_| None) {
+    for ChainChange { record, .. } in Backends::new(crowded.clone(), FAULT_TOLERANCE).plan(|_| None) {
         assert!(record.chain.contains(&3), "{record:?}");
     }
     assert!(!Backends::new(crowded.into_iter().take(2), FAULT_TOLERANCE).plan(|_| None).is_empty());
@@ -65,16 +65,16 @@
     one_backend = { &[Usable], &[] },
     healthy = { &[Usable, Usable, Usable], &[] },
     not_known_yet = { &[Usable, Unknown, Usable], &[] },
-    second_lost = { &[Usable, Lost, Usable], &[1, 3] },
-    first_lost = { &[Lost, Usable, Usable], &[2, 3] },
-    both_lost = { &[Lost, Lost, Usable, Usable], &[] },
-    no_replacement = { &[Usable, Lost], &[] },
-    replacement_retires = { &[Usable, Lost, Retiring], &[] },
+    second_lost = { &[Usable, Failed, Usable], &[1, 3] },
+    first_lost = { &[Failed, Usable, Usable], &[2, 3] },
+    both_lost = { &[Failed, Failed, Usable, Usable], &[] },
+    no_replacement = { &[Usable, Failed], &[] },
+    replacement_retires = { &[Usable, Failed, Retiring], &[] },
     second_retires = { &[Usable, Retiring, Usable], &[1, 2, 3] },
     both_retire = { &[Retiring, Retiring, Usable, Usable], &[1, 2, 3, 4] },
-    one_lost_one_retires = { &[Lost, Retiring, Usable, Usable], &[2, 3, 4] },
+    one_lost_one_retires = { &[Failed, Retiring, Usable, Usable], &[2, 3, 4] },
 )]
-fn a_chain_of_two_full_members_is_repaired(conditions: &[Condition], expected: &[u64]) {
+fn a_chain_of_two_full_members_is_repaired(conditions: &[BackendCondition], expected: &[u64]) {
     let current = record(5, &[1, 2], &[1, 2]);
     let next = change_of(&backends(conditions), &current);
     let chain = next.as_ref().map(|next| next.chain.clone()).unwrap_or_default();
@@ -90,13 +90,13 @@
 #[test]
 fn the_last_member_in_sync_is_never_removed() {
     let current = record(5, &[1, 3], &[1]);
-    assert_eq!(change_of(&backends(&[Lost, Usable, Usable]), &current), None);
+    assert_eq!(change_of(&backends(&[Failed, Usable, Usable]), &current), None);
 }
 
 #[test]
 fn a_member_that_was_filling_and_is_lost_is_replaced() {
     let current = record(5, &[1, 3], &[1]);
-    let next = change_of(&backends(&[Usable, Usable, Lost]), &current).expect("a change");
+    let next = change_of(&backends(&[Usable, Usable, Failed]), &current).expect("a change");
     assert_eq!((next.chain, next.in_sync), (vec![1, 2], vec![1]));
 }
 
@@ -117,9 +117,9 @@
     assert_eq!((next.chain, next.in_sync), (vec![2, 1, 3], vec![2, 1]));
 }
 
-#[parameterized(spared = { &[Usable, Usable, Usable], true }, needed = { &[Usable, Usable, Lost], false })]
-fn a_backend_can_be_spared_only_if_enough_are_left(conditions: &[Condition], spared: bool) {
-    assert_eq!(backends(conditions).can_spare(1), spared);
+#[parameterized(spared = { &[Usable, Usable, Usable], true }, needed = { &[Usable, Usable, Failed], false })]
+fn a_backend_can_be_spared_only_if_enough_are_left(conditions: &[BackendCondition], spared: bool) {
+    assert_eq!(backends(conditions).has_enough_without(1), spared);
 }
 
 /// Any course of losses, returns and emptyings, taken at random: every planned change is taken by the state, no chain is ever
@@ -143,7 +143,7 @@
         carry_out(&mut state, &mut sequence, &conditions, seed);
         fill(&mut state, &mut sequence, &conditions, || random.u8(..3) > 0);
     }
-    let calm = conditions.map(|condition| if condition == Lost { Usable } else { condition });
+    let calm = conditions.map(|condition| if condition == Failed { Usable } else { condition });
     for _ in 0..6 {
         carry_out(&mut state, &mut sequence, &calm, seed);
         fill(&mut state, &mut sequence, &calm, || true);
@@ -156,8 +156,8 @@
 }
 
 /// One backend at most is lost at a time; one at most retires.
-fn disturb(conditions: &mut [Condition; 5], random: &mut fastrand::Rng) {
-    for condition in conditions.iter_mut().filter(|condition| **condition == Lost) {
+fn disturb(conditions: &mut [BackendCondition; 5], random: &mut fastrand::Rng) {
+    for condition in conditions.iter_mut().filter(|condition| **condition == Failed) {
         *condition = Usable;
     }
     let at = random.usize(..conditions.len());
@@ -165,16 +165,16 @@
     conditions[at] = match (conditions[at], random.u8(..4)) {
         (Retiring, _) => Retiring,
         (_, 0) if !retires => Retiring,
-        (_, 1 | 2) => Lost,
+        (_, 1 | 2) => Failed,
         (condition, _) => condition,
     };
 }
 
-fn carry_out(state: &mut ControlState, sequence: &mut u64, conditions: &[Condition; 5], seed: u64) {
+fn carry_out(state: &mut ControlState, sequence: &mut u64, conditions: &[BackendCondition; 5], seed: u64) {
     let plan = backends(conditions).plan(|partition| state.partitions().get(partition));
-    for Change { partition, record } in plan {
+    for ChainChange { partition, record } in plan {
         *sequence += 1;
-        let live = record.in_sync.iter().any(|member| conditions[*member as usize - 1] != Lost);
+        let live = record.in_sync.iter().any(|member| conditions[*member as usize - 1] != Failed);
         assert!(live, "seed {seed}: {record:?} keeps no full member that lives");
         if let Some(before) = state.partitions().get(partition) {
             assert!(full_in_order(before, &record), "seed {seed}: {before:?} to {record:?}");
@@ -197,7 +197,7 @@
 fn fill(
     state: &mut ControlState,
     sequence: &mut u64,
-    conditions: &[Condition; 5],
+    conditions: &[BackendCondition; 5],
     mut happens: impl FnMut() -> bool,
 ) {
     let filling: Vec<(u16, u64, u64)> = state
@@ -206,7 +206,7 @@
         .flat_map(|(partition, record)| {
             record.chain.iter().map(move |member| (partition, record.epoch, *member))
         })
-        .filter(|(_, _, member)| conditions[*member as usize - 1] != Lost)
+        .filter(|(_, _, member)| conditions[*member as usize - 1] != Failed)
         .collect();
     for (partition, epoch, member) in filling {
         if happens() {
@@ -233,7 +233,7 @@
     }
 }
 
-fn condition_at(reports: &BackendReports, now: u64, since: u64, member: u64) -> Option<Condition> {
+fn condition_at(reports: &BackendReports, now: u64, since: u64, member: u64) -> Option<BackendCondition> {
     let chain = record(1, &[1, 2], &[1, 2]);
     let (now, since) = (Duration::from_millis(now), Duration::from_millis(since));
     let address_of = |member| Some(node(member).address);
@@ -243,12 +243,12 @@
 
 #[parameterized(
     heard_lately = { 1, 11_400, Usable },
-    silent = { 1, 11_600, Lost },
-    never_heard = { 2, 11_600, Lost },
-    stalled = { 3, 10_100, Lost },
+    silent = { 1, 11_600, Failed },
+    never_heard = { 2, 11_600, Failed },
+    stalled = { 3, 10_100, Failed },
     retiring = { 9, 10_100, Retiring },
 )]
-fn conditions_of_a_settled_coordinator(member: u64, now: u64, expected: Condition) {
+fn conditions_of_a_settled_coordinator(member: u64, now: u64, expected: BackendCondition) {
     let mut reports = BackendReports::new(REPORTS);
     let at = Duration::from_millis(10_000);
     reports.on_report(at, &node(1), BackendReport::default());
@@ -262,19 +262,19 @@
     let mut reports = BackendReports::new(REPORTS);
     reports.on_report(Duration::from_millis(1_000), &node(1), BackendReport::default());
     assert_eq!(condition_at(&reports, 12_900, 10_000, member), Some(Unknown));
-    assert_eq!(condition_at(&reports, 13_100, 10_000, member), Some(Lost));
+    assert_eq!(condition_at(&reports, 13_100, 10_000, member), Some(Failed));
 }
 
 /// Member 1 was at an address from which another disk reports: it is not waited for. One that is back there itself is what counts.
 #[parameterized(
-    another_disk = { &[(50, 1)], Lost },
-    another_disk_after_it = { &[(1, 1), (50, 1)], Lost },
+    another_disk = { &[(50, 1)], Failed },
+    another_disk_after_it = { &[(1, 1), (50, 1)], Failed },
     another_disk_before_it = { &[(50, 1), (1, 1)], Usable },
     another_disk_elsewhere = { &[(50, 7)], Unknown },
 )]
 fn a_new_coordinator_calls_a_disk_lost_at_once_if_another_is_in_its_place(
     heard: &[(u64, u64)],
-    expected: Condition,
+    expected: BackendCondition,
 ) {
     let mut reports = BackendReports::new(REPORTS);
     for (at, &(member, place)) in (10_010u64..).zip(heard) {
--- a/system/control/tests/weights.rs
+++ b/system/control/tests/weights.rs
@@ -208,9 +208,9 @@
 }
 
 const LOADS: LoadScheduleSettings = LoadScheduleSettings {
-    assumed_load: Duration::from_millis(500),
-    busy_retry: Duration::from_millis(300),
-    failed_retry: Duration::from_millis(1_200),
+    assumed_load_duration: Duration::from_millis(500),
+    busy_retry_delay: Duration::from_millis(300),
+    failed_retry_delay: Duration::from_millis(1_200),
 };
 
 fn loads_of(ids: &[&str], method: LoadMethod) -> Vec<Load> {
@@ -258,7 +258,7 @@
     assert_eq!(loads.next_evaluation(), Some(Duration::from_millis(500)));
     assert_eq!(start(&mut loads, 500), all[NEUTRAL..2 * NEUTRAL]);
     assert_eq!(start(&mut loads, 1_000), all[2 * NEUTRAL..]);
-    assert_eq!(loads.in_flight(), 2 * NEUTRAL + 1, "none of them has ended");
+    assert_eq!(loads.in_flight_count(), 2 * NEUTRAL + 1, "none of them has ended");
     assert_eq!(loads.next_evaluation(), None, "and none waits");
 }
 
@@ -362,7 +362,7 @@
     let first = ids(0..NEUTRAL + 1);
     loads.start(Duration::ZERO, "s", &loads_of(&names(&first), LoadMethod::Blocking));
     loads.start(Duration::ZERO, "t", &loads_of(&["j-1"], LoadMethod::Blocking));
-    assert_eq!(loads.in_flight(), NEUTRAL + 1);
+    assert_eq!(loads.in_flight_count(), NEUTRAL + 1);
     assert_eq!(loads.next_evaluation(), Some(Duration::from_millis(500)), "a store of the first still waits");
 }
 
--- a/system/jobs/tests/common/coordinator.rs
+++ b/system/jobs/tests/common/coordinator.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use gingerledge_control::coordinator::partitions::{Backend, Backends, Condition};
+use gingerledge_control::coordinator::partitions::{Backend, BackendCondition, Backends};
 use gingerledge_control::state::ControlState;
 use gingerledge_wire::{Command, CommandOutcome, PartitionRecord};
 
@@ -64,9 +64,9 @@
     pub fn plan(&mut self, alive: &[u64], mut looks_at: impl FnMut(u16) -> bool) {
         let condition = |member: u64| {
             if Some(member) == self.retiring {
-                Condition::Retiring
+                BackendCondition::Retiring
             } else {
-                Condition::Usable
+                BackendCondition::Usable
             }
         };
         let backends = alive.iter().map(|member| Backend {
