--- a/system/control/src/node/acknowledgements.rs
+++ b/system/control/src/node/acknowledgements.rs
@@ -1,4 +1,5 @@
-//! Acknowledges ends of stores to their callers once the whole chain has them: the driver of [`PendingAcknowledgements`].
+//! Acknowledges the draining and deregistration of stores once all members of the chain have the change. Drives
+//! [`PendingAcknowledgements`].
 
 use std::time::Duration;
 
@@ -7,27 +8,29 @@
 
 use super::chain_replicas::ChainReplicas;
 use super::reads::{PendingRead, PendingReads};
-use super::request::Acknowledged;
+use super::request::Acknowledgement;
 use crate::sessions::{Confirmation, PendingAcknowledgements};
 
-/// The ends of stores whose callers wait. Dropping a reply tells its caller that the change could not be acknowledged.
+/// The drained and deregistered stores whose callers wait for the acknowledgement. Dropping a reply signals to its caller that
+/// the change could not be acknowledged.
 #[derive(Debug, Default)]
-pub(super) struct EndAcknowledgements {
-    pending: PendingAcknowledgements<Sender<Acknowledged>>,
+pub(super) struct SessionEndAcknowledgements {
+    pending: PendingAcknowledgements<Sender<Acknowledgement>>,
 }
 
-impl EndAcknowledgements {
-    /// Adds a change that is published already.
-    pub(super) fn add(&mut self, now: Duration, key: Key, reply: Sender<Acknowledged>) {
+impl SessionEndAcknowledgements {
+    /// Adds a change that has already been published.
+    pub(super) fn add(&mut self, now: Duration, key: Key, reply: Sender<Acknowledgement>) {
         drop(self.pending.add(now, key, reply));
     }
 
-    /// A member may have more than before, or the membership has changed.
-    pub(super) fn reevaluate(&mut self) {
-        self.pending.reevaluate();
+    /// Makes the pending acknowledgements be evaluated again, because a member may have received more entries or the membership
+    /// has changed.
+    pub(super) fn request_evaluation(&mut self) {
+        self.pending.request_evaluation();
     }
 
-    /// Drops the callers whose time is over.
+    /// Drops the replies whose time-out has passed.
     pub(super) fn expire(&mut self, now: Duration) {
         drop(self.pending.expire(now));
     }
@@ -36,7 +39,7 @@
         self.pending.next_timer()
     }
 
-    /// The token of the read that the chain should be asked for, if a change needs the confirmation of the membership.
+    /// Returns the token of the chain read to be started if a change needs a confirmation of the membership.
     pub(super) fn request_confirmation(
         &mut self,
         replicas: &ChainReplicas<'_>,
@@ -47,7 +50,7 @@
             return None;
         }
         let Some(token) = reads.add(PendingRead::MembershipConfirmation) else {
-            self.pending.reevaluate();
+            self.pending.request_evaluation();
             return None;
         };
         let confirmation = Confirmation { token, epoch };
@@ -55,14 +58,14 @@
         Some(token)
     }
 
-    /// The chain has confirmed its membership, or could not.
+    /// Processes the result of a membership confirmation: acknowledges the changes that it covers, or requests another one.
     pub(super) fn on_read_finished(&mut self, token: u64, is_confirmed: bool, replicas: &ChainReplicas<'_>) {
         let Some(epoch) = replicas.epoch().filter(|_| is_confirmed) else {
             return self.pending.on_confirmation_failed(token);
         };
         for reply in self.pending.on_confirmed(token, epoch, |key| replicas.all_have(key)) {
-            // The store may have given up.
-            let _ = reply.send(Acknowledged { is_chain_fresh: true });
+            // The store may have stopped waiting.
+            let _ = reply.send(Acknowledgement { is_chain_fresh: true });
         }
     }
 }
--- a/system/control/src/node/chain_host.rs
+++ b/system/control/src/node/chain_host.rs
@@ -1,5 +1,5 @@
-//! The driver of the control chain: feeds events to the machine, collects its actions, and applies committed commands to the control
-//! state. Carrying out the actions is the event loop's part.
+//! Drives the control chain: passes events to its state machine, collects its actions, and applies committed commands to the
+//! control state. The event loop carries out the actions.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -14,34 +14,34 @@
 use super::NodeError;
 use crate::state::ControlState;
 
-/// Most confirmed ticks that wait for the entries before them to be applied.
+/// Maximum number of confirmed ticks that wait for the entries before them to be applied.
 const MAX_UNAPPLIED_TICKS: usize = 16;
 
-/// A confirmed tick that may be sent on once everything committed before it is applied here.
+/// A confirmed tick that may be forwarded once everything committed before it is applied at this node.
 #[derive(Clone, Copy, Debug)]
 struct UnappliedTick {
     tick: FreshnessTick,
     commit_index: u64,
 }
 
-/// A committed command that has been applied.
+/// A committed command that has been applied to the state.
 #[derive(Debug)]
 pub(super) struct AppliedCommand {
-    /// The command, with who submitted it.
+    /// The command, with its submitter.
     pub submitted: SubmittedCommand,
-    /// Its outcome.
+    /// Outcome of the command.
     pub outcome: CommandOutcome,
-    /// The entries of the registry that it may have changed.
+    /// The registry entries that the command may have changed.
     pub entries: Vec<Entry>,
 }
 
-/// The control chain of this node, with the state that it replicates.
+/// The control chain of this node, with the replicated state.
 pub(super) struct ChainHost {
     clock: Clock,
     chain: ControlChain,
     actions: Vec<ChainAction>,
     state: ControlState,
-    /// The last entry of the chain in `state`; the chain itself may have handed out more by now.
+    /// Index of the last chain entry that is applied to `state`. The chain may already have emitted actions for later entries.
     applied_index: u64,
     unapplied_ticks: VecDeque<UnappliedTick>,
 }
@@ -58,17 +58,17 @@
         }
     }
 
-    /// Feeds an event to the chain. Its actions wait for [`Self::poll_actions`].
+    /// Passes an event to the chain. The resulting actions are returned by [`Self::poll_actions`].
     pub(super) fn handle_event(&mut self, event: ChainEvent) {
         self.chain.handle(self.clock.now(), event, &mut self.actions);
     }
 
-    /// Feeds a message of another member to the chain.
+    /// Passes a message from another member to the chain.
     pub(super) fn on_message(&mut self, from: u64, message: ChainMessage) {
         self.handle_event(ChainEvent::Message { from: MemberId(from), message });
     }
 
-    /// Runs the chain's timer if it is due.
+    /// Processes the chain's timer if it is due.
     pub(super) fn handle_timeout(&mut self, now: Duration) {
         if self.chain.next_timer().is_some_and(|due| due <= now) {
             self.handle_event(ChainEvent::TimerExpired);
@@ -79,7 +79,7 @@
         self.chain.next_timer()
     }
 
-    /// The actions since the last call, in order.
+    /// Returns the actions since the last call, in order.
     pub(super) fn poll_actions(&mut self) -> Vec<ChainAction> {
         std::mem::take(&mut self.actions)
     }
@@ -88,7 +88,7 @@
     ///
     /// # Errors
     ///
-    /// The entry can't be decoded. All other members applied it, so this one must not go on.
+    /// The entry can't be decoded. All other members have applied it, so this one must not continue.
     pub(super) fn apply(&mut self, index: u64, bytes: &[u8]) -> Result<AppliedCommand, NodeError> {
         self.applied_index = index;
         let submitted = SubmittedCommand::decode(bytes).map_err(|_| NodeError::Entry { index })?;
@@ -102,7 +102,7 @@
         Ok(AppliedCommand { submitted, outcome, entries })
     }
 
-    /// Replaces the state by a snapshot of another member.
+    /// Replaces the state with a snapshot from another member.
     ///
     /// # Errors
     ///
@@ -113,7 +113,7 @@
         Ok(())
     }
 
-    /// Gives the chain a snapshot of the state, which it asked for.
+    /// Provides the chain with a snapshot of the state that it has requested.
     ///
     /// # Errors
     ///
@@ -124,8 +124,8 @@
         Ok(())
     }
 
-    /// The records that replace all others on the disk, if the chain has any yet. Every action has to be carried out before: the state
-    /// must be that of the last entry that the chain has handed out.
+    /// The records that replace all others on the disk; `None` if the chain has no records yet. All actions must be carried out
+    /// before this call: the state must include the last entry for which the chain has emitted an action.
     ///
     /// # Errors
     ///
@@ -138,7 +138,7 @@
         self.state.snapshot().map_err(|source| NodeError::Snapshot { source })
     }
 
-    /// A tick has passed the whole chain: everything up to `commit_index` was committed before it.
+    /// Processes a tick that has passed through the whole chain: everything up to `commit_index` was committed before it.
     pub(super) fn on_barrier_committed(&mut self, tick: FreshnessTick, commit_index: u64) {
         if self.unapplied_ticks.len() >= MAX_UNAPPLIED_TICKS {
             self.unapplied_ticks.pop_front();
@@ -146,7 +146,7 @@
         self.unapplied_ticks.push_back(UnappliedTick { tick, commit_index });
     }
 
-    /// The newest tick whose preceding entries are all applied here, once.
+    /// Returns the newest tick whose preceding entries are all applied at this node. Each tick is returned at most once.
     pub(super) fn poll_applied_tick(&mut self) -> Option<FreshnessTick> {
         let mut newest = None;
         while let Some(unapplied) = self.unapplied_ticks.front() {
@@ -159,17 +159,17 @@
         newest
     }
 
-    /// The replicated state, as far as it is applied here.
+    /// The replicated state, up to the last entry applied at this node.
     pub(super) fn state(&self) -> &ControlState {
         &self.state
     }
 
-    /// The membership in force, as far as this node knows.
+    /// The newest membership in force that this node knows.
     pub(super) fn membership(&self) -> Option<&Membership> {
         self.chain.members()
     }
 
-    /// The member at the head of the chain.
+    /// The member at the head of the chain, if one is known.
     pub(super) fn head(&self) -> Option<MemberId> {
         self.chain.head()
     }
@@ -179,20 +179,20 @@
         self.chain.is_serving()
     }
 
-    /// The last entry that the chain has handed out.
-    pub(super) fn handed_out_index(&self) -> u64 {
+    /// Index of the last entry for which the chain has emitted an action.
+    pub(super) fn last_emitted_index(&self) -> u64 {
         self.chain.applied_index()
     }
 
-    /// The identity of this member.
+    /// Identity of this member.
     pub(super) fn own_member(&self) -> MemberId {
         self.chain.me()
     }
 
     /// Whether this member is in the chain of the membership in force.
     pub(super) fn is_in_chain(&self) -> bool {
-        let own = self.own_member();
-        self.membership().is_some_and(|membership| membership.chain.contains(&own))
+        let own_member = self.own_member();
+        self.membership().is_some_and(|membership| membership.chain.contains(&own_member))
     }
 
     /// Whether this member is the head of the chain.
--- a/system/control/src/node/chain_replicas.rs
+++ b/system/control/src/node/chain_replicas.rs
@@ -1,4 +1,4 @@
-//! Which session changes the other members of the control chain have acknowledged.
+//! Determines which session changes the other members of the control chain have acknowledged.
 
 use std::net::SocketAddr;
 
@@ -27,25 +27,25 @@
         Self { membership: chain.membership(), own_member: chain.own_member(), directory, replication }
     }
 
-    /// The epoch of the membership.
+    /// Epoch of the membership in force, if it is known.
     pub(super) fn epoch(&self) -> Option<u64> {
         self.membership.map(|membership| membership.epoch)
     }
 
-    /// Whether all of them have acknowledged the newest entry of a key. A member whose address is unknown, or that is no peer of the
-    /// replication, is not known to have anything.
+    /// Whether all other members have acknowledged the newest entry of a key. A member whose address is unknown, or that is not a
+    /// peer of the replication, counts as not having it.
     pub(super) fn all_have(&self, key: &Key) -> bool {
         self.all_others(|address| self.replication.is_replicated_to(address, key))
     }
 
-    /// Whether changes are replicated to all of them: one that has sent no hello yet gets nothing.
+    /// Whether changes are replicated to all other members. Nothing is replicated to a member that has not sent a hello yet.
     pub(super) fn are_all_connected(&self) -> bool {
         self.all_others(|address| self.replication.has_peer(address))
     }
 
-    fn all_others(&self, test: impl Fn(SocketAddr) -> bool) -> bool {
+    fn all_others(&self, predicate: impl Fn(SocketAddr) -> bool) -> bool {
         let Some(membership) = self.membership else { return false };
         let mut others = membership.chain.iter().filter(|member| **member != self.own_member);
-        others.all(|member| self.directory.address(member.0).is_some_and(&test))
+        others.all(|member| self.directory.address(member.0).is_some_and(&predicate))
     }
 }
--- a/system/control/src/node/clock.rs
+++ b/system/control/src/node/clock.rs
@@ -1,27 +1,27 @@
-//! The monotonic clock of the process: all times of the node's machines are durations since its start.
+//! The monotonic clock of the process. All times in the state machines of a node are durations since its start.
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// The clock of one process. Copies share its start.
+/// The clock of the process. Copies share the same start.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Clock {
     started: Instant,
 }
 
 impl Clock {
-    /// A clock that starts now.
+    /// Creates a clock that starts now.
     pub(super) fn start() -> Self {
         Self { started: Instant::now() }
     }
 
-    /// The time since the start.
+    /// Time since the start of the clock.
     pub(super) fn now(self) -> Duration {
         self.started.elapsed()
     }
 
-    /// The instant of a time since the start.
+    /// Converts a time since the start into an instant.
     pub(super) fn instant(self, time: Duration) -> Instant {
         self.started + time
     }
--- a/system/control/src/node/commands/mod.rs
+++ b/system/control/src/node/commands/mod.rs
@@ -1,4 +1,4 @@
-//! Commands on their way to the head of the control chain, and their outcomes on the way back: the driver of [`Submissions`].
+//! Sends commands to the head of the control chain and receives their outcomes. Drives [`Submissions`].
 
 mod submissions;
 
@@ -19,49 +19,49 @@
 
 pub use submissions::{SubmissionSettings, Submissions};
 
-/// A caller waits for an outcome at most this long.
+/// Maximum time for which a caller waits for an outcome.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// The coordinator waits for an outcome of its own commands at most this long.
-const COORDINATOR_TIMEOUT: Duration = Duration::from_millis(2_000);
+/// Maximum time for which the coordinator waits for the outcome of its own command.
+const COORDINATOR_COMMAND_TIMEOUT: Duration = Duration::from_millis(2_000);
 
-/// A command that the coordinator has submitted.
+/// Identifies a command that the coordinator has submitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CoordinatorCommand {
-    /// It allocates its fencing token.
+    /// The command allocates the coordinator's fencing token.
     FencingToken,
-    /// It completes the handover from the coordinator before it.
+    /// The command completes the handover from the previous coordinator.
     Handover,
-    /// It changes the chain of a partition.
+    /// The command changes the chain of the partition with this number.
     Partition(u16),
-    /// It registers the address of a backend's disk.
+    /// The command registers the address of the backend whose disk has this identity.
     Backend(u64),
-    /// It completes the retirement of a backend.
+    /// The command completes the retirement of a backend.
     Retirement,
 }
 
-/// The outcome of a command of the coordinator; none if it is not known.
+/// The outcome of a command of the coordinator; `None` if it is not known.
 #[derive(Debug)]
 pub(super) struct CoordinatorOutcome {
     pub command: CoordinatorCommand,
     pub outcome: Option<CommandOutcome>,
 }
 
-/// Who waits for an outcome.
+/// The party that waits for the outcome of a command.
 #[derive(Debug)]
-enum Origin {
-    /// A call of the operator or a trainer.
+enum Waiter {
+    /// An HTTP call of the operator or of a trainer.
     Call(Sender<Option<CommandOutcome>>),
-    /// A call that begins a retirement.
+    /// An HTTP call that begins a retirement.
     RetirementCall(Sender<BeginRetirementOutcome>),
     /// The coordinator tasks of this node.
     Coordinator(CoordinatorCommand),
 }
 
-impl Origin {
-    /// Answers a call. The outcome for the coordinator is returned.
+impl Waiter {
+    /// Delivers an outcome: a call is answered, and an outcome for the coordinator is returned.
     fn complete(self, outcome: Option<CommandOutcome>) -> Option<CoordinatorOutcome> {
         match self {
-            // Callers may have given up.
+            // Callers may have stopped waiting.
             Self::Call(reply) => {
                 let _ = reply.send(outcome);
                 None
@@ -80,68 +80,68 @@
     }
 }
 
-/// Too many commands are in flight.
+/// Error: too many commands are in flight.
 #[derive(Clone, Copy, Debug, Snafu)]
 #[snafu(display("too many commands are in flight"))]
 pub(super) struct TooManyCommands;
 
-/// The commands of this node that are in flight, and the forwarding of those of other nodes.
+/// The commands of this node that are in flight. Also forwards the commands of other nodes to the chain.
 #[derive(Debug)]
 pub(super) struct CommandClient {
     clock: Clock,
     messenger: Messenger,
-    submissions: Submissions<Origin>,
+    submissions: Submissions<Waiter>,
 }
 
 impl CommandClient {
-    /// A client whose requests are numbered from `first_request` on, which differs between incarnations.
+    /// Creates a client whose requests are numbered from after `first_request`, which differs between incarnations.
     pub(super) fn new(clock: Clock, messenger: Messenger, first_request: u64) -> Self {
         let submissions = Submissions::new(SubmissionSettings::default(), first_request);
         Self { clock, messenger, submissions }
     }
 
-    /// Submits the command of a call.
+    /// Submits the command of an HTTP call.
     pub(super) fn submit_call(&mut self, command: Command, reply: Sender<Option<CommandOutcome>>) {
-        self.submit(command, CALL_TIMEOUT, Origin::Call(reply));
+        self.submit(command, CALL_TIMEOUT, Waiter::Call(reply));
     }
 
-    /// Submits the command of a call that begins a retirement.
+    /// Submits the command of an HTTP call that begins a retirement.
     pub(super) fn submit_retirement(&mut self, command: Command, reply: Sender<BeginRetirementOutcome>) {
-        self.submit(command, CALL_TIMEOUT, Origin::RetirementCall(reply));
+        self.submit(command, CALL_TIMEOUT, Waiter::RetirementCall(reply));
     }
 
     /// Submits a command of the coordinator, whose outcome is returned under `id`.
     ///
     /// # Errors
     ///
-    /// Too many commands are in flight; there will be no outcome.
+    /// Too many commands are in flight. The command is not submitted, and no outcome follows.
     pub(super) fn submit_for_coordinator(
         &mut self,
         command: Command,
         id: CoordinatorCommand,
     ) -> Result<(), TooManyCommands> {
-        match self.submit(command, COORDINATOR_TIMEOUT, Origin::Coordinator(id)) {
+        match self.submit(command, COORDINATOR_COMMAND_TIMEOUT, Waiter::Coordinator(id)) {
             None => Ok(()),
             Some(_) => Err(TooManyCommands),
         }
     }
 
-    fn submit(&mut self, command: Command, limit: Duration, origin: Origin) -> Option<CoordinatorOutcome> {
-        let rejected = self.submissions.add(self.clock.now(), command, limit, origin).err()?;
-        rejected.complete(None)
+    fn submit(&mut self, command: Command, timeout: Duration, waiter: Waiter) -> Option<CoordinatorOutcome> {
+        let rejected_waiter = self.submissions.add(self.clock.now(), command, timeout, waiter).err()?;
+        rejected_waiter.complete(None)
     }
 
     /// Sends the commands that are due to the head of the chain.
     pub(super) fn send_due(&mut self, now: Duration, chain: &mut ChainHost, directory: &PeerDirectory) {
-        for (request, command) in self.submissions.due(now) {
-            let reply_to = self.messenger.own().address;
+        for (request, command) in self.submissions.take_due(now) {
+            let reply_to = self.messenger.own_record().address;
             if !self.send_to_head(SubmittedCommand { request, reply_to, command }, chain, directory) {
-                self.submissions.not_sent(now, request);
+                self.submissions.on_send_failed(now, request);
             }
         }
     }
 
-    /// Gives a command to the head: this node, or another one. Returns whether there was one to give it to.
+    /// Passes a command to the head, which is this node or another one. Returns whether the command was passed on.
     fn send_to_head(
         &self,
         submitted: SubmittedCommand,
@@ -159,7 +159,7 @@
         self.messenger.try_send(address, &message)
     }
 
-    /// Another control node submits a command to this one, which it takes for the head.
+    /// Processes a command from another control node that considers this node the head.
     pub(super) fn on_forwarded(&self, submitted: SubmittedCommand, chain: &mut ChainHost) {
         if chain.is_head() {
             chain.handle_event(ChainEvent::Submit { command: submitted.encode() });
@@ -168,22 +168,22 @@
         }
     }
 
-    /// The chain has rejected a command, so its submitter has to try again.
+    /// Processes a command that the chain has rejected: its submitter has to send it again.
     pub(super) fn on_rejected(&mut self, bytes: &[u8]) {
         let Ok(SubmittedCommand { request, reply_to, .. }) = SubmittedCommand::decode(bytes) else { return };
-        if reply_to == self.messenger.own().address {
-            self.submissions.not_sent(self.clock.now(), request);
+        if reply_to == self.messenger.own_record().address {
+            self.submissions.on_send_failed(self.clock.now(), request);
         } else {
             self.reply(reply_to, request, None);
         }
     }
 
-    /// Sends the outcome of a command to its submitter; none if the chain has rejected it.
+    /// Sends the outcome of a command to its submitter; `None` if the chain has rejected it.
     pub(super) fn reply(&self, to: SocketAddr, request: u64, outcome: Option<CommandOutcome>) {
         self.messenger.send(to, Envelope::Control(ControlMessage::SubmitResponse { request, outcome }));
     }
 
-    /// The outcome of a command of this node has come; none if it was rejected and has to be sent again.
+    /// Processes the outcome of a command of this node; `None` if it was rejected and has to be sent again.
     pub(super) fn on_outcome(
         &mut self,
         request: u64,
@@ -192,21 +192,21 @@
         match outcome {
             Some(outcome) => self.submissions.complete(request)?.complete(Some(outcome)),
             None => {
-                self.submissions.not_sent(self.clock.now(), request);
+                self.submissions.on_send_failed(self.clock.now(), request);
                 None
             }
         }
     }
 
-    /// A new view is installed: what the head before it was given may be lost.
+    /// Processes the installation of a view: commands sent to the previous head may be lost and are sent again.
     pub(super) fn on_view_installed(&mut self) {
         self.submissions.on_view_installed(self.clock.now());
     }
 
-    /// Gives up the commands whose time is over, and returns those of the coordinator.
+    /// Removes the commands whose deadline has passed, and returns the unknown outcomes of those of the coordinator.
     pub(super) fn expire(&mut self, now: Duration) -> Vec<CoordinatorOutcome> {
-        let expired = self.submissions.expire(now);
-        expired.into_iter().filter_map(|origin| origin.complete(None)).collect()
+        let expired_waiters = self.submissions.expire(now);
+        expired_waiters.into_iter().filter_map(|waiter| waiter.complete(None)).collect()
     }
 
     pub(super) fn next_timer(&self) -> Option<Duration> {
--- a/system/control/src/node/disk.rs
+++ b/system/control/src/node/disk.rs
@@ -1,7 +1,7 @@
-//! The disk of a control node: its identity, the founders, the known peers and the chain's records, in one ring of files. Writes run on
-//! the storage thread, which reports each batch when it is durable.
+//! The disk of a control node. It stores the node's identity, the founders, the known peers and the chain's records in one ring
+//! of files. Writes run on the storage thread, which reports each batch when it is durable.
 //!
-//! A write that fails leaves the disk without what came after it, so nothing more is appended until a snapshot has replaced everything.
+//! After a failed write the disk lacks records, so nothing more is appended until a snapshot has replaced all contents.
 
 use std::collections::VecDeque;
 use std::path::Path;
@@ -15,41 +15,41 @@
 use tokio::sync::mpsc::UnboundedSender;
 
 const MEBIBYTE: u64 = 1024 * 1024;
-/// The ring takes this fraction of the disk.
+/// The ring is limited to the disk size divided by this number.
 const RING_DIVISOR: u64 = 4;
 const MIN_RING_BYTES: u64 = 16 * MEBIBYTE;
 const MAX_RING_BYTES: u64 = 64 * MEBIBYTE;
 const RING_FILES: u64 = 8;
-/// Time between attempts to replace everything on a disk that refuses writes.
+/// Interval between attempts to replace all contents of a disk on which writes have failed.
 const REWRITE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// One record in the ring. Encoded by the order of the variants.
+/// One record in the ring. It is encoded with bincode, so the order of the variants and fields must not change.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(super) enum DiskRecord {
-    /// The identity of this disk.
+    /// The identity of the member on this disk.
     Identity {
-        /// The identity.
+        /// Identity of the member.
         member: u64,
-        /// All founders, if this member is one of them.
+        /// Identities of all founders if this member is one of them, otherwise empty.
         founders: Vec<u64>,
     },
-    /// The known control nodes.
+    /// The records of the known control nodes.
     Peers(Vec<NodeRecord>),
-    /// A record of the chain.
+    /// A record of the control chain.
     Chain(LogRecord),
 }
 
-/// Who the member on a disk is.
+/// The identity of the member on a disk.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct DiskIdentity {
-    /// The identity of the disk.
+    /// Identity of the disk, which is that of its member.
     pub member: u64,
-    /// All founders, if this member is one of them.
+    /// Identities of all founders if this member is one of them, otherwise empty.
     pub founders: Vec<u64>,
 }
 
 impl DiskIdentity {
-    /// The record that stores it.
+    /// Converts the identity into the record that stores it.
     pub(super) fn to_record(&self) -> DiskRecord {
         DiskRecord::Identity { member: self.member, founders: self.founders.clone() }
     }
@@ -58,33 +58,34 @@
 /// The recovered contents of a disk.
 #[derive(Debug, Default)]
 pub(super) struct DiskContents {
-    /// The identity, if the disk was used before.
+    /// The identity; `None` if the disk was not used before.
     pub identity: Option<DiskIdentity>,
-    /// The known control nodes.
+    /// The records of the known control nodes.
     pub peers: Vec<NodeRecord>,
     /// The chain's records, in order.
     pub chain: Vec<LogRecord>,
 }
 
-/// Why a disk can't be used.
+/// An error because of which a disk can't be used.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(super)))]
 pub enum DiskError {
     /// The ring can't be opened or written.
     #[snafu(display("{source}"))]
     Storage {
-        /// What the storage said.
+        /// The error of the storage.
         source: StorageError,
     },
-    /// A record has the right checksum and can't be read. It may be a promise of the vote on memberships, so the disk is not used without it.
+    /// A record has the correct checksum but can't be decoded. It may be a promise of the vote on memberships, so the disk must
+    /// not be used without it.
     #[snafu(display("a record on the disk is unreadable: {source}"))]
     Record {
-        /// What the decoder met.
+        /// The decoder's error.
         source: bincode::error::DecodeError,
     },
 }
 
-/// Opens the ring in a folder, and reads its contents.
+/// Opens the ring in a folder, and reads its contents. `disk_mb` is the size of the disk in MiB.
 ///
 /// # Errors
 ///
@@ -123,12 +124,12 @@
 /// An effect of an event of the storage thread.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum DiskOutput {
-    /// The chain's records up to this token are durable.
+    /// All records of the chain up to this token are durable.
     Durable {
-        /// The chain's token.
+        /// Token of the append that is durable.
         token: u64,
     },
-    /// The ring is filling up: everything should be replaced by a snapshot.
+    /// The ring is filling up, so a snapshot should replace all contents.
     SnapshotNeeded,
 }
 
@@ -136,7 +137,7 @@
 #[derive(Clone, Copy, Debug)]
 struct PendingWrite {
     id: u64,
-    /// The newest of the chain's tokens that it covers.
+    /// Newest token of the chain's appends that the write covers.
     chain_token: Option<u64>,
 }
 
@@ -144,7 +145,7 @@
 #[derive(Clone, Copy, Debug)]
 struct FinishedWrite {
     was_snapshot: bool,
-    /// The newest of the chain's tokens that is covered by now.
+    /// Newest token of the chain's appends that is durable after the write.
     chain_token: Option<u64>,
 }
 
@@ -154,11 +155,11 @@
     writer: Writer,
     identity: DiskIdentity,
     next_id: u64,
-    /// In the order of their ids.
+    /// The pending writes, in the order of their ids.
     pending: VecDeque<PendingWrite>,
     newest_chain_token: Option<u64>,
     pending_snapshot: Option<u64>,
-    /// A write failed or was refused: nothing is appended until a snapshot replaces everything.
+    /// Whether a write failed or was rejected. Nothing is appended then until a snapshot replaces all contents.
     has_failed: bool,
     next_rewrite: Duration,
 }
@@ -175,7 +176,7 @@
         events: UnboundedSender<WriterEvent>,
     ) -> Result<Self, StorageError> {
         let on_event = Box::new(move |event| {
-            // The receiver is gone while the process ends.
+            // The receiver has been dropped if the process is ending.
             let _ = events.send(event);
         });
         Ok(Self {
@@ -197,7 +198,7 @@
         self.append(&records, Some(token));
     }
 
-    /// Appends the known peers, in place of those before.
+    /// Appends the records of the known peers, which replace those appended before.
     pub(super) fn append_peers(&mut self, peers: Vec<NodeRecord>) {
         self.append(&[DiskRecord::Peers(peers)], None);
     }
@@ -209,14 +210,15 @@
         self.next_id += 1;
         let encoded = records.iter().map(encode).collect();
         if let Err(error) = self.writer.append(self.next_id, encoded) {
-            log::warn!(error:% = error; "disk refused an append");
+            log::warn!(error:% = error; "disk rejected an append");
             self.has_failed = true;
             return;
         }
         self.pending.push_back(PendingWrite { id: self.next_id, chain_token });
     }
 
-    /// Replaces everything on the disk by the identity, the peers and a checkpoint of the chain, unless that is in progress.
+    /// Replaces all contents of the disk with the identity, the peers and a checkpoint of the chain, unless a snapshot is already
+    /// in progress.
     pub(super) fn write_snapshot(&mut self, peers: Vec<NodeRecord>, chain: Vec<LogRecord>) {
         if self.pending_snapshot.is_some() {
             return;
@@ -226,7 +228,7 @@
         records.extend(chain.into_iter().map(DiskRecord::Chain));
         let encoded = records.iter().map(encode).collect();
         if let Err(error) = self.writer.snapshot(self.next_id, encoded) {
-            log::warn!(error:% = error; "disk refused a snapshot");
+            log::warn!(error:% = error; "disk rejected a snapshot");
             return;
         }
         self.pending_snapshot = Some(self.next_id);
@@ -234,7 +236,7 @@
         self.has_failed = false;
     }
 
-    /// Whether a snapshot should be written now because a write has failed. Returns true once in [`REWRITE_INTERVAL`].
+    /// Whether a snapshot should be written now because a write has failed. Returns true at most once in [`REWRITE_INTERVAL`].
     pub(super) fn poll_rewrite(&mut self, now: Duration) -> bool {
         let is_due = self.has_failed && self.pending_snapshot.is_none() && now >= self.next_rewrite;
         if is_due {
@@ -243,7 +245,7 @@
         is_due
     }
 
-    /// How many writes are pending.
+    /// Number of pending writes.
     pub(super) fn pending_writes(&self) -> usize {
         self.pending.len()
     }
@@ -271,7 +273,7 @@
         }
     }
 
-    /// Removes a write and those before it.
+    /// Removes a finished write and the writes before it.
     fn finish(&mut self, id: u64) -> FinishedWrite {
         let was_snapshot = self.pending_snapshot == Some(id);
         if was_snapshot {
--- a/system/control/src/node/lease.rs
+++ b/system/control/src/node/lease.rs
@@ -1,4 +1,5 @@
-//! The driver of the coordinator lease. The voters of the control chain grant it, and the members of the chain are its candidates.
+//! Drives the coordinator lease. The voters of the control chain grant the lease, and the members of the chain are its
+//! candidates.
 
 use std::time::Duration;
 
@@ -11,26 +12,26 @@
 use super::messenger::Messenger;
 use super::peers::PeerDirectory;
 
-/// A grant lasts for this fraction of the time for which the orders of two coordinators keep apart.
-const TERM_DIVISOR: u32 = 2;
+/// The term of a grant is the minimum time between the orders of two coordinators, divided by this number.
+const LEASE_TERM_DIVISOR: u32 = 2;
 
-/// The coordinator lease at this node, as voter and as candidate. It sends its messages to the addresses in the directory, and tells the
-/// coordinator tasks when it is held or lost.
+/// The coordinator lease at this node, as voter and as candidate. Sends messages to the addresses in the directory, and notifies
+/// the coordinator tasks when the lease is held or lost.
 #[derive(Debug)]
 pub(super) struct LeaseDriver {
     clock: Clock,
     messenger: Messenger,
     lease: Lease,
     actions: Vec<LeaseAction>,
-    /// The members of the chain, head first.
+    /// The members of the chain in order, starting with the head.
     chain: Vec<VoterId>,
-    /// This node stops, so it is no candidate any more.
+    /// Whether this node is stopping, and so is no longer a candidate.
     is_released: bool,
 }
 
 impl LeaseDriver {
-    /// Starts the lease of a new process. `lease_time` is the time for which the orders of two coordinators keep apart; `is_founding`
-    /// says that no process of the system has run before.
+    /// Starts the lease of a new process. `lease_time` is the minimum time between the orders of two coordinators; `is_founding`
+    /// is true if no process of the system has run before.
     pub(super) fn start(
         clock: Clock,
         messenger: Messenger,
@@ -38,8 +39,8 @@
         is_founding: bool,
         seed: u64,
     ) -> Self {
-        let settings = LeaseSettings::new(lease_time / TERM_DIVISOR);
-        let mut lease = Lease::new(VoterId(messenger.own().member), settings, seed);
+        let settings = LeaseSettings::new(lease_time / LEASE_TERM_DIVISOR);
+        let mut lease = Lease::new(VoterId(messenger.own_record().member), settings, seed);
         let mut actions = Vec::new();
         lease.handle(Duration::ZERO, LeaseEvent::Started { founding: is_founding }, &mut actions);
         Self { clock, messenger, lease, actions, chain: Vec::new(), is_released: false }
@@ -49,12 +50,12 @@
         self.lease.next_timer()
     }
 
-    /// Until when this node holds the lease, if it does.
+    /// Time until which this node holds the lease, if it does.
     pub(super) fn held_until(&self, now: Duration) -> Option<Duration> {
         self.lease.held_until(now)
     }
 
-    /// Processes a message of another voter or candidate.
+    /// Processes a message from another voter or candidate.
     pub(super) fn on_message(
         &mut self,
         from: u64,
@@ -65,7 +66,7 @@
         self.handle_event(LeaseEvent::Message { from: VoterId(from), message }, directory, coordinator);
     }
 
-    /// Runs the lease's timer if it is due.
+    /// Processes the lease's timer if it is due.
     pub(super) fn handle_timeout(
         &mut self,
         now: Duration,
@@ -77,7 +78,7 @@
         }
     }
 
-    /// This node has sealed a view, so it grants nothing in it any more.
+    /// Processes the sealing of a view: this node grants nothing in it any more.
     pub(super) fn on_view_sealed(
         &mut self,
         epoch: u64,
@@ -87,7 +88,7 @@
         self.handle_event(LeaseEvent::Sealed { epoch }, directory, coordinator);
     }
 
-    /// The voters of a new view grant, and the members of its chain are the candidates.
+    /// Processes the installation of a view: its voters grant the lease, and the members of its chain are the candidates.
     pub(super) fn on_view_installed(
         &mut self,
         membership: &Membership,
@@ -102,8 +103,8 @@
         self.update_candidates(last_coordinator, directory, coordinator);
     }
 
-    /// The members of the chain are the candidates, first of all the machine that coordinated last: it continues without a handover,
-    /// where another one may have to wait until orders of the one before can't arrive any more.
+    /// Makes the members of the chain the candidates. The machine that coordinated last is preferred: it continues without a
+    /// handover, whereas another machine may have to wait until orders of the previous coordinator can't arrive any more.
     pub(super) fn update_candidates(
         &mut self,
         last_coordinator: Option<u64>,
@@ -118,7 +119,7 @@
         self.handle_event(LeaseEvent::Candidates { order }, directory, coordinator);
     }
 
-    /// Releases the lease for ever, because this node stops.
+    /// Releases the lease permanently, because this node is stopping.
     pub(super) fn release(&mut self, directory: &PeerDirectory, coordinator: &mut CoordinatorTasks) {
         self.is_released = true;
         self.handle_event(LeaseEvent::Candidates { order: Vec::new() }, directory, coordinator);
@@ -149,7 +150,7 @@
 
     fn send(&self, to: VoterId, message: LeaseMessage, directory: &PeerDirectory) {
         if let Some(address) = directory.address(to.0) {
-            let from = self.messenger.own().member;
+            let from = self.messenger.own_record().member;
             self.messenger.send(address, Envelope::Lease { from, message });
         }
     }
--- a/system/control/src/node/mod.rs
+++ b/system/control/src/node/mod.rs
@@ -1,11 +1,12 @@
-//! One control node: its components, and the event loop that passes events and outputs between them.
+//! A control node: its components, and the event loop that passes events and outputs between them.
 //!
-//! The machines do no I/O: the chain replicates the commands, the relay distributes the registry, the lease elects the coordinator, sessions
-//! follow stores and nodes, and the planners say what the coordinator should change. Each has a component here that drives it, and that
-//! owns whatever state the driving needs. The loop runs as one task: it waits for a message, a request, an event of the storage thread, the
-//! result of a load, or a timer; gives it to a component ([`routing`]); and carries out what follows from it, until nothing does.
+//! The state machines do no I/O: the chain replicates the commands, the relay distributes the registry, the lease elects the
+//! coordinator, sessions track stores and nodes by their heartbeats, and the planners determine what the coordinator should
+//! change. Each state machine has a component in this module that drives it and owns the state needed for that. The event loop
+//! runs as one task: it waits for a message, a request, an event of the storage thread, the result of a load, or a timer; passes
+//! it to a component ([`routing`]); and processes the resulting outputs until there are none.
 //!
-//! Everything else in the process sends its [`Request`]s through a bounded queue.
+//! All other tasks of the process send their [`Request`]s through a bounded queue.
 
 mod acknowledgements;
 mod chain_host;
@@ -41,10 +42,10 @@
 
 pub use commands::{SubmissionSettings, Submissions};
 pub use peers::{HelloOutcome, PeerDirectory, MAX_PEERS};
-pub use request::{Acknowledged, BeginRetirementOutcome, Confirmed, Request};
+pub use request::{Acknowledgement, BeginRetirementOutcome, Confirmed, Request};
 pub use start::{start, Handles, StartError};
 
-use acknowledgements::EndAcknowledgements;
+use acknowledgements::SessionEndAcknowledgements;
 use chain_host::ChainHost;
 use chain_replicas::ChainReplicas;
 use clock::Clock;
@@ -58,37 +59,37 @@
 use relay_host::RelayHost;
 use session_host::SessionHost;
 
-/// Time between the checks of what has no timer of its own.
+/// Interval of the periodic checks that have no timer of their own.
 const HOUSEKEEPING_INTERVAL: Duration = Duration::from_millis(100);
-/// Most events of one source in one pass of the event loop.
+/// Maximum number of events that one pass of the event loop processes from one source.
 const MAX_EVENTS_PER_PASS: usize = 64;
-/// If a pass comes later than this, the process stood still and received nothing, so time-outs start anew.
+/// If the time since the last housekeeping exceeds this, the process was suspended and received nothing, so time-outs are
+/// restarted.
 const STALL_THRESHOLD: Duration = Duration::from_millis(700);
-/// Requests in progress are answered within this time after the process was asked to stop.
-const MAX_SHUTDOWN: Duration = Duration::from_millis(1_500);
-/// Goodbyes leave the process within this time.
-const GOODBYE_FLUSH: Duration = Duration::from_millis(20);
+/// Maximum time for which the node continues to answer requests after the process was asked to stop.
+const MAX_SHUTDOWN_DURATION: Duration = Duration::from_millis(1_500);
+/// Delay before the process exits, so that the goodbye messages are sent.
+const GOODBYE_FLUSH_TIME: Duration = Duration::from_millis(20);
 
-/// Why a control node can't continue: replicated state can't be read or written here. Continuing could only make this replica differ from
-/// the others, so the process ends.
+/// An error after which a control node can't continue: replicated state can't be read or written. A node that continued could
+/// only diverge from the other replicas, so the process ends.
 #[derive(Debug, Snafu)]
 pub enum NodeError {
-    /// A snapshot of the state.
+    /// A snapshot of the state can't be encoded or decoded.
     #[snafu(display("{source}"))]
     Snapshot {
-        /// Why.
+        /// The error of the snapshot.
         source: SnapshotError,
     },
-    /// A committed command.
+    /// A committed command can't be decoded.
     #[snafu(display("entry {index} of the control chain is unreadable"))]
     Entry {
-        /// Its index in the chain.
+        /// Index of the command's entry in the chain.
         index: u64,
     },
 }
 
-/// One control node: its components, and the event loop between them. Each component owns its state; a handler names what else it
-/// touches among its arguments.
+/// A control node. Each component owns its state; a handler receives whatever else it accesses as arguments.
 pub struct Node {
     clock: Clock,
     messenger: Messenger,
@@ -97,15 +98,15 @@
     relay: RelayHost,
     peers: Peers,
     sessions: SessionHost,
-    acknowledgements: EndAcknowledgements,
+    acknowledgements: SessionEndAcknowledgements,
     commands: CommandClient,
     reads: PendingReads,
     lease: LeaseDriver,
     coordinator: CoordinatorTasks,
-    /// How many machines may be lost at a time.
+    /// Number of machines that may fail at the same time.
     fault_tolerance: usize,
-    last_housekeeping: Duration,
-    /// Why the event loop has to end.
+    last_housekeeping_at: Duration,
+    /// The error that ends the event loop, if one has occurred.
     failure: Option<NodeError>,
 }
 
@@ -118,7 +119,7 @@
 }
 
 impl Node {
-    /// Runs until `stop` resolves, and then until the request queue is closed, or for [`MAX_SHUTDOWN`].
+    /// Runs until `stop` resolves, and then until the request queue is closed, or for [`MAX_SHUTDOWN_DURATION`].
     ///
     /// # Errors
     ///
@@ -129,13 +130,13 @@
         stop: impl std::future::Future<Output = ()>,
     ) -> Result<(), NodeError> {
         tokio::pin!(stop);
-        let mut stopped_at = None;
+        let mut stop_requested_at = None;
         loop {
             self.process_outputs();
             if let Some(failure) = self.failure.take() {
                 return Err(failure);
             }
-            if stopped_at.is_some_and(|at| self.clock.now() >= at + MAX_SHUTDOWN) {
+            if stop_requested_at.is_some_and(|at| self.clock.now() >= at + MAX_SHUTDOWN_DURATION) {
                 break;
             }
             let timer = tokio::time::sleep_until(self.clock.instant(self.next_timer()));
@@ -150,15 +151,15 @@
                 },
                 Some(event) = sources.disk.recv() => self.on_disk_event(event),
                 Some(result) = sources.load_results.recv() => self.on_load_result(result),
-                () = &mut stop, if stopped_at.is_none() => {
-                    stopped_at = Some(self.clock.now());
-                    self.begin_stop();
+                () = &mut stop, if stop_requested_at.is_none() => {
+                    stop_requested_at = Some(self.clock.now());
+                    self.begin_shutdown();
                 }
                 () = timer => {}
             }
         }
         self.peers.send_goodbyes();
-        tokio::time::sleep(GOODBYE_FLUSH).await;
+        tokio::time::sleep(GOODBYE_FLUSH_TIME).await;
         Ok(())
     }
 
@@ -167,7 +168,7 @@
         self.failure.get_or_insert(failure);
     }
 
-    /// One pass of the event loop after an event: runs the timers that are due, and processes the outputs of all components.
+    /// Runs one pass of the event loop after an event: runs the timers that are due, and processes the outputs of all components.
     fn process_outputs(&mut self) {
         let now = self.clock.now();
         self.run_timers(now);
@@ -183,20 +184,20 @@
         self.chain.handle_timeout(now);
         self.relay.handle_timeout(now);
         self.lease.handle_timeout(now, self.peers.directory(), &mut self.coordinator);
-        if now >= self.last_housekeeping + HOUSEKEEPING_INTERVAL {
+        if now >= self.last_housekeeping_at + HOUSEKEEPING_INTERVAL {
             self.run_housekeeping(now);
         }
     }
 
     fn run_housekeeping(&mut self, now: Duration) {
-        let since_last = now.saturating_sub(self.last_housekeeping);
+        let since_last = now.saturating_sub(self.last_housekeeping_at);
         if since_last > STALL_THRESHOLD {
             log::warn!(duration:? = since_last; "process stalled");
             self.sessions.restart_timeouts(now);
             self.coordinator.restart_timeouts(now);
             self.peers.restart_timeouts(now);
         }
-        self.last_housekeeping = now;
+        self.last_housekeeping_at = now;
         if self.disk.poll_rewrite(now) {
             self.write_snapshot();
         }
@@ -218,8 +219,8 @@
             self.sessions.next_timer(),
             self.acknowledgements.next_timer(),
         ];
-        let housekeeping = self.last_housekeeping + HOUSEKEEPING_INTERVAL;
-        timers.into_iter().flatten().fold(housekeeping, Duration::min)
+        let next_housekeeping = self.last_housekeeping_at + HOUSEKEEPING_INTERVAL;
+        timers.into_iter().flatten().fold(next_housekeeping, Duration::min)
     }
 
     fn send_hellos(&mut self, now: Duration) {
@@ -244,14 +245,15 @@
         self.coordinator.run(now, lease_until, view, &mut self.commands);
     }
 
-    /// Loses the peers that have become unreachable.
+    /// Processes the loss of peers that have become unreachable.
     fn expire_peers(&mut self, now: Duration) {
         for peer in self.peers.expire(now) {
             self.on_peer_lost(peer);
         }
     }
 
-    /// Expires sessions. An isolated member of the chain receives no heartbeats, and expires none: the sources are alive to the others.
+    /// Expires sessions. An isolated member of the chain receives no heartbeats and expires no sessions, since their sources may
+    /// be alive to the other members.
     fn expire_sessions(&mut self, now: Duration) {
         self.sessions.publish_own_record(&mut self.relay);
         if self.chain.is_in_chain() && !self.relay.is_fresh(now) {
@@ -261,7 +263,7 @@
         }
     }
 
-    /// Has the chain confirm its membership where an end of a store waits for that.
+    /// Makes the chain confirm its membership if the acknowledgement of a store's end needs that.
     fn process_acknowledgements(&mut self, now: Duration) {
         self.acknowledgements.expire(now);
         let replicas = ChainReplicas::new(&self.chain, self.peers.directory(), self.sessions.replication());
@@ -270,7 +272,7 @@
         }
     }
 
-    fn begin_stop(&mut self) {
+    fn begin_shutdown(&mut self) {
         self.peers.stop();
         self.lease.release(self.peers.directory(), &mut self.coordinator);
     }
--- a/system/control/src/node/peers/mod.rs
+++ b/system/control/src/node/peers/mod.rs
@@ -1,7 +1,7 @@
-//! The other control nodes: who they are ([`PeerDirectory`]), and which of them this node can reach now.
+//! The other control nodes: their records ([`PeerDirectory`]), and which of them this node can reach now.
 //!
-//! Each node sends hellos to its seeds and to all peers that it knows: often until all members of the view are connected, less often
-//! after that. A peer becomes reachable with its hello and stays so as long as messages of any kind come from it.
+//! Each node sends hellos to its seeds and to all known peers: often until all members of the view are connected, less often
+//! after that. A peer becomes reachable with its hello and stays reachable as long as messages of any kind arrive from it.
 
 mod directory;
 
@@ -15,21 +15,21 @@
 
 pub use directory::{HelloOutcome, PeerDirectory, MAX_PEERS};
 
-/// Time between hellos while no view is known, or not all its members are connected.
+/// Interval between hellos while no view is known or not all its members are connected.
 const DISCOVERY_INTERVAL: Duration = Duration::from_millis(200);
-/// Time between hellos otherwise.
+/// Interval between hellos while all members of the view are connected.
 const HELLO_INTERVAL: Duration = Duration::from_millis(500);
 /// A peer that has sent nothing for this long is unreachable.
-const UNREACHABLE_AFTER: Duration = Duration::from_millis(1_600);
+const REACHABILITY_TIMEOUT: Duration = Duration::from_millis(1_600);
 
-/// A hello that was accepted.
+/// The effect of an accepted hello.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PeerHello {
     /// Whether the directory has changed.
     pub is_directory_changed: bool,
-    /// Whether the peer may lack what this node replicated before: it has restarted, or was not reachable.
+    /// Whether the peer may lack entries that this node replicated before, because it has restarted or was not reachable.
     pub is_new_connection: bool,
-    /// The member that had its address before; its disk is lost.
+    /// The member that had the peer's address before, if any. Its disk is lost.
     pub replaces: Option<u64>,
 }
 
@@ -39,7 +39,7 @@
     messenger: Messenger,
     seeds: Vec<SocketAddr>,
     directory: PeerDirectory,
-    /// When each reachable peer has last sent something.
+    /// The time at which each reachable peer last sent a message.
     last_seen: BTreeMap<SocketAddr, Duration>,
     next_hello: Duration,
     is_stopped: bool,
@@ -57,12 +57,12 @@
         }
     }
 
-    /// Who the peers are.
+    /// The directory of the peers.
     pub(super) fn directory(&self) -> &PeerDirectory {
         &self.directory
     }
 
-    /// The peers that this node can reach.
+    /// The addresses of the peers that this node can reach.
     pub(super) fn reachable(&self) -> impl Iterator<Item = &SocketAddr> {
         self.last_seen.keys()
     }
@@ -73,29 +73,30 @@
             return false;
         }
         self.next_hello = now + if are_members_connected { HELLO_INTERVAL } else { DISCOVERY_INTERVAL };
-        let known = self.directory.records();
-        let mut targets: Vec<SocketAddr> = known.iter().map(|record| record.address).collect();
-        let unknown: Vec<SocketAddr> =
+        let known_peers = self.directory.records();
+        let mut targets: Vec<SocketAddr> = known_peers.iter().map(|record| record.address).collect();
+        let unknown_seeds: Vec<SocketAddr> =
             self.seeds.iter().copied().filter(|seed| !targets.contains(seed)).collect();
-        targets.extend(unknown);
+        targets.extend(unknown_seeds);
         for to in targets {
             let wants_reply = !self.last_seen.contains_key(&to);
-            self.send_hello(to, known.clone(), wants_reply);
+            self.send_hello(to, known_peers.clone(), wants_reply);
         }
         true
     }
 
-    /// Answers a hello.
+    /// Replies to a hello.
     pub(super) fn reply_to_hello(&self, to: SocketAddr) {
         self.send_hello(to, self.directory.records(), false);
     }
 
     fn send_hello(&self, to: SocketAddr, known_peers: Vec<NodeRecord>, wants_reply: bool) {
-        let node = self.messenger.own().clone();
+        let node = self.messenger.own_record().clone();
         self.messenger.send(to, Envelope::Control(ControlMessage::Hello { node, known_peers, wants_reply }));
     }
 
-    /// Processes a hello: the sender is reachable, and may have told of other peers. None if it is no control node at its own address.
+    /// Processes a hello: the sender is reachable, and may know further peers. Returns `None` if the sender is not a control node
+    /// at its own address.
     pub(super) fn on_hello(
         &mut self,
         now: Duration,
@@ -119,26 +120,27 @@
         })
     }
 
-    /// A message of any kind has come from an address.
+    /// Records that a message of any kind was received from an address.
     pub(super) fn on_message(&mut self, now: Duration, from: SocketAddr) {
         if let Some(last_seen) = self.last_seen.get_mut(&from) {
             *last_seen = now;
         }
     }
 
-    /// A message of the chain has come from a member.
+    /// Records that a message of the chain was received from a member.
     pub(super) fn on_chain_message(&mut self, now: Duration, member: u64) {
         self.directory.on_message(now, member);
     }
 
-    /// The connection to an address was refused, so its process has ended. Returns whether a peer is lost by that.
+    /// Processes a refused connection to an address, whose process has therefore ended. Returns whether a reachable peer is lost
+    /// by that.
     pub(super) fn on_refused(&mut self, address: SocketAddr) -> bool {
         self.last_seen.remove(&address).is_some()
     }
 
     /// Removes and returns the peers that have become unreachable.
     pub(super) fn expire(&mut self, now: Duration) -> Vec<SocketAddr> {
-        let has_expired = |last_seen: Duration| now.saturating_sub(last_seen) > UNREACHABLE_AFTER;
+        let has_expired = |last_seen: Duration| now.saturating_sub(last_seen) > REACHABILITY_TIMEOUT;
         let lost: Vec<SocketAddr> = self
             .last_seen
             .iter()
@@ -151,28 +153,28 @@
         lost
     }
 
-    /// This process stood still and received nothing: the time-outs of all peers start anew.
+    /// Restarts the time-outs of all peers, after this process was suspended and received nothing.
     pub(super) fn restart_timeouts(&mut self, now: Duration) {
         self.last_seen.values_mut().for_each(|last_seen| *last_seen = now);
     }
 
-    /// The control nodes that other nodes should use: the reachable ones, and this one unless it stops.
+    /// Addresses of the control nodes that other nodes should use: the reachable peers, and this node unless it is stopping.
     pub(super) fn advertised_addresses(&self) -> Vec<SocketAddr> {
         let mut addresses: Vec<SocketAddr> = self.last_seen.keys().copied().collect();
         if !self.is_stopped {
-            addresses.push(self.messenger.own().address);
+            addresses.push(self.messenger.own_record().address);
         }
         addresses
     }
 
-    /// Ends the hellos: this node will not be reachable any more.
+    /// Stops sending hellos, because this node will not be reachable any more.
     pub(super) fn stop(&mut self) {
         self.is_stopped = true;
     }
 
-    /// Tells all peers that this process ends.
+    /// Sends a goodbye to all known peers, because this process is ending.
     pub(super) fn send_goodbyes(&self) {
-        let goodbye = ControlMessage::Goodbye { incarnation: self.messenger.own().incarnation };
+        let goodbye = ControlMessage::Goodbye { incarnation: self.messenger.own_record().incarnation };
         for record in self.directory.records() {
             self.messenger.send(record.address, Envelope::Control(goodbye.clone()));
         }
--- a/system/control/src/node/reads.rs
+++ b/system/control/src/node/reads.rs
@@ -8,36 +8,38 @@
 
 use super::request::{BeginRetirementOutcome, Confirmed};
 
-/// Most reads that wait for the chain.
+/// Maximum number of reads that wait for the chain.
 const MAX_PENDING_READS: usize = 256;
 
-/// What is read once the chain has confirmed it, and where the result goes. Dropping a reply says that it can't be confirmed.
+/// A read to be carried out once the chain has confirmed the state, with the channel for its result. Dropping a reply signals
+/// that the read can't be confirmed.
 #[derive(Debug)]
 pub(super) enum PendingRead {
-    /// The newest configuration.
+    /// Reads the newest configuration.
     Configuration {
-        /// Gets its bytes, if there is one.
+        /// Receives the JSON of the configuration, if there is one.
         reply: Sender<Confirmed<Option<Arc<Vec<u8>>>>>,
     },
-    /// The state of a retirement.
+    /// Reads the state of a retirement.
     RetirementState {
-        /// The machine.
+        /// Name of the machine.
         name: String,
-        /// Gets the state, if it was ever retired.
+        /// Receives the state, if a retirement was ever begun.
         reply: Sender<Confirmed<Option<RetirementState>>>,
     },
-    /// The retirement of a machine: only a node that is connected to the chain decides that it is unknown, or that too few are left.
+    /// Begins the retirement of a machine. It needs a confirmed state, since only a node that is connected to the chain may
+    /// decide that the machine is unknown, or that too few would remain.
     BeginRetirement {
-        /// The machine.
+        /// Name of the machine.
         name: String,
-        /// Gets the decision.
+        /// Receives the decision.
         reply: Sender<BeginRetirementOutcome>,
     },
-    /// The chain confirms its membership for the acknowledgements that wait for this token.
+    /// Confirms the chain's membership for the acknowledgements that wait for this read's token.
     MembershipConfirmation,
 }
 
-/// The reads that wait, by the token under which the chain was asked.
+/// The waiting reads, by the token of their request to the chain.
 #[derive(Debug, Default)]
 pub(super) struct PendingReads {
     reads: HashMap<u64, PendingRead>,
@@ -45,7 +47,7 @@
 }
 
 impl PendingReads {
-    /// Adds a read and returns its token. None if too many wait; the read is dropped.
+    /// Adds a read and returns its token. If too many reads wait, the read is dropped and `None` is returned.
     pub(super) fn add(&mut self, read: PendingRead) -> Option<u64> {
         if self.reads.len() >= MAX_PENDING_READS {
             return None;
@@ -55,7 +57,7 @@
         Some(self.last_token)
     }
 
-    /// Removes the read of a token.
+    /// Removes and returns the read of a token.
     pub(super) fn remove(&mut self, token: u64) -> Option<PendingRead> {
         self.reads.remove(&token)
     }
--- a/system/control/src/node/relay_host.rs
+++ b/system/control/src/node/relay_host.rs
@@ -1,4 +1,4 @@
-//! The driver of the relay: feeds events to the machine that distributes the registry to all nodes, and sends its messages.
+//! Drives the relay: passes events to the state machine that distributes the registry to all nodes, and sends its messages.
 
 use std::time::Duration;
 
@@ -8,8 +8,8 @@
 use super::clock::Clock;
 use super::messenger::Messenger;
 
-/// Without a confirmed tick for this long, a node counts as isolated from the control chain.
-const ISOLATED_AFTER: Duration = Duration::from_millis(1_800);
+/// A node without a confirmed tick for this long counts as isolated from the control chain.
+const ISOLATION_TIMEOUT: Duration = Duration::from_millis(1_800);
 
 /// The relay of this node, with its copy of the registry.
 #[derive(Debug)]
@@ -25,7 +25,7 @@
         Self { clock, messenger, relay, has_new_weight_inputs: false }
     }
 
-    /// Processes an event and sends the messages that follow from it.
+    /// Processes an event and sends the resulting messages.
     pub(super) fn handle_event(&mut self, event: RelayEvent) {
         let mut actions = Vec::new();
         self.relay.handle(self.clock.now(), event, &mut actions);
@@ -39,14 +39,14 @@
         }
     }
 
-    /// Merges entries that are new here into the registry, and sends them down the tree.
-    pub(super) fn learn(&mut self, entries: Vec<Entry>) {
+    /// Merges entries that are new at this node into the registry, and sends them down the tree.
+    pub(super) fn merge_entries(&mut self, entries: Vec<Entry>) {
         if !entries.is_empty() {
             self.handle_event(RelayEvent::EntriesLearned(entries));
         }
     }
 
-    /// Runs the relay's timer if it is due.
+    /// Processes the relay's timer if it is due.
     pub(super) fn handle_timeout(&mut self, now: Duration) {
         if self.relay.next_timer().is_some_and(|due| due <= now) {
             self.handle_event(RelayEvent::TimerExpired);
@@ -57,19 +57,20 @@
         self.relay.next_timer()
     }
 
-    /// What this node knows of the system.
+    /// This node's copy of the registry.
     pub(super) fn registry(&self) -> &Registry {
         self.relay.registry()
     }
 
-    /// Whether the registry is up to date, by the ticks of the control chain.
+    /// Whether the registry is up to date, according to the ticks of the control chain.
     pub(super) fn is_fresh(&self, now: Duration) -> bool {
         self.relay.is_fresh(now)
     }
 
-    /// Whether this node has had no confirmed tick for so long that it may be partitioned from the control chain.
+    /// Whether this node has received no confirmed tick for [`ISOLATION_TIMEOUT`], so it may be partitioned from the control
+    /// chain.
     pub(super) fn is_isolated(&self, now: Duration) -> bool {
-        now.saturating_sub(self.relay.last_tick_at().unwrap_or_default()) > ISOLATED_AFTER
+        now.saturating_sub(self.relay.last_tick_at().unwrap_or_default()) > ISOLATION_TIMEOUT
     }
 
     /// Whether entries that the weights depend on have changed since the last call.
@@ -78,7 +79,7 @@
     }
 }
 
-/// Whether the versions that stores should load depend on an entry.
+/// Whether the versions that stores should load depend on the entry of a key.
 fn affects_weights(key: &Key) -> bool {
     matches!(key, Key::Configuration | Key::NamedVersion(_) | Key::Store(_) | Key::Weights(..))
 }
--- a/system/control/src/node/request.rs
+++ b/system/control/src/node/request.rs
@@ -1,4 +1,4 @@
-//! The requests of the HTTP side to the node, each with the channel for its response.
+//! The requests of the HTTP server to the node, each with the channel for its response.
 
 use std::sync::Arc;
 
@@ -16,67 +16,68 @@
     Accepted,
     /// No backend has this name.
     UnknownBackend,
-    /// Too few backends would be left.
+    /// Too few backends would remain.
     TooFewBackends,
     /// The outcome is not known now.
     Unavailable,
 }
 
-/// The change that a store has sent may be acknowledged.
+/// The acknowledgement of a change that a store has sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Acknowledged {
-    /// The control chain has confirmed this node a moment ago, so the store may send its next heartbeats here too.
+pub struct Acknowledgement {
+    /// Whether the control chain has confirmed this node recently, so that the store may send its next heartbeats to this node
+    /// too.
     pub is_chain_fresh: bool,
 }
 
-/// One request of the HTTP side. Dropping the reply says that there is no response.
+/// A request of the HTTP server. Dropping the reply signals that there is no response.
 #[derive(Debug)]
 pub enum Request {
-    /// Pass a command through the chain; `None` if its outcome is not known in time.
+    /// Submits a command to the chain.
     Submit {
-        /// The command.
+        /// The command to submit.
         command: Command,
-        /// Gets the outcome.
+        /// Receives the outcome; `None` if it is not known in time.
         reply: Sender<Option<CommandOutcome>>,
     },
-    /// Read the newest configuration.
+    /// Reads the newest configuration.
     ReadConfiguration {
-        /// Gets its bytes, if there is one.
+        /// Receives the JSON of the configuration, if there is one.
         reply: Sender<Confirmed<Option<Arc<Vec<u8>>>>>,
     },
-    /// Read the state of a backend's retirement.
+    /// Reads the state of a backend's retirement.
     ReadRetirement {
-        /// The machine.
+        /// Name of the backend's machine.
         name: String,
-        /// Gets the state, if a retirement was ever begun.
+        /// Receives the state, if a retirement was ever begun.
         reply: Sender<Confirmed<Option<RetirementState>>>,
     },
-    /// Begin the retirement of a backend.
+    /// Begins the retirement of a backend.
     BeginRetirement {
-        /// The machine.
+        /// Name of the backend's machine.
         name: String,
-        /// Gets the result.
+        /// Receives the result.
         reply: Sender<BeginRetirementOutcome>,
     },
-    /// Process the heartbeat of a store.
+    /// Processes the heartbeat of a store.
     Heartbeat {
-        /// The store's id.
+        /// Instance id of the store.
         id: String,
-        /// Its contents.
+        /// Contents of the heartbeat.
         heartbeat: Heartbeat,
-        /// Gets the acknowledgement.
-        reply: Sender<Acknowledged>,
+        /// Receives the acknowledgement.
+        reply: Sender<Acknowledgement>,
     },
-    /// End the session of a store.
+    /// Ends the session of a store that deregisters.
     Deregister {
-        /// The store's id.
+        /// Instance id of the store.
         id: String,
-        /// Gets the acknowledgement.
-        reply: Sender<Acknowledged>,
+        /// Receives the acknowledgement.
+        reply: Sender<Acknowledgement>,
     },
-    /// Report the status of this node.
+    /// Reads the status of this node.
     Status {
-        /// Gets the status as JSON.
+        /// Receives the status as JSON.
         reply: Sender<String>,
     },
 }
--- a/system/control/src/node/retirement.rs
+++ b/system/control/src/node/retirement.rs
@@ -1,4 +1,4 @@
-//! Whether a backend may be retired: it is known, and enough others would be left.
+//! Decides whether a backend may be retired: it must be known, and enough other backends must remain.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -8,30 +8,30 @@
 use super::request::BeginRetirementOutcome;
 use crate::state::ControlState;
 
-/// Before this, the registry may lack backends that are alive.
-const REGISTRY_COMPLETE_AFTER: Duration = Duration::from_secs(5);
+/// Time after the start of the process during which the registry may lack backends that are alive.
+const REGISTRY_COMPLETION_TIME: Duration = Duration::from_secs(5);
 
-/// What the decision on a retirement rests on.
+/// The input of the decision on a retirement.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct RetirementCheck<'a> {
-    /// The time since this process started.
+    /// Time since this process started.
     pub now: Duration,
-    /// How many machines may be lost at a time.
+    /// Number of machines that may fail at the same time.
     pub fault_tolerance: usize,
     pub state: &'a ControlState,
     pub registry: &'a Registry,
 }
 
 impl RetirementCheck<'_> {
-    /// The member to be retired under a machine's name: the same one as before if it is being retired already.
+    /// The member to be retired under a machine's name: the same one as before if it is already being retired.
     ///
     /// # Errors
     ///
-    /// Why it can't be retired, as the caller is answered.
+    /// The outcome for the caller if no backend can be retired under that name.
     pub(super) fn member_to_retire(&self, name: &str) -> Result<u64, BeginRetirementOutcome> {
-        let running = self.backend_named(name).map(|backend| backend.member);
-        let before = self.state.retirements().get(name).map(|retirement| retirement.member);
-        match before.filter(|member| running.is_none_or(|running| running == *member)) {
+        let running_member = self.backend_named(name).map(|backend| backend.member);
+        let retiring_member = self.state.retirements().get(name).map(|retirement| retirement.member);
+        match retiring_member.filter(|member| running_member.is_none_or(|running| running == *member)) {
             Some(member) => Ok(member),
             None => self.check_new(name),
         }
@@ -48,7 +48,7 @@
         let is_present = |record: &PartitionRecord| {
             record.chain.iter().all(|member| *member == backend.member || remaining.contains(member))
         };
-        // A member of a chain that is missing now may come back soon.
+        // A chain member that is missing now may return soon.
         let are_all_present = self.state.partitions().all().all(|(_, record)| is_present(record));
         if are_all_present {
             Err(self.unless_registry_incomplete(BeginRetirementOutcome::TooFewBackends))
@@ -57,9 +57,9 @@
         }
     }
 
-    fn unless_registry_incomplete(&self, refusal: BeginRetirementOutcome) -> BeginRetirementOutcome {
-        if self.now >= REGISTRY_COMPLETE_AFTER {
-            refusal
+    fn unless_registry_incomplete(&self, rejection: BeginRetirementOutcome) -> BeginRetirementOutcome {
+        if self.now >= REGISTRY_COMPLETION_TIME {
+            rejection
         } else {
             BeginRetirementOutcome::Unavailable
         }
--- a/system/control/src/node/routing/chain_actions.rs
+++ b/system/control/src/node/routing/chain_actions.rs
@@ -15,7 +15,7 @@
         self.chain.on_message(from, message);
     }
 
-    /// Carries out the chain's actions until there are none: carrying one out may lead to more.
+    /// Carries out the chain's actions until none are left, since carrying out one may produce others.
     pub(in crate::node) fn process_chain_actions(&mut self) {
         loop {
             let actions = self.chain.poll_actions();
@@ -65,24 +65,26 @@
     fn send_to_member(&mut self, to: MemberId, message: ChainMessage) {
         match self.peers.directory().address(to.0) {
             Some(address) => {
-                let from = self.messenger.own().member;
+                let from = self.messenger.own_record().member;
                 self.messenger.send(address, Envelope::Chain { from, message });
             }
-            None => log::debug!(member:% = hex(to); "member without a known address"),
+            None => {
+                log::debug!(member:% = member_hex(to); "message dropped: address of the chain member is unknown")
+            }
         }
     }
 
-    fn apply(&mut self, index: u64, bytes: &[u8], reply: bool) -> Result<(), NodeError> {
+    fn apply(&mut self, index: u64, bytes: &[u8], needs_reply: bool) -> Result<(), NodeError> {
         let applied = self.chain.apply(index, bytes)?;
-        self.relay.learn(applied.entries);
+        self.relay.merge_entries(applied.entries);
         if matches!(applied.submitted.command, Command::AllocateFencingToken { .. }) {
             self.update_lease_candidates();
         }
         self.send_applied_tick();
         let SubmittedCommand { request, reply_to, .. } = applied.submitted;
-        if reply_to == self.messenger.own().address {
+        if reply_to == self.messenger.own_record().address {
             self.on_command_outcome(request, Some(applied.outcome));
-        } else if reply {
+        } else if needs_reply {
             self.commands.reply(reply_to, request, Some(applied.outcome));
         }
         Ok(())
@@ -96,13 +98,13 @@
 
     fn install_snapshot(&mut self, index: u64, bytes: &[u8]) -> Result<(), NodeError> {
         self.chain.install_snapshot(index, bytes)?;
-        self.relay.learn(self.chain.state().registry_entries());
+        self.relay.merge_entries(self.chain.state().registry_entries());
         self.update_lease_candidates();
         self.send_applied_tick();
         Ok(())
     }
 
-    /// A tick goes down the relay's tree once everything committed before it is applied here, and so is in the registry.
+    /// Sends a tick down the relay's tree once everything committed before it is applied at this node, and so is in the registry.
     fn send_applied_tick(&mut self) {
         if let Some(tick) = self.chain.poll_applied_tick() {
             self.relay.handle_event(RelayEvent::Tick(tick));
@@ -110,7 +112,7 @@
     }
 
     pub(in crate::node) fn on_view_installed(&mut self, membership: &Membership) {
-        self.acknowledgements.reevaluate();
+        self.acknowledgements.request_evaluation();
         let last_coordinator = self.last_coordinator();
         let directory = self.peers.directory();
         self.lease.on_view_installed(membership, last_coordinator, directory, &mut self.coordinator);
@@ -122,12 +124,12 @@
         self.lease.update_candidates(last_coordinator, directory, &mut self.coordinator);
     }
 
-    /// The member on the machine that allocated the newest fencing token.
+    /// The member on the machine that allocated the newest fencing token, if it is known.
     fn last_coordinator(&self) -> Option<u64> {
-        let own = self.messenger.own();
+        let own_record = self.messenger.own_record();
         let address = self.chain.state().fencing()?.owner.address;
-        if address == own.address {
-            Some(own.member)
+        if address == own_record.address {
+            Some(own_record.member)
         } else {
             self.peers.directory().member_at(address)
         }
@@ -152,10 +154,10 @@
     }
 }
 
-fn hex(member: MemberId) -> String {
+fn member_hex(member: MemberId) -> String {
     format!("{:x}", member.0)
 }
 
 fn hex_members(members: &[MemberId]) -> Vec<String> {
-    members.iter().copied().map(hex).collect()
+    members.iter().copied().map(member_hex).collect()
 }
--- a/system/control/src/node/routing/messages.rs
+++ b/system/control/src/node/routing/messages.rs
@@ -12,7 +12,7 @@
 use crate::node::{Node, MAX_EVENTS_PER_PASS};
 
 impl Node {
-    /// Processes a message, and those behind it in the inbox.
+    /// Processes a message, and further ones from the inbox up to [`MAX_EVENTS_PER_PASS`] in total.
     pub(in crate::node) fn on_messages(&mut self, first: Incoming<Envelope>, inbox: &mut Inbox<Envelope>) {
         self.on_incoming(first);
         for _ in 1..MAX_EVENTS_PER_PASS {
@@ -46,7 +46,7 @@
             Envelope::Control(message) => self.on_control_message(from, message),
             Envelope::Relay(message) => self.relay.handle_event(RelayEvent::Message { from, message }),
             Envelope::Jobs(_) | Envelope::Partition { .. } => {
-                log::debug!(from:% = from; "message for another plane ignored");
+                log::debug!(from:% = from; "message ignored: it is not for the control plane");
             }
         }
     }
@@ -73,7 +73,7 @@
             }
             ControlMessage::ReplicateSessionsAck { sequence } => {
                 self.sessions.on_batch_acknowledged(from, sequence);
-                self.acknowledgements.reevaluate();
+                self.acknowledgements.request_evaluation();
             }
             ControlMessage::ModelUsed { model, host, path, min_version } => {
                 let configuration = self.chain.state().configuration();
@@ -102,7 +102,8 @@
         self.messenger.send(from, Envelope::Control(reply));
     }
 
-    /// A control node has ended or is unreachable: its sessions are taken over, and when it is back it gets everything again.
+    /// Processes the loss of a control node that has ended or is unreachable: its sessions are taken over, and all entries are
+    /// sent to it again once it reconnects.
     pub(in crate::node) fn on_peer_lost(&mut self, peer: SocketAddr) {
         log::info!(address:% = peer; "control peer lost");
         self.sessions.on_peer_lost(self.clock.now(), peer);
@@ -120,7 +121,7 @@
         if hello.is_new_connection {
             self.sessions.on_peer_connected(from, self.relay.registry());
         }
-        self.acknowledgements.reevaluate();
+        self.acknowledgements.request_evaluation();
         let member = MemberId(node.member);
         let replaces = hello.replaces.map(MemberId);
         self.chain.handle_event(ChainEvent::View(MembershipEvent::MemberAnnounced { member, replaces }));
--- a/system/control/src/node/routing/mod.rs
+++ b/system/control/src/node/routing/mod.rs
@@ -1,5 +1,5 @@
-//! The routes of the event loop: which component processes an event, and which one its outputs go to. No route keeps state or decides
-//! anything that a component could decide.
+//! The routes of the event loop: they pass each event to the component that processes it, and its outputs to other components. A
+//! route keeps no state and makes no decision that a component could make.
 
 mod chain_actions;
 mod messages;
--- a/system/control/src/node/routing/requests.rs
+++ b/system/control/src/node/routing/requests.rs
@@ -1,4 +1,4 @@
-//! Routes the requests of the HTTP side to the components that answer them.
+//! Routes the requests of the HTTP server to the components that answer them.
 
 use gingerledge_chain::ChainEvent;
 use gingerledge_protocol::{ConfigurationDocument, Heartbeat, StoreState};
@@ -8,13 +8,13 @@
 
 use crate::node::chain_replicas::ChainReplicas;
 use crate::node::reads::PendingRead;
-use crate::node::request::{Acknowledged, BeginRetirementOutcome, Request};
+use crate::node::request::{Acknowledgement, BeginRetirementOutcome, Request};
 use crate::node::retirement::RetirementCheck;
 use crate::node::status::StatusReport;
 use crate::node::{Node, MAX_EVENTS_PER_PASS};
 
 impl Node {
-    /// Processes a request, and those behind it in the queue.
+    /// Processes a request, and further ones from the queue up to [`MAX_EVENTS_PER_PASS`] in total.
     pub(in crate::node) fn on_requests(&mut self, first: Request, requests: &mut Receiver<Request>) {
         self.on_request(first);
         for _ in 1..MAX_EVENTS_PER_PASS {
@@ -49,7 +49,7 @@
 
     fn status_json(&self) -> String {
         let report = StatusReport {
-            own: self.messenger.own(),
+            own_record: self.messenger.own_record(),
             chain: &self.chain,
             registry: self.relay.registry(),
             peers: &self.peers,
@@ -67,7 +67,8 @@
         }
     }
 
-    /// The chain has confirmed that the state here was up to date when the read came, or could not.
+    /// Completes a read after the chain has confirmed, or failed to confirm, that the state at this node was up to date when the
+    /// read started.
     pub(in crate::node) fn on_read_finished(&mut self, token: u64, is_confirmed: bool) {
         let Some(read) = self.reads.remove(token) else { return };
         match read {
@@ -111,31 +112,32 @@
         }
     }
 
-    /// An end of a store is acknowledged once the chain has it, other heartbeats at once unless this node is isolated: stores that used
-    /// it would be lost to the others. Dropping the reply sends the store to another control node.
-    fn on_store_heartbeat(&mut self, id: String, heartbeat: Heartbeat, reply: Sender<Acknowledged>) {
+    /// Processes the heartbeat of a store. Draining is acknowledged once all members of the chain have the change. Other
+    /// heartbeats are acknowledged at once, unless this node is isolated: the other nodes would lose the stores that report to
+    /// it. Dropping the reply redirects the store to another control node.
+    fn on_store_heartbeat(&mut self, id: String, heartbeat: Heartbeat, reply: Sender<Acknowledgement>) {
         let is_draining = heartbeat.state == StoreState::Draining;
         let sequence = heartbeat.sequence;
         let key = Key::Store(id);
         let Some(record) = store_record(heartbeat) else {
-            let _ = reply.send(Acknowledged { is_chain_fresh: false });
+            let _ = reply.send(Acknowledgement { is_chain_fresh: false });
             return;
         };
         let now = self.clock.now();
         let is_newest = self.sessions.on_store_heartbeat(now, &key, sequence, record, &mut self.relay);
         let now = self.clock.now();
         if is_draining {
-            // A later heartbeat is replicated by the node that received it, so this one does not know who has it.
+            // A later heartbeat is replicated by the node that received it, so this node does not know which nodes have it.
             if is_newest {
                 self.acknowledgements.add(now, key, reply);
             }
         } else if !self.relay.is_isolated(now) {
-            let _ = reply.send(Acknowledged { is_chain_fresh: self.relay.is_fresh(now) });
+            let _ = reply.send(Acknowledgement { is_chain_fresh: self.relay.is_fresh(now) });
         }
     }
 }
 
-/// The record of a store in the registry; none if its address can't be read.
+/// The registry record of a store; `None` if its address can't be parsed.
 fn store_record(heartbeat: Heartbeat) -> Option<StoreRecord> {
     Some(StoreRecord {
         service: heartbeat.service,
--- a/system/control/src/node/session_host.rs
+++ b/system/control/src/node/session_host.rs
@@ -1,5 +1,5 @@
-//! The sessions of stores and nodes at this node: processes their heartbeats, merges what changes into the registry, and replicates it to
-//! the other control nodes. The machines are in [`crate::sessions`].
+//! The sessions of stores and nodes at this node: processes their heartbeats, merges changes into the registry, and replicates
+//! them to the other control nodes. The state machines are in [`crate::sessions`].
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,7 +16,7 @@
     messenger: Messenger,
     sessions: Sessions,
     replication: SessionReplication,
-    /// The version of this node's own entry in the registry.
+    /// Version of this node's own entry in the registry.
     own_version: u64,
 }
 
@@ -25,12 +25,12 @@
         Self { messenger, sessions, replication, own_version: 0 }
     }
 
-    /// What the other control nodes have acknowledged.
+    /// The state of the replication to the other control nodes.
     pub(super) fn replication(&self) -> &SessionReplication {
         &self.replication
     }
 
-    /// How many sessions there are.
+    /// Numbers of sessions at this node.
     pub(super) fn counts(&self) -> SessionCounts {
         self.sessions.counts()
     }
@@ -57,7 +57,8 @@
         is_newest
     }
 
-    /// One store serves at an address, so those before it have ended, also if they have not deregistered.
+    /// Ends the sessions of former stores at an address. Only one store serves at an address, so the former ones have ended, even
+    /// if they have not deregistered.
     fn supersede_stores_at(&mut self, address: SocketAddr, current: &Key, relay: &mut RelayHost) {
         let former: Vec<Key> = relay
             .registry()
@@ -89,7 +90,8 @@
         }
     }
 
-    /// One process runs at an address, so those before it have ended.
+    /// Ends the sessions of former processes at the address of a node. Only one process runs at an address, so the former ones
+    /// have ended.
     fn end_former_incarnations(&mut self, node: &NodeRecord, relay: &mut RelayHost) {
         let former: Vec<u64> = relay
             .registry()
@@ -110,8 +112,8 @@
         value: Value,
         relay: &mut RelayHost,
     ) -> bool {
-        let known = relay.registry().entry(&key);
-        match self.sessions.on_heartbeat(now, key, sequence, value, known) {
+        let registry_entry = relay.registry().entry(&key);
+        match self.sessions.on_heartbeat(now, key, sequence, value, registry_entry) {
             HeartbeatOutcome::Changed(entry) => {
                 self.publish(entry, relay);
                 true
@@ -121,7 +123,7 @@
         }
     }
 
-    /// Ends the session of a source that has deregistered or said goodbye.
+    /// Ends the session of a source that has deregistered or sent a goodbye.
     pub(super) fn end(&mut self, key: Key, relay: &mut RelayHost) {
         let entry = self.sessions.end(key);
         self.publish(entry, relay);
@@ -130,24 +132,25 @@
     /// Merges an entry into the registry and replicates it to the other control nodes.
     pub(super) fn publish(&mut self, entry: Entry, relay: &mut RelayHost) {
         self.replication.mark_dirty(&entry.key);
-        relay.learn(vec![entry]);
+        relay.merge_entries(vec![entry]);
     }
 
-    /// Publishes this node's own entry where the registry lacks it. A tombstone of it is overruled.
+    /// Publishes this node's own entry if the registry lacks it or has a tombstone of it, which the new entry supersedes.
     pub(super) fn publish_own_record(&mut self, relay: &mut RelayHost) {
-        let own = self.messenger.own();
-        let key = Key::Node(own.incarnation);
-        let known = relay.registry().entry(&key);
-        if known.is_some_and(|entry| matches!(entry.value, Value::Node(_))) {
+        let own_record = self.messenger.own_record();
+        let key = Key::Node(own_record.incarnation);
+        let registry_entry = relay.registry().entry(&key);
+        if registry_entry.is_some_and(|entry| matches!(entry.value, Value::Node(_))) {
             return;
         }
-        self.own_version = self.own_version.max(known.map_or(0, |entry| entry.version)) + 1;
-        let entry = Entry { key: key.clone(), version: self.own_version, value: Value::Node(own.clone()) };
-        relay.learn(vec![entry]);
+        self.own_version = self.own_version.max(registry_entry.map_or(0, |entry| entry.version)) + 1;
+        let entry =
+            Entry { key: key.clone(), version: self.own_version, value: Value::Node(own_record.clone()) };
+        relay.merge_entries(vec![entry]);
         self.replication.mark_dirty(&key);
     }
 
-    /// Removes the own sessions that have expired, and publishes their tombstones.
+    /// Removes the sessions owned by this node that have expired, and publishes their tombstones.
     pub(super) fn expire(&mut self, now: Duration, relay: &mut RelayHost) {
         for entry in self.sessions.expire(now) {
             log::info!(key:? = entry.key; "session expired");
@@ -155,24 +158,25 @@
         }
     }
 
-    /// This process received nothing for a while, so all time-outs start anew.
+    /// Restarts all time-outs, after this process received nothing for some time.
     pub(super) fn restart_timeouts(&mut self, now: Duration) {
         self.sessions.restart_timeouts(now);
     }
 
-    /// A control node is connected, and may have none of the entries that control nodes replicate.
+    /// Starts the replication to a control node that has connected, and may have none of the entries that control nodes
+    /// replicate.
     pub(super) fn on_peer_connected(&mut self, peer: SocketAddr, registry: &Registry) {
         let keys = registry.entries().map(|entry| &entry.key).filter(|key| is_replicated(key));
         self.replication.on_peer_connected(peer, keys.cloned());
     }
 
-    /// A control node is lost: its sessions are taken over.
+    /// Stops the replication to a lost control node, and takes over its sessions.
     pub(super) fn on_peer_lost(&mut self, now: Duration, peer: SocketAddr) {
         self.replication.on_peer_lost(peer);
         self.sessions.take_over(now, peer);
     }
 
-    /// Processes entries that another control node replicates, and acknowledges them.
+    /// Processes a batch of entries from another control node, and acknowledges it.
     pub(super) fn on_batch(
         &mut self,
         now: Duration,
@@ -183,8 +187,8 @@
     ) {
         let mut new_entries = Vec::new();
         for entry in entries {
-            let known = relay.registry().entry(&entry.key);
-            if known.is_some_and(|known| known.rank() >= entry.rank()) {
+            let registry_entry = relay.registry().entry(&entry.key);
+            if registry_entry.is_some_and(|registered| registered.rank() >= entry.rank()) {
                 continue;
             }
             if is_session(&entry.key) {
@@ -192,16 +196,16 @@
             }
             new_entries.push(entry);
         }
-        relay.learn(new_entries);
+        relay.merge_entries(new_entries);
         self.messenger.send(from, Envelope::Control(ControlMessage::ReplicateSessionsAck { sequence }));
     }
 
-    /// A control node has acknowledged a batch.
+    /// Processes a control node's acknowledgement of a batch.
     pub(super) fn on_batch_acknowledged(&mut self, from: SocketAddr, sequence: u64) {
         self.replication.on_acknowledged(from, sequence);
     }
 
-    /// Sends the batches that are due.
+    /// Sends the replication batches that are due.
     pub(super) fn send_due_batches(&mut self, now: Duration, registry: &Registry) {
         for batch in self.replication.poll(now, registry) {
             let message =
@@ -211,7 +215,7 @@
     }
 }
 
-/// Whether control nodes replicate such an entry to each other; the chain brings the others.
+/// Whether control nodes replicate the entry of a key to each other. All other entries are replicated by the chain.
 fn is_replicated(key: &Key) -> bool {
     matches!(key, Key::Store(_) | Key::Node(_) | Key::Weights(..))
 }
--- a/system/control/src/node/start.rs
+++ b/system/control/src/node/start.rs
@@ -1,4 +1,5 @@
-//! Starts a control node: opens its disk, identifies the member, and founds the system, joins it, or recovers from the disk.
+//! Starts a control node: opens its disk, determines the identity of the member, and founds the system, joins it, or recovers
+//! from the disk.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,7 +13,7 @@
 use snafu::{OptionExt, ResultExt, Snafu};
 use tokio::sync::mpsc;
 
-use super::acknowledgements::EndAcknowledgements;
+use super::acknowledgements::SessionEndAcknowledgements;
 use super::chain_host::ChainHost;
 use super::clock::Clock;
 use super::commands::CommandClient;
@@ -28,51 +29,51 @@
 use super::{Node, Sources};
 use crate::sessions::{ReplicationSettings, SessionReplication, SessionSettings, Sessions};
 
-/// Most requests of the HTTP side that wait.
-const REQUEST_QUEUE: usize = 1_024;
-/// Time between the heartbeats of the system's own nodes.
-const NODE_INTERVAL: Duration = Duration::from_millis(500);
-/// A session expires after so many intervals without a heartbeat.
-const MISSED_HEARTBEATS: u32 = 3;
-/// File descriptors that are reserved for HTTP connections and files.
+/// Maximum number of queued requests from the HTTP server.
+const REQUEST_QUEUE_LENGTH: usize = 1_024;
+/// Interval between the heartbeats of the system's own nodes.
+const NODE_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
+/// Number of heartbeat intervals without a heartbeat after which a session expires.
+const MAX_MISSED_HEARTBEATS: u32 = 3;
+/// File descriptors that the internal network leaves to HTTP connections and files.
 const RESERVED_DESCRIPTORS: u64 = 600;
 const MAX_CONNECTIONS: usize = 2_048;
 const MIN_CONNECTIONS: usize = 64;
 
-/// Why a control node does not start.
+/// An error that prevents the start of a control node.
 #[derive(Debug, Snafu)]
 pub enum StartError {
-    /// The settings name no folder for its disk.
+    /// The settings contain no folder for the node's disk.
     #[snafu(display("settings: dataDir: a control node needs a disk"))]
     NoDisk,
     /// The disk can't be used.
     #[snafu(display("disk: {source}"))]
     Disk {
-        /// Why.
+        /// The error of the disk.
         source: DiskError,
     },
     /// The internal network can't be used.
     #[snafu(display("internal network: {source}"))]
     Network {
-        /// Why.
+        /// The error of the transport.
         source: TransportError,
     },
 }
 
-/// A started node, the sources of its events, and the queue of its requests.
+/// A started node with the sources of its events and the sender of its request queue.
 pub struct Handles {
-    /// The node.
+    /// The started node.
     pub node: Node,
-    /// The sources of its events.
+    /// The sources of the node's events.
     pub sources: Sources,
-    /// The queue of its requests.
+    /// The sender of the node's request queue.
     pub requests: mpsc::Sender<Request>,
 }
 
-/// Who a node is.
+/// The identity of a node.
 struct Identity {
     disk: DiskIdentity,
-    /// This is the first incarnation of the node, and of the whole system.
+    /// Whether this is the first incarnation of the node and of the whole system.
     is_founding: bool,
 }
 
@@ -94,11 +95,11 @@
     let clock = Clock::start();
     let (disk_events, disk_source) = mpsc::unbounded_channel();
     let (load_results, load_result_source) = mpsc::unbounded_channel();
-    let (requests, request_source) = mpsc::channel(REQUEST_QUEUE);
+    let (requests, request_source) = mpsc::channel(REQUEST_QUEUE_LENGTH);
     let disk = Disk::start(ring, identity.disk.clone(), disk_events)
         .context(disk::StorageSnafu)
         .context(DiskSnafu)?;
-    let own = NodeRecord {
+    let own_record = NodeRecord {
         role: Role::Control,
         name: settings.node_name.clone(),
         incarnation: draw("incarnation"),
@@ -107,14 +108,14 @@
         zone: settings.zone.clone(),
     };
     let chain = make_chain(&settings, &identity, std::mem::take(&mut contents.chain), draw("chain"));
-    let messenger = Messenger::new(network, own);
+    let messenger = Messenger::new(network, own_record);
     let lease_time = Duration::from_millis(settings.bounds.lease_ms);
     let lease = LeaseDriver::start(clock, messenger.clone(), lease_time, identity.is_founding, draw("lease"));
     let records = founder_records(&settings, &identity, contents.peers);
     let directory = PeerDirectory::new(identity.disk.member, records);
     let relay_settings = RelaySettings::for_role(Role::Control, &settings.zone);
-    let relay = Relay::new(relay_settings, messenger.own().address, true, draw("relay"));
-    let sessions = Sessions::new(session_settings(&settings), messenger.own().address);
+    let relay = Relay::new(relay_settings, messenger.own_record().address, true, draw("relay"));
+    let sessions = Sessions::new(session_settings(&settings), messenger.own_record().address);
     let replication = SessionReplication::new(ReplicationSettings::default());
     let mut node = Node {
         peers: Peers::new(messenger.clone(), settings.internal_seeds(), directory),
@@ -124,16 +125,16 @@
         sessions: SessionHost::new(messenger.clone(), sessions, replication),
         commands: CommandClient::new(clock, messenger.clone(), draw("submissions") >> 1),
         reads: PendingReads::default(),
-        acknowledgements: EndAcknowledgements::default(),
+        acknowledgements: SessionEndAcknowledgements::default(),
         lease,
         coordinator: CoordinatorTasks::new(
             clock,
-            messenger.own().clone(),
+            messenger.own_record().clone(),
             CoordinatorSettings::from(&*settings),
             load_results,
         ),
         fault_tolerance: settings.fault_tolerance.machines,
-        last_housekeeping: Duration::ZERO,
+        last_housekeeping_at: Duration::ZERO,
         failure: None,
         clock,
         messenger,
@@ -146,8 +147,8 @@
 
 impl Node {
     fn begin(&mut self) {
-        let own = self.messenger.own();
-        log::info!(member:% = format_args!("{:x}", own.member), address:% = own.address; "control node started");
+        let own_record = self.messenger.own_record();
+        log::info!(member:% = format_args!("{:x}", own_record.member), address:% = own_record.address; "control node started");
         self.relay.handle_event(RelayEvent::Started);
         self.chain.handle_event(ChainEvent::Started);
         if let Some(members) = self.chain.membership().cloned() {
@@ -157,29 +158,31 @@
     }
 }
 
-/// The identity on the disk. A node with an empty disk founds the system if the whole system starts and the node is among its seeds;
-/// any other is a new member, under the identity `drawn`.
+/// Determines the identity of the member: the one recorded on the disk, if any. A node with an empty disk founds the system if
+/// the whole system is being started and the node is among its seeds; any other node with an empty disk is a new member with the
+/// identity `drawn`.
 fn identify(settings: &Settings, contents: &DiskContents, drawn: u64) -> Identity {
     if let Some(disk) = contents.identity.clone() {
         return Identity { disk, is_founding: false };
     }
-    let own = settings.listen.control_plane;
-    if settings.bootstrap && own.is_some_and(|own| settings.seeds.contains(&own)) {
+    let own_address = settings.listen.control_plane;
+    if settings.bootstrap && own_address.is_some_and(|address| settings.seeds.contains(&address)) {
         let mut founders: Vec<u64> = settings.seeds.iter().map(|seed| founder_identity(*seed)).collect();
         founders.sort_unstable();
         founders.dedup();
-        let member = own.map_or(0, founder_identity);
+        let member = own_address.map_or(0, founder_identity);
         return Identity { disk: DiskIdentity { member, founders }, is_founding: true };
     }
     Identity { disk: DiskIdentity { member: drawn, founders: Vec::new() }, is_founding: false }
 }
 
-/// Founders derive their identities from their seed addresses, so that each knows those of all.
+/// Derives the identity of a founder from its seed address, so that each founder knows the identities of all.
 fn founder_identity(seed: SocketAddr) -> u64 {
     stable_hash(&seed.to_string())
 }
 
-/// The recovered records; for a founder also those of the other founders, by their seed addresses.
+/// The records of control nodes recovered from the disk; for a founder also those of all founders, whose identities are derived
+/// from their seed addresses.
 fn founder_records(settings: &Settings, identity: &Identity, recovered: Vec<NodeRecord>) -> Vec<NodeRecord> {
     let mut records = recovered;
     if identity.is_founding {
@@ -208,9 +211,9 @@
 
 fn session_settings(settings: &Settings) -> SessionSettings {
     SessionSettings {
-        store_interval: Duration::from_millis(settings.heartbeat_ms),
-        node_interval: NODE_INTERVAL,
-        missed_heartbeats: MISSED_HEARTBEATS,
+        store_heartbeat_interval: Duration::from_millis(settings.heartbeat_ms),
+        node_heartbeat_interval: NODE_HEARTBEAT_INTERVAL,
+        max_missed_heartbeats: MAX_MISSED_HEARTBEATS,
     }
 }
 
--- a/system/control/src/node/status.rs
+++ b/system/control/src/node/status.rs
@@ -1,4 +1,4 @@
-//! The status of a node, as operators read it. The keys are part of its interface, and keep their names.
+//! The status of a node for operators. The keys of the JSON are part of the interface, so they must not change.
 
 use gingerledge_chain::MemberId;
 use gingerledge_wire::{NodeRecord, Registry, Role};
@@ -10,9 +10,9 @@
 use crate::sessions::SessionCounts;
 use crate::state::ControlState;
 
-/// What a status is made from.
+/// The input of a status report.
 pub(super) struct StatusReport<'a> {
-    pub own: &'a NodeRecord,
+    pub own_record: &'a NodeRecord,
     pub chain: &'a ChainHost,
     pub registry: &'a Registry,
     pub peers: &'a Peers,
@@ -28,19 +28,19 @@
         let state = self.chain.state();
         let membership = self.chain.membership();
         json!({
-            "node": self.own.name,
-            "member": format!("{:x}", self.own.member),
+            "node": self.own_record.name,
+            "member": format!("{:x}", self.own_record.member),
             "view": membership.map(|membership| membership.epoch),
             "voters": membership.map(|membership| hex_members(&membership.voters)),
             "chain": membership.map(|membership| hex_members(&membership.chain)),
             "serving": self.chain.is_serving(),
-            "applied": self.chain.handed_out_index(),
+            "applied": self.chain.last_emitted_index(),
             "configurationVersion": state.configuration().version(),
             "namedVersions": state.versions(),
             "fencingToken": state.fencing_token(),
             "leadership": self.leadership.to_string(),
             "holdsLease": self.is_lease_held,
-            "sessions": self.sessions.all,
+            "sessions": self.sessions.total,
             "ownSessions": self.sessions.owned,
             "reachable": self.peers.reachable().map(ToString::to_string).collect::<Vec<_>>(),
             "edges": node_names(self.registry, Role::Edge),
--- a/system/control/src/node/submitted_command.rs
+++ b/system/control/src/node/submitted_command.rs
@@ -1,4 +1,4 @@
-//! The entries of the control chain: a command, and who submitted it.
+//! The entries of the control chain: a command, with its submitter.
 
 use std::net::SocketAddr;
 
@@ -6,14 +6,14 @@
 use gingerledge_wire::Command;
 use serde::{Deserialize, Serialize};
 
-/// One entry of the control chain. Encoded by the order of the fields.
+/// One entry of the control chain. It is encoded with bincode, so the order of the fields must not change.
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) struct SubmittedCommand {
-    /// The number under which the submitter waits for the outcome.
+    /// Request number under which the submitter waits for the outcome.
     pub request: u64,
-    /// Where the outcome goes.
+    /// Address to which the outcome is sent.
     pub reply_to: SocketAddr,
-    /// The command.
+    /// The submitted command.
     pub command: Command,
 }
 
@@ -22,7 +22,7 @@
     ///
     /// # Errors
     ///
-    /// The bytes are no entry.
+    /// The bytes are not an entry.
     pub(super) fn decode(bytes: &[u8]) -> Result<Self, DecodeError> {
         bincode::serde::decode_from_slice(bytes, bincode::config::standard()).map(|(entry, _)| entry)
     }
--- a/system/control/src/sessions/acknowledgements.rs
+++ b/system/control/src/sessions/acknowledgements.rs
@@ -1,29 +1,32 @@
-//! Acknowledgements of draining stores and of ended sessions, deferred until the whole control chain has the change. Sans I/O.
+//! Acknowledgements of draining stores and of ended sessions, deferred until all members of the control chain have the change.
+//! Sans I/O.
 //!
-//! Every edge that is connected to the control plane must respect such an acknowledgement, whichever control node gave it. So it is given only once
+//! Every edge that is connected to the control plane must respect such an acknowledgement, whichever control node sent it. So it
+//! is sent only after
 //!
 //! 1. every other member of the control chain has acknowledged the replicated change, and
 //! 2. after that, the whole chain has confirmed that this membership is still in force.
 //!
-//! Only members of the chain in force send fresh ticks to edges, and a tick passes the whole chain, so whoever updates an edge has the
-//! change. A node that is partitioned from the chain never gets the confirmation and acknowledges nothing; its callers get an answer
-//! that sends them to another control node.
+//! Only members of the chain in force send fresh ticks to edges, and a tick passes through all members of the chain, so every
+//! node that updates an edge has the change. A node that is partitioned from the chain never gets the confirmation and
+//! acknowledges nothing; its callers get a response that redirects them to another control node.
 
 use std::time::Duration;
 
 use gingerledge_wire::Key;
 
-/// A store waits one second for its answer; before that it has to be sent to another control node.
+/// Time-out for acknowledging a change. A store waits one second for its response, so it must be redirected to another control
+/// node before that.
 const ACKNOWLEDGEMENT_TIMEOUT: Duration = Duration::from_millis(900);
-/// Most changes that wait for their acknowledgement.
+/// Maximum number of changes that wait for their acknowledgement.
 pub const MAX_PENDING_ACKNOWLEDGEMENTS: usize = 8_192;
 
 /// A request to the chain to confirm that the membership of an epoch is still in force.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Confirmation {
-    /// The token of the read that asks for it.
+    /// Token of the chain read that requests the confirmation.
     pub token: u64,
-    /// The epoch whose members have the change.
+    /// Epoch of the membership whose members have the change.
     pub epoch: u64,
 }
 
@@ -35,12 +38,12 @@
     confirmation: Option<Confirmation>,
 }
 
-/// Changes that are acknowledged once the whole chain has them, each with where its acknowledgement goes (`R`).
+/// Changes that are acknowledged once all members of the chain have them, each with the destination `R` of its acknowledgement.
 #[derive(Debug)]
 pub struct PendingAcknowledgements<R> {
-    /// In the order of their deadlines.
+    /// The waiting changes, in the order of their deadlines.
     pending: Vec<PendingAcknowledgement<R>>,
-    /// Something has happened since the last evaluation, so that a change may be replicated to all members now.
+    /// Whether an event since the last evaluation may have completed the replication of a change to all members.
     needs_evaluation: bool,
 }
 
@@ -51,7 +54,7 @@
 }
 
 impl<R> PendingAcknowledgements<R> {
-    /// Adds a change that is in the registry and being replicated already. Returns the reply if too many wait.
+    /// Adds a change that is already in the registry and being replicated. Returns `reply` if too many changes wait.
     pub fn add(&mut self, now: Duration, key: Key, reply: R) -> Option<R> {
         if self.pending.len() >= MAX_PENDING_ACKNOWLEDGEMENTS {
             return Some(reply);
@@ -66,13 +69,13 @@
         None
     }
 
-    /// Has the next call of [`Self::needs_confirmation`] look at all changes again: a member has acknowledged a batch, or the
-    /// membership has changed.
-    pub fn reevaluate(&mut self) {
+    /// Makes the next call of [`Self::needs_confirmation`] evaluate all changes again, because a member has acknowledged a batch
+    /// or the membership has changed.
+    pub fn request_evaluation(&mut self) {
         self.needs_evaluation = true;
     }
 
-    /// Removes the changes whose time is over, unacknowledged, and returns their replies.
+    /// Removes the changes whose deadline has passed without an acknowledgement, and returns their replies.
     pub fn expire(&mut self, now: Duration) -> Vec<R> {
         if self.next_timer().is_none_or(|first| now < first) {
             return Vec::new();
@@ -80,8 +83,8 @@
         self.remove_where(|acknowledgement| acknowledgement.deadline <= now)
     }
 
-    /// Whether the chain should confirm its membership: a change without a confirmation is replicated to all members. Evaluates nothing
-    /// where nothing has happened since the last call.
+    /// Whether the chain should confirm its membership, because a change without a requested confirmation is replicated to all
+    /// members. Returns false without evaluating the changes if nothing relevant has happened since the last call.
     pub fn needs_confirmation(&mut self, is_replicated: impl Fn(&Key) -> bool) -> bool {
         if !std::mem::take(&mut self.needs_evaluation) {
             return false;
@@ -91,7 +94,8 @@
         })
     }
 
-    /// The chain has been asked for a confirmation, which counts for the changes that are replicated to all members already.
+    /// Records that a confirmation was requested from the chain. It counts for the changes that are replicated to all members
+    /// already.
     pub fn on_confirmation_requested(
         &mut self,
         confirmation: Confirmation,
@@ -104,8 +108,8 @@
         }
     }
 
-    /// The chain has confirmed the membership in force, that of `epoch`. Returns the replies of the changes that may be acknowledged; the
-    /// others that waited for this confirmation need another one.
+    /// Processes the chain's confirmation that the membership of `epoch` is in force. Returns the replies of the changes that may
+    /// be acknowledged; the other changes that waited for this confirmation need another one.
     pub fn on_confirmed(&mut self, token: u64, epoch: u64, is_replicated: impl Fn(&Key) -> bool) -> Vec<R> {
         let confirmation = Some(Confirmation { token, epoch });
         let acknowledged = self.remove_where(|acknowledgement| {
@@ -115,7 +119,7 @@
         acknowledged
     }
 
-    /// The chain could not confirm its membership: the changes that waited for it need another confirmation.
+    /// Processes a failed confirmation: the changes that waited for it need another one.
     pub fn on_confirmation_failed(&mut self, token: u64) {
         for acknowledgement in &mut self.pending {
             acknowledgement.confirmation =
@@ -124,15 +128,15 @@
         self.needs_evaluation = true;
     }
 
-    /// When the first one expires.
+    /// Time at which the first waiting change expires.
     #[must_use]
     pub fn next_timer(&self) -> Option<Duration> {
         self.pending.first().map(|acknowledgement| acknowledgement.deadline)
     }
 
-    fn remove_where(&mut self, test: impl Fn(&PendingAcknowledgement<R>) -> bool) -> Vec<R> {
-        let (removed, left) = std::mem::take(&mut self.pending).into_iter().partition(test);
-        self.pending = left;
+    fn remove_where(&mut self, predicate: impl Fn(&PendingAcknowledgement<R>) -> bool) -> Vec<R> {
+        let (removed, remaining) = std::mem::take(&mut self.pending).into_iter().partition(predicate);
+        self.pending = remaining;
         let removed: Vec<PendingAcknowledgement<R>> = removed;
         removed.into_iter().map(|acknowledgement| acknowledgement.reply).collect()
     }
--- a/system/control/tests/acknowledgements.rs
+++ b/system/control/tests/acknowledgements.rs
@@ -112,6 +112,6 @@
     assert!(
         !acknowledgements.needs_confirmation(|_| panic!("nothing has happened since the last evaluation"))
     );
-    acknowledgements.reevaluate();
+    acknowledgements.request_evaluation();
     assert!(acknowledgements.needs_confirmation(|_| true));
 }
--- a/system/control/tests/sessions.rs
+++ b/system/control/tests/sessions.rs
@@ -12,9 +12,9 @@
 
 const INTERVAL: Duration = Duration::from_millis(1_200);
 const SETTINGS: SessionSettings = SessionSettings {
-    store_interval: INTERVAL,
-    node_interval: Duration::from_millis(500),
-    missed_heartbeats: 3,
+    store_heartbeat_interval: INTERVAL,
+    node_heartbeat_interval: Duration::from_millis(500),
+    max_missed_heartbeats: 3,
 };
 
 fn control(last: u8) -> SocketAddr {
@@ -238,8 +238,11 @@
 const BATCH: usize = 2;
 
 fn replication() -> SessionReplication {
-    let settings =
-        ReplicationSettings { resend: Duration::from_millis(250), batch_entries: BATCH, max_peers: 2 };
+    let settings = ReplicationSettings {
+        resend_interval: Duration::from_millis(250),
+        max_batch_entries: BATCH,
+        max_peers: 2,
+    };
     let mut replication = SessionReplication::new(settings);
     replication.on_peer_connected(control(2), std::iter::empty());
     replication
--- a/system/control/tests/submissions.rs
+++ b/system/control/tests/submissions.rs
@@ -5,8 +5,11 @@
 use gingerledge_control::node::{SubmissionSettings, Submissions};
 use gingerledge_wire::Command;
 
-const SETTINGS: SubmissionSettings =
-    SubmissionSettings { resend: Duration::from_millis(600), retry: Duration::from_millis(60), capacity: 2 };
+const SETTINGS: SubmissionSettings = SubmissionSettings {
+    resend_interval: Duration::from_millis(600),
+    retry_delay: Duration::from_millis(60),
+    capacity: 2,
+};
 const LIMIT: Duration = Duration::from_millis(1_500);
 
 fn ms(time: u64) -> Duration {
@@ -16,7 +19,7 @@
 fn submissions() -> (Submissions<&'static str>, u64) {
     let mut submissions = Submissions::new(SETTINGS, 100);
     let request = submissions.add(ms(0), Command::Noop, LIMIT, "caller").expect("room");
-    assert_eq!(submissions.due(ms(0)).len(), 1);
+    assert_eq!(submissions.take_due(ms(0)).len(), 1);
     (submissions, request)
 }
 
@@ -31,8 +34,8 @@
 #[test]
 fn a_command_without_an_outcome_is_sent_again() {
     let (mut submissions, request) = submissions();
-    assert!(submissions.due(ms(599)).is_empty());
-    let again = submissions.due(ms(600));
+    assert!(submissions.take_due(ms(599)).is_empty());
+    let again = submissions.take_due(ms(600));
     assert_eq!(again, [(request, Command::Noop)], "under the same number, so that either outcome will do");
 }
 
@@ -40,15 +43,15 @@
 fn a_command_in_flight_is_sent_again_when_a_view_is_installed() {
     let (mut submissions, _) = submissions();
     submissions.on_view_installed(ms(200));
-    assert_eq!(submissions.due(ms(200)).len(), 1);
+    assert_eq!(submissions.take_due(ms(200)).len(), 1);
 }
 
 #[test]
 fn a_command_that_reached_no_head_is_retried_soon() {
     let (mut submissions, request) = submissions();
-    submissions.not_sent(ms(10), request);
+    submissions.on_send_failed(ms(10), request);
     assert_eq!(submissions.next_timer(), Some(ms(70)));
-    assert_eq!(submissions.due(ms(70)).len(), 1);
+    assert_eq!(submissions.take_due(ms(70)).len(), 1);
 }
 
 #[test]
