--- a/system/control/src/coordinator/backends.rs
+++ b/system/control/src/coordinator/backends.rs
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Whether `settling_time` has passed coordinating_since the first report, so that the first partitions may be placed.
+    /// Whether `settling_time` has passed since the first report, so that the first partitions may be placed.
     #[must_use]
     pub fn has_settled(&self, now: Duration) -> bool {
         self.first_report_at.is_some_and(|first| now >= first + self.settings.settling_time)
--- a/system/control/src/node/routing/chain_actions.rs
+++ b/system/control/src/node/routing/chain_actions.rs
@@ -68,9 +68,7 @@
                 let from = self.messenger.own_record().member;
                 self.messenger.send(address, Envelope::Chain { from, message });
             }
-            None => {
-                log::debug!(member:% = member_hex(to); "message dropped: address of the chain member is unknown")
-            }
+            None => log::debug!(member:% = member_hex(to); "message dropped: member address unknown"),
         }
     }
 
