--- a/system/data/src/node/mod.rs
+++ b/system/data/src/node/mod.rs
@@ -195,7 +195,7 @@
             Incoming::Lost { peer, .. } => {
                 self.shared.relay(RelayEvent::PeerDisconnected { peer });
                 self.heartbeats.on_peer_lost(peer);
-                rollout::on_lost(&self.shared, peer);
+                rollout::on_messages_lost(&self.shared, peer);
             }
         }
     }
--- a/system/data/src/rollout/backend_client.rs
+++ b/system/data/src/rollout/backend_client.rs
@@ -1,7 +1,7 @@
-//! Requests to the backends of a partition, repeated until one responds or the request times out.
+//! Client for requests to the backends of a partition; a request is retransmitted until a backend responds or the request times out.
 //!
-//! All transmissions of one request carry the same id, so a response to any of them completes it. Each goes by the newest record of the
-//! partition, because its chain may have changed meanwhile.
+//! All transmissions of one request carry the same id, so a response to any of them completes it. Each transmission looks up its
+//! destination in the newest record of the partition, because the chain may have changed since the previous one.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -15,32 +15,32 @@
 
 use crate::Shared;
 
-/// A request is sent again after that time without a response.
+/// The time without a response after which a request is retransmitted.
 const RETRANSMIT_INTERVAL: Duration = Duration::from_millis(400);
-/// The backoff after a backend that was unavailable, or where none is known.
+/// The backoff after a backend was unavailable, or no backend of the partition is known.
 const UNAVAILABLE_BACKOFF: Duration = Duration::from_millis(50);
-/// The most requests in flight.
-const MAX_REQUESTS: usize = 4_096;
+/// The maximum number of requests in flight.
+const MAX_IN_FLIGHT_REQUESTS: usize = 4_096;
 
-/// The member of a partition's chain that a request is for.
+/// The member of a partition's chain that a request is addressed to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChainMember {
-    /// Handles updates.
+    /// The first member, which handles updates.
     Head,
-    /// Handles reads.
+    /// The last member, which handles reads.
     Tail,
 }
 
 /// The outcome of a request.
 #[derive(Clone, Debug)]
 pub struct RequestOutcome {
-    /// A backend's response, never [`JobsResponse::Unavailable`]; `None` if it timed out.
+    /// A backend's response, never [`JobsResponse::Unavailable`]; `None` if the request timed out.
     pub response: Option<JobsResponse>,
-    /// Whether a transmission got no response, and so may have been executed.
-    pub is_in_doubt: bool,
+    /// Whether a transmission got no response, so that a backend may have executed it.
+    pub may_have_executed: bool,
 }
 
-/// Requests to backends that are in flight.
+/// The client for requests to backends, with the requests in flight.
 pub struct BackendClient {
     pending: Pending<JobsResponse>,
     messages_lost: Notify,
@@ -48,22 +48,22 @@
 
 impl Default for BackendClient {
     fn default() -> Self {
-        Self { pending: Pending::new(MAX_REQUESTS), messages_lost: Notify::new() }
+        Self { pending: Pending::new(MAX_IN_FLIGHT_REQUESTS), messages_lost: Notify::new() }
     }
 }
 
 impl BackendClient {
-    /// A backend responded.
+    /// Completes the request that a backend has responded to.
     pub fn on_response(&self, request: u64, response: JobsResponse) {
         self.pending.complete(request, response);
     }
 
-    /// Messages may have been lost: all requests in flight are sent again without waiting.
+    /// Retransmits all requests in flight at once, because messages may have been lost.
     pub fn on_messages_lost(&self) {
         self.messages_lost.notify_waiters();
     }
 
-    /// Sends a request to the chain of a batch job's partition until there is a response, or the time-out.
+    /// Sends a request to the chain of a batch job's partition, repeatedly until there is a response or `timeout` has elapsed.
     pub async fn request(
         &self,
         shared: &Rc<Shared>,
@@ -75,7 +75,7 @@
         self.request_partition(shared, partition_of(job), member, body, timeout).await
     }
 
-    /// Sends a request to the chain of a partition until there is a response, or the time-out.
+    /// Sends a request to the chain of a partition, repeatedly until there is a response or `timeout` has elapsed.
     pub async fn request_partition(
         &self,
         shared: &Rc<Shared>,
@@ -88,24 +88,24 @@
         let wait_ms = if let JobsRequest::ReadResults { wait_ms, .. } = &body { *wait_ms } else { 0 };
         let retransmit_interval = RETRANSMIT_INTERVAL + Duration::from_millis(wait_ms);
         let outgoing = OutgoingRequest { shared, partition, member, body };
-        let mut is_in_doubt = false;
+        let mut may_have_executed = false;
         loop {
-            let left = deadline.saturating_sub(shared.now());
-            if left.is_zero() {
-                return RequestOutcome { response: None, is_in_doubt };
+            let time_left = deadline.saturating_sub(shared.now());
+            if time_left.is_zero() {
+                return RequestOutcome { response: None, may_have_executed };
             }
-            let (request, response) = self.pending.begin(left);
+            let (request, response) = self.pending.begin(time_left);
             let (response, transmissions) =
                 self.send_until_response(&outgoing, request, response, retransmit_interval).await;
-            is_in_doubt |= transmissions > u32::from(response.is_some());
+            may_have_executed |= transmissions > u32::from(response.is_some());
             match response {
                 Some(JobsResponse::Unavailable) => tokio::time::sleep(UNAVAILABLE_BACKOFF).await,
-                response => return RequestOutcome { response, is_in_doubt },
+                response => return RequestOutcome { response, may_have_executed },
             }
         }
     }
 
-    /// Sends a request until there is a response or its time is over; returns the number of transmissions too.
+    /// Sends a request repeatedly until there is a response or it has timed out. Returns the response and the number of transmissions.
     async fn send_until_response(
         &self,
         outgoing: &OutgoingRequest<'_>,
@@ -118,18 +118,18 @@
         loop {
             let was_sent = outgoing.send(request);
             transmissions += u32::from(was_sent);
-            let wait = if was_sent { retransmit_interval } else { UNAVAILABLE_BACKOFF };
+            let retransmit_delay = if was_sent { retransmit_interval } else { UNAVAILABLE_BACKOFF };
             tokio::select! {
                 biased;
                 response = response.as_mut() => return (response, transmissions),
                 () = self.messages_lost.notified() => {}
-                () = tokio::time::sleep(wait) => {}
+                () = tokio::time::sleep(retransmit_delay) => {}
             }
         }
     }
 }
 
-/// A request as it is transmitted.
+/// A request with its destination, from which each transmission is made.
 struct OutgoingRequest<'a> {
     shared: &'a Rc<Shared>,
     partition: u16,
@@ -138,11 +138,11 @@
 }
 
 impl OutgoingRequest<'_> {
-    /// Sends the request by the newest record of the partition; returns whether that named a member to send it to.
+    /// Transmits the request once. Returns false, without sending, if the newest record of the partition names no reachable member.
     fn send(&self, request: u64) -> bool {
         let destination =
             self.shared.registry(|registry| member_address(registry, self.partition, self.member));
-        let Some((to, epoch)) = destination else { return false };
+        let Some((address, epoch)) = destination else { return false };
         let message = JobsMessage::Request {
             request,
             reply_to: self.shared.address(),
@@ -151,12 +151,12 @@
             epoch,
             body: self.body.clone(),
         };
-        self.shared.send(to, &Envelope::Jobs(message));
+        self.shared.send(address, &Envelope::Jobs(message));
         true
     }
 }
 
-/// The address of a partition's head or tail, and the epoch of its chain.
+/// The address of a partition's head or tail, and the epoch of its chain; `None` if the member is not in the registry.
 pub(super) fn member_address(
     registry: &Registry,
     partition: u16,
--- a/system/data/src/rollout/delegation.rs
+++ b/system/data/src/rollout/delegation.rs
@@ -1,8 +1,9 @@
-//! Delegation: an edge that carries as many streams as its processor admits passes a batch job that was submitted to it on to another edge.
+//! Delegation: an edge that has as many streams as its processor can handle passes a batch job that was submitted to it on to another
+//! edge, the delegate.
 //!
 //! The delegate drives the batch job under the term that this edge was granted, and renews the driver lease; this edge never starts it
-//! under that term. For the head of the partition the driver is still this edge: it replaces the driver if this edge ends, or
-//! if nobody renews in time, and the term fences whoever drove before.
+//! under that term. The head of the partition still regards this edge as the driver. It replaces the driver if this edge ends, or if the
+//! lease is not renewed in time; the new term then fences the previous driver.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -16,7 +17,7 @@
 use super::plan::Groups;
 use crate::Shared;
 
-/// The most delegations that are remembered, the newest ones.
+/// The maximum number of delegations that are remembered; the oldest is dropped first.
 const MAX_DELEGATIONS: usize = 256;
 
 /// A batch job that another edge drives for this one.
@@ -27,18 +28,18 @@
     delegate: SocketAddr,
 }
 
-/// The batch jobs that were passed on, so that none is started here under the same term.
+/// The batch jobs that were delegated recently, so that none is started on this edge under the same term.
 #[derive(Default)]
 pub(super) struct Delegations {
     recent: RefCell<VecDeque<Delegation>>,
 }
 
 impl Delegations {
-    /// The edge that drives a batch job for this one under this term.
+    /// The address of the edge to which a batch job was delegated under this term; `None` if it was not delegated.
     pub(super) fn delegate_of(&self, job: &str, term: DriverTerm) -> Option<SocketAddr> {
         let recent = self.recent.borrow();
-        let known = recent.iter().find(|delegation| delegation.job == job && delegation.term == term);
-        known.map(|delegation| delegation.delegate)
+        let delegation = recent.iter().find(|delegation| delegation.job == job && delegation.term == term);
+        delegation.map(|delegation| delegation.delegate)
     }
 
     fn record(&self, job: &str, term: DriverTerm, delegate: SocketAddr) {
@@ -50,8 +51,10 @@
     }
 }
 
-/// Passes a batch job that was submitted here on to another edge of this zone, if this edge drives others and carries too many streams
-/// with this one. Returns whether another edge drives it now.
+/// Delegates a batch job that was submitted to this edge to another edge of the zone, if this edge drives other batch jobs and would
+/// exceed its maximum number of streams with this one. Returns whether another edge drives the batch job now.
+///
+/// `age` is a lower bound of the batch job's age.
 pub(super) fn delegate(shared: &Shared, assignment: &Assignment, age: Duration) -> bool {
     let Assignment { job, term, .. } = assignment;
     let delegations = &shared.rollout.delegations;
@@ -61,7 +64,7 @@
     if shared.rollout.jobs.is_running(&job.id) || has_capacity_for(shared, job) {
         return false;
     }
-    let Some(delegate) = fastrand::choice(other_edges_of_zone(shared)) else { return false };
+    let Some(delegate) = fastrand::choice(other_edges_in_zone(shared)) else { return false };
     log::info!(job = job.id.as_str(), delegate:%; "batch job delegated");
     delegations.record(&job.id, *term, delegate);
     let message = JobsMessage::AssignDriver {
@@ -75,13 +78,13 @@
     true
 }
 
-/// Whether this edge drives nothing else, or carries the streams of one more batch job.
+/// Whether this edge has capacity for the streams of one more batch job, or needs none for other batch jobs.
 fn has_capacity_for(shared: &Shared, job: &JobRecord) -> bool {
-    let carried = shared.rollout.jobs.desired_items_left();
-    carried == 0 || carried + Groups::new(job).desired_items() <= max_streams(shared) as usize
+    let needed_streams = shared.rollout.jobs.desired_items_left();
+    needed_streams == 0 || needed_streams + Groups::new(job).desired_items() <= max_streams(shared) as usize
 }
 
-fn other_edges_of_zone(shared: &Shared) -> Vec<SocketAddr> {
+fn other_edges_in_zone(shared: &Shared) -> Vec<SocketAddr> {
     let zone = shared.zone();
     shared.registry(|registry| {
         let others = registry.nodes().filter(|node| {
--- a/system/data/src/rollout/driver.rs
+++ b/system/data/src/rollout/driver.rs
@@ -1,8 +1,8 @@
-//! The driver's loop, one task for all batch jobs: handles the outcomes of tasks, places what can be placed, and starts generations,
-//! scoring calls, appends of results and checkpoints.
+//! The driver's loop, one task for all batch jobs: it handles the outcomes of tasks, places the items that can start, and starts
+//! generations, scoring calls, appends of results and checkpoints.
 //!
-//! The driver lease of a batch job is checked before anything is sent for it, results included. When it ends, the execution and its tasks
-//! are dropped, and with them their connections.
+//! The driver lease of a batch job is checked before anything is sent for it, results included. When the lease ends, the execution and
+//! its tasks are dropped, which closes their connections.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -14,8 +14,8 @@
 use super::generation::{self, GenerationContext, GenerationRequest};
 use super::job_age::JobAge;
 use super::job_execution::{DriverLease, ExecutionStart, JobExecution, TaskOutcome};
-use super::job_route::{deployment, rules, service_of, target};
-use super::plan::{priority, GenerationOutcome, JobPlan, Placement, Rules, ScoringOutcome};
+use super::job_route::{deployment_route, rules, service_for, target_completion};
+use super::plan::{priority, GenerationOutcome, JobPlan, JobRules, Placement, ScoringOutcome};
 use super::results::{self, AppendOutcome};
 use super::running_jobs::{Admission, ExecutionKey, ReportedOutcome};
 use super::store_views::ServiceStores;
@@ -25,69 +25,70 @@
 use crate::stores::InFlightGuard;
 use crate::Shared;
 
-/// The least time between two rounds. Outcomes that arrive meanwhile are handled together, since each round looks at whole batch jobs.
+/// The minimum time between two rounds. Outcomes that arrive in this time are handled together, because each round processes all items of
+/// a batch job.
 const MIN_BATCHING_DELAY: Duration = Duration::from_millis(4);
-/// Where an edge has a small share of a core, rounds are so far apart that they take a twentieth of it: one takes some 50 us of a core.
-const BATCHING_DELAY_OF_A_CORE: Duration = Duration::from_millis(1);
-/// The longest time between two rounds of a driver that has something to do.
+/// The time between two rounds of an edge with a whole core. With a smaller share, it is longer in inverse proportion, but within
+/// [`MIN_BATCHING_DELAY`] and [`MAX_BATCHING_DELAY`]. A round takes about 50 us of a core, so rounds use a twentieth of the share.
+const BATCHING_DELAY_ON_WHOLE_CORE: Duration = Duration::from_millis(1);
+/// The maximum time between two rounds while the driver has work.
 const MAX_BATCHING_DELAY: Duration = Duration::from_millis(40);
-/// Work that waits for capacity is tried again that often, since a slot may become free without an event at this edge.
+/// The interval of attempts to place items that wait for capacity, because a slot may become free without an event at this edge.
 const CAPACITY_POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// The shortest sleep until a timer.
+/// The minimum duration of a sleep until a timer expires.
 const MIN_SLEEP: Duration = Duration::from_millis(1);
 
-/// Runs for as long as the process lives.
+/// Runs the driver's loop for the lifetime of the process.
 pub(super) async fn run(shared: Rc<Shared>) {
     loop {
         let next_timer = run_round(&shared);
         tokio::time::sleep(batching_delay(shared.settings().limits.cpu_share)).await;
-        let work = shared.rollout.jobs.work();
+        let work_available = shared.rollout.jobs.work_available();
         match next_timer {
-            None => work.await,
+            None => work_available.await,
             Some(next_timer) => {
-                let sleep = next_timer.saturating_sub(shared.now()).max(MIN_SLEEP);
+                let delay = next_timer.saturating_sub(shared.now()).max(MIN_SLEEP);
                 tokio::select! {
-                    () = work => {}
-                    () = tokio::time::sleep(sleep) => {}
+                    () = work_available => {}
+                    () = tokio::time::sleep(delay) => {}
                 }
             }
         }
     }
 }
 
-/// The least time between two rounds of an edge with this share of a core.
+/// The time that a round waits for further outcomes, on an edge with this share of a core.
 fn batching_delay(cpu_share: f64) -> Duration {
-    let delay = BATCHING_DELAY_OF_A_CORE.as_secs_f64() / cpu_share;
+    let delay = BATCHING_DELAY_ON_WHOLE_CORE.as_secs_f64() / cpu_share;
     let delay = Duration::try_from_secs_f64(delay).unwrap_or(MAX_BATCHING_DELAY);
     delay.clamp(MIN_BATCHING_DELAY, MAX_BATCHING_DELAY)
 }
 
-/// A batch job that this edge is to drive.
+/// The assignment of a batch job to this edge.
 pub(super) struct Assignment {
-    /// The batch job.
     pub(super) job: Arc<JobRecord>,
-    /// The term under which this edge drives it.
+    /// The term under which this edge drives the batch job.
     pub(super) term: DriverTerm,
-    /// Items that have results.
+    /// The indices of the items that have results.
     pub(super) finished_items: Vec<u32>,
     /// Texts that the driver of an earlier term checkpointed.
     pub(super) checkpoints: Vec<PartialText>,
-    /// The age of the batch job, or less.
-    pub(super) age: Duration,
+    /// A lower bound of the batch job's age.
+    pub(super) min_age: Duration,
 }
 
 impl Assignment {
-    /// A batch job that was just submitted through this edge.
-    pub(super) fn of_new(job: Arc<JobRecord>, term: DriverTerm) -> Self {
-        Self { job, term, finished_items: Vec::new(), checkpoints: Vec::new(), age: Duration::ZERO }
+    /// The assignment of a batch job that was just submitted through this edge.
+    pub(super) fn for_new_job(job: Arc<JobRecord>, term: DriverTerm) -> Self {
+        Self { job, term, finished_items: Vec::new(), checkpoints: Vec::new(), min_age: Duration::ZERO }
     }
 }
 
-/// Starts driving a batch job that was submitted here, or assigned by the head of its partition.
+/// Starts driving a batch job that was submitted to this edge or assigned to it.
 ///
-/// Nothing is sent while `lease_valid_until` is not in the future; the first renewal extends it.
+/// The driver lease is valid until `lease_valid_until`. If that is not in the future, nothing is sent until the first renewal succeeds.
 pub(super) fn start_job(shared: &Rc<Shared>, assignment: Assignment, lease_valid_until: Duration) {
-    let Assignment { job, term, finished_items, checkpoints, age } = assignment;
+    let Assignment { job, term, finished_items, checkpoints, min_age } = assignment;
     let now = shared.now();
     match shared.rollout.jobs.admit(&job.id, term, now) {
         Admission::Granted => {}
@@ -97,31 +98,31 @@
             return;
         }
     }
-    let target = target(shared, &job);
+    let target_completion = target_completion(shared, &job);
     let start = ExecutionStart {
         plan: JobPlan::new(job, &finished_items, fastrand::u64(..)),
         finished_items,
         checkpoints,
-        age: JobAge { at: now, age },
+        age: JobAge { received_at: now, min_age },
         lease: DriverLease::new(term, lease_valid_until, now + driver_lease::lease_duration(shared)),
-        target,
+        target_completion,
         cpu_share: shared.settings().limits.cpu_share,
     };
     shared.rollout.jobs.insert(JobExecution::new(now, start));
 }
 
-/// Handles everything that is due; returns when the next timer expires.
+/// Runs one round: handles all outcomes and expired timers. Returns the time at which the next timer expires.
 fn run_round(shared: &Rc<Shared>) -> Option<Duration> {
     let now = shared.now();
     let jobs = &shared.rollout.jobs;
-    for key in jobs.abandoned(now) {
+    for key in jobs.keys_with_overdue_renewal(now) {
         log::info!("driver lease expired without a renewal");
         jobs.remove(key, now);
     }
     for reported in jobs.take_outcomes() {
         on_task_ended(shared, now, reported);
     }
-    let keys = jobs.by_deadline();
+    let keys = jobs.keys_by_deadline();
     let timers: Vec<_> = keys.into_iter().filter_map(|key| advance(shared, now, key)).collect();
     timers.into_iter().min()
 }
@@ -135,7 +136,7 @@
     });
 }
 
-/// Starts what one batch job needs now; returns when its next timer expires.
+/// Starts the tasks of one batch job that are due; returns the time at which its next timer expires.
 fn advance(shared: &Rc<Shared>, now: Duration, key: ExecutionKey) -> Option<Duration> {
     let jobs = &shared.rollout.jobs;
     let is_finished = jobs.update(key, |execution| {
@@ -156,11 +157,11 @@
     execution: &mut JobExecution,
 ) -> Option<Duration> {
     if !execution.lease.is_valid(now) {
-        return Some(execution.abandoned_at());
+        return Some(execution.renewal_deadline());
     }
     let waits_for_capacity = match shared.configuration() {
-        Some(configuration) => match deployment(&configuration, execution.job()) {
-            Some(route) => run_by_route(shared, now, key, execution, route),
+        Some(configuration) => match deployment_route(&configuration, execution.job()) {
+            Some(route) => start_scorings_and_generations(shared, now, key, execution, route),
             None => {
                 execution.on_route_missing();
                 true
@@ -179,8 +180,8 @@
     [capacity_poll, execution.next_timer(now, average_interval)].into_iter().flatten().min()
 }
 
-/// Starts scoring calls and generations by the rules of the route; returns whether work waits for capacity.
-fn run_by_route(
+/// Starts the scoring calls and generations that the rules of the route permit; returns whether items wait for capacity.
+fn start_scorings_and_generations(
     shared: &Rc<Shared>,
     now: Duration,
     key: ExecutionKey,
@@ -188,7 +189,7 @@
     route: &Route,
 ) -> bool {
     let rules = rules(shared, execution.age(), route);
-    execution.on_rules(now, rules, &mut shared.rollout.jobs.partial_texts().borrow_mut());
+    execution.apply_rules(now, rules, &mut shared.rollout.jobs.partial_texts().borrow_mut());
     for item in execution.take_due_scorings(now) {
         spawn_scoring(shared, key, execution, item);
     }
@@ -198,7 +199,7 @@
         return false;
     }
     let job = Arc::clone(execution.job());
-    let mut service = store_views::current(shared, service_of(route, &job.id), &job.model);
+    let mut service = store_views::service_stores(shared, service_for(route, &job.id), &job.model);
     if has_window_ended {
         migrate_slow_streams(shared, execution, &service, rules);
     }
@@ -210,12 +211,12 @@
     execution.has_items_to_place(now)
 }
 
-/// Ends the observation window of the streams, and cancels those that are to be resumed at another store.
+/// Ends the observation window of the streams, and cancels the slow ones that are to be resumed at another store.
 fn migrate_slow_streams(
     shared: &Shared,
     execution: &mut JobExecution,
     service: &ServiceStores,
-    rules: Rules,
+    rules: JobRules,
 ) {
     let now = shared.now();
     let min_version = execution.job().min_version;
@@ -223,30 +224,30 @@
     let streams = execution.streams_mut();
     for slow in streams.end_window(now, average_interval, service, min_version, rules.single_version) {
         let id = &slow.stream.store.target.id;
-        let mut rates = shared.rollout.stores.progress_rates.borrow_mut();
-        rates.record_migration(id, slow.events, slow.window, now);
+        let mut rates = shared.rollout.store_observations.progress_rates.borrow_mut();
+        rates.record_migration(id, slow.new_events, slow.window, now);
         shared.health.on_failure(id, now);
-        slow.stream.migration.notify_one();
+        slow.stream.migration_request.notify_one();
     }
 }
 
 fn average_interval(shared: &Shared) -> Duration {
-    shared.rollout.stores.progress_rates.borrow().average_interval()
+    shared.rollout.store_observations.progress_rates.borrow().average_interval()
 }
 
-/// Starts a generation where it was placed.
+/// Starts a generation at the store where it was placed.
 fn spawn_generation(
     shared: &Rc<Shared>,
     key: ExecutionKey,
     execution: &mut JobExecution,
     placement: Placement,
     store: Rc<KnownStore>,
-    rules: Rules,
+    rules: JobRules,
 ) {
     let job = Arc::clone(execution.job());
     let Some(item) = job.items.get(placement.item as usize) else { return };
     let in_flight = InFlightGuard::on(&store.in_flight);
-    let observations = &shared.rollout.stores;
+    let observations = &shared.rollout.store_observations;
     observations.weight_loading.borrow_mut().on_sent(&store.target.id, &job.model, shared.now());
     let stream = execution.start_stream(shared.now(), placement.item, store, placement.text);
     let partial_texts = shared.rollout.jobs.partial_texts();
@@ -256,7 +257,7 @@
         stream,
         required_version: placement.required_version,
         single_version: rules.single_version,
-        retention_left: rules.abandon_after.map(|until| until.saturating_sub(shared.now())),
+        retention_left: rules.abandon_after.map(|deadline| deadline.saturating_sub(shared.now())),
         average_interval: average_interval(shared),
         priority: priority(execution.progress(shared.now()), placement.is_surplus),
         job,
@@ -265,7 +266,7 @@
     execution.spawn(async move {
         let jobs = &shared.rollout.jobs;
         let outcome = if jobs.may_send(key, shared.now()) {
-            generation::run(&GenerationContext::of(&shared), &request).await
+            generation::run(&GenerationContext::new(&shared), &request).await
         } else {
             GenerationOutcome::NeverRan
         };
@@ -274,7 +275,7 @@
     });
 }
 
-/// Starts the scoring call of an item whose text is complete. An item without one has an empty score.
+/// Starts the scoring call of an item whose text is complete. An item that needs no scoring call gets an empty score.
 fn spawn_scoring(shared: &Rc<Shared>, key: ExecutionKey, execution: &mut JobExecution, item: u32) {
     let job = Arc::clone(execution.job());
     let shared = Rc::clone(shared);
@@ -289,7 +290,7 @@
     });
 }
 
-/// Starts to append the results that there are; those that come until it is sent go with them.
+/// Starts an append of the collected results. Results that are added before the request is sent are appended with it.
 fn spawn_append(shared: &Rc<Shared>, key: ExecutionKey, execution: &mut JobExecution) {
     let (shared, job, term) = (Rc::clone(shared), Arc::clone(execution.job()), execution.lease.term());
     execution.spawn(async move {
--- a/system/data/src/rollout/driver_lease.rs
+++ b/system/data/src/rollout/driver_lease.rs
@@ -1,7 +1,7 @@
-//! The driver leases of this edge on the batch jobs that it drives: renewed at the heads of their partitions.
+//! Renewal of this edge's driver leases, at the heads of the partitions of the batch jobs that it drives.
 //!
-//! A lease counts from the moment its renewal was sent (Gray & Cheriton 1989), so it ends here before the head may let the end of the
-//! batch job take effect without this edge's acknowledgement.
+//! The duration of a lease counts from the moment when its renewal was sent (Gray & Cheriton 1989). So the lease expires at this edge
+//! before the head may put the end of the batch job into effect without this edge's acknowledgement.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -15,26 +15,27 @@
 use super::backend_client::ChainMember;
 use crate::Shared;
 
-/// The duration of a lease in percent of `cancelMs`, counted from when its renewal was sent. The end of a batch job that was
-/// acknowledged after that renewal may stay unknown here for so long and no longer.
+/// The duration of a lease in percent of `cancelMs`, counted from when its renewal was sent. This bounds how long this edge may be unaware
+/// that a batch job has ended, if the end was acknowledged after that renewal.
 ///
-/// The heads replace a silent driver sooner, after half of `cancelMs`. So a batch job may have two drivers for a moment, of which only
-/// the results of the later term are accepted; but a driver whose head is lost continues until there is another head.
+/// The heads replace a driver that does not renew sooner, after half of `cancelMs`. So a batch job may have two drivers for a short time,
+/// of which only the results of the later term are accepted. In return, a driver whose head is lost can continue until there is another
+/// head.
 const LEASE_PERCENT: u32 = 90;
-/// Renewals in `cancelMs`: three before a head replaces a driver.
-const RENEWALS: u32 = 6;
+/// The number of renewals in `cancelMs`. Three of them are due before a head replaces a driver.
+const RENEWALS_PER_CANCEL_TIME: u32 = 6;
 
-/// How long a lease is valid from when its renewal was sent.
+/// The duration of a lease, counted from when its renewal was sent.
 pub(super) fn lease_duration(shared: &Shared) -> Duration {
     Duration::from_millis(shared.settings().bounds.cancel_ms) * LEASE_PERCENT / 100
 }
 
-/// The time between renewals, and the time-out of each.
+/// The time between two renewals, and the time-out of each.
 fn renewal_period(shared: &Shared) -> Duration {
-    Duration::from_millis(shared.settings().bounds.cancel_ms) / RENEWALS
+    Duration::from_millis(shared.settings().bounds.cancel_ms) / RENEWALS_PER_CANCEL_TIME
 }
 
-/// Renews for as long as the process lives.
+/// Renews the driver leases for the lifetime of the process.
 pub(super) async fn run(shared: Rc<Shared>) {
     let jobs = &shared.rollout.jobs;
     loop {
@@ -51,7 +52,8 @@
     }
 }
 
-/// Sends one renewal to each head concerned; a lost one is made up for by the next.
+/// Sends one renewal for each partition with batch jobs that this edge drives. If a renewal times out, that of the
+/// next period replaces it.
 fn renew_all(shared: &Rc<Shared>) {
     let mut partitions: BTreeMap<u16, Vec<(JobId, DriverTerm)>> = BTreeMap::new();
     shared.rollout.jobs.for_each(|execution| {
@@ -64,8 +66,8 @@
     }
 }
 
-/// Reports to the coordinator how a batch job uses the weights of its model. The message may be lost, or the coordinator replaced, so it
-/// is repeated with each renewal.
+/// Reports to the coordinator that a batch job uses its model, by which route, and the lowest version of the weights that it allows. The
+/// report is repeated with each renewal, because the message may be lost or the coordinator replaced.
 pub(super) fn report_model_use(shared: &Shared, job: &JobRecord) {
     let coordinator =
         shared.registry(|registry| registry.coordinator().map(|coordinator| coordinator.address));
@@ -81,18 +83,18 @@
 
 async fn renew(shared: Rc<Shared>, partition: u16, jobs: Vec<(JobId, DriverTerm)>) {
     let sent_at = shared.now();
-    let lease = lease_duration(&shared);
+    let duration = lease_duration(&shared);
     let timeout = renewal_period(&shared);
     let body = JobsRequest::RenewDriverLeases { jobs: jobs.clone() };
     let backends = &shared.rollout.backends;
     let outcome = backends.request_partition(&shared, partition, ChainMember::Head, body, timeout).await;
     let Some(JobsResponse::Renewed(states)) = outcome.response else { return };
-    let running = &shared.rollout.jobs;
+    let running_jobs = &shared.rollout.jobs;
     for ((job, term), state) in jobs.into_iter().zip(states) {
         match state {
-            DriverLeaseState::Held => running.extend_lease(&job, term, sent_at + lease, shared.now()),
+            DriverLeaseState::Held => running_jobs.extend_lease(&job, term, sent_at + duration, shared.now()),
             DriverLeaseState::Ended | DriverLeaseState::Fenced => {
-                running.stop(&job, term, state, shared.now());
+                running_jobs.stop(&job, term, state, shared.now());
             }
         }
     }
--- a/system/data/src/rollout/event_stream.rs
+++ b/system/data/src/rollout/event_stream.rs
@@ -1,16 +1,16 @@
-//! An incremental parser of event streams (`text/event-stream`, WHATWG HTML, section 9.2), which come in chunks of any size.
+//! An incremental parser of event streams (`text/event-stream`, WHATWG HTML, section 9.2) that arrive in chunks of any size.
 //!
-//! Between two chunks it buffers one line and one event, together bounded. An event is delivered only once its closing empty line has
-//! arrived, so a stream that is interrupted in the middle of one delivers nothing of it.
+//! Between two chunks it buffers at most one incomplete line and one incomplete event, together bounded by [`MAX_EVENT_BYTES`]. An event
+//! is delivered only after its closing empty line has arrived, so an interrupted stream never delivers a part of an event.
 
 use snafu::Snafu;
 
-/// The most bytes of one event.
+/// The maximum size of one event, in bytes.
 pub const MAX_EVENT_BYTES: usize = 1 << 20;
-/// The field of an event that names the version of the weights from this event on.
+/// The field of an event with the version of the weights that generated this event and the following ones.
 const VERSION_FIELD: &[u8] = b"weight-versions";
 
-/// Why a stream can't be parsed.
+/// Why an event stream can't be parsed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 pub enum StreamError {
     /// An event is larger than [`MAX_EVENT_BYTES`].
@@ -24,18 +24,18 @@
 /// One complete event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Event<'a> {
-    /// Its id.
+    /// The id of the event.
     pub id: u64,
-    /// The version of the weights from this event on, where it changes.
+    /// The version of the weights that generated this event and the following ones; `None` if it is the same as before.
     pub version: Option<u64>,
-    /// Its data; several lines are separated by line feeds.
+    /// The data of the event; several lines are separated by line feeds.
     pub data: &'a [u8],
 }
 
-/// The state of the parser at the end of the last chunk.
+/// A parser of event streams, with the parts of a line and of an event that have arrived.
 #[derive(Debug, Default)]
-pub struct EventReader {
-    /// The part of a line that has arrived.
+pub struct EventParser {
+    /// The part of an incomplete line that has arrived.
     line: Vec<u8>,
     data: Vec<u8>,
     has_data: bool,
@@ -43,7 +43,7 @@
     version: Option<u64>,
 }
 
-impl EventReader {
+impl EventParser {
     /// Parses a chunk and calls `on_event` for each event that ends in it.
     ///
     /// # Errors
@@ -59,24 +59,24 @@
             if self.line.is_empty() {
                 self.parse_line(line, &mut on_event)?;
             } else {
-                self.buffer(line)?;
-                let mut complete = std::mem::take(&mut self.line);
-                self.parse_line(&complete, &mut on_event)?;
-                complete.clear();
-                self.line = complete;
+                self.buffer_line_part(line)?;
+                let mut complete_line = std::mem::take(&mut self.line);
+                self.parse_line(&complete_line, &mut on_event)?;
+                complete_line.clear();
+                self.line = complete_line;
             }
             chunk = rest;
         }
-        Ok(self.buffer(chunk)?)
+        Ok(self.buffer_line_part(chunk)?)
     }
 
-    /// Whether the parser is between two events, the only point where a stream may end.
+    /// Whether the parser is between two events, the only point at which a stream may end.
     #[must_use]
     pub fn is_between_events(&self) -> bool {
         self.line.is_empty() && !self.has_data && self.id.is_none() && self.version.is_none()
     }
 
-    fn buffer(&mut self, part: &[u8]) -> Result<(), StreamError> {
+    fn buffer_line_part(&mut self, part: &[u8]) -> Result<(), StreamError> {
         if self.line.len() + self.data.len() + part.len() > MAX_EVENT_BYTES {
             return Err(StreamError::TooLarge);
         }
--- a/system/data/src/rollout/generation.rs
+++ b/system/data/src/rollout/generation.rs
@@ -1,4 +1,4 @@
-//! Runs one generation: one request to one store, whose events are appended to the text of its item.
+//! Runs one generation: a request to a store, which responds with a stream of events that are appended to the text of an item.
 
 use std::pin::pin;
 use std::rc::Rc;
@@ -12,7 +12,7 @@
 use hyper::http::header::{self, HeaderMap, HeaderName, HeaderValue};
 use hyper::http::{Method, Request, StatusCode};
 
-use super::event_stream::{Event, EventReader, StreamError};
+use super::event_stream::{Event, EventParser, StreamError};
 use super::plan::{EventAddition, GeneratedText, GenerationOutcome};
 use super::store_observations::StoreObservations;
 use super::streams::GenerationStream;
@@ -20,13 +20,13 @@
 use crate::stores::{AttemptError, AttemptTimeouts, Rejection, StoreClient, StoreHealth, StoreResponse};
 use crate::{Clock, Shared};
 
-/// The version of the weights that a store must serve; otherwise it responds 421.
+/// The request header with the version of the weights that a store must serve; a store with another version responds 421.
 const EXPECT_VERSION: HeaderName = HeaderName::from_static("expect-version");
-/// The version of the weights at the start of a stream.
+/// The response header with the version of the weights at the start of a stream.
 const WEIGHT_VERSIONS: HeaderName = HeaderName::from_static("weight-versions");
-/// The priority of a request at its store; 0 is the most urgent.
+/// The request header with the priority of a request at its store; 0 is the most urgent.
 const PRIORITY: HeaderName = HeaderName::from_static("priority");
-/// Headers that are set here; those of the item are dropped.
+/// Headers that this module sets; if an item has one of them, it is dropped.
 const RESERVED_HEADERS: [HeaderName; 7] = [
     header::HOST,
     header::CONTENT_LENGTH,
@@ -36,15 +36,17 @@
     EXPECT_VERSION,
     PRIORITY,
 ];
-/// The time-out of connecting to a store.
+/// The time-out for connecting to a store.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(700);
-/// A stream without an event for that time, and for so many average intervals, has timed out.
-const IDLE_TIMEOUT: Duration = Duration::from_secs(2);
+/// The minimum idle time-out of a stream, that is of the time without data. The idle time-out is the longer of this and
+/// [`IDLE_TIMEOUT_INTERVALS`].
+const MIN_IDLE_TIMEOUT: Duration = Duration::from_secs(2);
+/// The minimum idle time-out of a stream, as a multiple of the average interval between two events.
 const IDLE_TIMEOUT_INTERVALS: u32 = 12;
-/// The time-out of the response head is so many times longer, since a request may be queued at the store.
+/// The time-out of the response head, as a multiple of the idle time-out. It is longer because a request may be queued at the store.
 const HEAD_TIMEOUT_FACTOR: f64 = 1.5;
 
-/// What a generation reaches beyond its own stream.
+/// The parts of the edge's state that a generation uses, beyond its own stream.
 pub(super) struct GenerationContext<'a> {
     clock: Clock,
     client: &'a StoreClient,
@@ -53,54 +55,58 @@
 }
 
 impl<'a> GenerationContext<'a> {
-    pub(super) fn of(shared: &'a Shared) -> Self {
+    pub(super) fn new(shared: &'a Shared) -> Self {
         Self {
             clock: shared.clock(),
             client: &shared.stores,
             health: &shared.health,
-            observations: &shared.rollout.stores,
+            observations: &shared.rollout.store_observations,
         }
     }
 }
 
-/// One generation.
+/// The parameters of one generation.
 pub(super) struct GenerationRequest {
     pub(super) job: Arc<JobRecord>,
     /// The index of the item.
     pub(super) item: u32,
     pub(super) stream: Rc<GenerationStream>,
-    /// The version that the store must serve; `None` if any allowed one will do.
+    /// The version of the weights that the store must serve; `None` if any allowed version is acceptable.
     pub(super) required_version: Option<u64>,
-    /// All events of the text must be made under one version.
+    /// Whether all events of the text must be generated under one version of the weights.
     pub(super) single_version: bool,
-    /// How long the item is still retained; `None` if without a limit.
+    /// The rest of the item's retention time; `None` if it is unlimited.
     pub(super) retention_left: Option<Duration>,
-    /// The average interval between two events.
+    /// The average interval between two events over all stores.
     pub(super) average_interval: Duration,
-    /// Its priority among the requests at its store; 0 is the most urgent.
+    /// The priority among the requests at the store; 0 is the most urgent.
     pub(super) priority: u8,
 }
 
 /// Why reading a stream stopped before its end.
 enum ReadError {
-    Gap,
+    /// An event is malformed, missing or too large.
+    InvalidStream,
+    /// The version of the weights is missing or not allowed.
     WrongVersion,
 }
 
 impl From<StreamError> for ReadError {
     fn from(_: StreamError) -> Self {
-        ReadError::Gap
+        ReadError::InvalidStream
     }
 }
 
-/// Runs a generation and appends its events to the text. Dropping the future closes the connection.
+/// Runs a generation and appends its events to the text of the item. Dropping the future closes the connection.
 pub(super) async fn run(
     context: &GenerationContext<'_>,
     generation: &GenerationRequest,
 ) -> GenerationOutcome {
-    let last_id = generation.stream.text.borrow().last_id();
-    let Some(request) = http_request(generation, last_id) else { return GenerationOutcome::Rejected };
-    let idle_timeout = IDLE_TIMEOUT.max(generation.average_interval * IDLE_TIMEOUT_INTERVALS);
+    let last_event_id = generation.stream.text.borrow().last_event_id();
+    let Some(request) = http_request(generation, last_event_id) else {
+        return GenerationOutcome::InvalidRequest;
+    };
+    let idle_timeout = MIN_IDLE_TIMEOUT.max(generation.average_interval * IDLE_TIMEOUT_INTERVALS);
     let timeouts = AttemptTimeouts {
         connect: CONNECT_TIMEOUT,
         head: idle_timeout.mul_f64(HEAD_TIMEOUT_FACTOR),
@@ -112,22 +118,23 @@
             let id = &generation.stream.store.target.id;
             context.health.on_response(id);
             context.observations.weight_loading.borrow_mut().on_accepted(id, &generation.job.model);
-            let began = context.clock.now();
-            let ended = read_stream(generation, response).await;
-            let events = generation.stream.events.get();
-            record_stream(context, id, ended, events, began);
-            ended
+            let started_at = context.clock.now();
+            let outcome = read_stream(generation, response).await;
+            let new_events = generation.stream.events.get();
+            record_stream(context, id, outcome, new_events, started_at);
+            outcome
         }
         Ok(response) => match response.status {
             StatusCode::INTERNAL_SERVER_ERROR => GenerationOutcome::Failed,
-            StatusCode::UNPROCESSABLE_ENTITY => GenerationOutcome::Rejected,
+            StatusCode::UNPROCESSABLE_ENTITY => GenerationOutcome::InvalidRequest,
             _ => GenerationOutcome::Other,
         },
     }
 }
 
-/// The HTTP request of an item; `None` if its path or headers are not valid HTTP, so that no store can ever accept it.
-fn http_request(generation: &GenerationRequest, last_id: Option<u64>) -> Option<Request<Full<Bytes>>> {
+/// The HTTP request of a generation, which resumes after the event `last_event_id` if there is one. `None` if the item's path or headers
+/// are not valid HTTP, so that no store can ever accept it.
+fn http_request(generation: &GenerationRequest, last_event_id: Option<u64>) -> Option<Request<Full<Bytes>>> {
     let item = generation.job.items.get(generation.item as usize)?;
     let mut request = Request::builder().method(Method::POST).uri(&item.path);
     let headers = request.headers_mut()?;
@@ -150,8 +157,8 @@
     if let Some(version) = generation.required_version {
         headers.insert(EXPECT_VERSION, version.into());
     }
-    if let Some(last) = last_id {
-        headers.insert(headers::LAST_EVENT_ID, last.into());
+    if let Some(last_event_id) = last_event_id {
+        headers.insert(headers::LAST_EVENT_ID, last_event_id.into());
     }
     request.body(Full::new(Bytes::copy_from_slice(&item.body))).ok()
 }
@@ -190,44 +197,44 @@
             on_capacity_exceeded(context, generation);
         }
     } else if generation.required_version.is_none() {
-        // The address belongs to another store now. If a version was required, the store may just serve another one.
+        // The address belongs to another store now. With a required version this is not certain: the store may serve another version.
         context.health.on_failure(&generation.stream.store.target.id, context.clock.now());
     }
 }
 
-/// The store has capacity, but not for this model now.
+/// Records that the store rejected the request although it has capacity, so that it may be loading weights of the model.
 fn on_weights_loading(context: &GenerationContext<'_>, generation: &GenerationRequest) {
     let (id, model) = (&generation.stream.store.target.id, &generation.job.model);
     context.observations.weight_loading.borrow_mut().on_rejected(id, model, context.clock.now());
 }
 
-/// The store has no capacity beyond what this edge has in flight there already.
+/// Records that the store has no capacity beyond the other requests that this edge has in flight there.
 fn on_capacity_exceeded(context: &GenerationContext<'_>, generation: &GenerationRequest) {
-    let others = generation.stream.store.in_flight.get().saturating_sub(1);
-    let others = u32::try_from(others).unwrap_or(u32::MAX);
+    let other_requests = generation.stream.store.in_flight.get().saturating_sub(1);
+    let other_requests = u32::try_from(other_requests).unwrap_or(u32::MAX);
     context.observations.capacities.borrow_mut().on_rejected(
         &generation.stream.store.target.id,
-        others,
+        other_requests,
         context.clock.now(),
     );
 }
 
-/// Records what a stream revealed about its store.
+/// Updates the observations of a store with the outcome of a stream.
 fn record_stream(
     context: &GenerationContext<'_>,
     id: &str,
-    ended: GenerationOutcome,
-    events: u64,
-    began: Duration,
+    outcome: GenerationOutcome,
+    new_events: u64,
+    started_at: Duration,
 ) {
     let now = context.clock.now();
-    match ended {
+    match outcome {
         GenerationOutcome::Completed => {
             context.observations.capacities.borrow_mut().on_completed(id);
             context.observations.progress_rates.borrow_mut().record_generation(
                 id,
-                events,
-                now.saturating_sub(began),
+                new_events,
+                now.saturating_sub(started_at),
                 now,
             );
         }
@@ -236,32 +243,32 @@
     }
 }
 
-/// Reads the events of a response until its end.
+/// Reads the events of a response until its end, and appends them to the text of the item.
 async fn read_stream(generation: &GenerationRequest, response: StoreResponse) -> GenerationOutcome {
-    let mut version = version_of(&response.headers);
+    let mut version = weight_version(&response.headers);
     let has_model = !generation.job.model.is_empty();
-    // A store that has nothing to append to a text generates no event, so it names no version.
+    // Only the response to a resumed text may lack a version: a store that has nothing to append to the text generates no event.
     if version.is_none() && has_model && generation.stream.text.borrow().is_empty() {
         return GenerationOutcome::Other;
     }
     if !is_version_allowed(generation, &generation.stream.text.borrow(), version) {
         return GenerationOutcome::WrongVersion;
     }
-    let mut reader = EventReader::default();
+    let mut parser = EventParser::default();
     let mut body = response.body;
-    let mut migration = pin!(generation.stream.migration.notified());
+    let mut migration = pin!(generation.stream.migration_request.notified());
     loop {
-        let piece = tokio::select! {
+        let chunk = tokio::select! {
             biased;
-            piece = body.next() => piece,
+            chunk = body.next() => chunk,
             () = &mut migration => return GenerationOutcome::Migrated,
         };
-        let piece = match piece {
+        let chunk = match chunk {
             None => break,
             Some(Err(_)) => return GenerationOutcome::Interrupted,
-            Some(Ok(piece)) => piece,
+            Some(Ok(chunk)) => chunk,
         };
-        let read = reader.feed(&piece, |event: Event<'_>| {
+        let result = parser.feed(&chunk, |event: Event<'_>| {
             version = event.version.or(version);
             let mut text = generation.stream.text.borrow_mut();
             if !is_version_allowed(generation, &text, version) || (version.is_none() && has_model) {
@@ -270,30 +277,31 @@
             match text.append(event, version) {
                 EventAddition::Appended => generation.stream.events.set(generation.stream.events.get() + 1),
                 EventAddition::Duplicate => {}
-                EventAddition::Gap => return Err(ReadError::Gap),
+                EventAddition::NotAppendable => return Err(ReadError::InvalidStream),
             }
             Ok(())
         });
-        match read {
+        match result {
             Ok(()) => {}
-            Err(ReadError::Gap) => return GenerationOutcome::Interrupted,
+            Err(ReadError::InvalidStream) => return GenerationOutcome::Interrupted,
             Err(ReadError::WrongVersion) => return GenerationOutcome::WrongVersion,
         }
     }
-    if reader.is_between_events() {
+    if parser.is_between_events() {
         GenerationOutcome::Completed
     } else {
         GenerationOutcome::Interrupted
     }
 }
 
-fn version_of(headers: &HeaderMap) -> Option<u64> {
+/// The version of the weights in the headers of a response.
+fn weight_version(headers: &HeaderMap) -> Option<u64> {
     headers::text(headers, &WEIGHT_VERSIONS)?.trim().parse().ok()
 }
 
-/// Whether the text may continue with an event of that version.
+/// Whether an event of this version may be appended to the text. An event without a version is allowed here.
 fn is_version_allowed(generation: &GenerationRequest, text: &GeneratedText, version: Option<u64>) -> bool {
     let Some(version) = version else { return true };
-    let same = text.versions().iter().all(|&known| known == version);
-    version >= generation.job.min_version && (same || !generation.single_version)
+    let is_same_version = text.versions().iter().all(|&text_version| text_version == version);
+    version >= generation.job.min_version && (is_same_version || !generation.single_version)
 }
--- a/system/data/src/rollout/job_execution.rs
+++ b/system/data/src/rollout/job_execution.rs
@@ -1,7 +1,7 @@
-//! One batch job while this edge drives it: its plan, its driver lease, and what of it is in flight.
+//! The execution of one batch job while this edge drives it: its plan, its driver lease, and its tasks and streams in flight.
 //!
-//! A [`JobExecution`] does no I/O. Its methods apply an event and return what the driver is to do; the tasks it owns are started by the
-//! driver and end with it.
+//! A [`JobExecution`] does no I/O. Its methods apply an event and return the driver's next action. It owns the tasks that the driver
+//! starts for it; they are cancelled when it is dropped.
 
 use std::future::Future;
 use std::rc::Rc;
@@ -16,46 +16,47 @@
 use super::job_age::JobAge;
 use super::partial_texts::PartialTextCache;
 use super::plan::{
-    CheckpointedTexts, GeneratedText, GenerationOutcome, JobPlan, NextStep, Placement, Rules, ScoringOutcome,
-    StepProgress, StoreView, TextView,
+    CheckpointedTexts, GeneratedText, GenerationOutcome, JobPlan, JobRules, NextAction, Placement,
+    ScoringOutcome, StepProgress, StoreView, TextView,
 };
 use super::streams::{ActiveStreams, GenerationStream, InFlightText};
 use super::timeline::JobTimeline;
 use crate::index::KnownStore;
 
-/// The interval between two checks whether surplus groups may start: each looks at all stores and items.
+/// The interval between two checks whether surplus groups may start. Each check iterates over all stores and items.
 const SURPLUS_CHECK_INTERVAL: Duration = Duration::from_millis(150);
 
 new_key_type! {
-    /// One term of this edge as the driver of one batch job.
+    /// Identifies one term of this edge as the driver of one batch job.
     pub(super) struct ExecutionKey;
 }
 
-/// A task of an execution ended.
+/// The outcome of a task of an execution.
 pub(super) enum TaskOutcome {
-    /// A generation, with the item's text.
+    /// A generation ended; `text` is the item's text including its new events.
     Generation { item: u32, text: InFlightText, outcome: GenerationOutcome },
-    /// A scoring call.
+    /// A scoring call ended.
     Scoring { item: u32, outcome: ScoringOutcome },
-    /// Results were acknowledged.
+    /// An append of results was acknowledged.
     ResultsAppended,
-    /// A checkpoint: the parts that were acknowledged, or `None` if that is not known.
+    /// A checkpoint ended; `None` if there was no acknowledgement, so that it is unknown whether the parts were stored.
     Checkpoint { acknowledged: Option<CheckpointParts> },
 }
 
 /// The driver lease of an execution, on the clock of this process.
 pub(super) struct DriverLease {
     term: DriverTerm,
-    /// Nothing is sent from then on, unless a renewal succeeds.
+    /// The time from which on nothing is sent, unless a renewal succeeds.
     valid_until: Duration,
-    /// The execution ends then, unless a renewal succeeds before: the end of the lease, or of the time for the first renewal.
-    abandoned_at: Duration,
+    /// The time at which the execution ends unless a renewal succeeds before: the end of the lease, or before the first renewal the end of
+    /// the time allowed for it.
+    renewal_deadline: Duration,
 }
 
 impl DriverLease {
-    /// A lease of a term; until `abandoned_at` it waits for its first renewal, if it isn't valid from the start.
-    pub(super) fn new(term: DriverTerm, valid_until: Duration, abandoned_at: Duration) -> Self {
-        Self { term, valid_until, abandoned_at }
+    /// A lease for a term. If it is not valid from the start, its first renewal may succeed until `renewal_deadline`.
+    pub(super) fn new(term: DriverTerm, valid_until: Duration, renewal_deadline: Duration) -> Self {
+        Self { term, valid_until, renewal_deadline }
     }
 
     pub(super) fn term(&self) -> DriverTerm {
@@ -66,54 +67,55 @@
         now < self.valid_until
     }
 
-    pub(super) fn is_abandoned(&self, now: Duration) -> bool {
-        self.abandoned_at <= now
+    pub(super) fn is_renewal_overdue(&self, now: Duration) -> bool {
+        self.renewal_deadline <= now
     }
 
-    /// A renewal succeeded; returns whether the lease had expired, or was never valid.
-    pub(super) fn extend(&mut self, until: Duration, now: Duration) -> bool {
+    /// Extends the lease after a successful renewal; returns whether the lease had expired, or was never valid.
+    pub(super) fn extend(&mut self, valid_until: Duration, now: Duration) -> bool {
         let was_invalid = self.valid_until <= now;
-        self.valid_until = self.valid_until.max(until);
-        self.abandoned_at = self.valid_until;
+        self.valid_until = self.valid_until.max(valid_until);
+        self.renewal_deadline = self.valid_until;
         was_invalid
     }
 }
 
-/// What an execution starts from.
+/// The initial values of an execution.
 pub(super) struct ExecutionStart {
     pub(super) plan: JobPlan,
-    /// Items that have results already.
+    /// The indices of the items that have results already.
     pub(super) finished_items: Vec<u32>,
-    /// Checkpoints of an earlier term, until the rules are known by which they are restored.
+    /// Checkpoints of an earlier term. They are restored once the rules of the route are known.
     pub(super) checkpoints: Vec<PartialText>,
     pub(super) age: JobAge,
     pub(super) lease: DriverLease,
-    /// The time from submission within which the trainer wants all results.
-    pub(super) target: Duration,
+    /// The time from submission to the deadline of all results; zero if the route is not known.
+    pub(super) target_completion: Duration,
     /// The share of a core that this edge has.
     pub(super) cpu_share: f64,
 }
 
-/// One batch job that this edge drives.
+/// The execution of one batch job that this edge drives.
 pub(super) struct JobExecution {
     plan: JobPlan,
     age: JobAge,
     pub(super) lease: DriverLease,
-    target: Duration,
-    /// The deadline of all results.
+    /// The time from submission to the deadline of all results.
+    target_completion: Duration,
+    /// The deadline of all results, on the clock of this process.
     deadline: Duration,
-    /// The rules of its route when that was last seen.
-    rules: Option<Rules>,
-    /// Results that are not appended yet.
+    /// The rules of the batch job's route when the route was last in the configuration; `None` if it never was.
+    rules: Option<JobRules>,
+    /// Results that are still to be sent in an append.
     results: Vec<ResultRecord>,
     is_append_in_flight: bool,
     next_surplus_check: Duration,
     timeline: JobTimeline,
     streams: ActiveStreams,
-    /// See [`ExecutionStart::checkpoints`].
+    /// Checkpoints of an earlier term that are still to be restored.
     unrestored_checkpoints: Vec<PartialText>,
     checkpoints: CheckpointSchedule,
-    /// Its generations, scoring calls, appends and checkpoints; dropping them cancels them.
+    /// The tasks of generations, scoring calls, appends and checkpoints. Dropping the set cancels them.
     tasks: JoinSet<()>,
 }
 
@@ -124,8 +126,8 @@
             plan: start.plan,
             age: start.age,
             lease: start.lease,
-            target: start.target,
-            deadline: start.age.reaches(start.target),
+            target_completion: start.target_completion,
+            deadline: start.age.reached_at(start.target_completion),
             rules: None,
             results: Vec::new(),
             is_append_in_flight: false,
@@ -153,12 +155,12 @@
         &self.timeline
     }
 
-    /// Runs a task of this execution, which is cancelled when the execution ends.
+    /// Starts a task of this execution. It is cancelled when the execution ends.
     pub(super) fn spawn(&mut self, task: impl Future<Output = ()> + 'static) {
         self.tasks.spawn_local(task);
     }
 
-    /// Forgets the tasks that have ended.
+    /// Removes the tasks that have ended from the set of tasks.
     pub(super) fn reap_tasks(&mut self) {
         while self.tasks.try_join_next().is_some() {}
     }
@@ -168,34 +170,35 @@
         self.plan.is_finished() && self.results.is_empty() && !self.is_append_in_flight
     }
 
-    /// How far it has come.
+    /// The progress of the training step.
     pub(super) fn progress(&self, now: Duration) -> StepProgress {
         StepProgress {
             time_left: self.deadline.saturating_sub(now),
-            target: self.target,
+            target_completion: self.target_completion,
             groups_left: self.timeline.groups_left(),
             desired_groups: self.plan.desired_groups(),
         }
     }
 
-    /// Items of the groups that the trainer waits for and whose texts are not complete, from the average size of these groups.
+    /// An estimate of the number of items whose texts are not complete in the groups that the trainer waits for, from the average size of
+    /// these groups.
     pub(super) fn desired_items_left(&self) -> usize {
         self.plan.desired_items() * self.timeline.groups_left() / self.plan.desired_groups().max(1)
     }
 
-    /// Applies the outcome of a task; returns the item that is to be scored now, if any.
+    /// Applies the outcome of a task; returns the item that is to be scored next, if any.
     pub(super) fn on_task_ended(&mut self, now: Duration, outcome: TaskOutcome) -> Option<u32> {
         let rules = self.rules?;
         match outcome {
             TaskOutcome::Generation { item, text, outcome } => {
                 self.streams.remove(item);
                 self.timeline.on_generation_ended(outcome);
-                let step = self.plan.generation_ended(now, item, text.into_text(), outcome, rules);
-                self.follow(now, item, step)
+                let action = self.plan.generation_ended(now, item, text.into_text(), outcome, rules);
+                self.apply_action(now, item, action)
             }
             TaskOutcome::Scoring { item, outcome } => {
-                let step = self.plan.scoring_ended(now, item, outcome, rules);
-                self.follow(now, item, step)
+                let action = self.plan.scoring_ended(now, item, outcome, rules);
+                self.apply_action(now, item, action)
             }
             TaskOutcome::ResultsAppended => {
                 self.is_append_in_flight = false;
@@ -208,14 +211,14 @@
         }
     }
 
-    fn follow(&mut self, now: Duration, item: u32, step: NextStep) -> Option<u32> {
-        match step {
-            NextStep::Wait => None,
-            NextStep::Score => {
+    fn apply_action(&mut self, now: Duration, item: u32, action: NextAction) -> Option<u32> {
+        match action {
+            NextAction::Wait => None,
+            NextAction::Score => {
                 self.timeline.on_text_completed(now, item);
                 Some(item)
             }
-            NextStep::Publish(result) => {
+            NextAction::Publish(result) => {
                 self.timeline.on_result(now, item);
                 self.results.push(result);
                 None
@@ -223,9 +226,14 @@
         }
     }
 
-    /// Applies the rules of its route. With the first ones, texts of an earlier term are restored: checkpoints, then what this process
-    /// still has. Items whose retention time is over are abandoned.
-    pub(super) fn on_rules(&mut self, now: Duration, rules: Rules, partial_texts: &mut PartialTextCache) {
+    /// Applies the rules of the batch job's route. The first call restores texts of an earlier term: from checkpoints first, then from the
+    /// cache of partial texts of this process. If the retention time is over, items that are not in flight are abandoned.
+    pub(super) fn apply_rules(
+        &mut self,
+        now: Duration,
+        rules: JobRules,
+        partial_texts: &mut PartialTextCache,
+    ) {
         if self.rules.is_none() {
             self.restore_checkpoints(now, rules);
             self.restore_partial_texts(rules, partial_texts);
@@ -236,7 +244,8 @@
         }
     }
 
-    /// Its route is not in the configuration: removed if it was seen before, else maybe newer than this edge's configuration.
+    /// Called when the batch job's route is not in the configuration. If it was there before, it was removed, and items that are not in
+    /// flight are abandoned. Otherwise it may be newer than this edge's configuration, and nothing happens.
     pub(super) fn on_route_missing(&mut self) {
         if self.rules.is_some() {
             self.abandon_idle_items();
@@ -248,13 +257,13 @@
         self.results.extend(abandoned);
     }
 
-    fn restore_checkpoints(&mut self, now: Duration, rules: Rules) {
+    fn restore_checkpoints(&mut self, now: Duration, rules: JobRules) {
         let mut restored = std::mem::take(&mut self.unrestored_checkpoints);
         restored.retain(|text| self.plan.restore_checkpoint(now, text.clone(), rules));
         self.checkpoints.on_restored(&restored);
     }
 
-    fn restore_partial_texts(&mut self, rules: Rules, partial_texts: &mut PartialTextCache) {
+    fn restore_partial_texts(&mut self, rules: JobRules, partial_texts: &mut PartialTextCache) {
         let job = Arc::clone(self.plan.job());
         for (index, item) in job.items.iter().enumerate() {
             if let Some(text) = partial_texts.remove(&job.model, &item.id) {
@@ -263,7 +272,7 @@
         }
     }
 
-    /// Items that are to be scored now, after a backoff.
+    /// Removes and returns the items whose backoff has ended and that are to be scored again now.
     pub(super) fn take_due_scorings(&mut self, now: Duration) -> Vec<u32> {
         self.plan.take_due_scorings(now)
     }
@@ -273,21 +282,26 @@
         self.plan.has_items_to_place(now)
     }
 
-    /// Whether surplus groups are to be placed if there is capacity to spare; asked at the interval of these checks.
+    /// Whether to check now for spare capacity for surplus groups. Returns true at most once per [`SURPLUS_CHECK_INTERVAL`].
     pub(super) fn is_surplus_check_due(&mut self, now: Duration) -> bool {
         if now < self.next_surplus_check {
             return false;
         }
         self.next_surplus_check = now + SURPLUS_CHECK_INTERVAL;
-        self.plan.has_surplus_groups()
+        self.plan.has_unstarted_groups()
     }
 
-    /// Places what can start now, see [`JobPlan::place`].
-    pub(super) fn place(&mut self, now: Duration, stores: &mut [StoreView], rules: Rules) -> Vec<Placement> {
+    /// Places the items that can start now, see [`JobPlan::place`].
+    pub(super) fn place(
+        &mut self,
+        now: Duration,
+        stores: &mut [StoreView],
+        rules: JobRules,
+    ) -> Vec<Placement> {
         self.plan.place(now, stores, rules)
     }
 
-    /// A generation starts at a store.
+    /// Adds the stream of a generation that starts at a store; `text` is the item's text so far.
     pub(super) fn start_stream(
         &mut self,
         now: Duration,
@@ -303,7 +317,7 @@
         &mut self.streams
     }
 
-    /// Whether results wait to be appended and no append is in flight; if so, one counts as in flight from here on.
+    /// Whether an append is to be started: there are results and no append is in flight. If so, marks an append as in flight.
     pub(super) fn start_append(&mut self) -> bool {
         if self.is_append_in_flight || self.results.is_empty() {
             return false;
@@ -312,21 +326,21 @@
         true
     }
 
-    /// Removes the results that are to be appended.
+    /// Removes and returns the results that are to be appended.
     pub(super) fn take_results(&mut self) -> Vec<ResultRecord> {
         std::mem::take(&mut self.results)
     }
 
-    /// The next checkpoint, if it is due and there is something new.
+    /// Starts the next checkpoint, if it is due and there are new parts of texts.
     pub(super) fn start_checkpoint(&mut self, now: Duration) -> Option<CheckpointParts> {
         if self.checkpoints.next_timer().is_none_or(|due| due > now) {
             return None;
         }
         let (plan, streams) = (&self.plan, &self.streams);
-        self.checkpoints.start(now, |checkpointed| unsaved_texts(plan, streams, checkpointed))
+        self.checkpoints.start(now, |checkpointed| unsaved_parts(plan, streams, checkpointed))
     }
 
-    /// When the next timer expires: of the observation window, the checkpoints, the plan's backoffs, or the lease.
+    /// The time at which the next timer expires: of the observation window, the checkpoints, the plan's backoffs, or the lease.
     pub(super) fn next_timer(&self, now: Duration, average_interval: Duration) -> Option<Duration> {
         let timers = [
             self.streams.window_end(average_interval),
@@ -337,12 +351,13 @@
         timers.into_iter().flatten().min()
     }
 
-    /// When the execution ends unless its lease is renewed.
-    pub(super) fn abandoned_at(&self) -> Duration {
-        self.lease.abandoned_at
+    /// The time at which the execution ends unless its lease is renewed.
+    pub(super) fn renewal_deadline(&self) -> Duration {
+        self.lease.renewal_deadline
     }
 
-    /// Moves the texts of unfinished items to the cache. Dropping the execution then returns those of generations in flight.
+    /// Moves the texts of unfinished items that are not in flight to the cache. When the execution is dropped, the texts of generations in
+    /// flight follow.
     pub(super) fn release_texts(&mut self, partial_texts: &mut PartialTextCache) {
         let job = Arc::clone(self.plan.job());
         for (index, text) in self.plan.take_texts() {
@@ -353,8 +368,8 @@
     }
 }
 
-/// Parts of texts that the partition does not have, up to the limit of a checkpoint: first those of items that are not in flight.
-fn unsaved_texts(
+/// Parts of texts that the partition has not stored, up to the size limit of a checkpoint. Items that are not in flight come first.
+fn unsaved_parts(
     plan: &JobPlan,
     streams: &ActiveStreams,
     checkpointed: &CheckpointedTexts,
@@ -364,9 +379,9 @@
     for (item, stream) in streams.iter() {
         let text = stream.text.borrow();
         let view = TextView { item, origin: plan.origin(item), text: &text, is_complete: false };
-        let next = checkpointed.next_parts(std::iter::once(view), remaining_bytes);
-        remaining_bytes = remaining_bytes.saturating_sub(data_bytes(&next));
-        parts.extend(next);
+        let stream_parts = checkpointed.next_parts(std::iter::once(view), remaining_bytes);
+        remaining_bytes = remaining_bytes.saturating_sub(data_bytes(&stream_parts));
+        parts.extend(stream_parts);
     }
     parts
 }
--- a/system/data/src/rollout/mod.rs
+++ b/system/data/src/rollout/mod.rs
@@ -1,12 +1,13 @@
 //! The driver of batch jobs: the edge that accepted a trainer's batch job runs its generations and appends their results, for as long
 //! as it holds the driver lease that the job's partition granted.
 //!
-//! [`plan`] decides and does no I/O. `running_jobs` owns the batch jobs that run here; `driver` is the loop that asks the plans and starts
-//! tasks, and only it ties the parts together: `generation`, `scoring`, `results` and `checkpoint` each do one kind of call and return
-//! its outcome. `driver_lease` renews the leases. [`trainer_api`] answers the trainers.
+//! [`plan`] makes the decisions and does no I/O. `running_jobs` owns the batch jobs that run on this edge. `driver` is the loop that
+//! queries the plans and starts tasks; it is the only module that connects the others: `generation`, `scoring`, `results` and
+//! `checkpoint` each make one kind of call and return its outcome. `driver_lease` renews the leases. [`trainer_api`] serves the HTTP
+//! requests of trainers. `delegation` passes batch jobs on to another edge.
 //!
-//! What is known only here (counts, speeds, partial texts) is lost with the process; batch jobs, results and checkpoints are kept by the
-//! backends.
+//! State that only this process has (counts, progress rates, partial texts) is lost when it ends. Batch jobs, results and checkpoints are
+//! stored by the backends.
 
 mod backend_client;
 mod checkpoint;
@@ -43,17 +44,17 @@
 
 use crate::Shared;
 
-/// The state of the driver and of the trainer's API, inside [`Shared`].
+/// State of the driver and of the trainers' API; part of [`Shared`].
 #[derive(Default)]
 pub struct RolloutState {
-    /// Requests to backends.
+    /// The client for requests to backends.
     pub(crate) backends: BackendClient,
     /// The batch jobs that this edge drives.
     jobs: RunningJobs,
-    /// The batch jobs that were submitted here and that another edge drives.
+    /// The batch jobs that were submitted to this edge and that another edge drives.
     delegations: Delegations,
-    /// What generations revealed about the stores.
-    stores: StoreObservations,
+    /// Estimates for each store, from the outcomes of generations.
+    store_observations: StoreObservations,
 }
 
 /// Starts the driver and the lease renewal. Called once, on the `LocalSet`, when the edge starts.
@@ -62,14 +63,19 @@
     tokio::task::spawn_local(driver_lease::run(Rc::clone(shared)));
 }
 
-/// Handles a message of the batch jobs' plane.
+/// Handles a message about batch jobs: a response of a backend, or a command of the head of a partition.
 pub fn on_message(shared: &Rc<Shared>, _from: SocketAddr, message: JobsMessage) {
     match message {
         JobsMessage::Response { request, body } => shared.rollout.backends.on_response(request, body),
         JobsMessage::AssignDriver { job, term, items_with_results, texts, age_ms } => {
-            let age = Duration::from_millis(age_ms);
-            let assignment =
-                driver::Assignment { job, term, finished_items: items_with_results, checkpoints: texts, age };
+            let min_age = Duration::from_millis(age_ms);
+            let assignment = driver::Assignment {
+                job,
+                term,
+                finished_items: items_with_results,
+                checkpoints: texts,
+                min_age,
+            };
             driver::start_job(shared, assignment, shared.now());
         }
         JobsMessage::StopDriver { job, term } => {
@@ -82,7 +88,7 @@
     }
 }
 
-/// Called when messages to a peer may have been lost.
-pub fn on_lost(shared: &Rc<Shared>, _peer: SocketAddr) {
+/// Sends all requests in flight to backends again, because messages to a peer may have been lost.
+pub fn on_messages_lost(shared: &Rc<Shared>, _peer: SocketAddr) {
     shared.rollout.backends.on_messages_lost();
 }
--- a/system/data/src/rollout/partial_texts.rs
+++ b/system/data/src/rollout/partial_texts.rs
@@ -1,5 +1,5 @@
-//! A bounded cache of partial texts of items that this edge no longer drives. If an item comes back, under the next term of its batch
-//! job or in a later one, its text is resumed. Whether its versions are allowed is checked by the plan that restores it.
+//! A bounded cache of partial texts of items that this edge no longer drives. If an item is assigned to this edge again, under a later term
+//! of its batch job or in a later batch job, its text is resumed. The plan that restores the text checks whether its versions are allowed.
 
 use std::cell::RefCell;
 use std::collections::{HashMap, VecDeque};
@@ -7,22 +7,23 @@
 
 use super::plan::GeneratedText;
 
-/// The most bytes of texts in the cache.
+/// The maximum total size of the texts in the cache, in bytes.
 const MAX_BYTES: usize = 8 << 20;
-/// The most texts in the cache.
+/// The maximum number of texts in the cache.
 const MAX_TEXTS: usize = 4_096;
 
-/// Identifies a text: the model and the item's id.
+/// The key of a text: the name of the model and the item's id.
 type ItemKey = (String, String);
 
-/// The cache as it is shared with generations in flight, which return their texts when they are cancelled.
+/// The cache, shared with generations in flight: a generation that is cancelled inserts its text.
 pub(super) type SharedPartialTexts = Rc<RefCell<PartialTextCache>>;
 
-/// Partial texts by item; the oldest are evicted first.
+/// A cache of partial texts by item. The oldest entries are evicted first.
 #[derive(Debug, Default)]
 pub(super) struct PartialTextCache {
     texts: HashMap<ItemKey, GeneratedText>,
     insertion_order: VecDeque<ItemKey>,
+    /// The total size of `texts`, in bytes.
     bytes: usize,
 }
 
@@ -52,7 +53,7 @@
         let key = (model.to_owned(), item.to_owned());
         let text = self.texts.remove(&key)?;
         self.bytes -= text.len();
-        self.insertion_order.retain(|known| *known != key);
+        self.insertion_order.retain(|cached_key| *cached_key != key);
         Some(text)
     }
 }
--- a/system/data/src/rollout/plan/checkpoint.rs
+++ b/system/data/src/rollout/plan/checkpoint.rs
@@ -1,7 +1,7 @@
-//! Incremental checkpoints of generated texts: which parts a batch job's partition does not hold yet.
+//! Incremental checkpoints of generated texts: determines the parts that a batch job's partition has not stored yet.
 //!
-//! A driver of a later term resumes each text from its last checkpoint. A part whose fate is unknown invalidates the item's
-//! checkpoint, so that the next part starts at the beginning of the text and no gap can arise.
+//! A driver of a later term resumes each text from its last checkpoint. While it is unknown whether the partition has stored a part, the
+//! item counts as having no checkpoint: the next part then starts at the beginning of the text, so that no gap can arise.
 
 use std::collections::BTreeMap;
 
@@ -9,36 +9,37 @@
 
 use super::GeneratedText;
 
-/// A text as it stands at the driver, to be compared with its checkpoint.
+/// The current text of an item at the driver, to be compared with its checkpoint.
 #[derive(Clone, Copy, Debug)]
 pub struct TextView<'a> {
-    /// The index of its item.
+    /// The index of the item.
     pub item: u32,
-    /// Identifies the start of the text: drawn anew whenever the item is generated from scratch.
+    /// The identifier of the generation that started the text: a random number, drawn again whenever the item is generated from the start.
     pub origin: u64,
-    /// The text.
+    /// The text so far.
     pub text: &'a GeneratedText,
-    /// Whether its stream has ended properly.
+    /// Whether the text is complete: its stream has ended properly.
     pub is_complete: bool,
 }
 
-/// The checkpoint of one text.
+/// The checkpoint of one text that the partition has acknowledged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct TextCheckpoint {
     origin: u64,
     last_event_id: u64,
+    /// The size of the text in the checkpoint, in bytes.
     bytes: usize,
     is_complete: bool,
 }
 
-/// The checkpoints of one batch job's texts, as far as the partition has acknowledged them.
+/// The checkpoints of one batch job's texts that the partition has acknowledged.
 #[derive(Clone, Debug, Default)]
 pub struct CheckpointedTexts {
     by_item: BTreeMap<u32, TextCheckpoint>,
 }
 
 impl CheckpointedTexts {
-    /// The parts to checkpoint next, of `max_bytes` in all. A part that does not fit is left for a later call.
+    /// The parts to checkpoint next, of at most `max_bytes` in total. A part that does not fit is left for a later call.
     pub fn next_parts<'a>(
         &self,
         texts: impl Iterator<Item = TextView<'a>>,
@@ -56,14 +57,14 @@
         parts
     }
 
-    /// Parts were sent and not acknowledged yet: until they are, the next part of such a text starts at its beginning.
+    /// Records that parts were sent. Until they are acknowledged, the next part of such a text starts at the beginning of the text.
     pub fn on_sent(&mut self, parts: &[PartialText]) {
         for part in parts {
             self.by_item.remove(&part.item);
         }
     }
 
-    /// The partition acknowledged parts; `sizes` come from [`Self::sizes_with`], asked before [`Self::on_sent`].
+    /// Records that the partition acknowledged parts; `sizes` must be the result of [`Self::sizes_with`] from before [`Self::on_sent`].
     pub fn on_acknowledged(&mut self, parts: &[PartialText], sizes: &[usize]) {
         for (part, &bytes) in parts.iter().zip(sizes) {
             let checkpoint = TextCheckpoint {
@@ -76,7 +77,7 @@
         }
     }
 
-    /// The size in bytes that each part's text will have at the partition with it.
+    /// The size of each part's text at the partition once it has stored the part, in bytes.
     #[must_use]
     pub fn sizes_with(&self, parts: &[PartialText]) -> Vec<usize> {
         let size_before = |part: &PartialText| match part.previous_event_id {
@@ -87,7 +88,7 @@
     }
 
     fn next_part(&self, view: TextView<'_>) -> Option<PartialText> {
-        let last_event_id = view.text.last_id()?;
+        let last_event_id = view.text.last_event_id()?;
         let checkpoint = self.by_item.get(&view.item).filter(|checkpoint| checkpoint.origin == view.origin);
         let is_current = |checkpoint: &TextCheckpoint| {
             checkpoint.last_event_id >= last_event_id && checkpoint.is_complete == view.is_complete
--- a/system/data/src/rollout/plan/item.rs
+++ b/system/data/src/rollout/plan/item.rs
@@ -2,75 +2,80 @@
 
 use std::time::Duration;
 
-use super::{GeneratedText, Rules};
+use super::{GeneratedText, JobRules};
 
-/// The backoff after a store without capacity, in milliseconds; drawn from this range.
+/// The range from which a backoff is drawn at random, in milliseconds. A generation that never ran is retried after such a backoff.
 const BACKOFF_MS: std::ops::RangeInclusive<u64> = 20..=100;
-/// The backoff after other failures doubles up to this many times.
+/// The maximum number of doublings of the backoff after other outcomes without progress in a row.
 const MAX_BACKOFF_DOUBLINGS: u32 = 4;
 
-/// How a generation ended.
+/// The outcome of a generation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GenerationOutcome {
-    /// The stream came to its proper end.
+    /// The stream ended properly, so that the text is complete.
     Completed,
-    /// It never ran: no connection, no capacity, or another instance or version at the address.
+    /// The generation never ran: no connection, no capacity, or another instance or version at the address.
     NeverRan,
-    /// The store's own 500.
+    /// The store itself responded 500.
     Failed,
-    /// The store's own 422, or no valid request can be built: no attempt can ever succeed.
-    Rejected,
-    /// The stream was interrupted or timed out, or an event was missing.
+    /// The store itself responded 422, or no valid request can be built. No attempt can ever succeed.
+    InvalidRequest,
+    /// The stream was interrupted or timed out, or one of its events was missing or invalid.
     Interrupted,
-    /// It was cancelled at a slow store, to be resumed at another.
+    /// The generation was cancelled at a slow store, to be resumed at another.
     Migrated,
-    /// The weights there, or from some event on, are of a version that is not allowed.
+    /// The version of the weights, at the start or from some event on, is missing or not allowed.
     WrongVersion,
     /// No store serves the version of the text so far any more.
-    VersionLost,
-    /// Another response that says nothing about the item.
+    VersionUnavailable,
+    /// Another response, from which nothing follows for the item.
     Other,
 }
 
-/// How a scoring call ended.
+/// The outcome of a scoring call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ScoringOutcome {
-    /// A success with this signature.
+    /// A successful response with this score, which is the signature of the store.
     Scored(String),
-    /// Responses 500 of the stores themselves.
+    /// Stores themselves responded 500.
     Failed {
-        /// How many.
-        times: u32,
-        /// That many of them abandon the item, by the scoring call's route.
+        /// The number of responses 500.
+        failures: u32,
+        /// The number of responses 500 after which the item is abandoned, by the scoring call's route.
         max_attempts: u32,
     },
-    /// Anything else.
+    /// Any other outcome.
     Other,
 }
 
-/// After so many outcomes in a row without a new event, the text so far may be what no store can continue: it is discarded.
+/// The number of outcomes in a row without a new event after which the text so far is discarded, because it may be one that no store can
+/// continue.
 const MAX_OUTCOMES_WITHOUT_PROGRESS: u32 = 5;
 
 /// The state of an item.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum State {
-    /// It waits for a store.
+    /// The item waits to be placed at a store, which is possible once the backoff has ended.
     Waiting { not_before: Duration },
-    /// It is in flight at a store.
+    /// The generation is in flight at a store.
     Generating,
-    /// Its text is complete, and waits to be scored.
+    /// The text is complete. The item waits to be scored, which is possible once the backoff has ended.
     AwaitingScore { not_before: Duration },
     /// The scoring call is in flight.
     Scoring,
-    /// It has its result.
+    /// The item has its result.
     Finished,
 }
 
-/// What an outcome leads to, inside the plan.
-pub(super) enum ItemStep {
+/// The plan's next action for an item after an outcome.
+pub(super) enum ItemAction {
+    /// Nothing now: the item waits for its next attempt.
     Wait,
+    /// Make the scoring call.
     Score,
+    /// Publish the text with this score as the result.
     Completed { score: String },
+    /// Publish the result that the item was abandoned.
     Abandoned,
 }
 
@@ -78,19 +83,20 @@
 #[derive(Debug)]
 pub(super) struct Item {
     pub(super) state: State,
+    /// The text so far; empty while a generation is in flight, which owns the text.
     pub(super) text: GeneratedText,
-    /// Identifies the start of its text: drawn anew whenever it is generated from scratch.
+    /// The identifier of the generation that started the text: a random number, drawn again whenever the item is generated from the start.
     pub(super) origin: u64,
-    /// Responses 500 to its generation.
+    /// The number of responses 500 to generations of the item.
     failures: u32,
-    /// Responses 500 to its scoring call.
+    /// The number of responses 500 to scoring calls of the item.
     scoring_failures: u32,
-    /// Outcomes in a row that brought no new event.
+    /// The number of outcomes in a row that brought no new event.
     outcomes_without_progress: u32,
-    /// Whether it was ever sent to a store, or resumed from a checkpoint.
+    /// Whether the item was ever sent to a store, or resumed from a checkpoint.
     has_started: bool,
-    /// Id of its last event when it was last sent to a store.
-    last_id_at_start: Option<u64>,
+    /// The id of the last event of the text when the item was last sent to a store.
+    last_event_id_at_start: Option<u64>,
 }
 
 impl Default for Item {
@@ -103,34 +109,34 @@
             scoring_failures: 0,
             outcomes_without_progress: 0,
             has_started: false,
-            last_id_at_start: None,
+            last_event_id_at_start: None,
         }
     }
 }
 
 impl Item {
-    /// Whether it waits and was never sent to a store.
+    /// Whether the item waits and has never started, at a store or from a checkpoint.
     pub(super) fn is_unstarted(&self) -> bool {
         matches!(self.state, State::Waiting { .. }) && !self.has_started
     }
 
-    /// Whether it waits for a store and its backoff has ended.
+    /// Whether the item waits to be placed and its backoff has ended.
     pub(super) fn is_ready(&self, now: Duration) -> bool {
         matches!(self.state, State::Waiting { not_before } if not_before <= now)
     }
 
-    /// It is sent to a store. Hands out the text so far, which the store continues.
+    /// Marks the item as in flight at a store. Returns the text so far, which the store continues.
     pub(super) fn start_generation(&mut self, random: &mut fastrand::Rng) -> GeneratedText {
         self.state = State::Generating;
         if self.text.is_empty() {
             self.origin = random.u64(..);
         }
         self.has_started = true;
-        self.last_id_at_start = self.text.last_id();
+        self.last_event_id_at_start = self.text.last_event_id();
         std::mem::take(&mut self.text)
     }
 
-    /// Resumes from the checkpoint of another driver.
+    /// Restores the text from the checkpoint of another driver. If the text is complete, the item is scored next.
     pub(super) fn restore_checkpoint(
         &mut self,
         now: Duration,
@@ -151,20 +157,21 @@
         self.text = GeneratedText::default();
     }
 
+    /// Applies the outcome of a generation, whose text must have been stored in `text` before.
     pub(super) fn generation_ended(
         &mut self,
         now: Duration,
         outcome: GenerationOutcome,
-        rules: Rules,
+        rules: JobRules,
         random: &mut fastrand::Rng,
-    ) -> ItemStep {
+    ) -> ItemAction {
         match outcome {
             GenerationOutcome::Completed if !self.text.is_empty() => {
                 self.outcomes_without_progress = 0;
                 self.state = State::Scoring;
-                return ItemStep::Score;
+                return ItemAction::Score;
             }
-            GenerationOutcome::Rejected => return self.abandon(),
+            GenerationOutcome::InvalidRequest => return self.abandon(),
             GenerationOutcome::Failed => {
                 self.failures += 1;
                 if self.failures >= rules.max_attempts.max(1) {
@@ -172,12 +179,12 @@
                 }
                 self.wait_until(now);
             }
-            GenerationOutcome::VersionLost => {
+            GenerationOutcome::VersionUnavailable => {
                 self.discard_text();
                 self.wait_until(now);
             }
             GenerationOutcome::Migrated => self.wait_until(now),
-            GenerationOutcome::Interrupted if self.text.last_id() > self.last_id_at_start => {
+            GenerationOutcome::Interrupted if self.text.last_event_id() > self.last_event_id_at_start => {
                 self.outcomes_without_progress = 0;
                 self.wait_until(now);
             }
@@ -198,20 +205,21 @@
         self.wait_or_abandon(now, rules)
     }
 
+    /// Applies the outcome of a scoring call.
     pub(super) fn scoring_ended(
         &mut self,
         now: Duration,
         outcome: ScoringOutcome,
-        rules: Rules,
+        rules: JobRules,
         random: &mut fastrand::Rng,
-    ) -> ItemStep {
+    ) -> ItemAction {
         match outcome {
             ScoringOutcome::Scored(score) => {
                 self.state = State::Finished;
-                return ItemStep::Completed { score };
+                return ItemAction::Completed { score };
             }
-            ScoringOutcome::Failed { times, max_attempts } => {
-                self.scoring_failures = self.scoring_failures.saturating_add(times);
+            ScoringOutcome::Failed { failures, max_attempts } => {
+                self.scoring_failures = self.scoring_failures.saturating_add(failures);
                 if self.scoring_failures >= max_attempts.max(rules.max_attempts).max(1) {
                     return self.abandon();
                 }
@@ -222,16 +230,16 @@
         self.wait_or_abandon(now, rules)
     }
 
-    fn abandon(&mut self) -> ItemStep {
+    fn abandon(&mut self) -> ItemAction {
         self.state = State::Finished;
-        ItemStep::Abandoned
+        ItemAction::Abandoned
     }
 
-    fn wait_or_abandon(&mut self, now: Duration, rules: Rules) -> ItemStep {
+    fn wait_or_abandon(&mut self, now: Duration, rules: JobRules) -> ItemAction {
         if rules.abandon_after.is_some_and(|deadline| now >= deadline) {
             return self.abandon();
         }
-        ItemStep::Wait
+        ItemAction::Wait
     }
 
     fn wait_until(&mut self, not_before: Duration) {
@@ -243,7 +251,7 @@
         self.wait_until(now + backoff);
     }
 
-    /// Grows with each outcome in a row that brought no new event.
+    /// Draws the next backoff, which grows with each outcome in a row that brought no new event, and counts the current outcome as such.
     fn next_backoff(&mut self, random: &mut fastrand::Rng) -> Duration {
         let backoff_ms = random.u64(BACKOFF_MS) << self.outcomes_without_progress.min(MAX_BACKOFF_DOUBLINGS);
         self.outcomes_without_progress = self.outcomes_without_progress.saturating_add(1);
--- a/system/data/src/rollout/plan/mod.rs
+++ b/system/data/src/rollout/plan/mod.rs
@@ -1,11 +1,11 @@
-//! The plan of one batch job: where each of its generations runs, and what follows from each outcome. It does no I/O, reads no clock
-//! and draws randomness from a seed.
+//! The plan of one batch job: decides at which store each generation runs, and which action follows each outcome. The plan does no I/O and
+//! reads no clock; its random numbers are generated from a seed.
 //!
-//! Groups start in the trainer's order and are placed together, each generation at the store with the fewest requests of this edge in
-//! flight ([`gingerledge_dispatch::batch_filling`]).
+//! Groups start in the trainer's order. The items of a group are placed together, each at the store with the fewest requests of this edge
+//! in flight ([`gingerledge_dispatch::batch_filling`]).
 //!
-//! Invariant: an item gets exactly one result. [`JobPlan`] publishes each result once, and `abandoned` only after a rejection, as many
-//! failures as the route allows, the end of the retention time, or the removal of the route.
+//! Invariant: an item gets exactly one result. [`JobPlan`] publishes each result once. It abandons an item only if its request is invalid,
+//! after as many failures as the route allows, after the end of the retention time, or after the removal of the route.
 
 mod capacity;
 mod checkpoint;
@@ -33,55 +33,56 @@
 pub use priority::{priority, StepProgress};
 pub use progress_rate::ProgressRates;
 pub use stream_migration::{observation_window, streams_to_migrate, StreamView};
-pub use weight_loading::LoadingStores;
+pub use weight_loading::WeightLoadingStores;
 
-/// What the route of a batch job prescribes now, and what this edge can carry.
+/// The current rules of a batch job's route, and the limits of this edge.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Rules {
-    /// All events of one text must be made under one version.
+pub struct JobRules {
+    /// Whether all events of one text must be generated under one version of the weights.
     pub single_version: bool,
-    /// An item is abandoned after so many responses 500.
+    /// The number of responses 500 after which an item is abandoned.
     pub max_attempts: u32,
-    /// Items that wait are abandoned from then on, on the clock of the plan; `None` if never.
+    /// The time from which on waiting items are abandoned, on the clock of the plan; `None` if there is no limit.
     pub abandon_after: Option<Duration>,
-    /// Groups start only while this edge has no more requests in flight than this, theirs included, unless their start is due.
+    /// The maximum number of requests that this edge may have in flight when a desired group starts, including those of the group. It does
+    /// not apply to groups whose start is due.
     pub max_streams: u32,
-    /// When the start of each group is due.
+    /// The window in which desired groups are due to start.
     pub start_window: StartWindow,
-    /// Surplus groups start only while this edge has no more requests in flight than this, theirs included.
+    /// The maximum number of requests that this edge may have in flight when a surplus group starts, including those of the group.
     pub max_streams_for_surplus: u32,
 }
 
-/// The time in which the groups that the trainer waits for are due to start, one after the other at even distances; on the clock of the
-/// plan. It bounds for how long [`Rules::max_streams`] holds a group back.
+/// The time window in which the desired groups, those that the trainer waits for, are due to start, one after the other at equal
+/// intervals. It bounds the time for which [`JobRules::max_streams`] can delay a group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StartWindow {
-    /// The duration of the window, from the submission of the batch job.
+    /// The duration of the window, which begins with the submission of the batch job.
     pub duration: Duration,
-    /// Its end, when all are due.
+    /// The end of the window, at which all desired groups are due, on the clock of the plan.
     pub end: Duration,
 }
 
 impl StartWindow {
-    /// How many of so many groups are due to have started by now.
-    fn groups_due(self, now: Duration, groups: usize) -> usize {
-        let left = self.end.saturating_sub(now);
-        if left.is_zero() {
-            return groups;
+    /// The number of groups, out of `desired_groups`, that are due to have started by now.
+    fn groups_due(self, now: Duration, desired_groups: usize) -> usize {
+        let time_left = self.end.saturating_sub(now);
+        if time_left.is_zero() {
+            return desired_groups;
         }
-        let elapsed = self.duration.saturating_sub(left);
-        (groups as f64 * elapsed.as_secs_f64() / self.duration.as_secs_f64()) as usize
+        let elapsed = self.duration.saturating_sub(time_left);
+        (desired_groups as f64 * elapsed.as_secs_f64() / self.duration.as_secs_f64()) as usize
     }
 }
 
-/// What the driver does after an outcome.
+/// The driver's next action for an item after an outcome.
 #[derive(Clone, Debug, PartialEq)]
-pub enum NextStep {
-    /// Nothing now; the plan places the item again later.
+pub enum NextAction {
+    /// Nothing now. The plan places the item, or returns it for scoring, again later.
     Wait,
-    /// The text is complete: make the scoring call.
+    /// Make the scoring call, because the text is complete.
     Score,
-    /// The item is finished: append its result to those of the batch job.
+    /// Append this result to those of the batch job, because the item is finished.
     Publish(ResultRecord),
 }
 
@@ -92,12 +93,12 @@
     items: Vec<Item>,
     groups: Groups,
     random: fastrand::Rng,
-    /// When an item was last placed, or [`Self::place`] first called; on the clock of the plan.
-    last_placed: Option<Duration>,
+    /// The time at which an item was last placed, or else [`Self::place`] was first called, on the clock of the plan.
+    last_placed_at: Option<Duration>,
 }
 
 impl JobPlan {
-    /// A plan for a batch job of which the items in `finished` have results already.
+    /// A plan for a batch job. The items whose indices are in `finished` have results already; `seed` is that of the random numbers.
     #[must_use]
     pub fn new(job: Arc<JobRecord>, finished: &[u32], seed: u64) -> Self {
         let mut items: Vec<Item> = job.items.iter().map(|_| Item::default()).collect();
@@ -107,43 +108,43 @@
             }
         }
         let groups = Groups::new(&job);
-        Self { job, items, groups, random: fastrand::Rng::with_seed(seed), last_placed: None }
+        Self { job, items, groups, random: fastrand::Rng::with_seed(seed), last_placed_at: None }
     }
 
-    /// The batch job.
+    /// The batch job of this plan.
     #[must_use]
     pub fn job(&self) -> &Arc<JobRecord> {
         &self.job
     }
 
-    /// How many complete groups the trainer waits for.
+    /// The number of complete groups that the trainer waits for.
     #[must_use]
     pub fn desired_groups(&self) -> usize {
-        self.groups.desired
+        self.groups.desired_count
     }
 
-    /// How many items the groups have that the trainer waits for.
+    /// The number of items in the groups that the trainer waits for, assuming that these are the first groups.
     #[must_use]
     pub fn desired_items(&self) -> usize {
         self.groups.desired_items()
     }
 
-    /// The group of each item, and how many groups there are.
+    /// The index of each item's group, and the number of groups.
     #[must_use]
     pub fn groups_of_items(&self) -> (Vec<usize>, usize) {
-        let mut group_of = vec![0; self.items.len()];
-        for (number, group) in self.groups.all.iter().enumerate() {
+        let mut group_of_item = vec![0; self.items.len()];
+        for (group_index, group) in self.groups.all.iter().enumerate() {
             for &index in &group.items {
-                if let Some(group) = group_of.get_mut(index as usize) {
-                    *group = number;
+                if let Some(item_group) = group_of_item.get_mut(index as usize) {
+                    *item_group = group_index;
                 }
             }
         }
-        (group_of, self.groups.all.len())
+        (group_of_item, self.groups.all.len())
     }
 
-    /// Restores a partial text that this process holds of an item, if the item has not started and the versions are allowed.
-    pub fn restore_partial_text(&mut self, index: u32, text: GeneratedText, rules: Rules) {
+    /// Restores an item's partial text from the cache of this process, if the item has not started and the versions are allowed.
+    pub fn restore_partial_text(&mut self, index: u32, text: GeneratedText, rules: JobRules) {
         let min_version = self.job.min_version;
         if let Some(item) = self.items.get_mut(index as usize) {
             if item.is_unstarted() && text.has_allowed_versions(min_version, rules.single_version) {
@@ -152,9 +153,9 @@
         }
     }
 
-    /// Restores a text from the checkpoint of another driver, if the item has not started and the versions are allowed; returns whether
-    /// it did.
-    pub fn restore_checkpoint(&mut self, now: Duration, checkpoint: PartialText, rules: Rules) -> bool {
+    /// Restores a text from the checkpoint of another driver, if the item has not started and the versions are allowed. Returns whether the
+    /// text was restored.
+    pub fn restore_checkpoint(&mut self, now: Duration, checkpoint: PartialText, rules: JobRules) -> bool {
         let Some(item) = self.items.get_mut(checkpoint.item as usize) else { return false };
         let (origin, is_complete) = (checkpoint.origin, checkpoint.is_complete);
         let text = GeneratedText::from_checkpoint(checkpoint);
@@ -174,13 +175,14 @@
         })
     }
 
-    /// Identifies the start of an item's text (see [`TextView::origin`]); 0 for an unknown item.
+    /// The identifier of the generation that started an item's text (see [`TextView::origin`]); 0 for an unknown item.
     #[must_use]
     pub fn origin(&self, index: u32) -> u64 {
         self.items.get(index as usize).map_or(0, |item| item.origin)
     }
 
-    /// Removes the texts so far of the unfinished items, for the next driver of the batch job in this process.
+    /// Removes and returns the texts so far of the unfinished items, so that the next driver of the batch job in this process can resume
+    /// them.
     pub fn take_texts(&mut self) -> Vec<(u32, GeneratedText)> {
         let unfinished = self.items.iter_mut().enumerate().filter(|(_, item)| item.state != State::Finished);
         unfinished
@@ -195,44 +197,44 @@
         self.items.iter().all(|item| item.state == State::Finished)
     }
 
-    /// A generation ended; `text` is the item's text with what it brought.
+    /// Applies the outcome of an item's generation; `text` is the item's text including the new events.
     pub fn generation_ended(
         &mut self,
         now: Duration,
         index: u32,
         text: GeneratedText,
         outcome: GenerationOutcome,
-        rules: Rules,
-    ) -> NextStep {
-        let Some(item) = self.items.get_mut(index as usize) else { return NextStep::Wait };
+        rules: JobRules,
+    ) -> NextAction {
+        let Some(item) = self.items.get_mut(index as usize) else { return NextAction::Wait };
         if item.state != State::Generating {
-            return NextStep::Wait;
+            return NextAction::Wait;
         }
         item.text = text;
         if !item.text.has_allowed_versions(self.job.min_version, rules.single_version) {
             item.discard_text();
         }
-        let step = item.generation_ended(now, outcome, rules, &mut self.random);
-        self.with_result(index, step)
+        let action = item.generation_ended(now, outcome, rules, &mut self.random);
+        self.next_action(index, action)
     }
 
-    /// A scoring call ended.
+    /// Applies the outcome of an item's scoring call.
     pub fn scoring_ended(
         &mut self,
         now: Duration,
         index: u32,
         outcome: ScoringOutcome,
-        rules: Rules,
-    ) -> NextStep {
-        let Some(item) = self.items.get_mut(index as usize) else { return NextStep::Wait };
+        rules: JobRules,
+    ) -> NextAction {
+        let Some(item) = self.items.get_mut(index as usize) else { return NextAction::Wait };
         if item.state != State::Scoring {
-            return NextStep::Wait;
+            return NextAction::Wait;
         }
-        let step = item.scoring_ended(now, outcome, rules, &mut self.random);
-        self.with_result(index, step)
+        let action = item.scoring_ended(now, outcome, rules, &mut self.random);
+        self.next_action(index, action)
     }
 
-    /// Items whose scoring call is to be made again now; they count as in flight from here on.
+    /// The items whose scoring call is to be made again now. The call marks them as in flight.
     pub fn take_due_scorings(&mut self, now: Duration) -> Vec<u32> {
         let mut due = Vec::new();
         for (index, item) in self.items.iter_mut().enumerate() {
@@ -244,19 +246,19 @@
         due
     }
 
-    /// The route is certainly removed, or the retention time is over: abandons all items that are not in flight.
+    /// Abandons all items that are not in flight, because the route was certainly removed or the retention time is over.
     pub fn abandon_idle_items(&mut self) -> Vec<ResultRecord> {
         let mut results = Vec::new();
         for (index, item) in self.items.iter_mut().enumerate() {
             if matches!(item.state, State::Waiting { .. } | State::AwaitingScore { .. }) {
                 item.state = State::Finished;
-                results.push(abandoned(index as u32));
+                results.push(abandoned_result(index as u32));
             }
         }
         results
     }
 
-    /// When the next backoff ends: the latest time for the next call of [`Self::place`] or [`Self::take_due_scorings`].
+    /// The time at which the next backoff ends, by which [`Self::place`] and [`Self::take_due_scorings`] are to be called again.
     #[must_use]
     pub fn next_timer(&self, now: Duration) -> Option<Duration> {
         let backoffs = self.items.iter().filter_map(|item| match item.state {
@@ -268,20 +270,21 @@
         backoffs.min()
     }
 
-    fn with_result(&mut self, index: u32, step: item::ItemStep) -> NextStep {
-        match step {
-            item::ItemStep::Wait => NextStep::Wait,
-            item::ItemStep::Score => NextStep::Score,
-            item::ItemStep::Abandoned => NextStep::Publish(abandoned(index)),
-            item::ItemStep::Completed { score } => {
+    /// The driver's next action, with the item's result if it is finished.
+    fn next_action(&mut self, index: u32, action: item::ItemAction) -> NextAction {
+        match action {
+            item::ItemAction::Wait => NextAction::Wait,
+            item::ItemAction::Score => NextAction::Score,
+            item::ItemAction::Abandoned => NextAction::Publish(abandoned_result(index)),
+            item::ItemAction::Completed { score } => {
                 let text = self.items.get_mut(index as usize).map(|item| std::mem::take(&mut item.text));
                 let (text, versions) = text.unwrap_or_default().into_parts();
-                NextStep::Publish(ResultRecord { item: index, completed: true, text, versions, score })
+                NextAction::Publish(ResultRecord { item: index, completed: true, text, versions, score })
             }
         }
     }
 }
 
-fn abandoned(item: u32) -> ResultRecord {
+fn abandoned_result(item: u32) -> ResultRecord {
     ResultRecord { item, completed: false, text: Vec::new(), versions: Vec::new(), score: String::new() }
 }
--- a/system/data/src/rollout/plan/weight_loading.rs
+++ b/system/data/src/rollout/plan/weight_loading.rs
@@ -1,35 +1,37 @@
-//! Detects, from rejections, stores that are loading new weights of a model.
+//! Detects stores that are loading new weights of a model, from their rejections.
 //!
-//! Such a store has capacity and serves other models, but rejects requests for this one until its weights are loaded. It is probed
-//! with single requests, and used again with the first that it accepts: a circuit breaker for each store and model.
+//! Such a store has capacity and serves other models, but rejects requests for this model until its weights are loaded. It is probed with
+//! single requests, and used again as soon as it accepts one: a circuit breaker for each store and model.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// The backoff between two probes: the first, and the longest.
+/// The backoff before the first probe. It doubles with each probe that is rejected.
 const FIRST_BACKOFF: Duration = Duration::from_millis(50);
+/// The maximum backoff between two probes.
 const MAX_BACKOFF: Duration = Duration::from_millis(200);
-/// The most stores and models that are remembered.
-const MAX_ENTRIES: usize = 8_192;
+/// The maximum number of circuit breakers, one for each store and model.
+const MAX_BREAKERS: usize = 8_192;
 
-/// The ids of a store and a model.
+/// The id of a store and the name of a model.
 type StoreModel = (String, String);
 
+/// An open circuit breaker, which allows no requests until the next probe.
 #[derive(Clone, Copy, Debug)]
-/// Holds requests back until the next probe.
 struct OpenBreaker {
+    /// The time from which on the next probe may be sent.
     probe_at: Duration,
     backoff: Duration,
 }
 
-/// Stores that rejected requests for a model although they had capacity.
+/// The stores that rejected requests for a model although they had capacity, with a circuit breaker for each store and model.
 #[derive(Debug, Default)]
-pub struct LoadingStores {
+pub struct WeightLoadingStores {
     breakers: HashMap<StoreModel, OpenBreaker>,
 }
 
-impl LoadingStores {
-    /// A store rejected a request for a model although it had capacity.
+impl WeightLoadingStores {
+    /// Records that a store rejected a request for a model although it had capacity.
     pub fn on_rejected(&mut self, id: &str, model: &str, now: Duration) {
         let key = (id.to_owned(), model.to_owned());
         let backoff = match self.breakers.get(&key) {
@@ -37,22 +39,22 @@
             Some(last) => (last.backoff * 2).min(MAX_BACKOFF),
             None => FIRST_BACKOFF,
         };
-        if self.breakers.len() >= MAX_ENTRIES {
+        if self.breakers.len() >= MAX_BREAKERS {
             self.breakers.retain(|_, breaker| breaker.probe_at + MAX_BACKOFF > now);
         }
-        if self.breakers.len() < MAX_ENTRIES {
+        if self.breakers.len() < MAX_BREAKERS {
             self.breakers.insert(key, OpenBreaker { probe_at: now + backoff, backoff });
         }
     }
 
-    /// A store accepted a request for a model.
+    /// Records that a store accepted a request for a model, which closes the circuit breaker.
     pub fn on_accepted(&mut self, id: &str, model: &str) {
         if !self.breakers.is_empty() {
             self.breakers.remove(&(id.to_owned(), model.to_owned()));
         }
     }
 
-    /// A request for a model is sent to a store. If it is a probe, the next one waits for another backoff.
+    /// Records that a request for a model is sent to a store. If the request is a probe, the next probe waits for another backoff.
     pub fn on_sent(&mut self, id: &str, model: &str, now: Duration) {
         if self.breakers.is_empty() {
             return;
@@ -62,8 +64,8 @@
         }
     }
 
-    /// The most requests that this edge may have in flight at a store when it sends one for this model, given how many there are and
-    /// the limit for all models.
+    /// The maximum number of requests that this edge may have in flight at a store, with the next one being for this model. `in_flight` is
+    /// the current number and `limit` the maximum for all models.
     #[must_use]
     pub fn limit(&self, id: &str, model: &str, in_flight: u32, limit: u32, now: Duration) -> u32 {
         if self.breakers.is_empty() {
--- a/system/data/src/rollout/results.rs
+++ b/system/data/src/rollout/results.rs
@@ -1,4 +1,4 @@
-//! Appends results at the head of a batch job's partition, several at a time, until they are acknowledged.
+//! Appends results at the head of a batch job's partition, in batches; each append is repeated until it is acknowledged.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -9,23 +9,23 @@
 use super::running_jobs::ExecutionKey;
 use crate::Shared;
 
-/// Results that arrive within that time are appended together.
+/// The time for which results are collected before they are appended together.
 const BATCHING_DELAY: Duration = Duration::from_millis(20);
 /// How long one request is repeated before the driver lease is checked again.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(800);
-/// The backoff after a backend without capacity, or without a driver lease.
+/// The backoff after a backend could not append the results, for example for lack of capacity, and while the driver lease is not valid.
 const BACKOFF: Duration = Duration::from_millis(100);
 
-/// How an append ended.
+/// The outcome of an append.
 pub(super) enum AppendOutcome {
     /// The results are durable.
     Acknowledged,
-    /// The batch job ended, or has a driver of a later term: the execution has to stop.
+    /// The batch job has ended, or has a driver of a later term: the execution has to stop.
     Stopped(DriverLeaseState),
 }
 
-/// Appends the results that an execution has collected, after the batching delay. Without a valid driver lease it waits; the end of the
-/// execution cancels it.
+/// Appends the results that an execution has collected, after the batching delay. While the driver lease is not valid, the append waits. It
+/// is cancelled when the execution ends.
 pub(super) async fn append_collected(
     shared: &Rc<Shared>,
     key: ExecutionKey,
--- a/system/data/src/rollout/scoring.rs
+++ b/system/data/src/rollout/scoring.rs
@@ -1,4 +1,4 @@
-//! Scoring calls: each scores the complete text of one item, by the route of the call's own host and path.
+//! Scoring calls. A scoring call determines the score of one item's complete text; it is routed by its own host and path.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -11,16 +11,17 @@
 use crate::forward::{self, Call};
 use crate::Shared;
 
-/// The time-out of a call whose route sets none.
+/// The time-out of a scoring call whose route sets none.
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Makes a scoring call.
+/// Makes a scoring call. The score is the signature of the store in the response.
 pub(super) async fn score(shared: &Rc<Shared>, scoring: &ScoringRecord) -> ScoringOutcome {
     let configuration = shared.configuration();
-    let route = configuration.as_deref().and_then(|known| known.route(&scoring.host, &scoring.path));
+    let route =
+        configuration.as_deref().and_then(|configuration| configuration.route(&scoring.host, &scoring.path));
     let (timeout_ms, max_attempts) =
         route.map_or((None, u32::MAX), |route| (route.timeout_ms, route.max_attempts));
-    let timeout = timeout_ms.and_then(|timeout| Duration::try_from_secs_f64(timeout / 1_000.0).ok());
+    let timeout = timeout_ms.and_then(|timeout_ms| Duration::try_from_secs_f64(timeout_ms / 1_000.0).ok());
     let call = Call {
         host: scoring.host.clone(),
         path: scoring.path.clone(),
@@ -33,7 +34,7 @@
             ScoringOutcome::Scored(response.signature)
         }
         Ok(response) if response.status == StatusCode::INTERNAL_SERVER_ERROR => {
-            ScoringOutcome::Failed { times: response.server_errors.max(1), max_attempts }
+            ScoringOutcome::Failed { failures: response.server_errors.max(1), max_attempts }
         }
         Ok(_) | Err(_) => ScoringOutcome::Other,
     }
--- a/system/data/src/rollout/store_observations.rs
+++ b/system/data/src/rollout/store_observations.rs
@@ -1,19 +1,20 @@
-//! What this edge's generations revealed about the stores. It guides the placement, and is lost with the process.
+//! Estimates of each store's state, derived from the outcomes of this edge's generations. The placement uses them; they are lost when the
+//! process ends.
 
 use std::cell::RefCell;
 
-use super::plan::{LoadingStores, ProgressRates, StoreCapacities};
+use super::plan::{ProgressRates, StoreCapacities, WeightLoadingStores};
 use super::store_views::StoreViewCache;
 
-/// Estimates for each store, each updated from the outcomes of generations.
+/// Estimates for each store, updated from the outcomes of generations, and the versions of weights at the stores.
 #[derive(Default)]
 pub(super) struct StoreObservations {
-    /// How many requests of this edge each store has capacity for.
+    /// The number of requests of this edge that each store has capacity for.
     pub(super) capacities: RefCell<StoreCapacities>,
-    /// Which stores are loading the weights of which models.
-    pub(super) weight_loading: RefCell<LoadingStores>,
-    /// How fast each store's streams progress.
+    /// The stores that are loading weights, by model.
+    pub(super) weight_loading: RefCell<WeightLoadingStores>,
+    /// The average time between two events of each store's streams.
     pub(super) progress_rates: RefCell<ProgressRates>,
-    /// Versions of weights at the stores, read from the registry recently.
+    /// The versions of weights at the stores, as read from the registry recently.
     pub(super) views: RefCell<StoreViewCache>,
 }
--- a/system/data/src/rollout/store_views.rs
+++ b/system/data/src/rollout/store_views.rs
@@ -1,4 +1,4 @@
-//! The stores that may run a batch job's generations, as the placement sees them.
+//! The stores that may run a batch job's generations, with the values that the placement uses.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -9,15 +9,15 @@
 use crate::index::KnownStore;
 use crate::Shared;
 
-/// Versions of weights are read from the registry again after that time.
+/// The time after which the versions of weights are read from the registry again.
 const CACHE_TTL: Duration = Duration::from_millis(50);
-/// The most entries of the cache, one for each service and model.
+/// The maximum number of entries of the cache, one for each service and model.
 const MAX_ENTRIES: usize = 64;
 
-/// Stores of one service.
+/// The stores of one service.
 pub(super) type StoreList = Rc<Vec<Rc<KnownStore>>>;
 
-/// Stores that may run generations, and the view of each, at the same position.
+/// The stores of one service that accept requests, and the view of each at the same position.
 pub(super) struct ServiceStores {
     pub(super) stores: StoreList,
     pub(super) views: Vec<StoreView>,
@@ -29,21 +29,21 @@
     model: String,
     read_at: Duration,
     stores: StoreList,
-    /// Ids and versions, in the order of the stores.
+    /// The id and the version of each store, in the order of `stores`.
     versions: Vec<(Rc<str>, u64)>,
 }
 
-/// The versions at the stores by service and model, as read from the registry recently.
+/// A cache of the versions at the stores, by service and model.
 #[derive(Default)]
 pub(super) struct StoreViewCache {
     entries: Vec<StoreVersions>,
 }
 
-/// The stores of a service that accept requests, with what the placement needs to know of each for a model.
-pub(super) fn current(shared: &Shared, service: &str, model: &str) -> ServiceStores {
+/// The stores of a service that accept requests, with a view of each for placing generations of a model.
+pub(super) fn service_stores(shared: &Shared, service: &str, model: &str) -> ServiceStores {
     let now = shared.now();
     let stores = shared.stores_of(service);
-    let mut cache = shared.rollout.stores.views.borrow_mut();
+    let mut cache = shared.rollout.store_observations.views.borrow_mut();
     let cached = cache.entries.iter().position(|entry| entry.service == service && entry.model == model);
     let is_fresh =
         |entry: &StoreVersions| entry.read_at + CACHE_TTL > now && Rc::ptr_eq(&entry.stores, &stores);
@@ -51,13 +51,13 @@
         Some(entry) => entry,
         None => read_versions(shared, service, model, &stores, now),
     };
-    // A request beyond that would hold a place in the store's count while it waits here for a connection.
+    // A request beyond the connection limit would count as in flight at the store while it waits at this edge for a connection.
     let max_limit = u32::try_from(shared.stores.connection_limit(service)).unwrap_or(u32::MAX);
-    let mut capacities = shared.rollout.stores.capacities.borrow_mut();
-    let rates = shared.rollout.stores.progress_rates.borrow();
-    let known = stores.iter().zip(&entry.versions);
-    let weight_loading = shared.rollout.stores.weight_loading.borrow();
-    let views = known.map(|(store, (id, version))| {
+    let mut capacities = shared.rollout.store_observations.capacities.borrow_mut();
+    let rates = shared.rollout.store_observations.progress_rates.borrow();
+    let stores_with_versions = stores.iter().zip(&entry.versions);
+    let weight_loading = shared.rollout.store_observations.weight_loading.borrow();
+    let views = stores_with_versions.map(|(store, (id, version))| {
         let in_flight = u32::try_from(store.in_flight.get()).unwrap_or(u32::MAX);
         let slots = u32::try_from(store.slots).unwrap_or(u32::MAX);
         let limit = capacities.limit(id, slots, now).min(max_limit);
--- a/system/data/src/rollout/streams.rs
+++ b/system/data/src/rollout/streams.rs
@@ -1,4 +1,4 @@
-//! The streams of one batch job that are in flight, and the migration of those that became slow.
+//! The streams of one batch job that are in flight, and the detection of slow ones, which are migrated to other stores.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -16,15 +16,15 @@
 pub(super) struct GenerationStream {
     /// The store that sends it.
     pub(super) store: Rc<KnownStore>,
-    /// New events that it has brought.
+    /// The number of events that this stream has appended to the text.
     pub(super) events: Cell<u64>,
-    /// The text so far of its item.
+    /// The text so far of the stream's item.
     pub(super) text: RefCell<GeneratedText>,
-    /// Cancels it, to be resumed at another store.
-    pub(super) migration: Notify,
+    /// Notified to cancel the stream, so that it is resumed at another store.
+    pub(super) migration_request: Notify,
 }
 
-/// Owns the text of a generation in flight. If the generation is cancelled, its text goes to the cache of partial texts.
+/// Owns the text of a generation in flight. If the generation is cancelled, the text is inserted into the cache of partial texts.
 pub(super) struct InFlightText {
     partial_texts: SharedPartialTexts,
     model: String,
@@ -47,7 +47,7 @@
         }
     }
 
-    /// The text, at the end of the generation.
+    /// Returns the text at the end of the generation.
     pub(super) fn into_text(self) -> GeneratedText {
         self.stream.text.take()
     }
@@ -62,22 +62,23 @@
     }
 }
 
-/// A stream to be migrated.
+/// A slow stream, which is to be migrated.
 pub(super) struct SlowStream {
     pub(super) stream: Rc<GenerationStream>,
-    /// Events that it brought in the observation window.
-    pub(super) events: u64,
+    /// The number of new events in the observation window.
+    pub(super) new_events: u64,
     /// The duration of the observation window.
     pub(super) window: Duration,
 }
 
+/// A stream in flight, with its state at the start of the observation window.
 struct ObservedStream {
     stream: Rc<GenerationStream>,
-    /// Events at the start of the observation window; `None` if it had not begun then.
+    /// The number of new events at the start of the observation window; `None` if there was no event by then.
     events_at_window_start: Option<u64>,
 }
 
-/// The streams of one batch job, by item.
+/// The streams in flight of one batch job, by the index of the item.
 #[derive(Default)]
 pub(super) struct ActiveStreams {
     streams: BTreeMap<u32, ObservedStream>,
@@ -85,7 +86,7 @@
 }
 
 impl ActiveStreams {
-    /// A generation of an item starts; `text` is its text so far.
+    /// Adds the stream of a generation that starts; `text` is the item's text so far.
     pub(super) fn start(
         &mut self,
         item: u32,
@@ -94,28 +95,28 @@
     ) -> Rc<GenerationStream> {
         let text = RefCell::new(text);
         let stream =
-            Rc::new(GenerationStream { store, events: Cell::new(0), text, migration: Notify::new() });
+            Rc::new(GenerationStream { store, events: Cell::new(0), text, migration_request: Notify::new() });
         let observed = ObservedStream { stream: Rc::clone(&stream), events_at_window_start: None };
         self.streams.insert(item, observed);
         stream
     }
 
-    /// The generation of an item ended.
+    /// Removes the stream of an item whose generation ended.
     pub(super) fn remove(&mut self, item: u32) {
         self.streams.remove(&item);
     }
 
-    /// The streams in flight, by item.
+    /// The streams in flight, each with the index of its item.
     pub(super) fn iter(&self) -> impl Iterator<Item = (u32, &Rc<GenerationStream>)> {
         self.streams.iter().map(|(&item, observed)| (item, &observed.stream))
     }
 
-    /// When the observation window ends; `None` while nothing is in flight.
+    /// The time at which the observation window ends; `None` while no stream is in flight.
     pub(super) fn window_end(&self, average_interval: Duration) -> Option<Duration> {
         (!self.streams.is_empty()).then(|| self.window_start + observation_window(average_interval))
     }
 
-    /// Ends the observation window and starts the next one; returns the streams to be migrated.
+    /// Ends the observation window and starts the next one; returns the slow streams that are to be migrated.
     pub(super) fn end_window(
         &mut self,
         now: Duration,
@@ -142,8 +143,8 @@
         let slow_streams = slow_items.into_iter().filter_map(|item| {
             let stream = Rc::clone(&self.streams.get(&item)?.stream);
             let view = streams.iter().find(|view| view.item == item);
-            let events = view.and_then(|view| view.events).unwrap_or(0);
-            Some(SlowStream { stream, events, window })
+            let new_events = view.and_then(|view| view.new_events).unwrap_or(0);
+            Some(SlowStream { stream, new_events, window })
         });
         slow_streams.collect()
     }
@@ -151,10 +152,10 @@
 
 impl ObservedStream {
     fn end_window(&mut self, item: u32, stores: &StoreList) -> StreamView {
-        let total = self.stream.events.get();
-        let events = self.events_at_window_start.map(|at_start| total.saturating_sub(at_start));
-        self.events_at_window_start = (total > 0).then_some(total);
+        let total_events = self.stream.events.get();
+        let new_events = self.events_at_window_start.map(|at_start| total_events.saturating_sub(at_start));
+        self.events_at_window_start = (total_events > 0).then_some(total_events);
         let store = stores.iter().position(|store| Rc::ptr_eq(store, &self.stream.store));
-        StreamView { item, store, events }
+        StreamView { item, store, new_events }
     }
 }
--- a/system/data/src/rollout/submission.rs
+++ b/system/data/src/rollout/submission.rs
@@ -1,4 +1,4 @@
-//! Reads a batch job as a trainer sends it.
+//! Parses a batch job as submitted by a trainer.
 
 use base64::engine::general_purpose::STANDARD;
 use base64::Engine;
@@ -6,47 +6,47 @@
 use gingerledge_wire::{ItemRecord, JobRecord, ScoringRecord};
 use snafu::{ResultExt, Snafu};
 
-/// Why a batch job can't be read.
+/// Why a submitted batch job can't be parsed.
 #[derive(Debug, Snafu)]
 pub(super) enum SubmissionError {
-    /// It is no JSON of the expected form.
+    /// The body is not valid JSON, or has not the expected fields.
     #[snafu(display("batch job: {source}"))]
-    Form {
-        /// What the reader met.
+    InvalidJson {
+        /// The error of the JSON parser.
         source: serde_json::Error,
     },
-    /// A body is no base64.
+    /// The body of an item, or of its scoring call, is not valid base64.
     #[snafu(display(
         "batch job: item {item}: its body, or that of its reward call, is no base64: {source}"
     ))]
-    Body {
+    InvalidBase64 {
         /// The id of the item.
         item: String,
-        /// What the reader met.
+        /// The error of the base64 decoder.
         source: base64::DecodeError,
     },
 }
 
-/// Where a batch job came in.
+/// The properties of a submission that are not in its body.
 #[derive(Clone, Debug)]
-pub(super) struct Arrival {
-    /// Its id.
+pub(super) struct SubmissionMetadata {
+    /// The id of the batch job.
     pub id: String,
-    /// The host that it was sent to.
+    /// The host to which the submission was sent.
     pub host: String,
-    /// The path that it was sent to.
+    /// The path to which the submission was sent.
     pub path: String,
 }
 
-/// Reads a batch job.
-pub(super) fn read(arrival: Arrival, body: &[u8]) -> Result<JobRecord, SubmissionError> {
-    let submitted: SubmittedJob = serde_json::from_slice(body).context(FormSnafu)?;
+/// Parses a batch job from the body of its submission.
+pub(super) fn parse(metadata: SubmissionMetadata, body: &[u8]) -> Result<JobRecord, SubmissionError> {
+    let submitted: SubmittedJob = serde_json::from_slice(body).context(InvalidJsonSnafu)?;
     let items: Result<Vec<ItemRecord>, SubmissionError> =
-        submitted.items.into_iter().map(read_item).collect();
+        submitted.items.into_iter().map(parse_item).collect();
     Ok(JobRecord {
-        id: arrival.id,
-        host: arrival.host,
-        path: arrival.path,
+        id: metadata.id,
+        host: metadata.host,
+        path: metadata.path,
         step: submitted.step,
         model: submitted.model,
         min_version: submitted.min_version,
@@ -55,9 +55,9 @@
     })
 }
 
-fn read_item(item: Item) -> Result<ItemRecord, SubmissionError> {
-    let body = decode(&item.id, &item.body)?;
-    let scoring = item.scoring_endpoint.map(|endpoint| read_scoring(&item.id, endpoint)).transpose()?;
+fn parse_item(item: Item) -> Result<ItemRecord, SubmissionError> {
+    let body = decode_base64(&item.id, &item.body)?;
+    let scoring = item.scoring_endpoint.map(|endpoint| parse_scoring(&item.id, endpoint)).transpose()?;
     Ok(ItemRecord {
         id: item.id,
         path: item.path,
@@ -69,11 +69,11 @@
     })
 }
 
-fn read_scoring(item: &str, endpoint: ScoringEndpoint) -> Result<ScoringRecord, SubmissionError> {
-    let body = decode(item, &endpoint.body)?;
+fn parse_scoring(item_id: &str, endpoint: ScoringEndpoint) -> Result<ScoringRecord, SubmissionError> {
+    let body = decode_base64(item_id, &endpoint.body)?;
     Ok(ScoringRecord { id: endpoint.id, host: endpoint.host, path: endpoint.path, body })
 }
 
-fn decode(item: &str, text: &str) -> Result<Vec<u8>, SubmissionError> {
-    STANDARD.decode(text).context(BodySnafu { item })
+fn decode_base64(item_id: &str, text: &str) -> Result<Vec<u8>, SubmissionError> {
+    STANDARD.decode(text).context(InvalidBase64Snafu { item: item_id })
 }
--- a/system/data/src/rollout/trainer_api.rs
+++ b/system/data/src/rollout/trainer_api.rs
@@ -1,7 +1,8 @@
-//! The HTTP API of trainers: batch jobs are submitted, their results read, and ended; bodies of items are read.
+//! The HTTP API of trainers: submits and ends batch jobs, and reads their results and the bodies of items.
 //!
-//! A 202 is sent after the backends acknowledged that the batch job is durable. A 503 to a submission promises that none of it runs, so
-//! it is sent only where no backend can have accepted it; where that is in doubt, the connection is closed.
+//! The response 202 is sent only after the backends acknowledged that the batch job is durable. The response 503 to a submission promises
+//! that nothing of the batch job runs, so it is sent only if no backend can have accepted the submission. If that is not certain, the
+//! connection is closed.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -14,32 +15,32 @@
 use hyper::http::{HeaderMap, HeaderValue, Method, Request, StatusCode};
 
 use super::backend_client::{member_address, ChainMember};
-use super::submission::{self, Arrival};
+use super::submission::{self, SubmissionMetadata};
 use super::{delegation, driver, driver_lease};
 use crate::{CloseConnection, Reply, ReplyBody, Shared};
 
-/// The time-out of a submission whose client sets no deadline.
+/// The time-out of a submission; a client can set a shorter deadline.
 const SUBMIT_TIMEOUT: Duration = Duration::from_secs(4);
-/// The part of a client's deadline after which it gets a response at the latest.
+/// The time-out of a submission as a fraction of the client's deadline, so that the response arrives before the deadline.
 const DEADLINE_FRACTION: f64 = 0.9;
-/// The time-out of a read beyond its long-polling time; clients allow 1.5 s.
+/// The time-out of a read, in addition to its long-polling time. Clients allow 1.5 s.
 const READ_TIMEOUT: Duration = Duration::from_millis(1_200);
-/// The time-out of ending a batch job.
+/// The time-out of a request to end a batch job.
 const END_TIMEOUT: Duration = Duration::from_secs(3);
-/// The longest long-polling time of a read.
+/// The maximum long-polling time of a read.
 const MAX_WAIT: Duration = Duration::from_secs(2);
-/// The most bytes of texts in one page: its JSON is longer, and bounded by [`MAX_PAGE_BYTES`].
-const PAGE_TEXT_BYTES: u64 = 800_000;
-/// The most bytes of one page.
+/// The maximum size of the texts in one page of results, in bytes. The JSON of the page is longer, and bounded by [`MAX_PAGE_BYTES`].
+const MAX_PAGE_TEXT_BYTES: u64 = 800_000;
+/// The maximum size of one page of results as JSON, in bytes.
 const MAX_PAGE_BYTES: usize = 1_000_000;
-/// When a trainer may retry: a chain is reconfigured in that time.
+/// The time after which a trainer may retry a submission, in seconds: a chain can be reconfigured in this time.
 const RETRY_AFTER_S: &str = "0.5";
 
-/// Handles a trainer's request, whose body was read completely.
+/// Handles a trainer's request whose body has been received completely.
 ///
 /// # Errors
 ///
-/// [`CloseConnection`] if it is not known whether the request took effect.
+/// [`CloseConnection`] if it is unknown whether a submission took effect.
 pub async fn handle(shared: Rc<Shared>, request: Request<Bytes>) -> Result<Reply, CloseConnection> {
     let path = request.uri().path().to_owned();
     let query = request.uri().query().unwrap_or_default().to_owned();
@@ -63,11 +64,15 @@
     };
     let host =
         headers.get(HOST).and_then(|host| host.to_str().ok()).or(request.uri().host()).unwrap_or_default();
-    let arrival = Arrival { id: id.to_owned(), host: host.to_owned(), path: request.uri().path().to_owned() };
-    let timeout = parse::<u32>(header_text(headers, "deadline-ms")).map_or(SUBMIT_TIMEOUT, |deadline| {
-        SUBMIT_TIMEOUT.min(Duration::from_millis(deadline.into()).mul_f64(DEADLINE_FRACTION))
+    let metadata = SubmissionMetadata {
+        id: id.to_owned(),
+        host: host.to_owned(),
+        path: request.uri().path().to_owned(),
+    };
+    let timeout = parse::<u32>(header_text(headers, "deadline-ms")).map_or(SUBMIT_TIMEOUT, |deadline_ms| {
+        SUBMIT_TIMEOUT.min(Duration::from_millis(deadline_ms.into()).mul_f64(DEADLINE_FRACTION))
     });
-    let job = match submission::read(arrival, request.body()) {
+    let job = match submission::parse(metadata, request.body()) {
         Ok(job) => Arc::new(job),
         Err(error) => {
             log::warn!("{error}");
@@ -85,7 +90,7 @@
         Some(JobsResponse::Created { driver_term }) => {
             driver_lease::report_model_use(shared, &job);
             if let Some(term) = driver_term {
-                let assignment = driver::Assignment::of_new(job, term);
+                let assignment = driver::Assignment::for_new_job(job, term);
                 let age = shared.now().saturating_sub(sent_at);
                 if !delegation::delegate(shared, &assignment, age) {
                     let lease_valid_until = sent_at + driver_lease::lease_duration(shared);
@@ -94,9 +99,9 @@
             }
             Ok(ReplyBody::status(StatusCode::ACCEPTED))
         }
-        // It was accepted before, and has ended since.
+        // The batch job was accepted by an earlier submission, and has ended since.
         Some(JobsResponse::Ended) => Ok(ReplyBody::status(StatusCode::ACCEPTED)),
-        _ if outcome.is_in_doubt => Err(CloseConnection),
+        _ if outcome.may_have_executed => Err(CloseConnection),
         Some(JobsResponse::CapacityExceeded) | None => Ok(not_accepted()),
         Some(_) => Err(CloseConnection),
     }
@@ -110,19 +115,20 @@
         job: job.to_owned(),
         start_after,
         wait_ms: u64::try_from(wait.as_millis()).unwrap_or(0),
-        max_bytes: PAGE_TEXT_BYTES,
+        max_bytes: MAX_PAGE_TEXT_BYTES,
     };
     let outcome =
         shared.rollout.backends.request(shared, job, ChainMember::Tail, body, wait + READ_TIMEOUT).await;
     match outcome.response {
-        Some(JobsResponse::Results { total, results, .. }) => page(total, start_after, results),
+        Some(JobsResponse::Results { total, results, .. }) => page_reply(total, start_after, results),
         Some(JobsResponse::NotFound) => ReplyBody::status(StatusCode::NOT_FOUND),
         _ => ReplyBody::status(StatusCode::SERVICE_UNAVAILABLE),
     }
 }
 
-/// A page as JSON within [`MAX_PAGE_BYTES`], halved until it fits; a single result is never left out.
-fn page(total: u64, start_after: u64, results: Vec<(String, ResultRecord)>) -> Reply {
+/// A page of results as JSON. The number of results is halved until the page has at most [`MAX_PAGE_BYTES`]; a page with a single result
+/// may be larger, so that every result can be read.
+fn page_reply(total: u64, start_after: u64, results: Vec<(String, ResultRecord)>) -> Reply {
     let mut page = ResultPage { total, next_page_token: start_after, results: Vec::new() };
     page.results.extend(results.into_iter().map(|(id, result)| listed_result(id, result)));
     loop {
@@ -131,7 +137,7 @@
             return ReplyBody::status(StatusCode::SERVICE_UNAVAILABLE);
         };
         if json.len() <= MAX_PAGE_BYTES || page.results.len() <= 1 {
-            return with_body("application/json", json.into());
+            return ok_reply("application/json", json.into());
         }
         page.results.truncate(page.results.len() / 2);
     }
@@ -149,7 +155,7 @@
     let body = JobsRequest::ReadItemBody { job: job.to_owned(), item: item.to_owned() };
     let outcome = shared.rollout.backends.request(shared, job, ChainMember::Tail, body, READ_TIMEOUT).await;
     match outcome.response {
-        Some(JobsResponse::ItemBody(bytes)) => with_body("application/octet-stream", bytes.into()),
+        Some(JobsResponse::ItemBody(bytes)) => ok_reply("application/octet-stream", bytes.into()),
         Some(JobsResponse::NotFound) => ReplyBody::status(StatusCode::NOT_FOUND),
         _ => ReplyBody::status(StatusCode::SERVICE_UNAVAILABLE),
     }
@@ -164,20 +170,21 @@
             ReplyBody::status(StatusCode::OK)
         }
         Some(JobsResponse::NotFound) => ReplyBody::status(StatusCode::NOT_FOUND),
-        // It may have been executed, so the outcome is unknown.
+        // The request may have been executed, so the outcome is unknown.
         _ => ReplyBody::status(StatusCode::GATEWAY_TIMEOUT),
     }
 }
 
+/// The response to a submission that no backend can have accepted.
 fn not_accepted() -> Reply {
     let mut reply = ReplyBody::status(StatusCode::SERVICE_UNAVAILABLE);
     reply.headers_mut().insert(RETRY_AFTER, HeaderValue::from_static(RETRY_AFTER_S));
     reply
 }
 
-fn with_body(kind: &'static str, body: Bytes) -> Reply {
+fn ok_reply(content_type: &'static str, body: Bytes) -> Reply {
     let mut reply = Reply::new(ReplyBody::complete(body));
-    reply.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static(kind));
+    reply.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static(content_type));
     reply
 }
 
--- a/system/data/tests/rollout_common/mod.rs
+++ b/system/data/tests/rollout_common/mod.rs
@@ -97,7 +97,7 @@
                         rollout::on_message(&inner, from, message);
                     }
                     Incoming::Message { .. } => {}
-                    Incoming::Lost { peer, .. } => rollout::on_lost(&inner, peer),
+                    Incoming::Lost { peer, .. } => rollout::on_messages_lost(&inner, peer),
                 }
             }
         });
--- a/system/data/tests/rollout_events.rs
+++ b/system/data/tests/rollout_events.rs
@@ -1,6 +1,6 @@
 //! The reader of event streams, under every way in which a stream may be cut into pieces.
 
-use gingerledge_data::rollout::event_stream::{Event, EventReader, StreamError, MAX_EVENT_BYTES};
+use gingerledge_data::rollout::event_stream::{Event, EventParser, StreamError, MAX_EVENT_BYTES};
 use yare::parameterized;
 
 type Told = (u64, Option<u64>, Vec<u8>);
@@ -11,7 +11,7 @@
 
 /// What the reader tells of a stream that comes in these pieces, and whether it then stands between two events.
 fn read(pieces: &[&[u8]]) -> Result<(Vec<Told>, bool), StreamError> {
-    let mut reader = EventReader::default();
+    let mut reader = EventParser::default();
     let mut events = Vec::new();
     for piece in pieces {
         reader.feed(piece, |event| {
@@ -100,7 +100,7 @@
 
 #[test]
 fn an_error_of_the_callback_stops_the_parsing() {
-    let mut reader = EventReader::default();
+    let mut reader = EventParser::default();
     let mut taken = 0;
     let read = reader.feed(b"id: 1\ndata: a\n\nid: 2\ndata: b\n\n", |_| {
         taken += 1;
--- a/system/data/tests/rollout_generated_text.rs
+++ b/system/data/tests/rollout_generated_text.rs
@@ -15,7 +15,7 @@
     the_next = { 5, EventAddition::Appended },
     the_last_again = { 4, EventAddition::Duplicate },
     one_before = { 1, EventAddition::Duplicate },
-    one_left_out = { 6, EventAddition::Gap },
+    one_left_out = { 6, EventAddition::NotAppendable },
 )]
 fn an_event_after_the_fourth(id: u64, expected: EventAddition) {
     let before = text(4, 1);
@@ -27,7 +27,7 @@
 #[parameterized(
     counted_from_0 = { 0, EventAddition::Appended },
     counted_from_1 = { 1, EventAddition::Appended },
-    later = { 2, EventAddition::Gap },
+    later = { 2, EventAddition::NotAppendable },
 )]
 fn the_first_event(id: u64, expected: EventAddition) {
     assert_eq!(add(&mut GeneratedText::default(), id), expected);
@@ -58,7 +58,7 @@
     let large = vec![b'x'; MAX_TEXT_BYTES / 2];
     let added: Vec<EventAddition> =
         (1..=3).map(|id| text.append(Event { id, version: None, data: &large }, Some(1))).collect();
-    assert_eq!(added, [EventAddition::Appended, EventAddition::Gap, EventAddition::Gap]);
+    assert_eq!(added, [EventAddition::Appended, EventAddition::NotAppendable, EventAddition::NotAppendable]);
 }
 
 #[parameterized(
--- a/system/data/tests/rollout_outcomes.rs
+++ b/system/data/tests/rollout_outcomes.rs
@@ -3,23 +3,23 @@
 mod rollout_plan_common;
 
 use gingerledge_data::rollout::plan::{
-    GeneratedText, GenerationOutcome, JobPlan, NextStep, Rules, ScoringOutcome, StoreView,
+    GeneratedText, GenerationOutcome, JobPlan, JobRules, NextAction, ScoringOutcome, StoreView,
 };
 use gingerledge_wire::ResultRecord;
 use rollout_plan_common::*;
 use yare::parameterized;
 
 /// A plan of one item, which is at a store.
-fn at_store(rules: Rules) -> (JobPlan, Vec<StoreView>) {
+fn at_store(rules: JobRules) -> (JobPlan, Vec<StoreView>) {
     let mut plan = JobPlan::new(job(1, 1, 1, 1), &[], 1);
     let mut stores = vec![store("a", 1, 0), store("b", 1, 0)];
     assert_eq!(plan.place(ms(0), &mut stores, rules).len(), 1);
     (plan, stores)
 }
 
-fn abandoned() -> NextStep {
+fn abandoned() -> NextAction {
     let score = String::new();
-    NextStep::Publish(ResultRecord {
+    NextAction::Publish(ResultRecord {
         item: 0,
         completed: false,
         text: Vec::new(),
@@ -33,7 +33,7 @@
     plan: &mut JobPlan,
     stores: &mut [StoreView],
     from: u64,
-    rules: Rules,
+    rules: JobRules,
 ) -> Option<(u64, GeneratedText)> {
     stores.iter_mut().for_each(|store| store.in_flight = 0);
     (from..from + 2_000).find_map(|now| {
@@ -47,14 +47,14 @@
     cut_with_new_events = { GenerationOutcome::Interrupted, 2, 0, 0 },
     cut_without = { GenerationOutcome::Interrupted, 0, 20, 100 },
     failed_once = { GenerationOutcome::Failed, 0, 0, 0 },
-    version_lost = { GenerationOutcome::VersionLost, 0, 0, 0 },
+    version_lost = { GenerationOutcome::VersionUnavailable, 0, 0, 0 },
     wrong_version = { GenerationOutcome::WrongVersion, 0, 20, 100 },
     odd_answer = { GenerationOutcome::Other, 0, 20, 100 },
     whole_without_any_event = { GenerationOutcome::Completed, 0, 20, 100 },
 )]
 fn an_item_is_placed_again_after(ended: GenerationOutcome, events: u64, soonest: u64, latest: u64) {
     let (mut plan, mut stores) = at_store(rules(false));
-    assert_eq!(plan.generation_ended(ms(10), 0, text(events, 1), ended, rules(false)), NextStep::Wait);
+    assert_eq!(plan.generation_ended(ms(10), 0, text(events, 1), ended, rules(false)), NextAction::Wait);
     let (at, carried) = placed_again(&mut plan, &mut stores, 10, rules(false)).unwrap();
     assert!((10 + soonest..=10 + latest).contains(&at), "{at}");
     assert_eq!(carried, text(events, 1));
@@ -93,7 +93,7 @@
                 GenerationOutcome::NeverRan,
                 rules(false)
             ),
-            NextStep::Wait
+            NextAction::Wait
         );
         now = placed_again(&mut plan, &mut stores, now, rules(false)).unwrap().0;
     }
@@ -111,7 +111,7 @@
                 GenerationOutcome::Failed,
                 rules(false)
             ),
-            NextStep::Wait
+            NextAction::Wait
         );
         assert_eq!(plan.place(ms(0), &mut stores, rules(false)).len(), 1);
         // What never ran, or broke off, does not count beside them.
@@ -134,7 +134,13 @@
 fn a_422_abandons_an_item() {
     let (mut plan, _) = at_store(rules(false));
     assert_eq!(
-        plan.generation_ended(ms(0), 0, GeneratedText::default(), GenerationOutcome::Rejected, rules(false)),
+        plan.generation_ended(
+            ms(0),
+            0,
+            GeneratedText::default(),
+            GenerationOutcome::InvalidRequest,
+            rules(false)
+        ),
         abandoned()
     );
 }
@@ -144,22 +150,22 @@
     at_its_time = { 100, true },
 )]
 fn an_item_past_its_retention_time_is_abandoned_where_it_would_wait(now: u64, given_up: bool) {
-    let rules = Rules { abandon_after: Some(ms(100)), ..rules(false) };
+    let rules = JobRules { abandon_after: Some(ms(100)), ..rules(false) };
     let (mut plan, _) = at_store(rules);
     let step = plan.generation_ended(ms(now), 0, text(3, 1), GenerationOutcome::Interrupted, rules);
-    assert_eq!(step, if given_up { abandoned() } else { NextStep::Wait });
+    assert_eq!(step, if given_up { abandoned() } else { NextAction::Wait });
 }
 
 #[test]
 fn a_complete_text_is_scored_after_its_retention_time() {
-    let rules = Rules { abandon_after: Some(ms(100)), ..rules(false) };
+    let rules = JobRules { abandon_after: Some(ms(100)), ..rules(false) };
     let (mut plan, _) = at_store(rules);
     assert_eq!(
         plan.generation_ended(ms(101), 0, text(3, 1), GenerationOutcome::Completed, rules),
-        NextStep::Score
+        NextAction::Score
     );
     let step = plan.scoring_ended(ms(102), 0, ScoringOutcome::Scored("stamp".to_owned()), rules);
-    assert!(matches!(step, NextStep::Publish(ResultRecord { completed: true, .. })));
+    assert!(matches!(step, NextAction::Publish(ResultRecord { completed: true, .. })));
 }
 
 #[test]
@@ -169,7 +175,7 @@
     add(&mut whole, 3, 2);
     assert_eq!(
         plan.generation_ended(ms(0), 0, whole, GenerationOutcome::Completed, rules(false)),
-        NextStep::Score
+        NextAction::Score
     );
     let step = plan.scoring_ended(ms(1), 0, ScoringOutcome::Scored("stamp".to_owned()), rules(false));
     let expected = ResultRecord {
@@ -179,7 +185,7 @@
         versions: vec![1, 2],
         score: "stamp".to_owned(),
     };
-    assert_eq!(step, NextStep::Publish(expected));
+    assert_eq!(step, NextAction::Publish(expected));
 }
 
 #[test]
@@ -188,14 +194,14 @@
     plan.generation_ended(ms(0), 0, text(2, 1), GenerationOutcome::Completed, rules(false));
     assert_eq!(
         plan.generation_ended(ms(0), 0, text(2, 1), GenerationOutcome::Completed, rules(false)),
-        NextStep::Wait
+        NextAction::Wait
     );
     let scored = || ScoringOutcome::Scored("stamp".to_owned());
-    assert!(matches!(plan.scoring_ended(ms(1), 0, scored(), rules(false)), NextStep::Publish(_)));
-    assert_eq!(plan.scoring_ended(ms(1), 0, scored(), rules(false)), NextStep::Wait);
+    assert!(matches!(plan.scoring_ended(ms(1), 0, scored(), rules(false)), NextAction::Publish(_)));
+    assert_eq!(plan.scoring_ended(ms(1), 0, scored(), rules(false)), NextAction::Wait);
     assert_eq!(
-        plan.generation_ended(ms(1), 0, text(2, 1), GenerationOutcome::Rejected, rules(false)),
-        NextStep::Wait
+        plan.generation_ended(ms(1), 0, text(2, 1), GenerationOutcome::InvalidRequest, rules(false)),
+        NextAction::Wait
     );
     assert!(plan.abandon_idle_items().is_empty());
     assert!(plan.place(ms(5_000), &mut stores, rules(false)).is_empty());
@@ -207,7 +213,7 @@
     plan.generation_ended(ms(0), 0, text(2, 1), GenerationOutcome::Completed, rules(false));
     let mut now = ms(0);
     for _ in 0..20 {
-        assert_eq!(plan.scoring_ended(now, 0, ScoringOutcome::Other, rules(false)), NextStep::Wait);
+        assert_eq!(plan.scoring_ended(now, 0, ScoringOutcome::Other, rules(false)), NextAction::Wait);
         assert!(plan.take_due_scorings(now).is_empty(), "not at once");
         let due = plan.next_timer(now).unwrap();
         assert!(due >= now + ms(20) && due <= now + ms(1_600), "{due:?} after {now:?}");
@@ -216,7 +222,7 @@
         assert!(plan.take_due_scorings(now).is_empty(), "one call at a time");
     }
     let step = plan.scoring_ended(now, 0, ScoringOutcome::Scored("stamp".to_owned()), rules(false));
-    assert!(matches!(step, NextStep::Publish(ResultRecord { completed: true, .. })));
+    assert!(matches!(step, NextAction::Publish(ResultRecord { completed: true, .. })));
 }
 
 #[parameterized(
@@ -227,8 +233,8 @@
     let (mut plan, _) = at_store(rules(false));
     plan.generation_ended(ms(0), 0, text(2, 1), GenerationOutcome::Completed, rules(false));
     let mut calls = 1;
-    while plan.scoring_ended(ms(0), 0, ScoringOutcome::Failed { times: 1, max_attempts }, rules(false))
-        == NextStep::Wait
+    while plan.scoring_ended(ms(0), 0, ScoringOutcome::Failed { failures: 1, max_attempts }, rules(false))
+        == NextAction::Wait
     {
         plan.take_due_scorings(ms(10_000));
         calls += 1;
@@ -243,7 +249,7 @@
     add(&mut mixed, 3, 2);
     assert_eq!(
         plan.generation_ended(ms(0), 0, mixed, GenerationOutcome::Completed, rules(true)),
-        NextStep::Wait
+        NextAction::Wait
     );
     let (_, carried) = placed_again(&mut plan, &mut stores, 0, rules(true)).unwrap();
     assert!(carried.is_empty());
@@ -260,7 +266,7 @@
     assert_eq!(plan.abandon_idle_items().len(), 1);
     assert_eq!(
         plan.generation_ended(ms(1), 1, text(1, 1), GenerationOutcome::Completed, rules(false)),
-        NextStep::Score
+        NextAction::Score
     );
 }
 
--- a/system/data/tests/rollout_placement.rs
+++ b/system/data/tests/rollout_placement.rs
@@ -3,7 +3,7 @@
 mod rollout_plan_common;
 
 use gingerledge_data::rollout::plan::{
-    priority, GenerationOutcome, JobPlan, NextStep, Rules, StartWindow, StepProgress, StoreView,
+    priority, GenerationOutcome, JobPlan, JobRules, NextAction, StartWindow, StepProgress, StoreView,
 };
 use rollout_plan_common::*;
 use yare::parameterized;
@@ -65,7 +65,7 @@
         assert_eq!(placed(&first, &stores), [(0, "near".to_owned())], "seed {seed}");
         // The generation is cut. Another store is in the edge's zone now, but this one has read the prompt.
         let step = plan.generation_ended(ms(1), 0, text(1, 1), GenerationOutcome::Interrupted, rules(false));
-        assert_eq!(step, NextStep::Wait);
+        assert_eq!(step, NextAction::Wait);
         for store in &mut stores {
             (store.in_flight, store.is_own_zone) = (0, &*store.id == "a");
         }
@@ -164,7 +164,7 @@
     stores[0].in_flight = 1;
     let again = plan.place(ms(1), &mut stores, rules(false));
     assert_eq!(again.iter().map(|placement| placement.item).collect::<Vec<_>>(), [1]);
-    assert_eq!(again[0].text.last_id(), Some(3));
+    assert_eq!(again[0].text.last_event_id(), Some(3));
 }
 
 #[test]
@@ -183,7 +183,7 @@
     plan.restore_partial_text(0, text(7, 5), rules(true));
     let placements = plan.place(ms(0), &mut stores, rules(true));
     assert_eq!(placed(&placements, &stores), [(0, "same".to_owned())]);
-    assert_eq!((placements[0].required_version, placements[0].text.last_id()), (Some(5), Some(7)));
+    assert_eq!((placements[0].required_version, placements[0].text.last_event_id()), (Some(5), Some(7)));
 }
 
 #[test]
@@ -195,7 +195,7 @@
     // No store has it any more: the text starts over.
     stores[1].version = 6;
     let placements = plan.place(ms(1), &mut stores, rules(true));
-    assert_eq!((placements[0].required_version, placements[0].text.last_id()), (None, None));
+    assert_eq!((placements[0].required_version, placements[0].text.last_event_id()), (None, None));
 }
 
 #[test]
@@ -207,7 +207,7 @@
     let mut stores = vec![store("old", 3, 0), store("newer", 7, 5)];
     let placements = plan.place(ms(0), &mut stores, rules(false));
     assert_eq!(placed(&placements, &stores), [(0, "newer".to_owned())]);
-    assert_eq!((placements[0].required_version, placements[0].text.last_id()), (None, Some(3)));
+    assert_eq!((placements[0].required_version, placements[0].text.last_event_id()), (None, Some(3)));
 }
 
 #[parameterized(
@@ -220,7 +220,7 @@
     add(&mut kept, 3, second);
     plan.restore_partial_text(0, kept, rules(single));
     let placements = plan.place(ms(0), &mut [store("a", 6, 0)], rules(single));
-    assert_eq!(placements[0].text.last_id(), None);
+    assert_eq!(placements[0].text.last_event_id(), None);
 }
 
 #[test]
@@ -238,7 +238,7 @@
     plan.restore_partial_text(0, text(7, 5), rules(true));
     assert!(plan.place(ms(0), &mut [], rules(true)).is_empty());
     let placements = plan.place(ms(1), &mut [store("same", 5, 0)], rules(true));
-    assert_eq!(placements[0].text.last_id(), Some(7));
+    assert_eq!(placements[0].text.last_event_id(), Some(7));
 }
 
 #[test]
@@ -250,14 +250,14 @@
     assert_eq!(placements.len(), 8, "half of the room has to stay free");
     assert!(placements.iter().all(|placement| !placement.is_surplus));
     assert!(!plan.has_items_to_place(ms(0)), "nobody waits for the third");
-    assert!(plan.has_surplus_groups());
+    assert!(plan.has_unstarted_groups());
     stores[0].in_flight = 5;
     assert!(plan.place(ms(1), &mut stores, rules(false)).is_empty());
     stores[0].in_flight = 4;
     let placements = plan.place(ms(2), &mut stores, rules(false));
     assert_eq!(placements.len(), 4);
     assert!(placements.iter().all(|placement| placement.is_surplus));
-    assert!(!plan.has_surplus_groups());
+    assert!(!plan.has_unstarted_groups());
 }
 
 #[parameterized(carries_them = { 12, 4 }, is_too_small = { 11, 0 })]
@@ -267,7 +267,7 @@
 ) {
     let mut plan = JobPlan::new(job(3, 4, 2, 1), &[], 1);
     let mut stores = vec![StoreView { limit: 100, ..store("a", 1, 0) }];
-    let rules = Rules { max_streams_for_surplus, ..rules(false) };
+    let rules = JobRules { max_streams_for_surplus, ..rules(false) };
     let placements = plan.place(ms(0), &mut stores, rules);
     assert_eq!(placements.iter().filter(|placement| !placement.is_surplus).count(), 8);
     assert_eq!(placements.iter().filter(|placement| placement.is_surplus).count(), expected);
@@ -277,7 +277,7 @@
 fn an_edge_starts_no_more_groups_than_it_carries_streams() {
     let mut plan = JobPlan::new(job(3, 4, 3, 1), &[], 1);
     let mut stores = vec![StoreView { limit: 100, ..store("a", 1, 0) }];
-    let rules = Rules { max_streams: 11, ..rules(false) };
+    let rules = JobRules { max_streams: 11, ..rules(false) };
     assert_eq!(plan.place(ms(0), &mut stores, rules).len(), 8, "a third group would be a twelfth stream");
     assert!(plan.has_items_to_place(ms(0)), "it waits for streams to end");
     stores[0].in_flight = 7;
@@ -297,7 +297,7 @@
     let mut plan = JobPlan::new(job(4, 4, 4, 1), &[], 1);
     let mut stores = vec![StoreView { limit: 100, ..store("a", 1, 0) }];
     let start_window = StartWindow { duration: ms(1_000), end: ms(1_000) };
-    let rules = Rules { max_streams: 4, start_window, ..rules(false) };
+    let rules = JobRules { max_streams: 4, start_window, ..rules(false) };
     let first = plan.place(ms(0), &mut stores, rules).len();
     let then = plan.place(ms(milliseconds), &mut stores, rules).len();
     assert_eq!(first + then, expected);
@@ -308,7 +308,7 @@
 fn items_of_a_started_group_go_on_whatever_the_edge_carries() {
     let mut plan = JobPlan::new(job(1, 2, 1, 1), &[], 1);
     let mut stores = vec![StoreView { limit: 100, ..store("a", 1, 0) }];
-    let rules = Rules { max_streams: 2, ..rules(false) };
+    let rules = JobRules { max_streams: 2, ..rules(false) };
     plan.place(ms(0), &mut stores, rules);
     plan.generation_ended(ms(1), 1, text(3, 1), GenerationOutcome::Interrupted, rules);
     stores[0].in_flight = 50;
@@ -319,7 +319,7 @@
 fn a_group_larger_than_what_an_edge_carries_starts_alone(in_flight: u32, expected: usize) {
     let mut plan = JobPlan::new(job(1, 4, 1, 1), &[], 1);
     let mut stores = vec![StoreView { limit: 100, ..store("a", 1, in_flight) }];
-    let rules = Rules { max_streams: 3, ..rules(false) };
+    let rules = JobRules { max_streams: 3, ..rules(false) };
     assert_eq!(plan.place(ms(0), &mut stores, rules).len(), expected);
 }
 
@@ -328,7 +328,7 @@
 fn no_group_waits_long_for_streams_of_the_edge_to_end(milliseconds: u64, expected: usize) {
     let mut plan = JobPlan::new(job(2, 4, 2, 1), &[], 1);
     let mut stores = vec![StoreView { limit: 100, ..store("a", 1, 0) }];
-    let rules = Rules { max_streams: 4, ..rules(false) };
+    let rules = JobRules { max_streams: 4, ..rules(false) };
     let begun = 60_000;
     assert_eq!(plan.place(ms(begun), &mut stores, rules).len(), 4);
     assert_eq!(plan.place(ms(begun + milliseconds), &mut stores, rules).len(), expected);
@@ -339,7 +339,7 @@
 fn an_edge_that_carries_many_streams_lets_no_group_rest_for_long(milliseconds: u64, expected: usize) {
     let mut plan = JobPlan::new(job(3, 4, 2, 1), &[], 1);
     let mut stores = vec![StoreView { limit: 100, ..store("a", 1, 0) }];
-    let rules = Rules { max_streams_for_surplus: 8, ..rules(false) };
+    let rules = JobRules { max_streams_for_surplus: 8, ..rules(false) };
     let begun = 60_000;
     assert_eq!(plan.place(ms(begun), &mut stores, rules).len(), 8);
     let placements = plan.place(ms(begun + milliseconds), &mut stores, rules);
@@ -374,8 +374,12 @@
     is_surplus: bool,
     expected: u8,
 ) {
-    let progress =
-        StepProgress { time_left: ms(time_left), target: ms(10_000), groups_left, desired_groups: 10 };
+    let progress = StepProgress {
+        time_left: ms(time_left),
+        target_completion: ms(10_000),
+        groups_left,
+        desired_groups: 10,
+    };
     assert_eq!(priority(progress, is_surplus), expected);
 }
 
@@ -383,8 +387,12 @@
 #[test]
 fn a_step_with_a_short_target_goes_before_one_with_a_long_one() {
     let of = |target: u64| {
-        let progress =
-            StepProgress { time_left: ms(target), target: ms(target), groups_left: 9, desired_groups: 9 };
+        let progress = StepProgress {
+            time_left: ms(target),
+            target_completion: ms(target),
+            groups_left: 9,
+            desired_groups: 9,
+        };
         priority(progress, false)
     };
     assert!(of(4_000) < of(11_000) && of(11_000) < of(20_000));
--- a/system/data/tests/rollout_plan_common/mod.rs
+++ b/system/data/tests/rollout_plan_common/mod.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use gingerledge_data::rollout::event_stream::Event;
-use gingerledge_data::rollout::plan::{GeneratedText, Placement, Rules, StartWindow, StoreView};
+use gingerledge_data::rollout::plan::{GeneratedText, JobRules, Placement, StartWindow, StoreView};
 use gingerledge_wire::{ItemRecord, JobRecord, ScoringRecord};
 
 /// A batch job of groups of equal size.
@@ -42,8 +42,8 @@
     }
 }
 
-pub fn rules(single_version: bool) -> Rules {
-    Rules {
+pub fn rules(single_version: bool) -> JobRules {
+    JobRules {
         single_version,
         max_attempts: 3,
         abandon_after: None,
--- a/system/data/tests/rollout_plan_simulation.rs
+++ b/system/data/tests/rollout_plan_simulation.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use gingerledge_data::rollout::plan::{
-    GeneratedText, GenerationOutcome, JobPlan, NextStep, Placement, Rules, ScoringOutcome, StartWindow,
+    GeneratedText, GenerationOutcome, JobPlan, JobRules, NextAction, Placement, ScoringOutcome, StartWindow,
     StoreView,
 };
 use gingerledge_wire::ResultRecord;
@@ -36,7 +36,7 @@
     seed: u64,
     random: fastrand::Rng,
     now: Duration,
-    rules: Rules,
+    rules: JobRules,
     plan: JobPlan,
     stores: Vec<StoreView>,
     slots: u32,
@@ -52,7 +52,7 @@
 impl World {
     fn new(seed: u64) -> Self {
         let mut random = fastrand::Rng::with_seed(seed);
-        let rules = Rules {
+        let rules = JobRules {
             single_version: random.bool(),
             max_attempts: MAX_ATTEMPTS,
             abandon_after: None,
@@ -189,13 +189,13 @@
             }
             20 => {
                 self.impossible.insert(item);
-                return (text, GenerationOutcome::Rejected);
+                return (text, GenerationOutcome::InvalidRequest);
             }
             21..25 => return (text, GenerationOutcome::Other),
             _ => {}
         }
         let last = if luck < 50 { self.random.u64(..=EVENTS) } else { EVENTS };
-        let first = text.last_id().unwrap_or(0) + 1;
+        let first = text.last_event_id().unwrap_or(0) + 1;
         for id in first..=last {
             // As the runner does it: an event of a version that doesn't fit is not taken.
             let version = self.stores[run.store].version;
@@ -208,7 +208,7 @@
                 self.stores[run.store].version += 1;
             }
         }
-        let ended = if text.last_id() == Some(EVENTS) {
+        let ended = if text.last_event_id() == Some(EVENTS) {
             GenerationOutcome::Completed
         } else {
             GenerationOutcome::Interrupted
@@ -228,7 +228,7 @@
             let ended = match self.random.u32(..10) {
                 0 if !self.calm() => {
                     *self.scoring_failures.entry(item).or_default() += 1;
-                    ScoringOutcome::Failed { times: 1, max_attempts: MAX_ATTEMPTS }
+                    ScoringOutcome::Failed { failures: 1, max_attempts: MAX_ATTEMPTS }
                 }
                 1 | 2 => ScoringOutcome::Other,
                 _ => ScoringOutcome::Scored(format!("stamp of {item}")),
@@ -238,12 +238,12 @@
         }
     }
 
-    fn take(&mut self, item: u32, step: NextStep) {
+    fn take(&mut self, item: u32, step: NextAction) {
         let seed = self.seed;
         match step {
-            NextStep::Wait => {}
-            NextStep::Score => self.rewards.push((item, self.now + ms(30))),
-            NextStep::Publish(result) => {
+            NextAction::Wait => {}
+            NextAction::Score => self.rewards.push((item, self.now + ms(30))),
+            NextAction::Publish(result) => {
                 assert_eq!(result.item, item, "seed {seed}");
                 if result.completed {
                     self.check_text(&result);
--- a/system/data/tests/rollout_store_observations.rs
+++ b/system/data/tests/rollout_store_observations.rs
@@ -2,7 +2,7 @@
 
 mod rollout_plan_common;
 
-use gingerledge_data::rollout::plan::{LoadingStores, ProgressRates, StoreCapacities};
+use gingerledge_data::rollout::plan::{ProgressRates, StoreCapacities, WeightLoadingStores};
 use rollout_plan_common::ms;
 
 const SLOTS: u32 = 12;
@@ -99,7 +99,7 @@
 
 #[test]
 fn a_store_that_loads_weights_is_probed_for_that_model_only() {
-    let mut loading = LoadingStores::default();
+    let mut loading = WeightLoadingStores::default();
     loading.on_rejected("a", "m", ms(0));
     assert_eq!(loading.limit("a", "m", 3, 14, ms(49)), 0);
     assert_eq!(loading.limit("a", "other", 3, 14, ms(0)), 14);
@@ -114,7 +114,7 @@
 
 #[test]
 fn repeated_rejections_of_a_model_double_the_backoff_up_to_a_bound() {
-    let mut loading = LoadingStores::default();
+    let mut loading = WeightLoadingStores::default();
     let mut now = ms(0);
     let mut pauses = Vec::new();
     for _ in 0..5 {
@@ -130,7 +130,7 @@
 
 #[test]
 fn stores_that_load_weights_are_remembered_within_bounds() {
-    let mut loading = LoadingStores::default();
+    let mut loading = WeightLoadingStores::default();
     for number in 0..20_000 {
         loading.on_rejected(&format!("s{number}"), "m", ms(0));
     }
--- a/system/data/tests/rollout_stream_migration.rs
+++ b/system/data/tests/rollout_stream_migration.rs
@@ -10,7 +10,7 @@
 const WATCHED_MS: u64 = 800;
 
 fn stream(item: u32, store: usize, events: u64) -> StreamView {
-    StreamView { item, store: Some(store), events: Some(events) }
+    StreamView { item, store: Some(store), new_events: Some(events) }
 }
 
 fn moves(streams: &[StreamView], stores: &[StoreView]) -> Vec<u32> {
@@ -32,7 +32,7 @@
 
 #[test]
 fn a_stream_that_has_not_begun_is_not_migrated() {
-    let waiting = StreamView { events: None, ..stream(0, 0, 0) };
+    let waiting = StreamView { new_events: None, ..stream(0, 0, 0) };
     assert!(moves(&[waiting], &[store("a", 1, 1), store("b", 1, 0)]).is_empty());
 }
 
