--- a/system/data/src/rollout/delegation.rs
+++ b/system/data/src/rollout/delegation.rs
@@ -54,7 +54,7 @@
 /// Delegates a batch job that was submitted to this edge to another edge of the zone, if this edge drives other batch jobs and would
 /// exceed its maximum number of streams with this one. Returns whether another edge drives the batch job now.
 ///
-/// `age` is a lower bound of the batch job's age.
+/// `age` is the time since this edge sent the batch job to its partition.
 pub(super) fn delegate(shared: &Shared, assignment: &Assignment, age: Duration) -> bool {
     let Assignment { job, term, .. } = assignment;
     let delegations = &shared.rollout.delegations;
--- a/system/data/src/rollout/generation.rs
+++ b/system/data/src/rollout/generation.rs
@@ -26,7 +26,7 @@
 const WEIGHT_VERSIONS: HeaderName = HeaderName::from_static("weight-versions");
 /// The request header with the priority of a request at its store; 0 is the most urgent.
 const PRIORITY: HeaderName = HeaderName::from_static("priority");
-/// Headers that this module sets; if an item has one of them, it is dropped.
+/// Headers that the edge sets; if an item has one of them, it is dropped.
 const RESERVED_HEADERS: [HeaderName; 7] = [
     header::HOST,
     header::CONTENT_LENGTH,
--- a/system/data/src/rollout/plan/item.rs
+++ b/system/data/src/rollout/plan/item.rs
@@ -24,7 +24,7 @@
     Interrupted,
     /// The generation was cancelled at a slow store, to be resumed at another.
     Migrated,
-    /// The version of the weights, at the start or from some event on, is missing or not allowed.
+    /// The version of the weights, at the start or from some event on, is not allowed, or is missing at an event.
     WrongVersion,
     /// No store serves the version of the text so far any more.
     VersionUnavailable,
