--- a/system/data/src/clock.rs
+++ b/system/data/src/clock.rs
@@ -1,23 +1,23 @@
-//! The monotonic clock of the process.
+//! Monotonic clock of the process.
 
 use std::time::{Duration, Instant};
 
-/// A monotonic clock that starts at zero with the process.
+/// Monotonic clock that counts from the start of the process.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
-    started: Instant,
+    started_at: Instant,
 }
 
 impl Clock {
-    /// A clock that shows zero now.
+    /// Starts a clock at zero.
     #[must_use]
     pub fn start() -> Self {
-        Self { started: Instant::now() }
+        Self { started_at: Instant::now() }
     }
 
-    /// The time since the start.
+    /// Time since the clock was started.
     #[must_use]
     pub fn now(self) -> Duration {
-        self.started.elapsed()
+        self.started_at.elapsed()
     }
 }
--- a/system/data/src/forward/attempts.rs
+++ b/system/data/src/forward/attempts.rs
@@ -1,4 +1,5 @@
-//! Makes the attempts of one request, store after store, until one responds or the retry policy ends it.
+//! Makes the attempts of one request, at one store after another, until a store responds or the retry policy permits no further
+//! attempt.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -20,24 +21,25 @@
 };
 use crate::Shared;
 
-/// Bodies up to this length are buffered before the client gets the head, so that an interruption can still be retried.
+/// Maximum length of a response body that is buffered completely before the response head is sent to the client, so that the
+/// request can still be retried if the body is interrupted.
 const MAX_BUFFERED_BODY_BYTES: u64 = 64 * 1024;
 
-/// A time-out after less than this is no failure of the store: the request had too little time.
-const MIN_TIME_OF_A_FAILURE: Duration = Duration::from_millis(250);
+/// A timeout after less than this time does not count as a failure of the store, since the request had too little time left.
+const MIN_FAILURE_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// The attempts of one request.
+/// Makes the attempts of one request and keeps their state.
 pub struct Attempts {
     shared: Rc<Shared>,
     outgoing: Rc<OutgoingRequest>,
     retry: RetryState,
     selection: StoreSelection,
-    /// When the last attempt started.
+    /// Start of the last attempt, on the clock of [`Shared::now`].
     attempt_started_at: Duration,
 }
 
 impl Attempts {
-    /// Before the first attempt.
+    /// Creates the state before the first attempt.
     pub fn new(shared: Rc<Shared>, outgoing: Rc<OutgoingRequest>) -> Self {
         Self {
             selection: StoreSelection::new(&outgoing),
@@ -48,33 +50,36 @@
         }
     }
 
-    /// How many stores responded with a server error.
-    pub fn server_errors(&self) -> u32 {
-        self.retry.server_errors()
+    /// Number of server errors that stores responded with.
+    pub fn server_error_count(&self) -> u32 {
+        self.retry.server_error_count()
     }
 
-    /// The request.
+    /// The request as it is sent to stores.
     pub fn outgoing(&self) -> &OutgoingRequest {
         &self.outgoing
     }
 
-    /// The time left until the deadline.
+    /// Time left until the deadline of the request.
     pub fn time_left(&self) -> Duration {
         self.outgoing.deadline.saturating_sub(self.shared.now())
     }
 
-    /// Makes attempts until a store responds; `last_event` resumes a stream after an event.
+    /// Makes attempts until a store responds. With `last_event_id`, a stream is resumed after that event.
     ///
     /// # Errors
     ///
-    /// [`ForwardError`] if there is no response to forward.
-    pub async fn run(&mut self, last_event: Option<&HeaderValue>) -> Result<ForwardedResponse, ForwardError> {
+    /// [`ForwardError`] if no store gave a response that can be forwarded.
+    pub async fn run(
+        &mut self,
+        last_event_id: Option<&HeaderValue>,
+    ) -> Result<ForwardedResponse, ForwardError> {
         while self.retry.should_retry(&self.outgoing.route, self.time_left()) {
             let Some(store) = self.selection.select(&self.shared, &self.outgoing) else { break };
-            let in_flight = InFlightGuard::on(&store.in_flight);
-            match self.send(&store, last_event).await {
+            let in_flight_guard = InFlightGuard::new(&store.in_flight_requests);
+            match self.send(&store, last_event_id).await {
                 Ok(response) => {
-                    if let Some(response) = self.on_response(response, store, in_flight).await? {
+                    if let Some(response) = self.on_response(response, store, in_flight_guard).await? {
                         return Ok(response);
                     }
                 }
@@ -87,10 +92,10 @@
         self.retry.give_up()
     }
 
-    /// A stream was interrupted at its store while it was forwarded.
+    /// Records that a stream was interrupted at its store while it was forwarded.
     pub fn on_stream_interrupted(&mut self, store: &KnownStore) {
         self.shared.health.on_failure(&store.target.id, self.shared.now());
-        self.retry.on_failed(Verdict::MayHaveRun);
+        self.retry.merge_verdict(Verdict::MayHaveRun);
     }
 
     fn time_since_attempt(&self) -> Duration {
@@ -100,15 +105,15 @@
     async fn send(
         &mut self,
         store: &Rc<KnownStore>,
-        last_event: Option<&HeaderValue>,
+        last_event_id: Option<&HeaderValue>,
     ) -> Result<StoreResponse, AttemptError> {
         self.selection.on_attempt(store);
         let time_left = self.time_left();
         let timeouts = self.timeouts(time_left);
         self.attempt_started_at = self.shared.now();
-        let request = self.outgoing.attempt(time_left, last_event);
+        let request = self.outgoing.build_attempt(time_left, last_event_id);
         let response = self.shared.stores.send(&store.target, request, timeouts).await?;
-        self.outgoing.route.latency.record(self.time_since_attempt());
+        self.outgoing.route.average_latency.record(self.time_since_attempt());
         self.selection.on_response(&self.shared, &self.outgoing, store);
         Ok(response)
     }
@@ -116,20 +121,20 @@
     fn timeouts(&self, time_left: Duration) -> AttemptTimeouts {
         let route = &self.outgoing.route;
         let is_resumable = route.kind == RouteKind::Streaming && route.is_idempotent();
-        let can_retry = self.retry.can_retry_after_this(route);
+        let can_retry = self.retry.can_retry_after_timeout(route);
         AttemptTimeouts {
             connect: connect_timeout(time_left),
-            head: head_timeout(time_left, route.latency.get(), can_retry),
-            idle: idle_timeout(time_left, route.objective, is_resumable),
+            head: head_timeout(time_left, route.average_latency.get(), can_retry),
+            idle: idle_timeout(time_left, route.target_latency, is_resumable),
         }
     }
 
-    /// Handles a store's response: returns what to forward, or `None` to try another store.
+    /// Handles a store's response. Returns the response to forward, or `None` if another store should be tried.
     async fn on_response(
         &mut self,
         response: StoreResponse,
         store: Rc<KnownStore>,
-        in_flight: InFlightGuard,
+        in_flight_guard: InFlightGuard,
     ) -> Result<Option<ForwardedResponse>, ForwardError> {
         let now = self.shared.now();
         self.retry.on_response();
@@ -139,7 +144,7 @@
         }
         let StoreResponse { status, headers, body, .. } = response;
         if !self.is_buffered(status, &body) {
-            let response = StreamedResponse { status, headers, body, store, in_flight };
+            let response = StreamedResponse { status, headers, body, store, in_flight_guard };
             return Ok(Some(ForwardedResponse::Streamed(response)));
         }
         match self.collect(body).await {
@@ -148,14 +153,14 @@
                 Ok(self.retry.on_complete(&self.outgoing.route, response))
             }
             Err(error) => {
-                self.retry.on_failed(error.verdict());
+                self.retry.merge_verdict(error.verdict());
                 self.on_attempt_failed(&store, &error)?;
                 Ok(None)
             }
         }
     }
 
-    /// Whether a body is buffered completely before the client gets the head.
+    /// Whether a response body is buffered completely before the response head is sent to the client.
     fn is_buffered(&self, status: StatusCode, body: &StoreBody) -> bool {
         let is_stream = self.outgoing.route.kind == RouteKind::Streaming && status.is_success();
         !is_stream && body.size_hint().exact().is_some_and(|length| length <= MAX_BUFFERED_BODY_BYTES)
@@ -166,16 +171,16 @@
         collected.map_err(|_elapsed| AttemptError::TimedOut)?
     }
 
-    /// Records what a failed attempt reveals about its store.
+    /// Updates the health and the load of a store after a failed attempt.
     ///
     /// # Errors
     ///
-    /// [`ForwardError::BadRequest`] if no store would accept the request.
+    /// [`ForwardError::BadRequest`] if the store rejected the request as invalid, since any other store would reject it too.
     fn on_attempt_failed(&self, store: &KnownStore, error: &AttemptError) -> Result<(), ForwardError> {
         match *error {
             AttemptError::Rejected { rejection } => return self.on_rejected(store, rejection),
             AttemptError::NoConnectionAvailable | AttemptError::StoreRemoved => {}
-            AttemptError::TimedOut if self.time_since_attempt() < MIN_TIME_OF_A_FAILURE => {}
+            AttemptError::TimedOut if self.time_since_attempt() < MIN_FAILURE_TIMEOUT => {}
             AttemptError::ConnectFailed
             | AttemptError::Disconnected
             | AttemptError::InvalidResponse
--- a/system/data/src/forward/body.rs
+++ b/system/data/src/forward/body.rs
@@ -1,4 +1,4 @@
-//! The body of a response while it is forwarded from a store to a client.
+//! Response body that is forwarded from a store to a client while it arrives.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -16,30 +16,40 @@
 use crate::stores::{InFlightGuard, StoreBody};
 use crate::{CloseConnection, Shared};
 
-/// Forwards a store's body as it arrives. If it is interrupted, or exceeds the deadline, it fails, so that the client's connection is
-/// closed before the response looks complete.
+/// Forwards the body of a store's response as it arrives. If the body is interrupted or is not complete at the deadline, this body
+/// fails, so that the client's connection is closed before the response looks complete.
 pub struct StreamedBody {
     shared: Rc<Shared>,
     store: Rc<KnownStore>,
     body: StoreBody,
     deadline: Duration,
+    /// Expires at the deadline; created when the body is first pending.
     timer: Option<Pin<Box<Sleep>>>,
-    _in_flight: InFlightGuard,
+    _in_flight_guard: InFlightGuard,
     _permit: RequestPermit,
 }
 
 impl StreamedBody {
-    /// The body of a response, with the deadline of the request.
+    /// Creates the body for a response; `deadline` is that of the request, on the clock of [`Shared::now`].
     pub fn new(
         shared: Rc<Shared>,
         response: StreamedResponse,
         deadline: Duration,
         permit: RequestPermit,
     ) -> Self {
-        let StreamedResponse { body, store, in_flight, .. } = response;
-        Self { shared, store, body, deadline, timer: None, _in_flight: in_flight, _permit: permit }
+        let StreamedResponse { body, store, in_flight_guard, .. } = response;
+        Self {
+            shared,
+            store,
+            body,
+            deadline,
+            timer: None,
+            _in_flight_guard: in_flight_guard,
+            _permit: permit,
+        }
     }
 
+    /// Ready once the deadline of the request has passed.
     fn poll_timer(&mut self, context: &mut Context<'_>) -> Poll<()> {
         let time_left = self.deadline.saturating_sub(self.shared.now());
         self.timer.get_or_insert_with(|| Box::pin(sleep(time_left))).as_mut().poll(context)
--- a/system/data/src/forward/call.rs
+++ b/system/data/src/forward/call.rs
@@ -1,4 +1,4 @@
-//! Requests of this edge itself, by the same routes and retries as a client's.
+//! Requests that this edge itself makes, with the same routing and retries as a client's request.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -14,57 +14,58 @@
 use crate::headers;
 use crate::Shared;
 
-/// The longest body of a response.
+/// Maximum length of a response body.
 const MAX_BODY_BYTES: usize = 1024 * 1024;
 
-/// A request of this edge itself, for instance a scoring call: a `POST` by the route of the host and path.
+/// A `POST` request that this edge itself makes, for instance a scoring call, routed by its host and path.
 pub struct Call {
-    /// The host by which it is routed.
+    /// Host by which the request is routed.
     pub host: String,
-    /// The path and query.
+    /// Path and query.
     pub path: String,
-    /// Sent as `Attempt-Id`.
+    /// Value of the `Attempt-Id` header.
     pub id: String,
-    /// The body.
+    /// Request body.
     pub body: Bytes,
-    /// Its deadline, on the clock of [`Shared::now`].
+    /// Deadline of the request, on the clock of [`Shared::now`].
     pub deadline: Duration,
 }
 
-/// The response to a [`Call`].
+/// Response to a [`Call`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CallResponse {
-    /// The store's status.
+    /// HTTP status of the store's response.
     pub status: StatusCode,
-    /// The store's `Server-Signature`; empty if it gave none.
+    /// `Server-Signature` header of the store's response; empty if there is none.
     pub signature: String,
-    /// The complete body.
+    /// Complete response body.
     pub body: Bytes,
-    /// How many stores responded with a server error, this response included.
-    pub server_errors: u32,
+    /// Number of server errors that stores responded with, including this response.
+    pub server_error_count: u32,
 }
 
-/// Makes a call by its route; an idempotent one is retried at other stores. Dropping the future cancels it.
+/// Makes a call. It is retried at other stores if its route is idempotent. Dropping the future cancels the call.
 ///
 /// # Errors
 ///
-/// Whether the call may have run, if no store answered it.
+/// Returns whether the call may have run if there is no response of a store.
 pub async fn call(shared: &Rc<Shared>, call: Call) -> Result<CallResponse, Verdict> {
     let path = call.path.split('?').next().unwrap_or_default();
     let route = shared.route(&call.host, path).ok_or(Verdict::NeverRan)?;
     let deadline = call.deadline;
-    let request = request(call).ok_or(Verdict::NeverRan)?;
+    let request = build_request(call).ok_or(Verdict::NeverRan)?;
     let outgoing = Rc::new(OutgoingRequest::new(request, route, deadline));
     let mut attempts = Attempts::new(Rc::clone(shared), outgoing);
     let response = attempts.run(None).await.map_err(super::response::ForwardError::verdict)?;
-    let response = complete(response, attempts.time_left()).await?;
+    let response = read_complete(response, attempts.time_left()).await?;
     let signature =
         headers::text(&response.headers, &headers::SERVER_SIGNATURE).unwrap_or_default().to_owned();
-    let server_errors = attempts.server_errors();
-    Ok(CallResponse { status: response.status, signature, body: response.body, server_errors })
+    let server_error_count = attempts.server_error_count();
+    Ok(CallResponse { status: response.status, signature, body: response.body, server_error_count })
 }
 
-fn request(call: Call) -> Option<Request<Bytes>> {
+/// Builds the HTTP request of a call; `None` if its host, path or id is not valid in HTTP.
+fn build_request(call: Call) -> Option<Request<Bytes>> {
     let mut request = Request::new(call.body);
     *request.method_mut() = Method::POST;
     *request.uri_mut() = call.path.parse().ok()?;
@@ -74,7 +75,11 @@
     Some(request)
 }
 
-async fn complete(response: ForwardedResponse, time_left: Duration) -> Result<CompleteResponse, Verdict> {
+/// Reads the rest of a response body.
+async fn read_complete(
+    response: ForwardedResponse,
+    time_left: Duration,
+) -> Result<CompleteResponse, Verdict> {
     match response {
         ForwardedResponse::Complete(response) => Ok(response),
         ForwardedResponse::Streamed(streamed) => {
--- a/system/data/src/forward/mod.rs
+++ b/system/data/src/forward/mod.rs
@@ -1,5 +1,5 @@
-//! Forwarding: a request is sent to one store after another until one responds, as far as its route, its attempts and its deadline
-//! permit. [`crate::routing`] decides about retries; this applies its decisions.
+//! Forwarding of requests: a request is sent to one store after another until a store responds, as far as its route, its number of
+//! attempts and its deadline permit. [`crate::routing`] decides about retries, and this module applies the decisions.
 
 mod attempts;
 mod body;
--- a/system/data/src/forward/response.rs
+++ b/system/data/src/forward/response.rs
@@ -1,4 +1,4 @@
-//! The outcome of forwarding a request: a store's response, or the reason why there is none.
+//! Outcome of forwarding a request: a store's response, or the reason why there is none.
 
 use std::rc::Rc;
 
@@ -10,39 +10,39 @@
 use crate::index::KnownStore;
 use crate::stores::{InFlightGuard, StoreBody};
 
-/// A response whose body has arrived completely.
+/// Response of a store whose body has arrived completely.
 pub struct CompleteResponse {
-    /// The store's status.
+    /// HTTP status of the store's response.
     pub status: StatusCode,
-    /// The store's headers.
+    /// Headers of the store's response.
     pub headers: HeaderMap,
-    /// The complete body.
+    /// Complete body.
     pub body: Bytes,
 }
 
-/// A response whose body is still arriving.
+/// Response of a store whose body is still arriving.
 pub struct StreamedResponse {
-    /// The store's status.
+    /// HTTP status of the store's response.
     pub status: StatusCode,
-    /// The store's headers.
+    /// Headers of the store's response.
     pub headers: HeaderMap,
-    /// The body.
+    /// Body that is still arriving.
     pub body: StoreBody,
-    /// The store.
+    /// Store that sent the response.
     pub store: Rc<KnownStore>,
-    /// Counts the request as in flight at the store.
-    pub in_flight: InFlightGuard,
+    /// Keeps the request counted as in flight at the store.
+    pub in_flight_guard: InFlightGuard,
 }
 
-/// A store's response, to be forwarded to the client.
+/// Response of a store that is forwarded to the client.
 pub enum ForwardedResponse {
-    /// Its body is complete.
+    /// The body is complete.
     Complete(CompleteResponse),
-    /// Its body follows.
+    /// The body is still arriving.
     Streamed(StreamedResponse),
 }
 
-/// There is no store's response to forward.
+/// Why there is no response of a store to forward.
 #[derive(Clone, Copy, Debug, PartialEq, Snafu)]
 pub enum ForwardError {
     /// A store rejected the request as invalid.
@@ -51,7 +51,7 @@
         /// Whether the request may have run.
         verdict: Verdict,
     },
-    /// No further attempt is possible: by the retry policy, or for want of a store.
+    /// No further attempt is possible, because the retry policy forbids it or no other store is available.
     #[snafu(display("no store answered the request"))]
     AttemptsExhausted {
         /// Whether the request may have run.
--- a/system/data/src/forward/retry_state.rs
+++ b/system/data/src/forward/retry_state.rs
@@ -1,4 +1,4 @@
-//! The state of the retry policy for one request: what its attempts say together, and the last server error. No I/O.
+//! State of the retry policy for one request: the combined outcome of its attempts, and the last server error. Performs no I/O.
 
 use std::time::Duration;
 
@@ -8,64 +8,65 @@
 use crate::routing::{decide_retry, AttemptHistory, RetryDecision, RouteEntry};
 use crate::stores::AttemptError;
 
-/// The attempts of one request so far.
+/// Outcome of the attempts made for one request so far.
 #[derive(Default)]
 pub(super) struct RetryState {
     history: AttemptHistory,
-    /// The last server error of a store, forwarded if no other store does better.
+    /// Last server error of a store, forwarded to the client if no other attempt succeeds.
     server_error: Option<CompleteResponse>,
-    server_errors: u32,
+    /// Number of server errors that stores responded with.
+    server_error_count: u32,
 }
 
 impl RetryState {
-    /// Whether another attempt follows.
+    /// Whether another attempt, or the first one, should be made.
     pub(super) fn should_retry(&self, route: &RouteEntry, time_left: Duration) -> bool {
         let decision = decide_retry(&self.history, route.max_attempts(), route.is_idempotent(), time_left);
         decision == RetryDecision::Retry
     }
 
-    /// Whether the attempt that starts now may be followed by another one, if it times out.
-    pub(super) fn can_retry_after_this(&self, route: &RouteEntry) -> bool {
-        route.is_idempotent() && self.history.sent + 1 < route.max_attempts()
+    /// Whether another attempt may be made if the attempt that starts now times out.
+    pub(super) fn can_retry_after_timeout(&self, route: &RouteEntry) -> bool {
+        route.is_idempotent() && self.history.sent_attempts + 1 < route.max_attempts()
     }
 
-    /// Whether an attempt may have run the request.
+    /// Whether any attempt may have run the request.
     pub(super) fn verdict(&self) -> Verdict {
         self.history.verdict
     }
 
-    /// How many stores responded with a server error.
-    pub(super) fn server_errors(&self) -> u32 {
-        self.server_errors
+    /// Number of server errors that stores responded with.
+    pub(super) fn server_error_count(&self) -> u32 {
+        self.server_error_count
     }
 
-    /// A store responded.
+    /// Records that a store responded.
     pub(super) fn on_response(&mut self) {
-        self.history.sent += 1;
+        self.history.sent_attempts += 1;
     }
 
-    /// An attempt ended without a response.
+    /// Records that an attempt ended without a response.
     pub(super) fn on_no_response(&mut self, error: &AttemptError) {
         match error {
             AttemptError::ConnectFailed
             | AttemptError::NoConnectionAvailable
             | AttemptError::StoreRemoved => {
-                self.history.unsent += 1;
+                self.history.unsent_attempts += 1;
             }
             AttemptError::Rejected { .. }
             | AttemptError::Disconnected
             | AttemptError::InvalidResponse
-            | AttemptError::TimedOut => self.history.sent += 1,
+            | AttemptError::TimedOut => self.history.sent_attempts += 1,
         }
-        self.on_failed(error.verdict());
+        self.merge_verdict(error.verdict());
     }
 
-    /// An attempt failed, maybe after the head of its response.
-    pub(super) fn on_failed(&mut self, verdict: Verdict) {
+    /// Adds the verdict of a failed attempt, which may have failed after the head of its response.
+    pub(super) fn merge_verdict(&mut self, verdict: Verdict) {
         self.history.verdict = self.history.verdict.and(verdict);
     }
 
-    /// A response is complete: returns it, unless it is a server error and the request may run again.
+    /// Records a complete response. Returns it for forwarding, unless it is a server error and the request may run again.
     pub(super) fn on_complete(
         &mut self,
         route: &RouteEntry,
@@ -74,7 +75,7 @@
         if !response.status.is_server_error() {
             return Some(ForwardedResponse::Complete(response));
         }
-        self.server_errors += 1;
+        self.server_error_count += 1;
         self.history.verdict = Verdict::Ran;
         if !route.is_idempotent() {
             return Some(ForwardedResponse::Complete(response));
@@ -83,7 +84,7 @@
         None
     }
 
-    /// There is no further attempt: the last server error, if there was one.
+    /// Ends the request without a further attempt. Returns the last server error, if there was one.
     pub(super) fn give_up(&mut self) -> Result<ForwardedResponse, ForwardError> {
         let verdict = self.history.verdict;
         let response = self.server_error.take().map(ForwardedResponse::Complete);
--- a/system/data/src/forward/stream.rs
+++ b/system/data/src/forward/stream.rs
@@ -1,5 +1,5 @@
-//! A stream that is resumed at another store after an interruption, within one response: the client gets the head of the first store
-//! and every event once.
+//! Stream that is resumed at another store after an interruption, within one response to the client. The client gets the response
+//! head of the first store and each event once.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -21,12 +21,12 @@
 
 type Resumption = Pin<Box<dyn Future<Output = (Attempts, Result<ForwardedResponse, ForwardError>)>>>;
 
-/// The response of one store.
+/// Response stream of one store.
 struct SourceStream {
     attempts: Attempts,
     body: StoreBody,
     store: Rc<KnownStore>,
-    _in_flight: InFlightGuard,
+    _in_flight_guard: InFlightGuard,
 }
 
 enum State {
@@ -35,54 +35,57 @@
     Ended,
 }
 
-/// The events of one stream, from one store after another.
+/// Response body with the events of one stream, read from one store after another.
 pub struct ResumableStream {
     state: State,
-    events: EventBuffer,
+    event_buffer: EventBuffer,
+    /// Expires at the deadline of the request.
     timer: Pin<Box<Sleep>>,
     _permit: RequestPermit,
 }
 
 impl ResumableStream {
-    /// The stream that starts with a response, and its further attempts.
+    /// Creates the stream from its first response and the state of its attempts.
     pub fn new(attempts: Attempts, response: StreamedResponse, permit: RequestPermit) -> Self {
         let timer = Box::pin(sleep(attempts.time_left()));
         Self {
             state: State::Reading(Box::new(SourceStream::new(attempts, response))),
-            events: EventBuffer::default(),
+            event_buffer: EventBuffer::default(),
             timer,
             _permit: permit,
         }
     }
 
-    /// Starts to resume at another store after the last forwarded event.
+    /// Starts to resume the stream at another store, after the last event that was forwarded.
     fn resume(&mut self, source: Box<SourceStream>) -> State {
-        let SourceStream { mut attempts, body, store, _in_flight } = *source;
+        let SourceStream { mut attempts, body, store, _in_flight_guard } = *source;
         drop(body);
-        self.events.discard_partial();
+        self.event_buffer.discard_partial_event();
         attempts.on_stream_interrupted(&store);
-        let last_event = self.events.last_id().map(|id| headers::number(u128::from(id)));
+        let last_event_id =
+            self.event_buffer.last_forwarded_id().map(|id| headers::from_number(u128::from(id)));
         State::Resuming(Box::pin(async move {
-            let response = attempts.run(last_event.as_ref()).await;
+            let response = attempts.run(last_event_id.as_ref()).await;
             (attempts, response)
         }))
     }
 
-    /// Handles the next frame of a store's response, `None` at its end; returns what there is to forward.
+    /// Handles the next frame of a store's response, or its end if `frame` is `None`. Returns the events to forward, if any. A
+    /// response that fails or ends within an event counts as interrupted, so the stream is resumed.
     fn on_frame(
         &mut self,
         source: Box<SourceStream>,
         frame: Option<Result<Bytes, ()>>,
     ) -> Option<Result<Bytes, CloseConnection>> {
         match frame {
-            Some(Ok(data)) => match self.events.push(&data) {
+            Some(Ok(data)) => match self.event_buffer.push(&data) {
                 Ok(events) => {
                     self.state = State::Reading(source);
                     (!events.is_empty()).then_some(Ok(events))
                 }
                 Err(_) => Some(Err(CloseConnection)),
             },
-            None if !self.events.is_partial() => None,
+            None if !self.event_buffer.has_partial_event() => None,
             None | Some(Err(())) => {
                 self.state = self.resume(source);
                 None
@@ -107,8 +110,8 @@
 
 impl SourceStream {
     fn new(attempts: Attempts, response: StreamedResponse) -> Self {
-        let StreamedResponse { body, store, in_flight, .. } = response;
-        Self { attempts, body, store, _in_flight: in_flight }
+        let StreamedResponse { body, store, in_flight_guard, .. } = response;
+        Self { attempts, body, store, _in_flight_guard: in_flight_guard }
     }
 
     fn poll(&mut self, context: &mut Context<'_>) -> Poll<Option<Result<Bytes, ()>>> {
--- a/system/data/src/front/budget.rs
+++ b/system/data/src/front/budget.rs
@@ -1,54 +1,59 @@
-//! Admission control: bounds on the requests in flight, and on the bytes of their bodies.
+//! Admission control: limits the number of requests in flight, and the total size of their bodies.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// What requests use, and the limits.
+/// Number of requests in flight and bytes reserved for their bodies, with the limits of both.
 pub struct RequestBudget {
-    requests: Cell<usize>,
-    bytes: Cell<usize>,
+    requests_in_flight: Cell<usize>,
+    reserved_bytes: Cell<usize>,
     max_requests: usize,
-    max_bytes: usize,
+    max_reserved_bytes: usize,
 }
 
-/// The share of one request in the budget; dropping it returns the share.
+/// Share of one request in the budget. Dropping it returns the share.
 pub struct RequestPermit {
     budget: Rc<RequestBudget>,
-    bytes: usize,
+    reserved_bytes: usize,
 }
 
 impl RequestBudget {
-    /// A budget of which nothing is in use.
+    /// Creates a budget of which nothing is in use.
     #[must_use]
-    pub fn new(max_requests: usize, max_bytes: usize) -> Rc<Self> {
-        Rc::new(Self { requests: Cell::new(0), bytes: Cell::new(0), max_requests, max_bytes })
+    pub fn new(max_requests: usize, max_reserved_bytes: usize) -> Rc<Self> {
+        Rc::new(Self {
+            requests_in_flight: Cell::new(0),
+            reserved_bytes: Cell::new(0),
+            max_requests,
+            max_reserved_bytes,
+        })
     }
 
-    /// The number of requests in flight.
-    pub fn requests(&self) -> usize {
-        self.requests.get()
+    /// Number of requests in flight.
+    pub fn requests_in_flight(&self) -> usize {
+        self.requests_in_flight.get()
     }
 
-    /// Admits one more request, without a body yet; `None` if the limit is reached.
+    /// Admits one more request, with no bytes reserved yet; `None` if the maximum number of requests is reached.
     pub fn admit(self: &Rc<Self>) -> Option<RequestPermit> {
-        if self.requests.get() >= self.max_requests {
+        if self.requests_in_flight.get() >= self.max_requests {
             return None;
         }
-        self.requests.set(self.requests.get() + 1);
-        Some(RequestPermit { budget: Rc::clone(self), bytes: 0 })
+        self.requests_in_flight.set(self.requests_in_flight.get() + 1);
+        Some(RequestPermit { budget: Rc::clone(self), reserved_bytes: 0 })
     }
 }
 
 impl RequestPermit {
-    /// Reserves more bytes of the body; returns whether the limit permits that.
+    /// Reserves more bytes for the body of the request. Returns false if that would exceed the limit.
     pub fn try_reserve(&mut self, bytes: usize) -> bool {
-        let used = self.budget.bytes.get();
-        // A single body is always admitted: the configuration bounds its length.
-        if used > 0 && used + bytes > self.budget.max_bytes {
+        let reserved = self.budget.reserved_bytes.get();
+        // The reservation is always granted while no bytes are reserved: the configuration bounds the length of a single body.
+        if reserved > 0 && reserved + bytes > self.budget.max_reserved_bytes {
             return false;
         }
-        self.budget.bytes.set(used + bytes);
-        self.bytes += bytes;
+        self.budget.reserved_bytes.set(reserved + bytes);
+        self.reserved_bytes += bytes;
         true
     }
 }
@@ -56,7 +61,7 @@
 impl Drop for RequestPermit {
     fn drop(&mut self) {
         let budget = &self.budget;
-        budget.requests.set(budget.requests.get().saturating_sub(1));
-        budget.bytes.set(budget.bytes.get().saturating_sub(self.bytes));
+        budget.requests_in_flight.set(budget.requests_in_flight.get().saturating_sub(1));
+        budget.reserved_bytes.set(budget.reserved_bytes.get().saturating_sub(self.reserved_bytes));
     }
 }
--- a/system/data/src/front/client_stream.rs
+++ b/system/data/src/front/client_stream.rs
@@ -1,4 +1,4 @@
-//! A client's socket that records when the head of a request starts to arrive.
+//! Socket of a client connection that records when the head of a request starts to arrive.
 
 use std::cell::Cell;
 use std::io;
@@ -13,7 +13,7 @@
 use super::connection_table::Phase;
 use crate::Shared;
 
-/// A client's socket.
+/// Socket of a client connection. The first read after an idle phase starts the phase [`Phase::ReadingHead`].
 pub(super) struct ClientStream {
     stream: TokioIo<TcpStream>,
     phase: Rc<Cell<Phase>>,
@@ -21,7 +21,7 @@
 }
 
 impl ClientStream {
-    /// A socket that updates `phase`.
+    /// Wraps a socket that updates `phase`.
     pub(super) fn new(stream: TcpStream, phase: Rc<Cell<Phase>>, shared: Rc<Shared>) -> Self {
         Self { stream: TokioIo::new(stream), phase, shared }
     }
--- a/system/data/src/front/connection_table.rs
+++ b/system/data/src/front/connection_table.rs
@@ -1,4 +1,4 @@
-//! The table of client connections: the phase of each, and which have exceeded its time-out.
+//! Table of client connections, with the phase of each connection and the timeouts of the phases.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -7,7 +7,7 @@
 use slotmap::{DefaultKey, SlotMap};
 use tokio::task::AbortHandle;
 
-/// The phase of a connection, and its start.
+/// Phase of a client connection; where the phase has a timeout, with its start on the clock of [`crate::Shared::now`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
     /// No request is in flight.
@@ -18,17 +18,17 @@
     InRequest,
 }
 
-/// The time-outs of the phases.
+/// Timeouts of the phases of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConnectionTimeouts {
-    /// Of [`Phase::Idle`].
+    /// Timeout of [`Phase::Idle`].
     pub idle: Duration,
-    /// Of [`Phase::ReadingHead`].
+    /// Timeout of [`Phase::ReadingHead`].
     pub head: Duration,
 }
 
 impl Phase {
-    /// Whether the time-out of this phase has expired.
+    /// Whether the timeout of this phase has expired.
     #[must_use]
     pub fn is_expired(self, now: Duration, timeouts: ConnectionTimeouts) -> bool {
         match self {
@@ -39,33 +39,35 @@
     }
 }
 
+/// Phase of a connection, and the task that serves it.
 struct TableEntry {
     phase: Rc<Cell<Phase>>,
     task: Option<AbortHandle>,
 }
 
-/// All client connections.
+/// Table of all client connections, with a maximum size.
 pub struct ConnectionTable {
     entries: RefCell<SlotMap<DefaultKey, TableEntry>>,
     limit: usize,
 }
 
-/// The entry of one connection in the table; dropping this removes it.
+/// Handle of the entry of one connection in the table. Dropping it removes the entry.
 pub struct ConnectionEntry {
     table: Rc<ConnectionTable>,
     key: DefaultKey,
-    /// The phase of the connection.
+    /// Phase of the connection, shared with the table.
     pub phase: Rc<Cell<Phase>>,
 }
 
 impl ConnectionTable {
-    /// An empty table for at most `limit` connections.
+    /// Creates an empty table for at most `limit` connections.
     #[must_use]
     pub fn new(limit: usize) -> Rc<Self> {
         Rc::new(Self { entries: RefCell::default(), limit })
     }
 
-    /// Adds a new connection. If the table is full, the one that was idle for longest is closed; `None` if none is idle.
+    /// Adds a new connection. If the table is full, the connection that has been idle for longest is closed; `None` if no connection
+    /// is idle.
     pub fn insert(self: &Rc<Self>, now: Duration) -> Option<ConnectionEntry> {
         if self.entries.borrow().len() >= self.limit && !self.close_longest_idle() {
             return None;
@@ -75,26 +77,27 @@
         Some(ConnectionEntry { table: Rc::clone(self), key, phase })
     }
 
-    /// Closes connections whose time-out has expired.
+    /// Closes connections whose timeout has expired.
     pub fn close_expired(&self, now: Duration, timeouts: ConnectionTimeouts) {
         self.close_if(|phase| phase.is_expired(now, timeouts));
     }
 
-    /// Closes connections that were idle for at least that time.
+    /// Closes connections that have been idle for at least `min_idle`.
     pub fn close_idle(&self, now: Duration, min_idle: Duration) {
         self.close_if(|phase| matches!(phase, Phase::Idle(since) if now.saturating_sub(since) >= min_idle));
     }
 
-    /// The number of connections.
+    /// Number of connections.
     pub fn len(&self) -> usize {
         self.entries.borrow().len()
     }
 
-    /// Whether there is none.
+    /// Whether the table has no connections.
     pub fn is_empty(&self) -> bool {
         self.entries.borrow().is_empty()
     }
 
+    /// Aborts the tasks of the connections whose phase satisfies a condition.
     fn close_if(&self, should_close: impl Fn(Phase) -> bool) {
         for entry in self.entries.borrow().values().filter(|entry| should_close(entry.phase.get())) {
             if let Some(task) = &entry.task {
@@ -103,6 +106,7 @@
         }
     }
 
+    /// Closes the connection that has been idle for longest. Returns whether there was an idle one.
     fn close_longest_idle(&self) -> bool {
         let mut entries = self.entries.borrow_mut();
         let idle = entries.iter().filter_map(|(key, entry)| match entry.phase.get() {
@@ -118,14 +122,14 @@
 }
 
 impl ConnectionEntry {
-    /// Sets the task that serves a connection, which is aborted to close it.
+    /// Sets the task that serves a connection; it is aborted to close the connection.
     pub fn set_task(table: &ConnectionTable, key: DefaultKey, task: AbortHandle) {
         if let Some(entry) = table.entries.borrow_mut().get_mut(key) {
             entry.task = Some(task);
         }
     }
 
-    /// Its key in the table.
+    /// Key of the entry in the table.
     pub fn key(&self) -> DefaultKey {
         self.key
     }
--- a/system/data/src/front/mod.rs
+++ b/system/data/src/front/mod.rs
@@ -1,4 +1,4 @@
-//! The front: accepts connections of clients, bounds what they use, and handles their requests.
+//! Front end of the edge: accepts client connections, limits the resources that they use, and handles their requests.
 
 mod budget;
 mod client_stream;
--- a/system/data/src/front/request_body.rs
+++ b/system/data/src/front/request_body.rs
@@ -1,4 +1,4 @@
-//! Reads the complete body of a client's request, within the limits.
+//! Reads the complete body of a client's request, within the limits on its length and on all bodies together.
 
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
@@ -7,13 +7,13 @@
 
 use super::budget::RequestPermit;
 
-/// Why a body was not read.
+/// Why the body of a request was not read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 pub(super) enum BodyError {
-    /// It is longer than the configuration allows.
+    /// The body is longer than the configuration allows.
     #[snafu(display("the body is longer than the configuration allows"))]
     TooLong,
-    /// The budget is exhausted, or the body did not arrive before the deadline.
+    /// The byte budget is exhausted, or the body did not arrive before the deadline.
     #[snafu(display("the body is not admitted now"))]
     NotAdmitted,
     /// The client closed its connection.
@@ -21,12 +21,12 @@
     Disconnected,
 }
 
-/// Reads a body of at most `max_bytes`, which the permit has to admit.
+/// Reads a body of at most `max_bytes`, and reserves its bytes in the budget.
 ///
 /// # Errors
 ///
-/// [`BodyError`]; part of the body may be left unread.
-pub(super) async fn read(
+/// [`BodyError`] if the body cannot be read completely; the rest of it is left unread.
+pub(super) async fn read_body(
     mut body: Incoming,
     max_bytes: usize,
     permit: &mut RequestPermit,
@@ -40,12 +40,12 @@
         log::debug!(length; "request body not admitted: budget exhausted");
         return Err(BodyError::NotAdmitted);
     }
-    let Some(first) = next(&mut body).await? else { return Ok(Bytes::new()) };
+    let Some(first_data) = next_data(&mut body).await? else { return Ok(Bytes::new()) };
     if body.is_end_stream() {
-        return Ok(first);
+        return Ok(first_data);
     }
-    let mut complete = BytesMut::with_capacity(announced_length.unwrap_or(first.len()));
-    let mut data = first;
+    let mut complete = BytesMut::with_capacity(announced_length.unwrap_or(first_data.len()));
+    let mut data = first_data;
     loop {
         if complete.len() + data.len() > max_bytes {
             return Err(BodyError::TooLong);
@@ -54,14 +54,15 @@
             return Err(BodyError::NotAdmitted);
         }
         complete.extend_from_slice(&data);
-        match next(&mut body).await? {
+        match next_data(&mut body).await? {
             Some(next) => data = next,
             None => return Ok(complete.freeze()),
         }
     }
 }
 
-async fn next(body: &mut Incoming) -> Result<Option<Bytes>, BodyError> {
+/// Reads the data of the next frame; `None` at the end of the body.
+async fn next_data(body: &mut Incoming) -> Result<Option<Bytes>, BodyError> {
     while let Some(frame) = body.frame().await {
         if let Ok(data) = frame.map_err(|_| BodyError::Disconnected)?.into_data() {
             return Ok(Some(data));
--- a/system/data/src/front/server.rs
+++ b/system/data/src/front/server.rs
@@ -1,4 +1,4 @@
-//! Accepts clients' connections, serves them, and bounds what they use.
+//! Accepts and serves client connections, within limits derived from those of the process.
 
 use std::pin::Pin;
 use std::rc::Rc;
@@ -19,80 +19,80 @@
 use super::service;
 use crate::{CloseConnection, ReplyBody, Shared};
 
-/// File descriptors reserved for the platform and other files.
+/// Number of file descriptors reserved for the platform and other files.
 const RESERVED_DESCRIPTORS: u64 = 200;
-/// One in so many descriptors is reserved for internal messages and readiness.
+/// One in this many of the remaining descriptors is reserved for internal messages and readiness checks.
 const INTERNAL_DESCRIPTOR_DIVISOR: u64 = 8;
-/// The approximate memory of an idle client connection.
-const CONNECTION_BYTES: u64 = 32 * 1024;
-/// The approximate memory of a request in flight, without its body.
-const REQUEST_BYTES: u64 = 32 * 1024;
-/// Connections, requests and bodies may each use one part in so many of the memory.
-const MEMORY_DIVISOR: u64 = 6;
+/// Approximate memory use of an idle client connection.
+const CONNECTION_MEMORY_BYTES: u64 = 32 * 1024;
+/// Approximate memory use of a request in flight, without its body.
+const REQUEST_MEMORY_BYTES: u64 = 32 * 1024;
+/// Connections, requests and bodies may each use the memory of the process divided by this.
+const MEMORY_SHARE_DIVISOR: u64 = 6;
 const MEBIBYTE: u64 = 1024 * 1024;
-/// The least size of the buffer for a head.
-const MIN_HEAD_BYTES: usize = 16 * 1024;
-/// The most header fields in a head.
-const MAX_FIELDS: usize = 256;
-/// The time-outs where the configuration sets none.
+/// Lower bound of the buffer size for a request head.
+const MIN_HEAD_BUFFER_BYTES: usize = 16 * 1024;
+/// Maximum number of header fields in a request head.
+const MAX_HEADER_FIELDS: usize = 256;
+/// Timeouts of client connections if the configuration sets none.
 const DEFAULT_TIMEOUTS: ConnectionTimeouts =
     ConnectionTimeouts { idle: Duration::from_secs(60), head: Duration::from_secs(10) };
-/// An idle connection is closed this much later than the configuration promises.
-const IDLE_MARGIN: Duration = Duration::from_secs(1);
-/// The backoff after an error of `accept`, for instance for want of descriptors.
+/// An idle connection is closed this long after the idle timeout that the configuration promises to clients.
+const IDLE_TIMEOUT_MARGIN: Duration = Duration::from_secs(1);
+/// Delay after an error of `accept`, for instance if no descriptors are left.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
 
-/// The limits of the front.
+/// Limits of the front end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FrontLimits {
-    /// Connections of clients.
+    /// Maximum number of client connections.
     pub connections: usize,
-    /// Connections to stores.
+    /// Maximum number of connections to all stores together.
     pub store_connections: usize,
-    /// Requests in flight.
+    /// Maximum number of requests in flight.
     pub requests: usize,
-    /// Bytes of their bodies.
+    /// Maximum number of bytes of their bodies together.
     pub body_bytes: usize,
 }
 
-/// Derives the limits of the front from those of the process.
+/// Derives the limits of the front end from those of the process.
 #[must_use]
 pub fn front_limits(limits: &ProcessLimits) -> FrontLimits {
     let descriptors = limits.file_descriptors.saturating_sub(RESERVED_DESCRIPTORS);
     let descriptors = (descriptors - descriptors / INTERNAL_DESCRIPTOR_DIVISOR) / 2;
-    let memory = limits.memory_mb * MEBIBYTE / MEMORY_DIVISOR;
-    let bounded = |count: u64| usize::try_from(count.max(1)).unwrap_or(usize::MAX);
+    let memory_share_bytes = limits.memory_mb * MEBIBYTE / MEMORY_SHARE_DIVISOR;
+    let at_least_one = |count: u64| usize::try_from(count.max(1)).unwrap_or(usize::MAX);
     FrontLimits {
-        connections: bounded(descriptors.min(memory / CONNECTION_BYTES)),
-        store_connections: bounded(descriptors),
-        requests: bounded(memory / REQUEST_BYTES),
-        body_bytes: bounded(memory),
+        connections: at_least_one(descriptors.min(memory_share_bytes / CONNECTION_MEMORY_BYTES)),
+        store_connections: at_least_one(descriptors),
+        requests: at_least_one(memory_share_bytes / REQUEST_MEMORY_BYTES),
+        body_bytes: at_least_one(memory_share_bytes),
     }
 }
 
-/// The state of the front.
+/// State of the front end.
 pub struct Front {
-    /// Connections of clients.
+    /// Client connections.
     pub connections: Rc<ConnectionTable>,
-    /// The budget of requests.
+    /// Admission control of requests.
     pub budget: Rc<RequestBudget>,
 }
 
 impl Front {
-    /// A front without connections.
+    /// Creates a front end without connections.
     #[must_use]
     pub fn new(limits: FrontLimits) -> Rc<Self> {
         let connections = ConnectionTable::new(limits.connections);
         Rc::new(Self { connections, budget: RequestBudget::new(limits.requests, limits.body_bytes) })
     }
 
-    /// Closes connections whose time-out has expired.
+    /// Closes connections whose timeout has expired.
     pub fn close_expired(&self, shared: &Shared) {
-        self.connections.close_expired(shared.now(), timeouts(shared));
+        self.connections.close_expired(shared.now(), connection_timeouts(shared));
     }
 }
 
-/// Accepts connections until the task is aborted.
+/// Accepts client connections until the task is aborted.
 pub async fn serve(shared: Rc<Shared>, front: Rc<Front>, listener: TcpListener) {
     loop {
         match listener.accept().await {
@@ -111,8 +111,8 @@
         return;
     }
     let key = entry.key();
-    let serving = serve_connection(Rc::clone(shared), Rc::clone(&front.budget), entry, stream);
-    let task = tokio::task::spawn_local(serving);
+    let connection_task = serve_connection(Rc::clone(shared), Rc::clone(&front.budget), entry, stream);
+    let task = tokio::task::spawn_local(connection_task);
     ConnectionEntry::set_task(&front.connections, key, task.abort_handle());
 }
 
@@ -123,7 +123,7 @@
     stream: TcpStream,
 ) {
     let socket = ClientStream::new(stream, Rc::clone(&entry.phase), Rc::clone(&shared));
-    let max_head_bytes = max_head_bytes(&shared);
+    let head_buffer_bytes = head_buffer_bytes(&shared);
     let phase = Rc::clone(&entry.phase);
     let service = service_fn(move |request: Request<Incoming>| {
         let idle_on_drop = IdleOnDrop { phase: Rc::clone(&phase), shared: Rc::clone(&shared) };
@@ -131,7 +131,7 @@
         handle(Rc::clone(&shared), Rc::clone(&budget), request, idle_on_drop)
     });
     let mut builder = http1::Builder::new();
-    builder.max_buf_size(max_head_bytes).max_headers(MAX_FIELDS).auto_date_header(false);
+    builder.max_buf_size(head_buffer_bytes).max_headers(MAX_HEADER_FIELDS).auto_date_header(false);
     if let Err(error) = builder.serve_connection(socket, service).await {
         log::debug!("client connection failed: {error}");
     }
@@ -151,31 +151,33 @@
     Ok(reply.map(|body| TrackedBody { body, _idle_on_drop: idle_on_drop }))
 }
 
-fn limits(shared: &Shared) -> Option<Limits> {
+fn configured_limits(shared: &Shared) -> Option<Limits> {
     shared.configuration().and_then(|configuration| configuration.limits.clone())
 }
 
-fn max_head_bytes(shared: &Shared) -> usize {
-    let configured = limits(shared).map_or(0, |limits| limits.max_header_bytes);
+/// Returns the size of the buffer for a request head: twice the configured maximum of the header bytes, within bounds.
+fn head_buffer_bytes(shared: &Shared) -> usize {
+    let configured = configured_limits(shared).map_or(0, |limits| limits.max_header_bytes);
     usize::try_from(configured.saturating_mul(2))
         .unwrap_or(usize::MAX)
-        .clamp(MIN_HEAD_BYTES, MEBIBYTE as usize)
+        .clamp(MIN_HEAD_BUFFER_BYTES, MEBIBYTE as usize)
 }
 
-fn timeouts(shared: &Shared) -> ConnectionTimeouts {
-    let from = |milliseconds: f64, default: Duration| {
+/// Returns the timeouts of client connections from the configuration, or the default ones.
+fn connection_timeouts(shared: &Shared) -> ConnectionTimeouts {
+    let duration_or = |milliseconds: f64, default: Duration| {
         Duration::try_from_secs_f64(milliseconds / 1_000.0)
             .ok()
             .filter(|time| !time.is_zero())
             .unwrap_or(default)
     };
-    limits(shared).map_or(DEFAULT_TIMEOUTS, |limits| ConnectionTimeouts {
-        idle: from(limits.idle_timeout_ms, DEFAULT_TIMEOUTS.idle) + IDLE_MARGIN,
-        head: from(limits.header_timeout_ms, DEFAULT_TIMEOUTS.head),
+    configured_limits(shared).map_or(DEFAULT_TIMEOUTS, |limits| ConnectionTimeouts {
+        idle: duration_or(limits.idle_timeout_ms, DEFAULT_TIMEOUTS.idle) + IDLE_TIMEOUT_MARGIN,
+        head: duration_or(limits.header_timeout_ms, DEFAULT_TIMEOUTS.head),
     })
 }
 
-/// Marks the connection as idle when it is dropped.
+/// Marks the connection as idle when this is dropped.
 struct IdleOnDrop {
     phase: Rc<std::cell::Cell<Phase>>,
     shared: Rc<Shared>,
@@ -187,7 +189,7 @@
     }
 }
 
-/// The body of a reply; when it is dropped, the connection is idle.
+/// Body of a reply. When it is dropped, the connection becomes idle.
 struct TrackedBody {
     body: ReplyBody,
     _idle_on_drop: IdleOnDrop,
--- a/system/data/src/front/service.rs
+++ b/system/data/src/front/service.rs
@@ -1,4 +1,4 @@
-//! Handles one request of a client: by its route, at a store or by the driver of batch jobs.
+//! Handles a client's request by its route: forwards it to a store, or passes it to the trainers' API of batch jobs.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -9,7 +9,7 @@
 use tokio::time::timeout;
 
 use super::budget::{RequestBudget, RequestPermit};
-use super::request_body::{read, BodyError};
+use super::request_body::{read_body, BodyError};
 use crate::forward::{
     Attempts, ForwardError, ForwardedResponse, OutgoingRequest, ResumableStream, StreamedBody,
     StreamedResponse,
@@ -17,28 +17,30 @@
 use crate::routing::{failure_response, request_deadline, retry_after, FailureResponse, RouteEntry};
 use crate::{headers, rollout, CloseConnection, Reply, ReplyBody, Shared};
 
-/// Path prefixes of the trainers' API beside submissions.
-const JOB_PATHS: [&str; 2] = ["/lots/", "/items/"];
-/// The time-out of the body of a trainer's request.
+/// Path prefixes of the trainers' API, except for submissions, which have a route of their own.
+const JOB_PATH_PREFIXES: [&str; 2] = ["/lots/", "/items/"];
+/// Timeout for reading the body of a trainer's request.
 const JOB_BODY_TIMEOUT: Duration = Duration::from_secs(20);
-/// The longest body where the configuration sets no limit.
+/// Maximum length of a request body if the configuration sets none.
 const DEFAULT_MAX_BODY_BYTES: u64 = 32 * 1024 * 1024;
-/// The assumed time left, and latency target, of a request whose route isn't known.
+/// Assumed time left and assumed latency target of a request whose route is not known.
 const DEFAULT_TIME_LEFT: Duration = Duration::from_secs(1);
 
-/// Handles a request.
+/// Handles a client's request.
 pub(super) async fn handle(
     shared: Rc<Shared>,
     budget: Rc<RequestBudget>,
     request: Request<Incoming>,
 ) -> Result<Reply, CloseConnection> {
-    let Some(permit) = budget.admit() else { return Ok(unavailable(DEFAULT_TIME_LEFT, DEFAULT_TIME_LEFT)) };
+    let Some(permit) = budget.admit() else {
+        return Ok(unavailable_reply(DEFAULT_TIME_LEFT, DEFAULT_TIME_LEFT));
+    };
     let path = request.uri().path();
-    if JOB_PATHS.iter().any(|prefix| path.starts_with(prefix)) {
+    if JOB_PATH_PREFIXES.iter().any(|prefix| path.starts_with(prefix)) {
         return handle_job_request(shared, permit, request).await;
     }
     match shared.route(host(&request), path) {
-        None => Ok(no_route(&shared)),
+        None => Ok(no_route_reply(&shared)),
         Some(route) if route.kind == RouteKind::Deployment => {
             handle_job_request(shared, permit, request).await
         }
@@ -46,18 +48,18 @@
     }
 }
 
-/// The host that a request names.
+/// Returns the host of a request, from its URI or its `Host` header.
 fn host(request: &Request<Incoming>) -> &str {
-    let named = request.uri().host();
-    named.or_else(|| headers::text(request.headers(), &header::HOST)).unwrap_or_default()
+    let uri_host = request.uri().host();
+    uri_host.or_else(|| headers::text(request.headers(), &header::HOST)).unwrap_or_default()
 }
 
-/// The response where no route matches: 404 only if this edge is certain that its configuration is the newest.
-fn no_route(shared: &Shared) -> Reply {
+/// Returns the reply if no route matches: 404 only if this edge is certain that its configuration is the newest one, else 503.
+fn no_route_reply(shared: &Shared) -> Reply {
     if shared.configuration().is_some() && shared.is_registry_fresh() {
-        ReplyBody::status(StatusCode::NOT_FOUND)
+        ReplyBody::empty_reply(StatusCode::NOT_FOUND)
     } else {
-        unavailable(DEFAULT_TIME_LEFT, DEFAULT_TIME_LEFT)
+        unavailable_reply(DEFAULT_TIME_LEFT, DEFAULT_TIME_LEFT)
     }
 }
 
@@ -67,13 +69,14 @@
     request: Request<Incoming>,
 ) -> Result<Reply, CloseConnection> {
     let (head, body) = request.into_parts();
-    let reading = timeout(JOB_BODY_TIMEOUT, read(body, max_body(&shared), &mut permit));
-    match reading.await.map_err(|_elapsed| CloseConnection)? {
+    let body_read = timeout(JOB_BODY_TIMEOUT, read_body(body, max_body_bytes(&shared), &mut permit));
+    match body_read.await.map_err(|_elapsed| CloseConnection)? {
         Ok(body) => rollout::trainer_api::handle(shared, Request::from_parts(head, body)).await,
-        Err(error) => body_not_read(error, DEFAULT_TIME_LEFT, DEFAULT_TIME_LEFT),
+        Err(error) => body_error_reply(error, DEFAULT_TIME_LEFT, DEFAULT_TIME_LEFT),
     }
 }
 
+/// Reads the body of a request and forwards the request to a store.
 async fn forward(
     shared: Rc<Shared>,
     route: Rc<RouteEntry>,
@@ -81,33 +84,33 @@
     request: Request<Incoming>,
 ) -> Result<Reply, CloseConnection> {
     if !request.headers().contains_key(headers::ATTEMPT_ID) {
-        return Ok(ReplyBody::status(StatusCode::BAD_REQUEST));
+        return Ok(ReplyBody::empty_reply(StatusCode::BAD_REQUEST));
     }
     let client_deadline = headers::milliseconds(request.headers(), &headers::DEADLINE_MS);
     let deadline = request_deadline(shared.now(), client_deadline, route.timeout);
     let (head, body) = request.into_parts();
     let time_left = deadline.saturating_sub(shared.now());
-    let objective = route.objective;
-    let body = match timeout(time_left, read(body, max_body(&shared), &mut permit)).await {
+    let target_latency = route.target_latency;
+    let body = match timeout(time_left, read_body(body, max_body_bytes(&shared), &mut permit)).await {
         Ok(Ok(body)) => body,
-        Ok(Err(error)) => return body_not_read(error, time_left, objective),
-        Err(_elapsed) => return body_not_read(BodyError::NotAdmitted, Duration::ZERO, objective),
+        Ok(Err(error)) => return body_error_reply(error, time_left, target_latency),
+        Err(_elapsed) => return body_error_reply(BodyError::NotAdmitted, Duration::ZERO, target_latency),
     };
     let outgoing = Rc::new(OutgoingRequest::new(Request::from_parts(head, body), route, deadline));
     let mut attempts = Attempts::new(Rc::clone(&shared), outgoing);
     match attempts.run(None).await {
-        Ok(response) => Ok(forward_response(shared, response, attempts, permit)),
-        Err(error) => Ok(no_response(error, attempts.time_left(), objective)),
+        Ok(response) => Ok(response_reply(shared, response, attempts, permit)),
+        Err(error) => Ok(forward_error_reply(error, attempts.time_left(), target_latency)),
     }
 }
 
-fn max_body(shared: &Shared) -> usize {
+fn max_body_bytes(shared: &Shared) -> usize {
     let limits = shared.configuration().and_then(|configuration| configuration.limits.clone());
     let max_bytes = limits.map_or(0, |limits: Limits| limits.max_body_bytes);
     usize::try_from(if max_bytes == 0 { DEFAULT_MAX_BODY_BYTES } else { max_bytes }).unwrap_or(usize::MAX)
 }
 
-fn forward_response(
+fn response_reply(
     shared: Rc<Shared>,
     response: ForwardedResponse,
     attempts: Attempts,
@@ -131,6 +134,7 @@
     reply
 }
 
+/// Returns the body of a reply that is forwarded while it arrives; on a resumable route, one that is resumed at another store.
 fn streamed_body(
     shared: Rc<Shared>,
     streamed: StreamedResponse,
@@ -145,36 +149,40 @@
     ReplyBody::Streamed(Box::pin(StreamedBody::new(shared, streamed, deadline, permit)))
 }
 
-fn no_response(error: ForwardError, time_left: Duration, objective: Duration) -> Reply {
+fn forward_error_reply(error: ForwardError, time_left: Duration, target_latency: Duration) -> Reply {
     match error {
-        ForwardError::BadRequest { .. } => ReplyBody::status(StatusCode::BAD_REQUEST),
+        ForwardError::BadRequest { .. } => ReplyBody::empty_reply(StatusCode::BAD_REQUEST),
         ForwardError::AttemptsExhausted { verdict } => {
-            reply_of(failure_response(verdict, time_left, objective))
+            failure_reply(failure_response(verdict, time_left, target_latency))
         }
     }
 }
 
-fn body_not_read(
+fn body_error_reply(
     error: BodyError,
     time_left: Duration,
-    objective: Duration,
+    target_latency: Duration,
 ) -> Result<Reply, CloseConnection> {
     match error {
         BodyError::Disconnected => Err(CloseConnection),
-        BodyError::TooLong => Ok(with_connection_close(ReplyBody::status(StatusCode::PAYLOAD_TOO_LARGE))),
-        BodyError::NotAdmitted => {
-            Ok(with_connection_close(reply_of(failure_response(Verdict::NeverRan, time_left, objective))))
+        BodyError::TooLong => {
+            Ok(with_connection_close(ReplyBody::empty_reply(StatusCode::PAYLOAD_TOO_LARGE)))
         }
+        BodyError::NotAdmitted => Ok(with_connection_close(failure_reply(failure_response(
+            Verdict::NeverRan,
+            time_left,
+            target_latency,
+        )))),
     }
 }
 
-fn unavailable(time_left: Duration, objective: Duration) -> Reply {
-    let retry_after = Some(retry_after(time_left, objective));
-    reply_of(FailureResponse { status: StatusCode::SERVICE_UNAVAILABLE, retry_after })
+fn unavailable_reply(time_left: Duration, target_latency: Duration) -> Reply {
+    let retry_after = Some(retry_after(time_left, target_latency));
+    failure_reply(FailureResponse { status: StatusCode::SERVICE_UNAVAILABLE, retry_after })
 }
 
-fn reply_of(failure: FailureResponse) -> Reply {
-    let mut reply = ReplyBody::status(failure.status);
+fn failure_reply(failure: FailureResponse) -> Reply {
+    let mut reply = ReplyBody::empty_reply(failure.status);
     if let Some(retry_after) = failure.retry_after {
         let seconds = format!("{:.3}", retry_after.as_secs_f64());
         if let Ok(value) = HeaderValue::from_str(&seconds) {
--- a/system/data/src/headers.rs
+++ b/system/data/src/headers.rs
@@ -1,35 +1,35 @@
-//! The headers that an edge reads or sets, and those that concern one connection only.
+//! HTTP headers that an edge reads or sets, and the removal of hop-by-hop headers.
 
 use std::time::Duration;
 
 use hyper::http::header::{self, HeaderMap, HeaderName, HeaderValue};
 
-/// The id of one try; the answer carries it back.
+/// Id of one attempt; the response must carry the same value.
 pub const ATTEMPT_ID: HeaderName = HeaderName::from_static("attempt-id");
-/// How many milliseconds the caller will wait.
+/// Time in milliseconds that the caller will wait for the response.
 pub const DEADLINE_MS: HeaderName = HeaderName::from_static("deadline-ms");
-/// The store that is meant.
+/// Instance id of the store that the request is sent to.
 pub const EXPECTED_INSTANCE: HeaderName = HeaderName::from_static("expected-instance");
-/// The store's stamp.
+/// Signature that a store adds to its own responses.
 pub const SERVER_SIGNATURE: HeaderName = HeaderName::from_static("server-signature");
-/// The store's word that it did not run the request.
+/// Set by a store that did not run the request.
 pub const NOT_EXECUTED: HeaderName = HeaderName::from_static("not-executed");
-/// The store's load.
+/// Load of the store: the numbers of running requests, waiting requests and slots.
 pub const SERVER_LOAD: HeaderName = HeaderName::from_static("server-load");
-/// How long an idle connection is kept.
+/// Time for which the sender keeps an idle connection open.
 pub const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
-/// The event after which a stream goes on.
+/// Id of the event after which a stream is resumed.
 pub const LAST_EVENT_ID: HeaderName = HeaderName::from_static("last-event-id");
-/// The urgency of a request at an engine, 0 to 9.
+/// Priority of a request at an inference engine, from 0 (most urgent) to 9.
 pub const PRIORITY: HeaderName = HeaderName::from_static("priority");
-/// The model of a request for tokens.
+/// Model that a request is for.
 pub const MODEL: HeaderName = HeaderName::from_static("model");
-/// The parts of a prompt.
+/// Parts of the prompt, as `ID:TOKENS,ID:TOKENS`.
 pub const PROMPT_PREFIX: HeaderName = HeaderName::from_static("prompt-prefix");
 
 const PROXY_CONNECTION: HeaderName = HeaderName::from_static("proxy-connection");
 
-/// Headers that concern one connection only, whatever `Connection` names.
+/// Headers that are always hop-by-hop, even if `Connection` does not list them.
 const HOP_BY_HOP: [HeaderName; 8] = [
     header::CONNECTION,
     KEEP_ALIVE,
@@ -41,10 +41,10 @@
     header::UPGRADE,
 ];
 
-/// Takes out what concerns one connection only, and what `Connection` names.
+/// Removes the hop-by-hop headers, including those that `Connection` lists.
 pub fn strip_hop_by_hop(headers: &mut HeaderMap) {
     if headers.contains_key(header::CONNECTION) {
-        for name in named_by_connection(headers) {
+        for name in connection_header_names(headers) {
             headers.remove(name);
         }
     }
@@ -53,19 +53,20 @@
     }
 }
 
-fn named_by_connection(headers: &HeaderMap) -> Vec<HeaderName> {
+/// Returns the names that `Connection` lists, except for headers that must not be dropped.
+fn connection_header_names(headers: &HeaderMap) -> Vec<HeaderName> {
     headers
         .get_all(header::CONNECTION)
         .iter()
         .filter_map(|value| value.to_str().ok())
         .flat_map(|value| value.split(','))
         .filter_map(|name| name.trim().parse().ok())
-        .filter(|name| !is_end_to_end(name))
+        .filter(|name| !is_protected(name))
         .collect()
 }
 
-/// What a sender can't have dropped by naming it in `Connection`: the message's meaning hangs on it.
-fn is_end_to_end(name: &HeaderName) -> bool {
+/// Whether a header must be kept even if `Connection` lists it, because the meaning of the message depends on it.
+fn is_protected(name: &HeaderName) -> bool {
     [
         ATTEMPT_ID,
         DEADLINE_MS,
@@ -79,7 +80,7 @@
 }
 
 /// Whether the sender closes the connection after this message.
-pub fn closes(headers: &HeaderMap) -> bool {
+pub fn has_connection_close(headers: &HeaderMap) -> bool {
     headers
         .get_all(header::CONNECTION)
         .iter()
@@ -88,38 +89,39 @@
         .any(|token| token.trim().eq_ignore_ascii_case("close"))
 }
 
-/// The text of a header, if it has one.
+/// Returns the value of a header without surrounding white space; `None` if it is missing or not visible ASCII.
 pub fn text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
     headers.get(name).and_then(|value| value.to_str().ok()).map(str::trim)
 }
 
-/// A header that holds milliseconds, fractions too.
+/// Parses a header that holds a time in milliseconds, possibly with a fraction.
 pub fn milliseconds(headers: &HeaderMap, name: &HeaderName) -> Option<Duration> {
     let value: f64 = text(headers, name)?.parse().ok()?;
-    duration(value / 1_000.0)
+    duration_from_seconds(value / 1_000.0)
 }
 
-/// A header that holds seconds, fractions too.
+/// Parses a header that holds a time in seconds, possibly with a fraction.
 pub fn seconds(headers: &HeaderMap, name: &HeaderName) -> Option<Duration> {
-    duration(text(headers, name)?.parse().ok()?)
+    duration_from_seconds(text(headers, name)?.parse().ok()?)
 }
 
-fn duration(seconds: f64) -> Option<Duration> {
-    const LONGEST_S: f64 = 86_400.0;
-    (seconds.is_finite() && seconds >= 0.0).then(|| Duration::from_secs_f64(seconds.min(LONGEST_S)))
+/// Converts seconds to a duration of at most one day; `None` if the number is negative or not finite.
+fn duration_from_seconds(seconds: f64) -> Option<Duration> {
+    const MAX_SECONDS: f64 = 86_400.0;
+    (seconds.is_finite() && seconds >= 0.0).then(|| Duration::from_secs_f64(seconds.min(MAX_SECONDS)))
 }
 
-/// The time that `Keep-Alive: timeout=N` names.
+/// Returns the timeout of a `Keep-Alive: timeout=N` header, where `N` is in seconds.
 #[must_use]
-pub fn keep_alive(headers: &HeaderMap) -> Option<Duration> {
+pub fn keep_alive_timeout(headers: &HeaderMap) -> Option<Duration> {
     text(headers, &KEEP_ALIVE)?
         .split(',')
         .filter_map(|part| part.trim().strip_prefix("timeout="))
-        .find_map(|seconds| duration(seconds.trim().parse().ok()?))
+        .find_map(|seconds| duration_from_seconds(seconds.trim().parse().ok()?))
 }
 
-/// A header value of a number.
+/// Converts a number to a header value.
 #[must_use]
-pub fn number(value: u128) -> HeaderValue {
+pub fn from_number(value: u128) -> HeaderValue {
     HeaderValue::from_str(&value.to_string()).unwrap_or_else(|_| HeaderValue::from_static("0"))
 }
--- a/system/data/src/index.rs
+++ b/system/data/src/index.rs
@@ -1,4 +1,4 @@
-//! An index of the stores that accept requests, by service, updated with each entry of the registry.
+//! Index of the stores that accept requests, by service, updated with each changed entry of the registry.
 
 use std::cell::Cell;
 use std::collections::HashMap;
@@ -11,64 +11,64 @@
 use crate::routing::Candidate;
 use crate::stores::{InFlightCounts, StoreLoad, StoreTarget};
 
-/// A load report older than this is ignored.
+/// Age from which a load report is ignored.
 const LOAD_REPORT_TTL: Duration = Duration::from_millis(500);
 
-/// A store that accepts requests.
+/// Store that accepts requests.
 pub struct KnownStore {
-    /// Its identity and address.
+    /// Identity and address of the store.
     pub target: StoreTarget,
-    /// Requests that it runs at a time.
+    /// Number of requests that the store runs concurrently.
     pub slots: usize,
-    /// Whether it is in this edge's zone.
-    pub is_own_zone: bool,
-    /// Requests that this edge has in flight there.
-    pub in_flight: Rc<Cell<usize>>,
+    /// Whether the store is in this edge's own zone.
+    pub is_in_own_zone: bool,
+    /// Number of requests that this edge has in flight at the store.
+    pub in_flight_requests: Rc<Cell<usize>>,
     load_report: Cell<Option<LoadReport>>,
 }
 
+/// Load report of a store.
 #[derive(Clone, Copy)]
-/// A store's report of its load.
 struct LoadReport {
     load: StoreLoad,
-    /// Requests of others that ran or waited there.
-    others_in_flight: usize,
+    /// Number of requests of other callers that ran or waited at the store.
+    in_flight_from_other_callers: usize,
     received_at: Duration,
 }
 
 impl KnownStore {
-    fn new(id: &str, record: &StoreRecord, zone: &str, counts: &InFlightCounts) -> Self {
+    fn new(id: &str, record: &StoreRecord, zone: &str, in_flight_counts: &InFlightCounts) -> Self {
         let target = StoreTarget {
             id: id.to_owned(),
             address: record.address,
             service: record.service.clone(),
-            takes_requests: Rc::new(Cell::new(true)),
+            accepts_requests: Rc::new(Cell::new(true)),
         };
         Self {
             target,
             slots: record.slots.max(1) as usize,
-            is_own_zone: record.zone == zone,
-            in_flight: counts.counter(id),
+            is_in_own_zone: record.zone == zone,
+            in_flight_requests: in_flight_counts.counter(id),
             load_report: Cell::new(None),
         }
     }
 
-    /// Whether this agrees with the record.
+    /// Whether the store still has the properties of a registry record.
     fn matches(&self, record: &StoreRecord, zone: &str) -> bool {
         self.target.address == record.address
             && self.target.service == record.service
             && self.slots == record.slots.max(1) as usize
-            && self.is_own_zone == (record.zone == zone)
+            && self.is_in_own_zone == (record.zone == zone)
     }
 
-    /// Records a load report of the store.
+    /// Records a load report that the store sent.
     pub fn on_load_report(&self, load: StoreLoad, now: Duration) {
         let total = load.running as usize + load.waiting as usize;
-        let others_in_flight = total.saturating_sub(self.in_flight.get());
-        self.load_report.set(Some(LoadReport { load, others_in_flight, received_at: now }));
+        let in_flight_from_other_callers = total.saturating_sub(self.in_flight_requests.get());
+        self.load_report.set(Some(LoadReport { load, in_flight_from_other_callers, received_at: now }));
     }
 
-    /// The load that the store reported recently.
+    /// Returns the load that the store reported recently.
     pub fn load(&self, now: Duration) -> Option<StoreLoad> {
         self.recent_report(now).map(|report| report.load)
     }
@@ -77,25 +77,27 @@
         self.load_report.get().filter(|report| now.saturating_sub(report.received_at) < LOAD_REPORT_TTL)
     }
 
-    /// Requests of others that ran or waited there by a recent report.
-    pub fn others_in_flight(&self, now: Duration) -> Option<usize> {
-        self.recent_report(now).map(|report| report.others_in_flight)
+    /// Number of requests of other callers that ran or waited at the store, from a recent load report.
+    pub fn in_flight_from_other_callers(&self, now: Duration) -> Option<usize> {
+        self.recent_report(now).map(|report| report.in_flight_from_other_callers)
     }
 
-    /// The store as a candidate for a request, as far as its own state tells; without a recent report, `assumed_others` requests of
-    /// others count.
-    pub fn candidate(&self, now: Duration, assumed_others: usize) -> Candidate {
+    /// Returns the store as a candidate for a request, with the properties that this index has. Without a recent load report,
+    /// `assumed_from_other_callers` requests of other callers are assumed.
+    pub fn candidate(&self, now: Duration, assumed_from_other_callers: usize) -> Candidate {
         Candidate {
-            in_flight: self.in_flight.get(),
-            others_in_flight: self.others_in_flight(now).unwrap_or(assumed_others),
+            in_flight_requests: self.in_flight_requests.get(),
+            in_flight_from_other_callers: self
+                .in_flight_from_other_callers(now)
+                .unwrap_or(assumed_from_other_callers),
             slots: self.slots,
-            is_own_zone: self.is_own_zone,
+            is_in_own_zone: self.is_in_own_zone,
             ..Candidate::default()
         }
     }
 }
 
-/// The stores that accept requests.
+/// Index of the stores that accept requests, by id and by service.
 #[derive(Default)]
 pub struct StoreIndex {
     by_id: HashMap<String, Rc<KnownStore>>,
@@ -103,23 +105,30 @@
 }
 
 impl StoreIndex {
-    /// Applies a change of a store in the registry, `None` if it was removed. Its load report stays while its record does.
-    pub fn update(&mut self, id: &str, record: Option<&StoreRecord>, zone: &str, counts: &InFlightCounts) {
-        let ready = record.filter(|record| record.state == StoreState::Ready);
-        if let (Some(known), Some(record)) = (self.by_id.get(id), ready) {
+    /// Applies a change of a store in the registry; `record` is `None` if the store was removed. The load report of the store is kept
+    /// unless its record has changed.
+    pub fn update(
+        &mut self,
+        id: &str,
+        record: Option<&StoreRecord>,
+        zone: &str,
+        in_flight_counts: &InFlightCounts,
+    ) {
+        let ready_record = record.filter(|record| record.state == StoreState::Ready);
+        if let (Some(known), Some(record)) = (self.by_id.get(id), ready_record) {
             if known.matches(record, zone) {
                 return;
             }
         }
         self.remove(id);
-        if let Some(record) = ready {
-            self.insert(Rc::new(KnownStore::new(id, record, zone, counts)));
+        if let Some(record) = ready_record {
+            self.insert(Rc::new(KnownStore::new(id, record, zone, in_flight_counts)));
         }
     }
 
-    /// The stores of a service that accept requests.
+    /// Returns the stores of a service that accept requests.
     #[must_use]
-    pub fn of_service(&self, service: &str) -> Rc<Vec<Rc<KnownStore>>> {
+    pub fn for_service(&self, service: &str) -> Rc<Vec<Rc<KnownStore>>> {
         self.by_service.get(service).cloned().unwrap_or_default()
     }
 
@@ -137,7 +146,7 @@
 
     fn remove(&mut self, id: &str) {
         let Some(store) = self.by_id.remove(id) else { return };
-        store.target.takes_requests.set(false);
+        store.target.accepts_requests.set(false);
         let Some(stores) = self.by_service.get_mut(&store.target.service) else { return };
         Rc::make_mut(stores).retain(|other| other.target.id != id);
         if stores.is_empty() {
--- a/system/data/src/lib.rs
+++ b/system/data/src/lib.rs
@@ -1,8 +1,7 @@
-//! The data plane: routing, forwarding, streams, and the driver of a batch job.
+//! Data plane: routing, forwarding, streams, and the driver of batch jobs.
 //!
-//! One edge is one process with one thread. [`node::run`] brings it up: internal messages and the registry ([`Shared`]), the
-//! front for clients, readiness, and the driver of batch jobs. All state is shared by `Rc`; nothing here is sent to
-//! another thread.
+//! An edge is a process with one thread. [`node::run`] starts its parts: internal messages and the registry ([`Shared`]), the front
+//! end for clients, the readiness check, and the driver of batch jobs. All state is shared by `Rc` and stays on the thread.
 
 #![warn(unreachable_pub)]
 
--- a/system/data/src/node/heartbeat.rs
+++ b/system/data/src/node/heartbeat.rs
@@ -1,4 +1,4 @@
-//! Heartbeats of this edge to a control node: one in each interval, to the same node as long as it acknowledges them.
+//! Heartbeats of this edge to a control node, sent at a fixed interval to the same node as long as it acknowledges them.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,21 +7,24 @@
 
 use crate::Shared;
 
-/// The time between heartbeats.
-const INTERVAL: Duration = Duration::from_millis(500);
-/// After so many heartbeats without an acknowledgement, another control node is chosen.
-const MAX_UNACKNOWLEDGED: u64 = 2;
-/// The most control nodes that are remembered.
+/// Interval between heartbeats.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
+/// Number of unacknowledged heartbeats after which another control node is chosen.
+const MAX_UNACKNOWLEDGED_HEARTBEATS: u64 = 2;
+/// Maximum number of advertised control nodes that are kept.
 const MAX_CONTROL_NODES: usize = 64;
 
-/// The target of the heartbeats, and what it has acknowledged.
+/// State of the heartbeats: the control node that they are sent to, and the last heartbeat that it acknowledged.
 pub struct Heartbeats {
+    /// Control node that the heartbeats are sent to.
     target: Option<SocketAddr>,
-    /// Control nodes named by the last acknowledgement.
-    advertised: Vec<SocketAddr>,
-    sequence: u64,
-    acknowledged: u64,
-    next_at: Duration,
+    /// Control nodes that the last acknowledgement listed.
+    advertised_nodes: Vec<SocketAddr>,
+    /// Sequence number of the last heartbeat sent.
+    last_sequence: u64,
+    /// Sequence number of the last heartbeat that the target acknowledged, or of the last one sent before the target was chosen.
+    acknowledged_sequence: u64,
+    next_heartbeat_at: Duration,
 }
 
 impl Default for Heartbeats {
@@ -31,54 +34,62 @@
 }
 
 impl Heartbeats {
-    /// The first heartbeat is due immediately.
+    /// Creates the state before the first heartbeat, which is due immediately.
     #[must_use]
     pub fn new() -> Self {
-        Self { target: None, advertised: Vec::new(), sequence: 0, acknowledged: 0, next_at: Duration::ZERO }
+        Self {
+            target: None,
+            advertised_nodes: Vec::new(),
+            last_sequence: 0,
+            acknowledged_sequence: 0,
+            next_heartbeat_at: Duration::ZERO,
+        }
     }
 
-    /// When the next one is due.
+    /// When the next heartbeat is due, on the clock of [`Shared::now`].
     #[must_use]
     pub fn next_timer(&self) -> Duration {
-        self.next_at
+        self.next_heartbeat_at
     }
 
     /// Sends a heartbeat if it is due.
     pub fn on_timer(&mut self, shared: &Shared, now: Duration) {
-        if now < self.next_at {
+        if now < self.next_heartbeat_at {
             return;
         }
-        self.next_at = now + INTERVAL;
-        if self.target.is_none() || self.sequence >= self.acknowledged + MAX_UNACKNOWLEDGED {
-            self.target = self.choose_other(shared);
-            self.acknowledged = self.sequence;
+        self.next_heartbeat_at = now + HEARTBEAT_INTERVAL;
+        if self.target.is_none()
+            || self.last_sequence >= self.acknowledged_sequence + MAX_UNACKNOWLEDGED_HEARTBEATS
+        {
+            self.target = self.choose_new_target(shared);
+            self.acknowledged_sequence = self.last_sequence;
         }
-        self.sequence += 1;
+        self.last_sequence += 1;
         if let Some(target) = self.target {
             let node = node_record(shared);
-            let message = ControlMessage::Heartbeat { node, sequence: self.sequence, report: None };
+            let message = ControlMessage::Heartbeat { node, sequence: self.last_sequence, report: None };
             shared.send(target, &Envelope::Control(message));
         }
     }
 
-    /// A control node acknowledged a heartbeat, and named others.
+    /// Handles the acknowledgement of a heartbeat, which lists the control nodes known to its sender.
     pub fn on_acknowledged(&mut self, from: SocketAddr, sequence: u64, control_nodes: &[SocketAddr]) {
         if Some(from) == self.target {
-            self.acknowledged = self.acknowledged.max(sequence.min(self.sequence));
+            self.acknowledged_sequence = self.acknowledged_sequence.max(sequence.min(self.last_sequence));
         }
         if !control_nodes.is_empty() {
-            self.advertised = control_nodes.iter().copied().take(MAX_CONTROL_NODES).collect();
+            self.advertised_nodes = control_nodes.iter().copied().take(MAX_CONTROL_NODES).collect();
         }
     }
 
-    /// The connection to a peer was lost.
+    /// Clears the target if the connection to it was lost, so that the next heartbeat goes to another control node.
     pub fn on_peer_lost(&mut self, peer: SocketAddr) {
         if self.target == Some(peer) {
             self.target = None;
         }
     }
 
-    /// Announces the end of this process to the control node.
+    /// Notifies the control node that this process is about to exit.
     pub fn send_goodbye(&self, shared: &Shared) {
         if let Some(target) = self.target {
             let message = ControlMessage::Goodbye { incarnation: shared.incarnation };
@@ -86,17 +97,18 @@
         }
     }
 
-    /// All known control nodes: those of the settings, and those named by other control nodes.
+    /// Returns all known control nodes: those of the settings and those that other control nodes advertised.
     pub fn known_control_nodes(&self, shared: &Shared) -> Vec<SocketAddr> {
         let mut known = shared.settings().internal_seeds();
-        known.extend(self.advertised.iter().copied());
+        known.extend(self.advertised_nodes.iter().copied());
         known.sort_unstable();
         known.dedup();
         known
     }
 
-    /// A control node other than the current target: one of the own zone if there is any.
-    fn choose_other(&self, shared: &Shared) -> Option<SocketAddr> {
+    /// Chooses a control node other than the current target, from this edge's own zone if there is one. Keeps the target if no other
+    /// control node is known.
+    fn choose_new_target(&self, shared: &Shared) -> Option<SocketAddr> {
         let zone = shared.zone();
         let own_zone = shared.registry(|registry| {
             let control = registry.nodes().filter(|node| node.role == Role::Control && node.zone == zone);
@@ -113,6 +125,7 @@
     }
 }
 
+/// Describes this edge for the registry.
 fn node_record(shared: &Shared) -> NodeRecord {
     let settings = shared.settings();
     NodeRecord {
--- a/system/data/src/node/mod.rs
+++ b/system/data/src/node/mod.rs
@@ -1,4 +1,4 @@
-//! The edge as a process: starts all parts, dispatches internal messages, runs the periodic work, and shuts down.
+//! Process of an edge: starts all parts, dispatches internal messages, runs periodic work, and shuts down.
 
 mod heartbeat;
 mod readiness;
@@ -23,85 +23,86 @@
 pub use readiness::{is_ready, Readiness};
 pub use shutdown::{Shutdown, ShutdownStep};
 
-/// The interval of the periodic clean-up.
+/// Interval of the periodic clean-up.
 const CLEANUP_INTERVAL: Duration = Duration::from_millis(250);
-/// The interval between two checks of a shutdown.
+/// Interval at which the progress of a shutdown is checked.
 const SHUTDOWN_INTERVAL: Duration = Duration::from_millis(50);
-/// An isolated node reloads its settings this often.
+/// Interval at which a node reloads its settings while its registry is not fresh.
 const RELOAD_INTERVAL: Duration = Duration::from_secs(5);
-/// The shortest sleep until a timer.
+/// Shortest sleep until the next timer.
 const MIN_SLEEP: Duration = Duration::from_millis(1);
-/// The most events of the inbox that are handled in one iteration.
-const INBOX_BATCH: usize = 64;
+/// Maximum number of inbox events that are handled in one iteration of the event loop.
+const MAX_INBOX_BATCH: usize = 64;
 
-/// Why the edge can't run.
+/// Why the edge cannot start.
 #[derive(Debug, Snafu)]
 pub enum NodeError {
-    /// An address to listen on is missing.
+    /// The settings lack an address to listen on.
     #[snafu(display("settings: listen.{key}: an edge needs it"))]
     Missing {
-        /// The key in the settings.
+        /// Key of the address in the section `listen` of the settings.
         key: &'static str,
     },
-    /// An address can't be listened on.
+    /// Listening on an address failed.
     #[snafu(display("listen.{key}: {source}"))]
     Listen {
-        /// The key in the settings.
+        /// Key of the address in the section `listen` of the settings.
         key: &'static str,
-        /// The error of the system.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// Internal messages can't be received.
+    /// The socket for internal messages could not be set up.
     #[snafu(display("internal messages: {source}"))]
     Internal {
-        /// The error of the transport.
+        /// Error of the transport.
         source: TransportError,
     },
-    /// Signals can't be handled.
+    /// The signal handlers could not be installed.
     #[snafu(display("signals: {source}"))]
     Signals {
-        /// The error of the system.
+        /// Error of the operating system.
         source: std::io::Error,
     },
 }
 
-/// Runs an edge until a signal ends it, on a current-thread runtime inside a `LocalSet`. `reload` reads the settings again.
+/// Runs an edge until a signal ends it. Must be called on a current-thread runtime, inside a `LocalSet`. `reload` reads the
+/// settings again.
 ///
 /// # Errors
 ///
-/// A listener, the internal network or the signal handlers can't be set up.
+/// [`NodeError`] if a listener, the internal network or the signal handlers cannot be set up.
 pub async fn run<E: Display>(
     settings: Settings,
     reload: impl Fn() -> Result<Settings, E>,
 ) -> Result<(), NodeError> {
-    let frontend = listen(settings.listen.frontend, "frontend").await?;
-    let readiness = listen(settings.listen.readiness, "readiness").await?;
+    let frontend_listener = listen(settings.listen.frontend, "frontend").await?;
+    let readiness_listener = listen(settings.listen.readiness, "readiness").await?;
     let network = NetworkSettings::new(settings.internal_address());
     let (network, inbox) = Network::bind(network).await.context(InternalSnafu)?;
     let signals = Signals::new().context(SignalsSnafu)?;
     let limits = front::front_limits(&settings.limits);
     let front = Front::new(limits);
-    let draw = |purpose| identity::draw(&settings.node_name, settings.internal_address(), purpose);
-    let incarnation = draw("incarnation");
-    fastrand::seed(draw("choices"));
+    let draw_identity = |purpose| identity::draw(&settings.node_name, settings.internal_address(), purpose);
+    let incarnation = draw_identity("incarnation");
+    fastrand::seed(draw_identity("choices"));
     let shared = Rc::new(Shared::new(settings, network, incarnation));
-    shared.stores.set_total_limit(limits.store_connections);
-    let ready = Rc::new(Readiness::default());
-    shared.relay(RelayEvent::ControlNodesKnown(shared.settings().internal_seeds()));
-    shared.relay(RelayEvent::Started);
+    shared.stores.set_total_connection_limit(limits.store_connections);
+    let readiness = Rc::new(Readiness::default());
+    shared.handle_relay_event(RelayEvent::ControlNodesKnown(shared.settings().internal_seeds()));
+    shared.handle_relay_event(RelayEvent::Started);
     rollout::start(&shared);
-    tokio::task::spawn_local(front::serve(Rc::clone(&shared), Rc::clone(&front), frontend));
-    tokio::task::spawn_local(readiness::serve(Rc::clone(&shared), Rc::clone(&ready), readiness));
+    tokio::task::spawn_local(front::serve(Rc::clone(&shared), Rc::clone(&front), frontend_listener));
+    tokio::task::spawn_local(readiness::serve(Rc::clone(&shared), Rc::clone(&readiness), readiness_listener));
     let settings = shared.settings();
     log::info!(node = settings.node_name.as_str(); "edge serving at {:?}", settings.listen.frontend);
     drop(settings);
     let node = Node {
         shared,
         front,
-        ready,
+        readiness,
         heartbeats: Heartbeats::new(),
-        cleaned_up_at: Duration::ZERO,
-        reloaded_at: Duration::ZERO,
+        last_cleanup_at: Duration::ZERO,
+        last_reload_at: Duration::ZERO,
     };
     let shared = Rc::clone(&node.shared);
     node.run(inbox, signals, reload).await;
@@ -109,11 +110,13 @@
     Ok(())
 }
 
+/// Listens on the address that the settings give for `key`.
 async fn listen(address: Option<std::net::SocketAddr>, key: &'static str) -> Result<TcpListener, NodeError> {
     let address = address.context(MissingSnafu { key })?;
     TcpListener::bind(address).await.context(ListenSnafu { key })
 }
 
+/// Streams of the signals that the edge handles.
 struct Signals {
     terminate: Signal,
     interrupt: Signal,
@@ -130,13 +133,16 @@
     }
 }
 
+/// Event loop of the edge, with the state that only it uses.
 struct Node {
     shared: Rc<Shared>,
     front: Rc<Front>,
-    ready: Rc<Readiness>,
+    readiness: Rc<Readiness>,
     heartbeats: Heartbeats,
-    cleaned_up_at: Duration,
-    reloaded_at: Duration,
+    /// Time of the last clean-up, on the clock of [`Shared::now`].
+    last_cleanup_at: Duration,
+    /// Time of the last periodic reload of the settings, on the clock of [`Shared::now`].
+    last_reload_at: Duration,
 }
 
 impl Node {
@@ -162,7 +168,7 @@
                 },
                 () = &mut timer => {}
             }
-            if self.is_reload_due() {
+            if self.take_due_reload() {
                 self.reload_settings(&reload);
             }
             if self.on_timers(shutdown.as_ref()) {
@@ -174,7 +180,7 @@
 
     fn on_incoming_batch(&mut self, first: Incoming<Envelope>, inbox: &mut Inbox<Envelope>) {
         self.on_incoming(first);
-        for _ in 1..INBOX_BATCH {
+        for _ in 1..MAX_INBOX_BATCH {
             let Some(incoming) = inbox.try_next() else { return };
             self.on_incoming(incoming);
         }
@@ -183,7 +189,7 @@
     fn on_incoming(&mut self, incoming: Incoming<Envelope>) {
         match incoming {
             Incoming::Message { from, message: Envelope::Relay(message) } => {
-                self.shared.relay(RelayEvent::Message { from, message });
+                self.shared.handle_relay_event(RelayEvent::Message { from, message });
             }
             Incoming::Message { from, message: Envelope::Jobs(message) } => {
                 rollout::on_message(&self.shared, from, message);
@@ -193,7 +199,7 @@
             }
             Incoming::Message { .. } => {}
             Incoming::Lost { peer, .. } => {
-                self.shared.relay(RelayEvent::PeerDisconnected { peer });
+                self.shared.handle_relay_event(RelayEvent::PeerDisconnected { peer });
                 self.heartbeats.on_peer_lost(peer);
                 rollout::on_lost(&self.shared, peer);
             }
@@ -203,34 +209,37 @@
     fn on_control_message(&mut self, from: std::net::SocketAddr, message: ControlMessage) {
         if let ControlMessage::HeartbeatAck { sequence, control_nodes } = message {
             self.heartbeats.on_acknowledged(from, sequence, &control_nodes);
-            self.shared
-                .relay(RelayEvent::ControlNodesKnown(self.heartbeats.known_control_nodes(&self.shared)));
+            self.shared.handle_relay_event(RelayEvent::ControlNodesKnown(
+                self.heartbeats.known_control_nodes(&self.shared),
+            ));
         }
     }
 
-    /// Does the periodic work that is due; returns whether the process may exit now.
+    /// Runs the periodic work that is due. Returns whether the process may exit now.
     fn on_timers(&mut self, shutdown: Option<&Shutdown>) -> bool {
         let now = self.shared.now();
         if self.shared.relay_timer().is_some_and(|due| due <= now) {
-            self.shared.relay(RelayEvent::TimerExpired);
+            self.shared.handle_relay_event(RelayEvent::TimerExpired);
         }
         self.heartbeats.on_timer(&self.shared, now);
-        if now.saturating_sub(self.cleaned_up_at) >= CLEANUP_INTERVAL {
-            self.cleaned_up_at = now;
+        if now.saturating_sub(self.last_cleanup_at) >= CLEANUP_INTERVAL {
+            self.last_cleanup_at = now;
             self.clean_up();
         }
-        shutdown.is_some_and(|shutdown| self.may_exit(shutdown, now))
+        shutdown.is_some_and(|shutdown| self.advance_shutdown(shutdown, now))
     }
 
+    /// Updates the freshness of the registry, and closes what is expired or unused.
     fn clean_up(&self) {
         let shared = &self.shared;
-        self.ready.observe(shared);
+        self.readiness.observe(shared);
         self.front.close_expired(shared);
         shared.release_unused();
     }
 
-    fn may_exit(&self, shutdown: &Shutdown, now: Duration) -> bool {
-        match shutdown.step(now, self.front.budget.requests(), self.front.connections.len()) {
+    /// Carries out the current step of a shutdown. Returns whether the process may exit now.
+    fn advance_shutdown(&self, shutdown: &Shutdown, now: Duration) -> bool {
+        match shutdown.step(now, self.front.budget.requests_in_flight(), self.front.connections.len()) {
             ShutdownStep::Serve => false,
             ShutdownStep::CloseIdle => {
                 self.front.connections.close_idle(now, Shutdown::MIN_IDLE);
@@ -243,25 +252,26 @@
         }
     }
 
+    /// When the event loop must run again at the latest.
     fn next_timer(&self, is_shutting_down: bool) -> Instant {
         let now = self.shared.now();
         let interval = if is_shutting_down { SHUTDOWN_INTERVAL } else { CLEANUP_INTERVAL };
-        let relay = self.shared.relay_timer().unwrap_or(Duration::MAX);
-        let next = relay
+        let relay_timer = self.shared.relay_timer().unwrap_or(Duration::MAX);
+        let next = relay_timer
             .min(self.heartbeats.next_timer())
-            .min(self.cleaned_up_at + CLEANUP_INTERVAL)
+            .min(self.last_cleanup_at + CLEANUP_INTERVAL)
             .min(now + interval);
         Instant::now() + next.saturating_sub(now).max(MIN_SLEEP)
     }
 
-    /// Whether the registry has not been fresh for a while, so that the settings may name other control nodes by now. True once in an
-    /// interval.
-    fn is_reload_due(&mut self) -> bool {
+    /// Whether the settings must be reloaded because the registry has not been fresh for a reload interval: the settings may list
+    /// other control nodes by now. Returns true at most once per interval.
+    fn take_due_reload(&mut self) -> bool {
         let now = self.shared.now();
-        let last = self.ready.fresh_at().unwrap_or_default().max(self.reloaded_at);
+        let last = self.readiness.fresh_at().unwrap_or_default().max(self.last_reload_at);
         let is_due = now.saturating_sub(last) >= RELOAD_INTERVAL;
         if is_due {
-            self.reloaded_at = now;
+            self.last_reload_at = now;
         }
         is_due
     }
@@ -276,12 +286,14 @@
         }
     }
 
+    /// Reloads the settings; if that fails, the current ones stay in force.
     fn reload_settings<E: Display>(&self, reload: &impl Fn() -> Result<Settings, E>) {
         match reload() {
             Ok(settings) => {
                 self.shared.set_settings(settings);
-                self.shared
-                    .relay(RelayEvent::ControlNodesKnown(self.heartbeats.known_control_nodes(&self.shared)));
+                self.shared.handle_relay_event(RelayEvent::ControlNodesKnown(
+                    self.heartbeats.known_control_nodes(&self.shared),
+                ));
             }
             Err(error) => log::warn!("reloading the settings failed, the old ones stay in force: {error}"),
         }
--- a/system/data/src/node/readiness.rs
+++ b/system/data/src/node/readiness.rs
@@ -1,4 +1,4 @@
-//! The readiness check: whether the edge accepts new connections, served to the platform over HTTP.
+//! Readiness check, which the platform calls over HTTP: whether the edge accepts new connections.
 
 use std::cell::Cell;
 use std::convert::Infallible;
@@ -13,30 +13,30 @@
 
 use crate::{ReplyBody, Shared};
 
-/// An edge whose registry was last fresh longer ago than this is not ready.
+/// Longest time since the registry was last fresh for which the edge is ready.
 const MAX_STALENESS: Duration = Duration::from_secs(3);
-/// The path of the readiness check.
-const PATH: &str = "/readiness";
-/// The longest time of one connection.
+/// Path of the readiness check.
+const READINESS_PATH: &str = "/readiness";
+/// Longest duration of one connection.
 const CONNECTION_TIMEOUT: Duration = Duration::from_secs(30);
-/// The backoff after an error of `accept`.
+/// Delay after an error of `accept`.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
 
-/// The freshness of the registry as last observed.
+/// Freshness of the registry as last observed.
 #[derive(Default)]
 pub struct Readiness {
     fresh_at: Cell<Option<Duration>>,
 }
 
 impl Readiness {
-    /// Observes whether the registry is fresh now.
+    /// Records the time if the registry is fresh now.
     pub fn observe(&self, shared: &Shared) {
         if shared.is_registry_fresh() {
             self.fresh_at.set(Some(shared.now()));
         }
     }
 
-    /// When the registry was last observed to be fresh.
+    /// When the registry was last observed to be fresh, on the clock of [`Shared::now`].
     pub fn fresh_at(&self) -> Option<Duration> {
         self.fresh_at.get()
     }
@@ -49,7 +49,8 @@
     }
 }
 
-/// The decision: the configuration and stores are known, the registry was fresh recently, and the process is not shutting down.
+/// Decides whether an edge is ready: the configuration and stores are known (`has_endpoints`), the registry was fresh recently,
+/// and the process is not shutting down.
 #[must_use]
 pub fn is_ready(
     has_endpoints: bool,
@@ -84,9 +85,9 @@
 }
 
 fn respond<B>(shared: &Shared, readiness: &Readiness, request: &Request<B>) -> Response<ReplyBody> {
-    ReplyBody::status(match request.uri().path() {
-        PATH if readiness.is_ready(shared) => StatusCode::OK,
-        PATH => StatusCode::SERVICE_UNAVAILABLE,
+    ReplyBody::empty_reply(match request.uri().path() {
+        READINESS_PATH if readiness.is_ready(shared) => StatusCode::OK,
+        READINESS_PATH => StatusCode::SERVICE_UNAVAILABLE,
         _ => StatusCode::NOT_FOUND,
     })
 }
--- a/system/data/src/node/shutdown.rs
+++ b/system/data/src/node/shutdown.rs
@@ -1,27 +1,28 @@
-//! Graceful shutdown: the process serves new requests until the platform has noticed that it is not ready, then closes idle
-//! connections, and exits when no request is in flight, or shortly before the end of its grace period.
+//! Graceful shutdown: the process serves new requests until the platform has detected that it is not ready, then closes idle
+//! connections, and exits when no request is in flight and no connection is open, or shortly before the end of its grace period.
 
 use std::time::Duration;
 
-/// The platform removes a process after two failed readiness checks, one a second.
+/// Time after which the platform has removed a process that is not ready: it does so after two failed readiness checks, which it
+/// makes once per second.
 const REMOVAL_TIME: Duration = Duration::from_millis(2_500);
-/// Serving new requests takes at most one part in so many of the grace period.
-const SERVING_DIVISOR: u32 = 2;
-/// The process exits one part in so many of the grace period before its end.
-const MARGIN_DIVISOR: u32 = 16;
+/// New requests are served for at most the grace period divided by this.
+const SERVING_TIME_DIVISOR: u32 = 2;
+/// At the latest, the process exits before the end of the grace period by the period divided by this.
+const EXIT_MARGIN_DIVISOR: u32 = 16;
 
-/// What a process does during its shutdown.
+/// Step of a shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ShutdownStep {
-    /// It serves new requests.
+    /// Serve new requests.
     Serve,
-    /// It closes idle connections, and completes the requests in flight.
+    /// Close idle connections, and complete the requests in flight.
     CloseIdle,
-    /// It exits.
+    /// Exit.
     Exit,
 }
 
-/// The timing of a shutdown.
+/// Timing of a shutdown, on the clock of [`crate::Shared::now`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Shutdown {
     close_idle_from: Duration,
@@ -29,26 +30,26 @@
 }
 
 impl Shutdown {
-    /// A connection counts as idle after this time without data.
+    /// A connection may be closed during a shutdown once it has been idle for this time.
     pub const MIN_IDLE: Duration = Duration::from_millis(100);
 
-    /// A shutdown that starts now, to be complete within the grace period.
+    /// Plans a shutdown that starts now and is complete within the grace period.
     #[must_use]
     pub fn new(now: Duration, grace_period: Duration) -> Self {
-        let close_idle_from = now + REMOVAL_TIME.min(grace_period / SERVING_DIVISOR);
-        Self { close_idle_from, exit_at: now + grace_period - grace_period / MARGIN_DIVISOR }
+        let close_idle_from = now + REMOVAL_TIME.min(grace_period / SERVING_TIME_DIVISOR);
+        Self { close_idle_from, exit_at: now + grace_period - grace_period / EXIT_MARGIN_DIVISOR }
     }
 
-    /// What to do now, with so many requests in flight and connections open.
+    /// Returns the step to take now, given the number of requests in flight and of open client connections.
     #[must_use]
-    pub fn step(&self, now: Duration, requests: usize, connections: usize) -> ShutdownStep {
+    pub fn step(&self, now: Duration, requests_in_flight: usize, open_connections: usize) -> ShutdownStep {
         if now >= self.exit_at {
             return ShutdownStep::Exit;
         }
         if now < self.close_idle_from {
             return ShutdownStep::Serve;
         }
-        if requests == 0 && connections == 0 {
+        if requests_in_flight == 0 && open_connections == 0 {
             return ShutdownStep::Exit;
         }
         ShutdownStep::CloseIdle
--- a/system/data/src/reply.rs
+++ b/system/data/src/reply.rs
@@ -1,4 +1,4 @@
-//! Responses to clients: a status, headers, and a body that is complete, or streamed. A streamed one may fail, which closes the
+//! Replies to clients: a status, headers, and a body that is complete or streamed. A streamed body may fail, which closes the
 //! connection before the body looks complete.
 
 use std::pin::Pin;
@@ -9,39 +9,39 @@
 use hyper::http::{Response, StatusCode};
 use snafu::Snafu;
 
-/// A response to a client.
+/// Reply to a client.
 pub type Reply = Response<ReplyBody>;
 
-/// The connection is closed without a response: nothing is certain that a status could promise.
+/// Error upon which the connection is closed without a response, because every status would promise something that is not certain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("no answer can be given; the connection is closed"))]
 pub struct CloseConnection;
 
-/// A streamed body of any source.
-pub(crate) type StreamedBody = Pin<Box<dyn Body<Data = Bytes, Error = CloseConnection>>>;
+/// Streamed body of any type.
+pub(crate) type BoxedBody = Pin<Box<dyn Body<Data = Bytes, Error = CloseConnection>>>;
 
-/// The body of a response to a client.
+/// Body of a reply.
 pub enum ReplyBody {
-    /// The complete body; `None` if it is empty, or was sent.
+    /// Complete body; `None` if the body is empty or was sent already.
     Complete(Option<Bytes>),
-    /// Arrives in frames.
-    Streamed(StreamedBody),
+    /// Body that arrives in frames.
+    Streamed(BoxedBody),
 }
 
 impl ReplyBody {
-    /// A body of these bytes.
+    /// Creates a body from its complete data.
     pub fn complete(bytes: impl Into<Bytes>) -> Self {
         Self::Complete(Some(bytes.into()))
     }
 
-    /// An empty body.
+    /// Creates an empty body.
     pub fn empty() -> Self {
         Self::Complete(None)
     }
 
-    /// A response without a body.
+    /// Creates a reply with a status and an empty body.
     #[must_use]
-    pub fn status(status: StatusCode) -> Reply {
+    pub fn empty_reply(status: StatusCode) -> Reply {
         let mut reply = Response::new(Self::empty());
         *reply.status_mut() = status;
         reply
--- a/system/data/src/rollout/driver.rs
+++ b/system/data/src/rollout/driver.rs
@@ -245,7 +245,7 @@
 ) {
     let job = Arc::clone(execution.job());
     let Some(item) = job.items.get(placement.item as usize) else { return };
-    let in_flight = InFlightGuard::on(&store.in_flight);
+    let in_flight = InFlightGuard::new(&store.in_flight_requests);
     let observations = &shared.rollout.stores;
     observations.weight_loading.borrow_mut().on_sent(&store.target.id, &job.model, shared.now());
     let stream = execution.start_stream(shared.now(), placement.item, store, placement.text);
--- a/system/data/src/rollout/generation.rs
+++ b/system/data/src/rollout/generation.rs
@@ -203,7 +203,7 @@
 
 /// The store has no capacity beyond what this edge has in flight there already.
 fn on_capacity_exceeded(context: &GenerationContext<'_>, generation: &GenerationRequest) {
-    let others = generation.stream.store.in_flight.get().saturating_sub(1);
+    let others = generation.stream.store.in_flight_requests.get().saturating_sub(1);
     let others = u32::try_from(others).unwrap_or(u32::MAX);
     context.observations.capacities.borrow_mut().on_rejected(
         &generation.stream.store.target.id,
@@ -253,7 +253,7 @@
     loop {
         let piece = tokio::select! {
             biased;
-            piece = body.next() => piece,
+            piece = body.next_data() => piece,
             () = &mut migration => return GenerationOutcome::Migrated,
         };
         let piece = match piece {
--- a/system/data/src/rollout/scoring.rs
+++ b/system/data/src/rollout/scoring.rs
@@ -33,7 +33,7 @@
             ScoringOutcome::Scored(response.signature)
         }
         Ok(response) if response.status == StatusCode::INTERNAL_SERVER_ERROR => {
-            ScoringOutcome::Failed { times: response.server_errors.max(1), max_attempts }
+            ScoringOutcome::Failed { times: response.server_error_count.max(1), max_attempts }
         }
         Ok(_) | Err(_) => ScoringOutcome::Other,
     }
--- a/system/data/src/rollout/store_views.rs
+++ b/system/data/src/rollout/store_views.rs
@@ -42,7 +42,7 @@
 /// The stores of a service that accept requests, with what the placement needs to know of each for a model.
 pub(super) fn current(shared: &Shared, service: &str, model: &str) -> ServiceStores {
     let now = shared.now();
-    let stores = shared.stores_of(service);
+    let stores = shared.stores_for_service(service);
     let mut cache = shared.rollout.stores.views.borrow_mut();
     let cached = cache.entries.iter().position(|entry| entry.service == service && entry.model == model);
     let is_fresh =
@@ -58,7 +58,7 @@
     let known = stores.iter().zip(&entry.versions);
     let weight_loading = shared.rollout.stores.weight_loading.borrow();
     let views = known.map(|(store, (id, version))| {
-        let in_flight = u32::try_from(store.in_flight.get()).unwrap_or(u32::MAX);
+        let in_flight = u32::try_from(store.in_flight_requests.get()).unwrap_or(u32::MAX);
         let slots = u32::try_from(store.slots).unwrap_or(u32::MAX);
         let limit = capacities.limit(id, slots, now).min(max_limit);
         StoreView {
@@ -68,7 +68,7 @@
             idle_connections: u32::try_from(shared.stores.idle_connections(id)).unwrap_or(u32::MAX),
             limit: weight_loading.limit(id, model, in_flight, limit, now),
             is_suspect: shared.health.is_suspect(id, now),
-            is_own_zone: store.is_own_zone,
+            is_own_zone: store.is_in_own_zone,
             interval_percent: rates.interval_percent(id, now),
         }
     });
--- a/system/data/src/rollout/trainer_api.rs
+++ b/system/data/src/rollout/trainer_api.rs
@@ -47,7 +47,7 @@
         return match *request.method() {
             Method::GET => Ok(read_results(&shared, job, &query, request.headers()).await),
             Method::DELETE => Ok(end_job(&shared, job).await),
-            _ => Ok(ReplyBody::status(StatusCode::METHOD_NOT_ALLOWED)),
+            _ => Ok(ReplyBody::empty_reply(StatusCode::METHOD_NOT_ALLOWED)),
         };
     }
     if let Some(job) = path.strip_prefix("/items/") {
@@ -59,7 +59,7 @@
 async fn submit(shared: &Rc<Shared>, request: Request<Bytes>) -> Result<Reply, CloseConnection> {
     let headers = request.headers();
     let Some(id) = header_text(headers, "attempt-id").filter(|id| !id.is_empty()) else {
-        return Ok(ReplyBody::status(StatusCode::BAD_REQUEST));
+        return Ok(ReplyBody::empty_reply(StatusCode::BAD_REQUEST));
     };
     let host =
         headers.get(HOST).and_then(|host| host.to_str().ok()).or(request.uri().host()).unwrap_or_default();
@@ -71,7 +71,7 @@
         Ok(job) => Arc::new(job),
         Err(error) => {
             log::warn!("{error}");
-            return Ok(ReplyBody::status(StatusCode::BAD_REQUEST));
+            return Ok(ReplyBody::empty_reply(StatusCode::BAD_REQUEST));
         }
     };
     let partition = partition_of(&job.id);
@@ -92,10 +92,10 @@
                     driver::start_job(shared, assignment, lease_valid_until);
                 }
             }
-            Ok(ReplyBody::status(StatusCode::ACCEPTED))
+            Ok(ReplyBody::empty_reply(StatusCode::ACCEPTED))
         }
         // It was accepted before, and has ended since.
-        Some(JobsResponse::Ended) => Ok(ReplyBody::status(StatusCode::ACCEPTED)),
+        Some(JobsResponse::Ended) => Ok(ReplyBody::empty_reply(StatusCode::ACCEPTED)),
         _ if outcome.is_in_doubt => Err(CloseConnection),
         Some(JobsResponse::CapacityExceeded) | None => Ok(not_accepted()),
         Some(_) => Err(CloseConnection),
@@ -116,8 +116,8 @@
         shared.rollout.backends.request(shared, job, ChainMember::Tail, body, wait + READ_TIMEOUT).await;
     match outcome.response {
         Some(JobsResponse::Results { total, results, .. }) => page(total, start_after, results),
-        Some(JobsResponse::NotFound) => ReplyBody::status(StatusCode::NOT_FOUND),
-        _ => ReplyBody::status(StatusCode::SERVICE_UNAVAILABLE),
+        Some(JobsResponse::NotFound) => ReplyBody::empty_reply(StatusCode::NOT_FOUND),
+        _ => ReplyBody::empty_reply(StatusCode::SERVICE_UNAVAILABLE),
     }
 }
 
@@ -128,7 +128,7 @@
     loop {
         page.next_page_token = start_after + page.results.len() as u64;
         let Ok(json) = serde_json::to_vec(&page) else {
-            return ReplyBody::status(StatusCode::SERVICE_UNAVAILABLE);
+            return ReplyBody::empty_reply(StatusCode::SERVICE_UNAVAILABLE);
         };
         if json.len() <= MAX_PAGE_BYTES || page.results.len() <= 1 {
             return with_body("application/json", json.into());
@@ -145,13 +145,15 @@
 }
 
 async fn read_item_body(shared: &Rc<Shared>, job: &str, query: &str) -> Reply {
-    let Some(item) = query_parameter(query, "id") else { return ReplyBody::status(StatusCode::NOT_FOUND) };
+    let Some(item) = query_parameter(query, "id") else {
+        return ReplyBody::empty_reply(StatusCode::NOT_FOUND);
+    };
     let body = JobsRequest::ReadItemBody { job: job.to_owned(), item: item.to_owned() };
     let outcome = shared.rollout.backends.request(shared, job, ChainMember::Tail, body, READ_TIMEOUT).await;
     match outcome.response {
         Some(JobsResponse::ItemBody(bytes)) => with_body("application/octet-stream", bytes.into()),
-        Some(JobsResponse::NotFound) => ReplyBody::status(StatusCode::NOT_FOUND),
-        _ => ReplyBody::status(StatusCode::SERVICE_UNAVAILABLE),
+        Some(JobsResponse::NotFound) => ReplyBody::empty_reply(StatusCode::NOT_FOUND),
+        _ => ReplyBody::empty_reply(StatusCode::SERVICE_UNAVAILABLE),
     }
 }
 
@@ -161,16 +163,16 @@
     match outcome.response {
         Some(JobsResponse::Ended) => {
             shared.rollout.jobs.stop(job, DriverTerm::MAX, DriverLeaseState::Ended, shared.now());
-            ReplyBody::status(StatusCode::OK)
+            ReplyBody::empty_reply(StatusCode::OK)
         }
-        Some(JobsResponse::NotFound) => ReplyBody::status(StatusCode::NOT_FOUND),
+        Some(JobsResponse::NotFound) => ReplyBody::empty_reply(StatusCode::NOT_FOUND),
         // It may have been executed, so the outcome is unknown.
-        _ => ReplyBody::status(StatusCode::GATEWAY_TIMEOUT),
+        _ => ReplyBody::empty_reply(StatusCode::GATEWAY_TIMEOUT),
     }
 }
 
 fn not_accepted() -> Reply {
-    let mut reply = ReplyBody::status(StatusCode::SERVICE_UNAVAILABLE);
+    let mut reply = ReplyBody::empty_reply(StatusCode::SERVICE_UNAVAILABLE);
     reply.headers_mut().insert(RETRY_AFTER, HeaderValue::from_static(RETRY_AFTER_S));
     reply
 }
--- a/system/data/src/routing/affinity.rs
+++ b/system/data/src/routing/affinity.rs
@@ -1,23 +1,25 @@
-//! Prefix-cache affinity: which store has last prefilled which prefix of a prompt, so that requests that share it may go there.
+//! Prefix-cache affinity: records which store last prefilled each prompt prefix, so that requests that share the prefix can be
+//! routed to the same store.
 
 use std::collections::{HashMap, VecDeque};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// The most prefixes that are remembered.
+/// Maximum number of prefixes that the affinity table holds.
 const MAX_PREFIXES: usize = 16_384;
-/// The most parts of one prompt that are read.
+/// Maximum number of parts of one prompt that are parsed; further parts are ignored.
 const MAX_PARTS: usize = 32;
-/// A store with a complete prompt in its cache may be more utilized than others by this many thousandths of its slots.
-const FULL_BONUS: u64 = 500;
+/// Affinity bonus of a store that has the complete prompt in its cache, in thousandths of its slots: it is still preferred if it
+/// is more utilized than others by less than this.
+const MAX_AFFINITY_BONUS: u64 = 500;
 
-/// The prefixes of one prompt, from the shortest to the complete one: a hash of all parts up to there, and their tokens.
+/// Prefixes of one prompt, from the shortest one to the complete prompt: for each prefix, a hash of its parts and its token count.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Prompt {
+pub struct PromptPrefixes {
     prefixes: Vec<(u64, u64)>,
 }
 
-impl Prompt {
-    /// Parses `ID:TOKENS,ID:TOKENS`, for a model at a service; ends at the first malformed part.
+impl PromptPrefixes {
+    /// Parses a prompt of the form `ID:TOKENS,ID:TOKENS` for a model of a service. Parsing stops at the first malformed part.
     #[must_use]
     pub fn parse(service: &str, model: &str, parts: &str) -> Self {
         let mut hasher = DefaultHasher::new();
@@ -32,42 +34,41 @@
         Self { prefixes: prefixes.collect() }
     }
 
-    fn tokens(&self) -> u64 {
+    fn total_tokens(&self) -> u64 {
         self.prefixes.last().map_or(0, |&(_, tokens)| tokens)
     }
 }
 
-/// The stores that last prefilled each prefix; the oldest are evicted.
+/// Table of the store that last prefilled each prefix. Evicts the prefixes that were inserted first.
 #[derive(Debug, Default)]
 pub struct Affinity {
-    stores: HashMap<u64, String>,
+    store_by_prefix: HashMap<u64, String>,
     insertion_order: VecDeque<u64>,
 }
 
 impl Affinity {
-    /// A store has prefilled a prompt.
-    pub fn record(&mut self, prompt: &Prompt, store: &str) {
+    /// Records that a store has prefilled a prompt.
+    pub fn record(&mut self, prompt: &PromptPrefixes, store: &str) {
         for &(prefix, _) in &prompt.prefixes {
-            if self.stores.insert(prefix, store.to_owned()).is_none() {
+            if self.store_by_prefix.insert(prefix, store.to_owned()).is_none() {
                 self.insertion_order.push_back(prefix);
             }
         }
         while self.insertion_order.len() > MAX_PREFIXES {
             if let Some(oldest) = self.insertion_order.pop_front() {
-                self.stores.remove(&oldest);
+                self.store_by_prefix.remove(&oldest);
             }
         }
     }
 
-    /// The store with the longest cached prefix of a prompt, and its [`Candidate::affinity_bonus`](super::Candidate).
+    /// Returns the store that cached the longest prefix of a prompt, and its [`Candidate::affinity_bonus`](super::Candidate).
     #[must_use]
-    pub fn preferred_store(&self, prompt: &Prompt) -> Option<(&str, usize)> {
-        let (store, tokens) = prompt
-            .prefixes
-            .iter()
-            .rev()
-            .find_map(|(prefix, tokens)| self.stores.get(prefix).map(|store| (store, *tokens)))?;
-        let bonus = FULL_BONUS * tokens / prompt.tokens().max(1);
+    pub fn preferred_store(&self, prompt: &PromptPrefixes) -> Option<(&str, usize)> {
+        let (store, tokens) =
+            prompt.prefixes.iter().rev().find_map(|(prefix, tokens)| {
+                self.store_by_prefix.get(prefix).map(|store| (store, *tokens))
+            })?;
+        let bonus = MAX_AFFINITY_BONUS * tokens / prompt.total_tokens().max(1);
         Some((store, usize::try_from(bonus).unwrap_or(0)))
     }
 }
--- a/system/data/src/routing/mod.rs
+++ b/system/data/src/routing/mod.rs
@@ -1,4 +1,5 @@
-//! Decisions about requests, without I/O: route, service, store, time-outs, retries, and the response if all attempts failed.
+//! Routing decisions, without I/O: the route, service and store of a request, its timeouts and retries, and the response if all
+//! attempts fail.
 
 mod affinity;
 mod retry;
@@ -7,12 +8,12 @@
 mod timeouts;
 mod traffic_split;
 
-pub use affinity::{Affinity, Prompt};
+pub use affinity::{Affinity, PromptPrefixes};
 pub use retry::{decide_retry, failure_response, AttemptHistory, FailureResponse, RetryDecision};
 pub use store_choice::{choose_store, Candidate};
 pub use table::{LatencyAverage, RouteEntry, RouteTable};
 pub use timeouts::{
-    connect_timeout, exceeds_queueing_time, head_timeout, idle_timeout, request_deadline, retry_after,
+    connect_timeout, head_timeout, idle_timeout, queueing_exceeds_time_left, request_deadline, retry_after,
     MIN_ATTEMPT_TIME,
 };
 pub use traffic_split::pick_service;
--- a/system/data/src/routing/retry.rs
+++ b/system/data/src/routing/retry.rs
@@ -1,4 +1,5 @@
-//! The retry policy: whether another attempt follows, and the response to a request without one. No I/O; `forward` applies it.
+//! Retry policy: whether a request gets another attempt, and which response the client gets otherwise. Performs no I/O; the
+//! `forward` module applies the decisions.
 
 use std::time::Duration;
 
@@ -7,36 +8,37 @@
 
 use super::timeouts::{retry_after, MIN_ATTEMPT_TIME};
 
-/// The most attempts without a connection; they don't count against the route's attempts.
-const MAX_UNSENT: usize = 4;
+/// Maximum number of attempts that end before the request is sent, for instance because no connection could be opened. They do
+/// not count against the route's `max_attempts`.
+const MAX_UNSENT_ATTEMPTS: usize = 4;
 
-/// The attempts of a request so far.
+/// Outcome of the attempts made for a request so far.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptHistory {
-    /// Attempts that a store received, or may have received.
-    pub sent: usize,
-    /// Attempts without a connection.
-    pub unsent: usize,
-    /// Whether one of them may have run the request.
+    /// Number of attempts that a store received, or may have received.
+    pub sent_attempts: usize,
+    /// Number of attempts that ended before the request was sent.
+    pub unsent_attempts: usize,
+    /// Whether one of the attempts may have run the request.
     pub verdict: Verdict,
 }
 
 impl Default for AttemptHistory {
     fn default() -> Self {
-        Self { sent: 0, unsent: 0, verdict: Verdict::NeverRan }
+        Self { sent_attempts: 0, unsent_attempts: 0, verdict: Verdict::NeverRan }
     }
 }
 
-/// What follows an attempt.
+/// Whether a request gets another attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryDecision {
-    /// Another attempt, at another store.
+    /// Make another attempt, at another store.
     Retry,
-    /// No further attempt.
+    /// Make no further attempt.
     GiveUp,
 }
 
-/// Decides whether another attempt follows: the request never ran or is idempotent, and has attempts and time left.
+/// Decides whether a request gets another attempt: it must have never run or be idempotent, and have attempts and time left.
 #[must_use]
 pub fn decide_retry(
     history: &AttemptHistory,
@@ -45,7 +47,8 @@
     time_left: Duration,
 ) -> RetryDecision {
     let is_repeatable = history.verdict == Verdict::NeverRan || is_idempotent;
-    let has_attempts_left = history.sent < max_attempts.max(1) && history.unsent < MAX_UNSENT;
+    let has_attempts_left =
+        history.sent_attempts < max_attempts.max(1) && history.unsent_attempts < MAX_UNSENT_ATTEMPTS;
     if is_repeatable && has_attempts_left && time_left >= MIN_ATTEMPT_TIME {
         RetryDecision::Retry
     } else {
@@ -53,21 +56,22 @@
     }
 }
 
-/// The response to a request that no store answered.
+/// Response to a request for which there is no response of a store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FailureResponse {
-    /// Its status.
+    /// HTTP status.
     pub status: StatusCode,
-    /// When the client may retry, where the status promises that the request never ran.
+    /// Delay after which the client may retry; only set with a status that promises that the request never ran.
     pub retry_after: Option<Duration>,
 }
 
-/// The response to a request without a further attempt. Only one that never ran gets the promise of a 503.
+/// Returns the response to a request that gets no further attempt. Only a request that certainly never ran is answered 503, since
+/// that status permits the client to repeat it.
 #[must_use]
-pub fn failure_response(verdict: Verdict, time_left: Duration, objective: Duration) -> FailureResponse {
+pub fn failure_response(verdict: Verdict, time_left: Duration, target_latency: Duration) -> FailureResponse {
     match verdict {
         Verdict::NeverRan => {
-            let retry_after = Some(retry_after(time_left, objective));
+            let retry_after = Some(retry_after(time_left, target_latency));
             FailureResponse { status: StatusCode::SERVICE_UNAVAILABLE, retry_after }
         }
         _ if time_left < MIN_ATTEMPT_TIME => {
--- a/system/data/src/routing/store_choice.rs
+++ b/system/data/src/routing/store_choice.rs
@@ -1,38 +1,39 @@
-//! Chooses the store of the next attempt.
+//! Chooses the store for the next attempt of a request.
 
-/// A store that accepts requests.
+/// Properties of a store that accepts requests, as far as they matter for the choice.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Candidate {
-    /// Requests that this edge has in flight there.
-    pub in_flight: usize,
-    /// Requests of others that run or wait there, by a recent load report.
-    pub others_in_flight: usize,
-    /// Requests that it runs at a time.
+    /// Number of requests that this edge has in flight at the store.
+    pub in_flight_requests: usize,
+    /// Number of requests of other callers that run or wait at the store, from a recent load report or estimated.
+    pub in_flight_from_other_callers: usize,
+    /// Number of requests that the store runs concurrently.
     pub slots: usize,
-    /// By how many thousandths of its slots it may be more utilized than others, for its prefix cache.
+    /// Reduction of the utilization for a cached prompt prefix, in thousandths of the slots.
     pub affinity_bonus: usize,
-    /// Whether this edge has an idle connection to it.
+    /// Whether this edge has an idle connection to the store.
     pub has_idle_connection: bool,
-    /// Whether it is in the edge's own zone.
-    pub is_own_zone: bool,
-    /// Whether it failed recently.
+    /// Whether the store is in the edge's own zone.
+    pub is_in_own_zone: bool,
+    /// Whether the store failed recently.
     pub is_suspect: bool,
-    /// Whether this request was sent there before.
+    /// Whether an earlier attempt of this request was made at the store.
     pub was_tried: bool,
 }
 
 impl Candidate {
-    /// Its utilization with one more request, in thousandths of its slots, less its bonus.
+    /// Utilization of the store with one more request, in thousandths of its slots, minus the affinity bonus.
     fn utilization(&self) -> usize {
-        const ALL_SLOTS: usize = 1_000;
-        ((self.in_flight + self.others_in_flight + 1) * ALL_SLOTS / self.slots.max(1))
+        const THOUSANDTHS: usize = 1_000;
+        ((self.in_flight_requests + self.in_flight_from_other_callers + 1) * THOUSANDTHS / self.slots.max(1))
             .saturating_sub(self.affinity_bonus)
     }
 }
 
-/// The position of the best store that was not tried: not suspect, then the least utilized, then one to which a connection is idle, then
-/// of the own zone; ties are broken uniformly at random, if `draw` is uniform.
-pub fn choose_store(candidates: impl Iterator<Item = Candidate>, draw: u64) -> Option<usize> {
+/// Returns the position of the best candidate that was not tried. Candidates that are not suspect come first, then the least
+/// utilized, then those with an idle connection, then those in the edge's own zone. Ties are broken uniformly at random if
+/// `random` is uniformly distributed.
+pub fn choose_store(candidates: impl Iterator<Item = Candidate>, random: u64) -> Option<usize> {
     let mut best = None;
     let mut ties = 0_u64;
     for (position, candidate) in candidates.enumerate().filter(|(_, candidate)| !candidate.was_tried) {
@@ -40,13 +41,13 @@
             candidate.is_suspect,
             candidate.utilization(),
             !candidate.has_idle_connection,
-            !candidate.is_own_zone,
+            !candidate.is_in_own_zone,
         );
         match best {
-            Some((known, _)) if known < rank => {}
-            Some((known, _)) if known == rank => {
+            Some((best_rank, _)) if best_rank < rank => {}
+            Some((best_rank, _)) if best_rank == rank => {
                 ties += 1;
-                if splitmix(draw, ties) % ties == 0 {
+                if splitmix64(random, ties) % ties == 0 {
                     best = Some((rank, position));
                 }
             }
@@ -59,10 +60,10 @@
     best.map(|(_, position)| position)
 }
 
-/// A number of the sequence that a draw seeds (splitmix64).
-fn splitmix(draw: u64, step: u64) -> u64 {
-    let mut mixed = draw.wrapping_add(step.wrapping_mul(0x9e37_79b9_7f4a_7c15));
-    mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-    mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
-    mixed ^ (mixed >> 31)
+/// Returns the number at `index` of the splitmix64 sequence for a seed.
+fn splitmix64(seed: u64, index: u64) -> u64 {
+    let mut hash = seed.wrapping_add(index.wrapping_mul(0x9e37_79b9_7f4a_7c15));
+    hash = (hash ^ (hash >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+    hash = (hash ^ (hash >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
+    hash ^ (hash >> 31)
 }
--- a/system/data/src/routing/table.rs
+++ b/system/data/src/routing/table.rs
@@ -1,4 +1,4 @@
-//! The routing table: the routes of a configuration by host, with what forwarding needs of each.
+//! Routing table: the routes of a configuration by host, prepared for forwarding.
 
 use std::cell::Cell;
 use std::collections::{HashMap, HashSet};
@@ -7,67 +7,71 @@
 
 use gingerledge_protocol::{Configuration, ConfigurationUpdate, Route, RouteKind};
 
-/// A route, prepared for forwarding.
+/// Route of the configuration with the values that forwarding derives from it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RouteEntry {
-    /// The operator's route.
+    /// Route as configured by the operator.
     pub route: Route,
-    /// Its kind, which says what may be retried.
+    /// Kind of the route, which determines whether requests may be retried.
     pub kind: RouteKind,
-    /// Its services.
+    /// Names of the services that the route sends requests to.
     pub services: Vec<String>,
-    /// Their weights, in the same order.
+    /// Traffic weights, in the order of `services`.
     pub weights: Vec<f64>,
-    /// The time-out of a request, if it has one.
+    /// Timeout of a request, if the route sets one.
     pub timeout: Option<Duration>,
-    /// The latency target, within which a response has its full value.
-    pub objective: Duration,
-    /// Whether its services are inference engines, which honour `Priority`.
-    pub is_engine: bool,
-    /// The average latency of its stores.
-    pub latency: LatencyAverage,
+    /// Latency target: a response within it has its full value.
+    pub target_latency: Duration,
+    /// Whether at least one of the services is an inference engine, which honours the `Priority` header.
+    pub has_inference_engine: bool,
+    /// Average time from the start of an attempt to the response head, over all stores of the route.
+    pub average_latency: LatencyAverage,
 }
 
-/// An exponential moving average of latencies.
+/// Exponential moving average of latencies.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LatencyAverage {
     average: Cell<Option<Duration>>,
 }
 
 impl LatencyAverage {
-    /// The average; `None` before the first sample.
+    /// Returns the average; `None` before the first sample.
     pub fn get(&self) -> Option<Duration> {
         self.average.get()
     }
 
     /// Adds a sample.
     pub fn record(&self, latency: Duration) {
-        const SAMPLES: u32 = 8;
-        let average =
-            self.average.get().map_or(latency, |average| (average * (SAMPLES - 1) + latency) / SAMPLES);
+        /// A new sample has a weight of one in this many.
+        const SMOOTHING_SAMPLES: u32 = 8;
+        let average = self
+            .average
+            .get()
+            .map_or(latency, |average| (average * (SMOOTHING_SAMPLES - 1) + latency) / SMOOTHING_SAMPLES);
         self.average.set(Some(average));
     }
 }
 
 impl RouteEntry {
-    fn of(configuration: &Configuration, route: &Route) -> Option<Self> {
+    /// Prepares a route; `None` if its kind is unknown.
+    fn from_route(configuration: &Configuration, route: &Route) -> Option<Self> {
         let split = route.services();
-        let is_engine = split
+        let has_inference_engine = split
             .iter()
             .any(|(name, _)| configuration.service(name).is_some_and(|service| service.engine.is_some()));
         Some(Self {
             kind: route.kind()?,
             services: split.iter().map(|(name, _)| (*name).to_owned()).collect(),
             weights: split.iter().map(|&(_, weight)| weight).collect(),
-            timeout: route.timeout_ms.map(from_milliseconds),
-            objective: from_milliseconds(route.target_latency_ms),
-            is_engine,
-            latency: LatencyAverage::default(),
+            timeout: route.timeout_ms.map(duration_from_milliseconds),
+            target_latency: duration_from_milliseconds(route.target_latency_ms),
+            has_inference_engine,
+            average_latency: LatencyAverage::default(),
             route: route.clone(),
         })
     }
 
-    /// Whether its requests may run more than once.
+    /// Whether a request of the route may run more than once.
     pub fn is_idempotent(&self) -> bool {
         match self.kind {
             RouteKind::Idempotent => true,
@@ -76,77 +80,82 @@
         }
     }
 
-    /// The most attempts of one request.
+    /// Maximum number of attempts of one request.
     pub fn max_attempts(&self) -> usize {
         self.route.max_attempts.max(1) as usize
     }
 }
 
-/// All routes, by host.
+/// All routes by lower-case host, those with the longest path prefix first.
 #[derive(Clone, Debug, Default)]
 pub struct RouteTable {
-    hosts: HashMap<String, Vec<Rc<RouteEntry>>>,
+    entries_by_host: HashMap<String, Vec<Rc<RouteEntry>>>,
 }
 
 impl RouteTable {
-    /// The routes of a configuration.
+    /// Builds the table from a configuration.
     #[must_use]
-    pub fn of(configuration: &Configuration) -> Self {
-        let mut hosts: HashMap<String, Vec<Rc<RouteEntry>>> = HashMap::new();
+    pub fn from_configuration(configuration: &Configuration) -> Self {
+        let mut entries_by_host: HashMap<String, Vec<Rc<RouteEntry>>> = HashMap::new();
         for route in &configuration.routes {
-            if let Some(entry) = RouteEntry::of(configuration, route) {
-                hosts.entry(route.host.to_ascii_lowercase()).or_default().push(Rc::new(entry));
+            if let Some(entry) = RouteEntry::from_route(configuration, route) {
+                entries_by_host.entry(route.host.to_ascii_lowercase()).or_default().push(Rc::new(entry));
             }
         }
-        for entries in hosts.values_mut() {
-            sort_longest_first(entries);
+        for entries in entries_by_host.values_mut() {
+            sort_by_descending_prefix_length(entries);
         }
-        Self { hosts }
+        Self { entries_by_host }
     }
 
-    /// Applies an update. `configuration` is its result, or a later one. Routes that the update doesn't affect keep their entries,
-    /// and with them their averages.
+    /// Applies an update. `configuration` is the result of the update, or a later configuration. Routes that the update does not
+    /// affect keep their entries, and thereby their average latencies.
     pub fn apply(&mut self, configuration: &Configuration, update: &ConfigurationUpdate) {
-        let services: HashSet<&str> =
+        let updated_services: HashSet<&str> =
             update.upsert.services.iter().map(|service| service.name.as_str()).collect();
-        let is_affected = |route: &Route| route.services().iter().any(|(name, _)| services.contains(name));
+        let uses_updated_service =
+            |route: &Route| route.services().iter().any(|(name, _)| updated_services.contains(name));
         let upserted = update.upsert.routes.iter().map(|route| route.name.as_str());
         let removed = update.remove.routes.iter().map(String::as_str);
-        let mut affected: HashSet<&str> = upserted.chain(removed).collect();
-        if !services.is_empty() {
-            let users = configuration.routes.iter().filter(|route| is_affected(route));
-            affected.extend(users.map(|route| route.name.as_str()));
+        let mut affected_routes: HashSet<&str> = upserted.chain(removed).collect();
+        if !updated_services.is_empty() {
+            let dependent_routes = configuration.routes.iter().filter(|route| uses_updated_service(route));
+            affected_routes.extend(dependent_routes.map(|route| route.name.as_str()));
         }
-        for entries in self.hosts.values_mut() {
-            entries.retain(|entry| !affected.contains(entry.route.name.as_str()));
+        for entries in self.entries_by_host.values_mut() {
+            entries.retain(|entry| !affected_routes.contains(entry.route.name.as_str()));
         }
-        let routes = configuration.routes.iter().filter(|route| affected.contains(route.name.as_str()));
-        for entry in routes.filter_map(|route| RouteEntry::of(configuration, route)) {
-            let entries = self.hosts.entry(entry.route.host.to_ascii_lowercase()).or_default();
+        let routes =
+            configuration.routes.iter().filter(|route| affected_routes.contains(route.name.as_str()));
+        for entry in routes.filter_map(|route| RouteEntry::from_route(configuration, route)) {
+            let entries = self.entries_by_host.entry(entry.route.host.to_ascii_lowercase()).or_default();
             entries.push(Rc::new(entry));
-            sort_longest_first(entries);
+            sort_by_descending_prefix_length(entries);
         }
-        self.hosts.retain(|_, entries| !entries.is_empty());
+        self.entries_by_host.retain(|_, entries| !entries.is_empty());
     }
 
-    /// The route of a host, with or without a port, and a path: the longest prefix wins.
+    /// Finds the route with the longest prefix of a path at a host, which may include a port.
     #[must_use]
     pub fn find(&self, host: &str, path: &str) -> Option<&Rc<RouteEntry>> {
-        let lower = host.to_ascii_lowercase();
-        let entries = self.hosts.get(&lower).or_else(|| self.hosts.get(without_port(&lower)))?;
+        let lowercase_host = host.to_ascii_lowercase();
+        let entries = self
+            .entries_by_host
+            .get(&lowercase_host)
+            .or_else(|| self.entries_by_host.get(strip_port(&lowercase_host)))?;
         entries.iter().find(|entry| path.starts_with(&entry.route.path_prefix))
     }
 }
 
-fn sort_longest_first(entries: &mut [Rc<RouteEntry>]) {
+fn sort_by_descending_prefix_length(entries: &mut [Rc<RouteEntry>]) {
     entries.sort_by_key(|entry| std::cmp::Reverse(entry.route.path_prefix.len()));
 }
 
-fn without_port(host: &str) -> &str {
+fn strip_port(host: &str) -> &str {
     host.rsplit_once(':').map_or(host, |(name, _)| name)
 }
 
-fn from_milliseconds(milliseconds: f64) -> Duration {
+fn duration_from_milliseconds(milliseconds: f64) -> Duration {
     const MAX_MS: f64 = 86_400_000.0;
     let bounded = if milliseconds.is_finite() { milliseconds.clamp(0.0, MAX_MS) } else { MAX_MS };
     Duration::from_secs_f64(bounded / 1_000.0)
--- a/system/data/src/shared.rs
+++ b/system/data/src/shared.rs
@@ -1,4 +1,4 @@
-//! The state that all parts of one edge share: registry, configuration, clock, and the clients of stores and of other nodes.
+//! State that all parts of an edge share: registry, configuration, clock, the HTTP client for stores, and the internal network.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -19,48 +19,48 @@
 use crate::routing::{Affinity, RouteEntry, RouteTable};
 use crate::stores::{InFlightCounts, StoreClient, StoreHealth};
 
-/// The time-out of flushing internal messages at the end.
+/// Timeout for flushing internal messages before the process exits.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// The newest configuration, parsed.
+/// Newest configuration, parsed, with its routing table.
 #[derive(Default)]
 struct ParsedConfiguration {
-    followed: ConfigurationFollower,
+    follower: ConfigurationFollower,
     routes: RouteTable,
 }
 
-/// The state that all parts of one edge share.
+/// State that all parts of an edge share.
 pub struct Shared {
-    /// The HTTP client for stores.
+    /// HTTP client for stores.
     pub stores: StoreClient,
-    /// Requests in flight, by store.
-    pub counts: InFlightCounts,
-    /// Which stores failed recently.
+    /// Counters of the requests in flight at each store.
+    pub in_flight_counts: InFlightCounts,
+    /// Health of the stores, from recent failures.
     pub health: StoreHealth,
-    /// Which stores have which prefixes of prompts in their caches.
+    /// Which store has cached which prompt prefix.
     pub affinity: RefCell<Affinity>,
-    /// The state of the driver of batch jobs.
+    /// State of the driver of batch jobs.
     pub rollout: RolloutState,
-    /// Identifies this incarnation of the process.
+    /// Number drawn at the start that identifies this run of the process.
     pub incarnation: u64,
     settings: RefCell<Rc<Settings>>,
     network: Network<Envelope>,
     relay: RefCell<Relay>,
-    parsed: RefCell<ParsedConfiguration>,
+    parsed_configuration: RefCell<ParsedConfiguration>,
     index: RefCell<StoreIndex>,
     clock: Clock,
     is_shutting_down: Cell<bool>,
 }
 
 impl Shared {
-    /// An edge with an empty registry.
+    /// Creates the state of an edge with an empty registry.
     #[must_use]
     pub fn new(settings: Settings, network: Network<Envelope>, incarnation: u64) -> Self {
         let relay_settings = RelaySettings::for_role(Role::Edge, &settings.zone);
         let relay = Relay::new(relay_settings, network.local_address(), false, incarnation);
         Self {
             stores: StoreClient::new(),
-            counts: InFlightCounts::default(),
+            in_flight_counts: InFlightCounts::default(),
             health: StoreHealth::default(),
             affinity: RefCell::default(),
             rollout: RolloutState::default(),
@@ -68,14 +68,14 @@
             settings: RefCell::new(Rc::new(settings)),
             network,
             relay: RefCell::new(relay),
-            parsed: RefCell::default(),
+            parsed_configuration: RefCell::default(),
             index: RefCell::default(),
             clock: Clock::start(),
             is_shutting_down: Cell::new(false),
         }
     }
 
-    /// The settings in force.
+    /// Returns the current settings.
     pub fn settings(&self) -> Rc<Settings> {
         Rc::clone(&self.settings.borrow())
     }
@@ -85,22 +85,22 @@
         *self.settings.borrow_mut() = Rc::new(settings);
     }
 
-    /// The time since this process started.
+    /// Time since this process started.
     pub fn now(&self) -> Duration {
         self.clock.now()
     }
 
-    /// The clock of this process, for parts that need nothing else of this.
+    /// Clock of this process, for parts that need no other shared state.
     pub fn clock(&self) -> Clock {
         self.clock
     }
 
-    /// The zone of this edge.
+    /// Zone of this edge.
     pub fn zone(&self) -> String {
         self.settings.borrow().zone.clone()
     }
 
-    /// The address at which this edge receives internal messages.
+    /// Address at which this edge receives internal messages.
     pub fn address(&self) -> SocketAddr {
         self.network.local_address()
     }
@@ -112,18 +112,18 @@
         }
     }
 
-    /// Reads the registry. The closure must not call back into what changes it.
+    /// Reads the registry. The closure must not call a method that changes the registry, since the registry is borrowed.
     pub fn registry<T>(&self, read: impl FnOnce(&Registry) -> T) -> T {
         read(self.relay.borrow().registry())
     }
 
-    /// Whether the registry holds all that the control chain had confirmed a moment ago.
+    /// Whether the registry is fresh: whether it has all entries that the control chain had confirmed a short time ago.
     pub fn is_registry_fresh(&self) -> bool {
         self.relay.borrow().is_fresh(self.now())
     }
 
-    /// Passes an event to the relay and carries out its actions.
-    pub fn relay(&self, event: RelayEvent) {
+    /// Passes an event to the relay and carries out the resulting actions.
+    pub fn handle_relay_event(&self, event: RelayEvent) {
         let mut actions = Vec::new();
         self.relay.borrow_mut().handle(self.now(), event, &mut actions);
         for action in actions {
@@ -134,29 +134,29 @@
         }
     }
 
-    /// When the relay expects [`RelayEvent::TimerExpired`].
+    /// When the relay needs [`RelayEvent::TimerExpired`], on the clock of [`Self::now`].
     pub fn relay_timer(&self) -> Option<Duration> {
         self.relay.borrow().next_timer()
     }
 
-    /// Merges entries that were learned from another source than the relay tree.
-    pub fn merge(&self, entries: impl IntoIterator<Item = Entry>) {
-        self.relay(RelayEvent::EntriesLearned(entries.into_iter().collect()));
+    /// Merges registry entries that come from another source than the relay tree.
+    pub fn merge_entries(&self, entries: impl IntoIterator<Item = Entry>) {
+        self.handle_relay_event(RelayEvent::EntriesLearned(entries.into_iter().collect()));
     }
 
-    /// The newest configuration known, parsed once for each change.
+    /// Returns the newest configuration known. It is parsed once for each change.
     pub fn configuration(&self) -> Option<Arc<Configuration>> {
-        self.with_parsed(|parsed| parsed.followed.configuration().cloned())
+        self.with_parsed_configuration(|parsed| parsed.follower.configuration().cloned())
     }
 
-    /// The route of a host and path by the newest configuration known.
+    /// Returns the route for a host and path in the newest configuration known.
     pub fn route(&self, host: &str, path: &str) -> Option<Rc<RouteEntry>> {
-        self.with_parsed(|parsed| parsed.routes.find(host, path).cloned())
+        self.with_parsed_configuration(|parsed| parsed.routes.find(host, path).cloned())
     }
 
-    /// The stores of a service that accept requests.
-    pub fn stores_of(&self, service: &str) -> Rc<Vec<Rc<KnownStore>>> {
-        self.index.borrow().of_service(service)
+    /// Returns the stores of a service that accept requests.
+    pub fn stores_for_service(&self, service: &str) -> Rc<Vec<Rc<KnownStore>>> {
+        self.index.borrow().for_service(service)
     }
 
     /// Whether any store accepts requests.
@@ -164,7 +164,7 @@
         !self.index.borrow().is_empty()
     }
 
-    /// Closes expired connections to stores, and removes counters that nothing uses.
+    /// Closes expired connections to stores, and those to stores not in the registry, and removes unused counters.
     pub fn release_unused(&self) {
         let relay = self.relay.borrow();
         let is_registered = |id: &str| {
@@ -172,10 +172,10 @@
             entry.is_some_and(|entry| matches!(entry.value, Value::Store(_)))
         };
         self.stores.close_expired(is_registered);
-        self.counts.remove_unused();
+        self.in_flight_counts.remove_unused();
     }
 
-    /// Flushes internal messages, within a time-out.
+    /// Sends the internal messages that are still queued, within a timeout.
     pub async fn flush(&self) {
         if !self.network.flush(FLUSH_TIMEOUT).await {
             log::debug!("internal messages not flushed in time");
@@ -187,11 +187,12 @@
         self.is_shutting_down.get()
     }
 
-    /// Starts the shutdown: the edge is not ready any more, and asks its clients to reconnect elsewhere.
+    /// Starts the shutdown: the edge is no longer ready, and sends `Connection: close` so that clients reconnect to another edge.
     pub fn start_shutdown(&self) {
         self.is_shutting_down.set(true);
     }
 
+    /// Updates the index of stores and the connection limits after changes of the registry.
     fn on_entries_changed(&self, entries: &[Entry]) {
         let zone = self.zone();
         for entry in entries {
@@ -200,7 +201,7 @@
                     Value::Store(record) => Some(record),
                     _ => None,
                 };
-                self.index.borrow_mut().update(id, record, &zone, &self.counts);
+                self.index.borrow_mut().update(id, record, &zone, &self.in_flight_counts);
             }
         }
         if entries.iter().any(|entry| matches!(entry.key, Key::Configuration | Key::Node(_))) {
@@ -213,14 +214,15 @@
         let edges = self.registry(|registry| registry.nodes().filter(|node| node.role == Role::Edge).count());
         if let Some(configuration) = self.configuration() {
             for service in &configuration.services {
-                self.stores.set_limit(&service.name, service.connection_limit as usize, edges);
+                self.stores.set_connection_limit(&service.name, service.connection_limit as usize, edges);
             }
         }
     }
 
-    fn with_parsed<T>(&self, read: impl FnOnce(&ParsedConfiguration) -> T) -> T {
+    /// Reads the parsed configuration, after applying changes of the registry to it.
+    fn with_parsed_configuration<T>(&self, read: impl FnOnce(&ParsedConfiguration) -> T) -> T {
         let relay = self.relay.borrow();
-        let mut parsed = self.parsed.borrow_mut();
+        let mut parsed = self.parsed_configuration.borrow_mut();
         if let Some((sequence, document)) = relay.registry().configuration() {
             parsed.follow(sequence, document);
         }
@@ -230,11 +232,11 @@
 
 impl ParsedConfiguration {
     fn follow(&mut self, sequence: u64, document: &ConfigurationDocument) {
-        let change = self.followed.apply_document(sequence, document);
-        let Some(configuration) = self.followed.configuration() else { return };
+        let change = self.follower.apply_document(sequence, document);
+        let Some(configuration) = self.follower.configuration() else { return };
         match change {
             Ok(ConfigurationChange::None) => {}
-            Ok(ConfigurationChange::Replaced) => self.routes = RouteTable::of(configuration),
+            Ok(ConfigurationChange::Replaced) => self.routes = RouteTable::from_configuration(configuration),
             Ok(ConfigurationChange::Updated(updates)) => {
                 updates.iter().for_each(|update| self.routes.apply(configuration, update));
             }
--- a/system/data/src/stores/attempt.rs
+++ b/system/data/src/stores/attempt.rs
@@ -1,4 +1,4 @@
-//! The time-outs of one attempt, and the reasons why it fails.
+//! Timeouts of one attempt of a request at a store, and the reasons why an attempt fails.
 
 use std::time::Duration;
 
@@ -7,14 +7,14 @@
 
 use super::rejection::Rejection;
 
-/// The time-outs of the phases of one attempt.
+/// Timeouts of the phases of one attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptTimeouts {
-    /// To get a connection.
+    /// Timeout for opening a connection, and for waiting until one is released if none may be opened.
     pub connect: Duration,
-    /// From the start of the attempt to the head of the response.
+    /// Timeout from the start of the attempt to the response head.
     pub head: Duration,
-    /// Between two frames of the response's body, and from its head to the first.
+    /// Timeout between two frames of the response body, and between the response head and the first frame.
     pub idle: Duration,
 }
 
@@ -24,7 +24,7 @@
     /// No connection could be opened.
     #[snafu(display("no connection to the store could be opened"))]
     ConnectFailed,
-    /// All connections to the store that this edge may have are in use.
+    /// All connections that this edge may have to the store are in use.
     #[snafu(display("all connections to the store are in use"))]
     NoConnectionAvailable,
     /// The store was removed while the request waited for a connection.
@@ -33,16 +33,16 @@
     /// The store responded that it did not run the request.
     #[snafu(display("the store rejected the request with {}", rejection.status))]
     Rejected {
-        /// The store's response.
+        /// Details of the rejection.
         rejection: Rejection,
     },
-    /// The connection failed after the request was written, at least in part.
+    /// The connection failed after at least a part of the request was written.
     #[snafu(display("the connection to the store failed"))]
     Disconnected,
-    /// The response is not one to this request, or not valid.
+    /// The response does not belong to this request or is not valid.
     #[snafu(display("the store sent an invalid response"))]
     InvalidResponse,
-    /// A time-out expired after the request was written.
+    /// A timeout expired after the request was written.
     #[snafu(display("the store timed out"))]
     TimedOut,
 }
--- a/system/data/src/stores/connection.rs
+++ b/system/data/src/stores/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to a store: a hyper client and the task that drives its I/O, which ends with its owner.
+//! One connection to a store: a hyper client, and the task that drives its I/O until the connection is dropped.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -12,22 +12,22 @@
 use tokio::net::TcpStream;
 use tokio::task::AbortHandle;
 
-/// The size of the read buffer, which bounds a response head and the part of a body that is not forwarded yet.
+/// Size of the read buffer, which bounds the response head and the part of a body that has not been forwarded yet.
 const READ_BUFFER_BYTES: usize = 64 * 1024;
 
-/// One connection, which occupies a slot of type `S`. Dropping it closes it.
+/// Connection to a store, which occupies a slot of type `S` in its pool. Dropping it closes the connection.
 pub(super) struct Connection<S> {
-    /// Sends requests.
+    /// Sends requests on the connection.
     pub sender: http1::SendRequest<Full<Bytes>>,
-    /// Since when it is idle; `None` while it carries a request.
+    /// When the connection became idle, on the clock of its pool; `None` while it carries a request.
     pub idle_since: Rc<Cell<Option<Duration>>>,
-    /// What it occupies at its owner.
+    /// Slot that the connection occupies in its pool.
     pub slot: S,
     task: AbortHandle,
 }
 
 impl<S> Connection<S> {
-    /// Opens a connection. `on_closed` is called with its [`Self::idle_since`] if the store closes it in good order.
+    /// Opens a connection. `on_closed` is called with its [`Self::idle_since`] if the store closes it without an error.
     pub(super) async fn open(
         address: SocketAddr,
         slot: S,
--- a/system/data/src/stores/health.rs
+++ b/system/data/src/stores/health.rs
@@ -1,52 +1,55 @@
-//! Passive health checking: a store that failed is suspect for a time that doubles with each further failure, up to a bound.
+//! Passive health checking: a store that failed is suspect for a period that doubles with each further failure, up to a maximum.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// How long a store is suspect after its first failure.
-const FIRST_SUSPICION: Duration = Duration::from_millis(250);
-/// The longest time for which a store is suspect.
-const MAX_SUSPICION: Duration = Duration::from_secs(2);
-/// The most stores that are remembered as failed.
-const MAX_STORES: usize = 8_192;
+/// Period for which a store is suspect after its first failure.
+const INITIAL_SUSPECT_PERIOD: Duration = Duration::from_millis(250);
+/// Longest period for which a store is suspect.
+const MAX_SUSPECT_PERIOD: Duration = Duration::from_secs(2);
+/// Maximum number of stores whose failures are recorded.
+const MAX_FAILED_STORES: usize = 8_192;
 
+/// Last failure of a store.
 #[derive(Clone, Copy)]
 struct Failure {
-    suspicion: Duration,
-    until: Duration,
+    suspect_period: Duration,
+    suspect_until: Duration,
 }
 
-/// Stores that failed recently, by id.
+/// Health of the stores, from the outcomes of the requests sent to them.
 #[derive(Default)]
 pub struct StoreHealth {
-    failed: RefCell<HashMap<String, Failure>>,
+    /// Last failure of each store that has not responded since, by store id.
+    failures: RefCell<HashMap<String, Failure>>,
 }
 
 impl StoreHealth {
-    /// The store was unreachable, interrupted a response, or timed out.
+    /// Records a failure: the store was unreachable, interrupted a response, or timed out. Further failures are ignored while the
+    /// store is suspect.
     pub fn on_failure(&self, id: &str, now: Duration) {
-        let mut failed = self.failed.borrow_mut();
-        if failed.len() >= MAX_STORES {
-            failed.retain(|_, failure| failure.until > now);
+        let mut failures = self.failures.borrow_mut();
+        if failures.len() >= MAX_FAILED_STORES {
+            failures.retain(|_, failure| failure.suspect_until > now);
         }
-        let suspicion = match failed.get(id) {
-            Some(failure) if failure.until > now => return,
-            Some(failure) => (failure.suspicion * 2).min(MAX_SUSPICION),
-            None => FIRST_SUSPICION,
+        let suspect_period = match failures.get(id) {
+            Some(failure) if failure.suspect_until > now => return,
+            Some(failure) => (failure.suspect_period * 2).min(MAX_SUSPECT_PERIOD),
+            None => INITIAL_SUSPECT_PERIOD,
         };
-        if failed.len() < MAX_STORES || failed.contains_key(id) {
-            failed.insert(id.to_owned(), Failure { suspicion, until: now + suspicion });
+        if failures.len() < MAX_FAILED_STORES || failures.contains_key(id) {
+            failures.insert(id.to_owned(), Failure { suspect_period, suspect_until: now + suspect_period });
         }
     }
 
-    /// The store responded.
+    /// Records that the store responded, which ends the suspicion and resets its period.
     pub fn on_response(&self, id: &str) {
-        self.failed.borrow_mut().remove(id);
+        self.failures.borrow_mut().remove(id);
     }
 
-    /// Whether the store is suspect, and used only if there is no other.
+    /// Whether the store is suspect, so that it is chosen only if there is no other store.
     pub fn is_suspect(&self, id: &str, now: Duration) -> bool {
-        self.failed.borrow().get(id).is_some_and(|failure| failure.until > now)
+        self.failures.borrow().get(id).is_some_and(|failure| failure.suspect_until > now)
     }
 }
--- a/system/data/src/stores/in_flight.rs
+++ b/system/data/src/stores/in_flight.rs
@@ -1,23 +1,23 @@
-//! Counts of the requests that this edge has in flight at each store.
+//! Counters of the requests that this edge has in flight at each store.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// Requests in flight, by store id.
+/// Counters of the requests in flight, by store id.
 #[derive(Default)]
 pub struct InFlightCounts {
-    table: RefCell<HashMap<String, Rc<Cell<usize>>>>,
+    counters: RefCell<HashMap<String, Rc<Cell<usize>>>>,
 }
 
-/// One request in flight; dropping it decrements the count of its store.
+/// Guard of one request in flight. Dropping it decrements the counter of the store.
 pub struct InFlightGuard {
     counter: Rc<Cell<usize>>,
 }
 
 impl InFlightGuard {
-    /// Increments a counter until the guard is dropped.
-    pub fn on(counter: &Rc<Cell<usize>>) -> Self {
+    /// Increments a counter; it is decremented when the guard is dropped.
+    pub fn new(counter: &Rc<Cell<usize>>) -> Self {
         counter.set(counter.get() + 1);
         Self { counter: Rc::clone(counter) }
     }
@@ -30,24 +30,24 @@
 }
 
 impl InFlightCounts {
-    /// The number of requests in flight at a store.
+    /// Number of requests in flight at a store.
     pub fn count(&self, id: &str) -> usize {
-        self.table.borrow().get(id).map_or(0, |counter| counter.get())
+        self.counters.borrow().get(id).map_or(0, |counter| counter.get())
     }
 
-    /// The counter of a store.
+    /// Returns the counter of a store, and creates it if there is none.
     pub fn counter(&self, id: &str) -> Rc<Cell<usize>> {
-        let mut table = self.table.borrow_mut();
-        if let Some(counter) = table.get(id) {
+        let mut counters = self.counters.borrow_mut();
+        if let Some(counter) = counters.get(id) {
             return Rc::clone(counter);
         }
         let counter = Rc::new(Cell::new(0));
-        table.insert(id.to_owned(), Rc::clone(&counter));
+        counters.insert(id.to_owned(), Rc::clone(&counter));
         counter
     }
 
-    /// Removes counters without any other owner.
+    /// Removes counters that have no owner outside this table.
     pub fn remove_unused(&self) {
-        self.table.borrow_mut().retain(|_, counter| Rc::strong_count(counter) > 1);
+        self.counters.borrow_mut().retain(|_, counter| Rc::strong_count(counter) > 1);
     }
 }
--- a/system/data/src/stores/mod.rs
+++ b/system/data/src/stores/mod.rs
@@ -1,4 +1,5 @@
-//! The HTTP client for stores: one attempt of a request at one store, over pooled connections, and the reason if it fails.
+//! HTTP client for stores: makes one attempt of a request at one store over pooled connections, and returns the reason if the
+//! attempt fails.
 
 mod attempt;
 mod client;
@@ -21,16 +22,16 @@
 pub use rejection::{Rejection, StoreLoad};
 pub use response::{StoreBody, StoreResponse};
 
-/// A store, as the registry names it.
+/// Identity and address of a store, from the registry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoreTarget {
-    /// Its instance id, sent as `Expected-Instance`.
+    /// Instance id of the store, sent as `Expected-Instance`.
     pub id: String,
-    /// Its address.
+    /// Address that the store listens on.
     pub address: SocketAddr,
-    /// Its service, whose connection limit applies.
+    /// Service of the store, whose connection limit applies.
     pub service: String,
-    /// Whether it accepts requests, as far as this edge knows now. A request that waited for a connection checks it again before it
-    /// is written, since an update may have removed the store meanwhile.
-    pub takes_requests: Rc<Cell<bool>>,
+    /// Whether the store accepts requests, according to the newest update of the registry. It is checked again before a request is
+    /// written, since an update may have removed the store while the request waited for a connection.
+    pub accepts_requests: Rc<Cell<bool>>,
 }
--- a/system/data/src/stores/pool.rs
+++ b/system/data/src/stores/pool.rs
@@ -1,4 +1,4 @@
-//! A pool of connections to stores, bounded for each store and in all.
+//! Pool of connections to stores, with a limit for each store and a total limit.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -12,52 +12,56 @@
 use super::connection::Connection;
 use super::StoreTarget;
 
-/// The idle time-out of connections to a store that has named none and closed none.
+/// Idle timeout of connections to a store that has sent no `Keep-Alive` timeout and closed no idle connection.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(4);
-/// Connections are closed this long before the store would close them.
+/// Connections are closed this long before the store is expected to close them.
 const IDLE_TIMEOUT_MARGIN: Duration = Duration::from_millis(500);
-/// The least idle time-out.
+/// Lower bound of the idle timeout.
 const MIN_IDLE_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// A connection of the pool, and its slot at its store.
+/// Connection of the pool with its slot.
 pub(super) type PooledConnection = Connection<ConnectionSlot>;
 
-/// Where a connection may be taken from.
+/// Whether an idle connection may be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ConnectionSource {
-    /// An idle one, or else a new one.
+    /// Use an idle connection if there is one, or else open a new one.
     IdleOrNew,
-    /// A new one only: an idle one was found closed.
+    /// Open a new connection, since an idle one turned out to be closed.
     New,
 }
 
-/// The connections to all stores.
+/// Connections to all stores.
 pub(super) struct ConnectionPool {
+    /// Pool of each store, by store id.
     stores: RefCell<HashMap<String, Rc<StorePool>>>,
-    total: Rc<Cell<usize>>,
-    total_limit: Cell<usize>,
-    started: Instant,
+    /// Number of open connections to all stores together.
+    total_connections: Rc<Cell<usize>>,
+    total_connection_limit: Cell<usize>,
+    /// Instant that [`Connection::idle_since`] is measured from.
+    clock_origin: Instant,
 }
 
-/// The connections to one store.
+/// Connections to one store.
 pub(super) struct StorePool {
     address: SocketAddr,
-    idle: RefCell<Vec<PooledConnection>>,
-    open: Cell<usize>,
-    total: Rc<Cell<usize>>,
-    /// A connection became idle or was closed.
+    idle_connections: RefCell<Vec<PooledConnection>>,
+    /// Number of open connections to this store, idle or in use.
+    open_connections: Cell<usize>,
+    total_connections: Rc<Cell<usize>>,
+    /// Notified when a connection becomes idle or is closed.
     released: Notify,
     idle_timeout: Cell<Duration>,
-    started: Instant,
+    clock_origin: Instant,
 }
 
-/// One of the connections that a store may have; dropping it frees the slot.
+/// Slot of one open connection within the limits of its store and of the pool. Dropping it frees the slot.
 pub(super) struct ConnectionSlot {
     store: Rc<StorePool>,
 }
 
 impl ConnectionSlot {
-    /// The connections of its store.
+    /// Pool of the store that the slot belongs to.
     pub(super) fn store(&self) -> Rc<StorePool> {
         Rc::clone(&self.store)
     }
@@ -65,8 +69,8 @@
 
 impl Drop for ConnectionSlot {
     fn drop(&mut self) {
-        self.store.open.set(self.store.open.get().saturating_sub(1));
-        self.store.total.set(self.store.total.get().saturating_sub(1));
+        self.store.open_connections.set(self.store.open_connections.get().saturating_sub(1));
+        self.store.total_connections.set(self.store.total_connections.get().saturating_sub(1));
         self.store.released.notify_one();
     }
 }
@@ -81,22 +85,23 @@
 }
 
 impl ConnectionPool {
-    /// A pool without connections.
+    /// Creates a pool without connections.
     pub(super) fn new() -> Self {
         Self {
             stores: RefCell::default(),
-            total: Rc::default(),
-            total_limit: Cell::new(usize::MAX),
-            started: Instant::now(),
+            total_connections: Rc::default(),
+            total_connection_limit: Cell::new(usize::MAX),
+            clock_origin: Instant::now(),
         }
     }
 
-    /// Sets the limit of connections to all stores together.
-    pub(super) fn set_total_limit(&self, limit: usize) {
-        self.total_limit.set(limit);
+    /// Sets the maximum number of connections to all stores together.
+    pub(super) fn set_total_connection_limit(&self, limit: usize) {
+        self.total_connection_limit.set(limit);
     }
 
-    /// Acquires a connection to a store: an idle one if there is one, else a new one while there are fewer than `limit`.
+    /// Acquires a connection to a store: an idle one if there is one, or a new one if fewer than `limit` are open. Otherwise waits
+    /// up to `connect_timeout` until a connection is released.
     pub(super) async fn acquire(
         &self,
         target: &StoreTarget,
@@ -110,112 +115,117 @@
                 return Ok(connection);
             }
         }
-        if store.open.get() < limit {
+        if store.open_connections.get() < limit {
             return self.open(&store, connect_timeout).await;
         }
-        let waiting = store.wait_for_release(limit, source);
-        match timeout(connect_timeout, waiting).await {
+        let wait = store.wait_for_release(limit, source);
+        match timeout(connect_timeout, wait).await {
             Err(_elapsed) => Err(PoolError::LimitReached),
             Ok(Some(connection)) => Ok(connection),
             Ok(None) => self.open(&store, connect_timeout).await,
         }
     }
 
+    /// Opens a connection; at the total limit, an idle connection to any store is closed first.
     async fn open(
         &self,
         store: &Rc<StorePool>,
         connect_timeout: Duration,
     ) -> Result<PooledConnection, PoolError> {
-        if self.total.get() >= self.total_limit.get() && !self.close_any_idle() {
+        if self.total_connections.get() >= self.total_connection_limit.get() && !self.close_any_idle() {
             return Err(PoolError::LimitReached);
         }
         store.open(connect_timeout).await
     }
 
-    /// Closes an idle connection to any store; returns whether there was one.
+    /// Closes one idle connection to any store. Returns whether there was one.
     fn close_any_idle(&self) -> bool {
         let stores = self.stores.borrow();
-        let connection = stores.values().find_map(|store| store.idle.borrow_mut().pop());
+        let connection = stores.values().find_map(|store| store.idle_connections.borrow_mut().pop());
         connection.is_some()
     }
 
-    /// Closes connections that were idle for too long, and idle ones to stores for which `is_known` is false.
+    /// Closes connections whose idle timeout has expired, and idle connections to stores for which `is_known` is false.
     pub(super) fn close_expired(&self, is_known: impl Fn(&str) -> bool) {
         self.stores.borrow_mut().retain(|id, store| {
             store.close_expired(is_known(id));
-            store.open.get() > 0 || is_known(id)
+            store.open_connections.get() > 0 || is_known(id)
         });
     }
 
-    /// The number of idle connections to a store.
+    /// Number of idle connections to a store.
     pub(super) fn idle_connections(&self, id: &str) -> usize {
-        self.stores.borrow().get(id).map_or(0, |store| store.idle.borrow().len())
+        self.stores.borrow().get(id).map_or(0, |store| store.idle_connections.borrow().len())
     }
 
+    /// Returns the pool of a store; creates a new one if there is none, or if the address of the store has changed.
     fn store(&self, target: &StoreTarget) -> Rc<StorePool> {
         let mut stores = self.stores.borrow_mut();
         if let Some(store) = stores.get(&target.id).filter(|store| store.address == target.address) {
             return Rc::clone(store);
         }
-        let store = Rc::new(StorePool::new(target.address, Rc::clone(&self.total), self.started));
+        let store =
+            Rc::new(StorePool::new(target.address, Rc::clone(&self.total_connections), self.clock_origin));
         stores.insert(target.id.clone(), Rc::clone(&store));
         store
     }
 }
 
 impl StorePool {
-    fn new(address: SocketAddr, total: Rc<Cell<usize>>, started: Instant) -> Self {
+    fn new(address: SocketAddr, total_connections: Rc<Cell<usize>>, clock_origin: Instant) -> Self {
         Self {
             address,
-            idle: RefCell::default(),
-            open: Cell::new(0),
-            total,
+            idle_connections: RefCell::default(),
+            open_connections: Cell::new(0),
+            total_connections,
             released: Notify::new(),
             idle_timeout: Cell::new(DEFAULT_IDLE_TIMEOUT),
-            started,
+            clock_origin,
         }
     }
 
-    /// Takes back a connection whose response is complete.
+    /// Returns a connection to the pool after a complete response.
     pub(super) fn release(self: &Rc<Self>, connection: PooledConnection) {
-        connection.idle_since.set(Some(self.started.elapsed()));
-        self.idle.borrow_mut().push(connection);
+        connection.idle_since.set(Some(self.clock_origin.elapsed()));
+        self.idle_connections.borrow_mut().push(connection);
         self.released.notify_one();
     }
 
-    /// The store named its keep-alive time.
-    pub(super) fn on_keep_alive(&self, time: Duration) {
-        self.idle_timeout.set(with_margin(time));
+    /// Sets the idle timeout from the timeout that the store sent in `Keep-Alive`.
+    pub(super) fn on_keep_alive(&self, keep_alive: Duration) {
+        self.idle_timeout.set(with_margin(keep_alive));
     }
 
-    /// The store closed a connection, idle since then: its keep-alive time is no longer than that.
+    /// Reduces the idle timeout after the store closed a connection that was idle since `idle_since`: the keep-alive time of the
+    /// store is not longer than the connection was idle.
     fn on_closed(&self, idle_since: Option<Duration>) {
         if let Some(since) = idle_since {
-            let idle_time = self.started.elapsed().saturating_sub(since);
+            let idle_time = self.clock_origin.elapsed().saturating_sub(since);
             self.idle_timeout.set(self.idle_timeout.get().min(with_margin(idle_time)).max(MIN_IDLE_TIMEOUT));
         }
     }
 
     fn is_expired(&self, connection: &PooledConnection) -> bool {
         let since = connection.idle_since.get().unwrap_or_default();
-        self.started.elapsed().saturating_sub(since) >= self.idle_timeout.get()
+        self.clock_origin.elapsed().saturating_sub(since) >= self.idle_timeout.get()
     }
 
     fn close_expired(&self, is_known: bool) {
         let expired: Vec<PooledConnection> = {
-            let mut idle = self.idle.borrow_mut();
-            let (kept, expired) = idle.drain(..).partition(|connection| {
+            let mut idle_connections = self.idle_connections.borrow_mut();
+            let (retained, expired) = idle_connections.drain(..).partition(|connection| {
                 is_known && !connection.sender.is_closed() && !self.is_expired(connection)
             });
-            *idle = kept;
+            *idle_connections = retained;
             expired
         };
         drop(expired);
     }
 
+    /// Takes an idle connection that is open and ready to send a request; closes expired ones on the way.
     async fn take_idle(&self) -> Option<PooledConnection> {
         loop {
-            let connection = self.idle.borrow_mut().pop()?;
+            let connection = self.idle_connections.borrow_mut().pop()?;
             if connection.sender.is_closed() || self.is_expired(&connection) {
                 continue;
             }
@@ -229,7 +239,7 @@
         }
     }
 
-    /// Waits for an idle connection, or (`None`) until a new one may be opened.
+    /// Waits for an idle connection. Returns `None` when a new connection may be opened instead.
     async fn wait_for_release(&self, limit: usize, source: ConnectionSource) -> Option<PooledConnection> {
         loop {
             self.released.notified().await;
@@ -238,15 +248,15 @@
                     return Some(connection);
                 }
             }
-            if self.open.get() < limit {
+            if self.open_connections.get() < limit {
                 return None;
             }
         }
     }
 
     async fn open(self: &Rc<Self>, connect_timeout: Duration) -> Result<PooledConnection, PoolError> {
-        self.open.set(self.open.get() + 1);
-        self.total.set(self.total.get() + 1);
+        self.open_connections.set(self.open_connections.get() + 1);
+        self.total_connections.set(self.total_connections.get() + 1);
         let slot = ConnectionSlot { store: Rc::clone(self) };
         let store = Rc::clone(self);
         let opening = Connection::open(self.address, slot, move |idle_since| store.on_closed(idle_since));
@@ -257,6 +267,7 @@
     }
 }
 
-fn with_margin(time: Duration) -> Duration {
-    time.saturating_sub(IDLE_TIMEOUT_MARGIN).max(time / 2).max(MIN_IDLE_TIMEOUT)
+/// Returns the idle timeout for a keep-alive time: the margin is subtracted, but at most half of the keep-alive time.
+fn with_margin(keep_alive: Duration) -> Duration {
+    keep_alive.saturating_sub(IDLE_TIMEOUT_MARGIN).max(keep_alive / 2).max(MIN_IDLE_TIMEOUT)
 }
--- a/system/data/src/stores/rejection.rs
+++ b/system/data/src/stores/rejection.rs
@@ -1,27 +1,27 @@
-//! A store's response that it did not run a request, and the load that stores report.
+//! Rejection of a request by a store, and the load that stores report.
 
 use std::time::Duration;
 
 use hyper::StatusCode;
 
-/// The load that a store reports.
+/// Load that a store reports in `Server-Load`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StoreLoad {
-    /// Requests that run.
+    /// Number of requests that are running.
     pub running: u32,
-    /// Requests that wait.
+    /// Number of requests that are waiting for a slot.
     pub waiting: u32,
-    /// Requests that can run at once.
+    /// Number of requests that the store can run concurrently.
     pub slots: u32,
 }
 
-/// A store's response that it did not run a request.
+/// Response of a store that did not run a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Rejection {
-    /// Its status.
+    /// HTTP status.
     pub status: StatusCode,
-    /// After which time it may be retried there.
+    /// Delay after which the request may be retried at this store.
     pub retry_after: Option<Duration>,
-    /// The load that it reported, if any.
+    /// Load that the store reported, if any.
     pub load: Option<StoreLoad>,
 }
--- a/system/data/src/stores/response.rs
+++ b/system/data/src/stores/response.rs
@@ -1,4 +1,4 @@
-//! A store's response: its status, its headers, and a body that returns its connection to the pool when it is complete.
+//! Response of a store: status, headers, and a body that returns its connection to the pool when it is complete.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -16,25 +16,27 @@
 use super::pool::PooledConnection;
 use super::rejection::StoreLoad;
 
-/// The most frames of an unread body that are polled to find its end.
+/// Maximum number of frames of an unread body that are polled, when it is dropped, to find its end.
 const MAX_UNREAD_FRAMES: usize = 4;
 
-/// A store's own response to a request, which has run.
+/// Response of a store to a request that it has run.
 pub struct StoreResponse {
-    /// Its status.
+    /// HTTP status.
     pub status: StatusCode,
-    /// Its headers, without hop-by-hop ones.
+    /// End-to-end headers.
     pub headers: HeaderMap,
-    /// The load that it reported, if any.
+    /// Load that the store reported, if any.
     pub load: Option<StoreLoad>,
-    /// Its body. Dropping it before its end closes the connection, by which the store cancels the request.
+    /// Body. Dropping it before its end closes the connection, upon which the store cancels the request.
     pub body: StoreBody,
 }
 
-/// The body of a store's response. An error means that it was interrupted. At its end, its connection returns to the pool.
+/// Body of a store's response. It fails if it is interrupted. At its end, its connection is returned to the pool.
 pub struct StoreBody {
-    incoming: Incoming,
+    incoming_body: Incoming,
+    /// Connection that the body arrives on; `None` after it was returned to the pool or closed.
     connection: Option<PooledConnection>,
+    /// Whether the connection may be reused after a complete response.
     is_reusable: bool,
     idle_timeout: Duration,
     last_frame_at: Instant,
@@ -42,37 +44,37 @@
 }
 
 impl StoreBody {
-    /// The body that arrives on a connection, which may be reused after it if `is_reusable`. It fails after `idle_timeout` without a
-    /// frame.
+    /// Creates the body that arrives on a connection. If `is_reusable`, the connection may be reused after the complete body. The
+    /// body fails after `idle_timeout` without a frame.
     pub(super) fn new(
-        incoming: Incoming,
+        incoming_body: Incoming,
         connection: PooledConnection,
         is_reusable: bool,
         idle_timeout: Duration,
     ) -> Self {
         let connection = Some(connection);
         let mut body = Self {
-            incoming,
+            incoming_body,
             connection,
             is_reusable,
             idle_timeout,
             last_frame_at: Instant::now(),
             timer: None,
         };
-        if body.incoming.is_end_stream() {
+        if body.incoming_body.is_end_stream() {
             body.release_connection();
         }
         body
     }
 
-    /// The body is complete: returns its connection to the pool.
+    /// Returns the connection to the pool after the complete body, or closes it if it is not reusable.
     fn release_connection(&mut self) {
         if let Some(connection) = self.connection.take().filter(|_| self.is_reusable) {
             connection.slot.store().release(connection);
         }
     }
 
-    /// Ready once the idle time-out has expired since the last frame.
+    /// Ready once the idle timeout has expired since the last frame.
     fn poll_idle_timeout(&mut self, context: &mut Context<'_>) -> Poll<()> {
         let deadline = self.last_frame_at + self.idle_timeout;
         let timer = self.timer.get_or_insert_with(|| Box::pin(sleep_until(deadline)));
@@ -85,20 +87,20 @@
         Poll::Pending
     }
 
-    /// Closes the connection; the body ends with the error.
+    /// Closes the connection and returns the error that ends the body.
     fn fail(&mut self, error: AttemptError) -> AttemptError {
         self.connection = None;
         error
     }
 
-    /// Reads the complete body, of `max_bytes` at most.
+    /// Reads the complete body, up to a length of `max_bytes`.
     ///
     /// # Errors
     ///
-    /// The error of the body; [`AttemptError::InvalidResponse`] if it is too long.
+    /// The error that interrupted the body, or [`AttemptError::InvalidResponse`] if it is longer than `max_bytes`.
     pub async fn collect(mut self, max_bytes: usize) -> Result<Bytes, AttemptError> {
         let mut complete = BytesMut::new();
-        while let Some(data) = self.next().await {
+        while let Some(data) = self.next_data().await {
             let data = data?;
             if complete.len() + data.len() > max_bytes {
                 return Err(AttemptError::InvalidResponse);
@@ -108,8 +110,8 @@
         Ok(complete.freeze())
     }
 
-    /// The data of its next frame; `None` at its end.
-    pub async fn next(&mut self) -> Option<Result<Bytes, AttemptError>> {
+    /// Returns the data of the next frame; `None` at the end of the body.
+    pub async fn next_data(&mut self) -> Option<Result<Bytes, AttemptError>> {
         loop {
             match self.frame().await? {
                 Ok(frame) => match frame.into_data() {
@@ -123,7 +125,7 @@
 }
 
 impl Drop for StoreBody {
-    /// A body that has arrived completely, though it was not read, returns its connection to the pool.
+    /// Returns the connection to the pool if the body has arrived completely but was not read to its end.
     fn drop(&mut self) {
         if self.connection.is_none() || !self.is_reusable {
             return;
@@ -131,9 +133,9 @@
         let waker = Waker::from(Arc::new(NoopWaker));
         let mut context = Context::from_waker(&waker);
         for _ in 0..MAX_UNREAD_FRAMES {
-            match Pin::new(&mut self.incoming).poll_frame(&mut context) {
+            match Pin::new(&mut self.incoming_body).poll_frame(&mut context) {
                 Poll::Ready(None) => return self.release_connection(),
-                Poll::Ready(Some(Ok(_))) if self.incoming.is_end_stream() => {
+                Poll::Ready(Some(Ok(_))) if self.incoming_body.is_end_stream() => {
                     return self.release_connection()
                 }
                 Poll::Ready(Some(Ok(_))) => {}
@@ -143,7 +145,7 @@
     }
 }
 
-/// A waker without effect.
+/// Waker that does nothing.
 struct NoopWaker;
 
 impl Wake for NoopWaker {
@@ -159,7 +161,7 @@
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, AttemptError>>> {
         let body = self.get_mut();
-        let polled = match Pin::new(&mut body.incoming).poll_frame(context) {
+        let polled = match Pin::new(&mut body.incoming_body).poll_frame(context) {
             Poll::Ready(polled) => polled,
             Poll::Pending => {
                 ready!(body.poll_idle_timeout(context));
@@ -169,7 +171,7 @@
         match polled {
             Some(Ok(frame)) => {
                 body.last_frame_at = Instant::now();
-                if body.incoming.is_end_stream() {
+                if body.incoming_body.is_end_stream() {
                     body.release_connection();
                 }
                 Poll::Ready(Some(Ok(frame)))
@@ -183,10 +185,10 @@
     }
 
     fn is_end_stream(&self) -> bool {
-        self.incoming.is_end_stream()
+        self.incoming_body.is_end_stream()
     }
 
     fn size_hint(&self) -> SizeHint {
-        self.incoming.size_hint()
+        self.incoming_body.size_hint()
     }
 }
--- a/system/data/src/stores/response_class.rs
+++ b/system/data/src/stores/response_class.rs
@@ -1,4 +1,4 @@
-//! Classifies a store's response from its head alone: whether it is one to this request, and whether the request ran.
+//! Classifies a store's response from its head alone: whether the response belongs to the request, and whether the request ran.
 
 use std::time::Duration;
 
@@ -7,18 +7,18 @@
 use super::rejection::{Rejection, StoreLoad};
 use crate::headers;
 
-/// The class of a response.
+/// Class of a store's response.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ResponseClass {
-    /// It is the store's own response to this request: the request has run.
+    /// The response is the store's own response to this request, so the request has run.
     Executed,
     /// The store did not run the request and never will.
     Rejected(Rejection),
-    /// It is no response to this request, or can't be trusted.
+    /// The response does not belong to this request, or cannot be trusted.
     Invalid,
 }
 
-/// Classifies the response to a request of a method and `Attempt-Id`.
+/// Classifies the response to a request with a given method and `Attempt-Id`.
 pub fn classify_response(
     method: &Method,
     id: Option<&[u8]>,
@@ -41,7 +41,7 @@
     }
 }
 
-/// Statuses that promise that a request never ran; without `Not-Executed` they can't be forwarded.
+/// Whether a status promises to the client that the request never ran. Without `Not-Executed`, such a response cannot be forwarded.
 fn promises_never_ran(status: StatusCode) -> bool {
     matches!(
         status,
@@ -49,7 +49,8 @@
     )
 }
 
-/// A success is valid only with the signature, without a content encoding, and with a body whose truncation would be noticed.
+/// Whether a successful response is valid: it must have a signature, no content encoding, and a body whose truncation would be
+/// detected.
 fn is_valid_success(method: &Method, status: StatusCode, head: &HeaderMap) -> bool {
     let is_signed = head.contains_key(headers::SERVER_SIGNATURE);
     let is_unencoded = !head.contains_key(header::CONTENT_ENCODING);
@@ -59,16 +60,16 @@
 }
 
 fn rejection(status: StatusCode, head: &HeaderMap) -> Rejection {
-    Rejection { status, retry_after: retry_after(head), load: load(head) }
+    Rejection { status, retry_after: retry_after(head), load: reported_load(head) }
 }
 
 fn retry_after(head: &HeaderMap) -> Option<Duration> {
     headers::seconds(head, &header::RETRY_AFTER)
 }
 
-/// The load that a store reports: running, waiting, slots.
+/// Parses the load that a store reports in `Server-Load`, as `RUNNING,WAITING,SLOTS`.
 #[must_use]
-pub fn load(head: &HeaderMap) -> Option<StoreLoad> {
+pub fn reported_load(head: &HeaderMap) -> Option<StoreLoad> {
     let mut parts =
         headers::text(head, &headers::SERVER_LOAD)?.split(',').map(|part| part.trim().parse().ok());
     let (running, waiting, slots) = (parts.next()??, parts.next()??, parts.next()??);
--- a/system/data/tests/edge_answers.rs
+++ b/system/data/tests/edge_answers.rs
@@ -243,7 +243,9 @@
     let clients = case.clients.iter().enumerate();
     let all = join_all(clients.map(|(number, plan)| play_client(&edge, plan, number))).await;
     // What stores still do for requests whose clients have left must be in the ledger as well.
-    let in_flight = || edge.shared.stores_of("s").iter().map(|store| store.in_flight.get()).sum::<usize>();
+    let in_flight = || {
+        edge.shared.stores_for_service("s").iter().map(|store| store.in_flight_requests.get()).sum::<usize>()
+    };
     until("nothing is out any more", || in_flight() == 0).await;
     let unasked = ledger.borrow().unasked.clone();
     assert!(unasked.is_empty(), "stores read what no client sent: {unasked:?}");
--- a/system/data/tests/edge_common/mod.rs
+++ b/system/data/tests/edge_common/mod.rs
@@ -92,17 +92,17 @@
 
     /// The control chain confirms that this is all.
     pub fn tick(&self) {
-        self.shared.relay(RelayEvent::Tick(FreshnessTick { epoch: 1, number: 1 }));
+        self.shared.handle_relay_event(RelayEvent::Tick(FreshnessTick { epoch: 1, number: 1 }));
     }
 
     pub fn learn_configuration(&self, sequence: u64, json: &str) {
-        self.shared.merge([configuration_entry(sequence, json)]);
+        self.shared.merge_entries([configuration_entry(sequence, json)]);
     }
 
     /// A ready store of the usual service, wherever it is.
     pub fn learn_store_at(&self, id: &str, address: SocketAddr) {
         let record = store_record(address, ZONE, StoreState::Ready);
-        self.shared.merge([Entry {
+        self.shared.merge_entries([Entry {
             key: Key::Store(id.to_owned()),
             version: 1,
             value: Value::Store(record),
@@ -110,7 +110,7 @@
     }
 
     pub fn learn_store(&self, store: &Store, sequence: u64, state: StoreState) {
-        self.shared.merge([store_entry(store, sequence, state)]);
+        self.shared.merge_entries([store_entry(store, sequence, state)]);
     }
 }
 
--- a/system/data/tests/edge_forwarding.rs
+++ b/system/data/tests/edge_forwarding.rs
@@ -196,12 +196,13 @@
         let held = || Turn::SayInParts(head.clone(), tail.clone());
         let (edge, near, far) = two(vec![held(), held()], vec![]).await;
         edge.learn_store(&far, 2, StoreState::Draining);
-        edge.shared.stores.set_limit("s", 2, 1);
+        edge.shared.stores.set_connection_limit("s", 2, 1);
         let mut clients = Vec::new();
         for index in 0..3 {
             let mut client = Client::connect(edge.address, None).await;
             client.send(&request("POST", "/once/x", &format!("w{index}"), "", "b")).await;
-            let in_flight = || edge.shared.stores_of("s").first().map(|store| store.in_flight.get());
+            let in_flight =
+                || edge.shared.stores_for_service("s").first().map(|store| store.in_flight_requests.get());
             until("the request is out", || in_flight() == Some(index + 1)).await;
             clients.push(client);
         }
@@ -239,7 +240,7 @@
     local(async {
         let store = Store::start("a", None, vec![Turn::Silent, Turn::Silent, Turn::Silent]).await;
         let edge = Edge::with(&[&store]).await;
-        edge.shared.stores.set_limit("s", 8, 4);
+        edge.shared.stores.set_connection_limit("s", 8, 4);
         let mut clients = Vec::new();
         for index in 0..3 {
             let mut client = Client::connect(edge.address, None).await;
@@ -272,7 +273,7 @@
 async fn an_idle_connection_is_closed_for_another_store_at_the_total_limit() {
     local(async {
         let (edge, near, far) = two(vec![], vec![]).await;
-        edge.shared.stores.set_total_limit(1);
+        edge.shared.stores.set_total_connection_limit(1);
         let mut client = Client::connect(edge.address, None).await;
         assert_eq!(client.ask("POST", "/once/x", "m1", "b").await.body(), "near");
         edge.learn_store(&near, 2, StoreState::Draining);
@@ -315,7 +316,7 @@
         let part = Turn::SayInParts(answer("200 OK", "", "whole").replace("whole", "who"), String::new());
         let store = Store::start("a", None, vec![ok("whole"), part]).await;
         let edge = Edge::with(&[&store]).await;
-        let target = edge.shared.stores_of("s")[0].target.clone();
+        let target = edge.shared.stores_for_service("s")[0].target.clone();
         let timings = AttemptTimeouts { connect: PATIENCE, head: PATIENCE, idle: PATIENCE };
         for (id, connections) in [("q1", 1), ("q2", 1), ("q3", 2)] {
             let request = Request::post("/x").header("attempt-id", id).body(Full::new(Bytes::new()));
--- a/system/data/tests/edge_front.rs
+++ b/system/data/tests/edge_front.rs
@@ -15,10 +15,10 @@
         let mut client = Client::connect(edge.address, None).await;
         client.send(&request("POST", "/once/x", "e1", "", "b")).await;
         until("request heard", || store.heard().len() == 1).await;
-        assert_eq!(edge.shared.counts.count("a"), 1);
+        assert_eq!(edge.shared.in_flight_counts.count("a"), 1);
         drop(client);
         until("store's connection closed", || store.closed() == 1).await;
-        until("count given back", || edge.shared.counts.count("a") == 0).await;
+        until("count given back", || edge.shared.in_flight_counts.count("a") == 0).await;
     })
     .await;
 }
@@ -111,7 +111,7 @@
         let reply = second.ask("POST", "/once/x", "j2", "b").await;
         assert_eq!((reply.status(), reply.header("retry-after").is_some()), (503, true));
         drop(first);
-        until("request dropped", || edge.front.budget.requests() == 0).await;
+        until("request dropped", || edge.front.budget.requests_in_flight() == 0).await;
         assert_eq!(second.ask("POST", "/once/x", "j3", "b").await.status(), 200);
     })
     .await;
