--- a/system/data/tests/edge_routing.rs
+++ b/system/data/tests/edge_routing.rs
@@ -7,8 +7,9 @@
 use gingerledge_data::headers;
 use gingerledge_data::node::{is_ready, Shutdown, ShutdownStep};
 use gingerledge_data::routing::{
-    choose_store, decide_retry, exceeds_queueing_time, failure_response, head_timeout, pick_service,
-    request_deadline, retry_after, Affinity, AttemptHistory, Candidate, Prompt, RetryDecision, RouteTable,
+    choose_store, decide_retry, failure_response, head_timeout, pick_service, queueing_exceeds_time_left,
+    request_deadline, retry_after, Affinity, AttemptHistory, Candidate, PromptPrefixes, RetryDecision,
+    RouteTable,
 };
 use gingerledge_data::stores::response_class::{classify_response, ResponseClass};
 use gingerledge_data::stores::StoreLoad;
@@ -20,8 +21,8 @@
     Duration::from_millis(milliseconds)
 }
 
-fn store(in_flight: usize, slots: usize) -> Candidate {
-    Candidate { in_flight, slots, ..Candidate::default() }
+fn store(in_flight_requests: usize, slots: usize) -> Candidate {
+    Candidate { in_flight_requests, slots, ..Candidate::default() }
 }
 
 #[parameterized(
@@ -29,11 +30,11 @@
     filling_counts_not_requests = { &[store(2, 4), store(3, 12)], Some(1) },
     read_prompt_counts = { &[store(1, 4), Candidate { affinity_bonus: 300, ..store(2, 4) }], Some(1) },
     read_prompt_does_not_beat_much_room = { &[store(0, 4), Candidate { affinity_bonus: 300, ..store(2, 4) }], Some(0) },
-    idle_connection_breaks_ties = { &[Candidate { is_own_zone: true, ..store(1, 4) }, Candidate { has_idle_connection: true, ..store(1, 4) }], Some(1) },
+    idle_connection_breaks_ties = { &[Candidate { is_in_own_zone: true, ..store(1, 4) }, Candidate { has_idle_connection: true, ..store(1, 4) }], Some(1) },
     idle_connection_does_not_beat_room = { &[store(0, 4), Candidate { has_idle_connection: true, ..store(1, 4) }], Some(0) },
-    own_zone_breaks_ties = { &[store(1, 4), Candidate { is_own_zone: true, ..store(1, 4) }], Some(1) },
-    own_zone_does_not_beat_room = { &[store(0, 4), Candidate { is_own_zone: true, ..store(1, 4) }], Some(0) },
-    others_requests_count = { &[Candidate { others_in_flight: 4, ..store(0, 4) }, store(2, 4)], Some(1) },
+    own_zone_breaks_ties = { &[store(1, 4), Candidate { is_in_own_zone: true, ..store(1, 4) }], Some(1) },
+    own_zone_does_not_beat_room = { &[store(0, 4), Candidate { is_in_own_zone: true, ..store(1, 4) }], Some(0) },
+    others_requests_count = { &[Candidate { in_flight_from_other_callers: 4, ..store(0, 4) }, store(2, 4)], Some(1) },
     failed_one_is_avoided = { &[Candidate { is_suspect: true, ..store(0, 4) }, store(9, 4)], Some(1) },
     failed_one_is_better_than_none = { &[Candidate { is_suspect: true, ..store(0, 4) }], Some(0) },
     never_the_same_twice = { &[Candidate { was_tried: true, ..store(0, 4) }, store(9, 4)], Some(1) },
@@ -90,7 +91,7 @@
     let routes =
         [route("wide", "a.test", "/x/"), route("deep", "a.test", "/x/y/"), route("other", "b.test", "/")];
     let json = format!(r#"{{"version":1,"routes":[{}],"services":[{{"name":"s"}}]}}"#, routes.join(","));
-    let table = RouteTable::of(&read_configuration(json.as_bytes()).expect("configuration"));
+    let table = RouteTable::from_configuration(&read_configuration(json.as_bytes()).expect("configuration"));
     assert_eq!(table.find(host, path).map(|entry| entry.route.name.as_str()), expected);
 }
 
@@ -109,14 +110,14 @@
     no_time = { 0, 0, NEVER, true, 4, RetryDecision::GiveUp },
 )]
 fn retry_decision(
-    sent: usize,
-    unsent: usize,
+    sent_attempts: usize,
+    unsent_attempts: usize,
     verdict: Verdict,
     idempotent: bool,
     left: u64,
     expected: RetryDecision,
 ) {
-    let history = AttemptHistory { sent, unsent, verdict };
+    let history = AttemptHistory { sent_attempts, unsent_attempts, verdict };
     assert_eq!(decide_retry(&history, 3, idempotent, ms(left)), expected);
 }
 
@@ -163,26 +164,26 @@
 )]
 fn queueing_time_exceeds_the_time_left(load: Option<(u32, u32, u32)>, usual: Option<u64>, expected: bool) {
     let load = load.map(|(running, waiting, slots)| StoreLoad { running, waiting, slots });
-    assert_eq!(exceeds_queueing_time(load, usual.map(ms), ms(500)), expected);
+    assert_eq!(queueing_exceeds_time_left(load, usual.map(ms), ms(500)), expected);
 }
 
 #[test]
 fn the_store_with_the_longest_cached_prefix_is_preferred() {
     let mut affinity = Affinity::default();
-    let session = Prompt::parse("s", "m", "9c:300,5d:100");
-    affinity.record(&Prompt::parse("s", "m", "9c:300,77:50"), "other");
+    let session = PromptPrefixes::parse("s", "m", "9c:300,5d:100");
+    affinity.record(&PromptPrefixes::parse("s", "m", "9c:300,77:50"), "other");
     assert_eq!(affinity.preferred_store(&session), Some(("other", 375)));
     affinity.record(&session, "own");
     assert_eq!(affinity.preferred_store(&session), Some(("own", 500)));
-    assert_eq!(affinity.preferred_store(&Prompt::parse("s", "m2", "9c:300,5d:100")), None);
-    assert_eq!(affinity.preferred_store(&Prompt::parse("s", "m", "5d:100")), None);
-    assert_eq!(affinity.preferred_store(&Prompt::parse("s", "m", "garbage")), None);
+    assert_eq!(affinity.preferred_store(&PromptPrefixes::parse("s", "m2", "9c:300,5d:100")), None);
+    assert_eq!(affinity.preferred_store(&PromptPrefixes::parse("s", "m", "5d:100")), None);
+    assert_eq!(affinity.preferred_store(&PromptPrefixes::parse("s", "m", "garbage")), None);
 }
 
 #[test]
 fn prompts_are_evicted_in_order() {
     let mut affinity = Affinity::default();
-    let prompt = |number: u64| Prompt::parse("s", "m", &format!("{number:x}:10"));
+    let prompt = |number: u64| PromptPrefixes::parse("s", "m", &format!("{number:x}:10"));
     for number in 0..20_000 {
         affinity.record(&prompt(number), "a");
     }
@@ -196,8 +197,8 @@
     bounded_below = { 5_000, 40, 50 },
     third_of_time = { 300, 8_000, 100 },
 )]
-fn retry_after_of_a_rejected_client(left: u64, objective: u64, expected: u64) {
-    assert_eq!(retry_after(ms(left), ms(objective)), ms(expected));
+fn retry_after_of_a_rejected_client(left: u64, target_latency: u64, expected: u64) {
+    assert_eq!(retry_after(ms(left), ms(target_latency)), ms(expected));
 }
 
 fn head(fields: &[(&str, &str)]) -> HeaderMap {
@@ -265,7 +266,7 @@
     bad = { "timeout=soon", None },
 )]
 fn keep_alive_time(value: &str, expected: Option<u64>) {
-    assert_eq!(headers::keep_alive(&head(&[("keep-alive", value)])), expected.map(ms));
+    assert_eq!(headers::keep_alive_timeout(&head(&[("keep-alive", value)])), expected.map(ms));
 }
 
 #[test]
@@ -280,7 +281,7 @@
             passed.extend_from_slice(&whole);
         }
         assert_eq!(String::from_utf8_lossy(&passed), stream);
-        assert_eq!((buffer.last_id(), buffer.is_partial()), (Some(3), false));
+        assert_eq!((buffer.last_forwarded_id(), buffer.has_partial_event()), (Some(3), false));
     }
 }
 
@@ -288,8 +289,8 @@
 fn an_interrupted_event_is_discarded_and_forwarded_ones_are_left_out() {
     let mut buffer = EventBuffer::default();
     assert_eq!(&buffer.push(b"id: 1\ndata: a\n\nid: 2\nda").expect("short")[..], b"id: 1\ndata: a\n\n");
-    assert!(buffer.is_partial());
-    buffer.discard_partial();
+    assert!(buffer.has_partial_event());
+    buffer.discard_partial_event();
     let again = buffer.push(b"id: 1\ndata: a\n\nid: 2\ndata: b\n\n").expect("short");
     assert_eq!(&again[..], b"id: 2\ndata: b\n\n");
 }
--- a/system/data/tests/rollout_common/mod.rs
+++ b/system/data/tests/rollout_common/mod.rs
@@ -168,12 +168,12 @@
     }
 
     fn learn(&self, key: Key, version: u64, value: Value) {
-        self.shared.relay(RelayEvent::EntriesLearned(vec![Entry { key, version, value }]));
+        self.shared.handle_relay_event(RelayEvent::EntriesLearned(vec![Entry { key, version, value }]));
     }
 
     /// Nothing is out at any of these stores by the edge's own counts.
     pub fn nothing_out(&self, engines: &[&Engine]) -> bool {
-        engines.iter().all(|engine| self.shared.counts.count(&engine.id) == 0)
+        engines.iter().all(|engine| self.shared.in_flight_counts.count(&engine.id) == 0)
     }
 }
 
--- a/system/data/tests/rollout_driver.rs
+++ b/system/data/tests/rollout_driver.rs
@@ -71,10 +71,10 @@
         let world = World::start(Route::default()).await;
         let a = engine("a", |_| Does::HangAfter(1)).await;
         world.learn_engine(&a);
-        world.shared.stores.set_limit("engines", 6, 2);
+        world.shared.stores.set_connection_limit("engines", 6, 2);
         world.drive(job("j", 1, 8));
         until("three requests", || a.heard().len() == 3).await;
-        assert_eq!(world.shared.counts.count("a"), 3);
+        assert_eq!(world.shared.in_flight_counts.count("a"), 3);
     });
 }
 
--- a/system/data/tests/route_updates.rs
+++ b/system/data/tests/route_updates.rs
@@ -52,13 +52,13 @@
         let configuration = followed.configuration().expect("a configuration");
         match change {
             ConfigurationChange::None => {}
-            ConfigurationChange::Replaced => table = RouteTable::of(configuration),
+            ConfigurationChange::Replaced => table = RouteTable::from_configuration(configuration),
             ConfigurationChange::Updated(series) => {
                 updates += series.len();
                 series.iter().for_each(|update| table.apply(configuration, update));
             }
         }
-        let expected = RouteTable::of(configuration);
+        let expected = RouteTable::from_configuration(configuration);
         for host in ["a.test", "b.test"] {
             for path in ["/", "/x/1", "/x/y/1", "/z/1", "/q"] {
                 assert_eq!(table.find(host, path), expected.find(host, path), "{host}{path}, seed {seed}");
