--- a/system/data/src/node/mod.rs
+++ b/system/data/src/node/mod.rs
@@ -295,7 +295,7 @@
                     self.heartbeats.known_control_nodes(&self.shared),
                 ));
             }
-            Err(error) => log::warn!("reloading the settings failed, the old ones stay in force: {error}"),
+            Err(error) => log::warn!("reloading the settings failed; keeping the current settings: {error}"),
         }
     }
 }
--- a/system/data/src/reply.rs
+++ b/system/data/src/reply.rs
@@ -14,7 +14,7 @@
 
 /// Error upon which the connection is closed without a response, because every status would promise something that is not certain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
-#[snafu(display("no answer can be given; the connection is closed"))]
+#[snafu(display("no response can be sent; the connection is closed"))]
 pub struct CloseConnection;
 
 /// Streamed body of any type.
