--- a/system/data/src/forward/stream.rs
+++ b/system/data/src/forward/stream.rs
@@ -29,6 +29,7 @@
     _in_flight_guard: InFlightGuard,
 }
 
+/// State of a resumable stream.
 enum State {
     Reading(Box<SourceStream>),
     Resuming(Resumption),
@@ -93,6 +94,7 @@
         }
     }
 
+    /// Continues the stream with the response of another store. Fails unless that response is a successful stream.
     fn on_resumed(
         &mut self,
         attempts: Attempts,
--- a/system/data/src/front/service.rs
+++ b/system/data/src/front/service.rs
@@ -86,8 +86,8 @@
     if !request.headers().contains_key(headers::ATTEMPT_ID) {
         return Ok(ReplyBody::empty_reply(StatusCode::BAD_REQUEST));
     }
-    let client_deadline = headers::milliseconds(request.headers(), &headers::DEADLINE_MS);
-    let deadline = request_deadline(shared.now(), client_deadline, route.timeout);
+    let client_timeout = headers::milliseconds(request.headers(), &headers::DEADLINE_MS);
+    let deadline = request_deadline(shared.now(), client_timeout, route.timeout);
     let (head, body) = request.into_parts();
     let time_left = deadline.saturating_sub(shared.now());
     let target_latency = route.target_latency;
--- a/system/data/src/index.rs
+++ b/system/data/src/index.rs
@@ -106,7 +106,7 @@
 
 impl StoreIndex {
     /// Applies a change of a store in the registry; `record` is `None` if the store was removed. The load report of the store is kept
-    /// unless its record has changed.
+    /// unless its address, service, slots or zone have changed.
     pub fn update(
         &mut self,
         id: &str,
--- a/system/data/src/node/heartbeat.rs
+++ b/system/data/src/node/heartbeat.rs
@@ -24,6 +24,7 @@
     last_sequence: u64,
     /// Sequence number of the last heartbeat that the target acknowledged, or of the last one sent before the target was chosen.
     acknowledged_sequence: u64,
+    /// When the next heartbeat is due, on the clock of [`Shared::now`].
     next_heartbeat_at: Duration,
 }
 
@@ -82,7 +83,7 @@
         }
     }
 
-    /// Clears the target if the connection to it was lost, so that the next heartbeat goes to another control node.
+    /// Clears the target if the connection to it was lost, so that a control node is chosen again for the next heartbeat.
     pub fn on_peer_lost(&mut self, peer: SocketAddr) {
         if self.target == Some(peer) {
             self.target = None;
@@ -99,22 +100,22 @@
 
     /// Returns all known control nodes: those of the settings and those that other control nodes advertised.
     pub fn known_control_nodes(&self, shared: &Shared) -> Vec<SocketAddr> {
-        let mut known = shared.settings().internal_seeds();
-        known.extend(self.advertised_nodes.iter().copied());
-        known.sort_unstable();
-        known.dedup();
-        known
+        let mut control_nodes = shared.settings().internal_seeds();
+        control_nodes.extend(self.advertised_nodes.iter().copied());
+        control_nodes.sort_unstable();
+        control_nodes.dedup();
+        control_nodes
     }
 
     /// Chooses a control node other than the current target, from this edge's own zone if there is one. Keeps the target if no other
     /// control node is known.
     fn choose_new_target(&self, shared: &Shared) -> Option<SocketAddr> {
         let zone = shared.zone();
-        let own_zone = shared.registry(|registry| {
+        let own_zone_nodes = shared.registry(|registry| {
             let control = registry.nodes().filter(|node| node.role == Role::Control && node.zone == zone);
             control.map(|node| node.address).collect()
         });
-        self.choose_from(own_zone)
+        self.choose_from(own_zone_nodes)
             .or_else(|| self.choose_from(self.known_control_nodes(shared)))
             .or(self.target)
     }
