--- a/system/data/src/rollout/generation.rs
+++ b/system/data/src/rollout/generation.rs
@@ -210,7 +210,7 @@
 
 /// Records that the store has no capacity beyond the other requests that this edge has in flight there.
 fn on_capacity_exceeded(context: &GenerationContext<'_>, generation: &GenerationRequest) {
-    let other_requests = generation.stream.store.in_flight.get().saturating_sub(1);
+    let other_requests = generation.stream.store.in_flight_requests.get().saturating_sub(1);
     let other_requests = u32::try_from(other_requests).unwrap_or(u32::MAX);
     context.observations.capacities.borrow_mut().on_rejected(
         &generation.stream.store.target.id,
@@ -260,7 +260,7 @@
     loop {
         let chunk = tokio::select! {
             biased;
-            chunk = body.next() => chunk,
+            chunk = body.next_data() => chunk,
             () = &mut migration => return GenerationOutcome::Migrated,
         };
         let chunk = match chunk {
