--- a/broker/src/core/guard.rs
+++ b/broker/src/core/guard.rs
@@ -30,7 +30,7 @@
     pub fn new(settings: &Settings) -> Self {
         Self {
             max_attempts: settings.max_attempts.max(1),
-            parallel: settings.parallel,
+            parallel: settings.allows_parallel_attempts,
             repeats: settings.classes.iter().map(|class| (class.repeat, class.deduplication_ms)).collect(),
         }
     }
--- a/broker/src/core/messages.rs
+++ b/broker/src/core/messages.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use gingerledge_blocks::{Epoch, Span};
-use gingerledge_dispatch::{Entry, ListKind, Millis, Outcome, RejectionReason, RequestId, ServerId};
+use gingerledge_dispatch::{ListKind, Millis, Outcome, RejectionReason, RequestId, ServerEntry, ServerId};
 
 use super::IdempotencyKey;
 use crate::routes::BlockOwners;
@@ -127,7 +127,7 @@
     /// An attempt ended.
     AttemptEnded(AttemptId, AttemptOutcome),
     /// Discovery reported a list of stores, changes to it, or a failure.
-    EndpointsListed(ListKind, Vec<Entry>),
+    EndpointsListed(ListKind, Vec<ServerEntry>),
     /// The stores that own some blocks have changed.
     BlockOwnersChanged(BlockOwners),
     /// Number of processes that share this broker's quotas.
--- a/broker/src/core/mod.rs
+++ b/broker/src/core/mod.rs
@@ -100,7 +100,7 @@
         Self {
             at_most_once: settings.classes.iter().map(|class| class.repeat == Repeat::Unsafe).collect(),
             guard: Guard::new(&settings),
-            withdrawals: settings.withdrawals,
+            withdrawals: settings.allows_withdrawals,
             cancelled: Vec::new(),
             routes,
             parked: Vec::new(),
@@ -131,7 +131,7 @@
             ("flights", self.flights.len()),
             ("held parts", self.parked.len() + self.completed.len() + self.withdrawn.len()),
         ];
-        own.into_iter().chain(self.aggregator.sizes()).collect()
+        own.into_iter().chain(self.aggregator.table_sizes()).collect()
     }
 
     /// When the next turn is due if no event arrives, in Unix milliseconds.
@@ -187,9 +187,9 @@
             }
             CoreEvent::BlockOwnersChanged(owners) => self.on_block_owners(now, owners, actions),
             CoreEvent::EndpointsListed(kind, entries) => {
-                self.aggregator.handle(now, Event::List { kind, entries }, actions);
+                self.aggregator.handle(now, Event::ServerList { kind, entries }, actions);
             }
-            CoreEvent::ShutdownStarted => self.aggregator.handle(now, Event::Leaving, actions),
+            CoreEvent::ShutdownStarted => self.aggregator.handle(now, Event::ShuttingDown, actions),
             CoreEvent::Barrier(_) => {}
             CoreEvent::ProcessCountChanged(processes) => {
                 self.aggregator.handle(
@@ -220,11 +220,11 @@
         }
         // A client that disconnected says nothing about the store's health.
         let void = flight.is_cancelled && ended.outcome == Outcome::Withdrawn;
-        let event = Event::Outcome {
+        let event = Event::AttemptEnded {
             part: attempt.part,
             attempt: attempt.number,
             server: flight.server,
-            wait_ms: now - flight.sent,
+            elapsed_ms: now - flight.sent,
             outcome: if void { Outcome::Void } else { ended.outcome },
             report: ended.report,
         };
@@ -301,11 +301,11 @@
                 Action::Send { part, server, timeout_ms } => {
                     match self.start_attempt(now, part, server, timeout_ms) {
                         Ok(order) => commands.push(Command::Send(order)),
-                        Err(number) => caused_events.push(Event::Outcome {
+                        Err(number) => caused_events.push(Event::AttemptEnded {
                             part,
                             attempt: number,
                             server,
-                            wait_ms: 0.0,
+                            elapsed_ms: 0.0,
                             outcome: Outcome::Void,
                             report: Vec::new(),
                         }),
@@ -314,11 +314,11 @@
                 Action::Withdraw { part, attempt: number } => {
                     commands.push(Command::Withdraw(AttemptId { part, number }));
                 }
-                Action::Answer { query, whole } => match self.complete_step(query, whole) {
+                Action::Answer { query, is_complete } => match self.complete_step(query, is_complete) {
                     Ok(answer) => commands.push(Command::Finish(query, answer)),
                     Err(parts) => caused_events.extend(parts),
                 },
-                Action::Refuse { query, retry_after_ms } => {
+                Action::Reject { query, retry_after_ms } => {
                     self.remove_query(query);
                     commands.push(Command::Finish(query, FinalAnswer::Refused { retry_after_ms }));
                 }
@@ -329,7 +329,9 @@
                     self.remove_query(query);
                     commands.push(Command::Finish(query, FinalAnswer::Failed));
                 }
-                Action::Release { server } => commands.push(Command::CloseIdleConnections(server)),
+                Action::CloseIdleConnections { server } => {
+                    commands.push(Command::CloseIdleConnections(server))
+                }
                 Action::Subscribe => commands.push(Command::Subscribe),
                 Action::Timer { wait_ms, token } => {
                     let at = now + wait_ms.max(0.0);
--- a/broker/src/core/successors.rs
+++ b/broker/src/core/successors.rs
@@ -62,7 +62,7 @@
         let ended: Vec<u32> =
             owners.iter().filter(|(_, servers)| servers.is_empty()).map(|(block, _)| *block).collect();
         for (shard, servers) in owners {
-            self.aggregator.handle(now, Event::Holders { shard, servers }, actions);
+            self.aggregator.handle(now, Event::ShardReplicas { shard, servers }, actions);
         }
         if ended.is_empty() {
             return;
--- a/broker/src/discovery/mod.rs
+++ b/broker/src/discovery/mod.rs
@@ -15,7 +15,7 @@
 
 use async_channel::{Receiver, Sender};
 use async_io::Timer;
-use gingerledge_dispatch::{Entry, ListKind, Status};
+use gingerledge_dispatch::{ListKind, ServerEntry, ServerStatus};
 
 use crate::clock::Millis;
 use crate::counters::{count, Counters};
@@ -167,7 +167,7 @@
             entries.extend(entry);
         }
         let kind = match (remembered, list.reset) {
-            (true, _) => ListKind::Remembered,
+            (true, _) => ListKind::Restored,
             (false, true) => ListKind::Complete,
             (false, false) => ListKind::Changes,
         };
@@ -184,26 +184,26 @@
     }
 
     /// The core's entry of a store; `None` if it is not known or its address is invalid.
-    fn entry(&self, instance: &Instance) -> Option<Entry> {
+    fn entry(&self, instance: &Instance) -> Option<ServerEntry> {
         let id = &instance.instance_id;
         let status = match instance.lifecycle {
-            Lifecycle::Up if self.rotation.is_disabled(id) => Status::Draining,
-            Lifecycle::Up => Status::Ready,
-            Lifecycle::Draining => Status::Draining,
-            Lifecycle::Removed => Status::Gone,
+            Lifecycle::Up if self.rotation.is_disabled(id) => ServerStatus::Draining,
+            Lifecycle::Up => ServerStatus::Ready,
+            Lifecycle::Draining => ServerStatus::Draining,
+            Lifecycle::Removed => ServerStatus::Removed,
         };
-        Some(Entry {
+        Some(ServerEntry {
             server: match status {
-                Status::Gone => self.stores.remove(id)?,
+                ServerStatus::Removed => self.stores.remove(id)?,
                 _ => match instance.host_port.parse() {
-                    Ok(address) => self.stores.upsert(id, address, status == Status::Ready),
+                    Ok(address) => self.stores.upsert(id, address, status == ServerStatus::Ready),
                     Err(_) => {
                         log::warn!(store = instance.instance_id, address = instance.host_port; "listed store has an invalid address");
                         return None;
                     }
                 },
             },
-            since: self.rotation.started(id, instance.started_at_ms),
+            started_at: self.rotation.started(id, instance.started_at_ms),
             zone: self.zones.get(&instance.zone).copied().unwrap_or(u32::MAX),
             cell: instance.cell,
             status,
--- a/broker/src/discovery/watching.rs
+++ b/broker/src/discovery/watching.rs
@@ -91,7 +91,7 @@
     /// The time-outs for these settings.
     pub fn of(settings: &Settings) -> Self {
         let first = Duration::from_millis(1000);
-        if settings.subscribe {
+        if settings.requires_subscription {
             // Whoever knows no number goes by that of its process: these are spread, too.
             let number = settings.index.unwrap_or_else(std::process::id);
             let brokers = settings.aggregators.max(1);
--- a/broker/src/exchange.rs
+++ b/broker/src/exchange.rs
@@ -9,7 +9,7 @@
 
 use async_channel::{Receiver, Sender};
 use async_io::Timer;
-use gingerledge_dispatch::{Entry, ListKind, RejectionReason};
+use gingerledge_dispatch::{ListKind, RejectionReason, ServerEntry};
 
 use crate::clock::Clock;
 use crate::core::{AttemptId, AttemptOutcome, CoreEvent, FinalAnswer, PartRequest, Query, QueryId};
@@ -137,7 +137,7 @@
     }
 
     /// Reports a result of discovery.
-    pub fn endpoints_listed(&self, kind: ListKind, entries: Vec<Entry>) {
+    pub fn endpoints_listed(&self, kind: ListKind, entries: Vec<ServerEntry>) {
         self.push_event(CoreEvent::EndpointsListed(kind, entries));
     }
 
--- a/broker/src/service.rs
+++ b/broker/src/service.rs
@@ -136,7 +136,7 @@
 fn link_limits(config: &Config, budget: &Budget) -> Limits {
     Limits {
         streams: config.streams,
-        batch: config.setup.settings.batch.max(1) as usize,
+        batch: config.setup.settings.max_parts_per_call.max(1) as usize,
         links: budget.stores,
         dial: millis(config.dial_timeout_ms),
         idle: millis(config.idle_ms * IDLE_SHARE),
--- a/broker/tests/core.rs
+++ b/broker/tests/core.rs
@@ -13,7 +13,7 @@
 };
 use gingerledge::counters::Counters;
 use gingerledge::exchange::{Exchange, SubmitError};
-use gingerledge_dispatch::{Class, Entry, ListKind, Outcome, Settings};
+use gingerledge_dispatch::{Class, ListKind, Outcome, ServerEntry, Settings};
 
 fn core(class: Class) -> Core {
     with(class, Settings::default())
@@ -29,13 +29,13 @@
         cells: 3,
         reach: 2,
         shards: 3,
-        batch: 1,
+        max_parts_per_call: 1,
         max_attempts: 3,
-        withdrawals: true,
+        allows_withdrawals: true,
         ..settings
     };
     let mut core = Core::new(7, settings, 0.0);
-    let entries = (0..3).map(|n| Entry { server: n, cell: n, ..Entry::default() }).collect();
+    let entries = (0..3).map(|n| ServerEntry { server: n, cell: n, ..ServerEntry::default() }).collect();
     core.turn(0.0, [CoreEvent::EndpointsListed(ListKind::Complete, entries)]);
     core
 }
@@ -127,7 +127,7 @@
 /// Where two attempts may be out at once, the one that was not waited for ends later, and may fail.
 #[test]
 fn the_value_of_a_part_stays_when_its_second_copy_fails() {
-    let mut core = with(Class::default(), Settings { parallel: true, ..Settings::default() });
+    let mut core = with(Class::default(), Settings { allows_parallel_attempts: true, ..Settings::default() });
     for (id, now) in [(1, 1.0), (2, 20.0)] {
         let sent =
             orders(&core.turn(now, [CoreEvent::QuerySubmitted(id, question("q", &[0, 1], now + 1900.0))]));
@@ -224,7 +224,7 @@
 fn a_core_about_to_end_sends_a_cold_store_nothing() {
     let orders_of = |leaves: bool| {
         let cold = Settings {
-            warm_up_start: 0.2,
+            warm_up_start_capacity: 0.2,
             warm_up_ms: 10_000.0,
             overload_factor: 2.0,
             overload_window_ms: 2000.0,
@@ -233,7 +233,9 @@
         let mut core = with(Class::default(), cold);
         let sent = orders(&core.turn(1.0, [CoreEvent::QuerySubmitted(1, question("q", &[0], 900.0))]));
         core.turn(11.0, [good(sent[0].attempt, 1, b"v")]);
-        let entries = (0..3).map(|n| Entry { server: n, cell: n, since: 20.0, ..Entry::default() }).collect();
+        let entries = (0..3)
+            .map(|n| ServerEntry { server: n, cell: n, started_at: 20.0, ..ServerEntry::default() })
+            .collect();
         core.turn(20.0, [CoreEvent::EndpointsListed(ListKind::Complete, entries)]);
         let told = leaves.then_some(CoreEvent::ShutdownStarted);
         core.turn(21.0, told);
--- a/broker/tests/drawn/draw.rs
+++ b/broker/tests/drawn/draw.rs
@@ -1,7 +1,7 @@
 //! Draws deployments: inside and beyond the ranges of those that are known.
 
 use fastrand::Rng;
-use gingerledge_dispatch::{Budget, Class, Repeat, ReportField, Settings, Tenant};
+use gingerledge_dispatch::{Class, Repeat, ReportField, RetryBudget, Settings, Tenant};
 
 use crate::scenario::{Asked, Fault, Kind, Scenario, Store, Telling};
 
@@ -50,8 +50,8 @@
     let sets = rng.bool();
     let cells = if sets { rng.u32(1..=7) } else { rng.u32(1..=20) };
     let fields = [
-        ReportField::InHand,
-        ReportField::Waiting,
+        ReportField::InProgress,
+        ReportField::Queued,
         ReportField::Utilisation,
         ReportField::ServiceMs,
         ReportField::ServedPerS,
@@ -66,31 +66,31 @@
         turn_ms: if chance(rng, 0.5) { 5.0 } else { scale(rng, 1.0, 20.0) },
         classes: (0..rng.usize(1..=6)).map(|_| class(rng)).collect(),
         tenants: (0..rng.usize(0..=5)).map(|_| Tenant { quota_per_s: scale(rng, 0.5, 50.0) }).collect(),
-        over_quota_value: rng.f64(),
+        over_quota_value_share: rng.f64(),
         cells,
         reach: if sets { 1 } else { rng.u32(1..=4).min(cells) },
         shards: cells * rng.u32(1..=4),
-        batch: if rng.bool() { 1 } else { rng.u32(2..=16) },
+        max_parts_per_call: if rng.bool() { 1 } else { rng.u32(2..=16) },
         call_cost_ms: if rng.bool() { 0.0 } else { between(rng, 0.0, 100.0) },
         max_attempts: rng.u32(1..=6),
-        parallel: rng.bool(),
-        withdrawals: rng.bool(),
-        subscribe: rng.bool(),
+        allows_parallel_attempts: rng.bool(),
+        allows_withdrawals: rng.bool(),
+        requires_subscription: rng.bool(),
         list_refresh_ms: scale(rng, 1000.0, 20_000.0),
-        budget: rng.bool().then(|| Budget {
-            free: if rng.bool() { 0.0 } else { between(rng, 0.0, 10.0) },
-            ratio: if chance(rng, 0.2) { 0.0 } else { between(rng, 0.0, 0.5) },
+        retry_budget: rng.bool().then(|| RetryBudget {
+            free_attempts: if rng.bool() { 0.0 } else { between(rng, 0.0, 10.0) },
+            attempts_per_arrival: if chance(rng, 0.2) { 0.0 } else { between(rng, 0.0, 0.5) },
             window_ms: scale(rng, 100.0, 5000.0),
         }),
         answer_slack_ms: between(rng, 0.0, 40.0),
         drain_grace_ms: if chance(rng, 0.2) { 0.0 } else { between(rng, 0.0, 2000.0) },
-        warm_up_start: between(rng, 0.05, 1.0),
+        warm_up_start_capacity: between(rng, 0.05, 1.0),
         warm_up_ms: scale(rng, 200.0, 20_000.0),
         overload_factor: between(rng, 1.2, 4.0),
         overload_window_ms: scale(rng, 200.0, 3000.0),
         max_retry_after_ms: if rng.bool() { 0.0 } else { scale(rng, 50.0, 2000.0) },
-        idle_ms: scale(rng, 100.0, 30_000.0),
-        report: (0..figures).map(|_| fields[rng.usize(0..fields.len())]).collect(),
+        idle_timeout_ms: scale(rng, 100.0, 30_000.0),
+        report_fields: (0..figures).map(|_| fields[rng.usize(0..fields.len())]).collect(),
     }
 }
 
@@ -108,7 +108,7 @@
         cross_ms: scale(rng, 0.2, 5.0),
         jitter: rng.f64(),
         dial_ms: between(rng, 50.0, 400.0),
-        figures: if chance(rng, 0.8) { settings.report.len() } else { rng.usize(0..=6) },
+        figures: if chance(rng, 0.8) { settings.report_fields.len() } else { rng.usize(0..=6) },
         garbage: if chance(rng, 0.7) { 0.0 } else { rng.f64() },
     }
 }
@@ -187,14 +187,14 @@
             Self::Cold => {
                 (set.cells, set.reach) = (rng.u32(1..=3), 1);
                 set.shards = set.cells * rng.u32(1..=4);
-                set.warm_up_start = between(rng, 0.05, 0.4);
+                set.warm_up_start_capacity = between(rng, 0.05, 0.4);
                 set.warm_up_ms = scale(rng, 2000.0, 20_000.0);
                 set.aggregators = brokers as u32;
             }
             Self::Copies => {
-                set.parallel = true;
+                set.allows_parallel_attempts = true;
                 set.max_attempts = rng.u32(3..=6);
-                set.budget = None;
+                set.retry_budget = None;
                 for class in &mut set.classes {
                     class.deduplication_ms = scale(rng, 50.0, 1000.0);
                     class.latency_target_ms = class.latency_target_ms.max(400.0);
@@ -202,7 +202,7 @@
                 }
             }
             Self::Unheard => {
-                set.subscribe = true;
+                set.requires_subscription = true;
                 set.list_refresh_ms = scale(rng, 1000.0, 1500.0);
                 set.drain_grace_ms = between(rng, 0.0, 300.0);
             }
--- a/broker/tests/drawn/host.rs
+++ b/broker/tests/drawn/host.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use gingerledge::core::{AttemptRequest, Command, Core, CoreEvent, Form, PartRequest, Query};
-use gingerledge_dispatch::{Entry, ListKind, Outcome, ServerId, Status};
+use gingerledge_dispatch::{ListKind, Outcome, ServerEntry, ServerId, ServerStatus};
 
 use crate::rules::{hold, Held};
 use crate::scenario::Asked;
@@ -48,14 +48,14 @@
         self.ledger.started(broker, self.now);
         let listed = self.ledger.listed.len();
         if life > 1 {
-            self.list(broker, ListKind::Remembered, heard.max(self.scene.stores.len()));
-        } else if self.scene.settings.subscribe {
-            self.list(broker, ListKind::Remembered, listed);
+            self.list(broker, ListKind::Restored, heard.max(self.scene.stores.len()));
+        } else if self.scene.settings.requires_subscription {
+            self.list(broker, ListKind::Restored, listed);
         } else {
             self.list(broker, ListKind::Complete, listed);
             self.hosts[broker].heard = listed;
         }
-        if !self.scene.settings.subscribe && life > 1 {
+        if !self.scene.settings.requires_subscription && life > 1 {
             let wait = self.scene.telling.least_ms;
             self.at(self.now.max(self.deaf) + wait, What::Relist(broker, life));
         }
@@ -187,7 +187,7 @@
     /// What goes to one store in one turn shares calls.
     fn call_out(&mut self, broker: usize, mut flights: Vec<usize>) {
         flights.sort_by_key(|&flight| self.flights[flight].server);
-        let batch = self.scene.settings.batch.max(1) as usize;
+        let batch = self.scene.settings.max_parts_per_call.max(1) as usize;
         let mut calls: Vec<Vec<usize>> = Vec::new();
         for flight in flights {
             let server = self.flights[flight].server;
@@ -295,7 +295,7 @@
     }
 
     /// Discovery lists a change; who is told of changes hears of it later.
-    pub fn publish(&mut self, entry: Entry) {
+    pub fn publish(&mut self, entry: ServerEntry) {
         self.ledger.listed.push((self.now, entry));
         let upto = self.ledger.listed.len();
         for broker in 0..self.hosts.len() {
@@ -308,7 +308,7 @@
 
     pub fn tell(&mut self, broker: usize, life: u32, upto: usize) {
         let heard = self.hosts[broker].heard;
-        let follows = !self.scene.settings.subscribe || self.ledger.follows(broker);
+        let follows = !self.scene.settings.requires_subscription || self.ledger.follows(broker);
         if self.hosts[broker].life != life || upto <= heard || !follows {
             return;
         }
@@ -329,7 +329,7 @@
         for (_, entry) in &self.ledger.listed[..upto] {
             last.insert(entry.server, entry.clone());
         }
-        let entries = last.into_values().filter(|entry| entry.status != Status::Gone).collect();
+        let entries = last.into_values().filter(|entry| entry.status != ServerStatus::Removed).collect();
         if kind == ListKind::Complete {
             self.hosts[broker].heard = upto;
             self.ledger.books[broker].heard = upto;
@@ -355,7 +355,7 @@
     pub fn deafen(&mut self, until: f64, breaks: bool) {
         self.deaf = self.deaf.max(until);
         for broker in 0..self.hosts.len() {
-            if breaks && self.scene.settings.subscribe && self.ledger.follows(broker) {
+            if breaks && self.scene.settings.requires_subscription && self.ledger.follows(broker) {
                 self.leave_word(broker, CoreEvent::EndpointsListed(ListKind::Failed, Vec::new()), None);
             }
         }
--- a/broker/tests/drawn/least.rs
+++ b/broker/tests/drawn/least.rs
@@ -5,7 +5,7 @@
 use gingerledge::core::{
     AttemptId, AttemptOutcome, AttemptRequest, Command, Core, CoreEvent, Form, PartRequest, Query, Served,
 };
-use gingerledge_dispatch::{Class, Entry, ListKind, Outcome, Repeat, Settings};
+use gingerledge_dispatch::{Class, ListKind, Outcome, Repeat, ServerEntry, Settings};
 
 fn class(repeat: Repeat) -> Class {
     let class = Class {
@@ -26,13 +26,13 @@
         cells: 1,
         reach: 1,
         shards: 4,
-        batch: 1,
+        max_parts_per_call: 1,
         max_attempts: 3,
-        withdrawals: true,
+        allows_withdrawals: true,
         ..settings
     };
     let mut core = Core::new(7, settings, 0.0);
-    let entries = (0..stores).map(|server| Entry { server, ..Entry::default() }).collect();
+    let entries = (0..stores).map(|server| ServerEntry { server, ..ServerEntry::default() }).collect();
     core.turn(0.0, [CoreEvent::EndpointsListed(ListKind::Complete, entries)]);
     core
 }
@@ -64,7 +64,11 @@
 /// The window of a keyed part runs from the first attempt that was sent, whichever of two ended first.
 #[test]
 fn the_window_of_a_keyed_part_runs_from_the_first_of_two_copies() {
-    let set = Settings { parallel: true, classes: vec![class(Repeat::Keyed)], ..Settings::default() };
+    let set = Settings {
+        allows_parallel_attempts: true,
+        classes: vec![class(Repeat::Keyed)],
+        ..Settings::default()
+    };
     let mut core = core(set, 2);
     for n in 0..4 {
         let now = 20.0 * n as f64;
@@ -89,7 +93,7 @@
 fn a_cold_store_is_sent_no_more_work_where_classes_differ() {
     let classes = vec![class(Repeat::Safe), class(Repeat::Safe)];
     let cold = Settings {
-        warm_up_start: 0.2,
+        warm_up_start_capacity: 0.2,
         warm_up_ms: 10_000.0,
         overload_factor: 2.0,
         overload_window_ms: 2000.0,
@@ -104,7 +108,7 @@
             sent.iter().map(|order| good(order.attempt)).collect::<Vec<_>>(),
         );
     }
-    let started = Entry { since: 500.0, ..Entry::default() };
+    let started = ServerEntry { started_at: 500.0, ..ServerEntry::default() };
     core.turn(500.0, [CoreEvent::EndpointsListed(ListKind::Changes, vec![started])]);
     let mut sent = 0.0;
     for n in 0..200 {
--- a/broker/tests/drawn/rules.rs
+++ b/broker/tests/drawn/rules.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use gingerledge::core::{AttemptRequest, FirstStep, Text};
-use gingerledge_dispatch::{Entry, ListKind, Outcome, Repeat, ServerId, Settings, Status};
+use gingerledge_dispatch::{ListKind, Outcome, Repeat, ServerEntry, ServerId, ServerStatus, Settings};
 
 use crate::scenario::Scenario;
 use crate::tally::Tally;
@@ -98,7 +98,7 @@
     pub records: Vec<Record>,
     pub books: Vec<Book>,
     /// What discovery has listed, and when.
-    pub listed: Vec<(f64, Entry)>,
+    pub listed: Vec<(f64, ServerEntry)>,
     pub tally: Tally,
 }
 
@@ -166,9 +166,9 @@
         self.books[broker].failed = false;
     }
 
-    pub fn told(&mut self, broker: usize, now: f64, kind: ListKind, entries: &[Entry]) {
+    pub fn told(&mut self, broker: usize, now: f64, kind: ListKind, entries: &[ServerEntry]) {
         let base = self.base;
-        let subscribe = self.set.subscribe;
+        let subscribe = self.set.requires_subscription;
         let book = &mut self.books[broker];
         match kind {
             ListKind::Failed => {
@@ -176,7 +176,7 @@
                 book.asked = if book.subscribed { now } else { book.asked };
                 (book.failed, book.subscribed) = (true, false);
             }
-            ListKind::Remembered => {}
+            ListKind::Restored => {}
             _ => book.subscribed |= subscribe,
         }
         if kind == ListKind::Complete {
@@ -189,9 +189,9 @@
         for entry in entries {
             let told = book.told.entry(entry.server).or_default();
             told.cell = entry.cell;
-            told.since = if entry.since > 0.0 { entry.since - base } else { f64::NEG_INFINITY };
+            told.since = if entry.started_at > 0.0 { entry.started_at - base } else { f64::NEG_INFINITY };
             match entry.status {
-                Status::Ready => told.out = None,
+                ServerStatus::Ready => told.out = None,
                 _ => drop(told.out.get_or_insert(now)),
             }
         }
@@ -266,7 +266,7 @@
         let most = self.set.max_attempts.max(1) as usize;
         hold(number < most, "attempts", || said(format!("attempt {} of {most}", number + 1)))?;
         let out = tries.iter().filter(|t| t.end.is_none()).count();
-        hold(out == 0 || self.set.parallel, "effect", || said("two at once".into()))?;
+        hold(out == 0 || self.set.allows_parallel_attempts, "effect", || said("two at once".into()))?;
         let may_have_run = |t: &&Try| t.end.is_none_or(|end| !end.never_ran());
         let first = tries.iter().find(may_have_run).map(|t| t.at);
         let allowed = match (class.repeat, first) {
@@ -299,11 +299,12 @@
     fn spend(&mut self, broker: usize, now: f64) -> Held {
         let book = &mut self.books[broker];
         book.extras.push(now);
-        let Some(budget) = self.set.budget else { return Ok(()) };
+        let Some(budget) = self.set.retry_budget else { return Ok(()) };
         let within = |times: &[f64]| times.iter().filter(|&&at| at > now - budget.window_ms).count() as f64;
         let (used, taken) = (within(&book.extras), within(&book.taken));
         self.tally.met("sends from a ration");
-        let allowed = budget.free + budget.ratio * (taken + self.unseen(broker)) + 1e-9;
+        let allowed =
+            budget.free_attempts + budget.attempts_per_arrival * (taken + self.unseen(broker)) + 1e-9;
         hold(used <= allowed, "budget", || format!("broker {broker} at {now:.3} ms: {used} of {allowed}"))
     }
 
@@ -333,7 +334,7 @@
                 return Err(format!("store {server} told to be out {ago:.3} ms ago"));
             }
         }
-        if !self.set.subscribe || book.subscribed {
+        if !self.set.requires_subscription || book.subscribed {
             return Ok(());
         }
         // Who has neither asked nor been told for so long counts as told of what was listed that long ago.
@@ -344,7 +345,7 @@
             entry.server == server && counts + grace < now
         });
         match last {
-            Some((at, entry)) if entry.status != Status::Ready => {
+            Some((at, entry)) if entry.status != ServerStatus::Ready => {
                 Err(format!("store {server}, listed as out at {at:.3} ms, counts as told"))
             }
             _ => Ok(()),
--- a/broker/tests/drawn/store.rs
+++ b/broker/tests/drawn/store.rs
@@ -51,7 +51,8 @@
     /// The share of its capacity that it has.
     pub fn capacity(&self, now: f64, set: &Settings) -> f64 {
         let age = (now - self.started).max(0.0);
-        (set.warm_up_start + (1.0 - set.warm_up_start) * age / set.warm_up_ms.max(1.0)).min(1.0)
+        (set.warm_up_start_capacity + (1.0 - set.warm_up_start_capacity) * age / set.warm_up_ms.max(1.0))
+            .min(1.0)
     }
 
     /// Work reaches it. A cold one sent too much for too long falls over: a breach where two thirds come from brokers
--- a/broker/tests/drawn/world.rs
+++ b/broker/tests/drawn/world.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 
 use gingerledge::core::{AttemptId, AttemptOutcome, Core, CoreEvent, Served, Text};
-use gingerledge_dispatch::{Entry, ListKind, Outcome, ServerId, Status};
+use gingerledge_dispatch::{ListKind, Outcome, ServerEntry, ServerId, ServerStatus};
 
 use crate::rules::{hold, Held, Ledger, Place};
 use crate::scenario::{roll, Fault, Scenario};
@@ -33,7 +33,7 @@
     Tell(usize, u32, usize),
     /// A call for the list is answered.
     Answer(usize, u32),
-    Publish(Entry),
+    Publish(ServerEntry),
     End(ServerId, bool),
     Back(ServerId, bool),
     Drains(ServerId, u32),
@@ -121,7 +121,7 @@
         for store in &scene.stores {
             let started = store.age.map_or(f64::NEG_INFINITY, |age| -age);
             world.servers.push(Server::new(store.cell, store.zone, started));
-            let entry = world.entry(world.servers.len() as ServerId - 1, Status::Ready);
+            let entry = world.entry(world.servers.len() as ServerId - 1, ServerStatus::Ready);
             world.ledger.listed.push((f64::NEG_INFINITY, entry));
         }
         (0..scene.brokers.len()).for_each(|broker| world.at(0.0, What::Start(broker)));
@@ -130,10 +130,10 @@
         world
     }
 
-    pub fn entry(&self, id: ServerId, status: Status) -> Entry {
+    pub fn entry(&self, id: ServerId, status: ServerStatus) -> ServerEntry {
         let server = &self.servers[id as usize];
-        let since = if server.started.is_finite() { self.scene.base + server.started } else { 0.0 };
-        Entry { server: id, since, zone: server.zone, cell: server.cell, status }
+        let started_at = if server.started.is_finite() { self.scene.base + server.started } else { 0.0 };
+        ServerEntry { server: id, started_at, zone: server.zone, cell: server.cell, status }
     }
 
     /// Sets an event. Times are whole microseconds, so that equal ones are equal.
@@ -187,8 +187,8 @@
         let most = (self.now / turn) as usize + (host.turns - host.idle_turns) + 10;
         let said = || format!("broker {broker} turned {} times for nothing, {most} allowed", host.idle_turns);
         hold(host.idle_turns <= most, "bounds", said)?;
-        let quiet =
-            self.scene.settings.subscribe || core.due().is_none_or(|at| at <= self.scene.base + self.now);
+        let quiet = self.scene.settings.requires_subscription
+            || core.due().is_none_or(|at| at <= self.scene.base + self.now);
         hold(quiet, "bounds", || format!("broker {broker} waits for {:?} when all is over", core.due()))
     }
 
@@ -297,22 +297,24 @@
                 let id = of(store);
                 self.at(now, What::End(id, *silent));
                 if !same || told_ms < back_ms {
-                    self.at(now + told_ms, What::Publish(self.entry(id, Status::Gone)));
+                    self.at(now + told_ms, What::Publish(self.entry(id, ServerStatus::Removed)));
                 }
                 self.at(now + back_ms, What::Back(id, *same));
             }
             Fault::Release { store, lead_ms, ends_ms, next_ms } => {
                 let id = of(store);
-                self.publish(self.entry(id, Status::Draining));
+                self.publish(self.entry(id, ServerStatus::Draining));
                 self.at(now + lead_ms, What::Drains(id, self.servers[id as usize].epoch));
                 self.at(now + ends_ms, What::End(id, false));
-                self.at(now + ends_ms, What::Publish(self.entry(id, Status::Gone)));
+                self.at(now + ends_ms, What::Publish(self.entry(id, ServerStatus::Removed)));
                 self.at(now + next_ms, What::Back(id, false));
             }
             Fault::Alarm { store, gone, back_ms } => {
                 let id = of(store);
-                self.publish(self.entry(id, if *gone { Status::Gone } else { Status::Draining }));
-                self.at(now + back_ms, What::Publish(self.entry(id, Status::Ready)));
+                self.publish(
+                    self.entry(id, if *gone { ServerStatus::Removed } else { ServerStatus::Draining }),
+                );
+                self.at(now + back_ms, What::Publish(self.entry(id, ServerStatus::Ready)));
             }
             Fault::Hang { store, ms } => {
                 let server = &mut self.servers[of(store) as usize];
@@ -369,7 +371,7 @@
             self.servers.push(Server::new(old.cell, old.zone, self.now));
             self.servers.len() as ServerId - 1
         };
-        self.publish(self.entry(id, Status::Ready));
+        self.publish(self.entry(id, ServerStatus::Ready));
     }
 
     pub fn flight_text(ask: usize, shard: u32, second: bool, number: usize) -> Text {
--- a/broker/tests/keyed.rs
+++ b/broker/tests/keyed.rs
@@ -7,7 +7,7 @@
 use gingerledge::core::{
     AttemptRequest, Command, Core, CoreEvent, Form, Guard, IdempotencyKey, PartRequest, Query, KEY_MAX,
 };
-use gingerledge_dispatch::{Class, Entry, ListKind, Outcome, Repeat, Settings};
+use gingerledge_dispatch::{Class, ListKind, Outcome, Repeat, ServerEntry, Settings};
 use gingerledge_testkit::scripted::{exchange, get, query, run, Mood, World};
 use serde_json::{json, Value};
 
@@ -152,14 +152,14 @@
             cells: 3,
             reach: 3,
             shards: 3,
-            batch: 1,
+            max_parts_per_call: 1,
             max_attempts: 3,
             ..Settings::default()
         };
         let guard = Guard::new(&settings);
         settings.classes[0].deduplication_ms = 8000.0;
         let mut core = Core::new(7, settings, 0.0).with_guard(guard);
-        let entries = (0..3).map(|n| Entry { server: n, cell: n, ..Entry::default() }).collect();
+        let entries = (0..3).map(|n| ServerEntry { server: n, cell: n, ..ServerEntry::default() }).collect();
         core.turn(0.0, [CoreEvent::EndpointsListed(ListKind::Complete, entries)]);
         let question = Query {
             name: "q".into(),
--- a/broker/tests/sites/main.rs
+++ b/broker/tests/sites/main.rs
@@ -14,7 +14,7 @@
 use gingerledge::config::Config;
 use gingerledge::service::Broker;
 use gingerledge_dispatch::Repeat::{Keyed, Safe, Unsafe};
-use gingerledge_dispatch::ReportField::{ServiceMs, Waiting};
+use gingerledge_dispatch::ReportField::{Queued, ServiceMs};
 use gingerledge_testkit::client;
 use gingerledge_testkit::discovery::View;
 use gingerledge_testkit::fleet::ledger::Ledger;
@@ -116,17 +116,23 @@
         holds_zones(config, &["holm", "ness"]);
         let settings = &config.setup.settings;
         assert_eq!(settings.classes[config.setup.classes["berth-hold"]].deduplication_ms, 350.0);
-        assert_eq!((settings.aggregators, settings.index, settings.subscribe), (4, Some(1), false));
+        assert_eq!(
+            (settings.aggregators, settings.index, settings.requires_subscription),
+            (4, Some(1), false)
+        );
         assert!(config.calls.pushed);
-        assert_eq!((settings.max_attempts, settings.parallel, settings.withdrawals), (4, true, true));
-        assert_eq!((settings.max_retry_after_ms, settings.over_quota_value), (400.0, 0.1));
+        assert_eq!(
+            (settings.max_attempts, settings.allows_parallel_attempts, settings.allows_withdrawals),
+            (4, true, true)
+        );
+        assert_eq!((settings.max_retry_after_ms, settings.over_quota_value_share), (400.0, 0.1));
         assert_eq!(
             (settings.drain_grace_ms, settings.overload_factor, settings.overload_window_ms),
             (400.0, 2.5, 1200.0)
         );
-        assert_eq!((settings.warm_up_start, settings.warm_up_ms), (0.2, 12_000.0));
-        assert_eq!((settings.batch, settings.call_cost_ms, settings.turn_ms), (4, 0.9, 5.0));
-        assert_eq!(settings.report, [ServiceMs, Waiting]);
+        assert_eq!((settings.warm_up_start_capacity, settings.warm_up_ms), (0.2, 12_000.0));
+        assert_eq!((settings.max_parts_per_call, settings.call_cost_ms, settings.turn_ms), (4, 0.9, 5.0));
+        assert_eq!(settings.report_fields, [ServiceMs, Queued]);
         assert_eq!((config.streams, config.dial_timeout_ms, config.idle_ms), (24, 200.0, 12_000.0));
         assert_eq!((config.sockets, config.max_open), (512, 240));
     }
@@ -154,16 +160,21 @@
         holds_zones(config, &["heath", "ridge", "mire"]);
         let settings = &config.setup.settings;
         assert_eq!(settings.classes[config.setup.classes["flock-tally"]].deduplication_ms, 2200.0);
-        assert!(settings.subscribe && !config.calls.pushed && settings.list_refresh_ms == 10_000.0);
-        assert_eq!((settings.max_attempts, settings.parallel, settings.withdrawals), (2, false, false));
-        assert_eq!((settings.max_retry_after_ms, settings.over_quota_value), (1500.0, 0.08));
+        assert!(
+            settings.requires_subscription && !config.calls.pushed && settings.list_refresh_ms == 10_000.0
+        );
+        assert_eq!(
+            (settings.max_attempts, settings.allows_parallel_attempts, settings.allows_withdrawals),
+            (2, false, false)
+        );
+        assert_eq!((settings.max_retry_after_ms, settings.over_quota_value_share), (1500.0, 0.08));
         assert_eq!(
             (settings.drain_grace_ms, settings.overload_factor, settings.overload_window_ms),
             (1500.0, 2.4, 1600.0)
         );
-        assert_eq!((settings.warm_up_start, settings.warm_up_ms), (0.18, 14_000.0));
-        assert_eq!((settings.batch, settings.call_cost_ms, settings.turn_ms), (2, 0.6, 5.0));
-        assert_eq!(settings.report, [Waiting, ServiceMs]);
+        assert_eq!((settings.warm_up_start_capacity, settings.warm_up_ms), (0.18, 14_000.0));
+        assert_eq!((settings.max_parts_per_call, settings.call_cost_ms, settings.turn_ms), (2, 0.6, 5.0));
+        assert_eq!(settings.report_fields, [Queued, ServiceMs]);
         assert_eq!((config.streams, config.dial_timeout_ms, config.idle_ms), (16, 300.0, 20_000.0));
         assert_eq!((config.sockets, config.max_open), (128, 240));
     }
--- a/broker/tests/told/fleet.rs
+++ b/broker/tests/told/fleet.rs
@@ -113,7 +113,7 @@
 
 fn settings(brokers: u32, index: u32) -> Settings {
     Settings {
-        subscribe: true,
+        requires_subscription: true,
         aggregators: brokers,
         index: Some(index),
         list_refresh_ms: 10_000.0,
@@ -194,7 +194,7 @@
             match action {
                 Action::DropCall => self.brokers[n].out = None,
                 Action::ReportFailure => {
-                    self.turn(n, Some(Happens::List { kind: ListKind::Failed, entries: vec![] }))
+                    self.turn(n, Some(Happens::ServerList { kind: ListKind::Failed, entries: vec![] }))
                 }
                 Action::Call(call) => {
                     let broker = &mut self.brokers[n];
@@ -272,7 +272,7 @@
                     self.handle(n, Event::NewerListReceived);
                 }
                 if news || watch {
-                    let whole = Happens::List { kind: ListKind::Complete, entries: vec![] };
+                    let whole = Happens::ServerList { kind: ListKind::Complete, entries: vec![] };
                     self.turn(n, Some(whole));
                 }
                 self.handle(n, Event::CompleteReceived);
--- a/broker/tests/watching.rs
+++ b/broker/tests/watching.rs
@@ -15,13 +15,14 @@
 }
 
 fn waits(pushed: bool, grace_ms: f64) -> Waits {
-    Waits::of(&Settings { subscribe: !pushed, drain_grace_ms: grace_ms, ..Settings::default() })
+    Waits::of(&Settings { requires_subscription: !pushed, drain_grace_ms: grace_ms, ..Settings::default() })
 }
 
 #[test]
 fn where_lists_are_requested_every_next_call_is_out_before_a_missed_change_counts() {
     for (aggregators, index) in [(1, 0), (2, 1), (100, 99), (300, 0), (300, 299), (1000, 999)] {
-        let set = Settings { subscribe: true, aggregators, index: Some(index), ..Settings::default() };
+        let set =
+            Settings { requires_subscription: true, aggregators, index: Some(index), ..Settings::default() };
         let set = Waits::of(&set);
         assert!(!set.pushed && set.heartbeat_timeout > HEARTBEAT + ms(1000), "a watch that stands is kept");
         assert_eq!(PERIOD + ANSWER + MARGIN, UPDATE_DEADLINE);
@@ -322,7 +323,12 @@
 #[test]
 fn where_too_many_call_no_refusal_is_followed_by_another_call_at_once() {
     for place in [0, 1, 299] {
-        let set = Settings { subscribe: true, aggregators: 300, index: Some(place), ..Settings::default() };
+        let set = Settings {
+            requires_subscription: true,
+            aggregators: 300,
+            index: Some(place),
+            ..Settings::default()
+        };
         let mut now = Instant::now();
         let mut machine = Watching::new(Waits::of(&set), now);
         assert_eq!(machine.handle(Event::WatchRequested, now), [Action::Call(Call::Watch)]);
--- a/dispatch/examples/embed.rs
+++ b/dispatch/examples/embed.rs
@@ -2,7 +2,7 @@
 //!
 //! Run with `cargo run --example embed`.
 
-use gingerledge_dispatch::{Action, Aggregator, Class, Entry, Event, ListKind, Outcome, Settings};
+use gingerledge_dispatch::{Action, Aggregator, Class, Event, ListKind, Outcome, ServerEntry, Settings};
 
 fn main() {
     let class = Class { latency_target_ms: 500.0, deadline_ms: 2000.0, value: 1.0, ..Class::default() };
@@ -13,9 +13,9 @@
         cells: 3,
         reach: 2,
         shards: 3,
-        batch: 1,
+        max_parts_per_call: 1,
         max_attempts: 3,
-        parallel: true,
+        allows_parallel_attempts: true,
         ..Settings::default()
     };
     let mut now = 0.0;
@@ -23,8 +23,8 @@
     let mut actions = Vec::new();
 
     // What discovery knows: one server in each cell.
-    let entries = (0..3).map(|n| Entry { server: n, cell: n, ..Entry::default() }).collect();
-    aggregator.handle(now, Event::List { kind: ListKind::Complete, entries }, &mut actions);
+    let entries = (0..3).map(|n| ServerEntry { server: n, cell: n, ..ServerEntry::default() }).collect();
+    aggregator.handle(now, Event::ServerList { kind: ListKind::Complete, entries }, &mut actions);
 
     // A query arrives with its parts; the turn's end places them.
     let (number, deadline) = (1, now + 2000.0);
@@ -45,12 +45,12 @@
     for action in sent {
         println!("{action:?}");
         if let Action::Send { part, server, .. } = action {
-            let (attempt, wait_ms, outcome) = (0, 20.0, Outcome::Success);
-            let done = Event::Outcome { part, attempt, server, wait_ms, outcome, report: Vec::new() };
+            let (attempt, elapsed_ms, outcome) = (0, 20.0, Outcome::Success);
+            let done = Event::AttemptEnded { part, attempt, server, elapsed_ms, outcome, report: Vec::new() };
             aggregator.handle(now, done, &mut actions);
         }
     }
     aggregator.end_turn(now, &mut actions);
     println!("{actions:?}");
-    assert!(actions.contains(&Action::Answer { query: 10, whole: true }));
+    assert!(actions.contains(&Action::Answer { query: 10, is_complete: true }));
 }
--- a/dispatch/src/aggregator/completion.rs
+++ b/dispatch/src/aggregator/completion.rs
@@ -117,7 +117,7 @@
 
     /// Answers a query; a first step may be followed by a second.
     fn answer(&mut self, now: Millis, id: RequestId, is_complete: bool, actions: &mut Vec<Action>) {
-        actions.push(Action::Answer { query: id, whole: is_complete });
+        actions.push(Action::Answer { query: id, is_complete });
         self.update_limit_on_end(now, id, QueryResult::Answered);
         let Some(query) = self.queries.get(&id) else { return };
         let has_follow_up = self.settings.classes[query.class].follow_up_parts > 0;
@@ -152,7 +152,7 @@
         actions.push(Action::ReportRejection { query: id, reason });
         if self.is_repeatable_by_client(query) {
             let retry_after_ms = self.retry_after(query.class);
-            actions.push(Action::Refuse { query: id, retry_after_ms });
+            actions.push(Action::Reject { query: id, retry_after_ms });
         } else {
             actions.push(Action::Fail { query: id });
         }
--- a/dispatch/src/aggregator/health.rs
+++ b/dispatch/src/aggregator/health.rs
@@ -85,7 +85,7 @@
         if let Some(class) = class {
             self.sample_latency(now, attempt.server, class, wait, outcome);
         }
-        self.remove_if_gone(attempt.server);
+        self.remove_if_unused(attempt.server);
         self.update_part(now, attempt.part, wait, outcome);
     }
 
--- a/dispatch/src/aggregator/hedging.rs
+++ b/dispatch/src/aggregator/hedging.rs
@@ -4,7 +4,7 @@
 
 use super::retries::DEFAULT_BUDGET;
 use super::Aggregator;
-use crate::interface::{Action, Millis, RequestId, ServerId, Status};
+use crate::interface::{Action, Millis, RequestId, ServerId, ServerStatus};
 use crate::settings::Repeat;
 use crate::state::{OutstandingAttempt, Part, PartState, Query};
 
@@ -51,7 +51,7 @@
         if self.outstanding_attempts() > LIMIT_UTILISATION_MAX * limit * self.ready_servers() {
             return;
         }
-        let budget = self.settings.budget.unwrap_or(DEFAULT_BUDGET);
+        let budget = self.settings.retry_budget.unwrap_or(DEFAULT_BUDGET);
         // Each part whose attempt is being withdrawn is about to be sent again.
         let mut withdrawing = self.parts.values().filter(|part| part.is_withdrawing).count() as f64;
         for late in self.late_parts(now) {
@@ -67,7 +67,7 @@
                 return;
             }
             let Some(target) = self.hedge_target(now, &late) else { continue };
-            if self.settings.parallel {
+            if self.settings.allows_parallel_attempts {
                 self.send(now, late.part, target, actions);
             } else if let Some(part) = self.parts.get_mut(&late.part) {
                 part.is_withdrawing = true;
@@ -114,7 +114,7 @@
         if takes_any_parts && self.spare_part(id).is_some() {
             return Some(Remedy::SparePart);
         }
-        let has_means = self.settings.parallel || self.settings.withdrawals;
+        let has_means = self.settings.allows_parallel_attempts || self.settings.allows_withdrawals;
         (class.repeat != Repeat::Unsafe && has_means).then_some(Remedy::AnotherReplica)
     }
 
@@ -122,7 +122,7 @@
     fn late_after(&self, class: usize, remedy: Remedy) -> Millis {
         let usual = self.latencies[class].usual;
         let latest = LATE_AFTER_TARGET_SHARE * self.settings.classes[class].latency_target_ms;
-        let loses_nothing = remedy == Remedy::SparePart || self.settings.parallel;
+        let loses_nothing = remedy == Remedy::SparePart || self.settings.allows_parallel_attempts;
         if usual > 0.0 && loses_nothing {
             (LATE_AFTER_USUAL_LATENCIES * usual).min(latest)
         } else {
@@ -165,7 +165,7 @@
     }
 
     fn is_ready(&self, server: ServerId) -> bool {
-        self.servers.get(&server).is_some_and(|server| server.status == Status::Ready)
+        self.servers.get(&server).is_some_and(|server| server.status == ServerStatus::Ready)
     }
 
     fn is_sampled_recently(&self, now: Millis, server: ServerId) -> bool {
@@ -177,12 +177,13 @@
     /// elsewhere the part would wait anew, and what was done for it is wasted.
     fn is_being_served(&self, part: &Part) -> bool {
         let server = part.tried.last().and_then(|server| self.servers.get(server));
-        !self.settings.parallel && server.is_some_and(|server| server.last_served > part.last_sent)
+        !self.settings.allows_parallel_attempts
+            && server.is_some_and(|server| server.last_served > part.last_sent)
     }
 
     /// Withdraws the outstanding attempts of a part: they are of no more use, and some servers drop what waits.
     pub(super) fn withdraw(&self, id: RequestId, actions: &mut Vec<Action>) {
-        if !self.settings.withdrawals {
+        if !self.settings.allows_withdrawals {
             return;
         }
         let Some(part) = self.parts.get(&id) else { return };
--- a/dispatch/src/aggregator/mod.rs
+++ b/dispatch/src/aggregator/mod.rs
@@ -129,7 +129,7 @@
     /// The number of entries in each of its tables, by the names that the host's status shows. What belongs to servers and
     /// queries that are gone has to be removed, so that these stay bounded.
     #[must_use]
-    pub fn sizes(&self) -> [(&'static str, usize); 7] {
+    pub fn table_sizes(&self) -> [(&'static str, usize); 7] {
         let total = |count: fn(&Server) -> usize| self.servers.values().map(count).sum();
         [
             ("servers", self.servers.len()),
@@ -145,7 +145,7 @@
     /// Handles one event. Sends wait for [`Aggregator::end_turn`], so that what arrives in a turn is placed together.
     pub fn handle(&mut self, now: Millis, event: Event, actions: &mut Vec<Action>) {
         match event {
-            Event::List { kind, entries } => self.on_list(now, kind, entries),
+            Event::ServerList { kind, entries } => self.on_list(now, kind, entries),
             Event::Query { id, number, class, tenant, deadline, parts, repeated: _ } => {
                 let query = QueryArrival { id, number, class, tenant, deadline, parts };
                 self.on_query(now, query, actions);
@@ -153,15 +153,15 @@
             Event::Part { id, number, shard, weight, cost_ms } => {
                 self.on_part(now, PartArrival { id, number, shard, weight, cost_ms });
             }
-            Event::Outcome { part, attempt, server, wait_ms, outcome, report: _ } => {
-                self.on_outcome(now, AttemptId { part, number: attempt, server }, wait_ms, outcome);
+            Event::AttemptEnded { part, attempt, server, elapsed_ms, outcome, report: _ } => {
+                self.on_outcome(now, AttemptId { part, number: attempt, server }, elapsed_ms, outcome);
             }
             Event::ProbeResult { .. } => {}
             Event::Timer { .. } => self.timer_at = None,
             Event::Aggregators { count } => self.settings.aggregators = count.max(1),
-            Event::Leaving => self.is_shutting_down = true,
+            Event::ShuttingDown => self.is_shutting_down = true,
             Event::ClientGone { query } => self.remove_query(query),
-            Event::Holders { shard, servers } => self.replicas.assign(shard, servers),
+            Event::ShardReplicas { shard, servers } => self.replicas.assign(shard, servers),
             Event::SuccessorParts { part, successors } => self.replace_part(part, successors),
         }
     }
@@ -183,7 +183,7 @@
             self.admit(now, query, actions);
         }
         // Twice where parts share calls: what was delayed joins a call that a later query opens.
-        for _ in 0..self.settings.batch.min(2) {
+        for _ in 0..self.settings.max_parts_per_call.min(2) {
             for &query in &open_queries {
                 self.place_waiting_parts(now, query, actions);
             }
--- a/dispatch/src/aggregator/placement.rs
+++ b/dispatch/src/aggregator/placement.rs
@@ -50,7 +50,7 @@
         if !self.has_warm_up_capacity(now, server, class) {
             return None;
         }
-        let joins_call = server.joinable_call(self.settings.batch).is_some();
+        let joins_call = server.joinable_call(self.settings.max_parts_per_call).is_some();
         let failures = &server.failures[class];
         let process_failures = server.failures.last().unwrap_or(failures);
         let consecutive = failures.consecutive.max(process_failures.consecutive).min(EJECTION_LEVELS);
@@ -156,7 +156,7 @@
     /// Whether a new part has no reason to wait at a server: it joins a call opened in this turn, or no call is outstanding.
     fn has_call_to_share(&self, server: ServerId) -> bool {
         let Some(server) = self.servers.get(&server) else { return false };
-        server.joinable_call(self.settings.batch).is_some() || server.outstanding_calls() == 0
+        server.joinable_call(self.settings.max_parts_per_call).is_some() || server.outstanding_calls() == 0
     }
 
     /// Whether a failed part is sent again to its best replica. It waits while all its replicas are ejected and there is
@@ -164,7 +164,7 @@
     fn may_retry_at(&self, now: Millis, rank: ReplicaRank, class: usize, target_at: Millis) -> bool {
         let has_time = now + MIN_WAIT_USUAL_LATENCIES * self.latencies[class].usual <= target_at;
         let should_wait = rank.ejection_level > 0 && has_time;
-        !should_wait && self.has_budget(self.settings.budget, 0.0)
+        !should_wait && self.has_budget(self.settings.retry_budget, 0.0)
     }
 
     /// The batching delay: for which share of its latency target a new part may wait for a call to share.
@@ -175,7 +175,7 @@
     /// do harm where a call hangs and its replica looks no worse than the others.
     pub(super) fn batching_delay_share(&self, class: usize) -> f64 {
         let part_work = self.latencies[class].low;
-        if self.settings.batch > 1 && part_work > 0.0 {
+        if self.settings.max_parts_per_call > 1 && part_work > 0.0 {
             (self.settings.call_cost_ms / part_work).clamp(0.0, BATCHING_DELAY_MAX_SHARE)
         } else {
             0.0
@@ -186,7 +186,9 @@
     pub(super) fn send(&mut self, now: Millis, id: RequestId, to: ServerId, actions: &mut Vec<Action>) {
         let Some(part) = self.parts.get(&id) else { return };
         let Some(query) = self.queries.get(&part.query) else { return };
-        if !self.servers.contains_key(&to) || (part.outstanding_attempts > 0 && !self.settings.parallel) {
+        if !self.servers.contains_key(&to)
+            || (part.outstanding_attempts > 0 && !self.settings.allows_parallel_attempts)
+        {
             return;
         }
         let class = query.class;
@@ -213,7 +215,9 @@
     fn join_or_open_call(&mut self, server: ServerId) -> u64 {
         let next_call = self.last_call + 1;
         let Some(server) = self.servers.get_mut(&server) else { return next_call };
-        let open = server.joinable_call(self.settings.batch).unwrap_or(OpenCall { id: next_call, parts: 0 });
+        let open = server
+            .joinable_call(self.settings.max_parts_per_call)
+            .unwrap_or(OpenCall { id: next_call, parts: 0 });
         server.open_call = Some(OpenCall { parts: open.parts + 1, ..open });
         self.last_call = self.last_call.max(open.id);
         open.id
@@ -229,7 +233,7 @@
             return ConnectionUse::Recent;
         }
         if self.idle_connections.should_close(now) {
-            actions.push(Action::Release { server: id });
+            actions.push(Action::CloseIdleConnections { server: id });
             return ConnectionUse::Recent;
         }
         ConnectionUse::LongIdle
--- a/dispatch/src/aggregator/retries.rs
+++ b/dispatch/src/aggregator/retries.rs
@@ -4,11 +4,12 @@
 
 use super::Aggregator;
 use crate::interface::{Millis, RequestId};
-use crate::settings::{Budget, Class, Repeat};
+use crate::settings::{Class, Repeat, RetryBudget};
 use crate::state::{Part, PartState};
 
 /// The budget of hedged requests where the settings have none.
-pub(super) const DEFAULT_BUDGET: Budget = Budget { free: 5.0, ratio: 0.5, window_ms: 2000.0 };
+pub(super) const DEFAULT_BUDGET: RetryBudget =
+    RetryBudget { free_attempts: 5.0, attempts_per_arrival: 0.5, window_ms: 2000.0 };
 
 /// Until when a part may be attempted once more, by this aggregator or by its client, without taking effect twice.
 ///
@@ -38,18 +39,18 @@
     ///
     /// Arrivals leave it a turn early and further attempts a turn late, so that the budget holds in any window.
     pub(super) fn slide_budget_window(&mut self, now: Millis) {
-        let window = self.settings.budget.unwrap_or(DEFAULT_BUDGET).window_ms;
+        let window = self.settings.retry_budget.unwrap_or(DEFAULT_BUDGET).window_ms;
         drop_until(&mut self.arrivals, now - window + self.settings.turn_ms);
         drop_until(&mut self.retries, now - window - self.settings.turn_ms);
     }
 
     /// The further attempts that a budget allows in the present window.
-    pub(super) fn budget_allowance(&self, budget: Budget) -> f64 {
-        budget.free + budget.ratio * self.arrivals.len() as f64
+    pub(super) fn budget_allowance(&self, budget: RetryBudget) -> f64 {
+        budget.free_attempts + budget.attempts_per_arrival * self.arrivals.len() as f64
     }
 
     /// Whether a budget, if there is one, allows a further attempt and leaves `reserve` for others.
-    pub(super) fn has_budget(&self, budget: Option<Budget>, reserve: f64) -> bool {
+    pub(super) fn has_budget(&self, budget: Option<RetryBudget>, reserve: f64) -> bool {
         let Some(budget) = budget else { return true };
         self.retries.len() as f64 + 1.0 + reserve <= self.budget_allowance(budget)
     }
--- a/dispatch/src/aggregator/warm_up.rs
+++ b/dispatch/src/aggregator/warm_up.rs
@@ -13,7 +13,7 @@
     /// The share of its full capacity that a server surely has by now.
     pub(super) fn capacity(&self, now: Millis, server: &Server) -> f64 {
         let age = (now - server.started_at).max(0.0);
-        let start = self.settings.warm_up_start.clamp(START_CAPACITY_MIN, 1.0);
+        let start = self.settings.warm_up_start_capacity.clamp(START_CAPACITY_MIN, 1.0);
         (start + (1.0 - start) * age / self.settings.warm_up_ms.max(1.0)).min(1.0)
     }
 
--- a/dispatch/src/bin/simulator-adapter/actions.rs
+++ b/dispatch/src/bin/simulator-adapter/actions.rs
@@ -13,13 +13,13 @@
             Some(node) => writeln!(output, "SEND {part} {node} {timeout_ms:.3}"),
             None => Ok(()),
         },
-        Action::Release { server } => match instance.server_name(*server) {
+        Action::CloseIdleConnections { server } => match instance.server_name(*server) {
             Some(node) => writeln!(output, "RELEASE {node}"),
             None => Ok(()),
         },
         Action::Withdraw { part, attempt } => writeln!(output, "STOP_ATTEMPT {part} {attempt}"),
-        Action::Answer { query, whole } => writeln!(output, "MERGE {query} {}", u8::from(*whole)),
-        Action::Refuse { query, retry_after_ms } => {
+        Action::Answer { query, is_complete } => writeln!(output, "MERGE {query} {}", u8::from(*is_complete)),
+        Action::Reject { query, retry_after_ms } => {
             writeln!(output, "TURN_AWAY {query} {retry_after_ms:.3}")
         }
         Action::ReportRejection { .. } => Ok(()),
--- a/dispatch/src/bin/simulator-adapter/events.rs
+++ b/dispatch/src/bin/simulator-adapter/events.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use gingerledge_dispatch::{Entry, Event, ListKind, Millis, Outcome, Status};
+use gingerledge_dispatch::{Event, ListKind, Millis, Outcome, ServerEntry, ServerStatus};
 
 use crate::error::LineError;
 use crate::fields::Fields;
@@ -18,9 +18,9 @@
 /// A `NODE` line: a server on a list, by name.
 pub struct ListRow {
     node: String,
-    since: Millis,
+    started_at: Millis,
     zone: String,
-    status: Status,
+    status: ServerStatus,
     cell: u32,
 }
 
@@ -28,20 +28,20 @@
     /// Reads a `NODE` line.
     pub fn read(fields: &mut Fields<'_>) -> Result<Self, LineError> {
         let node = fields.text("node")?.to_owned();
-        let since = fields.optional_number("online_since_ms")?.unwrap_or(0.0);
+        let started_at = fields.optional_number("online_since_ms")?.unwrap_or(0.0);
         let _kind = fields.text("type")?;
         let zone = fields.text("az")?.to_owned();
         let status = match fields.text("status")? {
-            "ready" => Status::Ready,
-            "draining" => Status::Draining,
-            "gone" => Status::Gone,
+            "ready" => ServerStatus::Ready,
+            "draining" => ServerStatus::Draining,
+            "gone" => ServerStatus::Removed,
             other => {
                 let (expected, found) = ("ready, draining or gone", other.to_owned());
                 return Err(LineError::NotOneOf { field: "status", expected, found });
             }
         };
         let cell = fields.integer("slot_no")?;
-        Ok(Self { node, since, zone, status, cell })
+        Ok(Self { node, started_at, zone, status, cell })
     }
 }
 
@@ -98,8 +98,8 @@
     let kind = match fields.text("form")? {
         "D" => ListKind::Changes,
         "F" => ListKind::Complete,
-        "C" => ListKind::Remembered,
-        "X" => return Ok(Event::List { kind: ListKind::Failed, entries: Vec::new() }),
+        "C" => ListKind::Restored,
+        "X" => return Ok(Event::ServerList { kind: ListKind::Failed, entries: Vec::new() }),
         other => {
             let (expected, found) = ("D, F, C or X", other.to_owned());
             return Err(LineError::NotOneOf { field: "form", expected, found });
@@ -107,15 +107,15 @@
     };
     let slot = fields.integer("slot")?;
     let rows = lists.get(&slot).ok_or(LineError::UnknownList { slot })?;
-    let entry = |row: &ListRow| Entry {
+    let entry = |row: &ListRow| ServerEntry {
         server: instance.register_server(&row.node),
-        since: row.since,
+        started_at: row.started_at,
         zone: instance.zone(&row.zone),
         cell: row.cell,
         status: row.status,
     };
     let entries = rows.iter().map(entry).collect();
-    Ok(Event::List { kind, entries })
+    Ok(Event::ServerList { kind, entries })
 }
 
 /// A line with a shard is a part, one with a negative shard a query.
@@ -143,18 +143,18 @@
     let server = instance.server(fields.text("node")?)?;
     let attempt = fields.integer("seq_no")?;
     let _closed = fields.text("closed")?;
-    let wait_ms = fields.number("wait_time_ms")?;
+    let elapsed_ms = fields.number("wait_time_ms")?;
     let outcome = outcome(fields.text("reason")?)?;
     let report = fields.optional_numbers("feedback")?;
-    Ok(Event::Outcome { part, attempt, server, wait_ms, outcome, report })
+    Ok(Event::AttemptEnded { part, attempt, server, elapsed_ms, outcome, report })
 }
 
 fn probe_result(instance: &Instance, fields: &mut Fields<'_>) -> Result<Event, LineError> {
     let server = instance.server(fields.text("node")?)?;
     let outcome = outcome(fields.text("reason")?)?;
-    let wait_ms = fields.number("wait_time_ms")?;
+    let elapsed_ms = fields.number("wait_time_ms")?;
     let report = fields.optional_numbers("feedback")?;
-    Ok(Event::ProbeResult { server, outcome, wait_ms, report })
+    Ok(Event::ProbeResult { server, outcome, elapsed_ms, report })
 }
 
 fn outcome(text: &str) -> Result<Outcome, LineError> {
--- a/dispatch/src/idle_connections.rs
+++ b/dispatch/src/idle_connections.rs
@@ -72,7 +72,7 @@
 impl IdleConnections {
     pub(crate) fn new(settings: &Settings, shortest_target: Millis, now: Millis) -> Self {
         Self {
-            idle_timeout: settings.idle_ms.max(1.0),
+            idle_timeout: settings.idle_timeout_ms.max(1.0),
             shortest_target,
             recent_loss_rate: 0.0,
             idle_loss_rate: 0.0,
--- a/dispatch/src/interface.rs
+++ b/dispatch/src/interface.rs
@@ -10,29 +10,29 @@
 
 /// A server's state on the list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Status {
+pub enum ServerStatus {
     /// May be sent parts.
     #[default]
     Ready,
     /// Completes outstanding parts, and is sent no more.
     Draining,
     /// Removed.
-    Gone,
+    Removed,
 }
 
 /// A server on the list.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Entry {
+pub struct ServerEntry {
     /// Which server.
     pub server: ServerId,
     /// When its process last started; 0 if that was long ago.
-    pub since: Millis,
+    pub started_at: Millis,
     /// Its zone, by index.
     pub zone: u32,
     /// Its cell, which determines the shards it holds.
     pub cell: u32,
     /// Its state.
-    pub status: Status,
+    pub status: ServerStatus,
 }
 
 /// How the entries of a list event are to be read.
@@ -43,7 +43,7 @@
     /// The complete list: servers that are absent are gone.
     Complete,
     /// The complete list as stored before a restart, possibly out of date.
-    Remembered,
+    Restored,
     /// A call for the list failed or the subscription broke; no entries.
     Failed,
 }
@@ -80,11 +80,11 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// An update of the list of servers, or its failure.
-    List {
+    ServerList {
         /// How to read the entries.
         kind: ListKind,
         /// The entries.
-        entries: Vec<Entry>,
+        entries: Vec<ServerEntry>,
     },
     /// A query has arrived; its parts follow in the same turn.
     Query {
@@ -117,7 +117,7 @@
         cost_ms: Option<Millis>,
     },
     /// An attempt ended; exactly one for each [`Action::Send`].
-    Outcome {
+    AttemptEnded {
         /// The part.
         part: RequestId,
         /// Which of its attempts, from 0.
@@ -125,7 +125,7 @@
         /// The server.
         server: ServerId,
         /// Time since it was sent.
-        wait_ms: Millis,
+        elapsed_ms: Millis,
         /// How it ended.
         outcome: Outcome,
         /// The server's load report, where one came along.
@@ -138,7 +138,7 @@
         /// How it ended.
         outcome: Outcome,
         /// Time since it was sent.
-        wait_ms: Millis,
+        elapsed_ms: Millis,
         /// The server's load report, where one came along.
         report: Vec<f64>,
     },
@@ -153,14 +153,14 @@
         count: u32,
     },
     /// This process is shutting down, and its successor, with the same index, may already serve.
-    Leaving,
+    ShuttingDown,
     /// The client of a query has disconnected.
     ClientGone {
         /// The query.
         query: RequestId,
     },
     /// The replicas of a shard. After the first of these events, the ring of cells is no longer used.
-    Holders {
+    ShardReplicas {
         /// The shard.
         shard: u32,
         /// Its replicas; none once the shard no longer exists.
@@ -219,7 +219,7 @@
         timeout_ms: Millis,
     },
     /// Close the idle connections to a server, so that the next attempt opens a new one.
-    Release {
+    CloseIdleConnections {
         /// The server.
         server: ServerId,
     },
@@ -235,10 +235,10 @@
         /// The query.
         query: RequestId,
         /// Whether the answer is complete.
-        whole: bool,
+        is_complete: bool,
     },
     /// Final answer: rejected; a repeat would do no harm.
-    Refuse {
+    Reject {
         /// The query.
         query: RequestId,
         /// When the client should repeat the query; 0 for no advice.
--- a/dispatch/src/lib.rs
+++ b/dispatch/src/lib.rs
@@ -10,7 +10,7 @@
 //! carries the [`Action`]s out; the same events always give the same actions.
 //!
 //! ```
-//! use gingerledge_dispatch::{Action, Aggregator, Class, Entry, Event, ListKind, Settings, Status};
+//! use gingerledge_dispatch::{Action, Aggregator, Class, ServerEntry, Event, ListKind, Settings, ServerStatus};
 //!
 //! let settings = Settings {
 //!     cells: 2,
@@ -22,10 +22,10 @@
 //! let mut aggregator = Aggregator::new(7, settings, 0.0);
 //! let mut actions = Vec::new();
 //! let entries = vec![
-//!     Entry { server: 0, cell: 0, status: Status::Ready, ..Entry::default() },
-//!     Entry { server: 1, cell: 1, status: Status::Ready, ..Entry::default() },
+//!     ServerEntry { server: 0, cell: 0, status: ServerStatus::Ready, ..ServerEntry::default() },
+//!     ServerEntry { server: 1, cell: 1, status: ServerStatus::Ready, ..ServerEntry::default() },
 //! ];
-//! aggregator.handle(0.0, Event::List { kind: ListKind::Complete, entries }, &mut actions);
+//! aggregator.handle(0.0, Event::ServerList { kind: ListKind::Complete, entries }, &mut actions);
 //! aggregator.handle(0.0, Event::Query {
 //!     id: 1, number: 1, class: 0, tenant: None, deadline: 2000.0, parts: 2, repeated: false,
 //! }, &mut actions);
@@ -54,10 +54,10 @@
 
 pub use aggregator::Aggregator;
 pub use interface::{
-    Action, Entry, Event, ListKind, Millis, Outcome, RejectionReason, RequestId, ServerId, Status,
-    SuccessorPart,
+    Action, Event, ListKind, Millis, Outcome, RejectionReason, RequestId, ServerEntry, ServerId,
+    ServerStatus, SuccessorPart,
 };
-pub use settings::{Budget, Class, Repeat, ReportField, Settings, Tenant};
+pub use settings::{Class, Repeat, ReportField, RetryBudget, Settings, Tenant};
 pub use setup::{Setup, SetupError, SetupFault};
 
 #[cfg(doctest)]
--- a/dispatch/src/list_refresh.rs
+++ b/dispatch/src/list_refresh.rs
@@ -48,9 +48,9 @@
         let spread = sharing_factor(settings.aggregators) * BASE_BACKOFF_MS / FIRST_CALL_SPREAD;
         let longest_delay = spread.min(interval * FIRST_CALL_SHARE);
         Self {
-            is_required: settings.subscribe,
+            is_required: settings.requires_subscription,
             interval,
-            next_call_at: settings.subscribe.then_some(now + jitter * longest_delay),
+            next_call_at: settings.requires_subscription.then_some(now + jitter * longest_delay),
             consecutive_failures: 0,
         }
     }
--- a/dispatch/src/settings.rs
+++ b/dispatch/src/settings.rs
@@ -59,11 +59,11 @@
 
 /// A retry budget: the attempts allowed beyond the first of each part.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Budget {
+pub struct RetryBudget {
     /// Attempts allowed whatever the traffic.
-    pub free: f64,
+    pub free_attempts: f64,
     /// Attempts allowed for each query and part that arrived.
-    pub ratio: f64,
+    pub attempts_per_arrival: f64,
     /// The sliding window.
     pub window_ms: Millis,
 }
@@ -72,9 +72,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportField {
     /// Requests in progress.
-    InHand,
+    InProgress,
     /// Requests waiting.
-    Waiting,
+    Queued,
     /// Share of its processors in use.
     Utilisation,
     /// Recent service time without waiting, in milliseconds.
@@ -103,7 +103,7 @@
     /// The tenants; events name them by index.
     pub tenants: Vec<Tenant>,
     /// The value of a query over its tenant's quota, as a share of its class's value.
-    pub over_quota_value: f64,
+    pub over_quota_value_share: f64,
     /// Number of cells; shard `s` is held by the servers of cells `(s + j) % cells`, `j < reach`.
     pub cells: u32,
     /// How many consecutive cells hold a shard.
@@ -111,27 +111,27 @@
     /// Number of shards.
     pub shards: u32,
     /// The most parts in one call; 1 where parts do not share calls.
-    pub batch: u32,
+    pub max_parts_per_call: u32,
     /// The work of a call beyond that of its parts.
     pub call_cost_ms: Millis,
     /// The most attempts for one part.
     pub max_attempts: u32,
     /// Whether two attempts of a part may be outstanding at the same time.
-    pub parallel: bool,
+    pub allows_parallel_attempts: bool,
     /// Whether an attempt may be withdrawn ([`Action::Withdraw`](crate::Action::Withdraw)).
-    pub withdrawals: bool,
+    pub allows_withdrawals: bool,
     /// Whether the list must be subscribed to.
-    pub subscribe: bool,
+    pub requires_subscription: bool,
     /// After how long without a call for the list the aggregator counts as informed of it anyway.
     pub list_refresh_ms: Millis,
     /// The retry budget, if any.
-    pub budget: Option<Budget>,
+    pub retry_budget: Option<RetryBudget>,
     /// Time past a client's deadline in which a final answer still counts.
     pub answer_slack_ms: Millis,
     /// The time after a drain notice within which attempts must cease.
     pub drain_grace_ms: Millis,
     /// The least share of its capacity that a server starts with.
-    pub warm_up_start: f64,
+    pub warm_up_start_capacity: f64,
     /// The longest time until it has all its capacity.
     pub warm_up_ms: Millis,
     /// A server that warms up fails if it is sent more than this multiple of its present capacity ...
@@ -141,9 +141,9 @@
     /// The longest advice that clients follow; 0 where rejections carry none.
     pub max_retry_after_ms: Millis,
     /// Idle connections are closed after this long.
-    pub idle_ms: Millis,
+    pub idle_timeout_ms: Millis,
     /// What the figures of a load report are, in order.
-    pub report: Vec<ReportField>,
+    pub report_fields: Vec<ReportField>,
 }
 
 impl Settings {
@@ -151,7 +151,7 @@
     pub(crate) fn sanitized(self) -> Self {
         let mut settings = self;
         settings.cells = settings.cells.clamp(1, MAX_CELLS);
-        settings.batch = settings.batch.max(1);
+        settings.max_parts_per_call = settings.max_parts_per_call.max(1);
         settings.aggregators = settings.aggregators.max(1);
         settings.max_attempts = settings.max_attempts.max(1);
         settings.turn_ms = if settings.turn_ms.is_nan() {
--- a/dispatch/src/setup.rs
+++ b/dispatch/src/setup.rs
@@ -7,7 +7,7 @@
 use std::fmt;
 use std::hash::Hash;
 
-use crate::{Budget, Class, Repeat, ReportField, Settings, Tenant};
+use crate::{Class, Repeat, ReportField, RetryBudget, Settings, Tenant};
 
 /// The settings, and the names that hosts translate to the indices used in events.
 #[derive(Debug, Default)]
@@ -201,25 +201,26 @@
         aggregators: values.integer("replicas_of_me")?,
         index: read_index(values)?,
         turn_ms: values.number("granularity_ms")?,
-        over_quota_value: values.number_or("over_share_worth", 1.0)?,
+        over_quota_value_share: values.number_or("over_share_worth", 1.0)?,
         cells: values.integer("domain.cells")?,
         reach: values.integer("domain.reach")?,
         shards: values.integer("domain.slabs")?,
-        batch: values.integer("domain.batch")?,
+        max_parts_per_call: values.integer("domain.batch")?,
         call_cost_ms: values.number("domain.call_cost_ms")?,
         max_attempts: values.integer("limits.max_attempts")?,
-        parallel: values.boolean("limits.parallel_tries")?,
-        withdrawals: values.get("limits.may_cancel").is_some() && values.boolean("limits.may_cancel")?,
-        subscribe: match values.text("registry_mode")? {
+        allows_parallel_attempts: values.boolean("limits.parallel_tries")?,
+        allows_withdrawals: values.get("limits.may_cancel").is_some()
+            && values.boolean("limits.may_cancel")?,
+        requires_subscription: match values.text("registry_mode")? {
             "subscribe" => true,
             "automatic" => false,
             other => return Err(unexpected("registry_mode", "automatic or subscribe", other)),
         },
-        idle_ms: values.number_or("limits.conn_idle_ms", 0.0)?,
+        idle_timeout_ms: values.number_or("limits.conn_idle_ms", 0.0)?,
         list_refresh_ms: values.number("invariants.ask_every_ms")?,
         answer_slack_ms: values.number("invariants.answer_slack_ms")?,
         drain_grace_ms: values.number("invariants.drain_grace_ms")?,
-        warm_up_start: values.number("invariants.cold_from")?,
+        warm_up_start_capacity: values.number("invariants.cold_from")?,
         warm_up_ms: values.number("invariants.cold_ms")?,
         overload_factor: values.number("invariants.overload_factor")?,
         overload_window_ms: values.number("invariants.fall_ms")?,
@@ -228,9 +229,9 @@
     if values.boolean("limits.retry_after")? {
         settings.max_retry_after_ms = values.number("limits.max_retry_after_ms")?;
     }
-    settings.budget = read_budget(values)?;
+    settings.retry_budget = read_budget(values)?;
     let fields = values.get("report.fields").unwrap_or_default();
-    settings.report = fields.split(',').map(ReportField::named).collect();
+    settings.report_fields = fields.split(',').map(ReportField::named).collect();
     Ok(settings)
 }
 
@@ -245,7 +246,7 @@
     Ok(Some(values.count("index")? as u32))
 }
 
-fn read_budget<K, V>(values: &Values<'_, K, V>) -> Result<Option<Budget>, SetupError>
+fn read_budget<K, V>(values: &Values<'_, K, V>) -> Result<Option<RetryBudget>, SetupError>
 where
     K: Borrow<str> + Hash + Eq,
     V: AsRef<str>,
@@ -253,9 +254,9 @@
     if values.get("invariants.look_back_ms").is_none() {
         return Ok(None);
     }
-    Ok(Some(Budget {
-        free: values.number_or("invariants.extra_free", 0.0)?,
-        ratio: values.number_or("invariants.repeat_ratio", 0.0)?,
+    Ok(Some(RetryBudget {
+        free_attempts: values.number_or("invariants.extra_free", 0.0)?,
+        attempts_per_arrival: values.number_or("invariants.repeat_ratio", 0.0)?,
         window_ms: values.number("invariants.look_back_ms")?,
     }))
 }
@@ -293,8 +294,8 @@
     /// The figure that has this name in a load report.
     fn named(name: &str) -> Self {
         match name {
-            "busy_reqs" => Self::InHand,
-            "pending" => Self::Waiting,
+            "busy_reqs" => Self::InProgress,
+            "pending" => Self::Queued,
             "cpu_share" => Self::Utilisation,
             "svc_ms" => Self::ServiceMs,
             "served_ps" => Self::ServedPerS,
--- a/dispatch/src/state/server.rs
+++ b/dispatch/src/state/server.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 
 use crate::idle_connections::{ConnectionUse, ServerConnections};
-use crate::{Millis, RequestId, Status};
+use crate::{Millis, RequestId, ServerStatus};
 
 /// An attempt that its server has not ended yet.
 #[derive(Debug)]
@@ -49,7 +49,7 @@
 pub(crate) struct Server {
     pub(crate) zone: u32,
     pub(crate) cell: u32,
-    pub(crate) status: Status,
+    pub(crate) status: ServerStatus,
     /// When its process started, by the list or, if later, by its own behaviour.
     pub(crate) started_at: Millis,
     pub(crate) outstanding: Vec<OutstandingAttempt>,
--- a/dispatch/tests/batching_delay.rs
+++ b/dispatch/tests/batching_delay.rs
@@ -9,7 +9,8 @@
 
 /// One shard at so many servers, and parts that usually take 100 ms, of which a call may be nearly half.
 fn costly(servers: u32, call_cost_ms: f64) -> Harness {
-    let set = Settings { batch: 8, call_cost_ms, reach: servers, ..settings(servers, servers, 1) };
+    let set =
+        Settings { max_parts_per_call: 8, call_cost_ms, reach: servers, ..settings(servers, servers, 1) };
     warm(set, servers, PART_MS)
 }
 
@@ -74,7 +75,7 @@
 #[test]
 fn among_replicas_with_equal_calls_one_with_a_joinable_call_is_chosen() {
     for seed in 0..20 {
-        let set = Settings { batch: 8, call_cost_ms: 46.0, ..settings(2, 2, 1) };
+        let set = Settings { max_parts_per_call: 8, call_cost_ms: 46.0, ..settings(2, 2, 1) };
         let mut harness = Harness::seeded(seed, set, 2);
         (1..4).for_each(|id| drop(harness.begin_query(id, 0, &[0])));
         harness.end_turn();
@@ -117,12 +118,12 @@
         harness.query(id, 0, &[0]);
         harness.advance(20.0);
     }
-    harness.actions.iter().filter(|action| matches!(action, Action::Refuse { .. })).count()
+    harness.actions.iter().filter(|action| matches!(action, Action::Reject { .. })).count()
 }
 
 #[test]
 fn the_limit_allows_for_the_batching_delay_in_the_latency_target() {
-    let set = |call_cost_ms| Settings { batch: 8, call_cost_ms, ..settings(4, 4, 1) };
+    let set = |call_cost_ms| Settings { max_parts_per_call: 8, call_cost_ms, ..settings(4, 4, 1) };
     // Little more than what the limit bears of the latency target, once few are late; the wait takes a third of it first.
     let takes = 330.0;
     assert_eq!(refused(set(0.0), takes), 0);
--- a/dispatch/tests/cancellation.rs
+++ b/dispatch/tests/cancellation.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{class, settings, Harness};
-use gingerledge_dispatch::{Class, Entry, Event, ListKind, Outcome, Settings, SuccessorPart};
+use gingerledge_dispatch::{Class, Event, ListKind, Outcome, ServerEntry, Settings, SuccessorPart};
 
 fn sends(harness: &Harness) -> usize {
     harness.sent.len()
@@ -100,7 +100,10 @@
         harness.now += 100.0;
         harness.end_attempts_from(0, Outcome::Success);
         harness.advance(2100.0);
-        harness.update_list(ListKind::Changes, vec![Entry { since: harness.now, ..common::ready(0) }]);
+        harness.update_list(
+            ListKind::Changes,
+            vec![ServerEntry { started_at: harness.now, ..common::ready(0) }],
+        );
         (2..12).for_each(|id| drop(harness.query(id, 0, &[0])));
         let from = harness.sent.len();
         if cancels {
@@ -118,7 +121,7 @@
 fn a_part_in_its_batching_delay_is_not_sent_after_cancellation() {
     let plays = |cancels: bool| {
         let classes = vec![Class { latency_target_ms: 1000.0, ..class() }];
-        let set = Settings { batch: 4, call_cost_ms: 50.0, classes, ..settings(1, 1, 1) };
+        let set = Settings { max_parts_per_call: 4, call_cost_ms: 50.0, classes, ..settings(1, 1, 1) };
         let mut harness = Harness::new(set, 1);
         harness.query(1, 0, &[0]);
         harness.now += 50.0;
--- a/dispatch/tests/common/fleet.rs
+++ b/dispatch/tests/common/fleet.rs
@@ -5,7 +5,7 @@
 use std::collections::{HashMap, VecDeque};
 
 use gingerledge_dispatch::{
-    Action, Aggregator, Entry, Event, ListKind, Millis, Outcome, RequestId, Settings, Status,
+    Action, Aggregator, Event, ListKind, Millis, Outcome, RequestId, ServerEntry, ServerStatus, Settings,
 };
 
 pub const STEP_MS: Millis = 5.0;
@@ -124,14 +124,20 @@
         let seed = (self.random.unit() * 1e15) as u64;
         let aggregator = Aggregator::new(seed, set, self.now);
         let entries = (0..self.stores.len()).map(|server| self.entry(server)).collect();
-        let events = vec![Event::List { kind: ListKind::Complete, entries }];
+        let events = vec![Event::ServerList { kind: ListKind::Complete, entries }];
         let knows_restart = self.stores.iter().any(|store| store.since.is_some());
         AggregatorProcess { aggregator, number, timer: None, events, knows_restart, dead: false }
     }
 
-    fn entry(&self, server: usize) -> Entry {
-        let (id, since) = (server as u32, self.stores[server].since.unwrap_or(0.0));
-        Entry { server: id, cell: id, status: Status::Ready, since, ..Entry::default() }
+    fn entry(&self, server: usize) -> ServerEntry {
+        let (id, started_at) = (server as u32, self.stores[server].since.unwrap_or(0.0));
+        ServerEntry {
+            server: id,
+            cell: id,
+            status: ServerStatus::Ready,
+            started_at,
+            ..ServerEntry::default()
+        }
     }
 
     /// A new process of a broker; the old one goes on beside it. What discovery has told the broker, it knows at once.
@@ -150,7 +156,7 @@
 
     pub fn announce(&mut self, process: usize, server: usize) {
         let entries = vec![self.entry(server)];
-        self.processes[process].events.push(Event::List { kind: ListKind::Changes, entries });
+        self.processes[process].events.push(Event::ServerList { kind: ListKind::Changes, entries });
         self.processes[process].knows_restart = true;
     }
 
@@ -173,7 +179,7 @@
     /// The share of its capacity that a store has.
     pub fn capacity(&self, server: usize, at: Millis) -> f64 {
         let Some(since) = self.stores[server].since else { return 1.0 };
-        let from = self.set.warm_up_start;
+        let from = self.set.warm_up_start_capacity;
         (from + (1.0 - from) * (at - since).max(0.0) / self.set.warm_up_ms).min(1.0)
     }
 
@@ -198,8 +204,8 @@
     fn end(&mut self, server: usize, call: &Call, outcome: Outcome) {
         let Call { part, attempt, sent, given_up, .. } = *call;
         if !given_up {
-            let (server, wait_ms, report) = (server as u32, self.now - sent + ROUND_TRIP_MS, Vec::new());
-            let event = Event::Outcome { part, attempt, server, wait_ms, outcome, report };
+            let (server, elapsed_ms, report) = (server as u32, self.now - sent + ROUND_TRIP_MS, Vec::new());
+            let event = Event::AttemptEnded { part, attempt, server, elapsed_ms, outcome, report };
             self.processes[call.process].events.push(event);
         }
     }
@@ -296,7 +302,7 @@
                 let aim = queries.at + self.set.classes[queries.class].latency_target_ms;
                 queries.served = Some(queries.served.unwrap_or(true) && self.now <= aim);
             }
-            Action::Refuse { query, .. } | Action::Fail { query } => {
+            Action::Reject { query, .. } | Action::Fail { query } => {
                 self.queries[query as usize].served = Some(false);
             }
             Action::Timer { wait_ms, .. } => self.processes[process].timer = Some(self.now + wait_ms),
--- a/dispatch/tests/common/mod.rs
+++ b/dispatch/tests/common/mod.rs
@@ -4,8 +4,8 @@
 pub mod fleet;
 
 use gingerledge_dispatch::{
-    Action, Aggregator, Class, Entry, Event, ListKind, Millis, Outcome, Repeat, RequestId, ServerId,
-    Settings, Status,
+    Action, Aggregator, Class, Event, ListKind, Millis, Outcome, Repeat, RequestId, ServerEntry, ServerId,
+    ServerStatus, Settings,
 };
 
 /// A send that the aggregator asked for.
@@ -36,13 +36,13 @@
         cells,
         reach,
         shards,
-        batch: 1,
+        max_parts_per_call: 1,
         max_attempts: 4,
-        parallel: true,
+        allows_parallel_attempts: true,
         list_refresh_ms: 10_000.0,
         answer_slack_ms: 20.0,
         drain_grace_ms: 500.0,
-        warm_up_start: 0.2,
+        warm_up_start_capacity: 0.2,
         warm_up_ms: 10_000.0,
         overload_factor: 2.0,
         overload_window_ms: 2000.0,
@@ -64,8 +64,8 @@
     }
 }
 
-pub fn ready(server: ServerId) -> Entry {
-    Entry { server, cell: server, status: Status::Ready, ..Entry::default() }
+pub fn ready(server: ServerId) -> ServerEntry {
+    ServerEntry { server, cell: server, status: ServerStatus::Ready, ..ServerEntry::default() }
 }
 
 impl Harness {
@@ -91,8 +91,8 @@
         self.aggregator.handle(self.now, event, &mut self.actions);
     }
 
-    pub fn update_list(&mut self, kind: ListKind, entries: Vec<Entry>) {
-        self.handle(Event::List { kind, entries });
+    pub fn update_list(&mut self, kind: ListKind, entries: Vec<ServerEntry>) {
+        self.handle(Event::ServerList { kind, entries });
     }
 
     /// Ends the turn and notes the sends.
@@ -135,8 +135,8 @@
 
     pub fn end_attempt(&mut self, sent: Sent, outcome: Outcome) {
         let Sent { part, server, attempt, at, .. } = sent;
-        let wait_ms = self.now - at;
-        self.handle(Event::Outcome { part, attempt, server, wait_ms, outcome, report: Vec::new() });
+        let elapsed_ms = self.now - at;
+        self.handle(Event::AttemptEnded { part, attempt, server, elapsed_ms, outcome, report: Vec::new() });
     }
 
     /// Time passes in steps of a turn's tick, with a timer each.
@@ -160,7 +160,7 @@
     /// Final answers and first-step answers of a query, in order.
     pub fn answers_to(&self, id: RequestId) -> Vec<Action> {
         let of = |action: &&Action| match action {
-            Action::Answer { query, .. } | Action::Refuse { query, .. } | Action::Fail { query } => {
+            Action::Answer { query, .. } | Action::Reject { query, .. } | Action::Fail { query } => {
                 *query == id
             }
             _ => false,
@@ -206,7 +206,7 @@
 /// Two servers that hold every shard, with a latency sample of each; a late part moves, since a second attempt at once is not allowed.
 pub fn harness_without_parallel_attempts(repeat: Repeat) -> Harness {
     let mut set = settings(2, 2, 2);
-    (set.parallel, set.withdrawals) = (false, true);
+    (set.allows_parallel_attempts, set.allows_withdrawals) = (false, true);
     set.classes = vec![Class { repeat, deduplication_ms: 2000.0, ..class() }];
     let mut harness = Harness::new(set, 2);
     harness.query(100, 0, &[0, 0]);
@@ -220,6 +220,6 @@
 pub fn harness_with_spare_parts() -> Harness {
     let mut set = settings(3, 1, 3);
     set.classes = vec![class(), Class { required_share: 0.6, minimum_share: 0.6, ..class() }];
-    (set.parallel, set.withdrawals) = (false, true);
+    (set.allows_parallel_attempts, set.allows_withdrawals) = (false, true);
     Harness::new(set, 3)
 }
--- a/dispatch/tests/concurrency_limit.rs
+++ b/dispatch/tests/concurrency_limit.rs
@@ -15,8 +15,8 @@
         let from = harness.sent.len();
         for _ in 0..4 {
             harness.query(id, 0, &[0, 1]);
-            rejected += harness.answers_to(id).iter().filter(|a| matches!(a, Action::Refuse { .. })).count();
-            if let [Action::Refuse { retry_after_ms, .. }] = harness.answers_to(id)[..] {
+            rejected += harness.answers_to(id).iter().filter(|a| matches!(a, Action::Reject { .. })).count();
+            if let [Action::Reject { retry_after_ms, .. }] = harness.answers_to(id)[..] {
                 assert!((100.0..=500.0).contains(&retry_after_ms), "{retry_after_ms}");
             }
             id += 1;
@@ -81,7 +81,7 @@
 /// server, and all others at once: the usual latency says nothing.
 fn rejected_while_all_miss(aggregators: u32) -> usize {
     let mut set = settings(10, 1, 10);
-    (set.aggregators, set.parallel) = (aggregators, false);
+    (set.aggregators, set.allows_parallel_attempts) = (aggregators, false);
     set.classes = vec![Class { late_value_share: 0.0, ..class() }];
     let mut harness = Harness::new(set, 10);
     let shards: Vec<u32> = (0..10).collect();
@@ -114,7 +114,7 @@
 /// aim.
 fn rejected_after_misses(aggregators: u32) -> usize {
     let mut set = settings(30, 2, 30);
-    (set.aggregators, set.parallel) = (aggregators, false);
+    (set.aggregators, set.allows_parallel_attempts) = (aggregators, false);
     set.classes = vec![Class { late_value_share: 0.0, ..class() }];
     let mut harness = Harness::new(set, 30);
     let shards: Vec<u32> = (0..25).collect();
@@ -189,7 +189,7 @@
 fn admitted(usual: f64, minimum_share: f64, shards: &[u32]) -> usize {
     let mut set = settings(2, 1, 2);
     set.classes = vec![Class { minimum_share, ..class() }];
-    set.parallel = false;
+    set.allows_parallel_attempts = false;
     let mut harness = Harness::new(set, 2);
     for id in 1..60 {
         harness.query(id, 0, &[1]);
@@ -208,7 +208,7 @@
             harness.query(id, 0, shards);
             let begun = harness.sent.len() > from;
             assert!(
-                begun || matches!(harness.answers_to(id)[..], [Action::Refuse { .. }]),
+                begun || matches!(harness.answers_to(id)[..], [Action::Reject { .. }]),
                 "rejected in its turn"
             );
             harness.handle(Event::ClientGone { query: id });
@@ -239,7 +239,7 @@
         harness.end_turn();
         harness.advance(10.0);
         match harness.answers_to(id)[..] {
-            [Action::Refuse { retry_after_ms, .. }] => retry_after_ms,
+            [Action::Reject { retry_after_ms, .. }] => retry_after_ms,
             ref other => panic!("{other:?}"),
         }
     };
--- a/dispatch/tests/faults.rs
+++ b/dispatch/tests/faults.rs
@@ -6,7 +6,9 @@
 use common::{
     class, harness_with_latency_samples, harness_with_spare_parts, last_server, ready, settings, Harness,
 };
-use gingerledge_dispatch::{Action, Class, Entry, Event, ListKind, Outcome, Repeat, Settings, Status};
+use gingerledge_dispatch::{
+    Action, Class, Event, ListKind, Outcome, Repeat, ServerEntry, ServerStatus, Settings,
+};
 
 #[test]
 fn a_server_that_fails_immediately_does_not_stay_the_least_loaded() {
@@ -119,7 +121,8 @@
     let bad = harness.sent.last().copied().unwrap();
     harness.end_attempt(bad, Outcome::Broken);
     harness.end_turn();
-    harness.update_list(ListKind::Changes, vec![Entry { since: harness.now, ..ready(bad.server) }]);
+    harness
+        .update_list(ListKind::Changes, vec![ServerEntry { started_at: harness.now, ..ready(bad.server) }]);
     let from = harness.sent.len();
     for id in 2..14 {
         harness.query(id, 0, &[0]);
@@ -135,8 +138,15 @@
     harness.handle(Event::Timer { token: 77 });
     let (part, attempt, server) = (424_242, 3, 9);
     let outcome = Outcome::Success;
-    harness.handle(Event::Outcome { part, attempt, server, wait_ms: 1.0, outcome, report: vec![1.0] });
-    harness.handle(Event::ProbeResult { server, outcome, wait_ms: 1.0, report: Vec::new() });
+    harness.handle(Event::AttemptEnded {
+        part,
+        attempt,
+        server,
+        elapsed_ms: 1.0,
+        outcome,
+        report: vec![1.0],
+    });
+    harness.handle(Event::ProbeResult { server, outcome, elapsed_ms: 1.0, report: Vec::new() });
     harness.handle(Event::Part { id: 5, number: 404, shard: u32::MAX, weight: f64::NAN, cost_ms: None });
     harness.update_list(ListKind::Complete, Vec::new());
     harness.query(1, 0, &[0, 7_000_000]);
@@ -164,7 +174,7 @@
         repeat: Repeat::Unsafe,
         ..class()
     }];
-    set.parallel = false;
+    set.allows_parallel_attempts = false;
     let mut harness = Harness::new(set, 2);
     harness.query(1, 0, &[0]);
     harness.query(2, 0, &[0]);
@@ -254,7 +264,7 @@
     // Both replicas have rejected parts twice: the rest of the query's work would be wasted.
     let from = harness.sent.len();
     harness.query(3, 0, &[0, 1]);
-    assert!(matches!(harness.answers_to(3)[..], [Action::Refuse { .. }]));
+    assert!(matches!(harness.answers_to(3)[..], [Action::Reject { .. }]));
     assert_eq!(harness.sent.len(), from);
     harness.advance(2000.0);
     harness.query(4, 0, &[0, 1]);
@@ -277,7 +287,7 @@
         harness.end_attempt(sent, Outcome::Broken);
         harness.end_turn();
     }
-    assert!(matches!(harness.answers_to(1)[..], [Action::Refuse { .. }]));
+    assert!(matches!(harness.answers_to(1)[..], [Action::Reject { .. }]));
     assert_eq!(harness.sent.len(), 2, "the third server is spared");
 }
 
@@ -306,7 +316,7 @@
 #[test]
 fn a_restarted_aggregator_with_an_old_list_learns_from_outcomes_which_servers_are_dead() {
     let mut harness = Harness::new(settings(2, 2, 2), 0);
-    harness.update_list(ListKind::Remembered, vec![ready(0), ready(1)]);
+    harness.update_list(ListKind::Restored, vec![ready(0), ready(1)]);
     let mut to_dead = 0;
     for id in 1..=20 {
         let from = harness.sent.len();
@@ -323,7 +333,10 @@
         harness.now += 50.0;
         harness.end_attempts_from(harness.sent.len() - 1, Outcome::Success);
         harness.end_turn();
-        assert!(matches!(harness.answers_to(id)[..], [Action::Answer { whole: true, .. }]), "query {id}");
+        assert!(
+            matches!(harness.answers_to(id)[..], [Action::Answer { is_complete: true, .. }]),
+            "query {id}"
+        );
         harness.advance(3000.0);
     }
     assert!(to_dead <= 2, "own outcomes outrank the list: {to_dead} sends to a dead server");
@@ -346,10 +359,10 @@
         from
     };
     send_query(&mut harness, 1..5);
-    harness.update_list(ListKind::Changes, vec![Entry { status: Status::Gone, ..ready(0) }]);
+    harness.update_list(ListKind::Changes, vec![ServerEntry { status: ServerStatus::Removed, ..ready(0) }]);
     let lost = send_query(&mut harness, 5..10);
     assert_eq!(count(&harness, lost), 0);
-    harness.update_list(ListKind::Changes, vec![Entry { since: harness.now, ..ready(0) }]);
+    harness.update_list(ListKind::Changes, vec![ServerEntry { started_at: harness.now, ..ready(0) }]);
     let cold = send_query(&mut harness, 10..20);
     let few = count(&harness, cold);
     harness.advance(12_000.0);
@@ -388,7 +401,7 @@
     assert_eq!(third.attempt, 2, "after the ejection");
     harness.end_attempt(third, Outcome::Success);
     harness.end_turn();
-    assert_eq!(harness.answers_to(1), [Action::Answer { query: 1, whole: true }]);
+    assert_eq!(harness.answers_to(1), [Action::Answer { query: 1, is_complete: true }]);
 }
 
 /// Its errors come at once, so that by calls out it looks as free as any.
--- a/dispatch/tests/hedging.rs
+++ b/dispatch/tests/hedging.rs
@@ -25,7 +25,7 @@
     assert_ne!(copy.server, first.server);
     harness.end_attempt(copy, Outcome::Success);
     harness.end_turn();
-    assert_eq!(harness.answers_to(1), [Action::Answer { query: 1, whole: true }]);
+    assert_eq!(harness.answers_to(1), [Action::Answer { query: 1, is_complete: true }]);
 }
 
 #[test]
@@ -120,7 +120,7 @@
     harness.advance(520.0);
     assert_eq!(withdrawals(&harness).len(), 1);
     harness.end_attempts_from(0, Outcome::Success);
-    assert_eq!(harness.answers_to(1), [Action::Answer { query: 1, whole: true }]);
+    assert_eq!(harness.answers_to(1), [Action::Answer { query: 1, is_complete: true }]);
     assert_eq!(harness.sent.len(), 1);
 }
 
@@ -134,7 +134,7 @@
     harness.advance(520.0);
     assert_eq!(harness.sent.len(), 3, "the spare part");
     harness.end_attempts_from(2, Outcome::Success);
-    assert_eq!(harness.answers_to(9), [Action::Answer { query: 9, whole: true }]);
+    assert_eq!(harness.answers_to(9), [Action::Answer { query: 9, is_complete: true }]);
 }
 
 #[test]
--- a/dispatch/tests/idle_connections.rs
+++ b/dispatch/tests/idle_connections.rs
@@ -9,13 +9,14 @@
 /// new connection can be opened or not.
 fn releases(lost_after: f64, pause: f64, opens: bool) -> usize {
     let mut set = settings(2, 1, 2);
-    (set.parallel, set.idle_ms) = (false, 15_000.0);
+    (set.allows_parallel_attempts, set.idle_timeout_ms) = (false, 15_000.0);
     let mut harness = Harness::new(set, 2);
     for id in 1..40 {
         let from = harness.sent.len();
         let fresh = harness.actions.len();
         harness.query(id, 0, &[0]);
-        let released = harness.actions[fresh..].iter().any(|a| matches!(a, Action::Release { server: 0 }));
+        let released =
+            harness.actions[fresh..].iter().any(|a| matches!(a, Action::CloseIdleConnections { server: 0 }));
         harness.now += 100.0;
         let lost = pause > lost_after && id > 1 && !released;
         let fails = released && !opens;
@@ -27,7 +28,7 @@
         }
         harness.advance(pause);
     }
-    harness.actions.iter().filter(|action| matches!(action, Action::Release { .. })).count()
+    harness.actions.iter().filter(|action| matches!(action, Action::CloseIdleConnections { .. })).count()
 }
 
 #[test]
@@ -44,7 +45,7 @@
 /// lost is served by the other holder.
 fn releases_with_unresponsive_servers(silent: impl Fn(u64, u32) -> bool) -> usize {
     let mut set = settings(12, 2, 12);
-    (set.parallel, set.idle_ms) = (false, 15_000.0);
+    (set.allows_parallel_attempts, set.idle_timeout_ms) = (false, 15_000.0);
     let mut harness = Harness::new(set, 12);
     for id in 1..60 {
         let from = harness.sent.len();
@@ -59,7 +60,7 @@
         }
         harness.advance(1000.0);
     }
-    harness.actions.iter().filter(|action| matches!(action, Action::Release { .. })).count()
+    harness.actions.iter().filter(|action| matches!(action, Action::CloseIdleConnections { .. })).count()
 }
 
 #[test]
--- a/dispatch/tests/list_refresh.rs
+++ b/dispatch/tests/list_refresh.rs
@@ -20,7 +20,7 @@
 impl IdleAggregator {
     fn new(seed: u64, aggregators: u32) -> Self {
         let mut set = settings(12, 2, 12);
-        (set.subscribe, set.aggregators, set.list_refresh_ms) = (true, aggregators, EVERY_MS);
+        (set.requires_subscription, set.aggregators, set.list_refresh_ms) = (true, aggregators, EVERY_MS);
         // Some hosts tell an aggregator its number.
         set.index = (seed % 2 == 0).then_some(seed as u32 % aggregators);
         let mut idle = Self { aggregator: Aggregator::new(seed, set, 0.0), timer: None };
@@ -57,7 +57,7 @@
     }
 
     fn fails(&mut self, now: Millis) {
-        assert!(!self.turn(now, Some(Event::List { kind: ListKind::Failed, entries: Vec::new() })));
+        assert!(!self.turn(now, Some(Event::ServerList { kind: ListKind::Failed, entries: Vec::new() })));
     }
 }
 
--- a/dispatch/tests/overload.rs
+++ b/dispatch/tests/overload.rs
@@ -26,8 +26,8 @@
 fn simulate(aggregators: u32, seconds: u32) -> Vec<(u32, u32)> {
     let mut set = settings(SERVERS, 2, SERVERS);
     set.aggregators = aggregators;
-    set.parallel = false;
-    set.withdrawals = true;
+    set.allows_parallel_attempts = false;
+    set.allows_withdrawals = true;
     set.classes = vec![Class { latency_target_ms: 1200.0, late_value_share: 0.0, ..class() }];
     let process = |number: u32| process(number, &set);
     let mut processes: Vec<AggregatorProcess> = (0..aggregators).map(process).collect();
@@ -48,12 +48,13 @@
                 let Some((process, part, attempt, sent)) = queue.pop_front() else { break };
                 free_at[server] = f64::max(free_at[server], now - STEP_MS) + WORK_MS / 2.0;
                 if !given_up.remove(&(part, attempt)) {
-                    let (server, wait_ms, outcome) = (server as u32, now - sent + WORK_MS, Outcome::Success);
-                    ended[process].push(Event::Outcome {
+                    let (server, elapsed_ms, outcome) =
+                        (server as u32, now - sent + WORK_MS, Outcome::Success);
+                    ended[process].push(Event::AttemptEnded {
                         part,
                         attempt,
                         server,
-                        wait_ms,
+                        elapsed_ms,
                         outcome,
                         report: vec![],
                     });
@@ -81,20 +82,20 @@
                             let sent = queue.iter().find(|out| (out.1, out.2) == (part, attempt))?.3;
                             Some((server as u32, now - sent))
                         });
-                        if let Some((server, wait_ms)) = out.filter(|_| given_up.insert((part, attempt))) {
+                        if let Some((server, elapsed_ms)) = out.filter(|_| given_up.insert((part, attempt))) {
                             let outcome = Outcome::Withdrawn;
                             let report = vec![];
-                            ended[number].push(Event::Outcome {
+                            ended[number].push(Event::AttemptEnded {
                                 part,
                                 attempt,
                                 server,
-                                wait_ms,
+                                elapsed_ms,
                                 outcome,
                                 report,
                             });
                         }
                     }
-                    Action::Refuse { .. } | Action::Fail { .. } => seconds[second].1 += 1,
+                    Action::Reject { .. } | Action::Fail { .. } => seconds[second].1 += 1,
                     _ => {}
                 }
             }
@@ -107,7 +108,7 @@
 fn process(number: u32, set: &Settings) -> AggregatorProcess {
     let mut aggregator = Aggregator::new(u64::from(number) + 1, set.clone(), 0.0);
     let entries = (0..SERVERS).map(ready).collect();
-    aggregator.handle(0.0, Event::List { kind: ListKind::Complete, entries }, &mut Vec::new());
+    aggregator.handle(0.0, Event::ServerList { kind: ListKind::Complete, entries }, &mut Vec::new());
     AggregatorProcess { aggregator, next_query_at: EVERY_MS * f64::from(number) / f64::from(set.aggregators) }
 }
 
--- a/dispatch/tests/placement.rs
+++ b/dispatch/tests/placement.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{ready, settings, Harness};
-use gingerledge_dispatch::{Entry, ListKind, Outcome, Status};
+use gingerledge_dispatch::{ListKind, Outcome, ServerEntry, ServerStatus};
 
 #[test]
 fn each_placement_of_a_query_raises_the_calls_counted_for_the_next() {
@@ -43,13 +43,13 @@
 #[test]
 fn parts_that_share_a_call_count_once() {
     let mut shared = settings(2, 2, 2);
-    shared.batch = 4;
+    shared.max_parts_per_call = 4;
     let mut harness = Harness::new(shared, 2);
-    let with = |status, server| Entry { status, ..ready(server) };
+    let with = |status, server| ServerEntry { status, ..ready(server) };
     // One call of four parts on server 0, then two calls of one part on server 1.
-    harness.update_list(ListKind::Changes, vec![with(Status::Draining, 1)]);
+    harness.update_list(ListKind::Changes, vec![with(ServerStatus::Draining, 1)]);
     harness.query(1, 0, &[0, 0, 0, 0]);
-    harness.update_list(ListKind::Changes, vec![with(Status::Draining, 0), ready(1)]);
+    harness.update_list(ListKind::Changes, vec![with(ServerStatus::Draining, 0), ready(1)]);
     harness.query(2, 0, &[0]);
     harness.query(3, 0, &[0]);
     harness.update_list(ListKind::Changes, vec![ready(0)]);
@@ -61,7 +61,7 @@
 #[test]
 fn a_call_carries_no_more_parts_than_allowed() {
     let mut shared = settings(2, 2, 8);
-    shared.batch = 2;
+    shared.max_parts_per_call = 2;
     let mut harness = Harness::new(shared, 2);
     harness.query(1, 0, &[0, 1, 2, 3, 4, 5, 6, 7]);
     let on = |server| harness.sent.iter().filter(|sent| sent.server == server).count();
--- a/dispatch/tests/quota_shares.rs
+++ b/dispatch/tests/quota_shares.rs
@@ -21,8 +21,8 @@
 fn set(aggregators: u32, quotas: f64) -> Settings {
     let mut set = settings(STORES, 2, STORES);
     set.aggregators = aggregators;
-    set.withdrawals = true;
-    set.over_quota_value = 0.2;
+    set.allows_withdrawals = true;
+    set.over_quota_value_share = 0.2;
     let of = |repeat, value| Class { repeat, value, deadline_ms: 2500.0, late_value_share: 0.0, ..class() };
     set.classes = vec![of(Repeat::Safe, 1.0), of(Repeat::Safe, 3.0), of(Repeat::Unsafe, 1.0)];
     set.tenants = QUOTA_SHARES.iter().map(|own| Tenant { quota_per_s: own * quotas }).collect();
--- a/dispatch/tests/rules.rs
+++ b/dispatch/tests/rules.rs
@@ -6,11 +6,11 @@
 
 use common::{class, ready, settings, Harness};
 use gingerledge_dispatch::{
-    Action, Budget, Class, Entry, Event, ListKind, Outcome, Repeat, Settings, Status,
+    Action, Class, Event, ListKind, Outcome, Repeat, RetryBudget, ServerEntry, ServerStatus, Settings,
 };
 
 fn refused(harness: &Harness, id: u64) -> bool {
-    matches!(harness.answers_to(id)[..], [Action::Refuse { .. }])
+    matches!(harness.answers_to(id)[..], [Action::Reject { .. }])
 }
 
 // Lost: one final answer in time for every query.
@@ -75,7 +75,7 @@
     harness.query(1, 0, &[0, 1, 2]);
     harness.now += 50.0;
     harness.end_attempts_from(0, Outcome::Success);
-    assert_eq!(harness.answers_to(1), [Action::Answer { query: 1, whole: true }]);
+    assert_eq!(harness.answers_to(1), [Action::Answer { query: 1, is_complete: true }]);
     harness.add_parts(1, &[0, 1]);
     harness.end_turn();
     harness.advance(2940.0);
@@ -172,7 +172,7 @@
 #[test]
 fn without_parallel_attempts_nothing_is_hedged() {
     let mut set = settings(4, 4, 4);
-    set.parallel = false;
+    set.allows_parallel_attempts = false;
     let mut harness = Harness::new(set, 4);
     harness.query(1, 0, &[0]);
     harness.advance(3000.0);
@@ -183,9 +183,9 @@
 
 #[test]
 fn draining_and_removed_servers_get_no_new_parts() {
-    for status in [Status::Draining, Status::Gone] {
+    for status in [ServerStatus::Draining, ServerStatus::Removed] {
         let mut harness = Harness::new(settings(2, 2, 2), 2);
-        harness.update_list(ListKind::Changes, vec![Entry { status, ..ready(0) }]);
+        harness.update_list(ListKind::Changes, vec![ServerEntry { status, ..ready(0) }]);
         harness.query(1, 0, &[0, 1]);
         assert!(harness.sent.iter().all(|sent| sent.server == 1), "{status:?}");
     }
@@ -205,10 +205,10 @@
 #[test]
 fn after_a_failed_subscription_the_old_list_stays_and_the_call_is_repeated() {
     let mut set = settings(2, 2, 2);
-    set.subscribe = true;
+    set.requires_subscription = true;
     let mut harness = Harness::new(set, 0);
     let queries = |harness: &Harness| harness.actions.iter().filter(|a| **a == Action::Subscribe).count();
-    harness.update_list(ListKind::Remembered, vec![ready(0), ready(1)]);
+    harness.update_list(ListKind::Restored, vec![ready(0), ready(1)]);
     harness.update_list(ListKind::Failed, Vec::new());
     harness.end_turn();
     harness.advance(4000.0);
@@ -228,7 +228,7 @@
 fn calls_of_many_aggregators_for_the_list_are_as_rare_as_those_of_a_few() {
     let next_call = |aggregators| {
         let mut set = settings(2, 2, 2);
-        (set.subscribe, set.aggregators) = (true, aggregators);
+        (set.requires_subscription, set.aggregators) = (true, aggregators);
         let mut harness = Harness::new(set, 0);
         let mut queries = 0;
         harness.update_list(ListKind::Failed, Vec::new());
@@ -257,7 +257,7 @@
     harness.end_attempts_from(0, Outcome::Success);
     harness.advance(2100.0);
     // Work of 100 ms; 2 x 0.2 of one processor over 2 s is 800 ms for all three: two parts for this one.
-    harness.update_list(ListKind::Changes, vec![Entry { since: harness.now, ..ready(0) }]);
+    harness.update_list(ListKind::Changes, vec![ServerEntry { started_at: harness.now, ..ready(0) }]);
     for id in 2..12 {
         harness.query(id, 0, &[0]);
     }
@@ -280,7 +280,7 @@
         harness.now += work_by_class[class];
         harness.end_attempts_from(class, Outcome::Success);
     }
-    harness.update_list(ListKind::Complete, vec![Entry { since: harness.now, ..ready(0) }]);
+    harness.update_list(ListKind::Complete, vec![ServerEntry { started_at: harness.now, ..ready(0) }]);
     let mut work = 0.0;
     for id in 0..200 {
         let (from, class) = (harness.sent.len(), usize::from(id >= 100));
@@ -302,7 +302,10 @@
         harness.end_attempts_from(0, Outcome::Success);
         harness.advance(2100.0);
         harness.handle(Event::Aggregators { count });
-        harness.update_list(ListKind::Changes, vec![Entry { since: harness.now - 2000.0, ..ready(0) }]);
+        harness.update_list(
+            ListKind::Changes,
+            vec![ServerEntry { started_at: harness.now - 2000.0, ..ready(0) }],
+        );
         (2..12).for_each(|id| drop(harness.query(id, 0, &[0])));
         harness.sent.len() - 1
     };
@@ -323,7 +326,7 @@
             harness.query(1, 0, &[0]);
             harness.now += 100.0;
             harness.end_attempts_from(0, Outcome::Success);
-            harness.update_list(ListKind::Changes, vec![Entry { since: harness.now, ..ready(0) }]);
+            harness.update_list(ListKind::Changes, vec![ServerEntry { started_at: harness.now, ..ready(0) }]);
             let (start, from) = (harness.now, harness.sent.len());
             for id in 2..50 {
                 harness.query(id, 0, &[0]);
@@ -352,7 +355,7 @@
             harness.query(1, 0, &[0]);
             harness.now += 100.0;
             harness.end_attempts_from(0, Outcome::Success);
-            harness.update_list(ListKind::Changes, vec![Entry { since: harness.now, ..ready(0) }]);
+            harness.update_list(ListKind::Changes, vec![ServerEntry { started_at: harness.now, ..ready(0) }]);
             let (start, from) = (harness.now, harness.sent.len());
             let mut id = 2;
             while harness.sent.len() == from {
@@ -409,8 +412,9 @@
     for server in 1..200 {
         let from = harness.sent.len();
         harness.query(u64::from(server), 0, &[0]);
-        let gone = Entry { server: server - 1, status: Status::Gone, ..Entry::default() };
-        harness.update_list(ListKind::Changes, vec![Entry { cell: 0, ..ready(server) }, gone]);
+        let gone =
+            ServerEntry { server: server - 1, status: ServerStatus::Removed, ..ServerEntry::default() };
+        harness.update_list(ListKind::Changes, vec![ServerEntry { cell: 0, ..ready(server) }, gone]);
         harness.end_turn();
         harness.now += 100.0;
         harness.end_attempts_from(from, Outcome::Success);
@@ -438,7 +442,7 @@
     harness.end_turn();
     assert!(harness.answers_to(1).is_empty(), "the last part may still come");
     harness.advance(1000.0);
-    assert_eq!(harness.answers_to(1), [Action::Answer { query: 1, whole: false }]);
+    assert_eq!(harness.answers_to(1), [Action::Answer { query: 1, is_complete: false }]);
 }
 
 #[test]
@@ -465,22 +469,22 @@
         }
         harness.end_turn();
         harness.advance(990.0);
-        assert_eq!(harness.answers_to(1), [Action::Answer { query: 1, whole: !lost }]);
+        assert_eq!(harness.answers_to(1), [Action::Answer { query: 1, is_complete: !lost }]);
         let from = harness.sent.len();
         harness.add_parts(1, &[0, 1]);
         harness.end_turn();
         assert_eq!(harness.answers_to(1).len(), 1);
         harness.end_attempts_from(from, Outcome::Success);
-        assert_eq!(harness.answers_to(1)[1], Action::Answer { query: 1, whole: !lost });
+        assert_eq!(harness.answers_to(1)[1], Action::Answer { query: 1, is_complete: !lost });
     }
 }
 
-// Budget: further attempts over the sliding window, and for one part.
+// RetryBudget: further attempts over the sliding window, and for one part.
 
 #[test]
 fn further_attempts_stay_within_the_retry_budget_of_any_window() {
     let mut set = settings(4, 4, 4);
-    set.budget = Some(Budget { free: 2.0, ratio: 0.1, window_ms: 2000.0 });
+    set.retry_budget = Some(RetryBudget { free_attempts: 2.0, attempts_per_arrival: 0.1, window_ms: 2000.0 });
     let mut harness = Harness::new(set, 4);
     let mut taken: Vec<f64> = Vec::new();
     for id in 0..60 {
@@ -539,7 +543,7 @@
     harness.advance(1900.0);
     assert!(harness.answers_to(1).is_empty(), "the latency target is 1 s and twice 500 ms of work");
     harness.advance(100.0);
-    assert_eq!(harness.answers_to(1), [Action::Answer { query: 1, whole: false }]);
+    assert_eq!(harness.answers_to(1), [Action::Answer { query: 1, is_complete: false }]);
 }
 
 // A query given up gets its final answer in that same turn.
@@ -550,14 +554,14 @@
     for repeat in [Repeat::Keyed, Repeat::Safe] {
         let mut set = Settings { max_attempts: 1, ..settings(4, 4, 4) };
         set.classes = vec![Class { repeat, deduplication_ms: 4000.0, ..class() }];
-        set.parallel = false;
+        set.allows_parallel_attempts = false;
         let mut harness = Harness::new(set, 4);
         harness.query(1, 0, &[0, 1]);
         harness.now += 50.0;
         let first = harness.sent[0];
         harness.end_attempt(first, Outcome::Failure);
         harness.end_turn();
-        assert_eq!(harness.answers_to(1), [Action::Refuse { query: 1, retry_after_ms: 500.0 }], "{repeat:?}");
+        assert_eq!(harness.answers_to(1), [Action::Reject { query: 1, retry_after_ms: 500.0 }], "{repeat:?}");
         assert_eq!(harness.sent.len(), 2);
     }
 }
@@ -572,7 +576,7 @@
         harness.query(1, 0, &[0]);
         harness.now += 50.0;
         harness.end_attempts_from(0, outcome);
-        let refused = matches!(harness.answers_to(1)[..], [Action::Refuse { .. }]);
+        let refused = matches!(harness.answers_to(1)[..], [Action::Reject { .. }]);
         assert_eq!(refused, harmless, "{outcome:?}: {:?}", harness.answers_to(1));
     }
 }
--- a/dispatch/tests/shard_replicas.rs
+++ b/dispatch/tests/shard_replicas.rs
@@ -8,13 +8,13 @@
 fn harness() -> Harness {
     let mut set = settings(6, 2, 6);
     set.max_attempts = 3;
-    set.parallel = false;
+    set.allows_parallel_attempts = false;
     set.classes.push(Class { repeat: Repeat::Unsafe, ..common::class() });
     Harness::new(set, 6)
 }
 
 fn assign(harness: &mut Harness, shard: u32, servers: &[u32]) {
-    harness.handle(Event::Holders { shard, servers: servers.to_vec() });
+    harness.handle(Event::ShardReplicas { shard, servers: servers.to_vec() });
 }
 
 #[test]
@@ -79,7 +79,7 @@
     assert!(harness.answers_to(5).is_empty());
     harness.end_attempt(two, Outcome::Success);
     harness.end_turn();
-    assert_eq!(harness.answers_to(5), [Action::Answer { query: 5, whole: true }]);
+    assert_eq!(harness.answers_to(5), [Action::Answer { query: 5, is_complete: true }]);
 }
 
 #[test]
--- a/dispatch/tests/warm_up.rs
+++ b/dispatch/tests/warm_up.rs
@@ -131,7 +131,7 @@
                 if case.ends != ProcessEnds::Relieved {
                     fleet_simulation.kill_process(old);
                 } else {
-                    fleet_simulation.send_event(old, Event::Leaving);
+                    fleet_simulation.send_event(old, Event::ShuttingDown);
                     leaving[process] = Some(old);
                 }
             } else if fleet_simulation.now == ends[process] + 3000.0 {
--- a/dispatch/tests/warm_up_across_processes.rs
+++ b/dispatch/tests/warm_up_across_processes.rs
@@ -6,7 +6,7 @@
 
 use common::fleet::{FleetSimulation, STEP_MS};
 use common::{class, ready, settings, Harness};
-use gingerledge_dispatch::{Class, Entry, Event, ListKind, Millis, Outcome, Settings};
+use gingerledge_dispatch::{Class, Event, ListKind, Millis, Outcome, ServerEntry, Settings};
 
 const WORK_MS: Millis = 20.0;
 /// The store that warms up; the others teach what a part takes.
@@ -61,7 +61,7 @@
             for (&old, &new) in old.iter().zip(&serving) {
                 match crossing {
                     Crossing::Killed => fleet_simulation.kill_process(old),
-                    Crossing::Relieved => fleet_simulation.send_event(old, Event::Leaving),
+                    Crossing::Relieved => fleet_simulation.send_event(old, Event::ShuttingDown),
                     Crossing::Joined => {
                         let count = 2 * aggregators;
                         [old, new].iter().for_each(|&process| {
@@ -144,7 +144,7 @@
 }
 
 fn knows_restart(harness: &mut Harness, since: Millis) {
-    harness.update_list(ListKind::Changes, vec![Entry { since, ..ready(0) }]);
+    harness.update_list(ListKind::Changes, vec![ServerEntry { started_at: since, ..ready(0) }]);
 }
 
 #[test]
@@ -195,7 +195,7 @@
 fn hedged_requests_count_against_the_budget() {
     // Two servers hold the shard; one is warm and falls silent, so that late parts get copies at the one that warms up.
     let mut harness = Harness::new(settings(1, 1, 1), 1);
-    let cell = |server, since| Entry { server, cell: 0, since, ..ready(0) };
+    let cell = |server, since| ServerEntry { server, cell: 0, started_at: since, ..ready(0) };
     harness.update_list(ListKind::Complete, vec![cell(0, 0.0), cell(1, 0.0)]);
     for id in 1..40 {
         let from = harness.sent.len();
