--- a/dispatch/src/aggregator/admission.rs
+++ b/dispatch/src/aggregator/admission.rs
@@ -1,29 +1,34 @@
-//! Admission control: decides which queries are begun, and with which of their parts.
+//! Admission control: decides which queries are admitted, and with which of their parts.
 
 use std::cmp::Ordering;
 
 use super::placement::ReplicaRank;
-use super::{Aggregator, MIN_WAIT_USUAL_LATENCIES, ROUNDING};
+use super::{Aggregator, MIN_WAIT_USUAL_LATENCIES, ROUNDING_TOLERANCE};
 use crate::interface::{Action, Millis, RejectionReason, RequestId};
 use crate::pseudorandom::{splitmix64, unit_interval};
 use crate::quotas::QuotaState;
 use crate::settings::Class;
 use crate::state::{PartState, Query};
 
-/// The share of the limit that the class with the least value for each part may use.
-const LEAST_VALUE_LIMIT_SHARE: f64 = 0.5;
-/// The share of that for a query over its tenant's quota.
+/// Share of the concurrency limit that a class may use if its value per part is negligible. The class with
+/// the highest value per part may use the whole limit.
+const LOWEST_VALUE_LIMIT_SHARE: f64 = 0.5;
+/// Factor applied to the usable share of the limit for a query beyond its tenant's quota.
 const OVER_QUOTA_LIMIT_SHARE: f64 = 0.6;
-/// A query trimmed of its lightest parts keeps this many times the least weight that may be answered.
+/// A query that is admitted without its lightest parts keeps at least this multiple of the minimum weight for
+/// an answer.
 const TRIM_RESERVE: f64 = 1.15;
-/// An all-or-nothing query whose slowest shard is expected to take the first share of the latency target is admitted, at the
-/// second share it never is, and in between with a probability.
+/// Share of the latency target at which a shard begins to count as saturated. A query that needs all its
+/// parts is always admitted if its slowest shard is expected to take no longer than this. From here to
+/// [`SATURATED_TO`], the probability of admission falls linearly to 0.
 const SATURATED_FROM: f64 = 0.5;
+/// Share of the latency target from which a shard is fully saturated.
 const SATURATED_TO: f64 = 1.2;
-/// The least probability of admission while nothing is outstanding: else nobody would see the end of the saturation.
+/// Minimum probability of admission while nothing is outstanding. Without it, the end of the saturation would
+/// never be noticed.
 const SATURATED_MIN_PROBABILITY: f64 = 0.02;
 
-/// How loaded the best replica of a shard is; compared field by field.
+/// The load of the best replica of a shard. Loads are compared field by field, in order.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 struct ShardLoad {
     ejection_level: u32,
@@ -32,7 +37,7 @@
 }
 
 impl ShardLoad {
-    /// Of a shard without a replica that may be sent anything.
+    /// The load of a shard none of whose replicas may be sent a part.
     const UNAVAILABLE: Self = Self { ejection_level: u32::MAX, calls: 0, latency_steps: 0 };
 }
 
@@ -42,38 +47,41 @@
     }
 }
 
-/// A part of a query that is to be admitted.
+/// A part of a query whose admission is being decided.
 #[derive(Debug)]
 struct Candidate {
     part: RequestId,
     weight: f64,
     load: ShardLoad,
-    /// The latency ratio of its best replica.
+    /// The latency ratio of the best replica for the part.
     latency_ratio: f64,
 }
 
-/// The parts of a query that is to be admitted, in the order in which they are chosen.
+/// The parts of a query whose admission is being decided, in the order in which they are chosen.
 #[derive(Debug)]
 struct Candidates {
     parts: Vec<Candidate>,
-    /// The weight of the parts whose shards have no healthy replica.
+    /// The total weight of the parts whose shards have no healthy replica.
     unhealthy_weight: f64,
 }
 
-/// How many candidates to send.
+/// The choice of candidates to send.
 #[derive(Debug)]
 struct Selection {
-    parts: usize,
-    /// The value earned for each part by the fewest parts that may be answered.
+    /// The number of candidates to send, from the first.
+    part_count: usize,
+    /// The value earned per part by the smallest number of parts that allows an answer.
     value_density: f64,
 }
 
 impl Aggregator {
-    /// Admits a new query, with all its parts or without its lightest, or rejects it.
+    /// Admits a new query, with all its parts or without the lightest ones, or rejects it.
     ///
-    /// Apart from the [concurrency limit](super::concurrency_limit), nothing is begun that a shard without a healthy replica
-    /// would waste, that needs a saturated shard (with a probability, so that the end of the saturation is seen; it could
-    /// do harm to a query that would just make it), or whose client leaves before it can end.
+    /// A query is rejected if it exceeds the [concurrency limit](super::concurrency_limit), or if starting it
+    /// would be wasted work: because a shard without a healthy replica leaves too little weight for an
+    /// answer, because it needs a saturated shard, or because its client's deadline is too early. Queries
+    /// that need a saturated shard are rejected with a probability, so that the end of the saturation is
+    /// noticed. This can do harm to a query that would have ended just in time.
     pub(super) fn admit(&mut self, now: Millis, id: RequestId, actions: &mut Vec<Action>) {
         self.update_limit(now);
         let Some(query) = self.queries.get(&id).filter(|query| !query.is_admitted) else { return };
@@ -81,7 +89,7 @@
         let utilisation = self.limit_utilisation(query);
         let candidates = self.candidates(now, query, class);
         let selection = select_parts(&candidates.parts, class, utilisation, self.limit_capacity());
-        let (selected, spare) = candidates.parts.split_at(selection.parts);
+        let (selected, spare) = candidates.parts.split_at(selection.part_count);
         let class_index = query.class;
         let value_density = selection.value_density;
 
@@ -120,9 +128,11 @@
         }
     }
 
-    /// The parts of a query: where any parts will do, those of the least loaded shards first; then the heaviest first.
+    /// The parts of a query in the order in which they are chosen: by weight, the heaviest first. If the
+    /// class does not require all parts, those of the least loaded shards come first.
     fn candidates(&self, now: Millis, query: &Query, class: &Class) -> Candidates {
-        // One failure in a row is enough once there has been an overload; before, a single error rejects nothing.
+        // Under a limit, which an overload has caused, one failure of a replica is enough to reject a query.
+        // Without one, a single error must not reject any.
         let tolerated_failures = u32::from(self.limit.is_unlimited());
         let takes_any_parts = class.required_share < 1.0;
         let mut parts = Vec::new();
@@ -149,39 +159,40 @@
         Candidates { parts, unhealthy_weight }
     }
 
-    /// The share of the limit that a query may use: classes that earn more for each part may use more, and queries over their
-    /// tenant's quota less.
+    /// The share of the concurrency limit that a query may use. Classes that earn more per part may use more
+    /// of it, and queries beyond their tenant's quota less.
     fn limit_share(&self, query: &Query) -> f64 {
         let highest = self.value_densities.iter().copied().fold(0.0, f64::max).max(f64::MIN_POSITIVE);
         let density = self.value_densities[query.class];
-        let share = LEAST_VALUE_LIMIT_SHARE + (1.0 - LEAST_VALUE_LIMIT_SHARE) * density / highest;
+        let share = LOWEST_VALUE_LIMIT_SHARE + (1.0 - LOWEST_VALUE_LIMIT_SHARE) * density / highest;
         match query.quota {
             QuotaState::Within => share,
             QuotaState::Exceeded => OVER_QUOTA_LIMIT_SHARE * share,
         }
     }
 
-    /// Whether too little weight is left without the shards that have no healthy replica.
+    /// Whether the weight without the parts that have no healthy replica is too little for an answer.
     fn lacks_healthy_replicas(&self, class: usize, unhealthy_weight: f64) -> bool {
-        1.0 - unhealthy_weight < self.settings.classes[class].minimum_share - ROUNDING
+        1.0 - unhealthy_weight < self.settings.classes[class].minimum_share - ROUNDING_TOLERANCE
     }
 
-    /// Whether an all-or-nothing query is rejected because one of its shards is too slow for its class.
+    /// Whether to reject a query that needs all its parts because one of its shards is too slow for its
+    /// class.
     fn is_saturated(&self, id: RequestId, class: usize, selected: &[Candidate]) -> bool {
-        let rules = &self.settings.classes[class];
+        let class_settings = &self.settings.classes[class];
         let slowest = selected.iter().map(|candidate| candidate.latency_ratio).fold(0.0, f64::max);
-        let latency_share = slowest * self.latencies[class].usual / rules.latency_target_ms.max(1.0);
+        let latency_share = slowest * self.latencies[class].usual / class_settings.latency_target_ms.max(1.0);
         let probability = (SATURATED_TO - latency_share) / (SATURATED_TO - SATURATED_FROM);
         let probability = if self.outstanding_attempts() > 0.0 {
             probability
         } else {
             probability.max(SATURATED_MIN_PROBABILITY)
         };
-        let needs_all_parts = rules.minimum_share >= rules.required_share;
+        let needs_all_parts = class_settings.minimum_share >= class_settings.required_share;
         needs_all_parts && unit_interval(splitmix64(self.random_state ^ id)) > probability
     }
 
-    /// Whether the client of a query waits less than its parts usually take.
+    /// Whether a query's deadline leaves less time than its parts usually take.
     fn is_deadline_too_short(&self, now: Millis, query: &Query) -> bool {
         let usual = self.latencies[query.class].usual;
         let target = self.settings.classes[query.class].latency_target_ms;
@@ -190,21 +201,23 @@
     }
 }
 
-/// Chooses how many parts, in order, earn most beyond their price, and at least as many as may be answered.
+/// Chooses the number of candidates, from the first, with the highest gain: the share of the value that they
+/// earn, less the price of the parts. It is at least the number that allows an answer.
 ///
-/// The price of a part is its share of the limit, or of what is in use of it where that is more.
+/// The price of all parts together is the share of the concurrency limit that they would use, or the share
+/// already in use if that is higher.
 fn select_parts(candidates: &[Candidate], class: &Class, utilisation: f64, capacity: f64) -> Selection {
-    let all = candidates.len() as f64;
-    let price = utilisation.max(all / capacity) / all.max(1.0);
+    let candidate_count = candidates.len() as f64;
+    let price = utilisation.max(candidate_count / capacity) / candidate_count.max(1.0);
     let may_be_partial = class.minimum_share < class.required_share;
-    let least_weight = if may_be_partial { class.minimum_share * TRIM_RESERVE } else { 1.0 };
-    let mut selection = Selection { parts: 0, value_density: 0.0 };
+    let minimum_weight = if may_be_partial { class.minimum_share * TRIM_RESERVE } else { 1.0 };
+    let mut selection = Selection { part_count: 0, value_density: 0.0 };
     let mut highest_gain = f64::NEG_INFINITY;
     let mut weight = 0.0;
     for (count, candidate) in (1..).zip(candidates) {
         weight += candidate.weight;
-        let is_complete = count == candidates.len() || weight >= class.required_share - ROUNDING;
-        if !is_complete && weight < least_weight {
+        let is_complete = count == candidates.len() || weight >= class.required_share - ROUNDING_TOLERANCE;
+        if !is_complete && weight < minimum_weight {
             continue;
         }
         let earned_share =
@@ -216,7 +229,7 @@
         }
         let gain = earned_share - price * parts;
         if gain > highest_gain {
-            selection.parts = count;
+            selection.part_count = count;
             highest_gain = gain;
         }
     }
--- a/dispatch/src/aggregator/arrivals.rs
+++ b/dispatch/src/aggregator/arrivals.rs
@@ -1,10 +1,11 @@
-//! Records queries and parts as they arrive, replaces parts whose shard has been split, and removes queries that have ended.
+//! Records queries and parts when they arrive, replaces parts whose shard was split, and removes queries that
+//! have ended.
 
 use super::Aggregator;
 use crate::interface::{Action, Millis, RequestId, SuccessorPart};
 use crate::state::{Part, Query};
 
-/// The fields of [`Event::Query`](crate::Event::Query) that decisions use.
+/// The fields of [`Event::Query`](crate::Event::Query) that the decisions use.
 pub(super) struct QueryArrival {
     pub(super) id: RequestId,
     pub(super) number: u64,
@@ -24,7 +25,7 @@
 }
 
 impl Aggregator {
-    /// Records a query; one of an unknown class fails.
+    /// Records a query. A query of an unknown class fails.
     pub(super) fn on_query(&mut self, now: Millis, arrival: QueryArrival, actions: &mut Vec<Action>) {
         self.arrivals.push_back(now);
         let quota = self.quotas.charge(&self.settings, now, arrival.tenant);
@@ -45,7 +46,8 @@
         self.queries.insert(arrival.id, query);
     }
 
-    /// Adds a part to its query, and its work to the query's latency target where the class says so.
+    /// Adds a part to its query. If the class stretches the latency target, extends the query's target by the
+    /// part's work.
     pub(super) fn on_part(&mut self, now: Millis, arrival: PartArrival) {
         self.arrivals.push_back(now);
         let mut open_queries = self.queries.iter_mut();
@@ -55,23 +57,23 @@
         query.parts.push(arrival.id);
         if !query.is_second_step() {
             let class = &self.settings.classes[query.class];
-            let stretch = class.latency_target_stretch * arrival.cost_ms.unwrap_or(0.0);
+            let extension = class.latency_target_stretch * arrival.cost_ms.unwrap_or(0.0);
             let latest = query.deadline.max(query.target_at);
-            query.target_at = (query.target_at + stretch.max(0.0)).min(latest);
+            query.target_at = (query.target_at + extension.max(0.0)).min(latest);
         }
         let part = Part {
             query: id,
             shard: arrival.shard,
-            // Not `max`: a weight that is not a number counts as none, too.
+            // A comparison instead of `max` also replaces a weight that is not a number with 0.
             weight: if arrival.weight > 0.0 { arrival.weight } else { 0.0 },
             outstanding_since: now,
-            last_sent: now,
+            last_sent_at: now,
             ..Part::default()
         };
         self.parts.insert(arrival.id, part);
     }
 
-    /// Replaces a part whose shard no longer exists by its successors. Its attempts count for each of them.
+    /// Replaces a part whose shard no longer exists with its successors. Its attempts count for each of them.
     pub(super) fn replace_part(&mut self, id: RequestId, successors: Vec<SuccessorPart>) {
         let Some(replaced) = self.parts.get(&id).filter(|part| part.outstanding_attempts == 0) else {
             return;
@@ -82,12 +84,12 @@
         query.parts.extend(successors.iter().map(|successor| successor.id));
         let Some(replaced) = self.parts.remove(&id) else { return };
         for SuccessorPart { id, shard, weight } in successors {
-            let tried = replaced.tried.clone();
-            self.parts.insert(id, Part { shard, weight, tried, ..replaced });
+            let tried_servers = replaced.tried_servers.clone();
+            self.parts.insert(id, Part { shard, weight, tried_servers, ..replaced });
         }
     }
 
-    /// Removes a query and its parts.
+    /// Removes a query and the parts of its present step.
     pub(super) fn remove_query(&mut self, id: RequestId) {
         let Some(query) = self.queries.remove(&id) else { return };
         for part in &query.parts {
--- a/dispatch/src/aggregator/completion.rs
+++ b/dispatch/src/aggregator/completion.rs
@@ -1,38 +1,43 @@
-//! Decides when a query ends, and how: answered in full or in part, rejected, or failed.
+//! Decides when a query ends, and how: with a complete or partial answer, with a rejection, or with a
+//! failure.
 
 use super::concurrency_limit::QueryResult;
 use super::retries::repeatable_until;
-use super::{Aggregator, LATE_ANSWER_MIN_VALUE, ROUNDING};
+use super::{Aggregator, LATE_ANSWER_MIN_VALUE, ROUNDING_TOLERANCE};
 use crate::interface::{Action, Millis, RejectionReason, RequestId};
 use crate::settings::Class;
 use crate::state::{Part, PartState, Query, QueryStep};
 
-/// Final answers are given this many shortest turns early.
-const MARGIN_TURNS: f64 = 3.0;
-/// A query none of whose parts has a server on the list is given up after this share of its time.
+/// Time by which final answers are given early, in multiples of
+/// [`Settings::turn_ms`](crate::Settings::turn_ms).
+const ANSWER_MARGIN_TURNS: f64 = 3.0;
+/// Share of the time until its deadline after which a query is given up if no server on the list holds any of
+/// its shards.
 const UNLISTED_WAIT_SHARE: f64 = 0.45;
-/// The least advice to rejected clients on when to return, in shortest latency targets.
+/// Minimum of the time after which rejected clients are advised to repeat a query, in shortest latency
+/// targets.
 const RETRY_AFTER_MIN_TARGETS: f64 = 0.08;
 
-/// How a query ends.
+/// The way in which a query ends.
 #[derive(Clone, Copy, Debug)]
 enum Ending {
     Answer { is_complete: bool },
     GiveUp(RejectionReason),
 }
 
-/// The state of the parts of a query.
+/// A summary of the states of the parts of a query's present step.
 #[derive(Debug, Default)]
 struct Progress {
     received_weight: f64,
-    lost_weight: f64,
+    failed_weight: f64,
+    /// Number of parts that are waiting or outstanding.
     pending_parts: usize,
-    /// Whether all expected parts have arrived and been served.
+    /// Whether all expected parts have arrived and have been served.
     is_all_received: bool,
 }
 
 impl Aggregator {
-    /// Ends a query if it is due.
+    /// Ends a query if its end is due.
     pub(super) fn end_if_due(&mut self, now: Millis, id: RequestId, actions: &mut Vec<Action>) {
         let Some(query) = self.queries.get(&id) else { return };
         match self.ending(now, query) {
@@ -45,29 +50,31 @@
         }
     }
 
-    /// How a query ends now, if it does.
+    /// How a query ends now, if its end is due.
     ///
-    /// Complete as soon as it can be. Just before the latency target in part, if that may be and earns more than a late complete
-    /// answer; past the target, as soon as the least share is in. It is given up when it can no longer be answered,
-    /// when the rest would come too late to earn anything, or just before its deadline.
+    /// A query is answered as soon as the answer can be complete. A partial answer, if the class allows it,
+    /// is given just before the latency target if it earns at least as much as a late complete answer would,
+    /// and otherwise after the target, or as soon as no part is pending. A query is given up when it can no
+    /// longer be answered, when the missing parts would arrive too late to earn anything, or just before its
+    /// deadline.
     fn ending(&self, now: Millis, query: &Query) -> Option<Ending> {
         let class = &self.settings.classes[query.class];
         let progress = self.progress(query);
-        let margin = self.settings.turn_ms * MARGIN_TURNS;
+        let margin = self.settings.turn_ms * ANSWER_MARGIN_TURNS;
         let earns_when_late = class.late_value_share >= LATE_ANSWER_MIN_VALUE;
         let useful_until = if earns_when_late { query.deadline } else { query.target_at };
         let give_up_at = useful_until - margin;
         let received = progress.received_weight;
         let required = if query.is_second_step() { 1.0 } else { class.required_share };
 
-        let has_required = !query.is_second_step() && received >= required - ROUNDING;
+        let has_required = !query.is_second_step() && received >= required - ROUNDING_TOLERANCE;
         if progress.is_all_received || has_required {
             return Some(Ending::Answer { is_complete: is_complete_with_first_step(query) });
         }
 
         let may_be_partial = class.minimum_share < class.required_share;
         let minimum = if may_be_partial { class.minimum_share } else { required };
-        let has_minimum = may_be_partial && received >= minimum - ROUNDING && received > 0.0;
+        let has_minimum = may_be_partial && received >= minimum - ROUNDING_TOLERANCE && received > 0.0;
         let is_better_than_late = class.partial_value * received / required >= class.late_value_share;
         let is_partial_due = now >= query.target_at - margin && is_better_than_late;
         let is_overdue = now >= give_up_at || now > query.target_at;
@@ -75,10 +82,10 @@
             return Some(Ending::Answer { is_complete: false });
         }
 
-        if self.is_unlisted_for_long(now, query) {
+        if self.has_waited_without_replicas(now, query) {
             return Some(Ending::GiveUp(RejectionReason::NoReplicaListed));
         }
-        let is_out_of_reach = 1.0 - progress.lost_weight < minimum - ROUNDING;
+        let is_out_of_reach = 1.0 - progress.failed_weight < minimum - ROUNDING_TOLERANCE;
         if query.is_query_of_death || is_out_of_reach {
             return Some(Ending::GiveUp(RejectionReason::PartsLost));
         }
@@ -94,7 +101,7 @@
             progress.is_all_received &= part.state == PartState::Received;
             match part.state {
                 PartState::Received => progress.received_weight += part.weight,
-                PartState::Lost => progress.lost_weight += part.weight,
+                PartState::Failed => progress.failed_weight += part.weight,
                 PartState::Waiting | PartState::Outstanding => progress.pending_parts += 1,
                 PartState::Spare => {}
             }
@@ -102,20 +109,24 @@
         progress
     }
 
-    /// Guards against holding what no server on the list may be sent: past about half of its time, a query of which nothing
-    /// has been sent is better rejected, while its client has time to come back.
-    fn is_unlisted_for_long(&self, now: Millis, query: &Query) -> bool {
+    /// Whether a query has waited for long while no server on the list holds any of its shards.
+    ///
+    /// If nothing of a query has been sent after about half of its time, it is better to reject it while its
+    /// client still has time to repeat it.
+    fn has_waited_without_replicas(&self, now: Millis, query: &Query) -> bool {
         let has_waited = now - query.arrived_at >= UNLISTED_WAIT_SHARE * (query.deadline - query.arrived_at);
-        has_waited && !query.parts.is_empty() && query.parts.iter().all(|&part| self.is_unlisted(part))
+        has_waited
+            && !query.parts.is_empty()
+            && query.parts.iter().all(|&part| self.lacks_listed_replica(part))
     }
 
-    /// Whether a part was never sent, and no ready server holds its shard.
-    fn is_unlisted(&self, part: RequestId) -> bool {
+    /// Whether a part has never been sent and no ready server holds its shard.
+    fn lacks_listed_replica(&self, part: RequestId) -> bool {
         let Some(part) = self.parts.get(&part) else { return true };
-        part.tried.is_empty() && self.replicas.of_shard(part.shard).next().is_none()
+        part.tried_servers.is_empty() && self.replicas.ready_replicas(part.shard).next().is_none()
     }
 
-    /// Answers a query; a first step may be followed by a second.
+    /// Answers a query, and begins its second step if its class has one.
     fn answer(&mut self, now: Millis, id: RequestId, is_complete: bool, actions: &mut Vec<Action>) {
         actions.push(Action::Answer { query: id, is_complete });
         self.update_limit_on_end(now, id, QueryResult::Answered);
@@ -128,7 +139,8 @@
         }
     }
 
-    /// The first step's answer brings further parts in a later turn; its own parts are of no more use.
+    /// Begins the second step of a query. The host adds its parts in a later turn, based on the answer of the
+    /// first step, whose parts are no longer needed.
     fn open_second_step(&mut self, id: RequestId, is_first_complete: bool) {
         let Some(query) = self.queries.get_mut(&id) else { return };
         let first_parts = std::mem::take(&mut query.parts);
@@ -143,10 +155,10 @@
         }
     }
 
-    /// Gives a query up, with advice on when to return.
+    /// Gives up a query: rejects it with advice on when to repeat it, or fails it.
     ///
-    /// A rejection says that a repeat does no harm. So the query fails instead where a part may have run and its class
-    /// does not bear a repeat.
+    /// A rejection means that the client may safely repeat the query. Therefore, the query fails instead if a
+    /// part may have run and its class does not allow a repeat.
     pub(super) fn reject(&mut self, id: RequestId, reason: RejectionReason, actions: &mut Vec<Action>) {
         let Some(query) = self.queries.get(&id) else { return };
         actions.push(Action::ReportRejection { query: id, reason });
@@ -162,26 +174,27 @@
         self.remove_query(id);
     }
 
-    /// Whether a client may repeat a query for as long as it waits, all its attempts together, except in the last turn, which
-    /// is too short for an answer.
+    /// Whether a client may safely repeat a query at any time until it gives up ([`Class::deadline_ms`]). The
+    /// last turn before that is excepted, since it is too short for an answer.
     fn is_repeatable_by_client(&self, query: &Query) -> bool {
         let class = &self.settings.classes[query.class];
-        let last_repeat = query.arrived_at + class.deadline_ms - self.settings.turn_ms;
-        let is_repeatable = |part: &Part| is_repeatable_at(part, class, last_repeat);
-        // The parts of a first step have been removed; any of them may have run since the query arrived.
+        let last_repeat_at = query.arrived_at + class.deadline_ms - self.settings.turn_ms;
+        let is_repeatable = |part: &Part| is_repeatable_at(part, class, last_repeat_at);
+        // In the second step, the parts of the first have been removed; any of them may have run since the
+        // query arrived.
         let first_step = query
             .is_second_step()
             .then(|| Part { may_have_run_since: Some(query.arrived_at), ..Part::default() });
         query.parts.iter().filter_map(|id| self.parts.get(id)).chain(&first_step).all(is_repeatable)
     }
 
-    /// When a rejected client should return: capacity is freed as parts end, in about the usual latency of one. Longer
-    /// advice would use up the latency target of the query that follows.
+    /// After how long a rejected client should repeat its query: the usual latency of a part, since capacity
+    /// is freed when parts end. A longer time would use up the latency target of the repeated query.
     fn retry_after(&self, class: usize) -> Millis {
         let usual = self.latencies[class].usual;
         let longest = self.settings.max_retry_after_ms;
         if usual > 0.0 {
-            let shortest = (RETRY_AFTER_MIN_TARGETS * self.shortest_target).min(longest);
+            let shortest = (RETRY_AFTER_MIN_TARGETS * self.shortest_latency_target).min(longest);
             usual.clamp(shortest, longest)
         } else {
             longest
@@ -189,7 +202,8 @@
     }
 }
 
-/// Whether an answer with all required parts of the present step is complete: the first step has to have been, too.
+/// Whether an answer with all required parts of the present step is complete. In the second step, it is
+/// complete only if the answer of the first step was.
 fn is_complete_with_first_step(query: &Query) -> bool {
     match query.step {
         QueryStep::First => true,
@@ -198,6 +212,6 @@
 }
 
 fn is_repeatable_at(part: &Part, class: &Class, at: Millis) -> bool {
-    let is_too_early = repeatable_until(part, class) < at;
-    !is_too_early
+    let ends_too_early = repeatable_until(part, class) < at;
+    !ends_too_early
 }
--- a/dispatch/src/aggregator/concurrency_limit.rs
+++ b/dispatch/src/aggregator/concurrency_limit.rs
@@ -1,71 +1,85 @@
-//! An adaptive limit on the parts outstanding, learned from how long parts take (additive increase, multiplicative decrease,
-//! in the manner of Chiu and Jain, 1989, with latency as the signal).
+//! An adaptive limit on the number of outstanding parts, learned from the latency of parts (additive
+//! increase, multiplicative decrease, in the manner of Chiu and Jain, 1989, with latency as the signal).
 //!
-//! There is no limit until parts become late. It acts when the usual latency of this aggregator's own parts shows that
-//! queries are about to miss their latency target. It could do harm where less work does not cure the latency; some is
-//! therefore always let through.
+//! There is no limit until parts become late. It takes effect when the usual latency of this aggregator's own
+//! parts shows that queries are about to miss their latency target. It could do harm if less work does not
+//! lower the latency; therefore, some work is always admitted.
 
 use super::Aggregator;
 use crate::interface::{Millis, RequestId};
 use crate::settings::Class;
 use crate::state::Query;
 
-/// The least limit, for each ready server, over all aggregators; each has an equal share.
+/// Minimum of the limit over all aggregators, in parts per ready server. Each aggregator has an equal share
+/// of it.
 const LIMIT_MIN: f64 = 3.0;
-/// While the usual latency of a part is above the second share of the latency target, in any class, queries that end cut the
-/// limit, at most once in the time that a query takes; below the first, they raise it.
+/// Share of the latency target below which the usual latency of a part is short. Queries of the class that
+/// are answered then raise the limit, if it is under pressure ([`PRESSURE_UTILISATION`]).
 const SHORT_LATENCY_SHARE: f64 = 0.25;
+/// Share of the latency target above which the usual latency of a part is long. Queries of the class that end
+/// then lower the limit, at most once in the time that a query takes.
 const LONG_LATENCY_SHARE: f64 = 0.3;
-/// Where a partial answer may be given, a late part costs less the smaller the least share is: the tolerance for latency
-/// is the required share over the least share, up to this.
+/// Maximum of the factor by which latency may be longer if partial answers are allowed. A late part costs
+/// less the smaller the minimum share is, so the factor is the required share over the minimum share.
 const PARTIAL_TOLERANCE_MAX: f64 = 3.0;
-/// While no more than this share of recent queries miss their target, latency may be longer by the factor.
+/// Share of recent queries up to which misses of the latency target are few.
 const MISS_RATE_TOLERATED: f64 = 0.05;
+/// Factor by which latency may be longer while misses are few.
 const FEW_MISSES_TOLERANCE: f64 = 1.3;
-/// Where there are as many aggregators as servers, each sees too little to avoid slow ones, which end most queries of many
-/// parts and leave the usual latency low: there the limit is cut while more than this share of queries miss.
+/// Share of recent queries above which misses of the latency target are many.
+///
+/// If there are at least as many aggregators as servers, each aggregator has too few samples to avoid slow
+/// servers. These delay most queries of many parts, but leave the usual latency of a part low. In this case,
+/// queries that miss their target lower the limit while misses are many, and other queries do not.
 const MISS_RATE_MAX: f64 = 0.1;
-/// Gain of the miss rate, and its gain where each aggregator sees few samples.
+/// Gain of the miss rate.
 const MISS_RATE_GAIN: f64 = 0.1;
+/// Gain of the miss rate if there are at least as many aggregators as servers.
 const MISS_RATE_GAIN_FEW_SAMPLES: f64 = 0.2;
-/// There, too, a limit learned from few queries must not outlast the overload: only queries that miss cut it; while latency
-/// is no sign of overload, it grows by this factor in each shortest latency target, and past the maximum it is lifted.
+/// Factor by which the limit grows in each shortest latency target while latency shows no overload, if there
+/// are at least as many aggregators as servers. A limit that was learned from few queries must not outlast
+/// the overload.
 const REGROWTH_PER_TARGET: f64 = 1.2;
+/// Limit in parts per ready server above which a growing limit is removed.
 const REGROWTH_MAX: f64 = 100.0;
-/// Multiplicative decrease and increase.
+/// Factor of a multiplicative decrease of the limit.
 const DECREASE_FACTOR: f64 = 0.8;
+/// Share by which one increase raises the limit.
 const INCREASE: f64 = 0.1;
-/// An aggregator with few queries makes up for them: this many increases for each latency target passed, up to a most.
+/// Number of increases per latency target that has passed since the last change of the limit. It compensates
+/// for few increases at an aggregator that has few queries.
 const INCREASES_PER_TARGET: f64 = 5.0;
+/// Maximum number of increases at once.
 const INCREASES_MAX: f64 = 7.0;
-/// The limit presses when more than this share of it was in use.
+/// Share of the limit in use at the admission of a query above which the limit was under pressure. It also
+/// was if it has rejected a query since it last changed.
 const PRESSURE_UTILISATION: f64 = 0.5;
 
-/// How a query ended, as far as the limit learns from it.
+/// The result of a query, from which the limit is learned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum QueryResult {
     Answered,
     GivenUp,
 }
 
-/// The limit, and what it is learned from.
+/// The limit, and the state from which it is learned.
 #[derive(Debug)]
 pub(super) struct ConcurrencyLimit {
-    /// Parts that may be outstanding, for each ready server; `f64::MAX` while there is no limit.
+    /// The number of parts that may be outstanding per ready server; `f64::MAX` while there is no limit.
     parts_per_server: f64,
     changed_at: Millis,
     decreased_at: Millis,
-    /// Whether it has rejected a query since it last changed.
+    /// Whether the limit has rejected a query since it last changed.
     has_rejected: bool,
-    /// Parts admitted that the limit has not worked off yet.
+    /// The number of admitted parts that count as not worked off yet; see [`Aggregator::work_off_backlog`].
     backlog: f64,
     backlog_updated_at: Millis,
-    /// Moving average of the admitted queries that missed their latency target.
+    /// Moving average of the share of admitted queries that missed their latency target.
     miss_rate: f64,
 }
 
 impl ConcurrencyLimit {
-    /// No limit.
+    /// Creates the state of an aggregator without a limit.
     pub(super) fn new(now: Millis) -> Self {
         Self {
             parts_per_server: f64::MAX,
@@ -78,12 +92,12 @@
         }
     }
 
-    /// Parts that may be outstanding, for each ready server.
+    /// The number of parts that may be outstanding per ready server.
     pub(super) fn parts_per_server(&self) -> f64 {
         self.parts_per_server
     }
 
-    /// Whether there has been no overload yet, or the limit was lifted.
+    /// Whether there is no limit: there has been no overload yet, or the limit was removed after one.
     pub(super) fn is_unlimited(&self) -> bool {
         self.parts_per_server == f64::MAX
     }
@@ -103,43 +117,47 @@
         self.parts_per_server *= (1.0 + INCREASE).powf(increases.clamp(1.0, INCREASES_MAX));
     }
 
-    fn decrease(&mut self, now: Millis, level: f64, least: f64) {
-        self.parts_per_server = (self.parts_per_server.min(level) * DECREASE_FACTOR).max(least);
+    fn decrease(&mut self, now: Millis, level: f64, minimum: f64) {
+        self.parts_per_server = (self.parts_per_server.min(level) * DECREASE_FACTOR).max(minimum);
         self.decreased_at = now;
     }
 }
 
 impl Aggregator {
-    /// Whether each aggregator sees too few samples of the servers to go by its own alone.
+    /// Whether each aggregator has too few samples of the servers to rely on its own: there are at least as
+    /// many aggregators as servers.
     fn sees_few_samples(&self) -> bool {
         f64::from(self.settings.aggregators) >= self.ready_servers()
     }
 
-    /// Brings the limit and its backlog to the present.
+    /// Updates the limit and its backlog for the time that has passed.
     pub(super) fn update_limit(&mut self, now: Millis) {
         self.regrow_limit(now);
         self.work_off_backlog(now);
     }
 
-    /// Lets a limit that was learned from few samples grow while latency shows no overload.
+    /// Raises a limit that was learned from few samples while latency shows no overload.
     fn regrow_limit(&mut self, now: Millis) {
         let has_limit = self.limit.parts_per_server < f64::MAX;
         if !self.sees_few_samples() || !has_limit || self.is_latency_long() {
             return;
         }
-        let targets = (now - self.limit.backlog_updated_at) / self.shortest_target;
+        let targets = (now - self.limit.backlog_updated_at) / self.shortest_latency_target;
         let grown = self.limit.parts_per_server * REGROWTH_PER_TARGET.powf(targets);
         self.limit.parts_per_server = if grown > REGROWTH_MAX { f64::MAX } else { grown };
     }
 
-    /// Whether the usual latency of any class shows overload.
+    /// Whether the usual latency of any class shows an overload.
     fn is_latency_long(&self) -> bool {
         let mut classes = self.settings.classes.iter().zip(&self.latencies);
         classes.any(|(class, latency)| latency.usual > LONG_LATENCY_SHARE * class.latency_target_ms)
     }
 
-    /// What was admitted counts until the limit, turned over once in the usual latency of a part, has worked it off: where
-    /// many aggregators share the servers, the limit may be less than one query.
+    /// Lowers the backlog by the parts that count as worked off in the time that has passed: the whole limit
+    /// once per usual latency of a part.
+    ///
+    /// The backlog is needed where many aggregators share the servers, since the limit may be less than one
+    /// query there.
     fn work_off_backlog(&mut self, now: Millis) {
         let turnover =
             self.latencies.iter().map(|latency| latency.usual).fold(self.settings.turn_ms, f64::max);
@@ -149,12 +167,12 @@
         self.limit.backlog_updated_at = now;
     }
 
-    /// The parts that may be outstanding at all servers.
+    /// The number of parts that may be outstanding at all servers together.
     pub(super) fn limit_capacity(&self) -> f64 {
         self.limit.parts_per_server * self.ready_servers()
     }
 
-    /// The share of the limit in use, as it counts for a query.
+    /// The share of the limit in use, as it counts for the admission of a query.
     pub(super) fn limit_utilisation(&self, query: &Query) -> f64 {
         let capacity = self.limit_capacity();
         let is_less_than_query = capacity < query.parts.len() as f64;
@@ -162,7 +180,7 @@
         in_use / capacity
     }
 
-    /// Learns from the end of a query how many parts may be outstanding.
+    /// Raises or lowers the limit when a query has ended.
     pub(super) fn update_limit_on_end(&mut self, now: Millis, id: RequestId, result: QueryResult) {
         let Some(query) = self.queries.get(&id).filter(|query| query.is_admitted) else { return };
         let class = &self.settings.classes[query.class];
@@ -176,16 +194,16 @@
         let tolerance = if few_misses { FEW_MISSES_TOLERANCE } else { 1.0 };
         let has_many_misses = sees_few_samples && self.limit.miss_rate > MISS_RATE_MAX;
         let is_overloaded = (has_many_misses && is_missed) || latency_share > LONG_LATENCY_SHARE * tolerance;
-        let is_pressed = query.limit_utilisation > PRESSURE_UTILISATION || self.limit.has_rejected;
+        let is_under_pressure = query.limit_utilisation > PRESSURE_UTILISATION || self.limit.has_rejected;
         let is_answered = result == QueryResult::Answered;
 
-        if latency_share < SHORT_LATENCY_SHARE && is_pressed && is_answered && !has_many_misses {
+        if latency_share < SHORT_LATENCY_SHARE && is_under_pressure && is_answered && !has_many_misses {
             self.limit.increase(now, class);
         } else if is_overloaded && query.arrived_at >= self.limit.decreased_at {
             let in_use = self.outstanding_attempts().max(query.parts.len() as f64);
             let level = in_use / self.ready_servers();
-            let least = LIMIT_MIN / f64::from(self.settings.aggregators);
-            self.limit.decrease(now, level, least);
+            let minimum = LIMIT_MIN / f64::from(self.settings.aggregators);
+            self.limit.decrease(now, level, minimum);
         } else {
             return;
         }
@@ -193,12 +211,13 @@
         self.limit.has_rejected = false;
     }
 
-    /// The usual latency of a class as a share of what its latency target leaves for it.
+    /// The usual latency of a class as a share of the part of its latency target that is left for it.
     fn latency_share(&self, class: usize) -> f64 {
-        let rules = &self.settings.classes[class];
-        let tolerance = (rules.required_share / rules.minimum_share).min(PARTIAL_TOLERANCE_MAX);
-        // The batching delay takes its share of the target first.
+        let class_settings = &self.settings.classes[class];
+        let tolerance =
+            (class_settings.required_share / class_settings.minimum_share).min(PARTIAL_TOLERANCE_MAX);
+        // The batching delay uses its share of the target first.
         let share_left = 1.0 - self.batching_delay_share(class);
-        self.latencies[class].usual / (rules.latency_target_ms.max(1.0) * tolerance * share_left)
+        self.latencies[class].usual / (class_settings.latency_target_ms.max(1.0) * tolerance * share_left)
     }
 }
--- a/dispatch/src/aggregator/hedging.rs
+++ b/dispatch/src/aggregator/hedging.rs
@@ -1,6 +1,7 @@
 //! Hedged requests (Dean and Barroso, The Tail at Scale, 2013): sends late parts to another replica as well.
 //!
-//! Where a part may have one attempt at a time, the late one is withdrawn instead, and the part moves.
+//! If a part may have only one outstanding attempt at a time, the late attempt is withdrawn instead, and the
+//! part moves to another replica.
 
 use super::retries::DEFAULT_BUDGET;
 use super::Aggregator;
@@ -8,29 +9,32 @@
 use crate::settings::Repeat;
 use crate::state::{OutstandingAttempt, Part, PartState, Query};
 
-/// A part goes only to a server of whose last latency sample at least this much still counts.
+/// A part is hedged only at a server whose latest latency sample has more than this weight left, which means
+/// that it is recent.
 const SAMPLE_WEIGHT_MIN: f64 = 0.5;
-/// A part is late after this many usual latencies, or at the latest after this share of the latency target.
+/// Number of usual latencies after which a part is late.
 const LATE_AFTER_USUAL_LATENCIES: f64 = 2.5;
+/// Share of the latency target after which a part is late in any case.
 const LATE_AFTER_TARGET_SHARE: f64 = 0.5;
-/// Nothing is hedged while more than this share of the concurrency limit is in use: under overload all parts are late.
+/// Share of the concurrency limit in use above which no part is hedged, because under overload all parts are
+/// late.
 const LIMIT_UTILISATION_MAX: f64 = 0.3;
-/// Further attempts that hedging leaves to parts whose only attempt failed.
+/// Number of attempts of the retry budget that hedging leaves for parts whose only attempt failed.
 const RETRY_RESERVE: f64 = 3.0;
-/// A replica has to be faster than the one tried by this factor.
+/// Factor by which a replica has to be faster than the one that a late part was sent to.
 const SPEEDUP_MIN: u32 = 2;
 
-/// What can be done for a late part.
+/// What can be done about a late part.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Remedy {
-    /// Send it to another replica.
+    /// The part can be sent to another replica.
     AnotherReplica,
-    /// Send a spare part in its place, if one is left.
+    /// A spare part can be sent in its place, if one is left.
     SparePart,
 }
 
-/// A part that is late. Ordered by urgency: those with the fewest attempts outstanding first, then those of queries with the
-/// fewest parts missing.
+/// A part that is late. Late parts are ordered by urgency: those with the fewest outstanding attempts come
+/// first, and among them, those of queries with the fewest missing parts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct LatePart {
     outstanding_attempts: u32,
@@ -43,23 +47,24 @@
 impl Aggregator {
     /// Sends further attempts for late parts, the most urgent first.
     ///
-    /// Guards against whatever keeps a part from coming back: a stall, a slow or dead server, a lost response. It acts
-    /// within the retry budget, where the other replica is trusted, known to be twice as fast, and has no more calls
-    /// outstanding. It would do harm under overload or with a hot shard, and stops there ([`LIMIT_UTILISATION_MAX`]).
+    /// This covers everything that delays the response to a part: a stall, a slow or dead server, a lost
+    /// response. A part is hedged only within the retry budget, and only at a replica that is not ejected, is
+    /// known to be at least twice as fast ([`SPEEDUP_MIN`]), and has no more outstanding calls. Hedging would
+    /// do harm under overload or with a hot shard, so it stops then ([`LIMIT_UTILISATION_MAX`]).
     pub(super) fn hedge_late_parts(&mut self, now: Millis, actions: &mut Vec<Action>) {
         let limit = self.limit.parts_per_server();
         if self.outstanding_attempts() > LIMIT_UTILISATION_MAX * limit * self.ready_servers() {
             return;
         }
         let budget = self.settings.retry_budget.unwrap_or(DEFAULT_BUDGET);
-        // Each part whose attempt is being withdrawn is about to be sent again.
+        // Each part whose attempt is being withdrawn will need a further attempt.
         let mut withdrawing = self.parts.values().filter(|part| part.is_withdrawing).count() as f64;
         for late in self.late_parts(now) {
             if late.remedy == Remedy::SparePart && self.send_spare_instead(now, &late) {
                 continue;
             }
             let reserve = if late.outstanding_attempts > 1 {
-                (self.budget_allowance(budget) / 2.0).max(RETRY_RESERVE)
+                (self.retry_allowance(budget) / 2.0).max(RETRY_RESERVE)
             } else {
                 RETRY_RESERVE
             };
@@ -91,7 +96,7 @@
             let outstanding: Vec<(RequestId, &Part)> =
                 parts.filter(|(_, part)| part.state == PartState::Outstanding).collect();
             for &(part_id, part) in &outstanding {
-                if now - part.last_sent >= late_after && !part.is_withdrawing {
+                if now - part.last_sent_at >= late_after && !part.is_withdrawing {
                     late_parts.push(LatePart {
                         outstanding_attempts: part.outstanding_attempts,
                         missing_parts: outstanding.len(),
@@ -106,19 +111,19 @@
         late_parts
     }
 
-    /// What can be done for the late parts of a query, if anything.
+    /// What can be done about the late parts of a query, if anything.
     fn remedy(&self, id: RequestId, query: &Query) -> Option<Remedy> {
         let class = &self.settings.classes[query.class];
-        // Where any parts will do, another takes the place of a late one.
+        // If the class does not require all parts, a spare part can replace a late one.
         let takes_any_parts = class.required_share < 1.0 && !query.is_second_step();
         if takes_any_parts && self.spare_part(id).is_some() {
             return Some(Remedy::SparePart);
         }
-        let has_means = self.settings.allows_parallel_attempts || self.settings.allows_withdrawals;
-        (class.repeat != Repeat::Unsafe && has_means).then_some(Remedy::AnotherReplica)
+        let may_send_again = self.settings.allows_parallel_attempts || self.settings.allows_withdrawals;
+        (class.repeat != Repeat::Unsafe && may_send_again).then_some(Remedy::AnotherReplica)
     }
 
-    /// After which time an attempt is late.
+    /// Time since its latest attempt after which a part is late.
     fn late_after(&self, class: usize, remedy: Remedy) -> Millis {
         let usual = self.latencies[class].usual;
         let latest = LATE_AFTER_TARGET_SHARE * self.settings.classes[class].latency_target_ms;
@@ -130,19 +135,19 @@
         }
     }
 
-    /// Has a spare part sent in the place of a late one; returns whether there is one.
+    /// Schedules a spare part to be sent in place of a late one. Returns whether there was a spare part.
     fn send_spare_instead(&mut self, now: Millis, late: &LatePart) -> bool {
         let Some(spare) = self.spare_part(late.query) else { return false };
         if let Some(spare) = self.parts.get_mut(&spare) {
             spare.state = PartState::Waiting;
         }
         if let Some(part) = self.parts.get_mut(&late.part) {
-            part.last_sent = now;
+            part.last_sent_at = now;
         }
         true
     }
 
-    /// The replica that a late part should be sent to, if one is worth it.
+    /// The replica to which a late part should be sent, if it is worthwhile.
     fn hedge_target(&self, now: Millis, late: &LatePart) -> Option<ServerId> {
         let query = self.queries.get(&late.query)?;
         let part = self.parts.get(&late.part)?;
@@ -150,13 +155,16 @@
             return None;
         }
         let (rank, target) = self.best_replica(now, part, query.class)?;
-        if rank.ejection_level > 0 || !self.is_sampled_recently(now, target) || self.is_being_served(part) {
+        if rank.ejection_level > 0
+            || !self.is_sampled_recently(now, target)
+            || self.should_stay_at_server(part)
+        {
             return None;
         }
-        let tried = part.tried.last().filter(|tried| self.is_ready(**tried));
-        if let Some(held) = tried.and_then(|&tried| self.rank(now, tried, query.class)) {
-            let has_more_calls = rank.calls > held.calls;
-            let is_not_faster = rank.latency_steps * SPEEDUP_MIN > held.latency_steps;
+        let current = part.tried_servers.last().filter(|current| self.is_ready(**current));
+        if let Some(current_rank) = current.and_then(|&current| self.rank(now, current, query.class)) {
+            let has_more_calls = rank.calls > current_rank.calls;
+            let is_not_faster = rank.latency_steps * SPEEDUP_MIN > current_rank.latency_steps;
             if has_more_calls || is_not_faster {
                 return None;
             }
@@ -173,23 +181,26 @@
         server.is_some_and(|server| self.sample_weight(now, server) > SAMPLE_WEIGHT_MIN)
     }
 
-    /// Whether a part that can only move is better left where it is: its server has served since, so it does not hang;
-    /// elsewhere the part would wait anew, and what was done for it is wasted.
-    fn is_being_served(&self, part: &Part) -> bool {
-        let server = part.tried.last().and_then(|server| self.servers.get(server));
+    /// Whether a part that may have only one outstanding attempt should stay at its server, because the
+    /// server has served another part since and therefore does not hang. At another server, the part would
+    /// have to wait again, and the work done for it so far would be wasted.
+    fn should_stay_at_server(&self, part: &Part) -> bool {
+        let server = part.tried_servers.last().and_then(|server| self.servers.get(server));
         !self.settings.allows_parallel_attempts
-            && server.is_some_and(|server| server.last_served > part.last_sent)
+            && server.is_some_and(|server| server.last_served_at > part.last_sent_at)
     }
 
-    /// Withdraws the outstanding attempts of a part: they are of no more use, and some servers drop what waits.
+    /// Withdraws the outstanding attempts of a part, which are no longer needed. Some servers then drop
+    /// requests that are still queued.
     pub(super) fn withdraw(&self, id: RequestId, actions: &mut Vec<Action>) {
         if !self.settings.allows_withdrawals {
             return;
         }
         let Some(part) = self.parts.get(&id) else { return };
-        for (attempt, server) in (0u32..).zip(&part.tried) {
-            let is_it = |out: &OutstandingAttempt| out.part == id && out.number == attempt;
-            if self.servers.get(server).is_some_and(|server| server.outstanding.iter().any(is_it)) {
+        for (attempt, server) in (0u32..).zip(&part.tried_servers) {
+            let is_same_attempt =
+                |outstanding: &OutstandingAttempt| outstanding.part == id && outstanding.number == attempt;
+            if self.servers.get(server).is_some_and(|server| server.outstanding.iter().any(is_same_attempt)) {
                 actions.push(Action::Withdraw { part: id, attempt });
             }
         }
--- a/dispatch/src/aggregator/latency.rs
+++ b/dispatch/src/aggregator/latency.rs
@@ -1,51 +1,59 @@
-//! Learns what latency is usual for a class, and which servers are slower than that.
+//! Learns the usual latency of each class, and which servers are slower.
 
 use super::Aggregator;
 use crate::interface::{Millis, Outcome};
 use crate::state::{OutstandingAttempt, Server};
 
-/// Gain of the usual latency of a class: it is raised or lowered by this share with each sample.
+/// Gain of the usual latency of a class: each sample raises or lowers it by this share.
 const USUAL_LATENCY_GAIN: f64 = 0.04;
-/// Gain of the low latency of a class, for samples below it and above it.
+/// Gain of the low latency of a class for samples below it.
 const LOW_LATENCY_FALL_GAIN: f64 = 0.1;
+/// Gain of the low latency of a class for samples above it.
 const LOW_LATENCY_RISE_GAIN: f64 = 0.01;
-/// Gain of a server's latency ratio, and the highest ratio that a sample counts as.
+/// Gain of a server's latency ratio.
 const LATENCY_RATIO_GAIN: f64 = 0.25;
+/// Maximum latency ratio of a sample. Higher ratios are lowered to it.
 const LATENCY_RATIO_MAX: f64 = 20.0;
-/// The least usual latency that a sample is divided by.
+/// Minimum usual latency by which a sample is divided.
 const USUAL_LATENCY_MIN_MS: Millis = 0.1;
-/// Without new samples, a server's latency ratio returns to 1 with a time constant of this many shortest latency targets, so
-/// that the server is tried again; where servers are seldom sampled, of this many usual intervals between samples.
+/// Time constant, in shortest latency targets, with which a server's latency ratio returns to 1 without new
+/// samples, so that the server is tried again.
 const RATIO_MEMORY_TARGETS: f64 = 5.0;
+/// Time constant of the same decay in usual intervals between samples. The longer of the two applies: this
+/// one, where servers are seldom sampled.
 const RATIO_MEMORY_INTERVALS: f64 = 2.0;
-/// Gain of the usual interval between samples, and the longest interval that counts, in time constants of the ratio.
+/// Gain of the usual interval between samples.
 const SAMPLE_INTERVAL_GAIN: f64 = 0.01;
+/// Maximum interval between samples that counts, in time constants of [`RATIO_MEMORY_TARGETS`].
 const SAMPLE_INTERVAL_MAX_MEMORIES: f64 = 10.0;
-/// An attempt outstanding for this many usual latencies counts as a latency ratio of 1.
-const SILENCE_USUAL_LATENCIES: f64 = 2.0;
+/// Number of usual latencies for which an attempt has to be outstanding to count as a latency ratio of 1.
+const OUTSTANDING_USUAL_LATENCIES: f64 = 2.0;
 
-/// The latencies of the parts of a class; 0 until one has been served.
+/// The latencies of the parts of a class. They are 0 until a part has been served.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct ClassLatency {
+    /// The usual latency of a part.
     pub(super) usual: Millis,
-    /// A low latency: close to the work of a part, without waiting.
+    /// A low latency of a part: close to its processing time without queueing.
     pub(super) low: Millis,
 }
 
 impl ClassLatency {
-    /// Learns the low latency from a part that was served, and takes its latency as the usual one if there is none yet.
-    pub(super) fn on_served(&mut self, wait: Millis) {
+    /// Updates the low latency with the latency of a served part. The first such latency is also used as the
+    /// usual latency.
+    pub(super) fn on_served(&mut self, elapsed: Millis) {
         if self.usual == 0.0 {
-            self.usual = wait;
-            self.low = wait;
+            self.usual = elapsed;
+            self.low = elapsed;
         }
-        let gain = if wait < self.low { LOW_LATENCY_FALL_GAIN } else { LOW_LATENCY_RISE_GAIN };
-        self.low += gain * (wait - self.low);
+        let gain = if elapsed < self.low { LOW_LATENCY_FALL_GAIN } else { LOW_LATENCY_RISE_GAIN };
+        self.low += gain * (elapsed - self.low);
     }
 
-    /// Learns the usual latency. What was cut short would have taken longer still, so it never lowers it.
-    fn update_usual(&mut self, wait: Millis, outcome: Outcome) {
-        self.usual *= if wait > self.usual {
+    /// Updates the usual latency. An attempt that was cut short would have taken even longer, so it never
+    /// lowers the usual latency.
+    fn update_usual(&mut self, elapsed: Millis, outcome: Outcome) {
+        self.usual *= if elapsed > self.usual {
             1.0 + USUAL_LATENCY_GAIN
         } else if outcome == Outcome::Success {
             1.0 - USUAL_LATENCY_GAIN
@@ -56,13 +64,13 @@
 }
 
 impl Aggregator {
-    /// Learns from an attempt that was served or waited for in vain.
+    /// Updates the latencies with an attempt that was served, or whose response did not arrive in time.
     pub(super) fn sample_latency(
         &mut self,
         now: Millis,
         server: crate::ServerId,
         class: usize,
-        wait: Millis,
+        elapsed: Millis,
         outcome: Outcome,
     ) {
         if !matches!(outcome, Outcome::Success | Outcome::TimedOut | Outcome::Withdrawn) {
@@ -70,7 +78,7 @@
         }
         let Some(server) = self.servers.get_mut(&server) else { return };
         let latency = &mut self.latencies[class];
-        let ratio = wait / latency.usual.max(USUAL_LATENCY_MIN_MS);
+        let ratio = elapsed / latency.usual.max(USUAL_LATENCY_MIN_MS);
         let is_sample = match outcome {
             Outcome::Success => true,
             Outcome::Withdrawn => ratio > server.latency_ratio,
@@ -79,38 +87,41 @@
         if is_sample {
             server.latency_ratio +=
                 LATENCY_RATIO_GAIN * (ratio.min(LATENCY_RATIO_MAX) - server.latency_ratio);
-            let longest = SAMPLE_INTERVAL_MAX_MEMORIES * RATIO_MEMORY_TARGETS * self.shortest_target;
-            let interval = (now - server.sampled_at).min(longest);
+            let longest_interval =
+                SAMPLE_INTERVAL_MAX_MEMORIES * RATIO_MEMORY_TARGETS * self.shortest_latency_target;
+            let interval = (now - server.latency_sampled_at).min(longest_interval);
             self.sample_interval += SAMPLE_INTERVAL_GAIN * (interval - self.sample_interval);
-            server.sampled_at = now;
+            server.latency_sampled_at = now;
         }
-        latency.update_usual(wait, outcome);
+        latency.update_usual(elapsed, outcome);
     }
 
-    /// How much of a server's last latency sample still counts, from 1 falling to 0.
+    /// The weight that a server's latest latency sample still has. It falls from 1 to 0 with the sample's
+    /// age.
     pub(super) fn sample_weight(&self, now: Millis, server: &Server) -> f64 {
         let by_interval = RATIO_MEMORY_INTERVALS * self.sample_interval;
-        let memory = by_interval.max(RATIO_MEMORY_TARGETS * self.shortest_target);
-        (-(now - server.sampled_at) / memory).exp()
+        let memory = by_interval.max(RATIO_MEMORY_TARGETS * self.shortest_latency_target);
+        (-(now - server.latency_sampled_at) / memory).exp()
     }
 
-    /// A server's latency relative to the usual one.
+    /// The latency ratio of a server: its latency as a multiple of the usual one.
     ///
-    /// Silence counts: a server whose oldest attempt has been outstanding for long is slow whatever it did before. This
-    /// guards against stalls, slow machines, neighbours and lost servers alike, and against a fresh stall that does not
-    /// show in any count yet.
+    /// A server whose oldest attempt has been outstanding for long is slow, regardless of its earlier
+    /// latencies. This covers stalls, slow machines, interference from other processes on the machine, and
+    /// lost servers, including a recent stall that no sample or count shows yet.
     pub(super) fn latency_ratio(&self, now: Millis, server: &Server) -> f64 {
-        let learned = 1.0 + (server.latency_ratio - 1.0) * self.sample_weight(now, server);
+        let sampled_ratio = 1.0 + (server.latency_ratio - 1.0) * self.sample_weight(now, server);
         match server.outstanding.first() {
             Some(oldest) if self.latencies[oldest.class].usual > 0.0 => {
-                learned.max(self.silence_ratio(now, oldest))
+                sampled_ratio.max(self.outstanding_ratio(now, oldest))
             }
-            _ => learned,
+            _ => sampled_ratio,
         }
     }
 
-    fn silence_ratio(&self, now: Millis, attempt: &OutstandingAttempt) -> f64 {
+    /// The latency ratio that an outstanding attempt shows before it ends.
+    fn outstanding_ratio(&self, now: Millis, attempt: &OutstandingAttempt) -> f64 {
         let usual = self.latencies[attempt.class].usual;
-        (now - attempt.sent_at) / (SILENCE_USUAL_LATENCIES * usual).max(1.0)
+        (now - attempt.sent_at) / (OUTSTANDING_USUAL_LATENCIES * usual).max(1.0)
     }
 }
--- a/dispatch/src/aggregator/membership.rs
+++ b/dispatch/src/aggregator/membership.rs
@@ -1,4 +1,4 @@
-//! Follows the list of servers.
+//! Applies the list of servers and its changes: decides which servers may be sent work.
 
 use super::Aggregator;
 use crate::interface::{ListKind, Millis, ServerEntry, ServerId, ServerStatus};
@@ -6,8 +6,8 @@
 use crate::state::{FailureAccrual, Server};
 
 impl Aggregator {
-    /// Applies a list or its changes. A server that is draining or gone gets nothing from this turn on, without
-    /// using the grace period.
+    /// Applies a list of servers or its changes. From this turn on, a draining or removed server is sent
+    /// nothing; the grace period after a drain notice is not used.
     pub(super) fn on_list(&mut self, now: Millis, kind: ListKind, entries: Vec<ServerEntry>) {
         if kind == ListKind::Failed {
             self.random_state = splitmix64(self.random_state);
@@ -26,21 +26,22 @@
         for entry in entries {
             self.apply_entry(entry);
         }
-        // Servers that are gone are removed, since one that replaces them has another id.
+        // The state of removed servers is dropped, since a server that replaces one has another id.
         self.servers
             .retain(|_, server| server.status != ServerStatus::Removed || !server.outstanding.is_empty());
         let ready = self.servers.iter().filter(|(_, server)| server.status == ServerStatus::Ready);
         self.replicas.set_ready_servers(ready.map(|(&id, server)| (id, server.cell)));
     }
 
-    /// Updates one server. One listed with a later start begins anew: warming up, and without failures.
+    /// Updates one server. If the list shows a later start of its process, the server warms up again and its
+    /// failures are cleared.
     fn apply_entry(&mut self, entry: ServerEntry) {
         let no_failures = vec![FailureAccrual::default(); self.settings.classes.len() + 1];
         let server = self.servers.entry(entry.server).or_insert_with(|| Server {
             failures: no_failures.clone(),
             latency_ratio: 1.0,
-            sampled_at: f64::NEG_INFINITY,
-            last_served: f64::NEG_INFINITY,
+            latency_sampled_at: f64::NEG_INFINITY,
+            last_served_at: f64::NEG_INFINITY,
             started_at: f64::NEG_INFINITY,
             ..Server::default()
         });
@@ -56,7 +57,8 @@
         }
     }
 
-    /// Removes a server that is gone once nothing is outstanding there: the next list may be long in coming.
+    /// Drops the state of a removed server if it has no outstanding attempts. This does not wait for the next
+    /// list, which may arrive much later.
     pub(super) fn remove_if_unused(&mut self, id: ServerId) {
         let Some(server) = self.servers.get(&id) else { return };
         if server.status == ServerStatus::Removed && server.outstanding.is_empty() {
--- a/dispatch/src/aggregator/mod.rs
+++ b/dispatch/src/aggregator/mod.rs
@@ -1,23 +1,24 @@
-//! The decisions; their interface (types, events, actions) is in `src/interface.rs`.
+//! The decisions of the aggregator. Their interface (types, events, actions) is in `src/interface.rs`.
 //!
-//! The ordinary path is batch-filling: at the end of a turn, the parts of each new query are placed together, one at a
-//! time, the part whose best replica has the fewest calls outstanding first, and every placement raises that count before
-//! the next one is evaluated ([`placement`]). Counts are of this aggregator's own outstanding calls; any outcome takes
-//! one off. All else is a departure for a case that the paper's model does not have; each says where it acts, and when it
-//! could do harm.
+//! The basic algorithm is batch-filling: at the end of a turn, the parts of each new query are placed
+//! together, one at a time. The part whose best replica has the fewest outstanding calls is placed first, and
+//! every placement raises that count before the next one is chosen ([`placement`]). Only this aggregator's
+//! own outstanding calls are counted, and an attempt ceases to count with any outcome. All other rules handle
+//! cases that the model of Weng and Wang does not cover. The documentation of each such rule states the case
+//! it handles and when it could do harm.
 //!
 //! | module | decides |
 //! | --- | --- |
-//! | [`arrivals`] | how queries and parts are recorded, and replaced when their shard is split |
+//! | [`arrivals`] | how queries and parts are recorded, and how parts are replaced when their shard is split |
 //! | [`membership`] | which servers may be sent work |
-//! | [`admission`] | which queries are begun, and with which parts |
+//! | [`admission`] | which queries are admitted, and with which parts |
 //! | [`concurrency_limit`] | how many parts may be outstanding |
 //! | [`placement`] | which replica serves a part |
-//! | [`warm_up`] | how much work a server gets while it warms up |
+//! | [`warm_up`] | how much work a server is sent while it warms up |
 //! | [`retries`] | which attempts are safe to repeat, and how many the retry budget allows |
 //! | [`hedging`] | when a late part is sent to another replica |
 //! | [`health`] | which servers are ejected for failures |
-//! | [`latency`] | which servers are slow, and what latency is usual |
+//! | [`latency`] | which servers are slow, and which latency is usual |
 //! | [`completion`] | when a query ends, and how |
 
 mod admission;
@@ -47,16 +48,18 @@
 use crate::shard_replicas::ShardReplicas;
 use crate::state::{Part, Query, Server};
 
-/// While a query is open, a turn is taken at least every this many shortest turns.
-const TICK_TURNS: f64 = 2.0;
-/// Sums of weights may fall short of a share by this much, from rounding.
-const ROUNDING: f64 = 5e-5;
-/// An answer after the latency target is waited for only where it earns at least this share of the value.
+/// Maximum time until the next turn while a query is open, in multiples of [`Settings::turn_ms`].
+const TICK_INTERVAL_TURNS: f64 = 2.0;
+/// Tolerance for rounding errors when a sum of weights is compared with a share.
+const ROUNDING_TOLERANCE: f64 = 5e-5;
+/// Minimum of [`Class::late_value_share`](crate::Class::late_value_share) with which answers after the
+/// latency target are worth waiting for.
 const LATE_ANSWER_MIN_VALUE: f64 = 0.2;
-/// Nothing is begun for a client that waits less than this many usual latencies, and less than the latency target.
+/// Number of usual latencies that must be left until a deadline for work to be started. If that is longer
+/// than the latency target, the latency target is enough.
 const MIN_WAIT_USUAL_LATENCIES: f64 = 2.0;
 
-/// The decisions of one aggregator. See the crate's documentation for an example.
+/// Makes the decisions of one aggregator. See the documentation of the crate for an example.
 #[derive(Debug)]
 pub struct Aggregator {
     settings: Settings,
@@ -64,40 +67,41 @@
     /// When this process started.
     started_at: Millis,
     is_shutting_down: bool,
-    /// How many aggregators there were at start: the number of slots, whatever they count as now.
+    /// Number of slots: the number of aggregators at the start, even if it has changed since.
     slot_count: u32,
-    /// The state of the pseudorandom sequence, advanced with each send.
+    /// State of the pseudorandom sequence, which advances with each send.
     random_state: u64,
     servers: BTreeMap<ServerId, Server>,
     replicas: ShardReplicas,
     queries: BTreeMap<RequestId, Query>,
     parts: BTreeMap<RequestId, Part>,
-    /// Latencies by class.
+    /// Latencies of parts, by class.
     latencies: Vec<ClassLatency>,
-    /// By class: the value that a query earns for each of its parts.
+    /// Value that a query earns per part, by class.
     value_densities: Vec<f64>,
-    /// The shortest latency target of any class: the time scale of all that is remembered of servers.
-    shortest_target: Millis,
+    /// The shortest latency target of any class. It is the time scale of everything learned about servers.
+    shortest_latency_target: Millis,
     quotas: TenantQuotas,
     limit: ConcurrencyLimit,
-    /// When queries and parts arrived, within the window of the retry budget.
+    /// Arrival times of the queries and parts within the window of the retry budget.
     arrivals: VecDeque<Millis>,
-    /// When further attempts were sent, within the window of the retry budget.
+    /// Send times of the attempts after the first of a part, within the window of the retry budget.
     retries: VecDeque<Millis>,
-    last_call: u64,
+    last_call_id: u64,
     idle_connections: IdleConnections,
-    /// The usual time between two samples of a server's latency.
+    /// Moving average of the time between two latency samples of a server.
     sample_interval: Millis,
-    timer_at: Option<Millis>,
+    /// When the pending timer expires.
+    timer_due_at: Option<Millis>,
     list_refresh: ListRefresh,
 }
 
 impl Aggregator {
-    /// An aggregator that knows no server yet. Equal seeds and events give equal actions.
+    /// Creates an aggregator that knows no servers yet. Equal seeds and events give equal actions.
     #[must_use]
     pub fn new(seed: u64, settings: Settings, now: Millis) -> Self {
         let settings = settings.sanitized();
-        let shortest_target = settings.shortest_latency_target();
+        let shortest_latency_target = settings.shortest_latency_target();
         let random_state = splitmix64(splitmix64(seed));
         let classes = settings.classes.len();
         Self {
@@ -114,20 +118,20 @@
             parts: BTreeMap::new(),
             latencies: vec![ClassLatency::default(); classes],
             value_densities: vec![0.0; classes],
-            shortest_target,
+            shortest_latency_target,
             limit: ConcurrencyLimit::new(now),
             arrivals: VecDeque::new(),
             retries: VecDeque::new(),
-            last_call: 0,
-            idle_connections: IdleConnections::new(&settings, shortest_target, now),
+            last_call_id: 0,
+            idle_connections: IdleConnections::new(&settings, shortest_latency_target, now),
             sample_interval: 0.0,
-            timer_at: None,
+            timer_due_at: None,
             settings,
         }
     }
 
-    /// The number of entries in each of its tables, by the names that the host's status shows. What belongs to servers and
-    /// queries that are gone has to be removed, so that these stay bounded.
+    /// The number of entries in each table, with the name under which the host reports it. The tables must
+    /// stay bounded: entries of servers and queries that no longer exist have to be removed.
     #[must_use]
     pub fn table_sizes(&self) -> [(&'static str, usize); 7] {
         let total = |count: fn(&Server) -> usize| self.servers.values().map(count).sum();
@@ -142,7 +146,8 @@
         ]
     }
 
-    /// Handles one event. Sends wait for [`Aggregator::end_turn`], so that what arrives in a turn is placed together.
+    /// Handles one event. Parts are sent in [`Aggregator::end_turn`], so that all those that arrive in a turn
+    /// are placed together.
     pub fn handle(&mut self, now: Millis, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::ServerList { kind, entries } => self.on_list(now, kind, entries),
@@ -154,10 +159,10 @@
                 self.on_part(now, PartArrival { id, number, shard, weight, cost_ms });
             }
             Event::AttemptEnded { part, attempt, server, elapsed_ms, outcome, report: _ } => {
-                self.on_outcome(now, AttemptId { part, number: attempt, server }, elapsed_ms, outcome);
+                self.on_attempt_ended(now, AttemptId { part, number: attempt, server }, elapsed_ms, outcome);
             }
             Event::ProbeResult { .. } => {}
-            Event::Timer { .. } => self.timer_at = None,
+            Event::Timer { .. } => self.timer_due_at = None,
             Event::Aggregators { count } => self.settings.aggregators = count.max(1),
             Event::ShuttingDown => self.is_shutting_down = true,
             Event::ClientGone { query } => self.remove_query(query),
@@ -166,7 +171,7 @@
         }
     }
 
-    /// Ends a turn: answers, rejects, places what has arrived and what has to be sent again.
+    /// Ends a turn: answers or rejects queries, and sends the parts that are new or have to be sent again.
     pub fn end_turn(&mut self, now: Millis, actions: &mut Vec<Action>) {
         for server in self.servers.values_mut() {
             server.open_call = None;
@@ -182,7 +187,8 @@
         for &query in &open_queries {
             self.admit(now, query, actions);
         }
-        // Twice where parts share calls: what was delayed joins a call that a later query opens.
+        // If parts share calls, a second pass lets delayed parts join calls that later queries opened in the
+        // first.
         for _ in 0..self.settings.max_parts_per_call.min(2) {
             for &query in &open_queries {
                 self.place_waiting_parts(now, query, actions);
@@ -192,26 +198,26 @@
         self.schedule_next_turn(now, actions);
     }
 
-    /// Sets a timer, unless one is pending that is due early enough.
+    /// Sets a timer for the next turn, unless the pending timer expires early enough.
     fn schedule_next_turn(&mut self, now: Millis, actions: &mut Vec<Action>) {
         let has_queries = !self.queries.is_empty();
-        let tick = has_queries.then_some(now + self.settings.turn_ms * TICK_TURNS);
+        let tick = has_queries.then_some(now + self.settings.turn_ms * TICK_INTERVAL_TURNS);
         let due = [tick, self.list_refresh.next_call_at()];
         let next = due.into_iter().flatten().fold(f64::INFINITY, f64::min);
-        let is_unscheduled = self.timer_at.is_none_or(|at| at > next || at < now);
+        let is_unscheduled = self.timer_due_at.is_none_or(|at| at > next || at < now);
         if next.is_finite() && is_unscheduled {
-            self.timer_at = Some(next);
+            self.timer_due_at = Some(next);
             let wait_ms = (next - now).max(self.settings.turn_ms);
             actions.push(Action::Timer { wait_ms, token: 0 });
         }
     }
 
-    /// The number of attempts outstanding at all servers.
+    /// Number of outstanding attempts at all servers.
     fn outstanding_attempts(&self) -> f64 {
         self.servers.values().map(|server| server.outstanding.len()).sum::<usize>() as f64
     }
 
-    /// The number of ready servers, at least 1.
+    /// Number of ready servers, or 1 if there is none.
     fn ready_servers(&self) -> f64 {
         self.replicas.ready_count().max(1) as f64
     }
--- a/dispatch/src/aggregator/warm_up.rs
+++ b/dispatch/src/aggregator/warm_up.rs
@@ -1,33 +1,37 @@
-//! Slow start: limits what a server is sent while it warms up.
+//! Slow start: limits the work that a server is sent while it warms up.
 
-use super::{Aggregator, ROUNDING};
+use super::{Aggregator, ROUNDING_TOLERANCE};
 use crate::interface::Millis;
 use crate::pseudorandom::{splitmix64, unit_interval};
 use crate::slots::slot;
 use crate::state::Server;
 
-/// The least share of its capacity that a server is taken to start with.
+/// Minimum share of its capacity that a server is assumed to have when it starts.
 const START_CAPACITY_MIN: f64 = 0.01;
 
 impl Aggregator {
-    /// The share of its full capacity that a server surely has by now.
+    /// The share of its full capacity that a server certainly has by now, from 0 to 1.
     pub(super) fn capacity(&self, now: Millis, server: &Server) -> f64 {
         let age = (now - server.started_at).max(0.0);
         let start = self.settings.warm_up_start_capacity.clamp(START_CAPACITY_MIN, 1.0);
         (start + (1.0 - start) * age / self.settings.warm_up_ms.max(1.0)).min(1.0)
     }
 
-    /// Whether a server may take one more part of a class, in view of its warm-up.
+    /// Whether the warm-up of a server allows it to be sent one more part of a class.
     ///
-    /// What all aggregators may send to a server that warms up adds up, in any window, to what the settings allow, taking
-    /// the server to have one processor and the work of a part to be a low latency of its class, or a whole window while
-    /// none is known. Each aggregator may send the work of the largest part as often as that goes into an equal share; and
-    /// once more if its slot has come: these make up for what is cut off, and open one by one in the first window and
-    /// as the server warms up. Where aggregators do not know their index, slots lie by chance, and serve only for a
-    /// share of less than a part.
+    /// In any window, the work that all aggregators together may send to a server that warms up is the amount
+    /// that the settings allow. The server is assumed to have one processor. The work of a part is assumed to
+    /// be the low latency of its class, or an entire window while none is known.
     ///
-    /// A process that is shutting down leaves its share to its successor, which waits until no window holds what was sent
-    /// before it started. That does harm where all replicas warm up while all aggregators restart.
+    /// Each aggregator has an equal share of that amount, rounded down to a multiple of the work of the
+    /// largest part. The remainders are given to some of the aggregators, which may send one more of the
+    /// largest parts: those whose slot is open. Slots open one by one during the first window, and further
+    /// ones as the server warms up. If aggregators do not know their index, their slots are random, and are
+    /// used only if the share is less than one part.
+    ///
+    /// A process that is shutting down leaves its share to its successor. The successor waits until no window
+    /// contains parts that were sent before it started. This does harm if all replicas warm up while all
+    /// aggregators restart.
     pub(super) fn has_warm_up_capacity(&self, now: Millis, server: &Server, class: usize) -> bool {
         let capacity = self.capacity(now, server);
         if capacity >= 1.0 {
@@ -39,10 +43,11 @@
             return false;
         }
         let sent = self.work_sent_in_window(now, server);
-        sent + self.part_work(class) <= self.warm_up_allowance(now, server, class, capacity) + ROUNDING
+        sent + self.part_work(class)
+            <= self.warm_up_allowance(now, server, class, capacity) + ROUNDING_TOLERANCE
     }
 
-    /// The work that this aggregator may send to a server in a window.
+    /// The work that this aggregator may send to a server in a window, in milliseconds of processing time.
     fn warm_up_allowance(&self, now: Millis, server: &Server, class: usize, capacity: f64) -> Millis {
         let window = self.settings.overload_window_ms;
         let aggregators = f64::from(self.settings.aggregators);
@@ -58,8 +63,8 @@
         (whole_parts + f64::from(u8::from(has_slot))) * largest_work
     }
 
-    /// The work of the parts sent to a server in the present window. What was sent before its start never reached this
-    /// process.
+    /// The work of the parts sent to a server in the present window, in milliseconds of processing time.
+    /// Parts sent before the server's start never reached its present process.
     fn work_sent_in_window(&self, now: Millis, server: &Server) -> Millis {
         let window = self.settings.overload_window_ms;
         let from = (now - window - self.settings.turn_ms).max(server.started_at);
@@ -67,7 +72,8 @@
         sends.map(|send| self.part_work(send.class)).sum()
     }
 
-    /// The work of a part of a class: a low latency, or a whole window while none is known.
+    /// The assumed work of a part of a class: the low latency of the class, or an entire window while none is
+    /// known.
     fn part_work(&self, class: usize) -> Millis {
         let low = self.latencies[class].low;
         if low > 0.0 {
--- a/dispatch/src/idle_connections.rs
+++ b/dispatch/src/idle_connections.rs
@@ -1,33 +1,37 @@
-//! Decides whether connections that were idle for long are closed before use.
+//! Decides whether connections that have been idle for long are closed before use.
 //!
-//! Some idle connections die unnoticed, and a request sent on one gets no response. A lost attempt alone does not prove
-//! that its connection was dead, since the server may be silent or slow. So the cause stays open until the next attempt at
-//! that server ends: if it is served soon after, the server was healthy and the connection dead; otherwise the loss does
-//! not count.
+//! Some idle connections die unnoticed, and a request sent on such a connection gets no response. A lost
+//! attempt alone does not prove that its connection was dead, since the server may be unresponsive or slow.
+//! Therefore, the cause is left open until the next attempt at that server ends. If that attempt is served
+//! soon after the loss, the server was healthy and the connection was dead. Otherwise, the loss does not
+//! count.
 
 use crate::{Millis, Outcome, Settings};
 
-/// A connection counts as long idle after this share of the time for which connections may be idle.
+/// Share of the idle timeout after which a connection counts as idle for long.
 const LONG_IDLE_SHARE: f64 = 0.06;
-/// Gain of the moving averages of lost attempts.
+/// Gain of the moving averages of the loss rates.
 const LOSS_GAIN: f64 = 0.08;
-/// By how much losses on long idle connections must exceed those on recently used ones.
+/// Connections idle for long are closed before use if their loss rate exceeds that of recently used ones by
+/// more than this.
 const LOSS_MARGIN: f64 = 0.15;
-/// Each connection closed lowers the loss rate of long idle ones by this factor.
+/// Factor applied to the loss rate of connections idle for long whenever one is closed before use.
 const LOSS_DECAY_PER_CLOSE: f64 = 0.998;
-/// Time constant of the decay of that rate, in longest idle times: by then, the connections it was measured on are gone.
+/// Time constant of the decay of that loss rate, in idle timeouts. After that time, the connections on which
+/// the rate was measured no longer exist.
 const LOSS_MEMORY_IDLE_TIMES: f64 = 2.0;
-/// A part served within this many shortest latency targets after a loss shows that the server was healthy.
+/// Time after a loss, in shortest latency targets, within which a served part shows that the server was
+/// healthy.
 const HEALTHY_WITHIN_TARGETS: f64 = 1.0;
 
-/// How long the connection of an attempt had been unused when it was sent.
+/// How long the connection of an attempt had been idle when the attempt was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ConnectionUse {
     Recent,
     LongIdle,
 }
 
-/// Whether an attempt took longer than is usual for its class.
+/// Whether an attempt took longer than the usual latency of its class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Lateness {
     InTime,
@@ -41,62 +45,65 @@
     connection: ConnectionUse,
 }
 
-/// What is recorded of the connections to one server.
+/// The record of the connections to one server.
 #[derive(Debug, Default)]
 pub(crate) struct ServerConnections {
-    last_used: Millis,
+    /// When a connection to the server was last used; 0 if never.
+    last_used_at: Millis,
     unexplained_loss: Option<UnexplainedLoss>,
 }
 
 impl ServerConnections {
     /// Records that a connection to the server is in use.
     pub(crate) fn mark_used(&mut self, now: Millis) {
-        self.last_used = now;
+        self.last_used_at = now;
     }
 }
 
-/// Loss rates over all connections.
+/// Loss rates of the connections to all servers.
 ///
-/// Closing connections could do harm where handshakes are expensive and losses happen at servers that are seldom used;
-/// failed handshakes count against it.
+/// Closing connections can do harm if handshakes are expensive and the losses happen at servers that are
+/// seldom used. Failed handshakes therefore raise the loss rate of recently used connections, which makes
+/// closing less likely.
 #[derive(Debug)]
 pub(crate) struct IdleConnections {
     idle_timeout: Millis,
-    shortest_target: Millis,
+    shortest_latency_target: Millis,
     recent_loss_rate: f64,
-    idle_loss_rate: f64,
-    /// When the decay of `idle_loss_rate` was last applied.
+    long_idle_loss_rate: f64,
+    /// When the decay of `long_idle_loss_rate` was last applied.
     decayed_at: Millis,
 }
 
 impl IdleConnections {
-    pub(crate) fn new(settings: &Settings, shortest_target: Millis, now: Millis) -> Self {
+    pub(crate) fn new(settings: &Settings, shortest_latency_target: Millis, now: Millis) -> Self {
         Self {
             idle_timeout: settings.idle_timeout_ms.max(1.0),
-            shortest_target,
+            shortest_latency_target,
             recent_loss_rate: 0.0,
-            idle_loss_rate: 0.0,
+            long_idle_loss_rate: 0.0,
             decayed_at: now,
         }
     }
 
-    /// Whether a request sent now, while no other is outstanding at the server, uses a connection idle for long.
+    /// Whether a request that is sent now, while no other is outstanding at the server, uses a connection
+    /// that has been idle for long.
     pub(crate) fn is_long_idle(&self, now: Millis, connections: &ServerConnections) -> bool {
-        let was_used = connections.last_used > 0.0;
-        was_used && now - connections.last_used > self.idle_timeout * LONG_IDLE_SHARE
+        let was_used = connections.last_used_at > 0.0;
+        was_used && now - connections.last_used_at > self.idle_timeout * LONG_IDLE_SHARE
     }
 
-    /// Whether a long idle connection is to be closed before use.
+    /// Whether to close a connection that has been idle for long before it is used.
     pub(crate) fn should_close(&mut self, now: Millis) -> bool {
         self.decay(now);
-        let should_close = self.idle_loss_rate > self.recent_loss_rate + LOSS_MARGIN;
+        let should_close = self.long_idle_loss_rate > self.recent_loss_rate + LOSS_MARGIN;
         if should_close {
-            self.idle_loss_rate *= LOSS_DECAY_PER_CLOSE;
+            self.long_idle_loss_rate *= LOSS_DECAY_PER_CLOSE;
         }
         should_close
     }
 
-    /// Learns from the end of an attempt.
+    /// Updates the loss rates when an attempt has ended.
     pub(crate) fn on_attempt_ended(
         &mut self,
         now: Millis,
@@ -105,11 +112,11 @@
         outcome: Outcome,
         lateness: Lateness,
     ) {
-        connections.last_used = now;
-        let earlier_loss = connections.unexplained_loss.take();
+        connections.last_used_at = now;
+        let previous_loss = connections.unexplained_loss.take();
         match outcome {
             Outcome::Success => {
-                self.explain_loss(now, earlier_loss);
+                self.attribute_loss(now, previous_loss);
                 self.record_delivered(now, connection);
             }
             Outcome::Failure | Outcome::Overloaded => self.record_delivered(now, connection),
@@ -119,7 +126,7 @@
             Outcome::Withdrawn if lateness == Lateness::Late => {
                 connections.unexplained_loss = Some(UnexplainedLoss { at: now, connection });
             }
-            // A new connection that cannot be opened: closing idle ones would not help.
+            // A new connection could not be opened, so closing idle ones would not help.
             Outcome::Unreachable if connection == ConnectionUse::Recent => {
                 self.record_lost(now, ConnectionUse::Recent);
             }
@@ -127,10 +134,10 @@
         }
     }
 
-    /// The server has served a part: an attempt that was lost shortly before was lost with its connection.
-    fn explain_loss(&mut self, now: Millis, loss: Option<UnexplainedLoss>) {
+    /// The server has served a part. If an attempt was lost shortly before, its connection was dead.
+    fn attribute_loss(&mut self, now: Millis, loss: Option<UnexplainedLoss>) {
         let Some(loss) = loss else { return };
-        if now - loss.at <= HEALTHY_WITHIN_TARGETS * self.shortest_target {
+        if now - loss.at <= HEALTHY_WITHIN_TARGETS * self.shortest_latency_target {
             self.record_lost(now, loss.connection);
         }
     }
@@ -147,14 +154,14 @@
         self.decay(now);
         let rate = match connection {
             ConnectionUse::Recent => &mut self.recent_loss_rate,
-            ConnectionUse::LongIdle => &mut self.idle_loss_rate,
+            ConnectionUse::LongIdle => &mut self.long_idle_loss_rate,
         };
         *rate += LOSS_GAIN * (sample - *rate);
     }
 
     fn decay(&mut self, now: Millis) {
         let elapsed = (now - self.decayed_at).max(0.0);
-        self.idle_loss_rate *= (-elapsed / (LOSS_MEMORY_IDLE_TIMES * self.idle_timeout)).exp();
+        self.long_idle_loss_rate *= (-elapsed / (LOSS_MEMORY_IDLE_TIMES * self.idle_timeout)).exp();
         self.decayed_at = now;
     }
 }
--- a/dispatch/src/interface.rs
+++ b/dispatch/src/interface.rs
@@ -1,268 +1,274 @@
-//! The interface of an aggregator: the events that the host passes in ([`Event`]), and the actions that it carries out
-//! ([`Action`]). Times and durations are milliseconds on the host's clock.
+//! The interface of an aggregator: the events that the host passes to it ([`Event`]), and the actions that
+//! the host carries out for it ([`Action`]).
+//!
+//! All times and durations are in milliseconds on the host's clock.
 
 /// A point in time or a duration, in milliseconds.
 pub type Millis = f64;
-/// Identifies a query or a part; chosen by the host, never reused.
+/// The id of a query or a part. The host chooses it and never reuses it.
 pub type RequestId = u64;
-/// Identifies a server; chosen by the host.
+/// The id of a server, chosen by the host.
 pub type ServerId = u32;
 
-/// A server's state on the list.
+/// The state of a server on the list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ServerStatus {
-    /// May be sent parts.
+    /// The server may be sent parts.
     #[default]
     Ready,
-    /// Completes outstanding parts, and is sent no more.
+    /// The server completes its outstanding parts and may not be sent further ones.
     Draining,
-    /// Removed.
+    /// The server has been removed from the list.
     Removed,
 }
 
-/// A server on the list.
+/// An entry of the list of servers.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ServerEntry {
-    /// Which server.
+    /// The id of the server.
     pub server: ServerId,
-    /// When its process last started; 0 if that was long ago.
+    /// When the server's process last started; 0 if that was so long ago that it does not warm up.
     pub started_at: Millis,
-    /// Its zone, by index.
+    /// The server's zone, by index.
     pub zone: u32,
-    /// Its cell, which determines the shards it holds.
+    /// The server's cell, which determines the shards that it holds.
     pub cell: u32,
-    /// Its state.
+    /// The server's state.
     pub status: ServerStatus,
 }
 
-/// How the entries of a list event are to be read.
+/// The meaning of the entries in [`Event::ServerList`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
-    /// Changed entries only.
+    /// Only the entries that have changed.
     Changes,
-    /// The complete list: servers that are absent are gone.
+    /// The complete list: servers without an entry have been removed.
     Complete,
-    /// The complete list as stored before a restart, possibly out of date.
+    /// The complete list as it was stored before a restart; it may be out of date.
     Restored,
-    /// A call for the list failed or the subscription broke; no entries.
+    /// A request for the list failed or the subscription broke; there are no entries.
     Failed,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served.
+    /// The server served the part.
     Success,
-    /// The server responded with an error; the attempt may have run.
+    /// The server responded with an error. The attempt may have run.
     Failure,
-    /// Rejected before it ran: the server is full, or draining.
+    /// The server rejected the attempt before running it, because it is full or draining.
     Overloaded,
-    /// No response in time; it may still run.
+    /// No response arrived in time. The attempt may still run.
     TimedOut,
-    /// No connection could be opened; it never ran.
+    /// No connection could be opened. The attempt never ran.
     Unreachable,
-    /// The connection broke; it may have run.
+    /// The connection broke. The attempt may have run.
     Broken,
-    /// Withdrawn by the aggregator; it may have run.
+    /// The aggregator withdrew the attempt ([`Action::Withdraw`]). It may have run.
     Withdrawn,
-    /// Never sent.
+    /// The attempt was never sent.
     Void,
 }
 
 impl Outcome {
-    /// Whether this outcome proves that the attempt never ran.
+    /// Whether this outcome proves that the attempt never ran at the server.
     pub fn never_ran(self) -> bool {
         matches!(self, Self::Overloaded | Self::Unreachable | Self::Void)
     }
 }
 
-/// Something that has happened.
+/// An event that the host passes to the aggregator.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// An update of the list of servers, or its failure.
+    /// The list of servers was updated, or could not be.
     ServerList {
-        /// How to read the entries.
+        /// The meaning of the entries.
         kind: ListKind,
-        /// The entries.
+        /// The entries of the list.
         entries: Vec<ServerEntry>,
     },
-    /// A query has arrived; its parts follow in the same turn.
+    /// A query arrived. Its parts follow in the same turn.
     Query {
-        /// Its id.
+        /// The id of the query.
         id: RequestId,
-        /// The number that its parts repeat.
+        /// The number of the query, by which its parts refer to it.
         number: u64,
-        /// Its class, by index.
+        /// The class of the query, by index.
         class: usize,
-        /// Its tenant, by index.
+        /// The tenant of the query, by index.
         tenant: Option<usize>,
         /// When the client abandons this attempt at the query.
         deadline: Millis,
-        /// How many parts its first step has.
+        /// The number of parts of the first step.
         parts: u32,
-        /// Whether the client marks it as a repeat.
+        /// Whether the client marked the query as a repeat.
         repeated: bool,
     },
-    /// A part of a query, of its first or second step.
+    /// A part of a query arrived, of the query's first or second step.
     Part {
-        /// Its id.
+        /// The id of the part.
         id: RequestId,
-        /// The number of its query.
+        /// The number of the part's query.
         number: u64,
-        /// Its shard.
+        /// The shard that serves the part.
         shard: u32,
-        /// Its weight; those of a step add up to 1.
+        /// The weight of the part. The weights of the parts of a step add up to 1.
         weight: f64,
-        /// A rough estimate of its work, where there is one.
+        /// A rough estimate of the part's processing time, if there is one.
         cost_ms: Option<Millis>,
     },
-    /// An attempt ended; exactly one for each [`Action::Send`].
+    /// An attempt ended. There is exactly one such event for each [`Action::Send`].
     AttemptEnded {
-        /// The part.
+        /// The part that was attempted.
         part: RequestId,
-        /// Which of its attempts, from 0.
+        /// The number of the attempt within the part, from 0.
         attempt: u32,
-        /// The server.
+        /// The server to which the attempt was sent.
         server: ServerId,
-        /// Time since it was sent.
+        /// Time since the attempt was sent.
         elapsed_ms: Millis,
-        /// How it ended.
+        /// How the attempt ended.
         outcome: Outcome,
-        /// The server's load report, where one came along.
+        /// The server's load report, empty if the response carried none.
         report: Vec<f64>,
     },
-    /// The result of a health check.
+    /// A health check ended.
     ProbeResult {
-        /// The server.
+        /// The server that was checked.
         server: ServerId,
-        /// How it ended.
+        /// How the health check ended.
         outcome: Outcome,
-        /// Time since it was sent.
+        /// Time since the health check was sent.
         elapsed_ms: Millis,
-        /// The server's load report, where one came along.
+        /// The server's load report, empty if the response carried none.
         report: Vec<f64>,
     },
-    /// A timer fell due.
+    /// A timer expired.
     Timer {
-        /// As given in [`Action::Timer`].
+        /// The token given in [`Action::Timer`].
         token: u64,
     },
-    /// The number of aggregators has changed: two processes of one host count twice while both serve.
+    /// The number of aggregators changed. Two processes of one host count as two while both serve.
     Aggregators {
-        /// How many.
+        /// The number of aggregators.
         count: u32,
     },
-    /// This process is shutting down, and its successor, with the same index, may already serve.
+    /// This process is shutting down. Its successor, which has the same index, may already serve.
     ShuttingDown,
-    /// The client of a query has disconnected.
+    /// The client of a query disconnected.
     ClientGone {
-        /// The query.
+        /// The id of the query.
         query: RequestId,
     },
-    /// The replicas of a shard. After the first of these events, the ring of cells is no longer used.
+    /// The host assigned the replicas of a shard. After the first such event, the ring of cells is no longer
+    /// used.
     ShardReplicas {
-        /// The shard.
+        /// The shard whose replicas are assigned.
         shard: u32,
-        /// Its replicas; none once the shard no longer exists.
+        /// The servers that hold the shard's replicas; none if the shard no longer exists.
         servers: Vec<ServerId>,
     },
-    /// The shard of a part no longer exists: its successors take the part's place, each with the part's attempts. Sent while
-    /// none of these is outstanding; the first attempt of each successor has the number that the part's next would have had.
+    /// The shard of a part no longer exists, and successor parts replace the part.
+    ///
+    /// Each successor inherits the part's attempts: its first attempt has the number that the part's next
+    /// attempt would have had. The event is sent only while no attempt of the part is outstanding.
     SuccessorParts {
-        /// The part.
+        /// The part that is replaced.
         part: RequestId,
-        /// Its successors; their weights add up to its own.
+        /// The parts that replace it. Their weights add up to its weight.
         successors: Vec<SuccessorPart>,
     },
 }
 
-/// A part that takes the place of another.
+/// A part that replaces a part whose shard no longer exists.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SuccessorPart {
-    /// Its id.
+    /// The id of the part.
     pub id: RequestId,
-    /// Its shard.
+    /// The shard that serves the part.
     pub shard: u32,
-    /// Its weight.
+    /// The weight of the part.
     pub weight: f64,
 }
 
-/// Why a query is given up. Each reason has a counter in the host.
+/// The reason for which a query is given up. The host counts the queries of each reason.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectionReason {
-    /// As many parts are outstanding as the concurrency limit allows.
+    /// The concurrency limit is exhausted.
     OverLimit,
-    /// A shard has only replicas that are ejected.
+    /// All replicas of a shard are ejected.
     NoHealthyReplica,
-    /// A shard is too slow for the latency target of the class.
+    /// A shard is too slow for the latency target of the query's class.
     Saturated,
-    /// The client waits less than parts usually take.
+    /// The client's deadline leaves less time than parts usually take.
     DeadlineTooShort,
-    /// No server on the list holds its shards.
+    /// No server on the list holds the query's shards.
     NoReplicaListed,
     /// Too many parts can no longer be served.
     PartsLost,
-    /// What is missing would come too late to have any value.
+    /// The missing parts would arrive too late to have any value.
     TooLate,
 }
 
-/// Something that the host has to do.
+/// An action that the host has to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Start an attempt. The attempts of a part are numbered from 0 in the order of these actions.
     Send {
-        /// The part.
+        /// The part to send.
         part: RequestId,
-        /// The server.
+        /// The server to send it to.
         server: ServerId,
-        /// Time-out for the attempt.
+        /// Time-out of the attempt.
         timeout_ms: Millis,
     },
-    /// Close the idle connections to a server, so that the next attempt opens a new one.
+    /// Close the idle connections to a server, so that the next attempt opens a new connection.
     CloseIdleConnections {
-        /// The server.
+        /// The server whose idle connections are to be closed.
         server: ServerId,
     },
-    /// Stop waiting for an attempt; its outcome follows: [`Outcome::Withdrawn`], unless another is already on its way.
+    /// Stop waiting for an attempt. Its [`Event::AttemptEnded`] still follows, with [`Outcome::Withdrawn`]
+    /// unless the attempt has already ended in another way.
     Withdraw {
-        /// The part.
+        /// The part that was attempted.
         part: RequestId,
-        /// Which of its attempts, from 0.
+        /// The number of the attempt within the part, from 0.
         attempt: u32,
     },
-    /// Answer a query from the parts received; final, unless a second step follows.
+    /// Answer a query from the parts received. The answer is final unless a second step follows.
     Answer {
-        /// The query.
+        /// The id of the query.
         query: RequestId,
         /// Whether the answer is complete.
         is_complete: bool,
     },
-    /// Final answer: rejected; a repeat would do no harm.
+    /// Give a query the final answer that it is rejected. The client may safely repeat it.
     Reject {
-        /// The query.
+        /// The id of the query.
         query: RequestId,
-        /// When the client should repeat the query; 0 for no advice.
+        /// After how long the client should repeat the query; 0 for no advice.
         retry_after_ms: Millis,
     },
-    /// Count why the query that the next action ends is given up.
+    /// Count the reason for which a query is given up. The next action is the query's final answer.
     ReportRejection {
-        /// The query.
+        /// The id of the query.
         query: RequestId,
-        /// Why.
+        /// The reason for which the query is given up.
         reason: RejectionReason,
     },
-    /// Final answer: failed; it is not known whether it took effect.
+    /// Give a query the final answer that it failed. Whether it took effect is not known.
     Fail {
-        /// The query.
+        /// The id of the query.
         query: RequestId,
     },
-    /// Subscribe to changes of the list.
+    /// Subscribe to changes of the list of servers.
     Subscribe,
     /// Set a timer.
     Timer {
-        /// From now.
+        /// Time until the timer expires.
         wait_ms: Millis,
-        /// Comes back in [`Event::Timer`].
+        /// The token to return in [`Event::Timer`].
         token: u64,
     },
 }
--- a/dispatch/src/lib.rs
+++ b/dispatch/src/lib.rs
@@ -1,16 +1,18 @@
 //! Dispatch of queries over replicated shards: the decisions of an aggregator, without I/O.
 //!
-//! A query needs answers from several shards; each shard is held by a few replicas. The
-//! [`Aggregator`] decides which replica serves each part, how long to wait, when to try again and
-//! when to answer. It follows the batch-filling rule of Weng and Wang: a query's parts are placed
-//! together, one at a time, each on the replica with the fewest of this aggregator's parts
-//! outstanding, counts updated after every placement.
+//! A query is split into parts, one for each shard that it needs, and each shard has a few replicas. The
+//! [`Aggregator`] decides which replica serves each part, how long to wait for it, when to retry it, and when
+//! to answer the query. It follows the batch-filling rule of Weng and Wang: the parts of a query are placed
+//! together, one at a time, each on the replica with the fewest outstanding calls of this aggregator, and the
+//! counts are updated after every placement.
 //!
-//! The library does no I/O, reads no clock and starts no thread. The host passes [`Event`]s in and
-//! carries the [`Action`]s out; the same events always give the same actions.
+//! The library does no I/O, reads no clock and starts no threads. The host passes [`Event`]s to it and
+//! carries out its [`Action`]s; equal seeds and events always give equal actions.
 //!
 //! ```
-//! use gingerledge_dispatch::{Action, Aggregator, Class, ServerEntry, Event, ListKind, Settings, ServerStatus};
+//! use gingerledge_dispatch::{
+//!     Action, Aggregator, Class, Event, ListKind, ServerEntry, ServerStatus, Settings,
+//! };
 //!
 //! let settings = Settings {
 //!     cells: 2,
--- a/dispatch/src/quotas.rs
+++ b/dispatch/src/quotas.rs
@@ -1,11 +1,13 @@
-//! Token buckets of the tenants, each filled at this aggregator's equal share of the tenant's quota.
+//! Token buckets of the tenants. Each is filled at the rate of this aggregator's equal share of the tenant's
+//! quota.
 //!
-//! The buckets tell whether a query is within its tenant's quota; what follows from that is decided in `src/aggregator`.
+//! The buckets determine whether a query is within its tenant's quota; `src/aggregator` decides what follows
+//! from that.
 
 use crate::{Millis, Settings, Tenant};
 
-/// A bucket holds the tokens of this many seconds at its rate, or at one query a second where that is more.
-const BUCKET_SECONDS: f64 = 2.0;
+/// Capacity of a bucket in seconds of its rate, or of one query per second if that is more.
+const BUCKET_CAPACITY_S: f64 = 2.0;
 
 #[derive(Debug)]
 struct TokenBucket {
@@ -13,7 +15,7 @@
     refilled_at: Millis,
 }
 
-/// Whether a query is within the quota of its tenant.
+/// Whether a query is within its tenant's quota.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum QuotaState {
     #[default]
@@ -21,20 +23,20 @@
     Exceeded,
 }
 
-/// The token buckets of all tenants, by the tenant's index.
+/// The token buckets of all tenants, by index of the tenant.
 #[derive(Debug)]
 pub(crate) struct TenantQuotas {
     buckets: Vec<TokenBucket>,
 }
 
 impl TenantQuotas {
-    /// Buckets that hold the tokens of one second.
+    /// Creates the buckets. Each holds the tokens of one second at first.
     pub(crate) fn new(settings: &Settings, now: Millis) -> Self {
         let bucket = |tenant| TokenBucket { tokens: rate_per_second(settings, tenant), refilled_at: now };
         Self { buckets: settings.tenants.iter().map(bucket).collect() }
     }
 
-    /// Charges one query to its tenant. A query without a known tenant is always within its quota.
+    /// Charges one query to its tenant's bucket. A query without a known tenant is always within its quota.
     pub(crate) fn charge(&mut self, settings: &Settings, now: Millis, tenant: Option<usize>) -> QuotaState {
         let Some(index) = tenant else { return QuotaState::Within };
         let (Some(tenant), Some(bucket)) = (settings.tenants.get(index), self.buckets.get_mut(index)) else {
@@ -42,7 +44,7 @@
         };
         let rate = rate_per_second(settings, tenant);
         let refilled = bucket.tokens + rate * (now - bucket.refilled_at) / 1000.0;
-        bucket.tokens = refilled.min(rate.max(1.0) * BUCKET_SECONDS);
+        bucket.tokens = refilled.min(rate.max(1.0) * BUCKET_CAPACITY_S);
         bucket.refilled_at = now;
         if bucket.tokens >= 1.0 {
             bucket.tokens -= 1.0;
@@ -53,7 +55,7 @@
     }
 }
 
-/// This aggregator's share of a tenant's quota.
+/// This aggregator's share of a tenant's quota, in queries per second.
 fn rate_per_second(settings: &Settings, tenant: &Tenant) -> f64 {
     tenant.quota_per_s / f64::from(settings.aggregators)
 }
--- a/dispatch/src/setup.rs
+++ b/dispatch/src/setup.rs
@@ -1,6 +1,8 @@
-//! Reads the settings that a host is given at start, by path (`categories.0.aim_ms`), into [`Settings`].
+//! Converts the settings that a host is given at start, a map from paths (`categories.0.aim_ms`) to texts, to
+//! [`Settings`].
 //!
-//! The simulator's adapter and the broker's configuration share it. The keys are those of the platform's pages.
+//! The simulator's adapter and the broker's configuration share this module. The platform's documentation
+//! defines the keys.
 
 use std::borrow::Borrow;
 use std::collections::HashMap;
@@ -9,43 +11,43 @@
 
 use crate::{Class, Repeat, ReportField, RetryBudget, Settings, Tenant};
 
-/// The settings, and the names that hosts translate to the indices used in events.
+/// The settings, and the tables by which hosts translate names to the indices used in events.
 #[derive(Debug, Default)]
 pub struct Setup {
-    /// What the aggregator is given.
+    /// The settings of the aggregator.
     pub settings: Settings,
-    /// Indices of classes, by name.
+    /// Indices of the classes, by name.
     pub classes: HashMap<String, usize>,
-    /// Indices of tenants, by name.
+    /// Indices of the tenants, by name.
     pub tenants: HashMap<String, usize>,
-    /// Indices of zones, by name.
+    /// Indices of the zones, by name.
     pub zones: HashMap<String, u32>,
 }
 
-/// A setting that cannot be used. Its text begins with the key.
+/// A setting that cannot be used. The error text begins with the key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SetupError {
     /// The path of the setting.
     pub key: String,
-    /// What is wrong with it.
+    /// What is wrong with the setting.
     pub fault: SetupFault,
 }
 
 /// What is wrong with a setting.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SetupFault {
-    /// It is absent.
+    /// The setting is absent.
     Missing,
-    /// It is not of the kind expected.
+    /// The value is not of the expected kind.
     Unexpected {
-        /// What was expected.
+        /// Description of the expected kind.
         expected: &'static str,
-        /// The value.
+        /// The value found.
         found: String,
     },
-    /// It is not among the values known.
+    /// The value is not among the known ones.
     Unknown {
-        /// The value.
+        /// The value found.
         found: String,
     },
 }
@@ -68,7 +70,8 @@
     }
 }
 
-/// The values by path. Lists of plain values are joined with commas; lists of objects have their length under `.count`.
+/// The texts of all settings, by path. The values of a plain list are joined with commas. The length of a
+/// list of objects is stored under the list's path and `.count`.
 struct Values<'a, K, V>(&'a HashMap<K, V>);
 
 impl<K, V> Values<'_, K, V>
@@ -86,7 +89,7 @@
 
     fn number(&self, key: &str) -> Result<f64, SetupError> {
         let text = self.text(key)?;
-        finite(text).ok_or_else(|| unexpected(key, "a number", text))
+        parse_finite(text).ok_or_else(|| unexpected_value(key, "a number", text))
     }
 
     fn number_or(&self, key: &str, default: f64) -> Result<f64, SetupError> {
@@ -96,55 +99,56 @@
         }
     }
 
-    /// A number rounded down to an integer.
+    /// Reads a number and rounds it down to an integer.
     fn integer(&self, key: &str) -> Result<u32, SetupError> {
         Ok(self.number(key)? as u32)
     }
 
-    /// The length of a list, or an index; 0 where it is absent.
+    /// Reads the length of a list, or an index; 0 if it is absent.
     fn count(&self, key: &str) -> Result<usize, SetupError> {
         let Some(text) = self.get(key) else { return Ok(0) };
-        text.parse().map_err(|_| unexpected(key, "a whole number", text))
+        text.parse().map_err(|_| unexpected_value(key, "a whole number", text))
     }
 
     fn boolean(&self, key: &str) -> Result<bool, SetupError> {
         match self.text(key)? {
             "true" | "1" => Ok(true),
             "false" | "0" => Ok(false),
-            other => Err(unexpected(key, "true or false", other)),
+            other => Err(unexpected_value(key, "true or false", other)),
         }
     }
 
-    /// A value given once for each class: a list, or one value for all.
-    fn by_class(&self, key: &str, class: usize) -> Result<f64, SetupError> {
+    /// Reads the value for one class from a list that has a value for each class, or one value for all of
+    /// them.
+    fn class_number(&self, key: &str, class: usize) -> Result<f64, SetupError> {
         let text = self.text(key)?;
         let first = text.split(',').next().unwrap_or_default();
         let value = text.split(',').nth(class).unwrap_or(first);
-        finite(value).ok_or_else(|| unexpected(key, "numbers", text))
+        parse_finite(value).ok_or_else(|| unexpected_value(key, "numbers", text))
     }
 }
 
-fn finite(text: &str) -> Option<f64> {
+fn parse_finite(text: &str) -> Option<f64> {
     text.parse().ok().filter(|number: &f64| number.is_finite())
 }
 
-fn unexpected(key: &str, expected: &'static str, found: &str) -> SetupError {
+fn unexpected_value(key: &str, expected: &'static str, found: &str) -> SetupError {
     SetupError { key: key.to_owned(), fault: SetupFault::Unexpected { expected, found: found.to_owned() } }
 }
 
 impl Setup {
-    /// Reads the settings.
+    /// Reads the settings from a map of paths to texts.
     ///
     /// # Errors
     ///
-    /// If a value is missing or cannot be used.
+    /// Returns an error if a value is missing or cannot be used.
     pub fn read<K, V>(values: &HashMap<K, V>) -> Result<Self, SetupError>
     where
         K: Borrow<str> + Hash + Eq,
         V: AsRef<str>,
     {
         let values = Values(values);
-        let mut setup = Self { settings: read_general(&values)?, ..Self::default() };
+        let mut setup = Self { settings: read_common(&values)?, ..Self::default() };
         setup.read_classes(&values)?;
         setup.read_tenants(&values)?;
         setup.read_zones(&values)?;
@@ -178,7 +182,7 @@
         Ok(())
     }
 
-    /// Reads the zones and the aggregator's own; one that is not listed gets the highest number.
+    /// Reads the zones, and the index of the aggregator's own zone: `u32::MAX` if the zone is not listed.
     fn read_zones<K, V>(&mut self, values: &Values<'_, K, V>) -> Result<(), SetupError>
     where
         K: Borrow<str> + Hash + Eq,
@@ -192,7 +196,7 @@
     }
 }
 
-fn read_general<K, V>(values: &Values<'_, K, V>) -> Result<Settings, SetupError>
+fn read_common<K, V>(values: &Values<'_, K, V>) -> Result<Settings, SetupError>
 where
     K: Borrow<str> + Hash + Eq,
     V: AsRef<str>,
@@ -214,7 +218,7 @@
         requires_subscription: match values.text("registry_mode")? {
             "subscribe" => true,
             "automatic" => false,
-            other => return Err(unexpected("registry_mode", "automatic or subscribe", other)),
+            other => return Err(unexpected_value("registry_mode", "automatic or subscribe", other)),
         },
         idle_timeout_ms: values.number_or("limits.conn_idle_ms", 0.0)?,
         list_refresh_ms: values.number("invariants.ask_every_ms")?,
@@ -283,15 +287,15 @@
             }
         },
         deduplication_ms: values.number_or(&key("memory_span_ms"), 0.0)?,
-        required_share: values.by_class("domain.class_need", index)?,
-        minimum_share: values.by_class("domain.min_share", index)?,
-        partial_value: values.by_class("domain.class_partial", index)?,
-        follow_up_parts: values.by_class("domain.follow_up", index)? as u32,
+        required_share: values.class_number("domain.class_need", index)?,
+        minimum_share: values.class_number("domain.min_share", index)?,
+        partial_value: values.class_number("domain.class_partial", index)?,
+        follow_up_parts: values.class_number("domain.follow_up", index)? as u32,
     })
 }
 
 impl ReportField {
-    /// The figure that has this name in a load report.
+    /// The field that has this name in the description of a load report.
     fn named(name: &str) -> Self {
         match name {
             "busy_reqs" => Self::InProgress,
--- a/dispatch/src/state/mod.rs
+++ b/dispatch/src/state/mod.rs
@@ -1,6 +1,6 @@
-//! The state of an aggregator: what it records of servers, attempts, parts and queries.
+//! The state of an aggregator: its records of servers, attempts, parts and queries.
 //!
-//! The types here hold no decisions; those are in `src/aggregator`.
+//! The types here make no decisions; those are made in `src/aggregator`.
 
 mod query;
 mod server;
--- a/dispatch/src/state/query.rs
+++ b/dispatch/src/state/query.rs
@@ -6,40 +6,41 @@
 /// The state of a part.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) enum PartState {
-    /// Left out at admission; sent only in the place of another part.
+    /// The part was left out at admission. It is sent only as a replacement for another part.
     Spare,
-    /// To be placed at the end of the turn.
+    /// The part is to be placed at the end of the turn.
     #[default]
     Waiting,
-    /// At least one attempt is outstanding.
+    /// At least one attempt of the part is outstanding.
     Outstanding,
-    /// Served.
+    /// The part was served, and its response received.
     Received,
-    /// Not served, and not to be sent again.
-    Lost,
+    /// The part was not served and must not be sent again.
+    Failed,
 }
 
-/// A part of a query: the work at one shard.
+/// A part of a query: the work that one shard does for it.
 #[derive(Debug, Default)]
 pub(crate) struct Part {
     pub(crate) query: RequestId,
     pub(crate) shard: u32,
     pub(crate) weight: f64,
     pub(crate) state: PartState,
-    /// The servers of its attempts, in order.
-    pub(crate) tried: Vec<ServerId>,
+    /// The servers to which its attempts were sent, in order of the attempts.
+    pub(crate) tried_servers: Vec<ServerId>,
     pub(crate) outstanding_attempts: u32,
-    /// Since when at least one attempt has been outstanding.
+    /// Start of the latest period in which at least one attempt was outstanding; before the first, the part's
+    /// arrival.
     pub(crate) outstanding_since: Millis,
-    /// When the latest attempt was sent.
-    pub(crate) last_sent: Millis,
-    /// When the first attempt that may have run was sent, once its outcome is known.
+    /// When the latest attempt was sent, or the part arrived.
+    pub(crate) last_sent_at: Millis,
+    /// Earliest send time of the attempts that ended without success but may have run at their servers.
     pub(crate) may_have_run_since: Option<Millis>,
-    /// Its attempt has been withdrawn, and the outcome is not known yet.
+    /// Whether its attempt is being withdrawn and the outcome is not known yet.
     pub(crate) is_withdrawing: bool,
 }
 
-/// Which step of a query is in progress.
+/// The step of a query that is in progress.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum QueryStep {
     #[default]
@@ -50,29 +51,29 @@
     },
 }
 
-/// A query that has no final answer yet.
+/// A query without a final answer yet.
 #[derive(Debug, Default)]
 pub(crate) struct Query {
-    /// The number that its parts repeat.
+    /// The number by which its parts refer to it.
     pub(crate) number: u64,
     pub(crate) class: usize,
-    /// An answer up to this time earns its full value.
+    /// The latency target as a point in time: an answer by then earns the full value.
     pub(crate) target_at: Millis,
     pub(crate) deadline: Millis,
     pub(crate) step: QueryStep,
     pub(crate) expected_parts: usize,
     pub(crate) parts: Vec<RequestId>,
     pub(crate) arrived_at: Millis,
-    /// The share of the concurrency limit in use when it was admitted.
+    /// The share of the concurrency limit that was in use when the query was admitted.
     pub(crate) limit_utilisation: f64,
     pub(crate) is_admitted: bool,
     pub(crate) quota: QuotaState,
-    /// It seems to crash the servers that begin its parts ("query of death").
+    /// Whether the query seems to crash the servers that run its parts (a "query of death").
     pub(crate) is_query_of_death: bool,
 }
 
 impl Query {
-    /// Whether its second step is in progress.
+    /// Whether the second step of the query is in progress.
     pub(crate) fn is_second_step(&self) -> bool {
         matches!(self.step, QueryStep::Second { .. })
     }
