--- a/dispatch/src/bin/simulator-adapter/actions.rs
+++ b/dispatch/src/bin/simulator-adapter/actions.rs
@@ -1,4 +1,4 @@
-//! Writes actions as lines.
+//! Writes the actions of an instance as lines of the protocol.
 
 use std::io::{self, Write};
 
@@ -6,7 +6,8 @@
 
 use crate::instance::Instance;
 
-/// Writes an action. What names a server that the instance does not know, or has no line, is left out.
+/// Writes an action as a line. Nothing is written for an action that has no line in the protocol, or that
+/// refers to a server the instance does not know.
 pub fn write_action(output: &mut impl Write, instance: &Instance, action: &Action) -> io::Result<()> {
     match action {
         Action::Send { part, server, timeout_ms } => match instance.server_name(*server) {
--- a/dispatch/src/bin/simulator-adapter/error.rs
+++ b/dispatch/src/bin/simulator-adapter/error.rs
@@ -1,37 +1,37 @@
-//! Why the adapter stops before the end of its input.
+//! The errors that stop the adapter before the end of its input.
 
 use std::{fmt, io};
 
 use gingerledge_dispatch::SetupError;
 
-/// Why a line cannot be used. The texts name the field and what was expected.
+/// The reason why a line cannot be used. The error texts contain the field and what was expected.
 #[derive(Debug)]
 pub enum LineError {
     /// A field is absent or empty.
     Missing { field: &'static str },
-    /// A field is no integer.
+    /// A field is not an integer.
     NotAnInteger { field: &'static str, found: String },
-    /// A field is no finite number.
+    /// A field is not a finite number.
     NotANumber { field: &'static str, found: String },
-    /// A field is no list of finite numbers.
+    /// A field is not a list of finite numbers.
     NotNumbers { field: &'static str, found: String },
-    /// A field is none of the values that it may have.
+    /// A field has none of its possible values.
     NotOneOf { field: &'static str, expected: &'static str, found: String },
     /// The outcome of an attempt is unknown.
     UnknownOutcome { found: String },
-    /// A server has never been on a list of the instance.
+    /// A server has not been on any list of the instance.
     UnknownNode { node: String },
-    /// A class is not in the instance's settings.
+    /// The instance's settings do not contain the class.
     UnknownClass { class: String },
-    /// No list has this number.
+    /// No list with this number has been received.
     UnknownList { slot: u32 },
     /// The instance has not been started.
     UnknownRouter { router: String },
     /// The settings of an instance cannot be used.
     Setup { source: SetupError },
-    /// Another line has to come first.
+    /// A different line has to come first.
     OutOfOrder { expected: &'static str },
-    /// A list ends early.
+    /// A list has fewer rows than announced.
     IncompleteList { expected: usize, found: usize },
 }
 
@@ -70,7 +70,7 @@
     }
 }
 
-/// Why the adapter stops; lines are counted from 1.
+/// The reason why the adapter stops. Lines are numbered from 1.
 #[derive(Debug)]
 pub enum HostError {
     /// A line cannot be used.
--- a/dispatch/src/bin/simulator-adapter/events.rs
+++ b/dispatch/src/bin/simulator-adapter/events.rs
@@ -1,4 +1,4 @@
-//! Translates lines to events.
+//! Translates lines of the protocol to events.
 
 use std::collections::HashMap;
 
@@ -8,14 +8,15 @@
 use crate::fields::Fields;
 use crate::instance::Instance;
 
-/// Flags of an `ORDER` line.
+/// Flag of an `ORDER` line: the line contains an estimated cost.
 const HAS_COST: u64 = 1;
+/// Flag of an `ORDER` line: the client marked the query as a repeat.
 const IS_REPEATED: u64 = 2;
 
-/// The lists received so far, by their number.
+/// The lists received so far, by number.
 pub type Lists = HashMap<u32, Vec<ListRow>>;
 
-/// A `NODE` line: a server on a list, by name.
+/// A `NODE` line: a server on a list. The server and its zone are given by name.
 pub struct ListRow {
     node: String,
     started_at: Millis,
@@ -25,7 +26,7 @@
 }
 
 impl ListRow {
-    /// Reads a `NODE` line.
+    /// Reads the fields of a `NODE` line.
     pub fn read(fields: &mut Fields<'_>) -> Result<Self, LineError> {
         let node = fields.text("node")?.to_owned();
         let started_at = fields.optional_number("online_since_ms")?.unwrap_or(0.0);
@@ -45,26 +46,26 @@
     }
 }
 
-/// A line that is an event of an instance.
+/// The kind of a line that represents an event of an instance.
 #[derive(Clone, Copy, Debug)]
 pub enum EventLine {
-    /// `TARGETS`: a list, or its failure.
+    /// `TARGETS`: a list of servers, or the failure to get one.
     List,
-    /// `ORDER`: a query or a part.
+    /// `ORDER`: a query or a part of one.
     Order,
     /// `DONE`: the outcome of an attempt.
     Outcome,
     /// `PROBE_DONE`: the result of a health check.
     ProbeResult,
-    /// `RING`: a timer.
+    /// `RING`: the expiry of a timer.
     Timer,
-    /// `CANCELLED_BY_CLIENT`: a client has left.
+    /// `CANCELLED_BY_CLIENT`: the disconnection of a client.
     ClientGone,
 }
 
 impl EventLine {
-    /// The kind of event that a line's first word names, if any.
-    pub fn of(word: &str) -> Option<Self> {
+    /// The kind of event whose lines begin with `word`, if there is one.
+    pub fn from_first_word(word: &str) -> Option<Self> {
         match word {
             "TARGETS" => Some(Self::List),
             "ORDER" => Some(Self::Order),
@@ -76,7 +77,7 @@
         }
     }
 
-    /// Reads the rest of the line.
+    /// Reads the remaining fields of the line.
     pub fn read(
         self,
         instance: &mut Instance,
@@ -84,8 +85,8 @@
         fields: &mut Fields<'_>,
     ) -> Result<Event, LineError> {
         match self {
-            Self::List => list(instance, lists, fields),
-            Self::Order => order(instance, fields),
+            Self::List => server_list(instance, lists, fields),
+            Self::Order => query_or_part(instance, fields),
             Self::Outcome => attempt_outcome(instance, fields),
             Self::ProbeResult => probe_result(instance, fields),
             Self::Timer => Ok(Event::Timer { token: fields.integer("mark")? }),
@@ -94,7 +95,7 @@
     }
 }
 
-fn list(instance: &mut Instance, lists: &Lists, fields: &mut Fields<'_>) -> Result<Event, LineError> {
+fn server_list(instance: &mut Instance, lists: &Lists, fields: &mut Fields<'_>) -> Result<Event, LineError> {
     let kind = match fields.text("form")? {
         "D" => ListKind::Changes,
         "F" => ListKind::Complete,
@@ -118,12 +119,12 @@
     Ok(Event::ServerList { kind, entries })
 }
 
-/// A line with a shard is a part, one with a negative shard a query.
-fn order(instance: &Instance, fields: &mut Fields<'_>) -> Result<Event, LineError> {
+/// Reads an `ORDER` line: a part, or, if the shard number is negative, a query.
+fn query_or_part(instance: &Instance, fields: &mut Fields<'_>) -> Result<Event, LineError> {
     let id = fields.integer("ticket")?;
     let class = instance.class(fields.text("lane")?)?;
-    let tenant = fields.optional().and_then(|name| instance.tenant(name));
-    let _key = fields.optional();
+    let tenant = fields.optional_text().and_then(|name| instance.tenant(name));
+    let _key = fields.optional_text();
     let deadline = fields.number("client_deadline_ms")?;
     let cost = fields.optional_number("cost_ms")?;
     let number = fields.integer("query_no")?;
@@ -144,20 +145,20 @@
     let attempt = fields.integer("seq_no")?;
     let _closed = fields.text("closed")?;
     let elapsed_ms = fields.number("wait_time_ms")?;
-    let outcome = outcome(fields.text("reason")?)?;
+    let outcome = parse_outcome(fields.text("reason")?)?;
     let report = fields.optional_numbers("feedback")?;
     Ok(Event::AttemptEnded { part, attempt, server, elapsed_ms, outcome, report })
 }
 
 fn probe_result(instance: &Instance, fields: &mut Fields<'_>) -> Result<Event, LineError> {
     let server = instance.server(fields.text("node")?)?;
-    let outcome = outcome(fields.text("reason")?)?;
+    let outcome = parse_outcome(fields.text("reason")?)?;
     let elapsed_ms = fields.number("wait_time_ms")?;
     let report = fields.optional_numbers("feedback")?;
     Ok(Event::ProbeResult { server, outcome, elapsed_ms, report })
 }
 
-fn outcome(text: &str) -> Result<Outcome, LineError> {
+fn parse_outcome(text: &str) -> Result<Outcome, LineError> {
     Ok(match text {
         "success" => Outcome::Success,
         "failure" => Outcome::Failure,
--- a/dispatch/src/bin/simulator-adapter/fields.rs
+++ b/dispatch/src/bin/simulator-adapter/fields.rs
@@ -1,4 +1,4 @@
-//! Reads the fields of a line in order.
+//! Reads the fields of a line, in order.
 
 use std::str::{FromStr, Split};
 
@@ -13,48 +13,49 @@
 }
 
 impl<'a> Fields<'a> {
-    /// The fields of `text`, separated by single spaces.
+    /// Creates a reader of the fields of `text`, which are separated by single spaces.
     pub fn new(text: &'a str) -> Self {
         Self { rest: text.split(' ') }
     }
 
-    /// The next field, which must not be empty.
+    /// Reads the next field, which must not be empty.
     pub fn text(&mut self, field: &'static str) -> Result<&'a str, LineError> {
         self.rest.next().filter(|text| !text.is_empty()).ok_or(LineError::Missing { field })
     }
 
-    /// The next field, if it is there.
-    pub fn optional(&mut self) -> Option<&'a str> {
+    /// Reads the next field, if it is present.
+    pub fn optional_text(&mut self) -> Option<&'a str> {
         self.rest.next().filter(|text| !text.is_empty() && *text != ABSENT)
     }
 
-    /// The next field, as an integer.
+    /// Reads the next field as an integer.
     pub fn integer<T: FromStr>(&mut self, field: &'static str) -> Result<T, LineError> {
         let text = self.text(field)?;
         text.parse().map_err(|_| LineError::NotAnInteger { field, found: text.to_owned() })
     }
 
-    /// The next field, as a number.
+    /// Reads the next field as a finite number.
     pub fn number(&mut self, field: &'static str) -> Result<f64, LineError> {
         let text = self.text(field)?;
-        finite(text).ok_or_else(|| LineError::NotANumber { field, found: text.to_owned() })
+        parse_finite(text).ok_or_else(|| LineError::NotANumber { field, found: text.to_owned() })
     }
 
-    /// The next field, as a number if it is there.
+    /// Reads the next field as a finite number, if it is present.
     pub fn optional_number(&mut self, field: &'static str) -> Result<Option<f64>, LineError> {
-        let Some(text) = self.optional() else { return Ok(None) };
-        let number = finite(text).ok_or_else(|| LineError::NotANumber { field, found: text.to_owned() })?;
+        let Some(text) = self.optional_text() else { return Ok(None) };
+        let number =
+            parse_finite(text).ok_or_else(|| LineError::NotANumber { field, found: text.to_owned() })?;
         Ok(Some(number))
     }
 
-    /// The next field, as numbers separated by commas; none if it is not there.
+    /// Reads the next field as finite numbers separated by commas; an empty list if it is not present.
     pub fn optional_numbers(&mut self, field: &'static str) -> Result<Vec<f64>, LineError> {
-        let Some(text) = self.optional() else { return Ok(Vec::new()) };
-        let numbers: Option<Vec<f64>> = text.split(',').map(finite).collect();
+        let Some(text) = self.optional_text() else { return Ok(Vec::new()) };
+        let numbers: Option<Vec<f64>> = text.split(',').map(parse_finite).collect();
         numbers.ok_or_else(|| LineError::NotNumbers { field, found: text.to_owned() })
     }
 }
 
-fn finite(text: &str) -> Option<f64> {
+fn parse_finite(text: &str) -> Option<f64> {
     text.parse().ok().filter(|number: &f64| number.is_finite())
 }
--- a/dispatch/src/bin/simulator-adapter/host.rs
+++ b/dispatch/src/bin/simulator-adapter/host.rs
@@ -1,4 +1,4 @@
-//! Reads batches of lines, passes their events to the instances, and replies to each batch.
+//! Reads batches of lines, passes their events to the instances, and writes a reply to each batch.
 
 use std::collections::{BTreeMap, HashMap};
 use std::io::{self, BufRead, Write};
@@ -11,42 +11,42 @@
 use crate::fields::Fields;
 use crate::instance::Instance;
 
-/// A batch of lines between `CLOCK` and `EOF_BATCH`.
+/// A batch of lines: those between a `CLOCK` and an `EOF_BATCH` line.
 #[derive(Clone, Copy, Debug)]
 struct Batch {
     now: Millis,
     number: u64,
 }
 
-/// A list of which not all rows have been read yet.
+/// A list of servers of which not all rows have been read yet.
 struct PendingList {
     slot: u32,
     expected_rows: usize,
     rows: Vec<ListRow>,
 }
 
-/// What a line brings about beyond the host's state.
+/// The effect of a line beyond changes of the host's state.
 enum LineEffect {
     None,
     BatchEnded(Batch),
 }
 
-/// Hosts instances and writes their actions to `W`.
+/// Hosts instances and writes their actions to a `W`.
 pub struct Host<W> {
     output: W,
     instances: BTreeMap<String, Instance>,
     lists: Lists,
     batch: Option<Batch>,
-    /// The instance that events belong to.
+    /// The name of the instance to which the events of the following lines belong.
     selected: Option<String>,
     pending_list: Option<PendingList>,
-    /// The instances that had an event in this batch, in the order of their first.
+    /// The names of the instances that had an event in this batch, in the order of their first events.
     active: Vec<String>,
     actions: BTreeMap<String, Vec<Action>>,
 }
 
 impl<W: Write> Host<W> {
-    /// A host without instances that replies to `output`.
+    /// Creates a host without instances that writes its replies to `output`.
     pub fn new(output: W) -> Self {
         Self {
             output,
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Serves batches until the input ends.
+    /// Handles batches until the input ends.
     pub fn run(&mut self, mut input: impl BufRead) -> Result<(), HostError> {
         let mut buffer = String::new();
         for line in 1.. {
@@ -86,7 +86,7 @@
         Ok(())
     }
 
-    /// The input has ended before `line`, which is an error within a batch.
+    /// Handles the end of the input before `line`, which is an error within a batch.
     fn finish(&self, line: u64) -> Result<(), HostError> {
         if self.batch.is_some() {
             return Err(HostError::Truncated { line });
@@ -152,7 +152,7 @@
         Ok(())
     }
 
-    /// Stores a list, as complete or as pending.
+    /// Stores a list: as complete if it has all its rows, otherwise as pending.
     fn store_list(&mut self, list: PendingList) {
         if list.rows.len() == list.expected_rows {
             self.lists.insert(list.slot, list.rows);
@@ -179,7 +179,7 @@
             }
             "DETACH" => self.detach(&name),
             "ACCEPTED" | "MAIL" => {}
-            other => match EventLine::of(other) {
+            other => match EventLine::from_first_word(other) {
                 Some(line) => self.handle_event(now, &name, line, fields)?,
                 None => eprintln!("simulator-adapter: skipped unknown event {other}"),
             },
--- a/dispatch/src/bin/simulator-adapter/main.rs
+++ b/dispatch/src/bin/simulator-adapter/main.rs
@@ -1,5 +1,5 @@
-//! Hosts aggregators on the simulator's line protocol: events on standard input, actions on standard output. It translates
-//! and decides nothing.
+//! Hosts aggregators for the simulator: reads events from standard input and writes actions to standard
+//! output, in the simulator's line protocol. The adapter only translates, and makes no decisions.
 
 mod actions;
 mod error;
