--- a/dispatch/examples/embed.rs
+++ b/dispatch/examples/embed.rs
@@ -1,4 +1,4 @@
-//! Embeds the module: two aggregators' worth of I/O is up to the host; here a loop stands in for it.
+//! Embeds an aggregator in a host. A real host does the I/O; here, a loop takes its place.
 //!
 //! Run with `cargo run --example embed`.
 
@@ -22,11 +22,11 @@
     let mut aggregator = Aggregator::new(1, settings, now);
     let mut actions = Vec::new();
 
-    // What discovery knows: one server in each cell.
+    // The list from service discovery has one server in each cell.
     let entries = (0..3).map(|n| ServerEntry { server: n, cell: n, ..ServerEntry::default() }).collect();
     aggregator.handle(now, Event::ServerList { kind: ListKind::Complete, entries }, &mut actions);
 
-    // A query arrives with its parts; the turn's end places them.
+    // A query arrives with its parts. They are placed at the end of the turn.
     let (number, deadline) = (1, now + 2000.0);
     aggregator.handle(
         now,
@@ -39,15 +39,16 @@
     }
     aggregator.end_turn(now, &mut actions);
 
-    // The host carries the sends out; every one succeeds after 20 ms.
+    // The host carries out the sends. Each of them succeeds after 20 ms.
     let sent = std::mem::take(&mut actions);
     now += 20.0;
     for action in sent {
         println!("{action:?}");
         if let Action::Send { part, server, .. } = action {
             let (attempt, elapsed_ms, outcome) = (0, 20.0, Outcome::Success);
-            let done = Event::AttemptEnded { part, attempt, server, elapsed_ms, outcome, report: Vec::new() };
-            aggregator.handle(now, done, &mut actions);
+            let event =
+                Event::AttemptEnded { part, attempt, server, elapsed_ms, outcome, report: Vec::new() };
+            aggregator.handle(now, event, &mut actions);
         }
     }
     aggregator.end_turn(now, &mut actions);
--- a/dispatch/tests/cancellation.rs
+++ b/dispatch/tests/cancellation.rs
@@ -1,11 +1,12 @@
-//! A client that has gone gets nothing more: no attempt begins after the event that says so, in whatever state its parts are.
+//! Cancellation: once a client has disconnected, no further attempt of its query is sent, in whatever state
+//! its parts are.
 
 mod common;
 
-use common::{class, settings, Harness};
+use common::{class, ring_settings, Harness};
 use gingerledge_dispatch::{Class, Event, ListKind, Outcome, ServerEntry, Settings, SuccessorPart};
 
-fn sends(harness: &Harness) -> usize {
+fn send_count(harness: &Harness) -> usize {
     harness.sent.len()
 }
 
@@ -15,19 +16,19 @@
 
 #[test]
 fn a_query_cancelled_in_the_turn_of_its_arrival_is_not_sent() {
-    let mut harness = Harness::new(settings(3, 2, 3), 3);
+    let mut harness = Harness::new(ring_settings(3, 2, 3), 3);
     harness.begin_query(1, 0, &[0, 1, 2]);
     harness.begin_query(2, 0, &[0]);
     cancel(&mut harness, 1);
     harness.end_turn();
-    assert_eq!(sends(&harness), 1, "the other query alone is sent");
+    assert_eq!(send_count(&harness), 1, "only the other query is sent");
     harness.advance(4000.0);
-    assert!(harness.answers_to(1).is_empty(), "nobody is left to answer");
+    assert!(harness.answers_to(1).is_empty(), "no client is left to answer");
 }
 
 #[test]
 fn parts_that_arrive_after_the_cancellation_of_their_query_are_not_sent() {
-    let mut harness = Harness::new(settings(3, 2, 3), 3);
+    let mut harness = Harness::new(ring_settings(3, 2, 3), 3);
     let event = Event::Query {
         id: 1,
         number: 1,
@@ -41,37 +42,37 @@
     cancel(&mut harness, 1);
     harness.add_parts(1, &[0, 1, 2]);
     harness.advance(4000.0);
-    assert_eq!(sends(&harness), 0);
+    assert_eq!(send_count(&harness), 0);
 }
 
-/// Its only replica is ejected after an error, and the part waits for it.
+/// The only replica of the part is ejected after an error, and the part waits for a retry.
 #[test]
 fn a_part_waiting_for_a_retry_is_not_sent_after_cancellation() {
     for outcome in [Outcome::Failure, Outcome::Overloaded, Outcome::Unreachable] {
-        let plays = |cancels: bool| {
-            let mut harness = Harness::new(settings(1, 1, 1), 1);
+        let sends_with = |is_cancelled: bool| {
+            let mut harness = Harness::new(ring_settings(1, 1, 1), 1);
             harness.query(1, 0, &[0]);
             harness.now += 10.0;
-            // The attempt's end and the client's come in one turn.
+            // The attempt ends and the client disconnects in the same turn.
             let sent = harness.sent[0];
             harness.end_attempt(sent, outcome);
-            if cancels {
+            if is_cancelled {
                 cancel(&mut harness, 1);
             }
             harness.end_turn();
             harness.advance(2000.0);
-            sends(&harness)
+            send_count(&harness)
         };
-        assert!(plays(false) > 1, "{outcome:?}: it would have been sent again");
-        assert_eq!(plays(true), 1, "{outcome:?}");
+        assert!(sends_with(false) > 1, "{outcome:?}: without cancellation, the part is sent again");
+        assert_eq!(sends_with(true), 1, "{outcome:?}");
     }
 }
 
-/// A late part's hedged request, due in the turn in which its client goes.
+/// The client of a late part disconnects before the part is hedged.
 #[test]
 fn a_late_part_is_not_hedged_after_cancellation() {
-    let plays = |cancels: bool| {
-        let mut harness = Harness::new(settings(2, 2, 2), 2);
+    let sends_with = |is_cancelled: bool| {
+        let mut harness = Harness::new(ring_settings(2, 2, 2), 2);
         for id in 1..40 {
             let from = harness.sent.len();
             harness.query(id, 0, &[0]);
@@ -81,21 +82,21 @@
         let from = harness.sent.len();
         harness.query(100, 0, &[0]);
         harness.advance(200.0);
-        assert_eq!(harness.sent.len() - from, 1, "not late yet");
-        if cancels {
+        assert_eq!(harness.sent.len() - from, 1, "the part is not late yet");
+        if is_cancelled {
             cancel(&mut harness, 100);
         }
         harness.advance(800.0);
         harness.sent.len() - from
     };
-    assert_eq!((plays(false), plays(true)), (2, 1));
+    assert_eq!((sends_with(false), sends_with(true)), (2, 1));
 }
 
-/// It waits for a store that warms up's room, and is dropped: room that comes goes to nobody.
+/// The parts wait until the server's warm-up allows further work. They must not be sent when it does.
 #[test]
 fn a_part_waiting_for_a_server_that_warms_up_is_not_sent_after_cancellation() {
-    let plays = |cancels: bool| {
-        let mut harness = Harness::new(settings(1, 1, 1), 1);
+    let sends_with = |is_cancelled: bool| {
+        let mut harness = Harness::new(ring_settings(1, 1, 1), 1);
         harness.query(1, 0, &[0]);
         harness.now += 100.0;
         harness.end_attempts_from(0, Outcome::Success);
@@ -106,42 +107,43 @@
         );
         (2..12).for_each(|id| drop(harness.query(id, 0, &[0])));
         let from = harness.sent.len();
-        if cancels {
+        if is_cancelled {
             (2..12).for_each(|id| cancel(&mut harness, id));
         }
         harness.advance(2500.0);
         harness.sent.len() - from
     };
-    assert!(plays(false) > 0, "they wait for room");
-    assert_eq!(plays(true), 0);
+    assert!(sends_with(false) > 0, "without cancellation, the parts are sent when the warm-up allows it");
+    assert_eq!(sends_with(true), 0);
 }
 
-/// It waits for company while a call is out.
+/// The part waits for an outstanding call to end.
 #[test]
 fn a_part_in_its_batching_delay_is_not_sent_after_cancellation() {
-    let plays = |cancels: bool| {
+    let sends_with = |is_cancelled: bool| {
         let classes = vec![Class { latency_target_ms: 1000.0, ..class() }];
-        let set = Settings { max_parts_per_call: 4, call_cost_ms: 50.0, classes, ..settings(1, 1, 1) };
-        let mut harness = Harness::new(set, 1);
+        let settings =
+            Settings { max_parts_per_call: 4, call_cost_ms: 50.0, classes, ..ring_settings(1, 1, 1) };
+        let mut harness = Harness::new(settings, 1);
         harness.query(1, 0, &[0]);
         harness.now += 50.0;
         harness.end_attempts_from(0, Outcome::Success);
         harness.query(2, 0, &[0]);
         let from = harness.sent.len();
         harness.query(3, 0, &[0]);
-        assert_eq!(harness.sent.len(), from, "it waits");
-        if cancels {
+        assert_eq!(harness.sent.len(), from, "the part waits");
+        if is_cancelled {
             cancel(&mut harness, 3);
         }
         harness.advance(400.0);
         harness.sent.len() - from
     };
-    assert_eq!((plays(false), plays(true)), (1, 0));
+    assert_eq!((sends_with(false), sends_with(true)), (1, 0));
 }
 
 #[test]
 fn successors_of_a_part_are_not_sent_after_cancellation() {
-    let mut harness = Harness::new(settings(3, 2, 3), 3);
+    let mut harness = Harness::new(ring_settings(3, 2, 3), 3);
     let parts = harness.begin_query(1, 0, &[0]);
     cancel(&mut harness, 1);
     harness.handle(Event::SuccessorParts {
@@ -149,5 +151,5 @@
         successors: vec![SuccessorPart { id: 5000, shard: 1, weight: 1.0 }],
     });
     harness.advance(4000.0);
-    assert_eq!(sends(&harness), 0);
+    assert_eq!(send_count(&harness), 0);
 }
--- a/dispatch/tests/placement.rs
+++ b/dispatch/tests/placement.rs
@@ -1,39 +1,43 @@
-//! The ordinary path: order, counts and shared calls.
+//! Batch-filling placement: the order of placements, the counts of outstanding calls, and parts that share
+//! calls.
 
 mod common;
 
-use common::{ready, settings, Harness};
+use common::{ready, ring_settings, Harness};
 use gingerledge_dispatch::{ListKind, Outcome, ServerEntry, ServerStatus};
 
 #[test]
 fn each_placement_of_a_query_raises_the_calls_counted_for_the_next() {
-    // Two replicas hold all four shards: two parts each, whatever the tie-break.
-    let mut harness = Harness::new(settings(2, 2, 4), 2);
+    // Two replicas hold all four shards, so each gets two parts, regardless of how ties are broken.
+    let mut harness = Harness::new(ring_settings(2, 2, 4), 2);
     harness.query(1, 0, &[0, 1, 2, 3]);
-    let on = |server| harness.sent.iter().filter(|sent| sent.server == server).count();
-    assert_eq!((on(0), on(1)), (2, 2));
+    let parts_at = |server| harness.sent.iter().filter(|sent| sent.server == server).count();
+    assert_eq!((parts_at(0), parts_at(1)), (2, 2));
 }
 
 #[test]
 fn outstanding_calls_count_for_the_next_query_until_any_outcome() {
     for outcome in [Outcome::Success, Outcome::Void] {
-        let mut harness = Harness::new(settings(2, 2, 2), 2);
+        let mut harness = Harness::new(ring_settings(2, 2, 2), 2);
         harness.query(1, 0, &[0]);
         harness.query(2, 0, &[0]);
-        assert_ne!(harness.sent[0].server, harness.sent[1].server, "the second goes to the idle replica");
+        assert_ne!(
+            harness.sent[0].server, harness.sent[1].server,
+            "the second part is sent to the idle replica"
+        );
         let first = harness.sent[0];
         harness.now += 50.0;
         harness.end_attempt(first, outcome);
         harness.query(3, 0, &[0]);
         let third = harness.sent.iter().rfind(|sent| sent.part > harness.sent[1].part).unwrap();
-        assert_eq!(third.server, first.server, "its count fell on {outcome:?}");
+        assert_eq!(third.server, first.server, "the count of the server was lowered by {outcome:?}");
     }
 }
 
 #[test]
 fn the_part_with_the_fewest_calls_is_placed_first() {
-    // Shard 0 is held by servers 0 and 1, shard 2 by 2 and 3; the former are busy.
-    let mut harness = Harness::new(settings(4, 2, 4), 4);
+    // Servers 0 and 1 hold shard 0, and servers 2 and 3 hold shard 2. The former have outstanding calls.
+    let mut harness = Harness::new(ring_settings(4, 2, 4), 4);
     harness.query(1, 0, &[0, 0]);
     let parts = harness.query(2, 0, &[0, 2]);
     let order: Vec<_> = harness.sent[2..].iter().map(|sent| sent.part).collect();
@@ -42,14 +46,14 @@
 
 #[test]
 fn parts_that_share_a_call_count_once() {
-    let mut shared = settings(2, 2, 2);
-    shared.max_parts_per_call = 4;
-    let mut harness = Harness::new(shared, 2);
-    let with = |status, server| ServerEntry { status, ..ready(server) };
-    // One call of four parts on server 0, then two calls of one part on server 1.
-    harness.update_list(ListKind::Changes, vec![with(ServerStatus::Draining, 1)]);
+    let mut settings = ring_settings(2, 2, 2);
+    settings.max_parts_per_call = 4;
+    let mut harness = Harness::new(settings, 2);
+    let with_status = |status, server| ServerEntry { status, ..ready(server) };
+    // Server 0 gets one call of four parts, then server 1 gets two calls of one part each.
+    harness.update_list(ListKind::Changes, vec![with_status(ServerStatus::Draining, 1)]);
     harness.query(1, 0, &[0, 0, 0, 0]);
-    harness.update_list(ListKind::Changes, vec![with(ServerStatus::Draining, 0), ready(1)]);
+    harness.update_list(ListKind::Changes, vec![with_status(ServerStatus::Draining, 0), ready(1)]);
     harness.query(2, 0, &[0]);
     harness.query(3, 0, &[0]);
     harness.update_list(ListKind::Changes, vec![ready(0)]);
@@ -60,18 +64,18 @@
 
 #[test]
 fn a_call_carries_no_more_parts_than_allowed() {
-    let mut shared = settings(2, 2, 8);
-    shared.max_parts_per_call = 2;
-    let mut harness = Harness::new(shared, 2);
+    let mut settings = ring_settings(2, 2, 8);
+    settings.max_parts_per_call = 2;
+    let mut harness = Harness::new(settings, 2);
     harness.query(1, 0, &[0, 1, 2, 3, 4, 5, 6, 7]);
-    let on = |server| harness.sent.iter().filter(|sent| sent.server == server).count();
-    assert_eq!((on(0), on(1)), (4, 4), "two calls of two parts each");
+    let parts_at = |server| harness.sent.iter().filter(|sent| sent.server == server).count();
+    assert_eq!((parts_at(0), parts_at(1)), (4, 4), "two calls of two parts each");
 }
 
 #[test]
 fn equal_seeds_and_events_give_equal_actions() {
     let run = || {
-        let mut harness = Harness::new(settings(6, 3, 12), 6);
+        let mut harness = Harness::new(ring_settings(6, 3, 12), 6);
         for id in 1..20 {
             harness.query(id, 0, &[0, 3, 5, 7, 11]);
             harness.advance(30.0);
--- a/dispatch/tests/policy_files.rs
+++ b/dispatch/tests/policy_files.rs
@@ -1,9 +1,10 @@
-//! The platform reads which files hold the decisions from `policy` in `deploy/balancer.toml`: it has to list each of them.
+//! The platform reads from the entry `policy` in `deploy/balancer.toml` which files contain the decisions.
+//! The entry must list all of these files and no others.
 
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
 
-const DECISIONS: &str = "dispatch/src/aggregator";
+const DECISIONS_FOLDER: &str = "dispatch/src/aggregator";
 
 /// The root of the repository.
 fn root() -> &'static Path {
@@ -14,7 +15,7 @@
     std::fs::read_to_string(path).unwrap()
 }
 
-/// The files below a folder, with paths from the root.
+/// All files below a folder, as paths relative to the root.
 fn files_below(folder: &Path) -> BTreeSet<String> {
     let mut files = BTreeSet::new();
     for entry in std::fs::read_dir(folder).unwrap() {
@@ -28,7 +29,7 @@
     files
 }
 
-/// The entries of `policy`, in order.
+/// The paths listed in `policy`, in order.
 fn policy_entries() -> Vec<String> {
     let deploy = read(&root().join("deploy/balancer.toml"));
     let policy = deploy.lines().find(|line| line.starts_with("policy = ")).unwrap();
@@ -39,12 +40,12 @@
 fn policy_lists_every_file_of_the_decisions_once_and_no_other() {
     let entries = policy_entries();
     let listed: BTreeSet<String> = entries.iter().cloned().collect();
-    assert_eq!(listed.len(), entries.len(), "an entry stands twice: {entries:?}");
-    assert_eq!(listed, files_below(&root().join(DECISIONS)));
+    assert_eq!(listed.len(), entries.len(), "an entry occurs twice: {entries:?}");
+    assert_eq!(listed, files_below(&root().join(DECISIONS_FOLDER)));
 }
 
 #[test]
-fn the_opening_line_of_the_decisions_names_their_interface() {
-    let text = read(&root().join(DECISIONS).join("mod.rs"));
+fn the_first_line_of_the_decisions_refers_to_their_interface() {
+    let text = read(&root().join(DECISIONS_FOLDER).join("mod.rs"));
     assert!(text.lines().next().unwrap().contains("src/interface.rs"));
 }
