--- a/broker/src/blocks/door.rs
+++ b/broker/src/blocks/admin.rs
@@ -4,7 +4,7 @@
 use serde::Deserialize;
 use serde_json::{json, Value};
 
-use super::call::{Call, NamedWish};
+use super::requests::{Call, NamedWish};
 use crate::http::Head;
 
 /// Blocks in one page of the map: with eight replicas each they fit a body.
--- a/broker/src/blocks/boss.rs
+++ b/broker/src/blocks/coordinator.rs
@@ -15,9 +15,9 @@
     StoreId, StoreState, Tag, Term, Unmet, Wish, Work,
 };
 
-use super::call::{Call, NamedWish, Reply};
-use super::calls::{Calls, Lane};
 use super::lease::{self, FileDisk};
+use super::requests::{Call, NamedWish, Reply};
+use super::store_client::{Calls, Lane};
 use super::Blocks;
 use crate::config::blocks::Planning;
 use crate::discovery::Member;
@@ -486,11 +486,11 @@
                 Reply::Done(if paused { "paused" } else { "resumed" }.to_owned())
             }
             Call::Show { from, most } => {
-                Reply::Json(super::door::show(&self.coordinator, self.now(), from, most))
+                Reply::Json(super::admin::show(&self.coordinator, self.now(), from, most))
             }
             Call::Plan { run } => {
                 let plan = self.plan();
-                let mut json = super::door::plan(&self.coordinator, &plan);
+                let mut json = super::admin::plan(&self.coordinator, &plan);
                 if run {
                     let wishes = plan.wishes.into_iter().map(|planned| planned.wish).collect();
                     let (begun, not) = self.wish_all(wishes).await;
--- a/broker/src/blocks/mod.rs
+++ b/broker/src/blocks/mod.rs
@@ -1,13 +1,13 @@
 //! Blocks that move: the driver of `gingerledge-blocks`. A broker that may coordinate takes the lease and carries changes out
-//! ([`boss`]); every broker follows the map ([`follow`]), tells the core who holds what, and keeps the map for its next
-//! start. Operators speak to it through the door ([`door`]).
+//! ([`coordinator`]); every broker follows the map ([`follow`]), tells the core who holds what, and keeps the map for its next
+//! start. Operators reach it through the admin endpoint ([`admin`]).
 
-pub mod boss;
-pub mod call;
-pub mod calls;
-pub mod door;
+pub mod admin;
+pub mod coordinator;
 pub mod follow;
 pub mod lease;
+pub mod requests;
+pub mod store_client;
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -47,7 +47,7 @@
     discovery: Rc<Discovery>,
     executor: Rc<LocalExecutor<'static>>,
     /// To the coordinator, while this broker is it.
-    boss: RefCell<Option<Sender<boss::Ask>>>,
+    boss: RefCell<Option<Sender<coordinator::Ask>>>,
     /// News of the map is wanted.
     poke: (Sender<()>, Receiver<()>),
     /// The map has changed and is to be kept.
@@ -80,7 +80,7 @@
         this.executor.spawn(this.clone().keep()).detach();
         this.executor.spawn(follow::run(this.clone())).detach();
         if this.set.coordinate {
-            this.executor.spawn(boss::run(this.clone())).detach();
+            this.executor.spawn(coordinator::run(this.clone())).detach();
         } else {
             this.released.0.borrow_mut().take();
         }
@@ -88,10 +88,10 @@
     }
 
     /// Passes a call on to the coordinator; nothing if it is not here.
-    pub async fn ask(&self, call: call::Call) -> Option<call::Reply> {
+    pub async fn ask(&self, call: requests::Call) -> Option<requests::Reply> {
         let boss = self.boss.borrow().clone()?;
         let (reply, replied) = async_channel::bounded(1);
-        boss.try_send(boss::Ask::Call(call, reply)).ok()?;
+        boss.try_send(coordinator::Ask::Call(call, reply)).ok()?;
         let late = async {
             Timer::after(ASK_WITHIN).await;
             None
@@ -170,16 +170,16 @@
     /// Passes a call on to the coordinator, if it is here.
     fn handle_request<'a>(&'a self, head: &'a Head, body: &'a [u8]) -> LocalBoxFuture<'a, Reply> {
         Box::pin(async move {
-            let call = match door::call(head, body) {
+            let call = match admin::call(head, body) {
                 Ok(call) => call,
                 Err((status, words)) => return Reply::text(status, &words),
             };
             match self.ask(call).await {
                 None => Reply::text(503, "another broker coordinates, or none does just now"),
-                Some(call::Reply::Done(words)) => Reply::text(200, &words),
-                Some(call::Reply::No(words)) => Reply::text(409, &words),
-                Some(call::Reply::Json(value)) => Reply::json(&value),
-                Some(call::Reply::News(bytes)) => Reply::bytes(bytes),
+                Some(requests::Reply::Done(words)) => Reply::text(200, &words),
+                Some(requests::Reply::No(words)) => Reply::text(409, &words),
+                Some(requests::Reply::Json(value)) => Reply::json(&value),
+                Some(requests::Reply::News(bytes)) => Reply::bytes(bytes),
             }
         })
     }
@@ -194,7 +194,7 @@
         Box::pin(async {
             self.stopping.set(true);
             if let Some(boss) = self.boss.borrow().as_ref() {
-                let _ = boss.try_send(boss::Ask::Wake);
+                let _ = boss.try_send(coordinator::Ask::Wake);
             }
             let long = async {
                 Timer::after(Duration::from_millis(500)).await;
--- a/broker/tests/golden.rs
+++ b/broker/tests/golden.rs
@@ -11,7 +11,7 @@
 use std::rc::Rc;
 
 use common::Sides;
-use gingerledge::blocks::{call, door, lease};
+use gingerledge::blocks::{admin, lease, requests};
 use gingerledge::config::Config;
 use gingerledge::counters::Counters;
 use gingerledge::front::features::{describe, link};
@@ -197,16 +197,16 @@
     compare(
         &file("blocks.txt"),
         &[
-            Sample::new("all", door::show(&coordinator, 1000, 0, 150).to_string()),
-            Sample::new("a page, long after", door::show(&coordinator, 10_000_000, 2, 2).to_string()),
-            Sample::new("plan", door::plan(&coordinator, &planned).to_string()),
+            Sample::new("all", admin::show(&coordinator, 1000, 0, 150).to_string()),
+            Sample::new("a page, long after", admin::show(&coordinator, 10_000_000, 2, 2).to_string()),
+            Sample::new("plan", admin::plan(&coordinator, &planned).to_string()),
         ],
     );
 }
 
 #[test]
 fn calls_about_blocks_are_read_as_they_were() {
-    use call::{Call, NamedWish};
+    use requests::{Call, NamedWish};
     let cursor = |version, block| Cursor { version, block: BlockId(block) };
     let calls = [
         ("GET /blocks", "", Call::Show { from: 0, most: 150 }),
@@ -229,7 +229,7 @@
         ("PUT /blocks/resume", "", Call::Pause(false)),
     ];
     for (line, body, call) in calls {
-        let read = door::call(&head(&format!("{line} HTTP/1.1")), body.as_bytes());
+        let read = admin::call(&head(&format!("{line} HTTP/1.1")), body.as_bytes());
         assert!(read == Ok(call), "{line} {body}");
     }
 }
--- a/testkit/broker/src/store.rs
+++ b/testkit/broker/src/store.rs
@@ -12,7 +12,7 @@
 use async_io::{Async, Timer};
 use async_lock::Semaphore;
 use futures_lite::AsyncReadExt;
-use gingerledge::blocks::calls;
+use gingerledge::blocks::store_client;
 use gingerledge::http;
 use gingerledge::store::frame;
 use gingerledge_blocks::wire::{self, Copied, CopyCall, Stretch, TailCall, Word};
@@ -510,7 +510,7 @@
 async fn ask(at: SocketAddr, letter: u8, rest: &[u8], answer: u8) -> Option<Vec<u8>> {
     let ask = async {
         let socket = http::connect(at, PEER_WITHIN).await.ok()?;
-        calls::exchange(&socket, &frame::frame(letter, rest), answer, PEER_WITHIN).await
+        store_client::exchange(&socket, &frame::frame(letter, rest), answer, PEER_WITHIN).await
     };
     let late = async {
         Timer::after(PEER_WITHIN).await;
