--- a/broker/src/core/messages.rs
+++ b/broker/src/core/messages.rs
@@ -1,5 +1,5 @@
 //! The core's inputs ([`CoreEvent`]) and outputs ([`Command`]), and the types that both share: queries, attempt requests,
-//! attempt outcomes and final answers. Plain data that knows no wire format.
+//! attempt outcomes and final answers. These are plain data without a wire format.
 
 use std::rc::Rc;
 
@@ -15,10 +15,10 @@
 /// Identifies a query at this broker.
 pub type QueryId = RequestId;
 
-/// One attempt of a part.
+/// Identifies an attempt of a part.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptId {
-    /// The part.
+    /// The id of the part.
     pub part: RequestId,
     /// Number of the attempt within its part, from 0.
     pub number: u32,
@@ -27,13 +27,13 @@
 /// A part of a query, as the client requested it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PartRequest {
-    /// Its shard.
+    /// The shard that the part addresses; a block number where blocks may move.
     pub shard: u32,
-    /// Its share of the complete answer, from 0 to 1.
+    /// The part's share of the complete answer, from 0 to 1.
     pub weight: f64,
-    /// The client's estimate of its processing time.
+    /// The client's estimate of the part's processing time.
     pub cost_ms: Option<Millis>,
-    /// The only weigher that it concerns, if the client names one.
+    /// The only weigher that the part concerns, if the client names one.
     pub weigher: Option<u64>,
 }
 
@@ -50,19 +50,19 @@
 /// A validated query with its names resolved to indices, as a front submits it.
 #[derive(Clone, Debug)]
 pub struct Query {
-    /// Its id on the wire, from which the ids of its parts are derived.
+    /// The query's id on the wire, from which the wire ids of its parts are derived.
     pub name: Rc<str>,
-    /// Its class, by index.
+    /// Index of the query's class.
     pub class: usize,
-    /// Its tenant, by index.
+    /// Index of the query's tenant.
     pub tenant: Option<usize>,
-    /// When its client stops waiting, in Unix milliseconds.
+    /// Time at which the client stops waiting, in Unix milliseconds.
     pub deadline: Millis,
-    /// Whether the client marked it as a retry.
+    /// Whether the client marked the query as a retry.
     pub repeated: bool,
     /// Idempotency key by which stores detect retries; set in keyed classes only.
     pub key: Option<IdempotencyKey>,
-    /// Its parts, at most one for each shard.
+    /// The parts of the query, at most one for each shard.
     pub parts: Vec<PartRequest>,
     /// The text that each part carries.
     pub text: Text,
@@ -73,7 +73,7 @@
 /// The value that a store returned for a part.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Served {
-    /// Ranks shards for the second step of a class that has one.
+    /// Score by which shards are ranked for the second step of a class that has one.
     pub score: u64,
     /// The value, unchanged.
     pub value: Text,
@@ -82,13 +82,13 @@
 /// The result of one attempt at one store.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AttemptOutcome {
-    /// How it ended; [`Outcome::Success`] only together with a value.
+    /// How the attempt ended; [`Outcome::Success`] only together with a value.
     pub outcome: Outcome,
     /// The value of a success.
     pub served: Option<Served>,
-    /// The store's load report; empty if the response had none.
+    /// The values of the store's load report; empty if the response had none.
     pub report: Vec<f64>,
-    /// The newest epoch of the block that the store knows, if it rejected the attempt's epoch.
+    /// The newest epoch of the block known to the store, if it rejected the attempt's epoch.
     pub newer_epoch: Option<u64>,
 }
 
@@ -101,19 +101,19 @@
 /// The one answer that a query gets.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FinalAnswer {
-    /// Assembled from the parts that succeeded, in the order of their shards.
+    /// An answer assembled from the parts that succeeded, in the order of their shards.
     Answered {
-        /// Whether it is marked as complete.
-        whole: bool,
+        /// Whether the answer is marked as complete.
+        is_complete: bool,
         /// Shards and values.
         values: Vec<(u32, Text)>,
     },
-    /// Rejected; a retry is harmless.
+    /// The query was rejected; a retry is harmless.
     Refused {
-        /// Suggested delay before a retry; 0 for no suggestion.
+        /// Suggested delay before a retry, in milliseconds; 0 for no suggestion.
         retry_after_ms: Millis,
     },
-    /// Failed; whether it took effect is unknown.
+    /// The query failed; whether it took effect is unknown.
     Failed,
 }
 
@@ -122,7 +122,7 @@
 pub enum CoreEvent {
     /// A query was admitted.
     QuerySubmitted(QueryId, Query),
-    /// A query's client disconnected, or its deadline passed.
+    /// The client of a query disconnected, or the query's deadline passed.
     ClientDisconnected(QueryId),
     /// An attempt ended.
     AttemptEnded(AttemptId, AttemptOutcome),
@@ -130,21 +130,21 @@
     EndpointsListed(ListKind, Vec<Entry>),
     /// The stores that own some blocks have changed.
     BlockOwnersChanged(BlockOwners),
-    /// Number of processes that share this broker's quotas.
+    /// The number of processes that share this broker's quotas has changed.
     ProcessCountChanged(u32),
     /// This process is shutting down; its successor may already serve.
     ShutdownStarted,
-    /// Changes nothing. The sender is dropped once all events before it have been processed.
+    /// Has no effect on the core. The sender is dropped once all events before it have been processed.
     Barrier(async_channel::Sender<()>),
 }
 
 /// Result of the first step, on which a part of the second step depends.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FirstStep {
-    /// The shards that answered.
-    pub from: Vec<u32>,
+    /// The current numbers of the shards that answered.
+    pub answered_shards: Vec<u32>,
     /// Whether the first step was complete.
-    pub whole: bool,
+    pub is_complete: bool,
 }
 
 /// Fencing data of an attempt at a block that may move: the store rejects the attempt if its epoch is out of date.
@@ -153,23 +153,23 @@
     /// The block's epoch when the store was chosen.
     pub epoch: Epoch,
     /// The block number that the client used.
-    pub named: u32,
-    /// The weighers of the block that are requested, if not all.
+    pub requested_block: u32,
+    /// The requested weighers of the block, if not all of them.
     pub slice: Option<Span>,
-    /// The only weigher that it concerns, if the client named one.
+    /// The only weigher that the attempt concerns, if the client named one.
     pub weigher: Option<u64>,
-    /// Whether it is an entry (a write), which must run at most once.
-    pub entry: bool,
+    /// Whether the attempt is an entry (a write), which must be executed at most once.
+    pub is_entry: bool,
 }
 
 /// A request for one attempt at one store.
 #[derive(Clone, Debug)]
 pub struct AttemptRequest {
-    /// The attempt's id.
+    /// Id of the attempt.
     pub attempt: AttemptId,
-    /// The store.
+    /// The store to send the attempt to.
     pub server: ServerId,
-    /// The query it belongs to: no byte may be sent once that has finished.
+    /// Id of the attempt's query: no byte may be sent once that query has finished.
     pub query_id: QueryId,
     /// The query's id on the wire.
     pub query: Rc<str>,
@@ -179,9 +179,10 @@
     pub text: Text,
     /// Formats in which the text may be sent.
     pub form: Form,
-    /// Time-out for the response.
+    /// Time-out for the response, in milliseconds.
     pub timeout_ms: Millis,
-    /// It must be sent within this time: later the store may no longer remember an earlier attempt of the part.
+    /// Time within which the attempt must be sent, in milliseconds: later the store may no longer remember an earlier attempt
+    /// of the part.
     pub send_within_ms: Option<Millis>,
     /// Idempotency key by which the store detects retries.
     pub key: Option<IdempotencyKey>,
--- a/broker/src/core/mod.rs
+++ b/broker/src/core/mod.rs
@@ -1,6 +1,6 @@
 //! Open queries, their parts and attempts. [`Core`] hosts the decision module's [`Aggregator`]: in each turn it passes the
 //! new [`CoreEvent`]s on and translates the resulting actions into [`Command`]s for the driver, which owns the sockets.
-//! It knows no wire format, and makes no decision of its own beyond the last check of attempts ([`Guard`]).
+//! It handles no wire format, and makes no decision of its own beyond the last check of attempts ([`Guard`]).
 
 mod completion;
 mod guard;
@@ -23,69 +23,82 @@
 use crate::routes::{Routes, Target};
 use successors::ParkedAttempt;
 
+/// A query without a final answer.
 #[derive(Debug)]
 struct OpenQuery {
     request: Query,
+    /// Ids of the parts of its current step.
     parts: Vec<RequestId>,
-    second: Option<Rc<FirstStep>>,
+    /// Result of the first step, once the second one has begun.
+    first_step: Option<Rc<FirstStep>>,
 }
 
+/// A part of an open query's current step.
 #[derive(Debug)]
 struct Part {
     query: QueryId,
-    /// The current block, and the weighers requested of it, if not all.
+    /// The current block, or the shard where blocks never move.
     shard: u32,
+    /// The weighers requested of the block, if not all of them.
     slice: Option<Span>,
-    first: u64,
+    first_weigher: u64,
+    /// The only weigher that the part concerns, if the client named one.
     weigher: Option<u64>,
     /// The block number that the client used.
-    named: u32,
+    requested_block: u32,
     weight: f64,
+    /// Number of attempts made so far, including those of the parts that this one replaces.
     attempts: u32,
     in_flight: bool,
-    /// When the first attempt was sent that may have been executed.
-    ran: Option<Millis>,
+    /// Time at which the first attempt was sent that may have been executed.
+    possibly_executed_at: Option<Millis>,
     served: Option<Served>,
 }
 
+/// An attempt that was sent and has not ended.
 #[derive(Debug)]
-struct Flight {
+struct InFlightAttempt {
     server: ServerId,
     sent: Millis,
     /// The block's epoch when the store was chosen.
     epoch: Option<Epoch>,
-    /// Whether its client disconnected.
+    /// Whether the attempt was cancelled because the client disconnected.
     is_cancelled: bool,
 }
 
-/// How many times a turn handles the events that its own actions produced: second steps, attempts not made.
-const REPLAYS: usize = 4;
+/// Maximum number of rounds in which a turn handles the events that its own actions cause: second steps, and attempts that
+/// must not be made.
+const ROUNDS_MAX: usize = 4;
 
-/// Hosts one aggregator; a state machine without I/O.
+/// Hosts one [`Aggregator`]; a state machine without I/O.
 #[derive(Debug)]
 pub struct Core {
     aggregator: Aggregator,
+    /// For each class, the number of parts of its second step; 0 if it has none.
     follow_up: Vec<u32>,
     /// For each class, whether a part must be executed at most once.
     at_most_once: Vec<bool>,
     guard: Guard,
-    /// Whether attempts may be withdrawn.
-    withdrawals: bool,
+    /// Whether the settings allow attempts to be withdrawn.
+    allows_withdrawals: bool,
     /// Attempts to be cancelled at the end of the turn, since their clients disconnected.
     cancelled: Vec<AttemptId>,
+    /// The block map, where blocks may move.
     routes: Option<Rc<Routes>>,
     parked: Vec<ParkedAttempt>,
-    /// Queries ended by the core itself, since no current block can serve them.
+    /// Queries that the core itself ended in this turn, since no current block can serve them, with their answers.
     completed: Vec<(QueryId, FinalAnswer)>,
-    /// Attempts in flight of those queries.
+    /// In-flight attempts of those queries, to be withdrawn at the end of the turn.
     withdrawn: Vec<AttemptId>,
     /// Whether a store reported an epoch newer than the block map's.
     refresh_block_map: bool,
+    /// Number of aggregators in the settings, without a second process of this broker.
     aggregators: u32,
     queries: BTreeMap<QueryId, OpenQuery>,
     parts: BTreeMap<RequestId, Part>,
-    flights: BTreeMap<AttemptId, Flight>,
-    next: RequestId,
+    in_flight: BTreeMap<AttemptId, InFlightAttempt>,
+    last_part_id: RequestId,
+    /// The earliest timer that the aggregator has set: when it is due, in Unix milliseconds, and its token.
     timer: Option<(Millis, u64)>,
 }
 
@@ -100,7 +113,7 @@
         Self {
             at_most_once: settings.classes.iter().map(|class| class.repeat == Repeat::Unsafe).collect(),
             guard: Guard::new(&settings),
-            withdrawals: settings.withdrawals,
+            allows_withdrawals: settings.withdrawals,
             cancelled: Vec::new(),
             routes,
             parked: Vec::new(),
@@ -112,13 +125,14 @@
             aggregator: Aggregator::new(seed, settings, now),
             queries: BTreeMap::new(),
             parts: BTreeMap::new(),
-            flights: BTreeMap::new(),
-            next: 1 << 32,
+            in_flight: BTreeMap::new(),
+            // Keeps the ids of parts apart from those of queries, which count from 1.
+            last_part_id: 1 << 32,
             timer: None,
         }
     }
 
-    /// Replaces the attempt limits of the settings by others.
+    /// Replaces the attempt limits that were taken from the settings.
     pub fn with_guard(self, guard: Guard) -> Self {
         Self { guard, ..self }
     }
@@ -128,29 +142,29 @@
         let own = [
             ("open queries", self.queries.len()),
             ("open parts", self.parts.len()),
-            ("flights", self.flights.len()),
+            ("flights", self.in_flight.len()),
             ("held parts", self.parked.len() + self.completed.len() + self.withdrawn.len()),
         ];
         own.into_iter().chain(self.aggregator.sizes()).collect()
     }
 
-    /// When the next turn is due if no event arrives, in Unix milliseconds.
+    /// Time at which the next turn is due if no event arrives, in Unix milliseconds.
     pub fn due(&self) -> Option<Millis> {
         let release_times = self.parked.iter().map(|attempt| attempt.until);
         release_times.chain(self.timer.map(|(at, _)| at)).min_by(f64::total_cmp)
     }
 
     /// Runs one turn: handles the events, then carries out the decisions on them.
-    pub fn turn(&mut self, now: Millis, happened: impl IntoIterator<Item = CoreEvent>) -> Vec<Command> {
+    pub fn turn(&mut self, now: Millis, events: impl IntoIterator<Item = CoreEvent>) -> Vec<Command> {
         let (mut actions, mut commands) = (Vec::new(), Vec::new());
         if let Some((_, token)) = self.timer.take_if(|(at, _)| *at <= now) {
             self.aggregator.handle(now, Event::Timer { token }, &mut actions);
         }
-        for event in happened {
+        for event in events {
             self.on_event(now, event, &mut actions);
         }
         self.release_parked(now, &mut actions);
-        for _ in 0..REPLAYS {
+        for _ in 0..ROUNDS_MAX {
             self.aggregator.end_turn(now, &mut actions);
             let caused_events = self.execute(now, std::mem::take(&mut actions), &mut commands);
             if caused_events.is_empty() {
@@ -178,10 +192,10 @@
                 self.aggregator.handle(now, Event::ClientGone { query }, actions);
             }
             CoreEvent::AttemptEnded(attempt, ended) => {
-                if let Some(flight) = self.flights.remove(&attempt) {
+                if let Some(in_flight) = self.in_flight.remove(&attempt) {
                     match ended.newer_epoch.filter(|_| ended.outcome == Outcome::Overloaded) {
-                        Some(newer) if self.routes.is_some() => self.park(now, attempt, flight, newer),
-                        _ => self.on_attempt_ended(now, attempt, &flight, ended, actions),
+                        Some(newer) if self.routes.is_some() => self.park(now, attempt, in_flight, newer),
+                        _ => self.on_attempt_ended(now, attempt, &in_flight, ended, actions),
                     }
                 }
             }
@@ -206,38 +220,39 @@
         &mut self,
         now: Millis,
         attempt: AttemptId,
-        flight: &Flight,
+        in_flight: &InFlightAttempt,
         ended: AttemptOutcome,
         actions: &mut Vec<Action>,
     ) {
         if let Some(part) = self.parts.get_mut(&attempt.part) {
             part.in_flight = false;
             if !ended.outcome.never_ran() {
-                part.ran = Some(part.ran.map_or(flight.sent, |first| first.min(flight.sent)));
+                part.possibly_executed_at =
+                    Some(part.possibly_executed_at.map_or(in_flight.sent, |first| first.min(in_flight.sent)));
             }
-            // Of two hedged attempts the second to end may have failed: the value received first stays.
+            // Of two hedged attempts, the second to end may have failed: the value that arrived first is kept.
             part.served = part.served.take().or(ended.served);
         }
-        // A client that disconnected says nothing about the store's health.
-        let void = flight.is_cancelled && ended.outcome == Outcome::Withdrawn;
+        // An attempt that ended because its client disconnected is no evidence about the store's health.
+        let is_void = in_flight.is_cancelled && ended.outcome == Outcome::Withdrawn;
         let event = Event::Outcome {
             part: attempt.part,
             attempt: attempt.number,
-            server: flight.server,
-            wait_ms: now - flight.sent,
-            outcome: if void { Outcome::Void } else { ended.outcome },
+            server: in_flight.server,
+            wait_ms: now - in_flight.sent,
+            outcome: if is_void { Outcome::Void } else { ended.outcome },
             report: ended.report,
         };
         self.aggregator.handle(now, event, actions);
     }
 
     fn on_query(&mut self, now: Millis, id: QueryId, query: Query, actions: &mut Vec<Action>) {
-        let entry = self.at_most_once.get(query.class).copied().unwrap_or(false);
+        let is_entry = self.at_most_once.get(query.class).copied().unwrap_or(false);
         let mut parts = Vec::new();
         for request in &query.parts {
-            match self.targets(request, entry) {
+            match self.targets(request, is_entry) {
                 Ok(targets) => parts.extend(targets.into_iter().map(|target| (request.clone(), target))),
-                // The block map changed since the query was admitted; none of it has been executed.
+                // The block map has changed since the query was admitted. No part has been sent, so a retry is harmless.
                 Err(_) => {
                     return self.completed.push((id, FinalAnswer::Refused { retry_after_ms: 0.0 }));
                 }
@@ -253,37 +268,41 @@
             repeated: query.repeated,
         };
         self.aggregator.handle(now, event, actions);
-        self.queries.insert(id, OpenQuery { request: query, parts: Vec::new(), second: None });
+        self.queries.insert(id, OpenQuery { request: query, parts: Vec::new(), first_step: None });
         for (request, target) in parts {
             let event = self.open_part(id, &request, target, 0);
             self.aggregator.handle(now, event, actions);
         }
     }
 
-    /// The current blocks that serve the block a client named: itself, where blocks never move.
-    fn targets(&self, request: &PartRequest, entry: bool) -> Result<Vec<Target>, crate::routes::RouteError> {
+    /// Resolves a requested block to the current blocks that serve it: the block itself, where blocks never move.
+    fn targets(
+        &self,
+        request: &PartRequest,
+        is_entry: bool,
+    ) -> Result<Vec<Target>, crate::routes::RouteError> {
         match &self.routes {
-            None => Ok(vec![Target { block: request.shard, first: 0, share: 1.0, slice: None }]),
-            Some(routes) => routes.targets(request.shard, request.weigher, entry),
+            None => Ok(vec![Target { block: request.shard, first_weigher: 0, share: 1.0, slice: None }]),
+            Some(routes) => routes.targets(request.shard, request.weigher, is_entry),
         }
     }
 
     /// Opens a part of a query's current step, and returns the decision module's event for it.
     fn open_part(&mut self, query: QueryId, request: &PartRequest, target: Target, attempts: u32) -> Event {
-        self.next += 1;
-        let id = self.next;
+        self.last_part_id += 1;
+        let id = self.last_part_id;
         let (shard, weight) = (target.block, request.weight * target.share);
         let part = Part {
             query,
             shard,
             slice: target.slice,
-            first: target.first,
+            first_weigher: target.first_weigher,
             weigher: request.weigher,
-            named: request.shard,
+            requested_block: request.shard,
             weight,
             attempts,
             in_flight: false,
-            ran: None,
+            possibly_executed_at: None,
             served: None,
         };
         self.parts.insert(id, part);
@@ -293,14 +312,14 @@
         Event::Part { id, number: query, shard, weight, cost_ms: request.cost_ms.map(|ms| ms * target.share) }
     }
 
-    /// Translates actions into commands; returns the events that they cause in the aggregator within the same turn.
+    /// Translates actions into commands. Returns the events that the aggregator must handle within the same turn.
     fn execute(&mut self, now: Millis, actions: Vec<Action>, commands: &mut Vec<Command>) -> Vec<Event> {
         let mut caused_events = Vec::new();
         for action in actions {
             match action {
                 Action::Send { part, server, timeout_ms } => {
                     match self.start_attempt(now, part, server, timeout_ms) {
-                        Ok(order) => commands.push(Command::Send(order)),
+                        Ok(request) => commands.push(Command::Send(request)),
                         Err(number) => caused_events.push(Event::Outcome {
                             part,
                             attempt: number,
@@ -342,7 +361,11 @@
         caused_events
     }
 
-    /// Registers the next attempt of a part; `Err` with its number if it must not be made.
+    /// Registers the next attempt of a part.
+    ///
+    /// # Errors
+    ///
+    /// The attempt's number, if it must not be made.
     fn start_attempt(
         &mut self,
         now: Millis,
@@ -354,24 +377,28 @@
         let number = part.attempts;
         part.attempts += 1;
         let query = self.queries.get(&part.query).ok_or(number)?;
-        let left = query.request.deadline - now;
-        let before = AttemptId { part: id, number: 0 }..AttemptId { part: id, number };
-        let out = self.flights.range(before).map(|(_, flight)| flight.sent);
-        let first = out.chain(part.ran).reduce(f64::min);
-        let history =
-            AttemptHistory { class: query.request.class, attempts: number, in_flight: part.in_flight, first };
-        let within = self.guard.allows(now, history).filter(|_| left > 0.0).ok_or(number)?;
+        let remaining_ms = query.request.deadline - now;
+        let earlier_attempts = AttemptId { part: id, number: 0 }..AttemptId { part: id, number };
+        let sent_times = self.in_flight.range(earlier_attempts).map(|(_, in_flight)| in_flight.sent);
+        let first_sent = sent_times.chain(part.possibly_executed_at).reduce(f64::min);
+        let history = AttemptHistory {
+            class: query.request.class,
+            attempts: number,
+            in_flight: part.in_flight,
+            first_sent,
+        };
+        let send_within_ms = self.guard.allows(now, history).filter(|_| remaining_ms > 0.0).ok_or(number)?;
         part.in_flight = true;
         let fence = self.routes.as_ref().map(|routes| Fence {
             epoch: routes.epoch(part.shard).unwrap_or_default(),
-            named: part.named,
+            requested_block: part.requested_block,
             slice: part.slice,
             weigher: part.weigher,
-            entry: self.at_most_once.get(query.request.class).copied().unwrap_or(false),
+            is_entry: self.at_most_once.get(query.request.class).copied().unwrap_or(false),
         });
         let attempt = AttemptId { part: id, number };
         let epoch = fence.as_ref().map(|fence| fence.epoch);
-        self.flights.insert(attempt, Flight { server, sent: now, epoch, is_cancelled: false });
+        self.in_flight.insert(attempt, InFlightAttempt { server, sent: now, epoch, is_cancelled: false });
         Ok(AttemptRequest {
             attempt,
             server,
@@ -380,10 +407,10 @@
             shard: part.shard,
             text: query.request.text.clone(),
             form: query.request.form,
-            send_within_ms: within.is_finite().then_some(within),
+            send_within_ms: send_within_ms.is_finite().then_some(send_within_ms),
             key: query.request.key.clone(),
-            timeout_ms: if timeout_ms > 0.0 { timeout_ms.min(left) } else { left },
-            first_step: query.second.clone(),
+            timeout_ms: if timeout_ms > 0.0 { timeout_ms.min(remaining_ms) } else { remaining_ms },
+            first_step: query.first_step.clone(),
             fence,
         })
     }
--- a/broker/src/exchange.rs
+++ b/broker/src/exchange.rs
@@ -1,6 +1,6 @@
 //! The queue of events between the core and the rest of the broker, and the table of queries that await their answer.
-//! Fronts submit queries and wait on a [`PendingQuery`]; the store side and discovery add events. The core's driver takes
-//! all of them in turns and returns final answers, exactly one for each admitted query.
+//! Fronts submit queries and wait on a [`PendingQuery`]; the store side and discovery add events. In each turn the core's
+//! driver takes all events, and it returns exactly one final answer for each admitted query.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, VecDeque};
@@ -22,42 +22,46 @@
 pub enum SubmitError {
     /// The maximum of open queries and parts is reached; a later retry is harmless.
     Full,
-    /// A query with the same id is open.
+    /// A query with the same wire id is open.
     Duplicate,
-    /// No store can serve a block that it names.
+    /// No store can serve a block that the query names.
     Unrouted(RouteError),
 }
 
+/// An admitted query without a final answer.
 #[derive(Debug)]
 struct PendingEntry {
+    /// Its id on the wire.
     name: Rc<str>,
+    /// What it counts towards the maximum of open queries and parts.
     size: usize,
     answer: Sender<FinalAnswer>,
 }
 
-/// Shared by fronts, store side, discovery and the core's driver.
+/// The event queue and the table of pending queries, shared by fronts, store side, discovery and the core's driver.
 #[derive(Debug)]
 pub struct Exchange {
     clock: Clock,
     counters: Rc<Counters>,
     events: RefCell<VecDeque<CoreEvent>>,
     pending: RefCell<HashMap<QueryId, PendingEntry>>,
+    /// Open queries by their ids on the wire.
     names: RefCell<HashMap<Rc<str>, QueryId>>,
     /// Number of open queries and parts.
     open: Cell<usize>,
     /// Maximum of open queries and parts, over all processes of this broker.
     max_open: usize,
     presence: Rc<Presence>,
-    /// Where blocks may move: the map, and for each class whether a part must be executed at most once.
+    /// Where blocks may move: the block map, and for each class whether a part must be executed at most once.
     routes: Option<(Rc<Routes>, Vec<bool>)>,
-    next: Cell<QueryId>,
+    last_id: Cell<QueryId>,
     /// Start of the current turn, or of the last one.
-    turn: Cell<Option<Instant>>,
+    turn_started: Cell<Option<Instant>>,
     wake: (Sender<()>, Receiver<()>),
 }
 
 impl Exchange {
-    /// An exchange that admits at most `max_open` queries and parts, shared with another process of this broker.
+    /// Creates an exchange that admits at most `max_open` queries and parts, shared with another process of this broker.
     pub fn new(
         clock: Clock,
         counters: Rc<Counters>,
@@ -75,19 +79,20 @@
             open: Cell::new(0),
             max_open,
             presence,
-            next: Cell::new(0),
-            turn: Cell::new(None),
+            last_id: Cell::new(0),
+            turn_started: Cell::new(None),
             wake: async_channel::bounded(1),
         })
     }
 
-    /// Admits a query; from here on it gets exactly one final answer.
+    /// Admits a query, which from then on gets exactly one final answer.
     ///
     /// # Errors
     ///
-    /// If the maximum of open queries is reached, its id is in use, or no store can serve one of its blocks.
+    /// If the maximum of open queries and parts is reached, the query's wire id is in use, or no store can serve one of its
+    /// blocks.
     pub fn submit(self: &Rc<Self>, query: Query) -> Result<PendingQuery, SubmitError> {
-        let size = 1 + self.parts(&query).map_err(SubmitError::Unrouted)?;
+        let size = 1 + self.part_count(&query).map_err(SubmitError::Unrouted)?;
         if self.names.borrow().contains_key(&query.name) {
             return Err(SubmitError::Duplicate);
         }
@@ -95,13 +100,13 @@
             count(&self.counters.queries_full);
             return Err(SubmitError::Full);
         }
-        let id = self.next.get() + 1;
-        self.next.set(id);
+        let id = self.last_id.get() + 1;
+        self.last_id.set(id);
         self.open.set(self.open.get() + size);
-        let (send, answer) = async_channel::bounded(1);
+        let (sender, answer) = async_channel::bounded(1);
         let name = query.name.clone();
         self.names.borrow_mut().insert(name.clone(), id);
-        self.pending.borrow_mut().insert(id, PendingEntry { name, size, answer: send });
+        self.pending.borrow_mut().insert(id, PendingEntry { name, size, answer: sender });
         count(&self.counters.queries);
         let deadline = query.deadline;
         log::debug!(query:% = query.name, class = query.class, parts = query.parts.len(); "query admitted");
@@ -115,13 +120,13 @@
     }
 
     /// Number of parts that a query will have.
-    fn parts(&self, query: &Query) -> Result<usize, RouteError> {
+    fn part_count(&self, query: &Query) -> Result<usize, RouteError> {
         let Some((routes, at_most_once)) = &self.routes else { return Ok(query.parts.len()) };
         let at_most_once = at_most_once.get(query.class).copied().unwrap_or(false);
-        let targets = |part: &PartRequest| {
+        let target_count = |part: &PartRequest| {
             routes.targets(part.shard, part.weigher, at_most_once).map(|targets| targets.len())
         };
-        query.parts.iter().map(targets).sum()
+        query.parts.iter().map(target_count).sum()
     }
 
     /// Reports the current owners of blocks that have changed.
@@ -132,8 +137,8 @@
     }
 
     /// Reports the outcome of an attempt.
-    pub fn attempt_ended(&self, attempt: AttemptId, ended: AttemptOutcome) {
-        self.push_event(CoreEvent::AttemptEnded(attempt, ended));
+    pub fn attempt_ended(&self, attempt: AttemptId, outcome: AttemptOutcome) {
+        self.push_event(CoreEvent::AttemptEnded(attempt, outcome));
     }
 
     /// Reports a result of discovery.
@@ -165,7 +170,7 @@
         let _ = self.wake.0.try_send(());
     }
 
-    /// Waits for events, at most until `due` (Unix milliseconds), and takes them.
+    /// Waits for events, at most until `due` in Unix milliseconds, and takes them.
     pub async fn next_events(&self, due: Option<f64>) -> VecDeque<CoreEvent> {
         let timer = async {
             match due {
@@ -177,16 +182,16 @@
             let _ = self.wake.1.recv().await;
         };
         futures_lite::future::or(woken, timer).await;
-        self.turn.set(Some(Instant::now()));
+        self.turn_started.set(Some(Instant::now()));
         std::mem::take(&mut *self.events.borrow_mut())
     }
 
-    /// Counts the reason for which a query is rejected; its final answer follows.
-    pub fn count_rejection(&self, id: QueryId, why: RejectionReason) {
+    /// Counts the reason for which a query is rejected; the query's final answer follows.
+    pub fn count_rejection(&self, id: QueryId, reason: RejectionReason) {
         if let Some(pending) = self.pending.borrow().get(&id) {
-            log::debug!(query:% = pending.name, reason:? = why; "query rejected");
+            log::debug!(query:% = pending.name, reason:? = reason; "query rejected");
         }
-        count(match why {
+        count(match reason {
             RejectionReason::OverLimit => &self.counters.over_limit,
             RejectionReason::NoHealthyReplica => &self.counters.shut,
             RejectionReason::Saturated => &self.counters.jammed,
@@ -197,15 +202,15 @@
         });
     }
 
-    /// Delivers a query's final answer; false if it had one before or its client disconnected.
+    /// Delivers a query's final answer. Returns false if the query already had one or its client has disconnected.
     pub fn complete(&self, id: QueryId, answer: FinalAnswer) -> bool {
         let Some(pending) = self.remove(id) else {
             count(&self.counters.finals_dropped);
             return false;
         };
         match &answer {
-            FinalAnswer::Answered { whole, values } => {
-                log::debug!(query:% = pending.name, parts = values.len(), complete = whole; "query answered");
+            FinalAnswer::Answered { is_complete, values } => {
+                log::debug!(query:% = pending.name, parts = values.len(), complete = is_complete; "query answered");
             }
             other => log::debug!(query:% = pending.name, answer:? = other; "query not answered"),
         }
@@ -225,14 +230,14 @@
     }
 
     /// Start of the current turn, or of the last one.
-    pub fn turn_began(&self) -> Instant {
-        self.turn.get().unwrap_or_else(Instant::now)
+    pub fn turn_started(&self) -> Instant {
+        self.turn_started.get().unwrap_or_else(Instant::now)
     }
 
-    /// Whether an admitted query has had its final answer or lost its client. The store side checks this immediately before
+    /// Whether an admitted query has received its final answer or its client has disconnected. The store side checks this immediately before
     /// it sends an attempt, since the core reacts to a disconnected client only in its next turn.
     pub fn is_finished(&self, id: QueryId) -> bool {
-        (1..=self.next.get()).contains(&id) && !self.pending.borrow().contains_key(&id)
+        (1..=self.last_id.get()).contains(&id) && !self.pending.borrow().contains_key(&id)
     }
 
     /// Number of queries that await their final answer.
@@ -241,7 +246,7 @@
     }
 }
 
-/// An admitted query that awaits its answer. Dropping it before that reports its client as disconnected.
+/// An admitted query that awaits its final answer. Dropping it before then reports its client as disconnected.
 #[derive(Debug)]
 pub struct PendingQuery {
     exchange: Rc<Exchange>,
--- a/broker/src/front/features/mod.rs
+++ b/broker/src/front/features/mod.rs
@@ -271,11 +271,11 @@
         })?;
         let clock = self.clock;
         let reply = move |answer| match answer {
-            FinalAnswer::Answered { whole, values } => {
+            FinalAnswer::Answered { is_complete, values } => {
                 // One whose block has split meanwhile has a value for each heir.
                 let mut answered: Vec<u32> = values.iter().map(|(shard, _)| *shard).collect();
                 answered.dedup();
-                let complete = whole && blocks == answered;
+                let complete = is_complete && blocks == answered;
                 match complete {
                     true => reader.reply(&values),
                     // Never a silent cut: a page without some of its blocks is no page.
--- a/broker/src/front/platform.rs
+++ b/broker/src/front/platform.rs
@@ -220,7 +220,7 @@
 
 fn reply(final_answer: FinalAnswer) -> Reply {
     match final_answer {
-        FinalAnswer::Answered { whole, values } => match answer(whole, &values) {
+        FinalAnswer::Answered { is_complete, values } => match answer(is_complete, &values) {
             Some(body) => {
                 Reply { status: 200, headers: "Content-Type: application/json\r\n".to_owned(), body }
             }
--- a/broker/src/service.rs
+++ b/broker/src/service.rs
@@ -138,8 +138,8 @@
         streams: config.streams,
         batch: config.setup.settings.batch.max(1) as usize,
         links: budget.stores,
-        dial: millis(config.dial_timeout_ms),
-        idle: millis(config.idle_ms * IDLE_SHARE),
+        dial_timeout: millis(config.dial_timeout_ms),
+        idle_timeout: millis(config.idle_ms * IDLE_SHARE),
     }
 }
 
@@ -433,7 +433,7 @@
                 Command::Finish(query, answer) => drop(exchange.complete(query, answer)),
             }
         }
-        stores.turn_over();
+        stores.end_turn();
         happened = exchange.next_events(core.due()).await;
     }
 }
--- a/broker/src/store/features.rs
+++ b/broker/src/store/features.rs
@@ -1,10 +1,11 @@
 //! Attempts at stores with a feature API: a part is a GET for the features of one block, on a connection that carries one
 //! request at a time. The body of the response is the part's value, unchanged.
 //!
-//! A connection is kept for a later request only where nothing lies behind the answer, and used again only while it is
-//! silent: a store that closed it, or left bytes on it, is dialled anew. What may be written is looked at before each
-//! write as on a link ([`write_while`]); a request that was not written whole never ran, and one that was may have unless its
-//! answer says no. An answer without a length ends with an orderly close; a reset is no end, and the attempt is broken.
+//! A connection is kept for a later request only if no bytes follow the answer, and is reused only if nothing has arrived on it
+//! since: if the store has closed it or sent bytes on it, a new connection is opened. Before each write, the conditions for
+//! sending are checked as on a link ([`write_while`]). A request that was not completely written was never executed; a completely
+//! written one may have been, unless its answer rejects it. An answer without a length is complete once the store closes the
+//! connection in order; after a reset it is incomplete, and the attempt's outcome is broken.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -22,38 +23,49 @@
 use crate::http::{self, Ending, Kind, Stream};
 use crate::limits::ConnectionSlot;
 
-/// Connections kept for later requests.
+/// Maximum number of connections that are kept for later requests.
 const IDLE_CONNECTIONS_MAX: usize = 8;
-/// Longer than any attempt waits; the attempt's own timer is the one that ends it.
-const READ_WITHIN: Duration = Duration::from_secs(600);
+/// Time-out for reads, longer than any attempt: the attempt's own time-out ends it earlier.
+const READ_TIMEOUT: Duration = Duration::from_secs(600);
 
-/// The client of one store's feature API.
-pub struct Driver {
+/// Client of one store's feature API.
+pub struct FeatureClient {
     address: SocketAddr,
-    dial: Duration,
-    idle: Duration,
+    dial_timeout: Duration,
+    idle_timeout: Duration,
+    /// Connections kept for later requests, each with its slot and the time since which it is idle.
     idle_connections: RefCell<Vec<(Stream, ConnectionSlot, Instant)>>,
 }
 
-impl Driver {
-    /// A client of the feature API at this address.
+impl FeatureClient {
+    /// Creates a client of the feature API at this address.
     pub fn new(address: SocketAddr, limits: &Limits) -> Self {
-        Self { address, dial: limits.dial, idle: limits.idle, idle_connections: RefCell::default() }
+        Self {
+            address,
+            dial_timeout: limits.dial_timeout,
+            idle_timeout: limits.idle_timeout,
+            idle_connections: RefCell::default(),
+        }
     }
 
-    /// An idle or new connection; `Err` with the attempt's outcome if there is none.
+    /// Returns an idle or new connection.
+    ///
+    /// # Errors
+    ///
+    /// The attempt's outcome, if no connection is available.
     async fn connect(&self, stores: &Stores) -> Result<(Stream, ConnectionSlot), Outcome> {
-        self.idle_connections.borrow_mut().retain(|(_, _, since)| since.elapsed() < self.idle);
+        self.idle_connections.borrow_mut().retain(|(_, _, since)| since.elapsed() < self.idle_timeout);
         loop {
             let Some((stream, slot, _)) = self.idle_connections.borrow_mut().pop() else { break };
             if is_silent(&stream).await {
                 return Ok((stream, slot));
             }
         }
-        // A lack of slots says nothing about the store.
+        // A lack of slots is no evidence about the store's health.
         let slot = stores.acquire_slot().await.ok_or(Outcome::Void)?;
         count(&stores.counters.dials);
-        let socket = http::connect(self.address, self.dial).await.map_err(|_| Outcome::Unreachable)?;
+        let socket =
+            http::connect(self.address, self.dial_timeout).await.map_err(|_| Outcome::Unreachable)?;
         Ok((Stream::new(socket), slot))
     }
 
@@ -62,14 +74,14 @@
         drop(self.idle_connections.take());
     }
 
-    /// Makes an attempt, as long as it is `wanted` until its last byte is written. `written` is set then: from there on it may
-    /// be executed.
+    /// Makes an attempt, unless `is_wanted` returns false before its last byte has been written. `written` is set once that has
+    /// happened: from then on the attempt may be executed.
     pub async fn attempt(
         &self,
         stores: &Stores,
         endpoint: &Endpoint,
-        order: &AttemptRequest,
-        wanted: impl Fn() -> bool,
+        request: &AttemptRequest,
+        is_wanted: impl Fn() -> bool,
         written: &Cell<bool>,
     ) -> AttemptOutcome {
         let counters = &*stores.counters;
@@ -77,16 +89,16 @@
             Ok(connected) => connected,
             Err(outcome) => return outcome.into(),
         };
-        let may_write = |begun: bool| (begun || endpoint.may_send()) && wanted();
-        match write_while(stream.socket(), &request(order, self.address), 0, may_write).await {
+        let may_write = |has_begun: bool| (has_begun || endpoint.may_send()) && is_wanted();
+        match write_while(stream.socket(), &encode_request(request, self.address), 0, may_write).await {
             Ok(true) => {}
             Ok(false) => return Outcome::Void.into(),
             Err(_) => return Outcome::Unreachable.into(),
         }
         written.set(true);
         let answer = async {
-            let head = stream.head(Kind::Answer, READ_WITHIN).await?;
-            let body = stream.body(head.framing, READ_WITHIN).await?;
+            let head = stream.head(Kind::Answer, READ_TIMEOUT).await?;
+            let body = stream.body(head.framing, READ_TIMEOUT).await?;
             Ok((head, body))
         };
         let (head, body) = match answer.await {
@@ -98,8 +110,8 @@
             }
             Err(_) => return Outcome::Broken.into(),
         };
-        let reusable = head.keep_alive && head.framing != http::Framing::Close && !stream.begun();
-        if reusable && self.idle_connections.borrow().len() < IDLE_CONNECTIONS_MAX {
+        let is_reusable = head.keep_alive && head.framing != http::Framing::Close && !stream.begun();
+        if is_reusable && self.idle_connections.borrow().len() < IDLE_CONNECTIONS_MAX {
             self.idle_connections.borrow_mut().push((stream, slot, Instant::now()));
         }
         match head.status {
@@ -121,26 +133,28 @@
     }
 }
 
-/// Whether nothing has arrived on an idle connection, not even its end.
+/// Whether nothing has arrived on an idle connection, neither bytes nor the end of the stream.
 async fn is_silent(stream: &Stream) -> bool {
     let (mut socket, mut byte) = (stream.socket(), [0]);
     futures_lite::future::poll_once(socket.read(&mut byte)).await.is_none()
 }
 
-/// Under which epoch the part was placed; in an answer that turns it away, the newest one.
+/// Header with the epoch of the block when the store was chosen, and in an answer that rejects the request, with the newest
+/// epoch that the store knows.
 const EPOCH: &str = "X-Block-Epoch";
 
-fn request(order: &AttemptRequest, address: SocketAddr) -> Vec<u8> {
-    let AttemptRequest { query, shard, timeout_ms, .. } = order;
-    let fence = order.fence.as_ref().map_or(String::new(), |fence| {
+/// Encodes the HTTP request of an attempt.
+fn encode_request(request: &AttemptRequest, address: SocketAddr) -> Vec<u8> {
+    let AttemptRequest { query, shard, timeout_ms, .. } = request;
+    let fence = request.fence.as_ref().map_or(String::new(), |fence| {
         let slice = fence.slice.map(|s| format!("X-Block-Slice: {}-{}\r\n", s.first, s.end));
         format!("{EPOCH}: {}\r\n{}", fence.epoch.0, slice.unwrap_or_default())
     });
     let key =
-        order.key.as_ref().map_or(String::new(), |key| format!("{}: {}\r\n", key::HEADER, key.as_str()));
+        request.key.as_ref().map_or(String::new(), |key| format!("{}: {}\r\n", key::HEADER, key.as_str()));
     let wait = timeout_ms.max(1.0).floor();
     let mut bytes = b"GET /".to_vec();
-    bytes.extend_from_slice(&order.text);
+    bytes.extend_from_slice(&request.text);
     let head = format!(
         "&block={shard} HTTP/1.1\r\nHost: {address}\r\nAccept: application/geo+json\r\n\
          X-Request-ID: {query}.{shard}\r\nX-Timeout-Ms: {wait}\r\n{key}{fence}\r\n"
--- a/broker/src/store/frame.rs
+++ b/broker/src/store/frame.rs
@@ -1,66 +1,66 @@
-//! The frames between brokers and reading stores: a length of four bytes, least significant first,
-//! then a letter and the rest. The length counts the letter and the rest.
+//! The frames exchanged by brokers and reading stores. A frame is a length of four bytes, least significant first, then a
+//! letter for its type, then the rest. The length counts the letter and the rest.
 
 use std::fmt;
 
 use crate::http::BODY_MAX;
 
-/// Maximum length of a line in a frame.
+/// Maximum length of a line in a frame, in bytes.
 const LINE_MAX: usize = 1024;
-/// Maximum length of a frame: a longer value would not fit a client's answer.
+/// Maximum length of a frame, in bytes: a longer value would not fit into the answer to a client.
 pub const FRAME_MAX: usize = BODY_MAX + LINE_MAX;
 
-/// A call, for one part or several.
+/// Letter of a call, which carries one or more parts.
 pub const CALL: u8 = b'm';
-/// A withdrawn part.
-pub const GIVE_UP: u8 = b'n';
-/// A health check.
+/// Letter of the withdrawal of a part.
+pub const WITHDRAW: u8 = b'n';
+/// Letter of a health check and of its answer.
 pub const PROBE: u8 = b'o';
-/// A health check that requests a load report.
-pub const LOAD: u8 = b'p';
-/// A part's answer.
+/// Letter of a health check that requests a load report, and of its answer.
+pub const LOAD_PROBE: u8 = b'p';
+/// Letter of the answer to a part.
 pub const ANSWER: u8 = b'q';
-/// The previous frame was invalid.
-pub const COMPLAINT: u8 = b'r';
+/// Letter by which a store reports that the frame before was invalid.
+pub const PROTOCOL_ERROR: u8 = b'r';
 
-/// How a store ended a part.
+/// How a store completed a part.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
-    /// Served.
-    Good,
-    /// An error; it may have run.
-    Bad,
-    /// Rejected without being executed.
-    Later,
+pub enum PartOutcome {
+    /// The store served the part (`good`).
+    Served,
+    /// The store reported an error; the part may have been executed (`bad`).
+    Failed,
+    /// The store rejected the part without executing it (`later`).
+    Rejected,
 }
 
 /// A frame from a store.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Frame<'a> {
-    /// A part's answer.
+    /// The answer to a part.
     Answer {
-        /// The part's id.
+        /// Id of the part.
         id: &'a str,
-        /// How it ended.
-        end: End,
-        /// Decides where a second step goes.
+        /// How the store completed the part.
+        outcome: PartOutcome,
+        /// Score by which shards are ranked for a second step.
         score: u64,
-        /// The load report, if there is one.
+        /// The values of the load report; empty if the answer has none.
         report: Vec<f64>,
         /// The newest epoch of the block, if the part's epoch was rejected (`epoch=` in place of the report).
-        newer: Option<u64>,
-        /// The value.
+        newer_epoch: Option<u64>,
+        /// The value of the part.
         value: &'a [u8],
     },
     /// The answer to a health check.
     Probed,
     /// The answer to a health check that requested a load report, which may be empty.
     Loaded(Vec<f64>),
-    /// The previous frame was invalid; the store closes the connection.
-    Complaint(&'a [u8]),
+    /// The store found the previous frame invalid and closes the connection; carries its message.
+    ProtocolError(&'a [u8]),
 }
 
-/// Why a frame is invalid.
+/// The reason for which a frame is invalid.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fault(&'static str);
 
@@ -70,7 +70,7 @@
     }
 }
 
-/// Writes a frame.
+/// Encodes a frame.
 pub fn frame(letter: u8, rest: &[u8]) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(5 + rest.len());
     bytes.extend_from_slice(&(rest.len() as u32 + 1).to_le_bytes());
@@ -79,69 +79,78 @@
     bytes
 }
 
-/// Writes a part of a call: its line, then the query's text as it came.
+/// Encodes a part of a call: a line with its id, its shard, its parameter list and the length of the text, then the text of the
+/// query, unchanged.
 pub fn part(id: &str, shard: u32, list: &str, text: &[u8]) -> Vec<u8> {
     let mut bytes = format!("{id} {shard} {list} {}\n", text.len()).into_bytes();
     bytes.extend_from_slice(text);
     bytes
 }
 
-/// A frame's letter, its rest, and the length of it all.
-pub type Split<'a> = (u8, &'a [u8], usize);
+/// A frame's letter, its rest, and the total length of the frame in bytes.
+pub type SplitFrame<'a> = (u8, &'a [u8], usize);
 
-/// Splits the first frame off; `None` until it is complete.
-pub fn split(bytes: &[u8]) -> Result<Option<Split<'_>>, Fault> {
+/// Splits off the first frame; `None` until it is complete.
+///
+/// # Errors
+///
+/// If the length of the frame is 0 or exceeds [`FRAME_MAX`].
+pub fn split(bytes: &[u8]) -> Result<Option<SplitFrame<'_>>, Fault> {
     let Some((length, after)) = bytes.split_first_chunk::<4>() else { return Ok(None) };
     let length = u32::from_le_bytes(*length) as usize;
     if length == 0 || length > FRAME_MAX {
-        return Err(Fault("a frame of no letter, or longer than any may be"));
+        return Err(Fault("frame is empty or exceeds the maximum length"));
     }
-    let Some(whole) = after.get(..length) else { return Ok(None) };
-    Ok(whole.split_first().map(|(letter, rest)| (*letter, rest, 4 + length)))
+    let Some(frame) = after.get(..length) else { return Ok(None) };
+    Ok(frame.split_first().map(|(letter, rest)| (*letter, rest, 4 + length)))
 }
 
-/// Reads what a store sent.
+/// Parses a frame from a store.
+///
+/// # Errors
+///
+/// If the letter is unknown or the rest does not have the form that belongs to the letter.
 pub fn parse(letter: u8, rest: &[u8]) -> Result<Frame<'_>, Fault> {
     match letter {
         ANSWER => answer(rest),
         PROBE => Ok(Frame::Probed),
-        LOAD => {
-            let text = std::str::from_utf8(rest).map_err(|_| Fault("a report that is no text"))?;
+        LOAD_PROBE => {
+            let text = std::str::from_utf8(rest).map_err(|_| Fault("load report is not UTF-8"))?;
             Ok(Frame::Loaded(report(text.trim())))
         }
-        COMPLAINT => Ok(Frame::Complaint(rest)),
-        _ => Err(Fault("an unknown letter")),
+        PROTOCOL_ERROR => Ok(Frame::ProtocolError(rest)),
+        _ => Err(Fault("unknown letter of a frame")),
     }
 }
 
 fn answer(rest: &[u8]) -> Result<Frame<'_>, Fault> {
-    let end = rest.iter().take(LINE_MAX).position(|&b| b == b'\n');
-    let (line, value) = rest.split_at(end.ok_or(Fault("an answer without a line"))?);
-    let line = std::str::from_utf8(line).map_err(|_| Fault("an answer's line is no text"))?;
+    let line_end = rest.iter().take(LINE_MAX).position(|&b| b == b'\n');
+    let (line, value) = rest.split_at(line_end.ok_or(Fault("answer has no complete line"))?);
+    let line = std::str::from_utf8(line).map_err(|_| Fault("line of an answer is not UTF-8"))?;
     let mut fields = line.split(' ');
-    let mut field = || fields.next().filter(|f| !f.is_empty()).ok_or(Fault("an answer lacks a field"));
-    let (id, end, score, load) = (field()?, field()?, field()?, field()?);
+    let mut field = || fields.next().filter(|f| !f.is_empty()).ok_or(Fault("answer lacks a field"));
+    let (id, outcome, score, load) = (field()?, field()?, field()?, field()?);
     if fields.next().is_some() {
-        return Err(Fault("an answer has a field too many"));
+        return Err(Fault("answer has too many fields"));
     }
-    let end = match end {
-        "good" => End::Good,
-        "bad" => End::Bad,
-        "later" => End::Later,
-        _ => return Err(Fault("an unknown end")),
+    let outcome = match outcome {
+        "good" => PartOutcome::Served,
+        "bad" => PartOutcome::Failed,
+        "later" => PartOutcome::Rejected,
+        _ => return Err(Fault("unknown outcome of a part")),
     };
     let score = match score {
         "-" => 0,
-        digits => digits.parse().map_err(|_| Fault("a score that is no whole number"))?,
+        digits => digits.parse().map_err(|_| Fault("score is not a non-negative integer"))?,
     };
-    let newer = load.strip_prefix("epoch=").and_then(|digits| digits.parse().ok());
-    let report = if newer.is_some() { Vec::new() } else { report(load) };
-    Ok(Frame::Answer { id, end, score, report, newer, value: &value[1..] })
+    let newer_epoch = load.strip_prefix("epoch=").and_then(|digits| digits.parse().ok());
+    let report = if newer_epoch.is_some() { Vec::new() } else { report(load) };
+    Ok(Frame::Answer { id, outcome, score, report, newer_epoch, value: &value[1..] })
 }
 
-/// The figures of `util=0.61,queue=3`, in their order; none for `-`. A report that can't be read is none:
-/// the answer that it came with is good all the same.
+/// Parses a load report such as `util=0.61,queue=3` to its values, in their order; `-` has none. An invalid report counts as
+/// none, since it does not invalidate the answer that carries it.
 fn report(text: &str) -> Vec<f64> {
-    let figure = |pair: &str| pair.split_once('=')?.1.parse().ok().filter(|v: &f64| v.is_finite());
-    text.split(',').map(figure).collect::<Option<_>>().unwrap_or_default()
+    let parse_value = |pair: &str| pair.split_once('=')?.1.parse().ok().filter(|v: &f64| v.is_finite());
+    text.split(',').map(parse_value).collect::<Option<_>>().unwrap_or_default()
 }
--- a/broker/src/store/link.rs
+++ b/broker/src/store/link.rs
@@ -1,11 +1,13 @@
 //! One connection to a store, which multiplexes many parts. Its own task opens it, writes queued frames ([`writing`]) and
 //! reads responses ([`reading`]).
 //!
-//! Whatever ends it, every part on it gets its outcome: of a call that was not written whole none ran, of one that was each
-//! may have. It ends when the store closes it (one half will do), resets it, sends what it should not have or takes nothing for
-//! long, when a call must be left without its end, and by itself once it carries nothing: retired, or idle for nearly as
-//! long as the store bears. Then nothing is owed to anyone on it, so that a reset by bytes that come just then loses nothing.
-//! Its tables hold at most as many parts as it may carry, and its queue those and a frame for each that is given up.
+//! When the connection ends, for whatever reason, every part on it gets an outcome: no part of a call that was not completely
+//! written was executed, and each part of a completely written call may have been. The connection ends when the store closes it
+//! (closing one half suffices), resets it, sends invalid data, or accepts no bytes for [`writing`]'s time-out; when a call must
+//! be left incomplete; and when it carries no part and is either marked to be closed or has been idle for nearly as long as the
+//! store permits. In the last case no part is in flight, so that a reset caused by bytes that arrive at that moment loses
+//! nothing. The tables hold at most as many parts as the link may carry, and the queue holds those and one frame for each
+//! withdrawn part.
 
 mod reading;
 mod writing;
@@ -29,61 +31,61 @@
 use crate::http;
 use crate::limits::ConnectionSlot;
 
-/// Number of ended parts remembered for each part that a link may carry.
-const REMEMBERED: usize = 4;
+/// Number of ended parts that a link remembers for each part that it may carry.
+const REMEMBERED_PER_PART: usize = 4;
 
-/// The limits of links.
+/// Limits of the connections to stores.
 pub struct Limits {
-    /// Maximum of parts in flight.
+    /// Maximum number of parts in flight on a link.
     pub streams: usize,
-    /// Maximum of parts of one turn in a call, which is one frame.
+    /// Maximum number of parts of one turn that share a call, which is one frame.
     pub batch: usize,
-    /// Maximum of connections to stores, of both kinds.
+    /// Maximum number of connections to stores, both links and connections to feature APIs.
     pub links: usize,
     /// Time-out for opening a connection.
-    pub dial: Duration,
-    /// Idle time after which a connection is closed instead of being used.
-    pub idle: Duration,
+    pub dial_timeout: Duration,
+    /// Time without use after which a connection is closed and no longer used.
+    pub idle_timeout: Duration,
 }
 
+/// A part that was queued or written and has no outcome yet.
 #[derive(Debug)]
-struct Flight {
-    ended: Sender<AttemptOutcome>,
+struct InFlightPart {
+    outcome: Sender<AttemptOutcome>,
     stage: Stage,
-    /// When it was queued.
-    since: Instant,
+    queued_at: Instant,
 }
 
 /// How much of a part's call has been written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
-    /// No byte.
+    /// No byte of the call has been written.
     Queued,
-    /// The first.
+    /// The first byte of the call has been written, but not the last.
     Begun,
-    /// The last: from here on it may be executed.
+    /// The whole call has been written: the store may execute the part.
     Written,
 }
 
 /// An element of the write queue.
 #[derive(Debug)]
 enum Outgoing {
-    /// A part and the number of its call; those of one call are adjacent.
+    /// A part and the number of its call. The parts of a call are adjacent in the queue.
     Part(Part, u64),
     /// A complete frame.
     Frame(Vec<u8>),
 }
 
-/// A part that has not been written.
+/// A part to be written to a link.
 #[derive(Debug)]
 pub struct Part {
-    /// Its id.
+    /// Id of the part on the wire.
     pub id: Rc<str>,
-    /// Its line and its text.
+    /// The encoded part: a line, and the text of the query.
     pub bytes: Vec<u8>,
-    /// The latest time at which it may be written.
-    pub by: Option<Instant>,
-    /// Its query: once that has finished, the part must not be written.
+    /// Time until which the part may be written, if that is limited.
+    pub send_by: Option<Instant>,
+    /// Id of the part's query: once that has finished, the part must not be written.
     pub query_id: QueryId,
 }
 
@@ -92,51 +94,54 @@
     endpoint: Rc<Endpoint>,
     counters: Rc<Counters>,
     exchange: Rc<Exchange>,
-    flights: RefCell<HashMap<Rc<str>, Flight>>,
+    in_flight: RefCell<HashMap<Rc<str>, InFlightPart>>,
     queue: RefCell<VecDeque<Outgoing>>,
     /// Number of the last call.
-    calls: Cell<u64>,
-    /// Recently ended parts: a response to one of them is late or a duplicate, and no error.
-    ended: RefCell<VecDeque<Rc<str>>>,
+    last_call: Cell<u64>,
+    /// Ids of recently ended parts: a response to one of them is late or a duplicate, and no error.
+    recently_ended: RefCell<VecDeque<Rc<str>>>,
+    /// Wakes the link's task when there is something to write or the link may close.
     wake: (Sender<()>, Receiver<()>),
     last_used: Cell<Instant>,
     /// When the last response arrived.
     last_answer_at: Cell<Instant>,
+    /// Whether the link accepts no more parts and closes once it is idle.
     is_closing: Cell<bool>,
     /// Whether a response has been received in part.
     has_partial_answer: Cell<bool>,
-    /// Whether a part was withdrawn while its call was being written, whose remainder must not be sent.
+    /// Whether a part was withdrawn while its call was being written: the remainder of the call must not be sent.
     is_aborted: Cell<bool>,
 }
 
 /// Why a link ended.
 struct Ending {
-    /// Whether the store sent invalid data: its parts may have been executed.
+    /// Whether the store sent invalid data.
     is_corrupt: bool,
-    why: String,
+    /// The reason, for the log.
+    reason: String,
 }
 
 impl Ending {
-    fn disconnected(why: impl Into<String>) -> Self {
-        Self { is_corrupt: false, why: why.into() }
+    fn disconnected(reason: impl Into<String>) -> Self {
+        Self { is_corrupt: false, reason: reason.into() }
     }
 
-    fn corrupt(why: impl ToString) -> Self {
-        Self { is_corrupt: true, why: why.to_string() }
+    fn corrupt(reason: impl ToString) -> Self {
+        Self { is_corrupt: true, reason: reason.to_string() }
     }
 }
 
 impl Link {
-    /// A link to be opened by [`Link::run`].
+    /// Creates a link, which [`Link::run`] then opens.
     pub fn new(endpoint: Rc<Endpoint>, counters: Rc<Counters>, exchange: Rc<Exchange>) -> Rc<Self> {
         Rc::new(Self {
             endpoint,
             counters,
             exchange,
-            flights: RefCell::default(),
+            in_flight: RefCell::default(),
             queue: RefCell::default(),
-            calls: Cell::new(0),
-            ended: RefCell::default(),
+            last_call: Cell::new(0),
+            recently_ended: RefCell::default(),
             wake: async_channel::bounded(1),
             last_used: Cell::new(Instant::now()),
             last_answer_at: Cell::new(Instant::now()),
@@ -146,28 +151,28 @@
         })
     }
 
-    /// Whether it can carry this many more parts. One that was idle for nearly as long as the store permits is not used: a
-    /// call that crosses the store's close would end in a reset. Nor is one with a partial response: should that never be
-    /// completed, the next response would be taken for its remainder.
+    /// Whether the link can carry this many more parts. A link that was idle for nearly as long as the store permits is not used:
+    /// a call sent while the store closes the connection would end in a reset. A link with a partial response is not used
+    /// either: if the response were never completed, the next one would be taken for its remainder.
     pub fn can_carry(&self, parts: usize, limits: &Limits) -> bool {
         !self.is_closing.get()
             && !self.has_partial_answer.get()
-            && self.flights.borrow().len() + parts <= limits.streams
-            && (!self.is_idle() || self.last_used.get().elapsed() < limits.idle)
+            && self.in_flight.borrow().len() + parts <= limits.streams
+            && (!self.is_idle() || self.last_used.get().elapsed() < limits.idle_timeout)
     }
 
-    /// Whether it carries no part and has nothing to write.
+    /// Whether the link carries no part and has nothing to write.
     pub fn is_idle(&self) -> bool {
-        self.flights.borrow().is_empty() && self.queue.borrow().is_empty()
+        self.in_flight.borrow().is_empty() && self.queue.borrow().is_empty()
     }
 
     /// Number of parts in flight.
     pub fn load(&self) -> usize {
-        self.flights.borrow().len()
+        self.in_flight.borrow().len()
     }
 
-    /// Accepts no more parts; closes once idle.
-    pub fn retire(&self) {
+    /// Accepts no more parts, and closes the link once it is idle.
+    pub fn close_when_idle(&self) {
         self.is_closing.set(true);
         self.wake();
     }
@@ -176,61 +181,64 @@
         let _ = self.wake.0.try_send(());
     }
 
-    /// Queues parts that share a call; the outcome of each arrives on its channel.
-    pub fn call(&self, parts: impl IntoIterator<Item = Part>) -> Vec<Receiver<AttemptOutcome>> {
-        self.calls.set(self.calls.get() + 1);
-        parts.into_iter().map(|part| self.join(part)).collect()
+    /// Queues parts that share a call. The outcome of each part arrives on the channel returned for it.
+    pub fn enqueue_call(&self, parts: impl IntoIterator<Item = Part>) -> Vec<Receiver<AttemptOutcome>> {
+        self.last_call.set(self.last_call.get() + 1);
+        parts.into_iter().map(|part| self.enqueue_part(part)).collect()
     }
 
     /// Queues a part for the last call.
-    fn join(&self, part: Part) -> Receiver<AttemptOutcome> {
-        let (send, ended) = async_channel::bounded(1);
+    fn enqueue_part(&self, part: Part) -> Receiver<AttemptOutcome> {
+        let (sender, outcome) = async_channel::bounded(1);
         let id = part.id.clone();
-        // A client may reuse an id while a part of that id is in flight here: its response would be taken for the new part's.
-        if self.flights.borrow().contains_key(&id) {
-            let _ = send.try_send(Outcome::Void.into());
-            return ended;
+        // A client may reuse an id while a part with that id is in flight here, whose response would be taken for that of the
+        // new part.
+        if self.in_flight.borrow().contains_key(&id) {
+            let _ = sender.try_send(Outcome::Void.into());
+            return outcome;
         }
-        self.flights
+        self.in_flight
             .borrow_mut()
-            .insert(id, Flight { ended: send, stage: Stage::Queued, since: Instant::now() });
-        self.queue.borrow_mut().push_back(Outgoing::Part(part, self.calls.get()));
+            .insert(id, InFlightPart { outcome: sender, stage: Stage::Queued, queued_at: Instant::now() });
+        self.queue.borrow_mut().push_back(Outgoing::Part(part, self.last_call.get()));
         self.last_used.set(Instant::now());
         self.wake();
-        ended
+        outcome
     }
 
-    /// Withdraws a part. True if its call was not completely written, so that it never runs; otherwise the store is notified.
+    /// Withdraws a part. Returns true if its call was not completely written, so that it is never executed; otherwise the store
+    /// is notified.
     pub fn withdraw(&self, id: &Rc<str>) -> bool {
         let mut queue = self.queue.borrow_mut();
-        let queued = queue.iter().position(|out| matches!(out, Outgoing::Part(part, _) if part.id == *id));
-        if let Some(at) = queued {
-            queue.remove(at);
-            self.flights.borrow_mut().remove(id);
+        let queued =
+            queue.iter().position(|element| matches!(element, Outgoing::Part(part, _) if part.id == *id));
+        if let Some(index) = queued {
+            queue.remove(index);
+            self.in_flight.borrow_mut().remove(id);
             return true;
         }
-        // The remainder of the call would let the part run beside the next attempt. The link closes.
-        let begun = |flight: &Flight| flight.stage == Stage::Begun;
-        if self.flights.borrow().get(id).is_some_and(begun) {
-            self.flights.borrow_mut().remove(id);
+        // With the remainder of the call, the store would execute the part besides the next attempt. The link closes instead.
+        let has_begun = |part: &InFlightPart| part.stage == Stage::Begun;
+        if self.in_flight.borrow().get(id).is_some_and(has_begun) {
+            self.in_flight.borrow_mut().remove(id);
             self.is_aborted.set(true);
             self.is_closing.set(true);
             return true;
         }
-        queue.push_back(Outgoing::Frame(frame::frame(frame::GIVE_UP, id.as_bytes())));
+        queue.push_back(Outgoing::Frame(frame::frame(frame::WITHDRAW, id.as_bytes())));
         drop(queue);
         self.wake();
         false
     }
 
-    /// Removes a part whose outcome is no longer awaited; `without_answer` if the store failed to answer it.
+    /// Removes a part whose outcome is no longer awaited; `without_answer` if the store failed to answer the part in time.
     pub fn forget(&self, id: &Rc<str>, without_answer: bool, limits: &Limits) {
-        let flight = self.flights.borrow_mut().remove(id);
-        // A connection may become unresponsive though its store is healthy, without any other sign: nothing arrived while
-        // this part was in flight. The next part uses a new connection.
+        let part = self.in_flight.borrow_mut().remove(id);
+        // A connection to a healthy store may become unresponsive with no other sign than that nothing arrived while this part
+        // was in flight. The next part then uses a new connection.
         let was_silent = without_answer
-            && flight.is_some_and(|flight| {
-                flight.stage == Stage::Written && self.last_answer_at.get() < flight.since
+            && part.is_some_and(|part| {
+                part.stage == Stage::Written && self.last_answer_at.get() < part.queued_at
             });
         if was_silent && !self.is_closing.replace(true) {
             count(&self.counters.links_silent);
@@ -240,56 +248,57 @@
         self.wake();
     }
 
+    /// Remembers a part that has ended.
     fn remember(&self, id: Rc<str>, limits: &Limits) {
-        let mut ended = self.ended.borrow_mut();
-        if ended.len() >= limits.streams.saturating_mul(REMEMBERED) {
-            ended.pop_front();
+        let mut recently_ended = self.recently_ended.borrow_mut();
+        if recently_ended.len() >= limits.streams.saturating_mul(REMEMBERED_PER_PART) {
+            recently_ended.pop_front();
         }
-        ended.push_back(id);
+        recently_ended.push_back(id);
     }
 
-    /// Opens the connection and serves it until it ends; true if the store sent invalid data. Without a slot it is not opened,
-    /// which says nothing about the store.
+    /// Opens the connection and serves it until it ends. Returns true if the store sent invalid data. Without a slot the
+    /// connection is not opened, which is no evidence about the store's health.
     pub async fn run(self: Rc<Self>, limits: Rc<Limits>, slot: Option<ConnectionSlot>) -> bool {
-        let full = slot.is_none();
-        let dialled = match slot.is_some() && !faults::point("store.dial") {
+        let lacks_slot = slot.is_none();
+        let connected = match slot.is_some() && !faults::point("store.dial") {
             false => Err(std::io::ErrorKind::ConnectionRefused.into()),
             true => {
                 count(&self.counters.dials);
-                let dial = http::connect(self.endpoint.address.get(), limits.dial);
-                let swept = async {
+                let dial = http::connect(self.endpoint.address.get(), limits.dial_timeout);
+                let recheck = async {
                     loop {
                         Timer::after(writing::RECHECK_INTERVAL).await;
                         self.void_unsendable();
                     }
                 };
-                futures_lite::future::or(dial, swept).await
+                futures_lite::future::or(dial, recheck).await
             }
         };
-        let ending = match dialled {
+        let ending = match connected {
             Ok(socket) => {
                 let _ = socket.get_ref().set_nodelay(true);
                 futures_lite::future::or(self.read(&socket, &limits), self.write(&socket, &limits)).await
             }
-            Err(e) => Ending::disconnected(format!("not opened: {e}")),
+            Err(e) => Ending::disconnected(format!("connecting failed: {e}")),
         };
-        log::debug!(store = self.endpoint.name, reason = ending.why; "connection to a store closed");
+        log::debug!(store = self.endpoint.name, reason = ending.reason; "connection to a store closed");
         if ending.is_corrupt {
             count(&self.counters.bad_frames);
         }
         self.is_closing.set(true);
         self.queue.borrow_mut().clear();
-        let flights = std::mem::take(&mut *self.flights.borrow_mut());
-        for flight in flights.into_values() {
-            // A store that sent invalid data did not restart: `Broken` would make the decision module treat it as warming up.
-            let outcome = match (flight.stage == Stage::Written, ending.is_corrupt) {
+        let in_flight = std::mem::take(&mut *self.in_flight.borrow_mut());
+        for part in in_flight.into_values() {
+            // A store that sent invalid data has not restarted: for `Broken`, the decision module would treat it as warming up.
+            let outcome = match (part.stage == Stage::Written, ending.is_corrupt) {
                 (true, true) => Outcome::Failure,
                 (true, false) => Outcome::Broken,
                 (false, true) => Outcome::Void,
-                (false, false) if full => Outcome::Void,
+                (false, false) if lacks_slot => Outcome::Void,
                 (false, false) => Outcome::Unreachable,
             };
-            let _ = flight.ended.try_send(outcome.into());
+            let _ = part.outcome.try_send(outcome.into());
         }
         ending.is_corrupt
     }
--- a/broker/src/store/mod.rs
+++ b/broker/src/store/mod.rs
@@ -1,5 +1,5 @@
 //! The store side: the known stores ([`Endpoint`]), the connections to them ([`link`]), and the attempts on those
-//! connections ([`attempts`]). Each attempt is a task with its own time-out; its outcome goes to the [`Exchange`].
+//! connections ([`attempts`]). Each attempt is a task with its own time-out that reports its outcome to the [`Exchange`].
 
 pub mod attempts;
 mod capacity;
@@ -25,28 +25,31 @@
 use crate::routes::{BlockOwners, Routes};
 use link::{Limits, Link};
 
-/// Nothing is written to a store so much before the grace after its drain ends: that counts from when discovery told
-/// it, which may be read late, to the first byte, which may leave late. Neither follows from the length of the grace.
-/// Where little or nothing of it remains, what still waits for its connection is placed anew at once, and no more lost.
+/// Safety margin before the end of a store's drain grace period, within which no part is sent to it any more. The grace period
+/// runs from the announcement of the drain by discovery, which this broker may read late, to the first byte of the part, which
+/// may be sent late. Neither delay depends on the length of the grace period. If the margin leaves little or none of the
+/// period, parts that wait for a connection are placed on another store immediately, and no other part is affected.
 const DRAIN_MARGIN: Duration = Duration::from_millis(200);
 
 /// A store, as listed by discovery.
 pub struct Endpoint {
-    /// Its name, the same at every broker.
+    /// Name of the store, the same at every broker.
     pub name: String,
-    /// Where it listens.
+    /// Address at which the store listens.
     pub address: Cell<SocketAddr>,
-    drained: Cell<Option<Instant>>,
-    grace: Duration,
+    /// When this broker learned that the store is draining or removed, if it is.
+    draining_since: Cell<Option<Instant>>,
+    /// How long after that new work may still be sent to it.
+    drain_grace: Duration,
     links: RefCell<Vec<Rc<Link>>>,
-    /// Client of its feature API, if it serves one.
-    features: Option<features::Driver>,
+    /// Client of the store's feature API, if it serves one.
+    features: Option<features::FeatureClient>,
 }
 
 impl Endpoint {
-    /// Whether new work may still be sent to it: it is not draining, or within the grace period.
+    /// Whether new work may still be sent to the store: it is not draining, or it is within the grace period.
     pub fn may_send(&self) -> bool {
-        self.drained.get().is_none_or(|at| at.elapsed() < self.grace)
+        self.draining_since.get().is_none_or(|since| since.elapsed() < self.drain_grace)
     }
 }
 
@@ -66,28 +69,32 @@
     counters: Rc<Counters>,
     limits: Rc<Limits>,
     presence: Rc<Presence>,
-    grace: Duration,
-    /// Listed stores. A removed one exists only in its links, until these have ended.
+    /// How long after the beginning of a drain new work may still be sent to a store, less [`DRAIN_MARGIN`].
+    drain_grace: Duration,
+    /// Listed stores. A removed store is kept alive only by its links, until these have ended.
     endpoints: RefCell<BTreeMap<ServerId, Rc<Endpoint>>>,
+    /// Ids of the listed stores, by name.
     names: RefCell<HashMap<String, ServerId>>,
-    /// The last assigned id; ids are never reused.
-    last_id: Cell<ServerId>,
-    /// Addresses of the feature APIs, by store.
-    offers: HashMap<String, SocketAddr>,
+    /// The next id to be assigned; ids are never reused.
+    next_id: Cell<ServerId>,
+    /// Addresses of the stores' feature APIs, by the name of the store.
+    feature_addresses: HashMap<String, SocketAddr>,
+    /// By attempt in flight, the channel that stops it.
     stops: RefCell<HashMap<AttemptId, Sender<StopReason>>>,
-    /// Attempts to be started at the end of the turn.
-    orders: RefCell<Vec<(AttemptRequest, Receiver<StopReason>)>>,
-    /// The block map, where blocks may move; it needs the ids of stores.
+    /// Attempts to be started at the end of the turn, each with the receiver of its stop channel.
+    queued_attempts: RefCell<Vec<(AttemptRequest, Receiver<StopReason>)>>,
+    /// The block map, where blocks may move; it records the ids of listed stores.
     routes: Option<Rc<Routes>>,
     /// Slots for connections of both kinds, open or being opened.
     slots: Rc<ConnectionSlots>,
-    /// Number of links open or waiting for a slot, and the time of the last corrupt answer.
+    /// Number of links that are open, being opened, or waiting for a slot.
     links: Cell<usize>,
+    /// When a store last sent invalid data.
     last_corruption: Cell<Option<Instant>>,
 }
 
 impl Stores {
-    /// A store side without stores.
+    /// Creates a store side without stores.
     pub fn new(
         executor: Rc<LocalExecutor<'static>>,
         exchange: Rc<Exchange>,
@@ -95,7 +102,7 @@
         limits: Limits,
         presence: Rc<Presence>,
         drain_grace: Duration,
-        offers: HashMap<String, SocketAddr>,
+        feature_addresses: HashMap<String, SocketAddr>,
     ) -> Rc<Self> {
         Rc::new(Self {
             executor,
@@ -105,37 +112,40 @@
             counters,
             limits: Rc::new(limits),
             presence,
-            grace: drain_grace.saturating_sub(DRAIN_MARGIN),
+            drain_grace: drain_grace.saturating_sub(DRAIN_MARGIN),
             endpoints: RefCell::default(),
             names: RefCell::default(),
-            last_id: Cell::new(0),
-            offers,
+            next_id: Cell::new(0),
+            feature_addresses,
             stops: RefCell::default(),
-            orders: RefCell::default(),
+            queued_attempts: RefCell::default(),
             links: Cell::new(0),
             last_corruption: Cell::new(None),
         })
     }
 
-    /// Adds or updates a listed store; returns the core's id of it.
+    /// Adds or updates a listed store; returns the core's id of the store.
     pub fn upsert(&self, name: &str, address: SocketAddr, ready: bool) -> ServerId {
         let mut endpoints = self.endpoints.borrow_mut();
         let id = *self.names.borrow_mut().entry(name.to_owned()).or_insert_with(|| {
-            let id = self.last_id.replace(self.last_id.get() + 1);
+            let id = self.next_id.replace(self.next_id.get() + 1);
             let endpoint = Rc::new(Endpoint {
                 name: name.to_owned(),
                 address: Cell::new(address),
-                drained: Cell::new(None),
-                grace: self.grace,
+                draining_since: Cell::new(None),
+                drain_grace: self.drain_grace,
                 links: RefCell::default(),
-                features: self.offers.get(name).map(|at| features::Driver::new(*at, &self.limits)),
+                features: self
+                    .feature_addresses
+                    .get(name)
+                    .map(|address| features::FeatureClient::new(*address, &self.limits)),
             });
             endpoints.insert(id, endpoint);
             id
         });
         if let Some(endpoint) = endpoints.get(&id) {
             if endpoint.address.replace(address) != address {
-                endpoint.links.borrow().iter().for_each(|link| link.retire());
+                endpoint.links.borrow().iter().for_each(|link| link.close_when_idle());
             }
             set_ready(endpoint, ready);
         }
@@ -145,27 +155,27 @@
         id
     }
 
-    /// Takes the owner changes of blocks that the core has not seen.
+    /// Takes the changes of block owners that have not been reported to the core.
     pub fn take_block_owner_changes(&self) -> BlockOwners {
         self.routes.as_ref().map(|routes| routes.take_owner_changes()).unwrap_or_default()
     }
 
-    /// A store's address, and whether it accepts new work.
+    /// A store's address, and whether the store accepts new work.
     pub fn address_and_readiness(&self, name: &str) -> Option<(SocketAddr, bool)> {
         let id = *self.names.borrow().get(name)?;
         let endpoints = self.endpoints.borrow();
-        endpoints.get(&id).map(|endpoint| (endpoint.address.get(), endpoint.drained.get().is_none()))
+        endpoints.get(&id).map(|endpoint| (endpoint.address.get(), endpoint.draining_since.get().is_none()))
     }
 
-    /// The names of all stores known.
+    /// The names of all listed stores, sorted.
     pub fn names(&self) -> Vec<String> {
         let mut names: Vec<String> = self.names.borrow().keys().cloned().collect();
         names.sort_unstable();
         names
     }
 
-    /// Removes a store; returns the id that it had. Stores are replaced under new names all the time, so the table must not
-    /// keep old ones.
+    /// Removes a store; returns the id that it had. Nothing of it may stay in the tables: they would grow without bound, since
+    /// stores are constantly replaced by others with new names.
     pub fn remove(&self, name: &str) -> Option<ServerId> {
         let id = self.names.borrow_mut().remove(name)?;
         if let Some(routes) = &self.routes {
@@ -177,7 +187,7 @@
         Some(id)
     }
 
-    /// Removes all stores but these.
+    /// Removes all stores except the listed ones.
     pub fn retain(&self, listed: &[ServerId]) {
         let removed = |(id, endpoint): (&ServerId, &Rc<Endpoint>)| {
             (!listed.contains(id)).then(|| endpoint.name.clone())
@@ -193,7 +203,7 @@
         self.endpoints.borrow().len()
     }
 
-    /// Number of links open or being opened.
+    /// Number of links that are open, being opened, or waiting for a slot.
     pub fn link_count(&self) -> usize {
         self.links.get()
     }
@@ -206,7 +216,12 @@
     /// Closes the idle connections to a store.
     pub fn close_idle_links(&self, server: ServerId) {
         if let Some(endpoint) = self.endpoints.borrow().get(&server) {
-            endpoint.links.borrow().iter().filter(|link| link.is_idle()).for_each(|link| link.retire());
+            endpoint
+                .links
+                .borrow()
+                .iter()
+                .filter(|link| link.is_idle())
+                .for_each(|link| link.close_when_idle());
         }
     }
 
@@ -218,13 +233,14 @@
     }
 }
 
+/// Records whether a store accepts new work; the beginning of a drain closes its links once they are idle.
 fn set_ready(endpoint: &Endpoint, ready: bool) {
-    match (ready, endpoint.drained.get()) {
-        (true, _) => endpoint.drained.set(None),
+    match (ready, endpoint.draining_since.get()) {
+        (true, _) => endpoint.draining_since.set(None),
         (false, None) => {
-            endpoint.drained.set(Some(Instant::now()));
-            // Each closes once it carries nothing.
-            endpoint.links.borrow().iter().for_each(|link| link.retire());
+            endpoint.draining_since.set(Some(Instant::now()));
+            // Each link closes once it carries no part.
+            endpoint.links.borrow().iter().for_each(|link| link.close_when_idle());
         }
         (false, Some(_)) => {}
     }
--- a/broker/tests/calls.rs
+++ b/broker/tests/calls.rs
@@ -81,7 +81,7 @@
         assert_eq!(peer.call().await, ids(&[0, 1, 2]));
         rig.stop(1);
         for part in ["q.1", "q.0"] {
-            assert_eq!(peer.frame().await, Some((frame::GIVE_UP, part.as_bytes().to_vec())));
+            assert_eq!(peer.frame().await, Some((frame::WITHDRAW, part.as_bytes().to_vec())));
         }
         peer.answer("q.2").await;
         let expected =
--- a/broker/tests/common/mod.rs
+++ b/broker/tests/common/mod.rs
@@ -40,7 +40,7 @@
     /// With room for so many queries and parts.
     pub fn new(open_most: usize) -> Self {
         let second = Duration::from_secs(1);
-        let limits = Limits { streams: 32, batch: 1, links: 64, dial: second, idle: second };
+        let limits = Limits { streams: 32, batch: 1, links: 64, dial_timeout: second, idle_timeout: second };
         Self::within(open_most, limits, second)
     }
 
--- a/broker/tests/common/rig.rs
+++ b/broker/tests/common/rig.rs
@@ -65,7 +65,7 @@
 impl Rig {
     pub fn new(streams: usize, batch: usize, grace_ms: u64) -> Self {
         let second = Duration::from_secs(1);
-        let limits = Limits { streams, batch, links: 64, dial: second, idle: second };
+        let limits = Limits { streams, batch, links: 64, dial_timeout: second, idle_timeout: second };
         Self::within(limits, grace_ms, false)
     }
 
@@ -120,7 +120,7 @@
     /// A turn that sends these parts.
     pub fn turn(&self, parts: impl IntoIterator<Item = u64>) {
         parts.into_iter().for_each(|part| self.sides.stores.send(self.order(part, LONG)));
-        self.sides.stores.turn_over();
+        self.sides.stores.end_turn();
     }
 
     pub fn stop(&self, part: u64) {
--- a/broker/tests/core.rs
+++ b/broker/tests/core.rs
@@ -82,7 +82,7 @@
     let first = core.turn(5.0, [good(sent[0].attempt, 1, b"a")]);
     assert!(finals(&first).is_empty());
     let end = finals(&core.turn(6.0, [good(sent[1].attempt, 2, b"b"), good(sent[1].attempt, 2, b"again")]));
-    let [FinalAnswer::Answered { whole: true, values }] = &end[..] else { panic!("{end:?}") };
+    let [FinalAnswer::Answered { is_complete: true, values }] = &end[..] else { panic!("{end:?}") };
     let shards: Vec<u32> = values.iter().map(|(shard, _)| *shard).collect();
     assert_eq!(shards, [0, 2]);
     assert!(core.turn(7.0, [good(sent[0].attempt, 1, b"late")]).is_empty());
@@ -99,9 +99,9 @@
     second.sort_by_key(|order| order.shard);
     assert_eq!(second.iter().map(|order| order.shard).collect::<Vec<_>>(), [0, 2]);
     let first = second[0].first_step.as_ref().unwrap();
-    assert_eq!((&first.from[..], first.whole), (&[0, 1, 2][..], true));
+    assert_eq!((&first.answered_shards[..], first.is_complete), (&[0, 1, 2][..], true));
     let ends = second.iter().map(|order| good(order.attempt, 0, b"y")).collect::<Vec<_>>();
-    assert!(matches!(&finals(&core.turn(3.0, ends))[..], [FinalAnswer::Answered { whole: true, .. }]));
+    assert!(matches!(&finals(&core.turn(3.0, ends))[..], [FinalAnswer::Answered { is_complete: true, .. }]));
 }
 
 #[test]
--- a/broker/tests/descriptions.rs
+++ b/broker/tests/descriptions.rs
@@ -88,9 +88,9 @@
     let api: Value = serde_json::from_str(ASYNC_API).unwrap();
     assert!(api["asyncapi"].as_str().unwrap().starts_with("3."));
     let sent = letters(&api, "sendToStore");
-    assert_eq!(sent, [frame::CALL, frame::GIVE_UP].into());
+    assert_eq!(sent, [frame::CALL, frame::WITHDRAW].into());
     let received = letters(&api, "receiveFromStore");
-    assert_eq!(received, [frame::PROBE, frame::LOAD, frame::ANSWER, frame::COMPLAINT].into());
+    assert_eq!(received, [frame::PROBE, frame::LOAD_PROBE, frame::ANSWER, frame::PROTOCOL_ERROR].into());
     for letter in b'a'..=b'z' {
         let known = frame::parse(letter, b"a.1 good 1 -\n").is_ok() || frame::parse(letter, b"-").is_ok();
         assert_eq!(known, received.contains(&letter), "letter {}", char::from(letter));
--- a/broker/tests/drawn/answers.rs
+++ b/broker/tests/drawn/answers.rs
@@ -27,18 +27,18 @@
             return hold(known == step, "second step", || said("two first steps"));
         }
         let inside = |shard: &u32| record.first.iter().find(|p| p.shard == *shard && !p.given.is_empty());
-        let named: Vec<&Piece> = step.from.iter().filter_map(inside).collect();
-        hold(named.len() == step.from.len(), "honest", || said("a shard is named that is not in"))?;
-        let mut twice = step.from.clone();
+        let named: Vec<&Piece> = step.answered_shards.iter().filter_map(inside).collect();
+        hold(named.len() == step.answered_shards.len(), "honest", || said("a shard is named that is not in"))?;
+        let mut twice = step.answered_shards.clone();
         twice.sort_unstable();
         twice.dedup();
-        hold(twice.len() == step.from.len(), "honest", || said("a shard is named twice"))?;
+        hold(twice.len() == step.answered_shards.len(), "honest", || said("a shard is named twice"))?;
         let weight: f64 = named.iter().map(|piece| piece.weight).sum();
         hold(weight >= class.minimum_share - ROUNDING, "honest", || {
             said("the first step is below its floor")
         })?;
         let whole = weight >= class.required_share - ROUNDING;
-        hold(whole || !step.whole, "honest", || said("the first step is not whole"))?;
+        hold(whole || !step.is_complete, "honest", || said("the first step is not whole"))?;
         let mut best: Vec<&Piece> = named.clone();
         best.sort_by_key(|piece| std::cmp::Reverse(piece.score));
         best.truncate(class.follow_up_parts as usize);
@@ -73,7 +73,7 @@
                 let harmless = class.repeat != Repeat::Unsafe || !ran;
                 hold(harmless, "effect", || said("refused, and may have run"))?;
             }
-            FinalAnswer::Answered { whole, values } => {
+            FinalAnswer::Answered { is_complete, values } => {
                 let mut weight = 0.0;
                 for (at, (shard, value)) in values.iter().enumerate() {
                     let given = pieces.iter().find(|piece| piece.shard == *shard);
@@ -93,8 +93,8 @@
                 };
                 hold(weight >= floor - ROUNDING, "honest", || said("below its floor"))?;
                 let need = if second.is_some() { 1.0 } else { class.required_share };
-                let first = second.is_none_or(|(step, _)| step.whole);
-                let right = !whole || (first && weight >= need - ROUNDING);
+                let first = second.is_none_or(|(step, _)| step.is_complete);
+                let right = !is_complete || (first && weight >= need - ROUNDING);
                 hold(right, "honest", || said("marked whole"))?;
             }
         }
--- a/broker/tests/drawn/tally.rs
+++ b/broker/tests/drawn/tally.rs
@@ -58,7 +58,7 @@
 
     pub fn finished(&mut self, last: &FinalAnswer) {
         self.met(match last {
-            FinalAnswer::Answered { whole: true, .. } => "whole answers",
+            FinalAnswer::Answered { is_complete: true, .. } => "whole answers",
             FinalAnswer::Answered { .. } => "answers in part",
             FinalAnswer::Refused { .. } => "refusals",
             FinalAnswer::Failed => "failures",
--- a/broker/tests/golden.rs
+++ b/broker/tests/golden.rs
@@ -20,7 +20,7 @@
 use gingerledge::handover::{Other, Presence};
 use gingerledge::http::{self, parse_head, Head};
 use gingerledge::rotation::{DisabledStores, Rotation};
-use gingerledge::store::frame::{self, End, Frame};
+use gingerledge::store::frame::{self, Frame, PartOutcome};
 use gingerledge::subsystem::{self, Host, Subsystem};
 use gingerledge_blocks::*;
 use gingerledge_golden::{compare, read, Sample};
@@ -261,13 +261,13 @@
 
 #[test]
 fn frames_are_what_they_were() {
-    let letters = [frame::CALL, frame::GIVE_UP, frame::PROBE, frame::LOAD, frame::ANSWER, frame::COMPLAINT];
+    let letters = [frame::CALL, frame::WITHDRAW, frame::PROBE, frame::LOAD_PROBE, frame::ANSWER, frame::PROTOCOL_ERROR];
     let parts = [frame::part("q.3", 3, "k=abc", b"c41e"), frame::part("q.4", 4, "-", b"")].concat();
     let call = frame::frame(frame::CALL, &parts);
     let answers = [
-        ("good", "q.3 good 17 util=0.5,queue=3\nvalue", End::Good, 17, vec![0.5, 3.0], None),
-        ("bad", "q.3 bad - -\n", End::Bad, 0, vec![], None),
-        ("later", "q.3 later 0 epoch=4294967297\n", End::Later, 0, vec![], Some(4_294_967_297)),
+        ("good", "q.3 good 17 util=0.5,queue=3\nvalue", PartOutcome::Served, 17, vec![0.5, 3.0], None),
+        ("bad", "q.3 bad - -\n", PartOutcome::Failed, 0, vec![], None),
+        ("later", "q.3 later 0 epoch=4294967297\n", PartOutcome::Rejected, 0, vec![], Some(4_294_967_297)),
     ];
     let path = file("frames.txt");
     let mut samples = vec![Sample::new("letters", letters), Sample::new("call", call)];
@@ -276,18 +276,18 @@
     }
     compare(&path, &samples);
     let recorded = read(&path);
-    for (name, _, end, score, report, newer) in answers {
+    for (name, _, outcome, score, report, newer_epoch) in answers {
         let (letter, rest, length) = frame::split(&recorded[name]).unwrap().unwrap();
         assert_eq!(length, recorded[name].len());
         let value: &[u8] = if name == "good" { b"value" } else { b"" };
-        let expected = Frame::Answer { id: "q.3", end, score, report, newer, value };
+        let expected = Frame::Answer { id: "q.3", outcome, score, report, newer_epoch, value };
         assert!(frame::parse(letter, rest).unwrap() == expected, "{name}");
     }
     let (letter, rest, _) = frame::split(&recorded["call"]).unwrap().unwrap();
     assert_eq!(frame::frame(letter, rest), recorded["call"]);
     assert!(frame::parse(b'p', b"util=0.5").unwrap() == Frame::Loaded(vec![0.5]));
     assert!(frame::parse(b'o', b"").unwrap() == Frame::Probed);
-    assert!(frame::parse(b'r', b"no").unwrap() == Frame::Complaint(b"no"));
+    assert!(frame::parse(b'r', b"no").unwrap() == Frame::ProtocolError(b"no"));
 }
 
 #[test]
--- a/broker/tests/parsers.rs
+++ b/broker/tests/parsers.rs
@@ -137,11 +137,11 @@
     };
     cuts(&stream, read);
     let taken = read(&[&stream]);
-    let Ok(Frame::Answer { id, end, score, report, value, .. }) = frame::parse(taken[0].0, &taken[0].1)
+    let Ok(Frame::Answer { id, outcome, score, report, value, .. }) = frame::parse(taken[0].0, &taken[0].1)
     else {
         panic!("not an answer: {taken:?}")
     };
-    assert_eq!((id, end, score, value), ("9b1f.3", frame::End::Good, 1_840_277_719, &b"value"[..]));
+    assert_eq!((id, outcome, score, value), ("9b1f.3", frame::PartOutcome::Served, 1_840_277_719, &b"value"[..]));
     assert_eq!(report, [7.0, 0.61]);
     garbage(&stream, |bytes| {
         if let Ok(Some((letter, rest, length))) = frame::split(bytes) {
--- a/testkit/broker/src/scripted.rs
+++ b/testkit/broker/src/scripted.rs
@@ -428,7 +428,7 @@
             while let Some((letter, rest, length)) = frame::split(&buffer).unwrap() {
                 let rest = rest.to_vec();
                 buffer.drain(..length);
-                if letter == frame::GIVE_UP {
+                if letter == frame::WITHDRAW {
                     self.given_up.borrow_mut().push(String::from_utf8(rest).unwrap());
                     continue;
                 }
--- a/testkit/broker/src/store.rs
+++ b/testkit/broker/src/store.rs
@@ -92,7 +92,7 @@
                 let id = String::from_utf8_lossy(id).into_owned();
                 self.ledger.note(self.who, Deed::Began(self.store, id));
             }
-            frame::PROBE | frame::LOAD => self.ledger.note(self.who, Deed::Probed(self.store)),
+            frame::PROBE | frame::LOAD_PROBE => self.ledger.note(self.who, Deed::Probed(self.store)),
             _ => {}
         }
     }
@@ -286,7 +286,7 @@
         match letter {
             frame::CALL => store.part(&rest).await,
             frame::PROBE => Some(frame::frame(frame::PROBE, b"good")),
-            frame::LOAD => Some(frame::frame(frame::LOAD, b"-")),
+            frame::LOAD_PROBE => Some(frame::frame(frame::LOAD_PROBE, b"-")),
             wire::ORDER => {
                 let word = store.order(&wire::unpack(&rest)?)?;
                 Some(frame::frame(wire::WORD, &wire::pack(&word)))
--- a/testkit/broker/src/strict.rs
+++ b/testkit/broker/src/strict.rs
@@ -188,7 +188,7 @@
             frame::CALL => {
                 let Some(calls) = calls(rest) else {
                     witness.breach(self.by, format!("store {}: a call that can't be read", strict.store));
-                    reply(frame::frame(frame::COMPLAINT, b"a call that can't be read"));
+                    reply(frame::frame(frame::PROTOCOL_ERROR, b"a call that can't be read"));
                     return None;
                 };
                 for shared in calls.chunks(site.stores.batch) {
@@ -205,12 +205,12 @@
                     }
                 }
             }
-            frame::GIVE_UP => {
+            frame::WITHDRAW => {
                 witness.given_up(self.number, Some(&String::from_utf8_lossy(rest)));
             }
-            frame::PROBE | frame::LOAD => {
+            frame::PROBE | frame::LOAD_PROBE => {
                 witness.ledger.note(self.by, Deed::Probed(strict.store));
-                let load = letter == frame::LOAD;
+                let load = letter == frame::LOAD_PROBE;
                 let told = match load && site.rules.probes && site.stores.report == By::Probe {
                     true => strict.report(),
                     false => if load { "-" } else { "good" }.to_owned(),
--- a/testkit/broker/tests/strict.rs
+++ b/testkit/broker/tests/strict.rs
@@ -8,7 +8,7 @@
 use async_io::Async;
 use futures_lite::AsyncReadExt;
 use gingerledge::http::write_all;
-use gingerledge::store::frame::{self, CALL, GIVE_UP, LOAD, PROBE};
+use gingerledge::store::frame::{self, CALL, LOAD_PROBE, PROBE, WITHDRAW};
 use gingerledge_testkit::fleet::ledger::{Deed, Line};
 use gingerledge_testkit::fleet::pause;
 use gingerledge_testkit::site::Repeat;
@@ -90,7 +90,7 @@
                         }
                         open.push(hand);
                     }
-                    GiveUp(id) => open.last().unwrap().send(GIVE_UP, id).await,
+                    GiveUp(id) => open.last().unwrap().send(WITHDRAW, id).await,
                 }
             }
             // What waits to be judged has been after this.
@@ -185,8 +185,8 @@
         assert_eq!(ledger.count(Duration::ZERO, ran), 1);
         other.send(PROBE, "").await;
         assert_eq!(other.next().await, Some((PROBE, "good".to_owned())));
-        other.send(LOAD, "").await;
-        assert_eq!(other.next().await, Some((LOAD, "-".to_owned())), "reports come in answers here");
+        other.send(LOAD_PROBE, "").await;
+        assert_eq!(other.next().await, Some((LOAD_PROBE, "-".to_owned())), "reports come in answers here");
         assert_eq!(ledger.seen(), Vec::<String>::new());
     });
 }
