--- a/broker/src/front/server.rs
+++ b/broker/src/front/server.rs
@@ -19,7 +19,7 @@
 use crate::handover::{Other, Presence};
 use crate::http::Fault;
 use crate::lifecycle::Lifecycle;
-use crate::limits::{Clients, ConnectionSlot, ConnectionSlots};
+use crate::limits::{ClientBudget, ConnectionSlot, ConnectionSlots};
 
 /// Delay after a failed accept, such as for a lack of descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
@@ -37,7 +37,7 @@
     counters: Rc<Counters>,
     executor: Rc<LocalExecutor<'static>>,
     waits: Waits,
-    clients: Clients,
+    clients: ClientBudget,
     slots: Rc<ConnectionSlots>,
     /// Number of requests in progress.
     open: Cell<usize>,
@@ -73,7 +73,7 @@
         counters: &Rc<Counters>,
         executor: &Rc<LocalExecutor<'static>>,
         waits: Waits,
-        clients: Clients,
+        clients: ClientBudget,
         bodies: usize,
     ) -> Rc<Self> {
         Rc::new(Self {
@@ -84,7 +84,7 @@
             executor: executor.clone(),
             waits,
             clients,
-            slots: ConnectionSlots::new(clients.all()),
+            slots: ConnectionSlots::new(clients.hard_limit()),
             open: Cell::new(0),
             bodies: BodyMemory::new(bodies, presence),
             connection_limit: ConnectionLimit::default(),
@@ -140,8 +140,10 @@
                 return slot;
             }
             self.connection_limit.evict_closing();
-            let excess =
-                self.slots.taken().saturating_sub(self.clients.most + self.connection_limit.closing_count());
+            let excess = self
+                .slots
+                .taken()
+                .saturating_sub(self.clients.soft_limit + self.connection_limit.closing_count());
             for _ in 0..excess {
                 self.connection_limit.evict_idle();
             }
@@ -154,7 +156,7 @@
 
     fn spawn_connection(self: Rc<Self>, socket: Async<std::net::TcpStream>, slot: ConnectionSlot) {
         count(&self.counters.connections);
-        if self.slots.taken() > self.clients.most {
+        if self.slots.taken() > self.clients.soft_limit {
             self.connection_limit.evict_idle();
         }
         let (this, connection) = (self.clone(), self.lifecycle.connection());
@@ -229,7 +231,7 @@
 
     fn on_request(&self, client: Client, request: Result<Request, NoRequest>, last: bool) -> Next {
         let fault = match request {
-            Ok(_) if self.open.get() >= self.clients.most => NoRequest::NoCapacity,
+            Ok(_) if self.open.get() >= self.clients.soft_limit => NoRequest::NoCapacity,
             Ok(request) => {
                 count(&self.counters.requests);
                 return Next::Request(client, request, last);
--- a/broker/src/limits.rs
+++ b/broker/src/limits.rs
@@ -1,129 +1,137 @@
-//! The division of the file descriptors under `limits.sockets`: how many each side of the broker may hold. The sum never
-//! exceeds the limit, also while two processes of this broker run (`broker/tests/descriptors.rs`), so that no side can starve
-//! another: idle clients leave descriptors for discovery and for connections to stores.
+//! Divides the file descriptors under `limits.sockets` among the sides of the broker: clients, stores, discovery, the admin
+//! endpoint and block transfers. The sum never exceeds the limit, also while two processes of this broker run
+//! (`broker/tests/descriptors.rs`), so that no side can starve another: idle clients leave descriptors for discovery and for
+//! connections to stores.
 //!
-//! A side that has used up its part waits for a slot of its own ([`ConnectionSlots`]) and never connects without one.
+//! A side that has used up its share waits for one of its own slots ([`ConnectionSlots`]) and never connects without one.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
 use event_listener::Event;
 
-/// What the process holds besides: standard streams (3), the reactor's own (3), signals (2), the listeners of two fronts and
-/// of the operators' door (3), the listener that it was started with (1), its place among the processes (2), brokers' datagrams
-/// (1), and files that are open for a moment (3), with 2 to spare.
+/// Descriptors of the process itself: standard streams (3), the reactor (3), signals (2), the listeners of two fronts and of the
+/// admin endpoint (3), the inherited listener (1), the presence files of the two processes (2), the datagram socket between
+/// brokers (1), and files that are open briefly (3), with 2 spare.
 const PROCESS: usize = 20;
-/// One call of discovery, and the next while the one before is being closed.
+/// Descriptors of discovery: one call, and the next one while the one before is being closed.
 const DISCOVERY: usize = 2;
-/// Where blocks move: the log, the lease, their folder, a file about to take another's place.
+/// Additional files where blocks may move: the log, the lease, their directory, and a new file that is about to replace another.
 const BLOCK_FILES: usize = 4;
-/// Clients of all fronts may hold one in so many of all descriptors. The platform's clients open a third at most and count
-/// those that they keep: with as many left open they could ask nothing more until some are closed.
-const CLIENTS_SHARE: usize = 4;
-/// Beside them, one in so many of that for connections that are being ended, and for who comes meanwhile.
-const ENDING_SHARE: usize = 4;
-/// More client connections than this are of no use to a broker of one core.
-const CLIENTS_MOST: usize = 512;
-/// Connections to stores hold one in so many.
-const STORES_SHARE: usize = 4;
-/// Operators' calls, open and being ended, hold one in so many, between these.
-const ADMIN_SHARE: usize = 16;
-const ADMIN: std::ops::RangeInclusive<usize> = 2..=32;
-/// Orders and copies to stores, where blocks move, hold one in so many.
-const BLOCKS_SHARE: usize = 8;
+/// The clients of all fronts may hold one in this many of all descriptors. The platform's clients open a third of the
+/// descriptors at most, and count the connections that they keep open: if the broker left that many open, the clients could
+/// send no further request until some are closed.
+const CLIENTS_DIVISOR: usize = 4;
+/// In addition, one in this many of a front's clients for connections that are being closed, and for clients that connect
+/// meanwhile.
+const CLOSING_DIVISOR: usize = 4;
+/// Maximum number of the platform's client connections; a broker, which uses one core, has no use for more.
+const CLIENTS_MAX: usize = 512;
+/// Connections to stores may hold one in this many of all descriptors.
+const STORES_DIVISOR: usize = 4;
+/// Admin calls, open or being closed, may hold one in this many of the process's descriptors, within [`ADMIN_RANGE`].
+const ADMIN_DIVISOR: usize = 16;
+const ADMIN_RANGE: std::ops::RangeInclusive<usize> = 2..=32;
+/// Orders and copies to stores, where blocks may move, may hold one in this many of the remaining descriptors.
+const BLOCKS_DIVISOR: usize = 8;
 
 /// The inputs of a [`Budget`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BudgetRequest {
-    /// `limits.sockets`: for all processes of this broker together.
+    /// The setting `limits.sockets`: maximum number of descriptors of all processes of this broker together.
     pub sockets: usize,
-    /// What the system lets this process hold, if it says.
-    pub allowed: Option<usize>,
-    /// Whether another process of this broker may be there: the listener is one that both were given.
-    pub shared: bool,
-    /// How many clients the feature front would have, if there is one.
-    pub features: Option<usize>,
-    /// Whether there is a door for operators.
-    pub admin: bool,
-    /// Whether blocks move.
-    pub blocks: bool,
+    /// The system's limit on the descriptors of this process, if it is known.
+    pub process_limit: Option<usize>,
+    /// Whether another process of this broker may run: both inherit the same listener.
+    pub is_shared: bool,
+    /// Number of clients that the feature front is set up for, if there is one.
+    pub feature_clients: Option<usize>,
+    /// Whether there is an admin endpoint.
+    pub has_admin: bool,
+    /// Whether blocks may move.
+    pub has_blocks: bool,
 }
 
-/// A front's part.
+/// The share of a front's clients.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Clients {
-    /// With more connections than this, those on which nothing is asked make room; no more requests are open at once.
-    pub most: usize,
-    /// So many more may be there for the moment in which others are being ended.
-    pub ending: usize,
+pub struct ClientBudget {
+    /// Number of connections above which idle ones are closed; also the maximum number of open requests.
+    pub soft_limit: usize,
+    /// Number of further connections that are accepted while others are being closed.
+    pub closing_reserve: usize,
 }
 
-impl Clients {
-    /// No more connections are accepted than this.
-    pub fn all(self) -> usize {
-        self.most + self.ending
+impl ClientBudget {
+    /// Maximum number of accepted connections.
+    pub fn hard_limit(self) -> usize {
+        self.soft_limit + self.closing_reserve
     }
 }
 
-/// The parts.
+/// The division of the descriptors: the share of each side of the broker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Budget {
-    /// The process itself and its files.
+    /// Descriptors of the process itself and its files.
     pub process: usize,
-    /// Calls of discovery.
+    /// Calls to the discovery service.
     pub discovery: usize,
-    /// Operators' calls, open and being ended.
+    /// Calls to the admin endpoint, open or being closed.
     pub admin: usize,
-    /// The platform's clients.
-    pub platform: Clients,
-    /// The feature front's clients.
-    pub features: Clients,
-    /// Connections to stores, of both forms, open or being opened.
+    /// Clients of the platform front.
+    pub platform: ClientBudget,
+    /// Clients of the feature front.
+    pub features: ClientBudget,
+    /// Connections to stores, both links and connections to feature APIs, open or being opened.
     pub stores: usize,
-    /// Orders and copies to stores, where blocks move.
+    /// Orders and copies to stores, where blocks may move.
     pub blocks: usize,
 }
 
 impl Budget {
     /// Divides the descriptors.
-    pub fn of(wants: BudgetRequest) -> Self {
-        let processes = if wants.shared { 2 } else { 1 };
-        let own = (wants.sockets / processes).min(wants.allowed.unwrap_or(usize::MAX));
-        let files = if wants.blocks { BLOCK_FILES } else { 0 };
+    pub fn new(request: BudgetRequest) -> Self {
+        let processes = if request.is_shared { 2 } else { 1 };
+        let own = (request.sockets / processes).min(request.process_limit.unwrap_or(usize::MAX));
+        let files = if request.has_blocks { BLOCK_FILES } else { 0 };
         let process = PROCESS + files;
-        let admin = if wants.admin { (own / ADMIN_SHARE).clamp(*ADMIN.start(), *ADMIN.end()) } else { 0 };
+        let admin = if request.has_admin {
+            (own / ADMIN_DIVISOR).clamp(*ADMIN_RANGE.start(), *ADMIN_RANGE.end())
+        } else {
+            0
+        };
         let rest = own.saturating_sub(process + DISCOVERY + admin);
-        let blocks = if wants.blocks { (rest / BLOCKS_SHARE).max(1) } else { 0 };
+        let blocks = if request.has_blocks { (rest / BLOCKS_DIVISOR).max(1) } else { 0 };
         let rest = rest.saturating_sub(blocks);
-        // Of what is left, four parts in seven for clients, one for those being ended, and two for stores, where the shares of
-        // the whole are not less; stores may have what those shares leave.
-        let clients = (wants.sockets / CLIENTS_SHARE).min(rest * 4 / 7).max(1);
-        let front = |most: usize| Clients { most, ending: most / ENDING_SHARE };
-        let features = wants.features.map_or(0, |wanted| wanted.min(clients / 2).max(1));
-        let platform = clients.saturating_sub(features).clamp(1, CLIENTS_MOST);
+        // The rest is divided into sevenths: four for clients, one for client connections that are being closed, and two for
+        // stores. The shares of all descriptors are upper bounds on these; stores may use what the other shares leave.
+        let clients = (request.sockets / CLIENTS_DIVISOR).min(rest * 4 / 7).max(1);
+        let front =
+            |soft_limit: usize| ClientBudget { soft_limit, closing_reserve: soft_limit / CLOSING_DIVISOR };
+        let features = request.feature_clients.map_or(0, |requested| requested.min(clients / 2).max(1));
+        let platform = clients.saturating_sub(features).clamp(1, CLIENTS_MAX);
         let (platform, features) = (front(platform), front(features));
-        let left = rest.saturating_sub(platform.all() + features.all());
-        let stores = (wants.sockets / STORES_SHARE / processes).min(left).max(1);
+        let left = rest.saturating_sub(platform.hard_limit() + features.hard_limit());
+        let stores = (request.sockets / STORES_DIVISOR / processes).min(left).max(1);
         Self { process, discovery: DISCOVERY, admin, platform, features, stores, blocks }
     }
 
-    /// All parts together.
+    /// Sum of all shares.
     pub fn sum(&self) -> usize {
         let Self { process, discovery, admin, platform, features, stores, blocks } = self;
-        process + discovery + admin + platform.all() + features.all() + stores + blocks
+        process + discovery + admin + platform.hard_limit() + features.hard_limit() + stores + blocks
     }
 }
 
-/// What the system lets this process hold.
-pub fn allowed() -> Option<usize> {
-    let limit = rustix::process::getrlimit(rustix::process::Resource::Nofile);
-    limit.current.and_then(|most| most.try_into().ok())
+/// The system's limit on the number of descriptors of this process, if there is one.
+pub fn process_limit() -> Option<usize> {
+    let limits = rustix::process::getrlimit(rustix::process::Resource::Nofile);
+    limits.current.and_then(|limit| limit.try_into().ok())
 }
 
 /// A bounded number of connections; each connection holds a slot.
 #[derive(Debug)]
 pub struct ConnectionSlots {
-    most: usize,
+    capacity: usize,
     taken: Cell<usize>,
     freed: Event,
 }
@@ -140,9 +148,9 @@
 }
 
 impl ConnectionSlots {
-    /// A bound of `most` connections.
-    pub fn new(most: usize) -> Rc<Self> {
-        Rc::new(Self { most, taken: Cell::new(0), freed: Event::new() })
+    /// Creates slots for at most `capacity` connections.
+    pub fn new(capacity: usize) -> Rc<Self> {
+        Rc::new(Self { capacity, taken: Cell::new(0), freed: Event::new() })
     }
 
     /// Number of slots in use.
@@ -152,8 +160,8 @@
 
     /// Acquires a slot, if one is free.
     pub fn try_acquire(self: &Rc<Self>) -> Option<ConnectionSlot> {
-        let free = self.taken.get() < self.most;
-        free.then(|| {
+        let has_free = self.taken.get() < self.capacity;
+        has_free.then(|| {
             self.taken.set(self.taken.get() + 1);
             ConnectionSlot(self.clone())
         })
--- a/broker/src/service.rs
+++ b/broker/src/service.rs
@@ -27,7 +27,7 @@
 use crate::front::{Server, Service};
 use crate::handover::{self, Other, Presence};
 use crate::lifecycle::Lifecycle;
-use crate::limits::{self, Budget, BudgetRequest, Clients};
+use crate::limits::{self, Budget, BudgetRequest, ClientBudget};
 use crate::readiness::become_ready;
 use crate::rotation::Rotation;
 use crate::routes::Routes;
@@ -123,13 +123,13 @@
 }
 
 fn descriptor_budget(config: &Config) -> Budget {
-    Budget::of(BudgetRequest {
+    Budget::new(BudgetRequest {
         sockets: config.sockets,
-        allowed: limits::allowed(),
-        shared: config.listener.is_some(),
-        features: config.features.as_ref().map(|set| set.connections),
-        admin: config.admin.is_some(),
-        blocks: config.blocks.is_some(),
+        process_limit: limits::process_limit(),
+        is_shared: config.listener.is_some(),
+        feature_clients: config.features.as_ref().map(|set| set.connections),
+        has_admin: config.admin.is_some(),
+        has_blocks: config.blocks.is_some(),
     })
 }
 
@@ -159,7 +159,7 @@
     fn spawn<S: Service + 'static>(
         &self,
         front: S,
-        clients: Clients,
+        clients: ClientBudget,
         listener: Async<TcpListener>,
         own_listener: bool,
     ) {
--- a/broker/tests/descriptors.rs
+++ b/broker/tests/descriptors.rs
@@ -19,28 +19,31 @@
     let seed = 20_261_202;
     let mut rng = fastrand::Rng::with_seed(seed);
     let fit = |wants: BudgetRequest| {
-        let budget = Budget::of(wants);
-        let processes = if wants.shared { 2 } else { 1 };
+        let budget = Budget::new(wants);
+        let processes = if wants.is_shared { 2 } else { 1 };
         let sum = budget.sum();
         assert!(processes * sum <= wants.sockets, "seed {seed}: {wants:?}: {budget:?}: {sum}");
-        assert!(sum <= wants.allowed.unwrap_or(usize::MAX), "seed {seed}: {wants:?}: {budget:?}: {sum}");
-        let needed = [budget.discovery, budget.platform.most, budget.stores];
+        assert!(
+            sum <= wants.process_limit.unwrap_or(usize::MAX),
+            "seed {seed}: {wants:?}: {budget:?}: {sum}"
+        );
+        let needed = [budget.discovery, budget.platform.soft_limit, budget.stores];
         assert!(needed.iter().all(|part| *part > 0), "seed {seed}: {wants:?}: {budget:?}");
-        assert_eq!(budget.admin > 0, wants.admin);
-        assert_eq!(budget.features.most > 0, wants.features.is_some());
-        assert_eq!(budget.blocks > 0, wants.blocks);
+        assert_eq!(budget.admin > 0, wants.has_admin);
+        assert_eq!(budget.features.soft_limit > 0, wants.feature_clients.is_some());
+        assert_eq!(budget.blocks > 0, wants.has_blocks);
         // The platform's clients count those that they keep, up to a third of the limit.
-        assert!(processes * (budget.platform.most + budget.features.most) <= wants.sockets / 2);
+        assert!(processes * (budget.platform.soft_limit + budget.features.soft_limit) <= wants.sockets / 2);
     };
     let mut draw = |sockets: usize| {
         let own = sockets / 2;
         BudgetRequest {
             sockets,
-            allowed: rng.bool().then(|| rng.usize(32..=own.max(32) * 4)),
-            shared: rng.bool(),
-            features: rng.bool().then(|| rng.usize(1..=256)),
-            admin: rng.bool(),
-            blocks: rng.bool(),
+            process_limit: rng.bool().then(|| rng.usize(32..=own.max(32) * 4)),
+            is_shared: rng.bool(),
+            feature_clients: rng.bool().then(|| rng.usize(1..=256)),
+            has_admin: rng.bool(),
+            has_blocks: rng.bool(),
         }
     };
     for sockets in 64..4096 {
