--- a/broker/src/admin.rs
+++ b/broker/src/admin.rs
@@ -220,7 +220,7 @@
                 Ok(()) => yes(if out { "out" } else { "back" }),
                 Err(RotationError::Unknown) => (404, format!("no store {id}")),
                 Err(RotationError::NoList) => (503, "no list of stores yet".to_owned()),
-                Err(RotationError::Unwritten(e)) => (500, format!("not done: {e}")),
+                Err(RotationError::NotSaved(e)) => (500, format!("not done: {e}")),
             },
             Call::Undrain if self.lifecycle.undrain() => yes("serving"),
             Call::Undrain => (409, "about to end".to_owned()),
--- a/broker/src/blocks/coordinator.rs
+++ b/broker/src/blocks/coordinator.rs
@@ -355,7 +355,7 @@
     fn publish(&self) {
         loop {
             let news = self.news(self.blocks.routes.next_cursor(), self.blocks.routes.term());
-            if !matches!(self.blocks.learn(news), Some(crate::routes::MapUpdate::More)) {
+            if !matches!(self.blocks.learn(news), Some(crate::routes::MapUpdate::MorePages)) {
                 return;
             }
         }
@@ -414,15 +414,15 @@
 
     fn plan(&self) -> Plan {
         let fleet: HashMap<String, Member> =
-            self.blocks.discovery.fleet().into_iter().map(|member| (member.name.clone(), member)).collect();
+            self.blocks.discovery.members().into_iter().map(|member| (member.name.clone(), member)).collect();
         let state = |(id, name): (StoreId, String)| {
             let listed = fleet.get(&name);
             StoreState {
                 id,
                 zone: listed.map_or(u32::MAX, |member| member.zone),
                 capacity: 1.0,
-                takes: listed.is_some_and(|member| member.ready),
-                leaves: listed.is_some_and(|member| !member.ready),
+                takes: listed.is_some_and(|member| member.is_ready),
+                leaves: listed.is_some_and(|member| !member.is_ready),
                 sound: listed.is_some() && self.coordinator.has_heard(id),
             }
         };
--- a/broker/src/blocks/follow.rs
+++ b/broker/src/blocks/follow.rs
@@ -25,10 +25,10 @@
         if blocks.boss.borrow().is_none() && !blocks.set.coordinators.is_empty() {
             let at = blocks.set.coordinators[door % blocks.set.coordinators.len()];
             match ask(&blocks, at).await {
-                Some(MapUpdate::More) => continue,
-                Some(MapUpdate::All(_)) => {}
+                Some(MapUpdate::MorePages) => continue,
+                Some(MapUpdate::UpToDate(_)) => {}
                 // Not the coordinator, or deposed.
-                Some(MapUpdate::Old) | None => door += 1,
+                Some(MapUpdate::OutdatedTerm) | None => door += 1,
             }
         }
         Timer::after(LEAST_GAP).await;
--- a/broker/src/blocks/mod.rs
+++ b/broker/src/blocks/mod.rs
@@ -103,7 +103,7 @@
     fn learn(&self, news: News) -> Option<MapUpdate> {
         match self.routes.apply(news) {
             Ok(learned) => {
-                if let MapUpdate::All(_) = learned {
+                if let MapUpdate::UpToDate(_) = learned {
                     self.exchange.block_owners_changed(self.stores.take_block_owner_changes());
                     let _ = self.changed.0.try_send(());
                 }
--- a/broker/src/config.rs
+++ b/broker/src/config.rs
@@ -87,7 +87,7 @@
     /// Time-outs of client connections.
     pub waits: Waits,
     /// Time-outs of calls to discovery.
-    pub calls: watching::Waits,
+    pub calls: watching::CallTimeouts,
     /// Log level.
     pub log: LevelFilter,
     /// Whether the log is written as JSON lines.
@@ -244,7 +244,7 @@
             streams: number(&pairs, "limits.streams_per_conn", 32.0, 1.0, 100_000.0)? as usize,
             dial_timeout_ms: number(&pairs, "limits.dial_timeout_ms", 250.0, 1.0, 60_000.0)?,
             idle_ms: number(&pairs, "limits.conn_idle_ms", 30_000.0, 1.0, 86_400_000.0)?,
-            calls: watching::Waits::of(&setup.settings),
+            calls: watching::CallTimeouts::from_settings(&setup.settings),
             setup,
             waits,
             log,
--- a/broker/src/discovery/list.rs
+++ b/broker/src/discovery/list.rs
@@ -1,135 +1,145 @@
-//! The lists that discovery sends: their format, and an incremental parser for those of a watch.
+//! The endpoint lists that the discovery service sends: their format, and an incremental parser for the lists on a watch.
 
 use std::fmt;
 
 use serde::Deserialize;
 
-/// Bounds on the entries of a list, and on the bytes of a list or of a line of a watch.
+/// Maximum number of entries of a list.
 const ENTRIES_MAX: usize = 4096;
+/// Maximum length of a list, in bytes.
 pub(super) const LIST_MAX: usize = ENTRIES_MAX * 256;
-/// Buffer capacity kept between two lists of a watch.
+/// Buffer capacity that is kept between two lists of a watch, in bytes.
 const IDLE_BUFFER_MAX: usize = 16 * 1024;
 
-/// One line of a list.
+/// An entry of a list: a store.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(rename_all = "camelCase")]
 pub struct Instance {
-    /// The store's name, the same at every broker.
+    /// Name of the store, the same at every broker.
     pub instance_id: String,
-    /// Where it listens.
+    /// Address at which the store listens.
     pub host_port: String,
-    /// Its zone, by name.
+    /// Name of the store's zone.
     #[serde(default)]
     pub zone: String,
-    /// Its cell.
+    /// Number of the store's cell.
     pub cell: u32,
-    /// Its state.
+    /// State of the store.
     pub lifecycle: Lifecycle,
-    /// When it last started, in Unix time; 0 means long ago.
+    /// Time at which the store last started, in Unix milliseconds; 0 means long ago.
     #[serde(default)]
     pub started_at_ms: f64,
 }
 
-/// A store's state.
+/// State of a store.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum Lifecycle {
-    /// May be sent work.
+    /// The store accepts work.
     Up,
-    /// Finishes what it has.
+    /// The store finishes its work and accepts no more.
     Draining,
-    /// Gone.
+    /// The store has been removed.
     Removed,
 }
 
-/// A list, or the changes to one.
+/// A complete list, or changes to the list before.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 pub struct List {
-    /// Its version.
+    /// Version of the list after the changes.
     pub generation: u64,
-    /// Whether it is the whole list.
+    /// Whether the list is complete.
     pub reset: bool,
-    /// The entries.
+    /// The listed or changed stores.
     pub instances: Vec<Instance>,
 }
 
-/// Why a list could not be read.
+/// The reason for which a list could not be parsed.
 #[derive(Debug)]
-pub struct Fault(String);
+pub struct ListError(String);
 
-impl fmt::Display for Fault {
+impl fmt::Display for ListError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(&self.0)
     }
 }
 
-/// Reads a list.
-pub fn parse(text: &[u8]) -> Result<List, Fault> {
-    let list: List = serde_json::from_slice(text).map_err(|e| Fault(format!("not a list: {e}")))?;
+/// Parses a list.
+///
+/// # Errors
+///
+/// If the text is not a list, or the list has too many entries.
+pub fn parse(text: &[u8]) -> Result<List, ListError> {
+    let list: List = serde_json::from_slice(text).map_err(|e| ListError(format!("not a list: {e}")))?;
     if list.instances.len() > ENTRIES_MAX {
-        return Err(Fault("a list of too many entries".to_owned()));
+        return Err(ListError("a list of too many entries".to_owned()));
     }
     Ok(list)
 }
 
-/// The lists of a watch, put together from chunks that may cut them anywhere. Each is an object, on one line or indented
-/// over several; blank space between them says only that the watch stands.
+/// Parser for the lists of a watch, which arrive in chunks that may end anywhere in a list. Each list is a JSON object, on one
+/// line or indented over several. White space between lists serves as a heartbeat.
 #[derive(Debug, Default)]
-pub struct Lists {
+pub struct ListParser {
     bytes: Vec<u8>,
-    /// Where the list begins that is read, or the blank space before it.
-    from: usize,
-    /// Up to here it has been looked at.
-    seen: usize,
-    /// Brackets that are open there, and whether it is inside a text, behind a backslash.
+    /// Offset of the current list, or of the white space before it.
+    start: usize,
+    /// Offset of the first byte that has not been scanned.
+    scanned: usize,
+    /// Number of brackets and braces that are open at that offset.
     depth: usize,
-    text: bool,
-    escaped: bool,
+    /// Whether that offset is inside a string.
+    in_string: bool,
+    /// Whether the byte before that offset is an escaping backslash.
+    is_escaped: bool,
 }
 
-impl Lists {
+impl ListParser {
     /// Adds a chunk.
     pub fn push(&mut self, chunk: &[u8]) {
         self.bytes.extend_from_slice(chunk);
     }
 
-    /// Whether a list has begun and is not whole.
-    pub fn begun(&self) -> bool {
-        self.seen > self.from
+    /// Whether a list has begun and is incomplete.
+    pub fn has_partial_list(&self) -> bool {
+        self.scanned > self.start
     }
 
-    /// The next list that is whole. Every byte is looked at once, however small the chunks, and moved once at the
-    /// most, however small the lists.
-    #[allow(clippy::should_implement_trait)]
-    pub fn next(&mut self) -> Result<Option<List>, Fault> {
-        if !self.begun() {
-            let blank = self.bytes[self.from..].iter().take_while(|byte| byte.is_ascii_whitespace()).count();
-            self.from += blank;
-            self.seen = self.from;
-            if self.bytes.get(self.from).is_some_and(|byte| *byte != b'{') {
-                return Err(Fault("what is no list on a watch".to_owned()));
+    /// Returns the next complete list. Every byte is scanned once, however small the chunks, and moved at most once, however small
+    /// the lists.
+    ///
+    /// # Errors
+    ///
+    /// If the bytes are not a list, or the list is too long.
+    pub fn next_list(&mut self) -> Result<Option<List>, ListError> {
+        if !self.has_partial_list() {
+            let blank = self.bytes[self.start..].iter().take_while(|byte| byte.is_ascii_whitespace()).count();
+            self.start += blank;
+            self.scanned = self.start;
+            if self.bytes.get(self.start).is_some_and(|byte| *byte != b'{') {
+                return Err(ListError("what is no list on a watch".to_owned()));
             }
         }
-        while let Some(&byte) = self.bytes.get(self.seen) {
-            self.seen += 1;
+        while let Some(&byte) = self.bytes.get(self.scanned) {
+            self.scanned += 1;
             match byte {
-                _ if self.escaped => self.escaped = false,
-                b'\\' => self.escaped = self.text,
-                b'"' => self.text = !self.text,
-                b'{' | b'[' if !self.text => self.depth += 1,
-                b'}' | b']' if !self.text => self.depth = self.depth.saturating_sub(1),
+                _ if self.is_escaped => self.is_escaped = false,
+                b'\\' => self.is_escaped = self.in_string,
+                b'"' => self.in_string = !self.in_string,
+                b'{' | b'[' if !self.in_string => self.depth += 1,
+                b'}' | b']' if !self.in_string => self.depth = self.depth.saturating_sub(1),
                 _ => {}
             }
             if self.depth == 0 {
-                let list = parse(&self.bytes[self.from..self.seen]);
-                self.from = self.seen;
+                let list = parse(&self.bytes[self.start..self.scanned]);
+                self.start = self.scanned;
                 return list.map(Some);
             }
         }
-        self.bytes.drain(..self.from);
-        self.seen -= std::mem::take(&mut self.from);
+        self.bytes.drain(..self.start);
+        self.scanned -= std::mem::take(&mut self.start);
         if self.bytes.len() > LIST_MAX {
-            return Err(Fault("a list on a watch is too long".to_owned()));
+            return Err(ListError("a list on a watch is too long".to_owned()));
         }
         // Releases the memory of a long list.
         if self.bytes.is_empty() {
--- a/broker/src/discovery/mod.rs
+++ b/broker/src/discovery/mod.rs
@@ -1,6 +1,6 @@
 //! Discovery of stores: keeps the endpoint list current, removes stores that an operator disabled, and reports changes to
-//! the core and the store side. A watch is opened when the core requests one and when the service's address changes; where
-//! an agent pushes lists, at the start.
+//! the core and the store side. A watch is opened when the core requests one and when the service's address changes; where an
+//! agent pushes lists, it is opened at the start.
 
 mod calls;
 mod list;
@@ -23,56 +23,60 @@
 use crate::rotation::Rotation;
 use crate::store::Stores;
 
-pub use list::{parse, Fault, Instance, Lifecycle, List, Lists};
-use watching::{Waits, Watching};
+pub use list::{parse, Instance, Lifecycle, List, ListError, ListParser};
+use watching::{CallTimeouts, Watching};
 
-/// Retries for a file lock that another process holds, and the delay between them.
+/// Number of retries for a file lock that another process holds.
 const LOCK_RETRIES: u32 = 50;
+/// Delay between two retries for a file lock.
 const LOCK_RETRY_DELAY: Duration = Duration::from_millis(5);
 
-/// Why a store could not be disabled or enabled.
+/// The reason for which a store could not be disabled or enabled.
 #[derive(Debug)]
 pub enum RotationError {
-    /// No list names the store.
+    /// The store is not listed.
     Unknown,
     /// No list has been received yet.
     NoList,
     /// The file could not be written.
-    Unwritten(io::Error),
+    NotSaved(io::Error),
 }
 
 /// A listed store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// Its name.
+    /// Name of the store.
     pub name: String,
-    /// Its zone, by index.
+    /// Index of the store's zone; [`u32::MAX`] if the settings do not name the zone.
     pub zone: u32,
-    /// Whether it accepts work: it is up and not disabled.
-    pub ready: bool,
+    /// Whether the store accepts work: it is up and not disabled.
+    pub is_ready: bool,
 }
 
 /// The discovery client and the current endpoint list.
 pub struct Discovery {
     address: Cell<SocketAddr>,
-    /// Version of the current list.
-    since: Cell<Option<u64>>,
+    /// Version of the current list; `None` if the next watch must begin with a complete list.
+    generation: Cell<Option<u64>>,
+    /// Indices of the zones, by name.
     zones: std::collections::HashMap<String, u32>,
     exchange: Rc<Exchange>,
     stores: Rc<Stores>,
     counters: Rc<Counters>,
-    subscriptions: (Sender<()>, Receiver<()>),
-    moved: (Sender<()>, Receiver<()>),
-    /// The latest entry of each store.
+    /// Signals that the core requests a watch.
+    watch_requests: (Sender<()>, Receiver<()>),
+    /// Signals that the address of the service has changed.
+    address_changes: (Sender<()>, Receiver<()>),
+    /// The latest entry of each listed store.
     listed: RefCell<BTreeMap<String, Instance>>,
     rotation: Rc<Rotation>,
     watching: RefCell<Watching>,
-    /// The sender is dropped once the service has sent a list.
+    /// A channel whose sender is dropped once the service has sent a list.
     first_list: (RefCell<Option<Sender<()>>>, Receiver<()>),
 }
 
 impl Discovery {
-    /// A client of the service at this address.
+    /// Creates a client of the discovery service at this address.
     pub fn new(
         address: SocketAddr,
         zones: std::collections::HashMap<String, u32>,
@@ -80,45 +84,45 @@
         stores: Rc<Stores>,
         rotation: Rc<Rotation>,
         counters: Rc<Counters>,
-        waits: Waits,
+        timeouts: CallTimeouts,
     ) -> Rc<Self> {
-        let (subscriptions, moved) = (async_channel::bounded(1), async_channel::bounded(1));
-        let (address, since) = (Cell::new(address), Cell::new(None));
+        let (watch_requests, address_changes) = (async_channel::bounded(1), async_channel::bounded(1));
+        let (address, generation) = (Cell::new(address), Cell::new(None));
         let (first_list_pending, first_list) = async_channel::bounded(1);
         let first_list = (RefCell::new(Some(first_list_pending)), first_list);
         Rc::new(Self {
             address,
-            since,
+            generation,
             zones,
             exchange,
             stores,
             counters,
-            subscriptions,
-            moved,
+            watch_requests,
+            address_changes,
             listed: RefCell::default(),
             rotation,
-            watching: RefCell::new(Watching::new(waits, Instant::now())),
+            watching: RefCell::new(Watching::new(timeouts, Instant::now())),
             first_list,
         })
     }
 
-    /// Switches to another address of the service. The call to the old one is dropped immediately: it closes its watches
-    /// soon, and changes at the new one must be applied within 4 s.
-    pub fn follow(&self, address: SocketAddr) {
+    /// Switches to another address of the service. A call to the old address is dropped immediately: the service there closes its
+    /// watches soon, and changes at the new address must be applied within 4 s.
+    pub fn set_address(&self, address: SocketAddr) {
         if self.address.replace(address) != address {
             log::info!(address:%; "discovery address changed");
-            // Versions may differ there, so the complete list is requested.
-            self.since.set(None);
-            let _ = self.moved.0.try_send(());
+            // The versions of lists may differ at the new address, so the complete list is requested.
+            self.generation.set(None);
+            let _ = self.address_changes.0.try_send(());
         }
     }
 
     /// Requests a watch, unless one is open.
     pub fn subscribe(&self) {
-        let _ = self.subscriptions.0.try_send(());
+        let _ = self.watch_requests.0.try_send(());
     }
 
-    /// Delay of the first call of a process that has no list.
+    /// Delay before the first call of a process that has no list.
     pub fn first_call_delay(&self) -> Duration {
         self.watching.borrow().first_call_delay()
     }
@@ -139,20 +143,21 @@
     }
 
     /// The listed stores.
-    pub fn fleet(&self) -> Vec<Member> {
+    pub fn members(&self) -> Vec<Member> {
         let member = |instance: &Instance| Member {
             name: instance.instance_id.clone(),
             zone: self.zones.get(&instance.zone).copied().unwrap_or(u32::MAX),
-            ready: instance.lifecycle == Lifecycle::Up && !self.rotation.is_disabled(&instance.instance_id),
+            is_ready: instance.lifecycle == Lifecycle::Up
+                && !self.rotation.is_disabled(&instance.instance_id),
         };
         self.listed.borrow().values().map(member).collect()
     }
 
-    /// Applies a list, without the stores that are disabled. `remembered` marks one that is not from the service itself.
-    pub fn apply(&self, list: &List, remembered: bool) {
-        self.since.set(Some(list.generation));
+    /// Applies a list; disabled stores count as draining. `is_remembered` marks a list that was not received from the service.
+    pub fn apply(&self, list: &List, is_remembered: bool) {
+        self.generation.set(Some(list.generation));
         let mut listed = self.listed.borrow_mut();
-        if remembered || list.reset {
+        if is_remembered || list.reset {
             listed.clear();
         }
         let mut entries = Vec::with_capacity(list.instances.len());
@@ -166,7 +171,7 @@
             }
             entries.extend(entry);
         }
-        let kind = match (remembered, list.reset) {
+        let kind = match (is_remembered, list.reset) {
             (true, _) => ListKind::Remembered,
             (false, true) => ListKind::Complete,
             (false, false) => ListKind::Changes,
@@ -178,12 +183,12 @@
         count(&self.counters.lists);
         self.exchange.endpoints_listed(kind, entries);
         self.exchange.block_owners_changed(self.stores.take_block_owner_changes());
-        if !remembered {
+        if !is_remembered {
             self.first_list.0.borrow_mut().take();
         }
     }
 
-    /// The core's entry of a store; `None` if it is not known or its address is invalid.
+    /// Converts a list entry into the core's form; `None` if a removed store is not known or the address of a store is invalid.
     fn entry(&self, instance: &Instance) -> Option<Entry> {
         let id = &instance.instance_id;
         let status = match instance.lifecycle {
@@ -203,34 +208,35 @@
                     }
                 },
             },
-            since: self.rotation.started(id, instance.started_at_ms),
+            since: self.rotation.start_time(id, instance.started_at_ms),
             zone: self.zones.get(&instance.zone).copied().unwrap_or(u32::MAX),
             cell: instance.cell,
             status,
         })
     }
 
-    /// Disables a store (`out`), or enables it again. In effect once this resolves.
+    /// Disables a store, or enables it again. The change is in effect once this resolves.
     ///
     /// # Errors
     ///
-    /// If the store is not listed or its state could not be saved.
-    pub async fn set_disabled(&self, id: &str, out: bool, now: Millis) -> Result<(), RotationError> {
+    /// If the store is not listed, no list has been received, or the state of the store could not be saved.
+    pub async fn set_disabled(&self, id: &str, disabled: bool, now: Millis) -> Result<(), RotationError> {
         if !self.listed.borrow().contains_key(id) && !self.rotation.is_disabled(id) {
             // Another process of this broker may have disabled it just now.
-            self.follow_rotation();
+            self.reload_rotation();
             if !self.rotation.is_disabled(id) {
                 return Err(if self.has_list() { RotationError::Unknown } else { RotationError::NoList });
             }
         }
         let mut retries = 0..LOCK_RETRIES;
         let changed = loop {
-            let changed = if out { self.rotation.disable(id, now) } else { self.rotation.enable(id, now) };
+            let changed =
+                if disabled { self.rotation.disable(id, now) } else { self.rotation.enable(id, now) };
             match changed {
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock && retries.next().is_some() => {
                     Timer::after(LOCK_RETRY_DELAY).await;
                 }
-                changed => break changed.map_err(RotationError::Unwritten)?,
+                changed => break changed.map_err(RotationError::NotSaved)?,
             }
         };
         self.report_again(&changed);
@@ -238,16 +244,19 @@
         let started = self.listed.borrow().get(id).map_or(0.0, |instance| instance.started_at_ms);
         let age =
             if started > 0.0 { format!("{:.1} s ago", (now - started) / 1000.0) } else { "long ago".into() };
-        log::info!("store {id} {} by hand; listed as started {age}", if out { "out" } else { "back" });
+        log::info!(
+            "store {id} {} by an operator; listed as started {age}",
+            if disabled { "disabled" } else { "enabled" }
+        );
         Ok(())
     }
 
-    /// Applies the stores that another process of this broker disabled or enabled.
-    pub fn follow_rotation(&self) {
-        self.report_again(&self.rotation.follow());
+    /// Applies changes by another process of this broker that disabled or enabled stores.
+    pub fn reload_rotation(&self) {
+        self.report_again(&self.rotation.reload());
     }
 
-    /// Reports some listed stores to the core again.
+    /// Reports the listed stores among `ids` to the core again.
     fn report_again(&self, ids: &[String]) {
         let listed = self.listed.borrow();
         let entries: Vec<_> = ids.iter().filter_map(|id| self.entry(listed.get(id)?)).collect();
--- a/broker/src/readiness.rs
+++ b/broker/src/readiness.rs
@@ -6,7 +6,7 @@
 
 use async_io::Timer;
 
-use crate::discovery::watching::Waits;
+use crate::discovery::watching::CallTimeouts;
 use crate::discovery::{Discovery, List};
 use crate::lifecycle::Lifecycle;
 
@@ -20,7 +20,7 @@
 pub async fn become_ready(
     lifecycle: Rc<Lifecycle>,
     discovery: Rc<Discovery>,
-    (has_other_process, calls): (bool, Waits),
+    (has_other_process, calls): (bool, CallTimeouts),
     older_list: Option<List>,
 ) {
     let begun = Instant::now();
@@ -39,13 +39,14 @@
     };
     let fallback = async {
         if let Some(older_list) = &older_list {
-            Timer::after(calls.first).await;
+            Timer::after(calls.first_list).await;
             discovery.apply(older_list, true);
         } else if has_other_process {
-            Timer::after(calls.first).await;
+            Timer::after(calls.first_list).await;
         }
         if !discovery.has_stores() {
-            let wait = if has_other_process { calls.ready * OTHER_PROCESS_FACTOR } else { calls.ready };
+            let wait =
+                if has_other_process { calls.readiness * OTHER_PROCESS_FACTOR } else { calls.readiness };
             Timer::at(begun + wait).await;
             log::warn!("ready without any list of stores: discovery has sent none");
         }
--- a/broker/src/routes.rs
+++ b/broker/src/routes.rs
@@ -1,6 +1,6 @@
-//! Routing of parts by the broker's copy of the block map, together with the core's ids of the map's stores. It owns both.
-//! A block number of any age resolves to the blocks that cover its weighers now, each with its slice; an entry is never
-//! assigned to one of several successors by guessing. No I/O. Not used where blocks never move.
+//! Routing of parts by the broker's copy of the block map. Owns the copy and the core's ids of the map's stores. A block number
+//! of any age resolves to the blocks that now cover its weighers, each with a slice of them; an entry (a write) whose block has
+//! several successors is never assigned to one of them by a guess. No I/O. Not used where blocks never move.
 
 use std::cell::RefCell;
 use std::collections::{BTreeSet, HashMap};
@@ -13,7 +13,7 @@
 use gingerledge_dispatch::ServerId;
 use thiserror::Error;
 
-/// Why no block can serve a part.
+/// The reason for which no block can serve a part.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum RouteError {
     /// The block number was never assigned, or is no longer remembered.
@@ -24,16 +24,16 @@
     Ambiguous(u32, Vec<u32>),
     /// The block does not contain the weigher.
     #[error("block {0} does not hold weigher {1}")]
-    Elsewhere(u32, u64),
+    NotInBlock(u32, u64),
     /// No map has been received yet.
     #[error("no map of the blocks yet")]
     NoMap,
 }
 
-/// Why an update of the map was not applied; the current map is unchanged.
+/// The reason for which an update of the map was not applied; the current map is unchanged.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum MapUpdateError {
-    /// It does not fit the current map.
+    /// The update does not fit the current map.
     #[error(transparent)]
     Map(#[from] MapError),
     /// The resulting map is invalid.
@@ -49,92 +49,99 @@
 /// A current block that serves a part, and the weighers requested of it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Target {
-    /// The block.
+    /// Number of the block.
     pub block: u32,
-    /// The first weigher requested, by which values are ordered.
-    pub first: u64,
-    /// Its share of the part, from 0 to 1.
+    /// The first requested weigher, by which values are ordered.
+    pub first_weigher: u64,
+    /// The block's share of the part, from 0 to 1.
     pub share: f64,
-    /// The weighers requested, if not all of the block.
+    /// The requested weighers, if not all of the block.
     pub slice: Option<Span>,
 }
 
-/// Blocks whose owners changed, each with its stores by the core's ids; a block that no longer exists has none.
+/// Blocks whose owners changed, each with the core's ids of its stores; a block that no longer exists has none.
 pub type BlockOwners = Vec<(u32, Vec<ServerId>)>;
 
+/// The state of [`Routes`].
 #[derive(Debug, Default)]
-struct Inner {
+struct State {
     map: BlockMap,
+    /// Term of the coordinator that the map came from; 0 for none.
     term: u32,
-    /// Names of the map's stores, and the core's ids by name.
+    /// Names of the map's stores.
     names: HashMap<StoreId, String>,
+    /// The core's ids of listed stores, by name.
     servers: HashMap<String, ServerId>,
     /// Blocks whose owners must be reported to the core.
     dirty: BTreeSet<BlockId>,
     /// Records of an update whose pages have not all arrived.
     pending: Vec<Record>,
-    pending_is_complete: bool,
+    /// Whether these records make up a complete map, not changes to the current one.
+    pending_is_full_map: bool,
+    /// Where the next page of that update must start.
     pending_up_to: Cursor,
 }
 
 /// The block map and the core's ids of its stores.
 #[derive(Debug)]
 pub struct Routes {
-    inner: RefCell<Inner>,
-    most: usize,
-    retired: usize,
+    state: RefCell<State>,
+    /// Maximum number of current blocks.
+    max_blocks: usize,
+    /// Maximum number of remembered former blocks.
+    max_retired: usize,
 }
 
 /// The effect of a page of an update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MapUpdate {
-    /// More pages follow.
-    More,
-    /// The map equals the coordinator's at this version.
-    All(u64),
-    /// The page is from a coordinator of an earlier term, and was ignored.
-    Old,
+    /// More pages of the update follow.
+    MorePages,
+    /// The map now equals the coordinator's at this version.
+    UpToDate(u64),
+    /// The page came from a coordinator of an earlier term and was ignored.
+    OutdatedTerm,
 }
 
 impl Routes {
-    /// An empty map for at most `most` current and `retired` former blocks.
-    pub fn new(most: usize, retired: usize) -> Self {
-        let inner = Inner { map: BlockMap::new(most, retired), ..Inner::default() };
-        Self { inner: RefCell::new(inner), most, retired }
+    /// Creates an empty map for at most `max_blocks` current and `max_retired` former blocks.
+    pub fn new(max_blocks: usize, max_retired: usize) -> Self {
+        let state = State { map: BlockMap::new(max_blocks, max_retired), ..State::default() };
+        Self { state: RefCell::new(state), max_blocks, max_retired }
     }
 
-    /// The map's version; 0 for none.
+    /// Version of the map; 0 if there is none.
     pub fn version(&self) -> u64 {
-        self.inner.borrow().map.version()
+        self.state.borrow().map.version()
     }
 
-    /// The term of the coordinator that it came from.
+    /// Term of the coordinator that the map came from.
     pub fn term(&self) -> u32 {
-        self.inner.borrow().term
+        self.state.borrow().term
     }
 
-    /// Where the next page of updates must start.
+    /// Position at which the next page of updates must start.
     pub fn next_cursor(&self) -> Cursor {
-        let inner = self.inner.borrow();
-        match inner.pending.is_empty() {
-            true => Cursor::at(inner.map.version()),
-            false => inner.pending_up_to,
+        let state = self.state.borrow();
+        match state.pending.is_empty() {
+            true => Cursor::at(state.map.version()),
+            false => state.pending_up_to,
         }
     }
 
     /// Records the core's id of a listed store.
     pub fn store_listed(&self, name: &str, server: ServerId) {
-        let mut inner = self.inner.borrow_mut();
-        if inner.servers.insert(name.to_owned(), server) != Some(server) {
-            inner.mark_store_dirty(name);
+        let mut state = self.state.borrow_mut();
+        if state.servers.insert(name.to_owned(), server) != Some(server) {
+            state.mark_store_dirty(name);
         }
     }
 
     /// Removes a store that is no longer listed.
     pub fn store_removed(&self, name: &str) {
-        let mut inner = self.inner.borrow_mut();
-        if inner.servers.remove(name).is_some() {
-            inner.mark_store_dirty(name);
+        let mut state = self.state.borrow_mut();
+        if state.servers.remove(name).is_some() {
+            state.mark_store_dirty(name);
         }
     }
 
@@ -143,51 +150,51 @@
     /// # Errors
     ///
     /// If the update does not fit the current map or would make it invalid; the next one then starts from the beginning.
-    pub fn apply(&self, news: News) -> Result<MapUpdate, MapUpdateError> {
-        let mut inner = self.inner.borrow_mut();
-        if news.term < inner.term {
-            return Ok(MapUpdate::Old);
+    pub fn apply(&self, page: News) -> Result<MapUpdate, MapUpdateError> {
+        let mut state = self.state.borrow_mut();
+        if page.term < state.term {
+            return Ok(MapUpdate::OutdatedTerm);
         }
-        // Numbers of stores are valid across terms and never change.
-        inner.names.extend(news.stores);
-        inner.term = news.term;
-        if news.whole {
-            (inner.pending_is_complete, inner.pending) = (true, Vec::new());
+        // The numbers of stores are valid across terms and never change.
+        state.names.extend(page.stores);
+        state.term = page.term;
+        if page.whole {
+            (state.pending_is_full_map, state.pending) = (true, Vec::new());
         }
-        inner.pending.extend(news.records);
-        inner.pending_up_to = news.upto;
-        // Bounds memory: no correct coordinator sends more records than this.
-        if inner.pending.len() > 2 * (self.most + self.retired) + 1024 {
-            (inner.pending, inner.pending_is_complete, inner.term) = (Vec::new(), false, 0);
-            return Err(MapError::Full(self.most).into());
+        state.pending.extend(page.records);
+        state.pending_up_to = page.upto;
+        // Bounds the memory: a correct coordinator never sends more records than this.
+        if state.pending.len() > 2 * (self.max_blocks + self.max_retired) + 1024 {
+            (state.pending, state.pending_is_full_map, state.term) = (Vec::new(), false, 0);
+            return Err(MapError::Full(self.max_blocks).into());
         }
-        if news.upto < Cursor::at(news.version) {
-            return Ok(MapUpdate::More);
+        if page.upto < Cursor::at(page.version) {
+            return Ok(MapUpdate::MorePages);
         }
-        let records = std::mem::take(&mut inner.pending);
-        let whole = std::mem::take(&mut inner.pending_is_complete);
-        let touched: Vec<BlockId> = records.iter().map(Record::id).collect();
-        // After an error the next request starts from the beginning.
-        let known = std::mem::take(&mut inner.term);
-        if whole {
-            let map = map_from_records(records, news.version, self.most, self.retired)?;
-            validate_map(&inner.names, news.version, |facts| validate::whole(&map, facts))?;
-            let before: Vec<BlockId> = inner.map.blocks().map(|block| block.id).collect();
-            inner.map = map;
-            inner.dirty.extend(before);
+        let records = std::mem::take(&mut state.pending);
+        let is_full_map = std::mem::take(&mut state.pending_is_full_map);
+        let changed: Vec<BlockId> = records.iter().map(Record::id).collect();
+        // With term 0, the next request after an error starts from the beginning.
+        let term = std::mem::take(&mut state.term);
+        if is_full_map {
+            let map = map_from_records(records, page.version, self.max_blocks, self.max_retired)?;
+            validate_map(&state.names, page.version, |facts| validate::whole(&map, facts))?;
+            let former: Vec<BlockId> = state.map.blocks().map(|block| block.id).collect();
+            state.map = map;
+            state.dirty.extend(former);
         } else {
-            let records = inner.map.news(records);
-            validate_map(&inner.names, news.version, |facts| {
-                validate::batch(&inner.map, &records, facts).findings
+            let records = state.map.news(records);
+            validate_map(&state.names, page.version, |facts| {
+                validate::batch(&state.map, &records, facts).findings
             })?;
-            inner.map.catch_up(records, news.version)?;
+            state.map.catch_up(records, page.version)?;
         }
-        inner.term = known;
-        inner.dirty.extend(touched);
-        Ok(MapUpdate::All(news.version))
+        state.term = term;
+        state.dirty.extend(changed);
+        Ok(MapUpdate::UpToDate(page.version))
     }
 
-    /// Restores the map from its file.
+    /// Restores a map that was stored in a file.
     ///
     /// # Errors
     ///
@@ -198,75 +205,84 @@
         stores: &[(StoreId, String)],
         term: u32,
     ) -> Result<(), MapUpdateError> {
-        let map = BlockMap::restore(snapshot, self.most, self.retired)?;
+        let map = BlockMap::restore(snapshot, self.max_blocks, self.max_retired)?;
         let names = stores.iter().cloned().collect();
         validate_map(&names, snapshot.version, |facts| validate::whole(&map, facts))?;
-        let mut inner = self.inner.borrow_mut();
-        inner.dirty.extend(map.blocks().map(|block| block.id));
-        inner.names = names;
-        (inner.map, inner.term) = (map, term);
+        let mut state = self.state.borrow_mut();
+        state.dirty.extend(map.blocks().map(|block| block.id));
+        state.names = names;
+        (state.map, state.term) = (map, term);
         Ok(())
     }
 
-    /// The map, its stores and its term, as stored in its file.
+    /// The map, its stores and its term, in the form in which they are stored in a file.
     pub fn snapshot(&self) -> (Snapshot, Vec<(StoreId, String)>, u32) {
-        let inner = self.inner.borrow();
-        let mut stores: Vec<_> = inner.names.iter().map(|(id, name)| (*id, name.clone())).collect();
+        let state = self.state.borrow();
+        let mut stores: Vec<_> = state.names.iter().map(|(id, name)| (*id, name.clone())).collect();
         stores.sort_unstable();
-        (inner.map.snapshot(), stores, inner.term)
+        (state.map.snapshot(), stores, state.term)
     }
 
-    /// Takes the owner changes that have not been reported to the core.
+    /// Takes the changes of owners that have not been reported to the core.
     pub fn take_owner_changes(&self) -> BlockOwners {
-        let mut inner = self.inner.borrow_mut();
-        let dirty = std::mem::take(&mut inner.dirty);
-        dirty.into_iter().map(|id| (id.0, inner.servers_of(id))).collect()
+        let mut state = self.state.borrow_mut();
+        let dirty = std::mem::take(&mut state.dirty);
+        dirty.into_iter().map(|id| (id.0, state.servers_of(id))).collect()
     }
 
     /// Epoch of a current block.
     pub fn epoch(&self, block: u32) -> Option<Epoch> {
-        self.inner.borrow().map.block(BlockId(block)).map(|block| block.epoch)
+        self.state.borrow().map.block(BlockId(block)).map(|block| block.epoch)
     }
 
     /// Whether a block exists in the current map.
     pub fn is_current(&self, block: u32) -> bool {
-        self.inner.borrow().map.block(BlockId(block)).is_some()
+        self.state.borrow().map.block(BlockId(block)).is_some()
     }
 
     /// The current blocks that intersect a bounding box.
     pub fn in_extent(&self, extent: [f64; 4]) -> Vec<u32> {
-        self.inner.borrow().map.in_extent(Extent(extent)).into_iter().map(|id| id.0).collect()
+        self.state.borrow().map.in_extent(Extent(extent)).into_iter().map(|id| id.0).collect()
     }
 
-    /// Resolves the block number that a client used, perhaps with one weigher in it, to current blocks. An entry resolves to
-    /// one block only.
+    /// Resolves the block number that a client used, possibly with one weigher of the block, to current blocks. An entry resolves
+    /// to one block only.
     ///
     /// # Errors
     ///
     /// If the number is unknown, ambiguous for an entry, or does not contain the weigher.
-    pub fn targets(&self, named: u32, weigher: Option<u64>, entry: bool) -> Result<Vec<Target>, RouteError> {
-        let inner = self.inner.borrow();
-        if inner.map.version() == 0 {
+    pub fn targets(
+        &self,
+        requested_block: u32,
+        weigher: Option<u64>,
+        is_entry: bool,
+    ) -> Result<Vec<Target>, RouteError> {
+        let state = self.state.borrow();
+        if state.map.version() == 0 {
             return Err(RouteError::NoMap);
         }
-        let pieces = inner.map.resolve(BlockId(named)).ok_or(RouteError::Unknown(named))?;
-        let target = |block: BlockId, slice: Span, all: bool, share: f64| Target {
+        let pieces =
+            state.map.resolve(BlockId(requested_block)).ok_or(RouteError::Unknown(requested_block))?;
+        let target = |block: BlockId, slice: Span, is_all: bool, share: f64| Target {
             block: block.0,
-            first: slice.first,
+            first_weigher: slice.first,
             share,
-            slice: (!all).then_some(slice),
+            slice: (!is_all).then_some(slice),
         };
         if let Some(weigher) = weigher {
             let piece = pieces.iter().find(|piece| piece.slice.contains(weigher));
-            let piece = piece.ok_or(RouteError::Elsewhere(named, weigher))?;
+            let piece = piece.ok_or(RouteError::NotInBlock(requested_block, weigher))?;
             return Ok(vec![target(piece.block, piece.slice, piece.all, 1.0)]);
         }
-        if entry && pieces.len() > 1 {
-            return Err(RouteError::Ambiguous(named, pieces.iter().map(|piece| piece.block.0).collect()));
+        if is_entry && pieces.len() > 1 {
+            return Err(RouteError::Ambiguous(
+                requested_block,
+                pieces.iter().map(|piece| piece.block.0).collect(),
+            ));
         }
         let size = |span: Span| (span.end - span.first) as f64;
-        let whole: f64 = pieces.iter().map(|piece| size(piece.slice)).sum();
-        Ok(pieces.iter().map(|p| target(p.block, p.slice, p.all, size(p.slice) / whole)).collect())
+        let total: f64 = pieces.iter().map(|piece| size(piece.slice)).sum();
+        Ok(pieces.iter().map(|p| target(p.block, p.slice, p.all, size(p.slice) / total)).collect())
     }
 
     /// The successors of a block that no longer exists, for a part that requested these weighers of it.
@@ -279,18 +295,19 @@
         block: u32,
         slice: Option<Span>,
         weigher: Option<u64>,
-        entry: bool,
+        is_entry: bool,
     ) -> Result<Vec<Target>, RouteError> {
-        let mut targets = self.targets(block, weigher, entry)?;
-        if let Some(wanted) = slice {
-            // Of each successor only the weighers that were requested of the block.
-            let inner = self.inner.borrow();
+        let mut targets = self.targets(block, weigher, is_entry)?;
+        if let Some(requested) = slice {
+            // Each successor is asked only for the weighers that were requested of the block.
+            let state = self.state.borrow();
             targets.retain_mut(|target| {
-                let Some(successor) = inner.map.block(BlockId(target.block)) else { return false };
-                let Some(part) = successor.span.meet(wanted) else { return false };
-                target.first = part.first;
+                let Some(successor) = state.map.block(BlockId(target.block)) else { return false };
+                let Some(part) = successor.span.meet(requested) else { return false };
+                target.first_weigher = part.first;
                 target.slice = (part != successor.span).then_some(part);
-                target.share = (part.end - part.first) as f64 / (wanted.end - wanted.first).max(1) as f64;
+                target.share =
+                    (part.end - part.first) as f64 / (requested.end - requested.first).max(1) as f64;
                 true
             });
         }
@@ -298,7 +315,8 @@
     }
 }
 
-impl Inner {
+impl State {
+    /// Marks all blocks of a store as changed.
     fn mark_store_dirty(&mut self, name: &str) {
         let id = self.names.iter().find(|(_, known)| *known == name).map(|(id, _)| *id);
         let Some(id) = id else { return };
@@ -306,11 +324,12 @@
         self.dirty.extend(blocks);
     }
 
+    /// The core's ids of a block's stores.
     fn servers_of(&self, id: BlockId) -> Vec<ServerId> {
         let Some(block) = self.map.block(id) else { return Vec::new() };
         let server = |store: StoreId| self.servers.get(self.names.get(&store)?).copied();
         let servers: Vec<ServerId> = block.holders().filter_map(server).collect();
-        // An existing block without a listed store keeps a placeholder id, so that it is not taken for a removed one.
+        // An existing block without a listed store gets a placeholder id, so that it does not count as removed.
         if servers.is_empty() {
             vec![ServerId::MAX]
         } else {
@@ -319,24 +338,25 @@
     }
 }
 
-/// Validates a map or an update of it. A broker knows nothing of transfers in progress: that a range moved only to its new
-/// owners was validated by the coordinator at the version before.
+/// Validates a map or an update of it. A broker has no information on transfers in progress; the coordinator has validated, at the
+/// version before, that each range moved only to its new owners.
 fn validate_map(
     names: &HashMap<StoreId, String>,
     version: u64,
-    prove: impl FnOnce(&Facts<'_>) -> Vec<Finding>,
+    check: impl FnOnce(&Facts<'_>) -> Vec<Finding>,
 ) -> Result<(), MapUpdateError> {
     let standing = |store| names.contains_key(&store).then_some(Standing::Listed);
     let text = |store| names.get(&store).map_or_else(|| store.to_string(), |name| format!("store {name}"));
-    let found = prove(&Facts { standing: &standing, text: &text, copies: &|_, _| true });
-    validate::first_of(&found).map_or(Ok(()), |why| Err(MapUpdateError::Unsound { version, why }))
+    let findings = check(&Facts { standing: &standing, text: &text, copies: &|_, _| true });
+    validate::first_of(&findings).map_or(Ok(()), |why| Err(MapUpdateError::Unsound { version, why }))
 }
 
+/// Builds a map from the records of a complete update, of which the last one of each block counts.
 fn map_from_records(
     records: Vec<Record>,
     version: u64,
-    most: usize,
-    retired: usize,
+    max_blocks: usize,
+    max_retired: usize,
 ) -> Result<BlockMap, MapError> {
     let mut snapshot = Snapshot { version, ..Snapshot::default() };
     let mut last = HashMap::new();
@@ -353,5 +373,5 @@
         }
     }
     snapshot.living.sort_unstable_by_key(|block| block.span);
-    BlockMap::restore(&snapshot, most, retired)
+    BlockMap::restore(&snapshot, max_blocks, max_retired)
 }
--- a/broker/src/service.rs
+++ b/broker/src/service.rs
@@ -223,7 +223,7 @@
         let remembered = config.remembered_list.map(|list| discovery::parse(list.to_string().as_bytes()));
         let mut remembered =
             remembered.transpose().map_err(|fault| Error::new("known", fault.to_string()))?;
-        if !calls.pushed {
+        if !calls.is_pushed {
             remembered.take().iter().for_each(|list| discovery.apply(list, true));
         }
 
@@ -361,7 +361,7 @@
     /// at the start. One that can't be used changes nothing.
     pub fn reload(&self, discovery: Result<SocketAddr, Error>) {
         match discovery {
-            Ok(discovery) => self.discovery.follow(discovery),
+            Ok(discovery) => self.discovery.set_address(discovery),
             Err(error) => log::error!("configuration reload failed, the old one stays: {error}"),
         }
     }
@@ -396,7 +396,7 @@
 async fn follow_rotation(discovery: Rc<Discovery>) {
     loop {
         Timer::after(FOLLOW).await;
-        discovery.follow_rotation();
+        discovery.reload_rotation();
     }
 }
 
--- a/broker/tests/common/mod.rs
+++ b/broker/tests/common/mod.rs
@@ -13,7 +13,7 @@
 use async_executor::LocalExecutor;
 use gingerledge::clock::Clock;
 use gingerledge::counters::Counters;
-use gingerledge::discovery::watching::Waits;
+use gingerledge::discovery::watching::CallTimeouts;
 use gingerledge::discovery::{self, Discovery};
 use gingerledge::exchange::Exchange;
 use gingerledge::handover::Presence;
@@ -64,7 +64,7 @@
         let at = ([127, 0, 0, 1], 9).into();
         let rotation = Rc::new(Rotation::open(None, at, 0.0));
         let (told, noted) = (exchange.clone(), stores.clone());
-        let waits = Waits::of(&gingerledge_dispatch::Settings::default());
+        let waits = CallTimeouts::from_settings(&gingerledge_dispatch::Settings::default());
         let counted = counters.clone();
         let discovery = Discovery::new(at, Default::default(), told, noted, rotation, counted, waits);
         Self { exchange, stores, discovery, executor, counters }
--- a/broker/tests/discovery.rs
+++ b/broker/tests/discovery.rs
@@ -9,8 +9,8 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use gingerledge::discovery::watching::Waits;
-use gingerledge::discovery::Lists;
+use gingerledge::discovery::watching::CallTimeouts;
+use gingerledge::discovery::ListParser;
 use gingerledge::service::Broker;
 use gingerledge_testkit::scripted::{exchange, get, query, run, until, Service, World};
 use serde_json::{json, Value};
@@ -19,12 +19,12 @@
 const NEVER: Duration = Duration::from_secs(600);
 
 /// Short waits; on a busy machine one that is over too early makes a call more, and no other difference.
-fn short(pushed: bool) -> Waits {
+fn short(pushed: bool) -> CallTimeouts {
     let ms = Duration::from_millis;
     let (connect, head, body, silence) = (ms(500), ms(100), ms(100), ms(200));
     let (whole, pace, place) = (ms(700), ms(10), ms(0));
-    Waits {
-        pushed,
+    CallTimeouts {
+        is_pushed: pushed,
         connect,
         head,
         body,
@@ -32,8 +32,8 @@
         call_timeout: whole,
         pace,
         stagger: place,
-        first: NEVER,
-        ready: NEVER,
+        first_list: NEVER,
+        readiness: NEVER,
     }
 }
 
@@ -159,7 +159,7 @@
         *world.known.borrow_mut() = Some(world.list());
         world.service.set(Service::Hangs);
         let settings = settings(&world, true);
-        world.waits.set(Some(Waits { first: Duration::from_millis(100), ..short(true) }));
+        world.waits.set(Some(CallTimeouts { first_list: Duration::from_millis(100), ..short(true) }));
         let broker = world.broker(settings, None).await;
         assert!(world.asked.get() > 0, "it was asked");
         while get(broker.platform, "/ready", "").await.status != 200 {}
@@ -210,12 +210,12 @@
     let entries: Vec<Value> = (0..4000).map(entry).collect();
     let text = json!({ "generation": 7, "reset": true, "instances": entries }).to_string();
     assert!(text.len() > 1_000_000 && text.len() < 1 << 20);
-    let mut lists = Lists::default();
+    let mut lists = ListParser::default();
     for (n, byte) in text.bytes().enumerate() {
         lists.push(&[byte]);
-        let list = lists.next().unwrap();
+        let list = lists.next_list().unwrap();
         assert_eq!(list.is_some(), n + 1 == text.len(), "at byte {n}");
-        assert_eq!(lists.begun(), n + 1 < text.len());
+        assert_eq!(lists.has_partial_list(), n + 1 < text.len());
         assert!(list.is_none_or(|list| list.instances.len() == 4000));
     }
 }
@@ -224,9 +224,9 @@
 #[test]
 fn a_list_that_never_ends_is_refused() {
     for piece in [1, 4096, 1 << 20] {
-        let (mut lists, mut held) = (Lists::default(), 0);
+        let (mut lists, mut held) = (ListParser::default(), 0);
         lists.push(b"{\"generation\":1,\"reset\":true,\"instances\":[");
-        while lists.next().is_ok_and(|list| list.is_none()) {
+        while lists.next_list().is_ok_and(|list| list.is_none()) {
             lists.push(&vec![b' '; piece]);
             held += piece;
             assert!(held <= 2 << 20, "{held} bytes of a list");
@@ -239,13 +239,13 @@
 fn many_small_lists_in_one_piece_are_read_in_a_time_that_grows_as_they_do() {
     let one = br#"{"generation":1,"reset":false,"instances":[]}  "#;
     let many = (32 << 20) / one.len();
-    let (mut lists, mut read, began) = (Lists::default(), 0, Instant::now());
+    let (mut lists, mut read, began) = (ListParser::default(), 0, Instant::now());
     lists.push(&one.repeat(many));
-    while lists.next().unwrap().is_some() {
+    while lists.next_list().unwrap().is_some() {
         read += 1;
         assert!(began.elapsed() < Duration::from_secs(40), "{read} of {many} read");
     }
-    assert_eq!((read, lists.begun()), (many, false));
+    assert_eq!((read, lists.has_partial_list()), (many, false));
 }
 
 /// Blank space that comes faster than it can be read, from a thread of its own: clients are served meanwhile.
--- a/broker/tests/parsers.rs
+++ b/broker/tests/parsers.rs
@@ -6,7 +6,7 @@
 use common::cuts::{cuts, garbage};
 use gingerledge::admin;
 use gingerledge::config::Config;
-use gingerledge::discovery::{self, Lists};
+use gingerledge::discovery::{self, ListParser};
 use gingerledge::front::features::{link, query};
 use gingerledge::front::platform::{answer, question, Names};
 use gingerledge::geojson::{self, page, Id};
@@ -141,7 +141,10 @@
     else {
         panic!("not an answer: {taken:?}")
     };
-    assert_eq!((id, outcome, score, value), ("9b1f.3", frame::PartOutcome::Served, 1_840_277_719, &b"value"[..]));
+    assert_eq!(
+        (id, outcome, score, value),
+        ("9b1f.3", frame::PartOutcome::Served, 1_840_277_719, &b"value"[..])
+    );
     assert_eq!(report, [7.0, 0.61]);
     garbage(&stream, |bytes| {
         if let Ok(Some((letter, rest, length))) = frame::split(bytes) {
@@ -165,14 +168,14 @@
 
 /// All lists that these pieces hold, and whether something is left that is not whole.
 fn lists(pieces: &[&[u8]]) -> (Vec<discovery::List>, bool) {
-    let (mut lists, mut all) = (Lists::default(), Vec::new());
+    let (mut lists, mut all) = (ListParser::default(), Vec::new());
     for piece in pieces {
         lists.push(piece);
-        while let Some(list) = lists.next().unwrap() {
+        while let Some(list) = lists.next_list().unwrap() {
             all.push(list);
         }
     }
-    (all, lists.begun())
+    (all, lists.has_partial_list())
 }
 
 #[test]
@@ -189,9 +192,9 @@
     assert_eq!(lists(&[LIST, &LIST[..LIST.len() - 1]]), (vec![list], true), "what is cut short waits");
     garbage(&stream, |bytes| {
         drop(discovery::parse(bytes));
-        let mut lists = Lists::default();
+        let mut lists = ListParser::default();
         lists.push(bytes);
-        while let Ok(Some(_)) = lists.next() {}
+        while let Ok(Some(_)) = lists.next_list() {}
     });
     for (bad, why) in [
         (b"  x".to_vec(), "no list"),
@@ -199,9 +202,9 @@
         (b"{\"generation\":true}".to_vec(), "not of its form"),
         (vec![b'{'; (1 << 20) + 1], "without end"),
     ] {
-        let mut lists = Lists::default();
+        let mut lists = ListParser::default();
         lists.push(&bad);
-        assert!(lists.next().is_err(), "{why}");
+        assert!(lists.next_list().is_err(), "{why}");
     }
 }
 
--- a/broker/tests/told/fleet.rs
+++ b/broker/tests/told/fleet.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use fastrand::Rng;
-use gingerledge::discovery::watching::{Action, Call, Event, Waits, Watching, UPDATE_DEADLINE};
+use gingerledge::discovery::watching::{Action, Call, CallTimeouts, Event, Watching, UPDATE_DEADLINE};
 use gingerledge_dispatch::{Action as Decides, Aggregator, Event as Happens, ListKind, Settings};
 
 /// All times are in microseconds.
@@ -126,7 +126,7 @@
     pub fn new(seed: u64, brokers: u32, phases: Vec<Phase>, changes: Vec<Micros>) -> Self {
         let base = Instant::now();
         let broker = |index| Broker {
-            machine: Watching::new(Waits::of(&settings(brokers, index)), base),
+            machine: Watching::new(CallTimeouts::from_settings(&settings(brokers, index)), base),
             module: Aggregator::new(seed * 1000 + u64::from(index), settings(brokers, index), 0.0),
             timer: None,
             out: None,
--- a/broker/tests/validate.rs
+++ b/broker/tests/validate.rs
@@ -169,15 +169,15 @@
     let (version, why) = unsound(news(1, true, &[(0, 1, 0), (1, 1, 9)]));
     assert!(version == 1 && why.contains("keys 100..200: block 1: store 9 is to hold it"), "{why}");
     assert_eq!((routes.version(), routes.term()), (0, 0));
-    assert_eq!(routes.apply(news(1, true, &[(0, 1, 0), (1, 1, 1)])), Ok(MapUpdate::All(1)));
+    assert_eq!(routes.apply(news(1, true, &[(0, 1, 0), (1, 1, 1)])), Ok(MapUpdate::UpToDate(1)));
     let held = routes.snapshot();
     let (version, why) = unsound(news(2, false, &[(1, 2, 9)]));
     assert!(version == 2 && why.contains("store 9"), "{why}");
     // All is as it was, but for the term: without one the coordinator tells the whole map.
     assert_eq!(routes.snapshot().0, held.0);
     assert_eq!((routes.term(), routes.next_cursor()), (0, Cursor::at(1)));
-    assert_eq!(routes.apply(news(2, true, &[(0, 1, 0), (1, 2, 0)])), Ok(MapUpdate::All(2)));
-    assert_eq!(routes.apply(news(3, false, &[(0, 3, 1)])), Ok(MapUpdate::All(3)));
+    assert_eq!(routes.apply(news(2, true, &[(0, 1, 0), (1, 2, 0)])), Ok(MapUpdate::UpToDate(2)));
+    assert_eq!(routes.apply(news(3, false, &[(0, 3, 1)])), Ok(MapUpdate::UpToDate(3)));
     assert_eq!(routes.epoch(0), Some(Epoch::of(Term(1), 3)));
     // The map that was kept is looked at likewise.
     let (mut kept, stores, term) = routes.snapshot();
--- a/broker/tests/watching.rs
+++ b/broker/tests/watching.rs
@@ -6,7 +6,7 @@
 
 use fastrand::Rng;
 use gingerledge::discovery::watching::{
-    Action, Call, Event, Waits, Watching, ANSWER, HEARTBEAT, MARGIN, PERIOD, UPDATE_DEADLINE,
+    Action, Call, CallTimeouts, Event, Watching, ANSWER_TIME, HEARTBEAT, MARGIN, PERIOD, UPDATE_DEADLINE,
 };
 use gingerledge_dispatch::Settings;
 
@@ -14,19 +14,26 @@
     Duration::from_millis(ms)
 }
 
-fn waits(pushed: bool, grace_ms: f64) -> Waits {
-    Waits::of(&Settings { subscribe: !pushed, drain_grace_ms: grace_ms, ..Settings::default() })
+fn waits(pushed: bool, grace_ms: f64) -> CallTimeouts {
+    CallTimeouts::from_settings(&Settings {
+        subscribe: !pushed,
+        drain_grace_ms: grace_ms,
+        ..Settings::default()
+    })
 }
 
 #[test]
 fn where_lists_are_requested_every_next_call_is_out_before_a_missed_change_counts() {
     for (aggregators, index) in [(1, 0), (2, 1), (100, 99), (300, 0), (300, 299), (1000, 999)] {
         let set = Settings { subscribe: true, aggregators, index: Some(index), ..Settings::default() };
-        let set = Waits::of(&set);
-        assert!(!set.pushed && set.heartbeat_timeout > HEARTBEAT + ms(1000), "a watch that stands is kept");
-        assert_eq!(PERIOD + ANSWER + MARGIN, UPDATE_DEADLINE);
+        let set = CallTimeouts::from_settings(&set);
+        assert!(
+            !set.is_pushed && set.heartbeat_timeout > HEARTBEAT + ms(1000),
+            "a watch that stands is kept"
+        );
+        assert_eq!(PERIOD + ANSWER_TIME + MARGIN, UPDATE_DEADLINE);
         assert!(set.pace <= PERIOD && set.call_timeout <= PERIOD && set.head <= set.call_timeout, "a call");
-        assert!(set.connect + ANSWER <= set.call_timeout, "who can be reached is let finish");
+        assert!(set.connect + ANSWER_TIME <= set.call_timeout, "who can be reached is let finish");
         assert!(set.heartbeat_timeout + set.stagger * 3 / 20 <= PERIOD, "a watch");
         assert!(set.stagger < set.pace, "each has a place of its own");
     }
@@ -36,7 +43,7 @@
 fn where_lists_are_pushed_a_recovered_agent_is_called_within_half_of_a_drain_grace() {
     for grace in [0.0, 100.0, 250.0, 1000.0, 10_000.0] {
         let set = waits(true, grace);
-        assert!(set.pushed && set.heartbeat_timeout > HEARTBEAT, "a watch that stands is kept");
+        assert!(set.is_pushed && set.heartbeat_timeout > HEARTBEAT, "a watch that stands is kept");
         assert!(set.heartbeat_timeout + set.connect + set.head < UPDATE_DEADLINE, "a watch");
         assert!(set.body + set.connect + set.head < UPDATE_DEADLINE, "a list that begins and stops");
         let half = ms(grace as u64 / 2).max(ms(100));
@@ -74,7 +81,7 @@
     rng: Rng,
     now: Instant,
     machine: Watching,
-    waits: Waits,
+    waits: CallTimeouts,
     mood: Mood,
     /// What discovery does next with the call that is out, and when.
     next: Option<(Instant, Event)>,
@@ -87,9 +94,9 @@
 }
 
 impl Play {
-    fn new(seed: u64, waits: Waits) -> Self {
+    fn new(seed: u64, waits: CallTimeouts) -> Self {
         let now = Instant::now();
-        let wanted = (!waits.pushed).then_some(now);
+        let wanted = (!waits.is_pushed).then_some(now);
         let machine = Watching::new(waits, now);
         let (rng, mood) = (Rng::with_seed(seed), Mood::Well);
         Self {
@@ -123,7 +130,7 @@
                     self.next = self.step(Event::Connected, Mood::Unconnected);
                 }
                 Action::ReportFailure => {
-                    assert!(!self.waits.pushed && self.call.is_none());
+                    assert!(!self.waits.is_pushed && self.call.is_none());
                     self.wanted = Some(self.now + ms(self.rng.u64(500..=1500)));
                 }
             }
@@ -199,7 +206,7 @@
                 assert!(self.call.is_none() || self.calls.len() > calls, "what is silent is left");
                 // Where it is asked again after a wait, that comes on top; nobody else is waited for.
                 let next = if self.calls.len() > calls { self.now } else { self.machine.due().unwrap() };
-                assert!(next + ANSWER + MARGIN <= heard + UPDATE_DEADLINE, "in time");
+                assert!(next + ANSWER_TIME + MARGIN <= heard + UPDATE_DEADLINE, "in time");
             }
         }
         true
@@ -324,7 +331,7 @@
     for place in [0, 1, 299] {
         let set = Settings { subscribe: true, aggregators: 300, index: Some(place), ..Settings::default() };
         let mut now = Instant::now();
-        let mut machine = Watching::new(Waits::of(&set), now);
+        let mut machine = Watching::new(CallTimeouts::from_settings(&set), now);
         assert_eq!(machine.handle(Event::WatchRequested, now), [Action::Call(Call::Watch)]);
         for call in 1..40 {
             let began = now;
--- a/testkit/broker/src/scripted.rs
+++ b/testkit/broker/src/scripted.rs
@@ -13,7 +13,7 @@
 use futures_lite::AsyncReadExt;
 use gingerledge::clock::Clock;
 use gingerledge::config::Config;
-use gingerledge::discovery::watching::Waits;
+use gingerledge::discovery::watching::CallTimeouts;
 use gingerledge::http::{self, Framing, Kind, Stream};
 use gingerledge::service::Broker;
 use gingerledge::store::frame;
@@ -127,7 +127,7 @@
     /// How often a watch tells that nothing changed.
     pub beat: Cell<Duration>,
     /// How long the broker waits for discovery, if not as its settings have it.
-    pub waits: Cell<Option<Waits>>,
+    pub waits: Cell<Option<CallTimeouts>>,
     /// What discovery lists, by cell.
     pub listed: RefCell<Vec<Listed>>,
     /// The list that the broker finds in its configuration.
