--- a/broker/src/admin.rs
+++ b/broker/src/admin.rs
@@ -69,7 +69,7 @@
         return Err((405, format!("{} takes {method}", head.path())));
     }
     if matches!(call, Call::Store { .. }) {
-        if !rotation::is_id(id) {
+        if !rotation::is_valid_id(id) {
             return Err((400, "the body is to be a store's id".to_owned()));
         }
     } else if !body.is_empty() {
@@ -210,7 +210,7 @@
     async fn carry_out(&self, call: Call) -> Reply {
         let yes = |words: &str| (200, words.to_owned());
         match call {
-            Call::Ready if self.lifecycle.ready() => yes("ready"),
+            Call::Ready if self.lifecycle.is_ready() => yes("ready"),
             Call::Ready => (503, format!("not ready; {}", self.lifecycle.phase())),
             Call::Drain => {
                 self.lifecycle.drain();
--- a/broker/src/exchange.rs
+++ b/broker/src/exchange.rs
@@ -96,7 +96,7 @@
         if self.names.borrow().contains_key(&query.name) {
             return Err(SubmitError::Duplicate);
         }
-        if self.open.get() + size > self.max_open / self.presence.processes() {
+        if self.open.get() + size > self.max_open / self.presence.process_count() {
             count(&self.counters.queries_full);
             return Err(SubmitError::Full);
         }
--- a/broker/src/front/client.rs
+++ b/broker/src/front/client.rs
@@ -52,7 +52,7 @@
             Framing::Chunked | Framing::Close => http::BODY_MAX,
         };
         let reserved = self.reserved.get() + size;
-        (reserved <= self.limit / self.presence.processes()).then(|| {
+        (reserved <= self.limit / self.presence.process_count()).then(|| {
             self.reserved.set(reserved);
             BodyReservation { all: self.clone(), size }
         })
--- a/broker/src/front/platform.rs
+++ b/broker/src/front/platform.rs
@@ -188,7 +188,7 @@
 impl Service for Platform {
     fn accept(&self, head: &Head, body: Vec<u8>) -> Accepted {
         let reply = match (head.method.as_str(), head.path()) {
-            ("GET" | "HEAD", "/ready") if !self.lifecycle.ready() => Reply::text(503, "not ready"),
+            ("GET" | "HEAD", "/ready") if !self.lifecycle.is_ready() => Reply::text(503, "not ready"),
             ("GET" | "HEAD", "/ready" | "/health") => Reply::text(200, "ok"),
             ("POST", _) => match question(head, &body, &self.names, self.clock.now()) {
                 Err(Bad { status, what }) => Reply::text(status, &what),
--- a/broker/src/front/server.rs
+++ b/broker/src/front/server.rs
@@ -16,7 +16,7 @@
 use super::{Accepted, Reply, Service};
 use crate::config::Waits;
 use crate::counters::{count, Counters};
-use crate::handover::{Other, Presence};
+use crate::handover::{OtherProcess, Presence};
 use crate::http::Fault;
 use crate::lifecycle::Lifecycle;
 use crate::limits::{ClientBudget, ConnectionSlot, ConnectionSlots};
@@ -95,22 +95,22 @@
     /// taken too: it would be turned back when the listener closes.
     pub async fn run(self: Rc<Self>, listener: Async<TcpListener>, own: bool) {
         // Whoever waits where another process serves as well is left to it until this one can.
-        if self.presence.other() != Other::None {
-            self.lifecycle.able().await;
+        if self.presence.other() != OtherProcess::None {
+            self.lifecycle.wait_until_able().await;
         }
         loop {
             let slot = async { Some(self.acquire_slot().await) };
             let leaves = async {
                 match own {
-                    true => self.lifecycle.late().await,
-                    false => self.lifecycle.accepting_over().await,
+                    true => self.lifecycle.slot_deadline().await,
+                    false => self.lifecycle.accept_deadline().await,
                 }
                 None
             };
             let Some(slot) = or(leaves, slot).await else { return };
             let accept = async { Some(listener.accept().await) };
             let closed = async {
-                self.lifecycle.accepting_over().await;
+                self.lifecycle.accept_deadline().await;
                 None
             };
             let taken = match or(closed, accept).await {
@@ -159,7 +159,7 @@
         if self.slots.taken() > self.clients.soft_limit {
             self.connection_limit.evict_idle();
         }
-        let (this, connection) = (self.clone(), self.lifecycle.connection());
+        let (this, connection) = (self.clone(), self.lifecycle.track_connection());
         let task = async move {
             let Closed { .. } = this.serve(Client::new(socket)).await;
             drop((slot, connection));
@@ -179,7 +179,7 @@
             let within = first_by.map_or(self.waits.idle, |by| by.saturating_duration_since(Instant::now()));
             let first = async { client.first(within).await.map_err(Some) };
             let ended = async {
-                or(eviction.requested(), self.lifecycle.idle_over(accepted)).await;
+                or(eviction.requested(), self.lifecycle.idle_deadline(accepted)).await;
                 Err(None)
             };
             match or(first, ended).await {
@@ -200,7 +200,7 @@
             Err(Stop::Ended)
         };
         let late = async {
-            self.lifecycle.reading_over(accepted).await;
+            self.lifecycle.read_deadline(accepted).await;
             Err(Stop::ShuttingDown)
         };
         match or(request, or(evicted, late)).await {
@@ -269,7 +269,7 @@
             // have the thread to itself.
             let invalid = (400..500).contains(&reply.status) && reply.status != 429;
             bad += u32::from(invalid);
-            let keep_alive = keep_alive && !self.lifecycle.closing() && bad < BAD_REQUESTS_MAX;
+            let keep_alive = keep_alive && !self.lifecycle.closes_connections() && bad < BAD_REQUESTS_MAX;
             asking = match asking.answer(&reply, keep_alive, self.waits.write).await {
                 Answered::Reusable(client) => client,
                 Answered::Last(shut) => return self.linger(shut).await,
--- a/broker/src/lifecycle.rs
+++ b/broker/src/lifecycle.rs
@@ -1,5 +1,5 @@
-//! Whether the broker takes requests: one state machine behind `/ready` at both doors, the calls to drain,
-//! and SIGTERM.
+//! Whether the broker accepts requests: one state machine behind `/ready` on the platform front and the admin endpoint, the
+//! admin calls that begin and end a drain, and SIGTERM.
 
 use std::cell::Cell;
 use std::fmt;
@@ -10,37 +10,43 @@
 use event_listener::Event;
 use futures_lite::future::or;
 
-/// The front asks `/ready` ten times a second and stops 0.2 s after a no. So long after a drain began nobody
-/// sends anything new, and connections without a request are closed.
-const DRAIN_QUIET: Duration = Duration::from_millis(1000);
-/// 4 s after a drain began no request of the last 2 s may be held: the last one has come whole by then.
-const DRAIN_READ: Duration = Duration::from_millis(1800);
-/// A connection that comes during a drain has so long for its request.
-const LATE_COMER: Duration = Duration::from_millis(1000);
-/// After SIGTERM new connections keep coming for up to 0.4 s, and are served. What comes later than 0.7 s after it is lost
-/// where SIGKILL finds it unanswered, and SIGKILL comes the longest deadline of the settings (3 s at the most) and 0.7 s
-/// after SIGTERM. So these three follow from the protocol alone, whatever the deadlines: connections without a request are
-/// closed well before, the last request is read whole before, and what has not been read by then is not.
-const LEAVE_QUIET: Duration = Duration::from_millis(500);
-const LEAVE_READ: Duration = Duration::from_millis(650);
-const LEAVE_TAKEN: Duration = Duration::from_millis(700);
-
-/// What the broker is doing.
+/// Time from the beginning of a drain after which connections without a request are closed. The load balancer in front requests
+/// `/ready` ten times a second and stops sending 0.2 s after a negative answer, so that no new request arrives by then.
+const DRAIN_IDLE_CLOSE: Duration = Duration::from_millis(1000);
+/// Time from the beginning of a drain after which no incomplete request is waited for. 4 s after the beginning, the broker must
+/// not hold any request of the last 2 s, so the last one must have been received completely before that.
+const DRAIN_READ_END: Duration = Duration::from_millis(1800);
+/// Time that a connection opened during a drain has for its request.
+const LATE_CONNECTION_READ: Duration = Duration::from_millis(1000);
+/// Time from SIGTERM after which connections without a request are closed.
+///
+/// New connections arrive for up to 0.4 s after SIGTERM, and are served. SIGKILL follows SIGTERM after the longest deadline of
+/// the settings (3 s at most) and another 0.7 s. A request that arrives later than 0.7 s after SIGTERM is lost if it is
+/// unanswered at SIGKILL. The three shutdown times therefore follow from the protocol alone, whatever the deadlines:
+/// connections without a request are closed well before 0.7 s, the last request is read completely before, and a request that
+/// has not been read by then is not read at all.
+const SHUTDOWN_IDLE_CLOSE: Duration = Duration::from_millis(500);
+/// Time from SIGTERM after which no incomplete request is waited for; see [`SHUTDOWN_IDLE_CLOSE`].
+const SHUTDOWN_READ_END: Duration = Duration::from_millis(650);
+/// Time from SIGTERM after which no request is read any more; see [`SHUTDOWN_IDLE_CLOSE`].
+const SHUTDOWN_REQUESTS_END: Duration = Duration::from_millis(700);
+
+/// The phase in the life of the broker's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// It takes requests.
+    /// The broker accepts requests.
     Serving,
-    /// Draining: new requests are still served, and every answer closes its connection.
+    /// The broker drains: new requests are still served, and every answer closes its connection.
     Draining {
-        /// From when on.
+        /// Beginning of the drain.
         since: Instant,
     },
-    /// Shutting down.
-    Leaving {
-        /// From when on.
+    /// The broker shuts down.
+    ShuttingDown {
+        /// Beginning of the shutdown.
         since: Instant,
-        /// Whether another process accepts from the same listener.
-        succeeded: bool,
+        /// Whether another process accepts connections from the same listener.
+        has_successor: bool,
     },
 }
 
@@ -49,23 +55,25 @@
         f.write_str(match self {
             Self::Serving => "serving",
             Self::Draining { .. } => "draining",
-            Self::Leaving { succeeded: false, .. } => "leaving",
-            Self::Leaving { succeeded: true, .. } => "leaving to a successor",
+            Self::ShuttingDown { has_successor: false, .. } => "leaving",
+            Self::ShuttingDown { has_successor: true, .. } => "leaving to a successor",
         })
     }
 }
 
-/// The state machine, shared by fronts and the admin endpoint.
+/// The lifecycle of the broker's process, shared by the fronts and the admin endpoint.
 #[derive(Debug)]
 pub struct Lifecycle {
     phase: Cell<Phase>,
-    /// Whether it has become ready to serve; never reset.
-    able: Cell<bool>,
+    /// Whether the process has become able to serve; never reset.
+    can_serve: Cell<bool>,
+    /// Notified of each change of the phase or of `can_serve`.
     changed: Event,
+    /// Number of open client connections.
     connections: Cell<usize>,
 }
 
-/// A client's connection; counted until dropped.
+/// A client connection, which is counted as open until this is dropped.
 #[derive(Debug)]
 pub struct Connection(Rc<Lifecycle>);
 
@@ -76,55 +84,56 @@
 }
 
 impl Lifecycle {
-    /// One that serves as soon as it is able to.
+    /// Creates the lifecycle of a process that serves as soon as it is able to.
     pub fn new() -> Rc<Self> {
-        let (phase, able, connections) = (Cell::new(Phase::Serving), Cell::new(false), Cell::new(0));
-        Rc::new(Self { phase, able, changed: Event::new(), connections })
+        let (phase, can_serve, connections) = (Cell::new(Phase::Serving), Cell::new(false), Cell::new(0));
+        Rc::new(Self { phase, can_serve, changed: Event::new(), connections })
     }
 
-    /// What the broker is doing.
+    /// The current phase.
     pub fn phase(&self) -> Phase {
         self.phase.get()
     }
 
-    /// The answer to `/ready`.
-    pub fn ready(&self) -> bool {
-        self.able.get() && self.phase() == Phase::Serving
+    /// Whether `/ready` reports that the broker accepts requests.
+    pub fn is_ready(&self) -> bool {
+        self.can_serve.get() && self.phase() == Phase::Serving
     }
 
-    /// From now on it can serve.
-    pub fn set_able(&self) {
-        if !self.able.replace(true) {
+    /// Records that the process is able to serve.
+    pub fn set_can_serve(&self) {
+        if !self.can_serve.replace(true) {
             log::info!("ready");
             self.changed.notify(usize::MAX);
         }
     }
 
-    /// Resolves once it can serve or is shutting down.
-    pub async fn able(&self) {
-        let is_leaving = |phase| matches!(phase, Phase::Leaving { .. });
-        self.reached(|phase| (self.able.get() || is_leaving(phase)).then(Instant::now)).await
+    /// Resolves once the process can serve or is shutting down.
+    pub async fn wait_until_able(&self) {
+        let is_shutting_down = |phase| matches!(phase, Phase::ShuttingDown { .. });
+        self.wait_for(|phase| (self.can_serve.get() || is_shutting_down(phase)).then(Instant::now)).await
     }
 
-    /// Whether answers end their connections.
-    pub fn closing(&self) -> bool {
+    /// Whether every answer closes its connection.
+    pub fn closes_connections(&self) -> bool {
         self.phase() != Phase::Serving
     }
 
+    /// Enters a phase and wakes all tasks that wait for a deadline.
     fn enter(&self, phase: Phase) {
         let before = self.phase.replace(phase);
         log::info!("{phase}, after {before}");
         self.changed.notify(usize::MAX);
     }
 
-    /// Begins a drain; one that has begun goes on, and who leaves has drained already.
+    /// Begins a drain. During a drain or a shutdown this has no effect.
     pub fn drain(&self) {
         if self.phase() == Phase::Serving {
             self.enter(Phase::Draining { since: Instant::now() });
         }
     }
 
-    /// Ends a drain; false if the broker is about to end.
+    /// Ends a drain. Returns false if the broker is shutting down.
     pub fn undrain(&self) -> bool {
         match self.phase() {
             Phase::Serving => true,
@@ -132,96 +141,96 @@
                 self.enter(Phase::Serving);
                 true
             }
-            Phase::Leaving { .. } => false,
+            Phase::ShuttingDown { .. } => false,
         }
     }
 
-    /// The broker is about to end; `succeeded` says whether another process goes on at the same listener.
-    pub fn leave(&self, succeeded: bool) {
-        if !matches!(self.phase(), Phase::Leaving { .. }) {
-            self.enter(Phase::Leaving { since: Instant::now(), succeeded });
+    /// Begins the shutdown. `has_successor` tells whether another process accepts connections from the same listener.
+    pub fn shut_down(&self, has_successor: bool) {
+        if !matches!(self.phase(), Phase::ShuttingDown { .. }) {
+            self.enter(Phase::ShuttingDown { since: Instant::now(), has_successor });
         }
     }
 
-    /// Resolves once a connection without a request is to be closed; `accepted` is when it came, for one that
-    /// has not carried any.
-    pub async fn idle_over(&self, accepted: Option<Instant>) {
-        self.reached(|phase| match phase {
+    /// Resolves once a connection without a request must be closed. `accepted` is the time at which the connection was accepted
+    /// if it has not carried a request yet.
+    pub async fn idle_deadline(&self, accepted: Option<Instant>) {
+        self.wait_for(|phase| match phase {
             Phase::Serving => None,
             Phase::Draining { since } => {
-                let quiet = since + DRAIN_QUIET;
-                Some(accepted.map_or(quiet, |at| quiet.max(at + LATE_COMER)))
+                let deadline = since + DRAIN_IDLE_CLOSE;
+                Some(accepted.map_or(deadline, |at| deadline.max(at + LATE_CONNECTION_READ)))
             }
-            Phase::Leaving { since, .. } => Some(since + LEAVE_QUIET),
+            Phase::ShuttingDown { since, .. } => Some(since + SHUTDOWN_IDLE_CLOSE),
         })
         .await
     }
 
-    /// Resolves once a request that has not come whole is no longer waited for: what would be taken later could
-    /// be held when the broker has to be empty, or ends.
-    pub async fn reading_over(&self, accepted: Option<Instant>) {
-        self.reached(|phase| match phase {
+    /// Resolves once an incomplete request must no longer be waited for: a request received later could still be open when the
+    /// broker must hold none, or when it ends. `accepted` is as in [`Lifecycle::idle_deadline`].
+    pub async fn read_deadline(&self, accepted: Option<Instant>) {
+        self.wait_for(|phase| match phase {
             Phase::Serving => None,
             Phase::Draining { since } => {
-                let over = since + DRAIN_READ;
-                Some(accepted.map_or(over, |at| over.max(at + LATE_COMER)))
+                let deadline = since + DRAIN_READ_END;
+                Some(accepted.map_or(deadline, |at| deadline.max(at + LATE_CONNECTION_READ)))
             }
-            Phase::Leaving { since, .. } => Some(since + LEAVE_READ),
+            Phase::ShuttingDown { since, .. } => Some(since + SHUTDOWN_READ_END),
         })
         .await
     }
 
-    /// Whether a request that has not been read is left to lie: SIGKILL might find it unanswered. Its client finds the
-    /// connection closed, and sends it once more elsewhere.
+    /// Whether requests must no longer be read, since they might be unanswered at SIGKILL. The client finds the connection closed
+    /// and retries the request at another broker.
     pub fn is_too_late(&self) -> bool {
-        matches!(self.phase(), Phase::Leaving { since, .. } if since.elapsed() >= LEAVE_TAKEN)
+        matches!(self.phase(), Phase::ShuttingDown { since, .. } if since.elapsed() >= SHUTDOWN_REQUESTS_END)
     }
 
-    /// Resolves once it is no use any more to take a connection that has waited for a place.
-    pub async fn late(&self) {
-        self.reached(|phase| match phase {
+    /// Resolves once a connection that has waited for a slot must no longer be accepted, since its request could not be read.
+    pub async fn slot_deadline(&self) {
+        self.wait_for(|phase| match phase {
             Phase::Serving | Phase::Draining { .. } => None,
-            Phase::Leaving { since, .. } => Some(since + LEAVE_READ),
+            Phase::ShuttingDown { since, .. } => Some(since + SHUTDOWN_READ_END),
         })
         .await
     }
 
-    /// Resolves once no more connections are to be accepted.
-    pub async fn accepting_over(&self) {
-        self.reached(|phase| match phase {
+    /// Resolves once no more connections may be accepted.
+    pub async fn accept_deadline(&self) {
+        self.wait_for(|phase| match phase {
             Phase::Serving | Phase::Draining { .. } => None,
-            // What waits at a shared listener is the successor's from now on.
-            Phase::Leaving { since, succeeded: true } => Some(since),
-            Phase::Leaving { since, succeeded: false } => Some(since + LEAVE_QUIET),
+            // The successor accepts the connections that wait at a shared listener.
+            Phase::ShuttingDown { since, has_successor: true } => Some(since),
+            Phase::ShuttingDown { since, has_successor: false } => Some(since + SHUTDOWN_IDLE_CLOSE),
         })
         .await
     }
 
-    /// Waits for the time that the phase names, and begins anew whenever the phase changes.
-    async fn reached(&self, at: impl Fn(Phase) -> Option<Instant>) {
+    /// Waits for the deadline of the current phase, which is computed anew whenever the phase changes.
+    async fn wait_for(&self, deadline_of: impl Fn(Phase) -> Option<Instant>) {
         loop {
             let changed = self.changed.listen();
-            match at(self.phase()) {
+            match deadline_of(self.phase()) {
                 None => changed.await,
-                Some(at) if at <= Instant::now() => return,
-                Some(at) => {
-                    let late = async {
-                        Timer::at(at).await;
+                Some(deadline) if deadline <= Instant::now() => return,
+                Some(deadline) => {
+                    let timer = async {
+                        Timer::at(deadline).await;
                     };
-                    or(changed, late).await;
+                    or(changed, timer).await;
                 }
             }
         }
     }
 
-    /// Counts a client's connection.
-    pub fn connection(self: &Rc<Self>) -> Connection {
+    /// Counts a client connection as open until the returned value is dropped.
+    pub fn track_connection(self: &Rc<Self>) -> Connection {
         self.connections.set(self.connections.get() + 1);
         Connection(self.clone())
     }
 
-    /// Client connections that are open.
-    pub fn connections(&self) -> usize {
+    /// Number of open client connections.
+    pub fn connection_count(&self) -> usize {
         self.connections.get()
     }
 }
--- a/broker/src/readiness.rs
+++ b/broker/src/readiness.rs
@@ -52,5 +52,5 @@
         }
     };
     futures_lite::future::or(discovery.first_list(), futures_lite::future::or(fallback, request_list)).await;
-    lifecycle.set_able();
+    lifecycle.set_can_serve();
 }
--- a/broker/src/service.rs
+++ b/broker/src/service.rs
@@ -25,7 +25,7 @@
 use crate::front::features::Front;
 use crate::front::platform::{Names, Platform, TIMEOUT_MAX_MS};
 use crate::front::{Server, Service};
-use crate::handover::{self, Other, Presence};
+use crate::handover::{self, OtherProcess, Presence};
 use crate::lifecycle::Lifecycle;
 use crate::limits::{self, Budget, BudgetRequest, ClientBudget};
 use crate::readiness::become_ready;
@@ -116,8 +116,8 @@
     inherited: Option<i32>,
     at: SocketAddr,
 ) -> Result<(Async<TcpListener>, SocketAddr), Error> {
-    let Some(descriptor) = inherited else { return listen("LB_LISTEN", at, handover::listen_alone) };
-    let listener = handover::inherited(descriptor, at).map_err(|e| Error::new("LB_FD", e))?;
+    let Some(descriptor) = inherited else { return listen("LB_LISTEN", at, handover::listen_exclusive) };
+    let listener = handover::inherited_listener(descriptor, at).map_err(|e| Error::new("LB_FD", e))?;
     let listener = Async::new(listener).map_err(|e| Error::new("LB_FD", e.to_string()))?;
     Ok((listener, at))
 }
@@ -255,7 +255,7 @@
         log::info!("serving on {platform}");
         let mut features = None;
         if let Some(set) = set {
-            let (listener, at) = listen("listen", set.listen, handover::listen_beside)?;
+            let (listener, at) = listen("listen", set.listen, handover::listen_shared)?;
             let front = Front {
                 base: set.base_url.clone().unwrap_or_else(|| format!("http://{at}")).into(),
                 named: Cell::new(first_name(config.seed, clock.now())),
@@ -300,13 +300,14 @@
         }
         let core = Core::with_routes(config.seed, settings, clock.now(), routes);
         executor.spawn(discovery.clone().run()).detach();
-        let has_other_process = presence.other() != Other::None;
+        let has_other_process = presence.other() != OtherProcess::None;
         executor
             .spawn(become_ready(lifecycle.clone(), discovery.clone(), (has_other_process, calls), remembered))
             .detach();
         executor.spawn(follow_rotation(discovery.clone())).detach();
         let sharing = exchange.clone();
-        let share = move |other| sharing.process_count_changed(if other == Other::Serves { 2 } else { 1 });
+        let share =
+            move |other| sharing.process_count_changed(if other == OtherProcess::Serves { 2 } else { 1 });
         share(presence.other());
         executor.spawn(presence.clone().watch(share)).detach();
         executor
@@ -371,19 +372,19 @@
         log::info!("stopping: {} queries open", self.exchange.open_queries());
         // From here on a successor may serve: stores that are cold get nothing from two processes of one broker.
         self.exchange.shutdown_started();
-        let succeeded = self.presence.look() == Other::Serves;
-        self.presence.leave();
+        let succeeded = self.presence.refresh() == OtherProcess::Serves;
+        self.presence.announce_shutdown();
         // First of all: what is taken and what is left to lie counts from the signal.
-        self.lifecycle.leave(succeeded);
+        self.lifecycle.shut_down(succeeded);
         let subsystems = async {
             for subsystem in self.subsystems.iter() {
                 subsystem.stop().await;
             }
         };
         let clients = async {
-            self.lifecycle.accepting_over().await;
+            self.lifecycle.accept_deadline().await;
             let until = Instant::now() + FINISH_WITHIN;
-            while self.lifecycle.connections() > 0 && Instant::now() < until {
+            while self.lifecycle.connection_count() > 0 && Instant::now() < until {
                 Timer::after(FINISH_CHECK).await;
             }
         };
--- a/broker/src/store/attempts.rs
+++ b/broker/src/store/attempts.rs
@@ -232,7 +232,7 @@
             }
         } else if let Some(link) = usable.min_by_key(|link| link.load()) {
             let may_open = links.len() < UNSHARED_LINKS_MAX
-                && self.links.get() < self.limits.links / self.presence.processes();
+                && self.links.get() < self.limits.links / self.presence.process_count();
             if link.load() == 0 || !may_open {
                 return link.clone();
             }
--- a/broker/tests/golden.rs
+++ b/broker/tests/golden.rs
@@ -17,7 +17,7 @@
 use gingerledge::front::features::{describe, link};
 use gingerledge::front::{platform, Reply};
 use gingerledge::geojson::{page, Id};
-use gingerledge::handover::{Other, Presence};
+use gingerledge::handover::{OtherProcess, Presence};
 use gingerledge::http::{self, parse_head, Head};
 use gingerledge::rotation::{DisabledStores, Rotation};
 use gingerledge::store::frame::{self, Frame, PartOutcome};
@@ -85,9 +85,9 @@
     let first = Presence::register(Some(&dir), at);
     let mut samples = files(&dir, "one process");
     let second = Presence::register(Some(&dir), at);
-    assert_eq!((first.look(), second.look()), (Other::Serves, Other::Serves));
-    first.leave();
-    assert_eq!(second.look(), Other::Leaves);
+    assert_eq!((first.refresh(), second.refresh()), (OtherProcess::Serves, OtherProcess::Serves));
+    first.announce_shutdown();
+    assert_eq!(second.refresh(), OtherProcess::Leaves);
     samples.extend(files(&dir, "two processes"));
     compare(&file("handover.txt"), &samples);
     let _ = fs::remove_dir_all(dir);
@@ -261,7 +261,8 @@
 
 #[test]
 fn frames_are_what_they_were() {
-    let letters = [frame::CALL, frame::WITHDRAW, frame::PROBE, frame::LOAD_PROBE, frame::ANSWER, frame::PROTOCOL_ERROR];
+    let letters =
+        [frame::CALL, frame::WITHDRAW, frame::PROBE, frame::LOAD_PROBE, frame::ANSWER, frame::PROTOCOL_ERROR];
     let parts = [frame::part("q.3", 3, "k=abc", b"c41e"), frame::part("q.4", 4, "-", b"")].concat();
     let call = frame::frame(frame::CALL, &parts);
     let answers = [
--- a/broker/tests/handover.rs
+++ b/broker/tests/handover.rs
@@ -11,7 +11,7 @@
 
 use async_channel::Receiver;
 use async_io::Async;
-use gingerledge::handover::{inherited, Other, Presence};
+use gingerledge::handover::{inherited_listener, OtherProcess, Presence};
 use gingerledge::http::Stream;
 use gingerledge_testkit::scripted::{get, put, query, read, run, Mood, World};
 use serde_json::json;
@@ -42,12 +42,12 @@
     let listener = TcpListener::bind(here()).unwrap();
     let at = listener.local_addr().unwrap();
     let (descriptor, client) = (listener.as_raw_fd(), TcpStream::connect(at).unwrap());
-    let adopted = inherited(descriptor, at).unwrap();
+    let adopted = inherited_listener(descriptor, at).unwrap();
     // It is a duplicate: the first may be closed.
     drop(listener);
     TcpStream::connect(at).unwrap();
     adopted.accept().unwrap();
-    let refused = |fd: i32, at: SocketAddr| inherited(fd, at).unwrap_err();
+    let refused = |fd: i32, at: SocketAddr| inherited_listener(fd, at).unwrap_err();
     assert!(refused(adopted.as_raw_fd(), ([127, 0, 0, 1], 1).into()).contains("expected 127.0.0.1:1"));
     assert!(refused(client.as_raw_fd(), at).contains("not a listening TCP socket"));
     let file = std::fs::File::open("/dev/null").unwrap();
@@ -62,21 +62,21 @@
     // A file that is no lock of ours, and what a kill leaves behind, stop nobody.
     std::fs::write(folder.0.join(format!("gingerledge-{at}.0")), [0xff; 100]).unwrap();
     let old = Presence::register(Some(&folder.0), at);
-    assert_eq!((old.look(), old.processes()), (Other::None, 1));
+    assert_eq!((old.refresh(), old.process_count()), (OtherProcess::None, 1));
     let new = Presence::register(Some(&folder.0), at);
-    assert_eq!((new.other(), new.processes()), (Other::Serves, 2));
-    assert_eq!((old.look(), old.processes()), (Other::Serves, 2));
-    old.leave();
-    assert_eq!((new.look(), new.processes()), (Other::Leaves, 2));
-    assert_eq!(old.look(), Other::Serves);
+    assert_eq!((new.other(), new.process_count()), (OtherProcess::Serves, 2));
+    assert_eq!((old.refresh(), old.process_count()), (OtherProcess::Serves, 2));
+    old.announce_shutdown();
+    assert_eq!((new.refresh(), new.process_count()), (OtherProcess::Leaves, 2));
+    assert_eq!(old.refresh(), OtherProcess::Serves);
     drop(old);
-    assert_eq!((new.look(), new.processes()), (Other::None, 1));
+    assert_eq!((new.refresh(), new.process_count()), (OtherProcess::None, 1));
     // The next upgrade finds the place that is free.
     let next = Presence::register(Some(&folder.0), at);
-    assert_eq!((next.look(), new.look()), (Other::Serves, Other::Serves));
+    assert_eq!((next.refresh(), new.refresh()), (OtherProcess::Serves, OtherProcess::Serves));
     // Without a folder it goes alone.
-    assert_eq!(Presence::register(None, at).look(), Other::None);
-    assert_eq!(Presence::register(Some(&folder.0.join("missing")), at).look(), Other::None);
+    assert_eq!(Presence::register(None, at).refresh(), OtherProcess::None);
+    assert_eq!(Presence::register(Some(&folder.0.join("missing")), at).refresh(), OtherProcess::None);
 }
 
 /// The program, as the platform starts it.
--- a/broker/tests/operations.rs
+++ b/broker/tests/operations.rs
@@ -214,10 +214,10 @@
     rotation.disable("s-1", 5000.0).unwrap();
     rotation.disable("s-1", 6000.0).unwrap();
     assert_eq!(rotation.enable("s-1", 10_000.0).unwrap(), ["s-1"]);
-    assert_eq!(rotation.started("s-1", 0.0), 10_000.0, "no restart is listed");
-    assert_eq!(rotation.started("s-1", 4000.0), 10_000.0, "an earlier one says nothing");
-    assert_eq!(rotation.started("s-1", 8000.0), 8000.0, "restarted while it was out, and listed so");
-    assert_eq!(rotation.started("s-2", 4000.0), 4000.0, "of others the list decides");
+    assert_eq!(rotation.start_time("s-1", 0.0), 10_000.0, "no restart is listed");
+    assert_eq!(rotation.start_time("s-1", 4000.0), 10_000.0, "an earlier one says nothing");
+    assert_eq!(rotation.start_time("s-1", 8000.0), 8000.0, "restarted while it was out, and listed so");
+    assert_eq!(rotation.start_time("s-2", 4000.0), 4000.0, "of others the list decides");
     assert!(rotation.enable("s-1", 11_000.0).unwrap().is_empty(), "it is back already");
 }
 
--- a/broker/tests/parsers.rs
+++ b/broker/tests/parsers.rs
@@ -76,12 +76,12 @@
     let text = b"out s-1 17\nout s-2 18\nback s-3 19 1764000000000\n";
     let (stores, unreadable) = DisabledStores::parse(text);
     assert_eq!((stores.disabled.len(), stores.enabled["s-3"], unreadable), (2, (19, 1_764_000_000_000), 0));
-    assert_eq!(stores.text().as_bytes(), text);
+    assert_eq!(stores.to_text().as_bytes(), text);
     // Cut short, an id must not be taken for another.
     assert_eq!(DisabledStores::parse(&text[..20]), (DisabledStores::parse(b"out s-1 17\n").0, 1));
     garbage(text, |bytes| {
         let (stores, _) = DisabledStores::parse(bytes);
-        assert_eq!(DisabledStores::parse(stores.text().as_bytes()), (stores, 0));
+        assert_eq!(DisabledStores::parse(stores.to_text().as_bytes()), (stores, 0));
     });
     let many: String = (0..10_000).map(|n| format!("out s-{n} 1\nback t-{n} 1 2\n")).collect();
     let (stores, _) = DisabledStores::parse(many.as_bytes());
