--- a/broker/src/blocks/admin.rs
+++ b/broker/src/blocks/admin.rs
@@ -1,14 +1,14 @@
-//! The operators' door to blocks: calls read from requests, and what they are shown, as JSON.
+//! The admin endpoint for blocks: parses HTTP requests into requests to the coordinator, and formats its replies as JSON.
 
 use gingerledge_blocks::{BlockId, Change, Coordinator, Cursor, Kind, Plan, ReplicaState, StoreId, Wish};
 use serde::Deserialize;
 use serde_json::{json, Value};
 
-use super::requests::{Call, NamedWish};
+use super::requests::{NamedChange, Request};
 use crate::http::Head;
 
-/// Blocks in one page of the map: with eight replicas each they fit a body.
-const PAGE_MOST: usize = 150;
+/// Maximum number of blocks in a page of the map: with eight replicas each, they fit into a body.
+const PAGE_BLOCKS_MAX: usize = 150;
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -38,64 +38,68 @@
     change: u64,
 }
 
-/// A call of a request below `/blocks`; an error is a status with a few words.
-pub fn call(head: &Head, body: &[u8]) -> Result<Call, (u16, String)> {
+/// Parses an HTTP request below `/blocks`.
+///
+/// # Errors
+///
+/// The status and the text of the response, if the request is invalid.
+pub fn parse_request(head: &Head, body: &[u8]) -> Result<Request, (u16, String)> {
     fn read<'a, T: Deserialize<'a>>(body: &'a [u8]) -> Result<T, (u16, String)> {
         serde_json::from_slice(body).map_err(|e| (400, format!("body: {e}")))
     }
-    let number = |name: &str, absent: u64| {
+    let number = |name: &str, default: u64| {
         let pairs = head.query().split('&').filter_map(|pair| pair.split_once('='));
         match pairs.filter(|(key, _)| *key == name).map(|(_, value)| value).next() {
-            None => Ok(absent),
+            None => Ok(default),
             Some(text) => {
                 text.parse::<u64>().map_err(|_| (400, format!("{name}: expected a number, found `{text}`")))
             }
         }
     };
-    let (method, call) = match head.path() {
+    let (method, request) = match head.path() {
         "/blocks" => {
             let from = number("from", 0)?.min(u64::from(u32::MAX)) as u32;
-            let most = (number("most", PAGE_MOST as u64)? as usize).clamp(1, PAGE_MOST);
-            ("GET", Call::Show { from, most })
+            let limit = (number("most", PAGE_BLOCKS_MAX as u64)? as usize).clamp(1, PAGE_BLOCKS_MAX);
+            ("GET", Request::ShowMap { from, limit })
         }
         "/blocks/news" => {
             let term = number("term", 0)?.min(u64::from(u32::MAX)) as u32;
             let block = number("block", u64::from(u32::MAX))?.min(u64::from(u32::MAX)) as u32;
             let since = Cursor { version: number("since", 0)?, block: BlockId(block) };
-            ("GET", Call::News { since, term })
+            ("GET", Request::MapUpdates { since, term })
         }
-        "/blocks/plan" if head.method == "PUT" => ("PUT", Call::Plan { run: true }),
-        "/blocks/plan" => ("GET", Call::Plan { run: false }),
+        "/blocks/plan" if head.method == "PUT" => ("PUT", Request::Plan { execute: true }),
+        "/blocks/plan" => ("GET", Request::Plan { execute: false }),
         "/blocks/move" => {
             let MoveBody { block, from, to } = read(body)?;
-            let wish = match (from, to) {
-                (Some(from), Some(to)) => NamedWish::Move(block, from, to),
-                (None, Some(to)) => NamedWish::Add(block, to),
-                (Some(from), None) => NamedWish::Remove(block, from),
+            let change = match (from, to) {
+                (Some(from), Some(to)) => NamedChange::Move(block, from, to),
+                (None, Some(to)) => NamedChange::Add(block, to),
+                (Some(from), None) => NamedChange::Remove(block, from),
                 (None, None) => return Err((400, "from, to: one of them at least".to_owned())),
             };
-            ("PUT", Call::Wish(wish))
+            ("PUT", Request::Change(change))
         }
         "/blocks/split" => {
             let SplitBody { block, at } = read(body)?;
-            ("PUT", Call::Wish(NamedWish::Split(block, at)))
+            ("PUT", Request::Change(NamedChange::Split(block, at)))
         }
         "/blocks/merge" => {
             let MergeBody { block, with } = read(body)?;
-            ("PUT", Call::Wish(NamedWish::Merge(block, with)))
+            ("PUT", Request::Change(NamedChange::Merge(block, with)))
         }
-        "/blocks/abandon" => ("PUT", Call::Abandon(read::<AbandonBody>(body)?.change)),
-        "/blocks/pause" => ("PUT", Call::Pause(true)),
-        "/blocks/resume" => ("PUT", Call::Pause(false)),
+        "/blocks/abandon" => ("PUT", Request::Abandon(read::<AbandonBody>(body)?.change)),
+        "/blocks/pause" => ("PUT", Request::Pause(true)),
+        "/blocks/resume" => ("PUT", Request::Pause(false)),
         path => return Err((404, format!("no such path: {path}"))),
     };
     if head.method != method {
         return Err((405, format!("{} takes {method}", head.path())));
     }
-    Ok(call)
+    Ok(request)
 }
 
-/// What a kind of change is called.
+/// The name of a kind of change in JSON.
 fn kind_name(kind: &Kind) -> &'static str {
     match kind {
         Kind::Move { .. } => "move",
@@ -106,24 +110,26 @@
     }
 }
 
-fn name(coordinator: &Coordinator, store: StoreId) -> String {
+/// The name of a store, or its number if the name is not known.
+fn store_name(coordinator: &Coordinator, store: StoreId) -> String {
     coordinator.name(store).map_or_else(|| store.to_string(), str::to_owned)
 }
 
-fn change(coordinator: &Coordinator, change: &Change, stuck: bool) -> Value {
-    let names = |stores: &[StoreId]| stores.iter().map(|s| name(coordinator, *s)).collect::<Vec<_>>();
+fn change_json(coordinator: &Coordinator, change: &Change, is_stuck: bool) -> Value {
+    let names =
+        |stores: &[StoreId]| stores.iter().map(|store| store_name(coordinator, *store)).collect::<Vec<_>>();
     let mut json = json!({
         "change": change.id.0,
         "kind": kind_name(&change.kind),
         "block": change.block.0,
         "step": format!("{:?}", change.step),
         "epoch": change.epoch.0,
-        "stuck": stuck,
+        "stuck": is_stuck,
     });
     match &change.kind {
         Kind::Move { from, to } | Kind::Add { source: from, to } | Kind::Remove { from, keeper: to } => {
-            json["from"] = name(coordinator, *from).into();
-            json["to"] = name(coordinator, *to).into();
+            json["from"] = store_name(coordinator, *from).into();
+            json["to"] = store_name(coordinator, *to).into();
         }
         Kind::Split { holders, new } | Kind::Merge { holders, new, .. } => {
             json["holders"] = names(holders).into();
@@ -136,51 +142,57 @@
     json
 }
 
-/// A page of the map, from a block's number on, and all changes.
-pub fn show(coordinator: &Coordinator, now: u64, from: u32, most: usize) -> Value {
+/// Formats a page of the map with at most `limit` blocks, from the block number `from` on, together with the changes: a page of
+/// the current ones and the last 20 past ones.
+pub fn map_page_json(coordinator: &Coordinator, now: u64, from: u32, limit: usize) -> Value {
     let map = coordinator.map();
     let mut ids: Vec<BlockId> = map.blocks().map(|block| block.id).filter(|id| id.0 >= from).collect();
     ids.sort_unstable();
-    let next = ids.get(most).map(|id| id.0);
+    let next = ids.get(limit).map(|id| id.0);
     let blocks: Vec<Value> = ids
         .iter()
-        .take(most)
+        .take(limit)
         .filter_map(|id| map.block(*id))
         .map(|block| {
             let replicas: Vec<Value> = block
                 .replicas
                 .iter()
                 .map(|replica| match replica.state {
-                    ReplicaState::Serving => name(coordinator, replica.store).into(),
-                    state => format!("{} ({state:?})", name(coordinator, replica.store)).into(),
+                    ReplicaState::Serving => store_name(coordinator, replica.store).into(),
+                    state => format!("{} ({state:?})", store_name(coordinator, replica.store)).into(),
                 })
                 .collect();
             json!({ "block": block.id.0, "first": block.span.first, "end": block.span.end,
                 "epoch": block.epoch.0, "stores": replicas })
         })
         .collect();
-    let stuck = |c: &Change| coordinator.stuck(c, now);
-    let changes: Vec<Value> =
-        coordinator.changes().take(PAGE_MOST).map(|c| change(coordinator, c, stuck(c))).collect();
+    let is_stuck = |change: &Change| coordinator.stuck(change, now);
+    let changes: Vec<Value> = coordinator
+        .changes()
+        .take(PAGE_BLOCKS_MAX)
+        .map(|change| change_json(coordinator, change, is_stuck(change)))
+        .collect();
     let mut past: Vec<Value> =
-        coordinator.past().map(|past| change(coordinator, &past.change, false)).collect();
+        coordinator.past().map(|past| change_json(coordinator, &past.change, false)).collect();
     let past = past.split_off(past.len().saturating_sub(20));
-    let unheard: Vec<String> =
+    let unreported: Vec<String> =
         coordinator.stores().filter(|(id, _)| !coordinator.has_heard(*id)).map(|(_, name)| name).collect();
     json!({ "term": coordinator.term().0, "version": map.version(), "paused": coordinator.paused(),
         "count": map.len(), "blocks": blocks, "next": next, "changes": changes, "past": past,
-        "unheard": unheard })
+        "unheard": unreported })
 }
 
-/// A plan.
-pub fn plan(coordinator: &Coordinator, plan: &Plan) -> Value {
-    let wish = |wish: &Wish| match wish {
+/// Formats a plan.
+pub fn plan_json(coordinator: &Coordinator, plan: &Plan) -> Value {
+    let wish_json = |wish: &Wish| match wish {
         Wish::Move(block, from, to) => {
-            json!({ "kind": "move", "block": block.0, "from": name(coordinator, *from), "to": name(coordinator, *to) })
+            json!({ "kind": "move", "block": block.0, "from": store_name(coordinator, *from), "to": store_name(coordinator, *to) })
+        }
+        Wish::Add(block, to) => {
+            json!({ "kind": "add", "block": block.0, "to": store_name(coordinator, *to) })
         }
-        Wish::Add(block, to) => json!({ "kind": "add", "block": block.0, "to": name(coordinator, *to) }),
         Wish::Remove(block, from) => {
-            json!({ "kind": "remove", "block": block.0, "from": name(coordinator, *from) })
+            json!({ "kind": "remove", "block": block.0, "from": store_name(coordinator, *from) })
         }
         Wish::Split(block, at) => json!({ "kind": "split", "block": block.0, "at": at }),
         Wish::Merge(block, with) => json!({ "kind": "merge", "block": block.0, "with": with.0 }),
@@ -189,7 +201,7 @@
         .wishes
         .iter()
         .map(|planned| {
-            let mut json = wish(&planned.wish);
+            let mut json = wish_json(&planned.wish);
             json["why"] = planned.why.into();
             json["bytes"] = planned.bytes.into();
             json["urgent"] = planned.urgent.into();
@@ -199,7 +211,7 @@
     let stranded: Vec<Value> = plan
         .stranded
         .iter()
-        .take(PAGE_MOST)
+        .take(PAGE_BLOCKS_MAX)
         .map(|(block, why)| json!({ "block": block.0, "why": why }))
         .collect();
     json!({ "wishes": wishes, "later": plan.later, "stranded": stranded,
--- a/broker/src/blocks/coordinator.rs
+++ b/broker/src/blocks/coordinator.rs
@@ -1,5 +1,5 @@
-//! The coordinator's driver: takes the lease, reads and writes the log, gives orders to stores, has copies made within their
-//! budget, and plans. All that it decides, the machine in `gingerledge-blocks` decides.
+//! The driver of the coordinator: acquires the lease, reads and writes the log, sends orders to stores, has copies made within
+//! their budget, and makes plans. All decisions are made by the state machine [`Coordinator`] of `gingerledge-blocks`.
 
 use std::collections::{HashMap, HashSet};
 use std::rc::Rc;
@@ -16,214 +16,229 @@
 };
 
 use super::lease::{self, FileDisk};
-use super::requests::{Call, NamedWish, Reply};
-use super::store_client::{Calls, Lane};
+use super::requests::{NamedChange, Reply, Request};
+use super::store_client::{CallKind, StoreClient};
 use super::Blocks;
 use crate::config::blocks::Planning;
 use crate::discovery::Member;
 
-/// Records in a page of news.
-const NEWS_RECORDS: usize = 300;
-/// The lease is renewed when so much of it is left, in parts of it, and counts as lost when so much is.
-const RENEW_AT: u64 = 2;
-const LOST_AT: u64 = 8;
-/// An idle block counts as so many parts a second: stores switched on in a quiet hour fill up too.
+/// Maximum number of records in a page of updates of the map.
+const PAGE_RECORDS_MAX: usize = 300;
+/// The lease is renewed once one in this many parts of its duration remains.
+const RENEW_DIVISOR: u64 = 2;
+/// The lease counts as lost once less than one in this many parts of its duration remains.
+const LOST_DIVISOR: u64 = 8;
+/// Load that every block counts in addition to its measured load, in parts a second, so that stores that are added in a period
+/// without load are given blocks as well.
 const IDLE_LOAD: f64 = 0.5;
-/// Half of a block's measured load is forgotten with each plan.
+/// Weight of a new measurement in the moving average of a block's load, which is updated once for each plan.
 const LOAD_GAIN: f64 = 0.5;
 
-/// What others want of the coordinator.
-pub enum Ask {
-    /// To be told the reply once done.
-    Call(Call, Sender<Reply>),
-    /// A word from a store.
+/// An input of the coordinator's driver.
+pub enum Input {
+    /// A request, and the channel for its reply.
+    Request(Request, Sender<Reply>),
+    /// An answer of a store to an order, or its absence.
     Heard(Heard),
-    /// A copy's end, with the bytes moved.
+    /// A copy has ended; with its result, if the stores answered.
     Copied(CopyJob, Option<Copied>),
-    /// What a store holds is used so much.
+    /// The blocks that a store holds, with their sizes and use.
     Usage(StoreId, Vec<wire::Held>),
-    /// To look whether it is to stop.
+    /// The driver must check whether it has to stop.
     Wake,
 }
 
-/// Takes the lease whenever it can be had, and coordinates while it lasts.
+/// Acquires the lease whenever it is free, and coordinates for as long as the lease is held.
 pub async fn run(blocks: Rc<Blocks>) {
-    let lease_ms = blocks.set.lease_ms;
-    while !blocks.stopping.get() {
-        // Two processes of one broker are two holders: in an upgrade the old one lets go first.
+    let lease_ms = blocks.settings.lease_ms;
+    while !blocks.is_stopping.get() {
+        // The two processes of a broker are two different holders: in an upgrade the old one must release the lease first.
         let name = format!("{}/{}", blocks.name, std::process::id());
-        let (dir, now) = (blocks.set.dir.clone(), blocks.clock.now() as u64);
-        let taken = blocking::unblock(move || lease::take(&dir, &name, now, lease_ms)).await;
-        let wait = match taken {
+        let (dir, now) = (blocks.settings.dir.clone(), blocks.clock.now() as u64);
+        let acquired = blocking::unblock(move || lease::acquire(&dir, &name, now, lease_ms)).await;
+        let wait_ms = match acquired {
             Ok(Ok(term)) => {
-                reign(&blocks, term, now + lease_ms).await;
-                blocks.boss.borrow_mut().take();
-                let dir = blocks.set.dir.clone();
+                coordinate(&blocks, term, now + lease_ms).await;
+                blocks.coordinator.borrow_mut().take();
+                let dir = blocks.settings.dir.clone();
                 if let Err(fault) = blocking::unblock(move || lease::release(&dir, term)).await {
-                    log::warn!("blocks: the lease was not let go: {fault}");
+                    log::warn!("blocks: releasing the lease failed: {fault}");
                 }
                 lease_ms / 4
             }
-            Ok(Err(held)) => held.until_ms.saturating_sub(now).min(lease_ms / 4),
+            Ok(Err(other)) => other.until_ms.saturating_sub(now).min(lease_ms / 4),
             Err(fault) => {
-                log::warn!("blocks: the lease can't be taken: {fault}");
+                log::warn!("blocks: acquiring the lease failed: {fault}");
                 lease_ms / 4
             }
         };
-        if !blocks.stopping.get() {
-            Timer::after(Duration::from_millis(wait.max(20))).await;
+        if !blocks.is_stopping.get() {
+            Timer::after(Duration::from_millis(wait_ms.max(20))).await;
         }
     }
     blocks.released.0.borrow_mut().take();
 }
 
-struct Boss<'a> {
+/// The driver of the coordinator during one term.
+struct CoordinatorDriver<'a> {
     blocks: &'a Rc<Blocks>,
     coordinator: Coordinator,
+    /// The log; `None` only while a task writes it.
     log: Option<Log<FileDisk>>,
-    calls: Rc<Calls>,
+    client: Rc<StoreClient>,
+    /// Schedules copies within their budget.
     copies: Scheduler<(ChangeId, u32), StoreId>,
+    /// Copies that wait or are in progress, by change and round.
     jobs: HashMap<(ChangeId, u32), CopyJob>,
-    asks: Sender<Ask>,
-    /// Parts that ran by block and store, as last told, and the load that comes of it.
-    parts: HashMap<(BlockId, StoreId), u64>,
+    inputs: Sender<Input>,
+    /// Number of parts that each store has executed for each block, as last reported.
+    part_counts: HashMap<(BlockId, StoreId), u64>,
+    /// Moving averages of the blocks' loads.
     loads: HashMap<BlockId, BlockLoad>,
-    changed: HashMap<BlockId, u64>,
-    over: bool,
+    /// Time at which the last change of each block ended, in Unix milliseconds.
+    last_changed: HashMap<BlockId, u64>,
+    /// Whether the driver must stop, since the log can't be written or another broker coordinates.
+    must_stop: bool,
 }
 
-async fn reign(blocks: &Rc<Blocks>, term: Term, until: u64) {
-    let dir = blocks.set.dir.clone();
+/// Coordinates in a term until the lease is lost or the broker shuts down. `until` is the end of the lease, in Unix
+/// milliseconds.
+async fn coordinate(blocks: &Rc<Blocks>, term: Term, until: u64) {
+    let dir = blocks.settings.dir.clone();
     let opened = blocking::unblock(move || lease::open_log(&dir, term)).await;
     let (log, records) = match opened {
         Ok(opened) => opened,
         Err(fault) => {
-            log::error!("blocks: the coordinator's log can't be used: {fault}");
+            log::error!("blocks: opening the coordinator's log failed: {fault}");
             return;
         }
     };
-    let begun = Coordinator::begin(blocks.clock.now() as u64, term, records, blocks.set.bounds);
-    let (coordinator, start) = match begun {
-        Ok(begun) => begun,
+    let started = Coordinator::begin(blocks.clock.now() as u64, term, records, blocks.settings.bounds);
+    let (coordinator, start) = match started {
+        Ok(started) => started,
         Err(fault) => {
-            log::error!("blocks: the coordinator's log makes no sense: {fault}");
+            log::error!("blocks: the records of the coordinator's log are invalid: {fault}");
             return;
         }
     };
-    log::info!(term = term.0, blocks = coordinator.map().len(); "blocks: coordinating");
-    let (asks, asked) = async_channel::bounded(4096);
+    log::info!(term = term.0, blocks = coordinator.map().len(); "blocks: started coordinating");
+    let (input_sender, inputs) = async_channel::bounded(4096);
     let now = blocks.clock.now() as u64;
-    let mut boss = Boss {
+    let mut driver = CoordinatorDriver {
         blocks,
         coordinator,
         log: Some(log),
-        calls: Calls::new(),
-        copies: Scheduler::new(blocks.set.budget, now),
+        client: StoreClient::new(),
+        copies: Scheduler::new(blocks.settings.budget, now),
         jobs: HashMap::new(),
-        asks: asks.clone(),
-        parts: HashMap::new(),
+        inputs: input_sender.clone(),
+        part_counts: HashMap::new(),
         loads: HashMap::new(),
-        changed: HashMap::new(),
-        over: false,
+        last_changed: HashMap::new(),
+        must_stop: false,
     };
-    boss.carry_out(vec![Work::Append(start)]).await;
-    boss.note_stores().await;
-    let dir = blocks.set.dir.clone();
-    if let Err(fault) = blocking::unblock(move || lease::tidy(&dir, term)).await {
-        log::warn!("blocks: old logs stay: {fault}");
+    driver.execute(vec![Work::Append(start)]).await;
+    driver.register_stores().await;
+    let dir = blocks.settings.dir.clone();
+    if let Err(fault) = blocking::unblock(move || lease::remove_old_logs(&dir, term)).await {
+        log::warn!("blocks: removing old logs failed: {fault}");
     }
-    *blocks.boss.borrow_mut() = Some(asks);
-    boss.publish();
-    boss.serve(asked, until).await;
+    *blocks.coordinator.borrow_mut() = Some(input_sender);
+    driver.publish();
+    driver.run(inputs, until).await;
     log::info!(term = term.0; "blocks: no longer coordinating");
 }
 
-impl Boss<'_> {
+impl CoordinatorDriver<'_> {
+    /// The current time, in Unix milliseconds.
     fn now(&self) -> u64 {
         self.blocks.clock.now() as u64
     }
 
-    async fn serve(&mut self, asked: Receiver<Ask>, mut until: u64) {
-        let set = &self.blocks.set;
-        let (lease_ms, plan_ms) = (set.lease_ms, set.plan_every_ms);
+    /// Handles inputs, renews the lease and plans, until the lease is lost or the driver must stop.
+    async fn run(&mut self, inputs: Receiver<Input>, mut until: u64) {
+        let settings = &self.blocks.settings;
+        let (lease_ms, plan_ms) = (settings.lease_ms, settings.plan_every_ms);
         let mut plan_at = self.now() + plan_ms;
-        while !self.over && !self.blocks.stopping.get() {
+        while !self.must_stop && !self.blocks.is_stopping.get() {
             let now = self.now();
-            let renew_at = until - lease_ms / RENEW_AT;
+            let renew_at = until - lease_ms / RENEW_DIVISOR;
             let due = [Some(plan_at), Some(renew_at), self.coordinator.due(), self.copies.due(now)];
-            let wait = due.into_iter().flatten().min().unwrap_or(now).saturating_sub(now).min(100);
-            let next = async { asked.recv().await.ok() };
-            let late = async {
-                Timer::after(Duration::from_millis(wait)).await;
+            let wait_ms = due.into_iter().flatten().min().unwrap_or(now).saturating_sub(now).min(100);
+            let received = async { inputs.recv().await.ok() };
+            let timeout = async {
+                Timer::after(Duration::from_millis(wait_ms)).await;
                 None
             };
-            let mut ask = or(next, late).await;
-            while let Some(one) = ask {
-                self.take(one).await;
-                ask = asked.try_recv().ok();
+            let mut next = or(received, timeout).await;
+            while let Some(input) = next {
+                self.on_input(input).await;
+                next = inputs.try_recv().ok();
             }
             let now = self.now();
             if now >= renew_at {
-                let (dir, term) = (set.dir.clone(), self.coordinator.term());
+                let (dir, term) = (settings.dir.clone(), self.coordinator.term());
                 match blocking::unblock(move || lease::renew(&dir, term, now, lease_ms)).await {
                     Ok(true) => until = now + lease_ms,
                     Ok(false) => break,
-                    Err(fault) => log::warn!("blocks: the lease was not renewed: {fault}"),
+                    Err(fault) => log::warn!("blocks: renewing the lease failed: {fault}"),
                 }
             }
-            // Guards against going on after a long pause: what was ordered since may be another's by now.
-            if self.now() + lease_ms / LOST_AT > until {
+            // After a long pause of the process, another broker may hold the lease: no further order may be sent.
+            if self.now() + lease_ms / LOST_DIVISOR > until {
                 break;
             }
-            self.note_stores().await;
+            self.register_stores().await;
             let work = self.coordinator.handle(self.now(), Heard::Tick);
-            self.carry_out(work).await;
-            self.begin_copies();
+            self.execute(work).await;
+            self.start_copies();
             if now >= plan_at {
                 plan_at = now + plan_ms;
-                self.ask_usage();
-                if set.planning == Planning::Auto && !self.coordinator.paused() {
-                    let wishes = self.plan().wishes;
-                    self.wish_all(wishes.into_iter().map(|planned| planned.wish).collect()).await;
+                self.request_usage();
+                if settings.planning == Planning::Auto && !self.coordinator.paused() {
+                    let changes = self.plan().wishes;
+                    self.start_changes(changes.into_iter().map(|planned| planned.wish).collect()).await;
                 }
             }
         }
     }
 
-    /// Notes stores that discovery has named, and makes the first map once all of its stores are known.
-    async fn note_stores(&mut self) {
+    /// Registers listed stores with the coordinator, and creates the first map once all of its stores are known.
+    async fn register_stores(&mut self) {
         let mut work = Vec::new();
         for name in self.blocks.stores.names() {
             if self.coordinator.store(&name).is_none() && self.coordinator.note(&name, &mut work).is_none() {
-                log::warn!(store = name.as_str(); "blocks: more stores than stores_max; this one is left out");
+                log::warn!(store = name.as_str(); "blocks: store ignored, since there are more than stores_max");
             }
         }
-        let found = &self.blocks.set.found;
-        if self.coordinator.map().version() == 0 && !found.is_empty() {
+        let initial_blocks = &self.blocks.settings.found;
+        if self.coordinator.map().version() == 0 && !initial_blocks.is_empty() {
             let ids = |names: &[String]| {
-                names.iter().map(|n| self.coordinator.store(n)).collect::<Option<Vec<_>>>()
+                names.iter().map(|name| self.coordinator.store(name)).collect::<Option<Vec<_>>>()
             };
-            let blocks: Option<Vec<_>> = found
+            let blocks: Option<Vec<_>> = initial_blocks
                 .iter()
-                .map(|f| Some((BlockId(f.block), f.span, ids(&f.stores)?, f.extent.map(Extent))))
+                .map(|block| {
+                    Some((BlockId(block.block), block.span, ids(&block.stores)?, block.extent.map(Extent)))
+                })
                 .collect();
             if let Some(blocks) = blocks {
                 match self.coordinator.found(blocks) {
                     Ok(more) => work.extend(more),
-                    Err(fault) => log::error!("blocks: the first map can't be made: {fault}"),
+                    Err(fault) => log::error!("blocks: creating the first map failed: {fault}"),
                 }
             }
         }
-        self.carry_out(work).await;
+        self.execute(work).await;
     }
 
-    async fn take(&mut self, ask: Ask) {
-        match ask {
-            Ask::Heard(heard) => {
+    async fn on_input(&mut self, input: Input) {
+        match input {
+            Input::Heard(heard) => {
                 let work = self.coordinator.handle(self.now(), heard);
-                self.carry_out(work).await;
+                self.execute(work).await;
             }
-            Ask::Copied(job, copied) => {
+            Input::Copied(job, copied) => {
                 let key = (job.change, job.round);
                 self.jobs.remove(&key);
                 let bytes = copied.map_or(0.0, |copied| copied.bytes as f64);
@@ -232,30 +247,30 @@
                 let upto = copied.map(|copied| (copied.copied, copied.length));
                 let heard = Heard::Copied { change: job.change, round: job.round, upto };
                 let work = self.coordinator.handle(now, heard);
-                self.carry_out(work).await;
-                self.begin_copies();
+                self.execute(work).await;
+                self.start_copies();
             }
-            Ask::Usage(store, held) => self.used(store, &held),
-            Ask::Wake => {}
-            Ask::Call(call, reply) => {
-                let said = self.call(call).await;
-                let _ = reply.try_send(said);
+            Input::Usage(store, held_blocks) => self.on_usage(store, &held_blocks),
+            Input::Wake => {}
+            Input::Request(request, reply_sender) => {
+                let reply = self.on_request(request).await;
+                let _ = reply_sender.try_send(reply);
             }
         }
     }
 
-    /// Does what the machine wants, in order. Once the log can't be written nothing more is done.
-    async fn carry_out(&mut self, work: Vec<Work>) {
-        let (mut records, mut rest) = (Vec::new(), work.into_iter().peekable());
-        while let Some(item) = rest.next() {
+    /// Carries out the actions of the coordinator, in order. Once the log can't be written, nothing more is done.
+    async fn execute(&mut self, work: Vec<Work>) {
+        let (mut records, mut remaining) = (Vec::new(), work.into_iter().peekable());
+        while let Some(item) = remaining.next() {
             match item {
                 Work::Append(record) => {
                     records.push(record);
-                    // What follows each other is written together.
-                    if matches!(rest.peek(), Some(Work::Append(_))) {
+                    // Consecutive records are written together.
+                    if matches!(remaining.peek(), Some(Work::Append(_))) {
                         continue;
                     }
-                    let Some(mut log) = self.log.take().filter(|_| !self.over) else { return };
+                    let Some(mut log) = self.log.take().filter(|_| !self.must_stop) else { return };
                     let batch = std::mem::take(&mut records);
                     let written = blocking::unblock(move || {
                         let written = log.append(&batch);
@@ -264,159 +279,171 @@
                     let (log, written) = written.await;
                     self.log = Some(log);
                     if let Err(fault) = written {
-                        log::error!("blocks: the coordinator's log can't be written, giving up: {fault}");
-                        self.over = true;
+                        log::error!(
+                            "blocks: writing the coordinator's log failed, stopping to coordinate: {fault}"
+                        );
+                        self.must_stop = true;
                         return;
                     }
                 }
-                Work::Send(store, tag, ordered) => self.send(store, tag, ordered),
-                Work::Copy(job) => self.submit(job),
+                Work::Send(store, tag, ordered) => self.send_order(store, tag, ordered),
+                Work::Copy(job) => self.submit_copy(job),
                 Work::Publish(_) => self.publish(),
                 Work::Ended(id, step) => {
                     let now = self.now();
                     let past = self.coordinator.past().last().filter(|past| past.change.id == id);
                     if let Some(past) = past {
                         let block = past.change.block.0;
-                        let reason =
-                            past.change.reason.as_ref().map(|r| format!("{r:?}")).unwrap_or_default();
+                        let reason = past
+                            .change
+                            .reason
+                            .as_ref()
+                            .map(|reason| format!("{reason:?}"))
+                            .unwrap_or_default();
                         let step = format!("{step:?}");
                         log::info!(change = id.0, block, step = step.as_str(), reason = reason.as_str(); "blocks: change ended");
                         for block in past.change.blocks() {
-                            self.changed.insert(block, now);
+                            self.last_changed.insert(block, now);
                         }
                     }
                     let map = self.coordinator.map();
-                    self.changed.retain(|block, _| map.block(*block).is_some());
+                    self.last_changed.retain(|block, _| map.block(*block).is_some());
                 }
                 Work::Deposed(term) => {
-                    log::warn!(term = term.0; "blocks: another coordinates");
-                    self.over = true;
+                    log::warn!(term = term.0; "blocks: another broker coordinates");
+                    self.must_stop = true;
                     return;
                 }
             }
         }
     }
 
-    fn send(&self, store: StoreId, tag: Tag, ordered: Ordered) {
-        let at = self.coordinator.name(store).and_then(|name| self.blocks.address(name));
-        let (asks, calls) = (self.asks.clone(), self.calls.clone());
+    /// Sends an order to a store in a task of its own; the answer arrives as [`Input::Heard`].
+    fn send_order(&self, store: StoreId, tag: Tag, ordered: Ordered) {
+        let address = self.coordinator.name(store).and_then(|name| self.blocks.address(name));
+        let (inputs, client) = (self.inputs.clone(), self.client.clone());
         let task = async move {
-            let heard = match at {
+            let heard = match address {
                 None => None,
-                Some(at) => order(&calls, at, store, tag, ordered).await,
+                Some(address) => execute_order(&client, address, store, tag, ordered).await,
             };
-            let _ = asks.send(Ask::Heard(heard.unwrap_or(Heard::Silent(store, tag)))).await;
+            let _ = inputs.send(Input::Heard(heard.unwrap_or(Heard::Silent(store, tag)))).await;
         };
         self.blocks.executor.spawn(task).detach();
     }
 
-    fn submit(&mut self, job: CopyJob) {
+    /// Queues a copy with the scheduler.
+    fn submit_copy(&mut self, job: CopyJob) {
         let key = (job.change, job.round);
-        let class = if job.urgent || self.leaves(job.from) { Class::Urgent } else { Class::Normal };
+        let class = if job.urgent || self.is_draining(job.from) { Class::Urgent } else { Class::Normal };
         let cost = Cost { bytes: wire::STRETCH_MOST as f64, work_ms: 1.0 };
         let task = Job { id: key, class, lanes: vec![job.from, job.to], cost };
         let now = self.now();
         self.jobs.insert(key, job);
         if self.copies.submit(now, task).is_err() {
-            // Said to be silent, it comes again after a pause.
+            // The coordinator treats the copy like one whose stores did not answer, and requests it again after a pause.
             self.jobs.remove(&key);
-            let _ = self.asks.try_send(Ask::Copied(job, None));
+            let _ = self.inputs.try_send(Input::Copied(job, None));
         }
-        self.begin_copies();
+        self.start_copies();
     }
 
-    /// Whether a store waits to be empty.
-    fn leaves(&self, store: StoreId) -> bool {
-        let ready =
+    /// Whether a store is draining, so that its blocks must be moved away.
+    fn is_draining(&self, store: StoreId) -> bool {
+        let state =
             self.coordinator.name(store).and_then(|name| self.blocks.stores.address_and_readiness(name));
-        ready.is_some_and(|(_, ready)| !ready)
+        state.is_some_and(|(_, is_ready)| !is_ready)
     }
 
-    fn begin_copies(&mut self) {
+    /// Starts the copies that the scheduler permits now.
+    fn start_copies(&mut self) {
         let now = self.now();
         self.copies.queries(now, self.blocks.exchange.open_queries());
         for key in self.copies.poll(now) {
             let Some(job) = self.jobs.get(&key).copied() else { continue };
             let address = |store| self.coordinator.name(store).and_then(|name| self.blocks.address(name));
             let (from, to) = (address(job.from), address(job.to));
-            let (asks, calls) = (self.asks.clone(), self.calls.clone());
+            let (inputs, client) = (self.inputs.clone(), self.client.clone());
             let task = async move {
                 let copied = match (from, to) {
-                    (Some(from), Some(to)) => copy(&calls, from, to, &job).await,
+                    (Some(from), Some(to)) => execute_copy(&client, from, to, &job).await,
                     _ => None,
                 };
-                let _ = asks.send(Ask::Copied(job, copied)).await;
+                let _ = inputs.send(Input::Copied(job, copied)).await;
             };
             self.blocks.executor.spawn(task).detach();
         }
     }
 
-    /// This broker's own map follows at once; the others ask.
+    /// Updates this broker's own copy of the map immediately; the other brokers request updates.
     fn publish(&self) {
         loop {
-            let news = self.news(self.blocks.routes.next_cursor(), self.blocks.routes.term());
-            if !matches!(self.blocks.learn(news), Some(crate::routes::MapUpdate::MorePages)) {
+            let page = self.map_updates(self.blocks.routes.next_cursor(), self.blocks.routes.term());
+            if !matches!(self.blocks.apply_update(page), Some(crate::routes::MapUpdate::MorePages)) {
                 return;
             }
         }
     }
 
-    fn news(&self, since: Cursor, term: u32) -> News {
+    /// A page of updates of the map after a position that a broker received in `term`, or the first page of the whole map.
+    fn map_updates(&self, since: Cursor, term: u32) -> News {
         let map = self.coordinator.map();
         let stores = self.coordinator.stores().collect();
-        let (version, own) = (map.version(), self.coordinator.term().0);
-        // What another term's coordinator told may never have been written: then the whole map is told anew. Its
-        // pages are asked for in this term.
-        let known = if term == own { map.since(since, NEWS_RECORDS) } else { None };
-        let (records, upto, whole) = match known {
+        let (version, current_term) = (map.version(), self.coordinator.term().0);
+        // Updates from the coordinator of another term may never have been written to its log, so the whole map is sent. The
+        // broker then requests the further pages in this term.
+        let changes = if term == current_term { map.since(since, PAGE_RECORDS_MAX) } else { None };
+        let (records, upto, whole) = match changes {
             Some((records, upto)) => (records, upto, false),
             None => {
-                let all = map.since(Cursor::default(), NEWS_RECORDS);
-                let (records, upto) = all.unwrap_or((Vec::new(), Cursor::at(version)));
+                let first_page = map.since(Cursor::default(), PAGE_RECORDS_MAX);
+                let (records, upto) = first_page.unwrap_or((Vec::new(), Cursor::at(version)));
                 (records, upto, true)
             }
         };
-        News { stores, records, upto, version, term: own, whole }
+        News { stores, records, upto, version, term: current_term, whole }
     }
 
-    fn ask_usage(&mut self) {
+    /// Requests the use of blocks from all stores; the answers arrive as [`Input::Usage`].
+    fn request_usage(&mut self) {
         let map = self.coordinator.map();
-        self.parts.retain(|(block, _), _| map.block(*block).is_some());
+        self.part_counts.retain(|(block, _), _| map.block(*block).is_some());
         self.loads.retain(|block, _| map.block(*block).is_some());
         for (store, name) in self.coordinator.stores().collect::<Vec<_>>() {
-            let Some(at) = self.blocks.address(&name) else { continue };
+            let Some(address) = self.blocks.address(&name) else { continue };
             let ordered = self.coordinator.inventory();
-            let (asks, calls) = (self.asks.clone(), self.calls.clone());
+            let (inputs, client) = (self.inputs.clone(), self.client.clone());
             let task = async move {
-                if let Some((_, held)) = holds(&calls, at, ordered).await {
-                    let _ = asks.send(Ask::Usage(store, held)).await;
+                if let Some((_, held_blocks)) = fetch_inventory(&client, address, ordered).await {
+                    let _ = inputs.send(Input::Usage(store, held_blocks)).await;
                 }
             };
             self.blocks.executor.spawn(task).detach();
         }
     }
 
-    /// Learns from a store how large its blocks are and how much they are used.
-    fn used(&mut self, store: StoreId, held: &[wire::Held]) {
-        let seconds = (self.blocks.set.plan_every_ms as f64 / 1000.0).max(0.001);
-        for held in held {
-            let before = self.parts.insert((held.block, store), held.parts);
-            let Some(before) = before.filter(|before| *before <= held.parts) else { continue };
-            let rate = (held.parts - before) as f64 / seconds;
+    /// Updates the sizes and loads of blocks from a store's report.
+    fn on_usage(&mut self, store: StoreId, held_blocks: &[wire::Held]) {
+        let seconds = (self.blocks.settings.plan_every_ms as f64 / 1000.0).max(0.001);
+        for held in held_blocks {
+            let previous = self.part_counts.insert((held.block, store), held.parts);
+            let Some(previous) = previous.filter(|previous| *previous <= held.parts) else { continue };
+            let rate = (held.parts - previous) as f64 / seconds;
             let load = self.loads.entry(held.block).or_default();
             load.bytes = load.bytes.max(held.bytes);
-            // Each of the block's holders adds its own.
-            let holders = self.coordinator.map().block(held.block).map_or(1, |b| b.replicas.len());
-            let own = load.load / holders as f64;
-            load.load += LOAD_GAIN * (rate - own);
+            // The load of a block is the sum over its holders: each report updates the holder's share.
+            let holders = self.coordinator.map().block(held.block).map_or(1, |block| block.replicas.len());
+            let share = load.load / holders as f64;
+            load.load += LOAD_GAIN * (rate - share);
         }
     }
 
+    /// Plans the next changes from the listed stores and the blocks' loads.
     fn plan(&self) -> Plan {
-        let fleet: HashMap<String, Member> =
+        let members: HashMap<String, Member> =
             self.blocks.discovery.members().into_iter().map(|member| (member.name.clone(), member)).collect();
         let state = |(id, name): (StoreId, String)| {
-            let listed = fleet.get(&name);
+            let listed = members.get(&name);
             StoreState {
                 id,
                 zone: listed.map_or(u32::MAX, |member| member.zone),
@@ -430,106 +457,125 @@
         let busy: HashSet<BlockId> = self.coordinator.changes().flat_map(|change| change.blocks()).collect();
         let now = self.now();
         let load = |block: &gingerledge_blocks::Block| {
-            let known = self.loads.get(&block.id).copied().unwrap_or_default();
-            let changed = self.changed.get(&block.id).copied().unwrap_or(0);
-            let rested = now.saturating_sub(changed) >= self.blocks.set.rest_ms;
-            (block.id, BlockLoad { load: known.load + IDLE_LOAD, rested, ..known })
+            let measured = self.loads.get(&block.id).copied().unwrap_or_default();
+            let last_changed = self.last_changed.get(&block.id).copied().unwrap_or(0);
+            let rested = now.saturating_sub(last_changed) >= self.blocks.settings.rest_ms;
+            (block.id, BlockLoad { load: measured.load + IDLE_LOAD, rested, ..measured })
         };
         let loads: HashMap<BlockId, BlockLoad> = self.coordinator.map().blocks().map(load).collect();
-        let under_way: Vec<_> = self.coordinator.changes().filter_map(|change| change.copy()).collect();
-        plan(self.coordinator.map(), &stores, &loads, &busy, &under_way, &self.blocks.set.goal)
+        let copies_in_progress: Vec<_> =
+            self.coordinator.changes().filter_map(|change| change.copy()).collect();
+        plan(self.coordinator.map(), &stores, &loads, &busy, &copies_in_progress, &self.blocks.settings.goal)
     }
 
-    async fn wish(&mut self, wish: &Wish) -> Result<ChangeId, Unmet> {
+    /// Starts a change.
+    ///
+    /// # Errors
+    ///
+    /// The reason for which the change can't be started.
+    async fn start_change(&mut self, change: &Wish) -> Result<ChangeId, Unmet> {
         let mut work = Vec::new();
-        let taken = self.coordinator.wish(self.now(), wish, &mut work);
-        self.carry_out(work).await;
-        taken
+        let started = self.coordinator.wish(self.now(), change, &mut work);
+        self.execute(work).await;
+        started
     }
 
-    async fn wish_all(&mut self, wishes: Vec<Wish>) -> (usize, Vec<String>) {
-        let (mut begun, mut not) = (0, Vec::new());
-        for wish in wishes {
-            match self.wish(&wish).await {
-                Ok(_) => begun += 1,
-                Err(why) => not.push(why.to_string()),
+    /// Starts changes; returns the number of started ones, and the reasons for which the others can't be started.
+    async fn start_changes(&mut self, changes: Vec<Wish>) -> (usize, Vec<String>) {
+        let (mut started, mut refusals) = (0, Vec::new());
+        for change in changes {
+            match self.start_change(&change).await {
+                Ok(_) => started += 1,
+                Err(reason) => refusals.push(reason.to_string()),
             }
         }
-        (begun, not)
+        (started, refusals)
     }
 
-    async fn call(&mut self, call: Call) -> Reply {
-        match call {
-            Call::Wish(named) => {
-                let wish = match self.named(&named) {
-                    Ok(wish) => wish,
-                    Err(name) => return Reply::No(format!("no store `{name}`")),
+    async fn on_request(&mut self, request: Request) -> Reply {
+        match request {
+            Request::Change(named) => {
+                let change = match self.resolve_names(&named) {
+                    Ok(change) => change,
+                    Err(name) => return Reply::Refused(format!("no store `{name}`")),
                 };
-                match self.wish(&wish).await {
+                match self.start_change(&change).await {
                     Ok(id) => Reply::Done(format!("change {}", id.0)),
-                    Err(why) => Reply::No(why.to_string()),
+                    Err(reason) => Reply::Refused(reason.to_string()),
                 }
             }
-            Call::Abandon(id) => {
+            Request::Abandon(id) => {
                 let mut work = Vec::new();
-                let may = self.coordinator.abandon(self.now(), ChangeId(id), &mut work);
-                self.carry_out(work).await;
-                match may {
+                let is_abandoned = self.coordinator.abandon(self.now(), ChangeId(id), &mut work);
+                self.execute(work).await;
+                match is_abandoned {
                     true => Reply::Done(format!("change {id} goes back")),
-                    false => Reply::No(format!("change {id} is not under way, or can't go back any more")),
+                    false => {
+                        Reply::Refused(format!("change {id} is not under way, or can't go back any more"))
+                    }
                 }
             }
-            Call::Pause(paused) => {
+            Request::Pause(paused) => {
                 let mut work = Vec::new();
                 self.coordinator.pause(paused, &mut work);
-                self.carry_out(work).await;
+                self.execute(work).await;
                 Reply::Done(if paused { "paused" } else { "resumed" }.to_owned())
             }
-            Call::Show { from, most } => {
-                Reply::Json(super::admin::show(&self.coordinator, self.now(), from, most))
+            Request::ShowMap { from, limit } => {
+                Reply::Json(super::admin::map_page_json(&self.coordinator, self.now(), from, limit))
             }
-            Call::Plan { run } => {
+            Request::Plan { execute } => {
                 let plan = self.plan();
-                let mut json = super::admin::plan(&self.coordinator, &plan);
-                if run {
-                    let wishes = plan.wishes.into_iter().map(|planned| planned.wish).collect();
-                    let (begun, not) = self.wish_all(wishes).await;
-                    json["begun"] = begun.into();
-                    json["refused"] = not.into();
+                let mut json = super::admin::plan_json(&self.coordinator, &plan);
+                if execute {
+                    let changes = plan.wishes.into_iter().map(|planned| planned.wish).collect();
+                    let (started, refusals) = self.start_changes(changes).await;
+                    json["begun"] = started.into();
+                    json["refused"] = refusals.into();
                 }
                 Reply::Json(json)
             }
-            Call::News { since, term } => Reply::News(wire::pack(&self.news(since, term))),
+            Request::MapUpdates { since, term } => {
+                Reply::MapUpdates(wire::pack(&self.map_updates(since, term)))
+            }
         }
     }
 
-    fn named(&self, named: &NamedWish) -> Result<Wish, String> {
+    /// Resolves the store names of a requested change.
+    ///
+    /// # Errors
+    ///
+    /// The first name that is not known.
+    fn resolve_names(&self, named: &NamedChange) -> Result<Wish, String> {
         let store = |name: &String| self.coordinator.store(name).ok_or_else(|| name.clone());
         Ok(match named {
-            NamedWish::Move(block, from, to) => Wish::Move(BlockId(*block), store(from)?, store(to)?),
-            NamedWish::Add(block, to) => Wish::Add(BlockId(*block), store(to)?),
-            NamedWish::Remove(block, from) => Wish::Remove(BlockId(*block), store(from)?),
-            NamedWish::Split(block, at) => Wish::Split(BlockId(*block), *at),
-            NamedWish::Merge(block, with) => Wish::Merge(BlockId(*block), BlockId(*with)),
+            NamedChange::Move(block, from, to) => Wish::Move(BlockId(*block), store(from)?, store(to)?),
+            NamedChange::Add(block, to) => Wish::Add(BlockId(*block), store(to)?),
+            NamedChange::Remove(block, from) => Wish::Remove(BlockId(*block), store(from)?),
+            NamedChange::Split(block, at) => Wish::Split(BlockId(*block), *at),
+            NamedChange::Merge(block, with) => Wish::Merge(BlockId(*block), BlockId(*with)),
         })
     }
 }
 
-async fn order(
-    calls: &Calls,
-    at: std::net::SocketAddr,
+/// Sends an order to a store and returns its answer; `None` if the store did not answer.
+async fn execute_order(
+    client: &StoreClient,
+    address: std::net::SocketAddr,
     store: StoreId,
     tag: Tag,
     ordered: Ordered,
 ) -> Option<Heard> {
     if tag == Tag::Inventory {
-        return match holds(calls, at, ordered).await? {
-            (None, held) => Some(Heard::Holds(store, held.iter().map(|h| (h.block, h.holding)).collect())),
+        return match fetch_inventory(client, address, ordered).await? {
+            (None, held_blocks) => {
+                Some(Heard::Holds(store, held_blocks.iter().map(|held| (held.block, held.holding)).collect()))
+            }
             (Some(refusal), _) => Some(Heard::Said(store, tag, Err(refusal))),
         };
     }
     let rest = wire::pack(&ordered);
-    let word = calls.call(at, Lane::Orders, wire::ORDER, &rest, wire::WORD).await?;
+    let word = client.call(address, CallKind::Order, wire::ORDER, &rest, wire::WORD).await?;
     match wire::unpack::<Word>(&word)? {
         Word::Done(done) => Some(Heard::Said(store, tag, Ok(done))),
         Word::Refused(refusal) => Some(Heard::Said(store, tag, Err(refusal))),
@@ -537,14 +583,19 @@
     }
 }
 
-type Held = (Option<gingerledge_blocks::Refusal>, Vec<wire::Held>);
+/// The refusal of an inventory request, if any, and the blocks that the store holds.
+type Inventory = (Option<gingerledge_blocks::Refusal>, Vec<wire::Held>);
 
-/// All that a store holds, page by page.
-async fn holds(calls: &Calls, at: std::net::SocketAddr, mut ordered: Ordered) -> Option<Held> {
+/// Requests all blocks that a store holds, page by page; `None` if the store did not answer.
+async fn fetch_inventory(
+    client: &StoreClient,
+    address: std::net::SocketAddr,
+    mut ordered: Ordered,
+) -> Option<Inventory> {
     let mut all: Vec<wire::Held> = Vec::new();
     loop {
         let rest = wire::pack(&ordered);
-        let word = calls.call(at, Lane::Orders, wire::ORDER, &rest, wire::WORD).await?;
+        let word = client.call(address, CallKind::Order, wire::ORDER, &rest, wire::WORD).await?;
         match wire::unpack::<Word>(&word)? {
             Word::Holds { held, more } => {
                 let last = held.last().map(|held| held.block.0);
@@ -560,13 +611,14 @@
     }
 }
 
-async fn copy(
-    calls: &Calls,
+/// Has a store copy data of a block from another store; `None` if it did not answer or the copy failed.
+async fn execute_copy(
+    client: &StoreClient,
     from: std::net::SocketAddr,
     to: std::net::SocketAddr,
     job: &CopyJob,
 ) -> Option<Copied> {
     let call = CopyCall { block: job.block, epoch: job.epoch, from, at: job.at, bytes: wire::STRETCH_MOST };
-    let said = calls.call(to, Lane::Copies, wire::COPY, &wire::pack(&call), wire::COPIED).await?;
-    wire::unpack::<Option<Copied>>(&said)?
+    let answer = client.call(to, CallKind::Copy, wire::COPY, &wire::pack(&call), wire::COPIED).await?;
+    wire::unpack::<Option<Copied>>(&answer)?
 }
--- a/broker/src/blocks/lease.rs
+++ b/broker/src/blocks/lease.rs
@@ -1,5 +1,5 @@
-//! The coordinator's lease and log in a folder that all brokers which may coordinate can reach. The lease is a small
-//! file, replaced under a lock; taking it raises the term, and each term has a log of its own.
+//! The coordinator's lease and log, in a directory that all brokers that may coordinate can access. The lease is a small file,
+//! which is replaced under a lock. Acquiring the lease begins a new term with a higher number, and each term has its own log.
 
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Read, Seek, SeekFrom, Write};
@@ -9,66 +9,70 @@
 use rustix::fs::{flock, FlockOperation};
 use serde::{Deserialize, Serialize};
 
-/// Logs of terms before the last that are kept, for an operator to look at.
+/// Number of logs of earlier terms that are kept for inspection by operators.
 const LOGS_KEPT: usize = 2;
 
-/// Who coordinates, and until when.
+/// The lease: which broker coordinates, and until when.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Lease {
-    /// Whose term.
+    /// The holder's term.
     pub term: u32,
-    /// The broker's name.
+    /// Name of the broker process that holds the lease.
     pub holder: String,
-    /// Its end, in milliseconds of Unix time.
+    /// End of the lease, in Unix milliseconds.
     pub until_ms: u64,
 }
 
-fn file(dir: &Path) -> PathBuf {
+fn lease_file(dir: &Path) -> PathBuf {
     dir.join("blocks.lease")
 }
 
-fn locked<T>(dir: &Path, change: impl FnOnce() -> io::Result<T>) -> io::Result<T> {
+/// Runs `change` under the lock of the directory, which is created if it does not exist.
+fn with_lock<T>(dir: &Path, change: impl FnOnce() -> io::Result<T>) -> io::Result<T> {
     fs::create_dir_all(dir)?;
     let lock = OpenOptions::new().create(true).truncate(false).write(true).open(dir.join("blocks.lock"))?;
     flock(&lock, FlockOperation::LockExclusive)?;
     change()
 }
 
-/// The lease as it stands. One that can't be read counts as none: its term is found by the logs.
+/// Reads the current lease. An invalid lease counts as none; its term follows from the logs.
 pub fn read(dir: &Path) -> Option<Lease> {
-    serde_json::from_slice(&fs::read(file(dir)).ok()?).ok()
+    serde_json::from_slice(&fs::read(lease_file(dir)).ok()?).ok()
 }
 
 fn write(dir: &Path, lease: &Lease) -> io::Result<()> {
-    replace(&file(dir), &[&serde_json::to_vec(lease)?])
+    replace_file(&lease_file(dir), &[&serde_json::to_vec(lease)?])
 }
 
-/// Puts a file in the place of another, so that whoever reads finds the old one or the new one, whole.
-fn replace(path: &Path, parts: &[&[u8]]) -> io::Result<()> {
-    let beside = path.with_extension("new");
-    let mut new = File::create(&beside)?;
+/// Replaces a file atomically: a reader finds either the complete old contents or the complete new ones.
+fn replace_file(path: &Path, parts: &[&[u8]]) -> io::Result<()> {
+    let new_path = path.with_extension("new");
+    let mut new = File::create(&new_path)?;
     parts.iter().try_for_each(|part| new.write_all(part))?;
     new.sync_all()?;
-    fs::rename(&beside, path)
+    fs::rename(&new_path, path)
 }
 
-/// Takes the lease in a new term, unless another holds it.
-pub fn take(dir: &Path, holder: &str, now_ms: u64, lease_ms: u64) -> io::Result<Result<Term, Lease>> {
-    locked(dir, || {
-        let held = read(dir);
-        if let Some(lease) = held.as_ref().filter(|lease| lease.until_ms > now_ms && lease.holder != holder) {
+/// Acquires the lease in a new term; `Ok(Err(lease))` if another broker holds it.
+pub fn acquire(dir: &Path, holder: &str, now_ms: u64, lease_ms: u64) -> io::Result<Result<Term, Lease>> {
+    with_lock(dir, || {
+        let current = read(dir);
+        if let Some(lease) =
+            current.as_ref().filter(|lease| lease.until_ms > now_ms && lease.holder != holder)
+        {
             return Ok(Err(lease.clone()));
         }
-        let last = held.map_or(0, |lease| lease.term).max(logs(dir)?.last().map_or(0, |(term, _)| *term));
-        let lease = Lease { term: last + 1, holder: holder.to_owned(), until_ms: now_ms + lease_ms };
+        let last_term =
+            current.map_or(0, |lease| lease.term).max(list_logs(dir)?.last().map_or(0, |(term, _)| *term));
+        let lease = Lease { term: last_term + 1, holder: holder.to_owned(), until_ms: now_ms + lease_ms };
         write(dir, &lease)?;
         Ok(Ok(Term(lease.term)))
     })
 }
 
-/// Makes a lease last longer; false if another has taken it.
+/// Extends the lease; returns false if another broker has acquired it.
 pub fn renew(dir: &Path, term: Term, now_ms: u64, lease_ms: u64) -> io::Result<bool> {
-    locked(dir, || match read(dir) {
+    with_lock(dir, || match read(dir) {
         Some(lease) if lease.term == term.0 => {
             write(dir, &Lease { until_ms: now_ms + lease_ms, ..lease })?;
             Ok(true)
@@ -77,16 +81,16 @@
     })
 }
 
-/// Lets a lease go, so that another need not wait for its end.
+/// Releases the lease, so that another broker need not wait for its end.
 pub fn release(dir: &Path, term: Term) -> io::Result<()> {
-    locked(dir, || match read(dir) {
+    with_lock(dir, || match read(dir) {
         Some(lease) if lease.term == term.0 => write(dir, &Lease { until_ms: 0, ..lease }),
         _ => Ok(()),
     })
 }
 
-/// The logs that are there, by term.
-fn logs(dir: &Path) -> io::Result<Vec<(u32, PathBuf)>> {
+/// Lists the existing logs, sorted by term.
+fn list_logs(dir: &Path) -> io::Result<Vec<(u32, PathBuf)>> {
     let mut logs = Vec::new();
     for entry in fs::read_dir(dir)? {
         let path = entry?.path();
@@ -100,13 +104,18 @@
     Ok(logs)
 }
 
-/// The records of the last term before this one that left any, and this term's log, empty.
+/// Opens the empty log of this term. Also returns the records of the last earlier term that has any.
+///
+/// # Errors
+///
+/// If a log can't be read or opened.
 pub fn open_log(dir: &Path, term: Term) -> Result<(Log<FileDisk>, Vec<LogRecord>), OpenError> {
-    let before: Vec<(u32, PathBuf)> = logs(dir)?.into_iter().filter(|(of, _)| *of < term.0).collect();
+    let earlier: Vec<(u32, PathBuf)> =
+        list_logs(dir)?.into_iter().filter(|(other, _)| *other < term.0).collect();
     let mut records = Vec::new();
-    for (_, path) in before.iter().rev() {
+    for (_, path) in earlier.iter().rev() {
         let (found, _) = decode(&fs::read(path)?)?;
-        // A term that died before its first record left nothing to go by.
+        // A term that ended before its first record has an empty log.
         if !found.is_empty() {
             records = found;
             break;
@@ -116,23 +125,23 @@
     Ok((log, records))
 }
 
-/// Lets old logs go, once this term's log holds all that matters.
-pub fn tidy(dir: &Path, term: Term) -> io::Result<()> {
-    let mut before: Vec<_> = logs(dir)?.into_iter().filter(|(of, _)| *of < term.0).collect();
-    before.truncate(before.len().saturating_sub(LOGS_KEPT));
-    before.iter().try_for_each(|(_, path)| fs::remove_file(path))
+/// Removes logs of earlier terms except the last ones. To be called once this term's log contains the complete state.
+pub fn remove_old_logs(dir: &Path, term: Term) -> io::Result<()> {
+    let mut earlier: Vec<_> = list_logs(dir)?.into_iter().filter(|(other, _)| *other < term.0).collect();
+    earlier.truncate(earlier.len().saturating_sub(LOGS_KEPT));
+    earlier.iter().try_for_each(|(_, path)| fs::remove_file(path))
 }
 
-/// A file as a disk.
+/// A file as the storage of a log.
 #[derive(Debug)]
 pub struct FileDisk(File);
 
 impl FileDisk {
-    /// Opens or makes a file.
+    /// Opens a file, creating it if it does not exist.
     pub fn open(path: &Path) -> io::Result<Self> {
         let file = OpenOptions::new().create(true).truncate(false).read(true).write(true).open(path)?;
         if let Some(dir) = path.parent() {
-            // The name lasts too.
+            // Makes the directory entry of a new file durable.
             File::open(dir)?.sync_all()?;
         }
         Ok(Self(file))
@@ -162,14 +171,14 @@
     }
 }
 
-/// Keeps bytes in a file, whole or not at all, behind their checksum.
-pub fn keep(path: &Path, bytes: &[u8]) -> io::Result<()> {
-    replace(path, &[&crc32fast::hash(bytes).to_le_bytes(), bytes])
+/// Stores bytes in a file atomically, preceded by a checksum.
+pub fn write_checked(path: &Path, bytes: &[u8]) -> io::Result<()> {
+    replace_file(path, &[&crc32fast::hash(bytes).to_le_bytes(), bytes])
 }
 
-/// The bytes kept in a file, if they are what was written.
-pub fn kept(path: &Path) -> Option<Vec<u8>> {
+/// Reads the bytes that [`write_checked`] stored in a file; `None` if they are missing or corrupt.
+pub fn read_checked(path: &Path) -> Option<Vec<u8>> {
     let bytes = fs::read(path).ok()?;
-    let (check, rest) = bytes.split_first_chunk::<4>()?;
-    (crc32fast::hash(rest) == u32::from_le_bytes(*check)).then(|| rest.to_vec())
+    let (checksum, rest) = bytes.split_first_chunk::<4>()?;
+    (crc32fast::hash(rest) == u32::from_le_bytes(*checksum)).then(|| rest.to_vec())
 }
--- a/broker/src/blocks/requests.rs
+++ b/broker/src/blocks/requests.rs
@@ -1,61 +1,61 @@
-//! What operators and other brokers ask of the coordinator, and what it replies.
+//! Requests of operators and of other brokers to the coordinator, and its replies.
 
 use gingerledge_blocks::Cursor;
 
-/// A call at the operators' door, or of a broker that follows.
+/// A request to the coordinator, through the admin endpoint or from a broker that follows the map.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Call {
-    /// A change.
-    Wish(NamedWish),
-    /// To let a change go back.
+pub enum Request {
+    /// Start a change.
+    Change(NamedChange),
+    /// Abandon the change with this id and undo its steps.
     Abandon(u64),
-    /// To pause changes, or to resume.
+    /// Pause changes (true), or resume them (false).
     Pause(bool),
-    /// The map from a block on, and the changes.
-    Show {
-        /// From which block on.
+    /// Return a page of the map and the changes.
+    ShowMap {
+        /// Lowest block number of the page.
         from: u32,
-        /// How many.
-        most: usize,
+        /// Maximum number of blocks in the page.
+        limit: usize,
     },
-    /// What would be done next; and whether it is to be done.
+    /// Return the changes that the planner would start next.
     Plan {
-        /// Whether it is to be carried out.
-        run: bool,
+        /// Whether these changes are also started.
+        execute: bool,
     },
-    /// News of the map.
-    News {
-        /// Behind what.
+    /// Return a page of updates of the map.
+    MapUpdates {
+        /// Position after which the page begins.
         since: Cursor,
-        /// As known of which term.
+        /// Term in which the requesting broker received that position.
         term: u32,
     },
 }
 
-/// A wish in names.
+/// A requested change of a block, with stores given by name.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum NamedWish {
-    /// A replica from one store to another.
+pub enum NamedChange {
+    /// Move a replica of the block from one store to another.
     Move(u32, String, String),
-    /// One more replica.
+    /// Add a replica at the store.
     Add(u32, String),
-    /// One fewer.
+    /// Remove the replica from the store.
     Remove(u32, String),
-    /// In two, from this weigher on.
+    /// Split the block; the second half begins with this weigher.
     Split(u32, u64),
-    /// With its neighbour.
+    /// Merge the block with this neighbour.
     Merge(u32, u32),
 }
 
-/// The coordinator's reply.
+/// A reply of the coordinator.
 #[derive(Debug)]
 pub enum Reply {
-    /// A change was taken on, or something done.
+    /// The request was accepted or carried out; carries a message.
     Done(String),
-    /// It can't be done, and why.
-    No(String),
-    /// JSON.
+    /// The request was refused; carries the reason.
+    Refused(String),
+    /// A JSON document.
     Json(serde_json::Value),
-    /// News of the map, packed.
-    News(Vec<u8>),
+    /// An encoded page of updates of the map.
+    MapUpdates(Vec<u8>),
 }
--- a/broker/tests/golden.rs
+++ b/broker/tests/golden.rs
@@ -97,7 +97,7 @@
 fn the_lease_and_the_logs_are_what_they_were() {
     let dir = folder("lease");
     let now = 1_700_000_000_000;
-    let term = lease::take(&dir, "b-1", now, 5000).unwrap().unwrap();
+    let term = lease::acquire(&dir, "b-1", now, 5000).unwrap().unwrap();
     let mut samples = files(&dir, "taken");
     let (mut log, _) = lease::open_log(&dir, term).unwrap();
     log.append(&[LogRecord::Paused(true)]).unwrap();
@@ -105,7 +105,7 @@
     samples.extend(files(&dir, "renewed"));
     lease::release(&dir, term).unwrap();
     samples.extend(files(&dir, "released"));
-    lease::keep(&dir.join("blocks-b-1.map"), b"bytes of a map").unwrap();
+    lease::write_checked(&dir.join("blocks-b-1.map"), b"bytes of a map").unwrap();
     samples.extend(files(&dir, "kept"));
     compare(&file("lease.txt"), &samples);
     let recorded = read(&file("lease.txt"));
@@ -115,7 +115,7 @@
     assert!(read == lease::Lease { term: 1, holder: "b-1".into(), until_ms: now + 6000 });
     assert_eq!(&serde_json::to_vec(&read).unwrap(), lease);
     fs::write(dir.join("kept.map"), &recorded["kept, blocks-b-1.map"]).unwrap();
-    assert_eq!(lease::kept(&dir.join("kept.map")).unwrap(), b"bytes of a map");
+    assert_eq!(lease::read_checked(&dir.join("kept.map")).unwrap(), b"bytes of a map");
     let (_, records) = lease::open_log(&dir, Term(2)).unwrap();
     assert!(records == [LogRecord::Paused(true)]);
     let _ = fs::remove_dir_all(dir);
@@ -197,39 +197,46 @@
     compare(
         &file("blocks.txt"),
         &[
-            Sample::new("all", admin::show(&coordinator, 1000, 0, 150).to_string()),
-            Sample::new("a page, long after", admin::show(&coordinator, 10_000_000, 2, 2).to_string()),
-            Sample::new("plan", admin::plan(&coordinator, &planned).to_string()),
+            Sample::new("all", admin::map_page_json(&coordinator, 1000, 0, 150).to_string()),
+            Sample::new(
+                "a page, long after",
+                admin::map_page_json(&coordinator, 10_000_000, 2, 2).to_string(),
+            ),
+            Sample::new("plan", admin::plan_json(&coordinator, &planned).to_string()),
         ],
     );
 }
 
 #[test]
 fn calls_about_blocks_are_read_as_they_were() {
-    use requests::{Call, NamedWish};
+    use requests::{NamedChange, Request};
     let cursor = |version, block| Cursor { version, block: BlockId(block) };
     let calls = [
-        ("GET /blocks", "", Call::Show { from: 0, most: 150 }),
-        ("GET /blocks?from=3&most=7", "", Call::Show { from: 3, most: 7 }),
-        ("GET /blocks/news", "", Call::News { since: cursor(0, u32::MAX), term: 0 }),
-        ("GET /blocks/news?since=5&block=6&term=7", "", Call::News { since: cursor(5, 6), term: 7 }),
-        ("GET /blocks/plan", "", Call::Plan { run: false }),
-        ("PUT /blocks/plan", "", Call::Plan { run: true }),
+        ("GET /blocks", "", Request::ShowMap { from: 0, limit: 150 }),
+        ("GET /blocks?from=3&most=7", "", Request::ShowMap { from: 3, limit: 7 }),
+        ("GET /blocks/news", "", Request::MapUpdates { since: cursor(0, u32::MAX), term: 0 }),
+        ("GET /blocks/news?since=5&block=6&term=7", "", Request::MapUpdates { since: cursor(5, 6), term: 7 }),
+        ("GET /blocks/plan", "", Request::Plan { execute: false }),
+        ("PUT /blocks/plan", "", Request::Plan { execute: true }),
         (
             "PUT /blocks/move",
             r#"{"block":1,"from":"a","to":"b"}"#,
-            Call::Wish(NamedWish::Move(1, "a".into(), "b".into())),
+            Request::Change(NamedChange::Move(1, "a".into(), "b".into())),
         ),
-        ("PUT /blocks/move", r#"{"block":1,"to":"b"}"#, Call::Wish(NamedWish::Add(1, "b".into()))),
-        ("PUT /blocks/move", r#"{"block":1,"from":"a"}"#, Call::Wish(NamedWish::Remove(1, "a".into()))),
-        ("PUT /blocks/split", r#"{"block":1,"at":9}"#, Call::Wish(NamedWish::Split(1, 9))),
-        ("PUT /blocks/merge", r#"{"block":1,"with":2}"#, Call::Wish(NamedWish::Merge(1, 2))),
-        ("PUT /blocks/abandon", r#"{"change":8}"#, Call::Abandon(8)),
-        ("PUT /blocks/pause", "", Call::Pause(true)),
-        ("PUT /blocks/resume", "", Call::Pause(false)),
+        ("PUT /blocks/move", r#"{"block":1,"to":"b"}"#, Request::Change(NamedChange::Add(1, "b".into()))),
+        (
+            "PUT /blocks/move",
+            r#"{"block":1,"from":"a"}"#,
+            Request::Change(NamedChange::Remove(1, "a".into())),
+        ),
+        ("PUT /blocks/split", r#"{"block":1,"at":9}"#, Request::Change(NamedChange::Split(1, 9))),
+        ("PUT /blocks/merge", r#"{"block":1,"with":2}"#, Request::Change(NamedChange::Merge(1, 2))),
+        ("PUT /blocks/abandon", r#"{"change":8}"#, Request::Abandon(8)),
+        ("PUT /blocks/pause", "", Request::Pause(true)),
+        ("PUT /blocks/resume", "", Request::Pause(false)),
     ];
     for (line, body, call) in calls {
-        let read = admin::call(&head(&format!("{line} HTTP/1.1")), body.as_bytes());
+        let read = admin::parse_request(&head(&format!("{line} HTTP/1.1")), body.as_bytes());
         assert!(read == Ok(call), "{line} {body}");
     }
 }
--- a/broker/tests/reply_texts.rs
+++ b/broker/tests/reply_texts.rs
@@ -92,7 +92,7 @@
     let samples = calls.map(|(start, body)| {
         let text = format!("{start} HTTP/1.1\r\n\r\n");
         let (head, _) = parse_head(text.as_bytes(), http::Kind::Request).unwrap().unwrap();
-        let (status, words) = admin::call(&head, body.as_bytes()).unwrap_err();
+        let (status, words) = admin::parse_request(&head, body.as_bytes()).unwrap_err();
         Sample::new(&format!("{start} | {body}").replace(':', "="), format!("{status} {words}"))
     });
     compare(&file("block_call_texts.txt"), &samples);
--- a/testkit/broker/src/store.rs
+++ b/testkit/broker/src/store.rs
@@ -510,7 +510,7 @@
 async fn ask(at: SocketAddr, letter: u8, rest: &[u8], answer: u8) -> Option<Vec<u8>> {
     let ask = async {
         let socket = http::connect(at, PEER_WITHIN).await.ok()?;
-        store_client::exchange(&socket, &frame::frame(letter, rest), answer, PEER_WITHIN).await
+        store_client::round_trip(&socket, &frame::frame(letter, rest), answer, PEER_WITHIN).await
     };
     let late = async {
         Timer::after(PEER_WITHIN).await;
