--- a/broker/src/blocks/admin.rs
+++ b/broker/src/blocks/admin.rs
@@ -142,8 +142,8 @@
     json
 }
 
-/// Formats a page of the map with at most `limit` blocks, from the block number `from` on, together with the changes: a page of
-/// the current ones and the last 20 past ones.
+/// Formats a page of the map with at most `limit` blocks, from the block number `from` on, together with the changes: a page
+/// of the current ones and the last 20 past ones.
 pub fn map_page_json(coordinator: &Coordinator, now: u64, from: u32, limit: usize) -> Value {
     let map = coordinator.map();
     let mut ids: Vec<BlockId> = map.blocks().map(|block| block.id).filter(|id| id.0 >= from).collect();
--- a/broker/src/blocks/coordinator.rs
+++ b/broker/src/blocks/coordinator.rs
@@ -1,5 +1,6 @@
-//! The driver of the coordinator: acquires the lease, reads and writes the log, sends orders to stores, has copies made within
-//! their budget, and makes plans. All decisions are made by the state machine [`Coordinator`] of `gingerledge-blocks`.
+//! The driver of the coordinator: acquires the lease, reads and writes the log, sends orders to stores, has copies made
+//! within their budget, and makes plans. All decisions are made by the state machine [`Coordinator`] of
+//! `gingerledge-blocks`.
 
 use std::collections::{HashMap, HashSet};
 use std::rc::Rc;
@@ -28,8 +29,8 @@
 const RENEW_DIVISOR: u64 = 2;
 /// The lease counts as lost once less than one in this many parts of its duration remains.
 const LOST_DIVISOR: u64 = 8;
-/// Load that every block counts in addition to its measured load, in parts a second, so that stores that are added in a period
-/// without load are given blocks as well.
+/// Load that every block counts in addition to its measured load, in parts a second, so that stores that are added in a
+/// period without load are given blocks as well.
 const IDLE_LOAD: f64 = 0.5;
 /// Weight of a new measurement in the moving average of a block's load, which is updated once for each plan.
 const LOAD_GAIN: f64 = 0.5;
@@ -39,7 +40,7 @@
     /// A request, and the channel for its reply.
     Request(Request, Sender<Reply>),
     /// An answer of a store to an order, or its absence.
-    Heard(Heard),
+    OrderEnded(Heard),
     /// A copy has ended; with its result, if the stores answered.
     Copied(CopyJob, Option<Copied>),
     /// The blocks that a store holds, with their sizes and use.
@@ -234,7 +235,7 @@
 
     async fn on_input(&mut self, input: Input) {
         match input {
-            Input::Heard(heard) => {
+            Input::OrderEnded(heard) => {
                 let work = self.coordinator.handle(self.now(), heard);
                 self.execute(work).await;
             }
@@ -318,7 +319,7 @@
         }
     }
 
-    /// Sends an order to a store in a task of its own; the answer arrives as [`Input::Heard`].
+    /// Sends an order to a store in a task of its own; the answer arrives as [`Input::OrderEnded`].
     fn send_order(&self, store: StoreId, tag: Tag, ordered: Ordered) {
         let address = self.coordinator.name(store).and_then(|name| self.blocks.address(name));
         let (inputs, client) = (self.inputs.clone(), self.client.clone());
@@ -327,7 +328,7 @@
                 None => None,
                 Some(address) => execute_order(&client, address, store, tag, ordered).await,
             };
-            let _ = inputs.send(Input::Heard(heard.unwrap_or(Heard::Silent(store, tag)))).await;
+            let _ = inputs.send(Input::OrderEnded(heard.unwrap_or(Heard::Silent(store, tag)))).await;
         };
         self.blocks.executor.spawn(task).detach();
     }
--- a/broker/src/blocks/lease.rs
+++ b/broker/src/blocks/lease.rs
@@ -1,5 +1,6 @@
-//! The coordinator's lease and log, in a directory that all brokers that may coordinate can access. The lease is a small file,
-//! which is replaced under a lock. Acquiring the lease begins a new term with a higher number, and each term has its own log.
+//! The coordinator's lease and log, in a directory that all brokers that may coordinate can access. The lease is a small
+//! file, which is replaced under a lock. Acquiring the lease begins a new term with a higher number, and each term has its
+//! own log.
 
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Read, Seek, SeekFrom, Write};
--- a/broker/src/blocks/mod.rs
+++ b/broker/src/blocks/mod.rs
@@ -1,6 +1,6 @@
-//! Movable blocks: the driver of `gingerledge-blocks`. A broker that may coordinate acquires the lease and carries out changes
-//! ([`coordinator`]). Every broker follows the map ([`follow`]), reports the owners of blocks to the core, and stores the map for
-//! its next start. Operators use the admin endpoint ([`admin`]).
+//! Movable blocks: the driver of `gingerledge-blocks`. A broker that may coordinate acquires the lease and carries out
+//! changes ([`coordinator`]). Every broker follows the map ([`follow`]), reports the owners of blocks to the core, and
+//! stores the map for its next start. Operators use the admin endpoint ([`admin`]).
 
 pub mod admin;
 pub mod coordinator;
@@ -101,7 +101,8 @@
         futures_lite::future::or(async { reply.recv().await.ok() }, timeout).await
     }
 
-    /// Applies a page of updates of the map, and reports changed owners to the core; `None` if the page could not be applied.
+    /// Applies a page of updates of the map, and reports changed owners to the core; `None` if the page could not be
+    /// applied.
     fn apply_update(&self, page: News) -> Option<MapUpdate> {
         match self.routes.apply(page) {
             Ok(update) => {
--- a/broker/src/blocks/store_client.rs
+++ b/broker/src/blocks/store_client.rs
@@ -44,8 +44,8 @@
         Rc::default()
     }
 
-    /// Sends a frame and returns the rest of the answer, whose letter must be `answer`. `None` if the store did not answer in time
-    /// or gave another answer.
+    /// Sends a frame and returns the rest of the answer, whose letter must be `answer`. `None` if the store did not answer
+    /// in time or gave another answer.
     pub async fn call(
         &self,
         address: SocketAddr,
@@ -93,14 +93,14 @@
     }
 
     /// Closes idle connections to stores whose address is not among these.
-    pub fn retain(&self, addresses: &[SocketAddr]) {
+    pub fn retain_stores(&self, addresses: &[SocketAddr]) {
         self.idle.borrow_mut().retain(|(address, _), _| addresses.contains(address));
         self.order_locks.borrow_mut().retain(|(address, _), _| addresses.contains(address));
     }
 }
 
-/// Writes a frame and returns the rest of its answer; `None` if the connection fails, the answer has another letter than `answer`,
-/// or more bytes follow it.
+/// Writes a frame and returns the rest of its answer; `None` if the connection fails, the answer has another letter than
+/// `answer`, or more bytes follow it.
 pub async fn round_trip(
     mut socket: &Async<TcpStream>,
     frame: &[u8],
--- a/broker/src/core/messages.rs
+++ b/broker/src/core/messages.rs
@@ -59,7 +59,7 @@
     /// Time at which the client stops waiting, in Unix milliseconds.
     pub deadline: Millis,
     /// Whether the client marked the query as a retry.
-    pub repeated: bool,
+    pub is_retry: bool,
     /// Idempotency key by which stores detect retries; set in keyed classes only.
     pub key: Option<IdempotencyKey>,
     /// The parts of the query, at most one for each shard.
@@ -181,8 +181,8 @@
     pub form: Form,
     /// Time-out for the response, in milliseconds.
     pub timeout_ms: Millis,
-    /// Time within which the attempt must be sent, in milliseconds: later the store may no longer remember an earlier attempt
-    /// of the part.
+    /// Time within which the attempt must be sent, in milliseconds: later the store may no longer remember an earlier
+    /// attempt of the part.
     pub send_within_ms: Option<Millis>,
     /// Idempotency key by which the store detects retries.
     pub key: Option<IdempotencyKey>,
--- a/broker/src/core/mod.rs
+++ b/broker/src/core/mod.rs
@@ -265,7 +265,7 @@
             tenant: query.tenant,
             deadline: query.deadline,
             parts: parts.len() as u32,
-            repeated: query.repeated,
+            repeated: query.is_retry,
         };
         self.aggregator.handle(now, event, actions);
         self.queries.insert(id, OpenQuery { request: query, parts: Vec::new(), first_step: None });
--- a/broker/src/core/successors.rs
+++ b/broker/src/core/successors.rs
@@ -1,5 +1,5 @@
-//! Attempts that a store rejected for an out-of-date epoch, and parts whose block no longer exists. A rejected attempt was not
-//! executed: it is parked until the block map names the current owners, and its part then continues with the remaining
+//! Attempts that a store rejected for an out-of-date epoch, and parts whose block no longer exists. A rejected attempt was
+//! not executed: it is parked until the block map names the current owners, and its part then continues with the remaining
 //! attempts. If the block was split or merged, parts for its successor blocks replace the part.
 
 use gingerledge_dispatch::{Action, Event, Millis, Outcome, RequestId, SuccessorPart};
@@ -7,9 +7,9 @@
 use super::{AttemptId, AttemptOutcome, Core, FinalAnswer, InFlightAttempt, PartRequest, QueryId};
 use crate::routes::{BlockOwners, Target};
 
-/// Time for which a rejected attempt waits for an update of the block map, in milliseconds, by the number of earlier attempts
-/// of its part. A change takes a few round trips from fencing to completion; if the second attempt is rejected too, the change
-/// is delayed.
+/// Time for which a rejected attempt waits for an update of the block map, in milliseconds, by the number of earlier
+/// attempts of its part. A change takes a few round trips from fencing to completion; if the second attempt is rejected too,
+/// the change is delayed.
 const BLOCK_MAP_WAIT_MS: [Millis; 2] = [20.0, 200.0];
 
 /// An attempt whose epoch a store rejected, waiting for an update of the block map.
@@ -131,8 +131,8 @@
         Some(SuccessorPart { id, shard, weight })
     }
 
-    /// Ends a query of which no block can serve a part, such as an entry for a block that now has several successors. The query
-    /// is rejected as safe to retry only if none of its parts may have been executed.
+    /// Ends a query of which no block can serve a part, such as an entry for a block that now has several successors. The
+    /// query is rejected as safe to retry only if none of its parts may have been executed.
     fn end_unroutable(&mut self, now: Millis, query: QueryId, actions: &mut Vec<Action>) {
         let Some(open) = self.queries.get(&query) else { return };
         let is_entry = self.at_most_once.get(open.request.class).copied().unwrap_or(false);
--- a/broker/src/discovery/calls.rs
+++ b/broker/src/discovery/calls.rs
@@ -167,8 +167,8 @@
                 if let Some(current) =
                     self.generation.get().filter(|current| !list.reset && list.generation < *current)
                 {
-                    // Changes to an older list would restore removed stores or remove newer ones. Only a complete list may be
-                    // older, as from a restarted service, so the complete list is requested next.
+                    // Changes to an older list would restore removed stores or remove newer ones. Only a complete list may
+                    // be older, as from a restarted service, so the complete list is requested next.
                     self.generation.set(None);
                     self.on_event(Event::NewerListReceived);
                     return Err(format!("changes of generation {} to a list of {current}", list.generation));
--- a/broker/src/discovery/list.rs
+++ b/broker/src/discovery/list.rs
@@ -77,8 +77,8 @@
     Ok(list)
 }
 
-/// Parser for the lists of a watch, which arrive in chunks that may end anywhere in a list. Each list is a JSON object, on one
-/// line or indented over several. White space between lists serves as a heartbeat.
+/// Parser for the lists of a watch, which arrive in chunks that may end anywhere in a list. Each list is a JSON object, on
+/// one line or indented over several. White space between lists serves as a heartbeat.
 #[derive(Debug, Default)]
 pub struct ListParser {
     bytes: Vec<u8>,
@@ -105,8 +105,8 @@
         self.scanned > self.start
     }
 
-    /// Returns the next complete list. Every byte is scanned once, however small the chunks, and moved at most once, however small
-    /// the lists.
+    /// Returns the next complete list. Every byte is scanned once, however small the chunks, and moved at most once, however
+    /// small the lists.
     ///
     /// # Errors
     ///
--- a/broker/src/discovery/mod.rs
+++ b/broker/src/discovery/mod.rs
@@ -1,6 +1,6 @@
 //! Discovery of stores: keeps the endpoint list current, removes stores that an operator disabled, and reports changes to
-//! the core and the store side. A watch is opened when the core requests one and when the service's address changes; where an
-//! agent pushes lists, it is opened at the start.
+//! the core and the store side. A watch is opened when the core requests one and when the service's address changes; where
+//! an agent pushes lists, it is opened at the start.
 
 mod calls;
 mod list;
@@ -106,8 +106,8 @@
         })
     }
 
-    /// Switches to another address of the service. A call to the old address is dropped immediately: the service there closes its
-    /// watches soon, and changes at the new address must be applied within 4 s.
+    /// Switches to another address of the service. A call to the old address is dropped immediately: the service there
+    /// closes its watches soon, and changes at the new address must be applied within 4 s.
     pub fn set_address(&self, address: SocketAddr) {
         if self.address.replace(address) != address {
             log::info!(address:%; "discovery address changed");
@@ -153,7 +153,8 @@
         self.listed.borrow().values().map(member).collect()
     }
 
-    /// Applies a list; disabled stores count as draining. `is_remembered` marks a list that was not received from the service.
+    /// Applies a list; disabled stores count as draining. `is_remembered` marks a list that was not received from the
+    /// service.
     pub fn apply(&self, list: &List, is_remembered: bool) {
         self.generation.set(Some(list.generation));
         let mut listed = self.listed.borrow_mut();
@@ -188,7 +189,8 @@
         }
     }
 
-    /// Converts a list entry into the core's form; `None` if a removed store is not known or the address of a store is invalid.
+    /// Converts a list entry into the core's form; `None` if a removed store is not known or the address of a store is
+    /// invalid.
     fn entry(&self, instance: &Instance) -> Option<Entry> {
         let id = &instance.instance_id;
         let status = match instance.lifecycle {
--- a/broker/src/discovery/watching.rs
+++ b/broker/src/discovery/watching.rs
@@ -1,27 +1,28 @@
-//! Decides when to call the discovery service, and when a call or a watch has timed out. A state machine without I/O: its inputs
-//! are events and the time, its outputs actions. It handles neither the contents of lists nor sockets.
+//! Decides when to call the discovery service, and when a call or a watch has timed out. A state machine without I/O: its
+//! inputs are events and the time, its outputs actions. It handles neither the contents of lists nor sockets.
 //!
-//! **Guarantee.** Whatever the outcomes of earlier calls and their order, the state that the discovery service has at a time at
-//! which it is reachable is received within [`UPDATE_DEADLINE`] (6 s) less [`MARGIN`] of that time. This assumes that a call
-//! made while the service is reachable is answered within [`ANSWER_TIME`], including its time in the service's queue.
+//! **Guarantee.** Whatever the outcomes of earlier calls and their order, the state that the discovery service has at a time
+//! at which it is reachable is received within [`UPDATE_DEADLINE`] (6 s) less [`MARGIN`] of that time. This assumes that a
+//! call made while the service is reachable is answered within [`ANSWER_TIME`], including its time in the service's queue.
 //!
 //! - Lists are requested (one service for the whole fleet). From any moment, the next call starts within [`PERIOD`] = 4 s:
-//!   - a call that has returned nothing is dropped 3 s after its start, whatever its stage; after a failed or dropped call, the
-//!     next one starts at the latest a period after the *start* of that call;
-//!   - if watches fail and calls for lists succeed, the same holds for the calls for lists, with a watch tried between two of
-//!     them;
-//!   - a watch that ends is followed by a call within a period of its end; a watch without a heartbeat is dropped 3.4 s after
-//!     the last complete one, and followed by a call within 0.6 s.
+//!   - a call that has returned nothing is dropped 3 s after its start, whatever its stage; after a failed or dropped call,
+//!     the next one starts at the latest a period after the *start* of that call;
+//!   - if watches fail and calls for lists succeed, the same holds for the calls for lists, with a watch tried between two
+//!     of them;
+//!   - a watch that ends is followed by a call within a period of its end; a watch without a heartbeat is dropped 3.4 s
+//!     after the last complete one, and followed by a call within 0.6 s.
 //!
-//!   This gives 4 + 1.6 + 0.4 = 6 s, and no case depends on more than one failure. Since the next call is scheduled from the
-//!   start of the one before, the calls of a fleet stay spread out: each broker has an offset in the period, determined by its
-//!   index, and reaches it from any common start after four growing waits (`Watching::backoff`). From then on, as long as the
-//!   service is down or overloaded, 300 brokers make 75 evenly spread calls a second, as few as the guarantee permits. Fewer
-//!   than 100 brokers make 25 calls a second, each broker at most one in 1.5 s.
-//! - Lists are pushed (by an agent on the broker's machine, which answers immediately and at no cost). The agent is called from
-//!   the start, and again `pace` after the start of a failed call, for as long as it does not respond. Its state counts from
-//!   the moment at which it responds again, so the pace is half of the drain grace period. A watch without heartbeats ends
-//!   after `heartbeat_timeout + connect`, at most 2.5 + 0.5 s; any other call after `connect + head + body`, at most 3 s.
+//!   This gives 4 + 1.6 + 0.4 = 6 s, and the bound never includes more than one failed call. Since the next call is
+//!   scheduled from the start of the one before, the calls of a fleet stay spread out: each broker has an offset in the
+//!   period, determined by its index, and reaches it from any common start after four growing waits (`Watching::backoff`).
+//!   From then on, as long as the service is down or overloaded, 300 brokers make 75 evenly spread calls a second, as few as
+//!   the guarantee permits. Fewer than 100 brokers make 25 calls a second, each broker at most one in 1.5 s.
+//! - Lists are pushed (by an agent on the broker's machine, which answers immediately and at no cost). The agent is called
+//!   from the start, and again `pace` after the start of a failed call, for as long as it does not respond. Its state counts
+//!   from the moment at which it responds again, so the pace is half of the drain grace period. A watch without heartbeats
+//!   ends after `heartbeat_timeout + connect`, at most 2.5 + 0.5 s; any other call after `connect + head + body`,
+//!   at most 3 s.
 //!
 //! While the service is unreachable, the last list stays in use; `docs/design/standing.md` gives the reasons.
 
@@ -39,8 +40,8 @@
 pub const ANSWER_TIME: Duration = Duration::from_millis(1600);
 /// Maximum time from any moment to the start of the next call if lists are requested.
 pub const PERIOD: Duration = Duration::from_millis(4000);
-/// Minimum of the period of a small fleet, whose brokers call more often, one call in each [`BROKER_SPACING`]. This leaves time
-/// for a third call after two that an overloaded service refused.
+/// Minimum of the period of a small fleet, whose brokers call more often, one call in each [`BROKER_SPACING`]. This leaves
+/// time for a third call after two that an overloaded service refused.
 const PERIOD_MIN: Duration = Duration::from_millis(1500);
 /// Interval of heartbeats (empty lines) on a watch without changes.
 pub const HEARTBEAT: Duration = Duration::from_millis(2000);
@@ -56,14 +57,15 @@
 const QUEUED_STAGE_TIMEOUT: Duration = Duration::from_millis(2500);
 /// Bounds on the time between the starts of calls to an unresponsive agent, in milliseconds.
 const AGENT_PACE_MS: [f64; 2] = [100.0, 500.0];
-/// Number of unanswered calls after which a stage's time-out has doubled, up to [`STAGE_TIMEOUT_MAX`], so that a slow agent can
-/// finish its answer.
+/// Number of unanswered calls after which a stage's time-out has doubled, up to [`STAGE_TIMEOUT_MAX`], so that a slow agent
+/// can finish its answer.
 const UNANSWERED_PER_DOUBLING: u32 = 128;
 /// Maximum time-out of a stage of a call to an agent.
 const STAGE_TIMEOUT_MAX: Duration = Duration::from_millis(1000);
 
-/// Time after which a new process becomes ready without a list. It must be ready within 10 s whatever the discovery service does,
-/// since without a list it rejects queries as safe to retry. The remaining 2 s are for its start and the readiness probe.
+/// Time after which a new process becomes ready without a list. It must be ready within 10 s whatever the discovery service
+/// does, since without a list it rejects queries as safe to retry. The remaining 2 s are for its start and the readiness
+/// probe.
 const READINESS_DEADLINE: Duration = Duration::from_millis(8000);
 
 /// Time-outs of calls to the discovery service. Those of a call's stages count from the end of the stage before.
@@ -206,7 +208,8 @@
 }
 
 impl Watching {
-    /// Creates a state machine that makes its first call immediately if lists are pushed, and otherwise on the core's request.
+    /// Creates a state machine that makes its first call immediately if lists are pushed, and otherwise on the core's
+    /// request.
     pub fn new(timeouts: CallTimeouts, now: Instant) -> Self {
         Self {
             timeouts,
@@ -293,8 +296,8 @@
         vec![Action::Call(call)]
     }
 
-    /// Enters the next stage of a call. Until the call has returned something, the stage's time-out is bounded by that of the
-    /// call.
+    /// Enters the next stage of a call. Until the call has returned something, the stage's time-out is bounded by that of
+    /// the call.
     fn enter_stage(&mut self, stage: Stage, due: Instant) -> Vec<Action> {
         self.stage = stage;
         let call_timeout = self.timeouts.call_timeout
@@ -359,9 +362,9 @@
         vec![Action::ReportFailure]
     }
 
-    /// Returns the wait from the start of a failed call, or from the end of an established watch, to the next call, and the share
-    /// of the broker's offset to be added to it. The offset is added in four quarters, so that brokers that start together, as
-    /// when all watches end at once, have reached their offsets after the fourth call.
+    /// Returns the wait from the start of a failed call, or from the end of an established watch, to the next call, and the
+    /// share of the broker's offset to be added to it. The offset is added in four quarters, so that brokers that start
+    /// together, as when all watches end at once, have reached their offsets after the fourth call.
     fn backoff(&self) -> (Duration, Duration) {
         let CallTimeouts { pace, stagger, .. } = self.timeouts;
         match self.failures {
--- a/broker/src/exchange.rs
+++ b/broker/src/exchange.rs
@@ -21,7 +21,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SubmitError {
     /// The maximum of open queries and parts is reached; a later retry is harmless.
-    Full,
+    AtCapacity,
     /// A query with the same wire id is open.
     Duplicate,
     /// No store can serve a block that the query names.
@@ -98,7 +98,7 @@
         }
         if self.open.get() + size > self.max_open / self.presence.process_count() {
             count(&self.counters.queries_full);
-            return Err(SubmitError::Full);
+            return Err(SubmitError::AtCapacity);
         }
         let id = self.last_id.get() + 1;
         self.last_id.set(id);
@@ -234,8 +234,8 @@
         self.turn_started.get().unwrap_or_else(Instant::now)
     }
 
-    /// Whether an admitted query has received its final answer or its client has disconnected. The store side checks this immediately before
-    /// it sends an attempt, since the core reacts to a disconnected client only in its next turn.
+    /// Whether an admitted query has received its final answer or its client has disconnected. The store side checks this
+    /// immediately before it sends an attempt, since the core reacts to a disconnected client only in its next turn.
     pub fn is_finished(&self, id: QueryId) -> bool {
         (1..=self.last_id.get()).contains(&id) && !self.pending.borrow().contains_key(&id)
     }
--- a/broker/src/front/features/mod.rs
+++ b/broker/src/front/features/mod.rs
@@ -257,14 +257,14 @@
             class: collection.class,
             tenant,
             deadline,
-            repeated: false,
+            is_retry: false,
             key,
             parts: blocks.iter().map(part).collect(),
             text: reader.wanted.text().into_bytes().into(),
             form: Form::Features,
         };
         let ticket = self.exchange.submit(query).map_err(|error| match error {
-            SubmitError::Full => refused(self.full_retry_ms),
+            SubmitError::AtCapacity => refused(self.full_retry_ms),
             SubmitError::Unrouted(RouteError::NoMap) => refused(self.full_retry_ms),
             SubmitError::Unrouted(reason) => problem(503, "Service Unavailable", &reason.to_string()),
             SubmitError::Duplicate => problem(502, "Bad Gateway", "a query of this name is open"),
--- a/broker/src/front/platform.rs
+++ b/broker/src/front/platform.rs
@@ -132,7 +132,7 @@
         class: class_index,
         tenant,
         deadline: now + timeout as f64,
-        repeated: head.header("X-Retried") == Some("1"),
+        is_retry: head.header("X-Retried") == Some("1"),
         key,
         parts,
         text: body.predicate.as_bytes().into(),
@@ -194,7 +194,7 @@
                 Err(Bad { status, what }) => Reply::text(status, &what),
                 Ok(question) => match self.exchange.submit(question) {
                     Ok(ticket) => return Accepted::Query(ticket, Box::new(reply)),
-                    Err(SubmitError::Full) => self.overloaded(),
+                    Err(SubmitError::AtCapacity) => self.overloaded(),
                     Err(SubmitError::Unrouted(RouteError::NoMap)) => self.overloaded(),
                     Err(SubmitError::Unrouted(reason @ RouteError::Unknown(_))) => {
                         Reply::text(404, &format!("ranges: {reason}"))
--- a/broker/src/handover.rs
+++ b/broker/src/handover.rs
@@ -1,5 +1,5 @@
-//! Support for upgrades, in which a new process of this broker starts while the old one serves: the listening socket that both
-//! inherit, and the detection of each process by the other.
+//! Support for upgrades, in which a new process of this broker starts while the old one serves: the listening socket that
+//! both inherit, and the detection of each process by the other.
 
 use std::cell::Cell;
 use std::fs::{File, OpenOptions};
@@ -28,7 +28,8 @@
 /// If the descriptor is not a listening TCP socket bound to `at`.
 pub fn inherited_listener(fd: i32, at: SocketAddr) -> Result<TcpListener, String> {
     let describe = |what: &str, e: &dyn std::fmt::Display| format!("descriptor {fd}: {what}: {e}");
-    // Safe code can't create a socket from a descriptor number, so the descriptor is duplicated through the process's own pidfd.
+    // Safe code can't create a socket from a descriptor number, so the descriptor is duplicated through the process's own
+    // pidfd.
     let process = pidfd_open(getpid(), PidfdFlags::empty()).map_err(|e| describe("no way to it", &e))?;
     let socket =
         pidfd_getfd(&process, fd, PidfdGetfdFlags::empty()).map_err(|e| describe("not there", &e))?;
@@ -45,8 +46,8 @@
     Ok(listener)
 }
 
-/// Length of a listener's accept backlog, larger than the number of connections that arrive at once while no slot is free. If the
-/// backlog is full, the kernel silently drops connections, and clients retry only after seconds.
+/// Length of a listener's accept backlog, larger than the number of connections that arrive at once while no slot is free.
+/// If the backlog is full, the kernel silently drops connections, and clients retry only after seconds.
 const ACCEPT_BACKLOG: i32 = 1024;
 
 /// Opens a listener for this process only.
@@ -81,8 +82,8 @@
     Leaves,
 }
 
-/// The registration of this process as one of the two that a broker may have, through locks on two presence files. Each process
-/// holds an exclusive lock on its own file, and a shared lock once it is shutting down.
+/// The registration of this process as one of the two that a broker may have, through locks on two presence files. Each
+/// process holds an exclusive lock on its own file, and a shared lock once it is shutting down.
 #[derive(Debug)]
 pub struct Presence {
     /// The presence files of this process and of the other; `None` if no directory is set for them.
@@ -97,8 +98,8 @@
 }
 
 impl Presence {
-    /// Registers this process. If two others are registered already, it stays unregistered: it detects one of them, but they do
-    /// not detect it.
+    /// Registers this process. If two others are registered already, it stays unregistered: it detects one of them, but they
+    /// do not detect it.
     pub fn register(dir: Option<&Path>, listen: SocketAddr) -> Rc<Self> {
         let open = |n: u32| {
             let path = dir?.join(format!("gingerledge-{listen}.{n}"));
--- a/broker/src/lifecycle.rs
+++ b/broker/src/lifecycle.rs
@@ -10,21 +10,22 @@
 use event_listener::Event;
 use futures_lite::future::or;
 
-/// Time from the beginning of a drain after which connections without a request are closed. The load balancer in front requests
-/// `/ready` ten times a second and stops sending 0.2 s after a negative answer, so that no new request arrives by then.
+/// Time from the beginning of a drain after which connections without a request are closed. The load balancer in front
+/// requests `/ready` ten times a second and stops sending 0.2 s after a negative answer, so that no new request arrives by
+/// then.
 const DRAIN_IDLE_CLOSE: Duration = Duration::from_millis(1000);
-/// Time from the beginning of a drain after which no incomplete request is waited for. 4 s after the beginning, the broker must
-/// not hold any request of the last 2 s, so the last one must have been received completely before that.
+/// Time from the beginning of a drain after which no incomplete request is waited for. 4 s after the beginning, the broker
+/// must not hold any request that it received within the last 2 s, so the last request must be complete before 2 s.
 const DRAIN_READ_END: Duration = Duration::from_millis(1800);
 /// Time that a connection opened during a drain has for its request.
 const LATE_CONNECTION_READ: Duration = Duration::from_millis(1000);
 /// Time from SIGTERM after which connections without a request are closed.
 ///
-/// New connections arrive for up to 0.4 s after SIGTERM, and are served. SIGKILL follows SIGTERM after the longest deadline of
-/// the settings (3 s at most) and another 0.7 s. A request that arrives later than 0.7 s after SIGTERM is lost if it is
+/// New connections arrive for up to 0.4 s after SIGTERM, and are served. SIGKILL follows SIGTERM after the longest deadline
+/// of the settings (3 s at most) and another 0.7 s. A request that arrives later than 0.7 s after SIGTERM is lost if it is
 /// unanswered at SIGKILL. The three shutdown times therefore follow from the protocol alone, whatever the deadlines:
-/// connections without a request are closed well before 0.7 s, the last request is read completely before, and a request that
-/// has not been read by then is not read at all.
+/// connections without a request are closed well before 0.7 s, the last request is read completely before, and a request
+/// that has not been read by then is not read at all.
 const SHUTDOWN_IDLE_CLOSE: Duration = Duration::from_millis(500);
 /// Time from SIGTERM after which no incomplete request is waited for; see [`SHUTDOWN_IDLE_CLOSE`].
 const SHUTDOWN_READ_END: Duration = Duration::from_millis(650);
@@ -152,8 +153,8 @@
         }
     }
 
-    /// Resolves once a connection without a request must be closed. `accepted` is the time at which the connection was accepted
-    /// if it has not carried a request yet.
+    /// Resolves once a connection without a request must be closed. `accepted` is the time at which the connection was
+    /// accepted if it has not carried a request yet.
     pub async fn idle_deadline(&self, accepted: Option<Instant>) {
         self.wait_for(|phase| match phase {
             Phase::Serving => None,
@@ -166,8 +167,8 @@
         .await
     }
 
-    /// Resolves once an incomplete request must no longer be waited for: a request received later could still be open when the
-    /// broker must hold none, or when it ends. `accepted` is as in [`Lifecycle::idle_deadline`].
+    /// Resolves once an incomplete request must no longer be waited for: a request received later could still be open when
+    /// the broker must hold none, or when it ends. `accepted` is as in [`Lifecycle::idle_deadline`].
     pub async fn read_deadline(&self, accepted: Option<Instant>) {
         self.wait_for(|phase| match phase {
             Phase::Serving => None,
@@ -180,13 +181,14 @@
         .await
     }
 
-    /// Whether requests must no longer be read, since they might be unanswered at SIGKILL. The client finds the connection closed
-    /// and retries the request at another broker.
+    /// Whether requests must no longer be read, since they might be unanswered at SIGKILL. The client finds the connection
+    /// closed and retries the request at another broker.
     pub fn is_too_late(&self) -> bool {
         matches!(self.phase(), Phase::ShuttingDown { since, .. } if since.elapsed() >= SHUTDOWN_REQUESTS_END)
     }
 
-    /// Resolves once a connection that has waited for a slot must no longer be accepted, since its request could not be read.
+    /// Resolves once a connection that has waited for a slot must no longer be accepted, since its request could not be
+    /// read.
     pub async fn slot_deadline(&self) {
         self.wait_for(|phase| match phase {
             Phase::Serving | Phase::Draining { .. } => None,
--- a/broker/src/limits.rs
+++ b/broker/src/limits.rs
@@ -10,13 +10,14 @@
 
 use event_listener::Event;
 
-/// Descriptors of the process itself: standard streams (3), the reactor (3), signals (2), the listeners of two fronts and of the
-/// admin endpoint (3), the inherited listener (1), the presence files of the two processes (2), the datagram socket between
-/// brokers (1), and files that are open briefly (3), with 2 spare.
+/// Descriptors of the process itself: standard streams (3), the reactor (3), signals (2), the listeners of two fronts and of
+/// the admin endpoint (3), the inherited listener (1), the presence files of the two processes (2), the datagram socket
+/// between brokers (1), and files that are open briefly (3), with 2 spare.
 const PROCESS: usize = 20;
 /// Descriptors of discovery: one call, and the next one while the one before is being closed.
 const DISCOVERY: usize = 2;
-/// Additional files where blocks may move: the log, the lease, their directory, and a new file that is about to replace another.
+/// Additional files where blocks may move: the log, the lease, their directory, and a new file that is about to replace
+/// another.
 const BLOCK_FILES: usize = 4;
 /// The clients of all fronts may hold one in this many of all descriptors. The platform's clients open a third of the
 /// descriptors at most, and count the connections that they keep open: if the broker left that many open, the clients could
--- a/broker/src/rotation.rs
+++ b/broker/src/rotation.rs
@@ -1,5 +1,5 @@
-//! The stores that operators have disabled: a set of ids that outlives endpoint lists, configurations and upgrades. It is kept in
-//! a small file, which is shared by the two processes that a broker may have.
+//! The stores that operators have disabled: a set of ids that outlives endpoint lists, configurations and upgrades. It is
+//! kept in a small file, which is shared by the two processes that a broker may have.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -119,7 +119,8 @@
 }
 
 impl Rotation {
-    /// Reads the set that an earlier process stored. Without a directory, the set is kept for the lifetime of this process only.
+    /// Reads the set that an earlier process stored. Without a directory, the set is kept for the lifetime of this process
+    /// only.
     pub fn open(dir: Option<&Path>, listen: SocketAddr, warm_up_ms: Millis) -> Self {
         let file = dir.map(|dir| dir.join(format!("gingerledge-{listen}.out")));
         let rotation = Self { file, warm_up_ms, stores: RefCell::default(), file_version: Cell::new(None) };
@@ -132,9 +133,9 @@
         self.stores.borrow().disabled.contains_key(id)
     }
 
-    /// Time at which a store counts as started, in Unix milliseconds. A store that was enabled again has been restarted while it was
-    /// disabled: if the listed start is later than its disabling, that is its start; otherwise it counts as started when it was
-    /// enabled.
+    /// Time at which a store counts as started, in Unix milliseconds. A store that was enabled again has been restarted
+    /// while it was disabled: if the listed start is later than its disabling, that is its start; otherwise it counts as
+    /// started when it was enabled.
     pub fn start_time(&self, id: &str, listed: Millis) -> Millis {
         match self.stores.borrow().enabled.get(id) {
             Some((disabled_at, enabled_at)) if listed < *disabled_at as Millis => *enabled_at as Millis,
@@ -200,14 +201,14 @@
         Ok(changed)
     }
 
-    /// Reads the file again if another process has replaced it; returns the stores whose state changed. An invalid file changes
-    /// nothing.
+    /// Reads the file again if another process has replaced it; returns the stores whose state changed. An invalid file
+    /// changes nothing.
     pub fn reload(&self) -> Vec<String> {
         self.read(false)
     }
 
-    /// Reads the file if it has changed. From a partly invalid file, the valid lines are used at the start of the process, and
-    /// nothing later.
+    /// Reads the file if it has changed. From a partly invalid file, the valid lines are used at the start of the process,
+    /// and nothing later.
     fn read(&self, is_start: bool) -> Vec<String> {
         let Some(file) = &self.file else { return Vec::new() };
         let version = file_version(file);
@@ -231,7 +232,8 @@
     }
 }
 
-/// Modification time and inode of a file. A file that replaces another has a different inode, while its time may be the same.
+/// Modification time and inode of a file. A file that replaces another has a different inode, while its time may be the
+/// same.
 fn file_version(file: &Path) -> FileVersion {
     use std::os::unix::fs::MetadataExt;
     let meta = std::fs::metadata(file).ok()?;
--- a/broker/src/routes.rs
+++ b/broker/src/routes.rs
@@ -1,6 +1,6 @@
-//! Routing of parts by the broker's copy of the block map. Owns the copy and the core's ids of the map's stores. A block number
-//! of any age resolves to the blocks that now cover its weighers, each with a slice of them; an entry (a write) whose block has
-//! several successors is never assigned to one of them by a guess. No I/O. Not used where blocks never move.
+//! Routing of parts by the broker's copy of the block map. Owns the copy and the core's ids of the map's stores. A block
+//! number of any age resolves to the blocks that now cover its weighers, each with a slice of them; an entry (a write) whose
+//! block has several successors is never assigned to one of them by a guess. No I/O. Not used where blocks never move.
 
 use std::cell::RefCell;
 use std::collections::{BTreeSet, HashMap};
@@ -245,8 +245,8 @@
         self.state.borrow().map.in_extent(Extent(extent)).into_iter().map(|id| id.0).collect()
     }
 
-    /// Resolves the block number that a client used, possibly with one weigher of the block, to current blocks. An entry resolves
-    /// to one block only.
+    /// Resolves the block number that a client used, possibly with one weigher of the block, to current blocks. An entry
+    /// resolves to one block only.
     ///
     /// # Errors
     ///
@@ -338,8 +338,8 @@
     }
 }
 
-/// Validates a map or an update of it. A broker has no information on transfers in progress; the coordinator has validated, at the
-/// version before, that each range moved only to its new owners.
+/// Validates a map or an update of it. A broker has no information on transfers in progress; the coordinator has validated,
+/// at the version before, that each range moved only to its new owners.
 fn validate_map(
     names: &HashMap<StoreId, String>,
     version: u64,
--- a/broker/src/store/attempts.rs
+++ b/broker/src/store/attempts.rs
@@ -1,5 +1,5 @@
-//! Attempts at stores. The attempts of one turn at one store share calls, up to the batch size of the settings. Each still has
-//! its own task, time-out and outcome, and one that is withdrawn before its call is written is left out of the call.
+//! Attempts at stores. The attempts of one turn at one store share calls, up to the batch size of the settings. Each still
+//! has its own task, time-out and outcome, and one that is withdrawn before its call is written is left out of the call.
 
 use std::cell::Cell;
 use std::future::Future;
@@ -18,12 +18,12 @@
 use crate::core::{AttemptId, AttemptOutcome, AttemptRequest, Form};
 use crate::counters::count;
 
-/// Delay between the withdrawal of an attempt and the report of its outcome. The answer may be in flight, and the next attempt
-/// must not reach its store before the withdrawal has reached the store of this one. The delay is many times the latency
-/// between zones, since a store on a busy machine may read one connection later than another.
+/// Delay between the withdrawal of an attempt and the report of its outcome. The answer may be in flight, and the next
+/// attempt must not reach its store before the withdrawal has reached the store of this one. The delay is many times the
+/// latency between zones, since a store on a busy machine may read one connection later than another.
 const WITHDRAWAL_DELAY: Duration = Duration::from_millis(25);
-/// Time after a corrupt answer from any store during which parts do not share connections, so that the next corrupt answer fails
-/// one part only.
+/// Time after a corrupt answer from any store during which parts do not share connections, so that the next corrupt answer
+/// fails one part only.
 const CORRUPTION_MEMORY: Duration = Duration::from_secs(30);
 /// Maximum number of connections to a store while parts do not share them.
 const UNSHARED_LINKS_MAX: usize = 6;
@@ -54,8 +54,8 @@
         if attempts.is_empty() || turn_started.elapsed() < LONG_TURN {
             return self.start_attempts(attempts, turn_started);
         }
-        // Clients may have disconnected during the turn, so their sockets are read first. The second pass of the event loop runs
-        // the tasks of the fronts that the first one has woken.
+        // Clients may have disconnected during the turn, so their sockets are read first. The second pass of the event loop
+        // runs the tasks of the fronts that the first one has woken.
         let this = self.clone();
         let start_later = async move {
             for _ in 0..2 {
--- a/broker/src/store/capacity.rs
+++ b/broker/src/store/capacity.rs
@@ -1,5 +1,5 @@
-//! The bound on connections to stores, both links and connections to feature APIs ([`crate::limits`]). If no slot is free, idle
-//! connections are closed, and the caller waits at most for the dial time-out.
+//! The bound on connections to stores, both links and connections to feature APIs ([`crate::limits`]). If no slot is free,
+//! idle connections are closed, and the caller waits at most for the dial time-out.
 
 use std::time::{Duration, Instant};
 
--- a/broker/src/store/features.rs
+++ b/broker/src/store/features.rs
@@ -1,11 +1,11 @@
 //! Attempts at stores with a feature API: a part is a GET for the features of one block, on a connection that carries one
 //! request at a time. The body of the response is the part's value, unchanged.
 //!
-//! A connection is kept for a later request only if no bytes follow the answer, and is reused only if nothing has arrived on it
-//! since: if the store has closed it or sent bytes on it, a new connection is opened. Before each write, the conditions for
-//! sending are checked as on a link ([`write_while`]). A request that was not completely written was never executed; a completely
-//! written one may have been, unless its answer rejects it. An answer without a length is complete once the store closes the
-//! connection in order; after a reset it is incomplete, and the attempt's outcome is broken.
+//! A connection is kept for a later request only if no bytes follow the answer, and is reused only if nothing has arrived on
+//! it since: if the store has closed it or sent bytes on it, a new connection is opened. Before each write, the conditions
+//! for sending are checked as on a link ([`write_while`]). A request that was not completely written was never executed; a
+//! completely written one may have been, unless its answer rejects it. An answer without a length is complete once the store
+//! closes the connection in order; after a reset it is incomplete, and the attempt's outcome is broken.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -74,8 +74,8 @@
         drop(self.idle_connections.take());
     }
 
-    /// Makes an attempt, unless `is_wanted` returns false before its last byte has been written. `written` is set once that has
-    /// happened: from then on the attempt may be executed.
+    /// Makes an attempt, unless `is_wanted` returns false before its last byte has been written. `written` is set once that
+    /// has happened: from then on the attempt may be executed.
     pub async fn attempt(
         &self,
         stores: &Stores,
--- a/broker/src/store/frame.rs
+++ b/broker/src/store/frame.rs
@@ -79,8 +79,8 @@
     bytes
 }
 
-/// Encodes a part of a call: a line with its id, its shard, its parameter list and the length of the text, then the text of the
-/// query, unchanged.
+/// Encodes a part of a call: a line with its id, its shard, its parameter list and the length of the text, then the text of
+/// the query, unchanged.
 pub fn part(id: &str, shard: u32, list: &str, text: &[u8]) -> Vec<u8> {
     let mut bytes = format!("{id} {shard} {list} {}\n", text.len()).into_bytes();
     bytes.extend_from_slice(text);
--- a/broker/src/store/link.rs
+++ b/broker/src/store/link.rs
@@ -1,13 +1,13 @@
 //! One connection to a store, which multiplexes many parts. Its own task opens it, writes queued frames ([`writing`]) and
 //! reads responses ([`reading`]).
 //!
-//! When the connection ends, for whatever reason, every part on it gets an outcome: no part of a call that was not completely
-//! written was executed, and each part of a completely written call may have been. The connection ends when the store closes it
-//! (closing one half suffices), resets it, sends invalid data, or accepts no bytes for [`writing`]'s time-out; when a call must
-//! be left incomplete; and when it carries no part and is either marked to be closed or has been idle for nearly as long as the
-//! store permits. In the last case no part is in flight, so that a reset caused by bytes that arrive at that moment loses
-//! nothing. The tables hold at most as many parts as the link may carry, and the queue holds those and one frame for each
-//! withdrawn part.
+//! When the connection ends, for whatever reason, every part on it gets an outcome: no part of a call that was not
+//! completely written was executed, and each part of a completely written call may have been. The connection ends when the
+//! store closes it (closing one half suffices), resets it, sends invalid data, or accepts no bytes for [`writing`]'s
+//! time-out; when a call must be left incomplete; and when it carries no part and is either marked to be closed or has been
+//! idle for nearly as long as the store permits. In the last case no part is in flight, so that a reset caused by bytes that
+//! arrive at that moment loses nothing. The tables hold at most as many parts as the link may carry, and the queue holds
+//! those and one frame for each withdrawn part.
 
 mod reading;
 mod writing;
@@ -151,9 +151,9 @@
         })
     }
 
-    /// Whether the link can carry this many more parts. A link that was idle for nearly as long as the store permits is not used:
-    /// a call sent while the store closes the connection would end in a reset. A link with a partial response is not used
-    /// either: if the response were never completed, the next one would be taken for its remainder.
+    /// Whether the link can carry this many more parts. A link that was idle for nearly as long as the store permits is not
+    /// used: a call sent while the store closes the connection would end in a reset. A link with a partial response is not
+    /// used either: if the response were never completed, the next one would be taken for its remainder.
     pub fn can_carry(&self, parts: usize, limits: &Limits) -> bool {
         !self.is_closing.get()
             && !self.has_partial_answer.get()
@@ -191,8 +191,8 @@
     fn enqueue_part(&self, part: Part) -> Receiver<AttemptOutcome> {
         let (sender, outcome) = async_channel::bounded(1);
         let id = part.id.clone();
-        // A client may reuse an id while a part with that id is in flight here, whose response would be taken for that of the
-        // new part.
+        // A client may reuse an id while a part with that id is in flight here, whose response would be taken for that of
+        // the new part.
         if self.in_flight.borrow().contains_key(&id) {
             let _ = sender.try_send(Outcome::Void.into());
             return outcome;
@@ -206,8 +206,8 @@
         outcome
     }
 
-    /// Withdraws a part. Returns true if its call was not completely written, so that it is never executed; otherwise the store
-    /// is notified.
+    /// Withdraws a part. Returns true if its call was not completely written, so that it is never executed; otherwise the
+    /// store is notified.
     pub fn withdraw(&self, id: &Rc<str>) -> bool {
         let mut queue = self.queue.borrow_mut();
         let queued =
@@ -217,7 +217,8 @@
             self.in_flight.borrow_mut().remove(id);
             return true;
         }
-        // With the remainder of the call, the store would execute the part besides the next attempt. The link closes instead.
+        // With the remainder of the call, the store would execute the part besides the next attempt. The link closes
+        // instead.
         let has_begun = |part: &InFlightPart| part.stage == Stage::Begun;
         if self.in_flight.borrow().get(id).is_some_and(has_begun) {
             self.in_flight.borrow_mut().remove(id);
@@ -234,8 +235,8 @@
     /// Removes a part whose outcome is no longer awaited; `without_answer` if the store failed to answer the part in time.
     pub fn forget(&self, id: &Rc<str>, without_answer: bool, limits: &Limits) {
         let part = self.in_flight.borrow_mut().remove(id);
-        // A connection to a healthy store may become unresponsive with no other sign than that nothing arrived while this part
-        // was in flight. The next part then uses a new connection.
+        // A connection to a healthy store may become unresponsive with no other sign than that nothing arrived while this
+        // part was in flight. The next part then uses a new connection.
         let was_silent = without_answer
             && part.is_some_and(|part| {
                 part.stage == Stage::Written && self.last_answer_at.get() < part.queued_at
@@ -290,7 +291,8 @@
         self.queue.borrow_mut().clear();
         let in_flight = std::mem::take(&mut *self.in_flight.borrow_mut());
         for part in in_flight.into_values() {
-            // A store that sent invalid data has not restarted: for `Broken`, the decision module would treat it as warming up.
+            // A store that sent invalid data has not restarted: for `Broken`, the decision module would treat it as warming
+            // up.
             let outcome = match (part.stage == Stage::Written, ending.is_corrupt) {
                 (true, true) => Outcome::Failure,
                 (true, false) => Outcome::Broken,
--- a/broker/src/store/link/reading.rs
+++ b/broker/src/store/link/reading.rs
@@ -1,7 +1,7 @@
 //! Reading from a link: splits the received bytes into frames and delivers each answer to its part. Anything that is not an
-//! answer to a part of this link ends the link as corrupt. It ends as disconnected if the store closes the connection, also if
-//! only in one direction, or resets it. Bytes on a link without parts in flight end it at once, since they can't be told from
-//! the beginning of an answer.
+//! answer to a part of this link ends the link as corrupt. It ends as disconnected if the store closes the connection, also
+//! if only in one direction, or resets it. Bytes on a link without parts in flight end it at once, since they can't be told
+//! from the beginning of an answer.
 
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
@@ -56,8 +56,8 @@
             }
             buffer.drain(..consumed);
             self.has_partial_answer.set(!buffer.is_empty());
-            // Guards against invalid bytes that look like the beginning of an answer while no written part awaits one. Queued
-            // parts have not been written, and behind such bytes their answers could not be read.
+            // Guards against invalid bytes that look like the beginning of an answer while no written part awaits one.
+            // Queued parts have not been written, and behind such bytes their answers could not be read.
             let awaits_answer = |part: &InFlightPart| part.stage != Stage::Queued;
             if self.has_partial_answer.get() && !self.in_flight.borrow().values().any(awaits_answer) {
                 log::debug!(store = self.endpoint.name, bytes:% = excerpt(&buffer); "store sent more than an answer");
--- a/broker/src/store/link/writing.rs
+++ b/broker/src/store/link/writing.rs
@@ -1,11 +1,12 @@
 //! Writing to a link, and the last check of what may be written.
 //!
-//! A part may be started as long as its client waits, its store accepts work and its send deadline has not passed. These three
-//! conditions are checked when the socket accepts the first byte of the part's call, and every [`RECHECK_INTERVAL`] as long as
-//! it accepts none. A part that may no longer be started was never executed, so its outcome is void. Once the first byte has
-//! been written, the store's drain no longer matters, since a send counts from its first byte. The client and the send deadline
-//! still matter, since an attempt counts from its last byte, and so does a withdrawal of the part. If one part of a call must
-//! not be continued, the call is left incomplete and the link is closed: none of the call's parts was executed.
+//! A part may be started as long as its client waits, its store accepts work and its send deadline has not passed. These
+//! three conditions are checked when the socket accepts the first byte of the part's call, and every [`RECHECK_INTERVAL`] as
+//! long as it accepts none. A part that may no longer be started was never executed, so its outcome is void. Once the first
+//! byte has been written, the store's drain no longer matters, since a send counts from its first byte. The client and the
+//! send deadline still matter, since an attempt counts from its last byte, and so does a withdrawal of the part. If one part
+//! of a call must not be continued, the call is left incomplete and the link is closed: none of the call's parts was
+//! executed.
 
 use std::io::{self, Write};
 use std::net::TcpStream;
@@ -20,8 +21,8 @@
 
 /// Time-out for a store that accepts no bytes.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Interval at which parts that wait for a connection or behind a stalled write are rechecked. Short compared with the 100 ms
-/// after which no work may be started any more for a client that has disconnected.
+/// Interval at which parts that wait for a connection or behind a stalled write are rechecked. Short compared with the 100
+/// ms after which no work may be started any more for a client that has disconnected.
 pub(super) const RECHECK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Writes as many bytes as the socket accepts without waiting, and returns their number; 0 if it accepts none now.
@@ -47,12 +48,12 @@
     futures_lite::future::or(writable, recheck).await;
 }
 
-/// Writes the bytes from `written` on, as long as `may_write` permits it. `may_write` is called before each write with whether any
-/// byte has been written. Returns false if it stopped the writing.
+/// Writes the bytes from `written` on, as long as `may_write` permits it. `may_write` is called before each write with
+/// whether any byte has been written. Returns false if it stopped the writing.
 ///
 /// # Errors
 ///
-/// If the socket fails or accepts no byte for [`WRITE_TIMEOUT`].
+/// If the socket fails, or accepts no byte within the write time-out.
 pub async fn write_while(
     socket: &Async<TcpStream>,
     bytes: &[u8],
--- a/broker/src/store/mod.rs
+++ b/broker/src/store/mod.rs
@@ -25,10 +25,10 @@
 use crate::routes::{BlockOwners, Routes};
 use link::{Limits, Link};
 
-/// Safety margin before the end of a store's drain grace period, within which no part is sent to it any more. The grace period
-/// runs from the announcement of the drain by discovery, which this broker may read late, to the first byte of the part, which
-/// may be sent late. Neither delay depends on the length of the grace period. If the margin leaves little or none of the
-/// period, parts that wait for a connection are placed on another store immediately, and no other part is affected.
+/// Safety margin before the end of a store's drain grace period, within which no part is sent to it any more. The grace
+/// period runs from the announcement of the drain by discovery, which this broker may read late, to the first byte of the
+/// part, which may be sent late. Neither delay depends on the length of the grace period. If the margin leaves little or
+/// none of the period, parts that wait for a connection are placed on another store immediately; nothing else is lost.
 const DRAIN_MARGIN: Duration = Duration::from_millis(200);
 
 /// A store, as listed by discovery.
@@ -174,8 +174,8 @@
         names
     }
 
-    /// Removes a store; returns the id that it had. Nothing of it may stay in the tables: they would grow without bound, since
-    /// stores are constantly replaced by others with new names.
+    /// Removes a store; returns the id that it had. Nothing of it may stay in the tables: they would grow without bound,
+    /// since stores are constantly replaced by others with new names.
     pub fn remove(&self, name: &str) -> Option<ServerId> {
         let id = self.names.borrow_mut().remove(name)?;
         if let Some(routes) = &self.routes {
--- a/broker/tests/common/rig.rs
+++ b/broker/tests/common/rig.rs
@@ -107,7 +107,7 @@
             class: 0,
             tenant: None,
             deadline: Clock::new().now() + LONG,
-            repeated: false,
+            is_retry: false,
             key: None,
             parts: vec![PartRequest::default()],
             text: Rc::from(&b"c41e"[..]),
--- a/broker/tests/core.rs
+++ b/broker/tests/core.rs
@@ -46,7 +46,7 @@
         shards.iter().map(|shard| PartRequest { shard: *shard, weight, ..PartRequest::default() }).collect();
     let (text, form) = (Rc::from(&b"c41e"[..]), Form::Opaque);
     let (name, key) = (name.into(), None);
-    Query { name, class: 0, tenant: None, deadline, repeated: false, key, parts, text, form }
+    Query { name, class: 0, tenant: None, deadline, is_retry: false, key, parts, text, form }
 }
 
 fn orders(commands: &[Command]) -> Vec<AttemptRequest> {
@@ -192,7 +192,7 @@
     let ask = |name: &str, shards: &[u32]| exchange.submit(question(name, shards, clock.now() + 60_000.0));
     let first = ask("a", &[0]).unwrap();
     assert_eq!(ask("a", &[0]).unwrap_err(), SubmitError::Duplicate);
-    assert_eq!(ask("b", &[0, 1]).unwrap_err(), SubmitError::Full);
+    assert_eq!(ask("b", &[0, 1]).unwrap_err(), SubmitError::AtCapacity);
     drop(first);
     assert_eq!(counters.clients_gone.get(), 1);
     ask("a", &[0, 1, 2]).unwrap();
--- a/broker/tests/drawn/answers.rs
+++ b/broker/tests/drawn/answers.rs
@@ -28,7 +28,9 @@
         }
         let inside = |shard: &u32| record.first.iter().find(|p| p.shard == *shard && !p.given.is_empty());
         let named: Vec<&Piece> = step.answered_shards.iter().filter_map(inside).collect();
-        hold(named.len() == step.answered_shards.len(), "honest", || said("a shard is named that is not in"))?;
+        hold(named.len() == step.answered_shards.len(), "honest", || {
+            said("a shard is named that is not in")
+        })?;
         let mut twice = step.answered_shards.clone();
         twice.sort_unstable();
         twice.dedup();
--- a/broker/tests/drawn/host.rs
+++ b/broker/tests/drawn/host.rs
@@ -22,7 +22,7 @@
         class: asked.class,
         tenant: asked.tenant,
         deadline: base + asked.deadline,
-        repeated: asked.repeated,
+        is_retry: asked.repeated,
         key: None,
         parts,
         text: Rc::from(&b"text"[..]),
--- a/broker/tests/drawn/least.rs
+++ b/broker/tests/drawn/least.rs
@@ -43,8 +43,8 @@
     let parts = (0..parts).map(|shard| PartRequest { shard, weight, ..PartRequest::default() }).collect();
     let (name, text) = (format!("q{id}").into(), Rc::from(&b"x"[..]));
     let deadline = now + 1900.0;
-    let (tenant, repeated, key, form) = (None, false, None, Form::Opaque);
-    let question = Query { name, class, tenant, deadline, repeated, key, parts, text, form };
+    let (tenant, is_retry, key, form) = (None, false, None, Form::Opaque);
+    let question = Query { name, class, tenant, deadline, is_retry, key, parts, text, form };
     orders(core.turn(now, [CoreEvent::QuerySubmitted(id, question)]))
 }
 
--- a/broker/tests/keyed.rs
+++ b/broker/tests/keyed.rs
@@ -166,7 +166,7 @@
             class: 0,
             tenant: None,
             deadline: 9000.0,
-            repeated: false,
+            is_retry: false,
             key: Some(IdempotencyKey::new(KEY).unwrap()),
             parts: vec![PartRequest { shard: 0, weight: 1.0, ..PartRequest::default() }],
             text: Rc::from(&b"x"[..]),
--- a/broker/tests/steady.rs
+++ b/broker/tests/steady.rs
@@ -112,7 +112,7 @@
             class,
             tenant: None,
             deadline: self.now + 300.0 + self.rng.f64() * 2700.0,
-            repeated: false,
+            is_retry: false,
             key: None,
             parts: shards.map(|shard| PartRequest { shard, weight, ..PartRequest::default() }).collect(),
             text: Rc::from(&b"x"[..]),
