--- a/broker/src/core/key.rs
+++ b/broker/src/core/key.rs
@@ -11,7 +11,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct IdempotencyKey(Rc<str>);
 
-/// Why a text is not a valid idempotency key.
+/// The reason for which a text is not a valid idempotency key.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum BadKey {
     /// The text is empty.
--- a/broker/src/core/mod.rs
+++ b/broker/src/core/mod.rs
@@ -1,6 +1,6 @@
 //! Open queries, their parts and attempts. [`Core`] hosts the decision module's [`Aggregator`]: in each turn it passes the
 //! new [`CoreEvent`]s on and translates the resulting actions into [`Command`]s for the driver, which owns the sockets.
-//! It handles no wire format, and makes no decision of its own beyond the last check of attempts ([`Guard`]).
+//! The core handles no wire format, and makes no decision of its own beyond the last check of attempts ([`Guard`]).
 
 mod completion;
 mod guard;
--- a/broker/src/discovery/watching.rs
+++ b/broker/src/discovery/watching.rs
@@ -191,11 +191,11 @@
     /// The current or last call.
     call: Call,
     call_started: Instant,
-    /// When the current call times out, or the next one starts. During a call it only moves to later times.
+    /// Time at which the current call times out or the next one starts. During a call it only moves to later times.
     due: Option<Instant>,
     /// Whether the current call has returned a newer list.
     has_newer_list: bool,
-    /// When the current call first returned something complete.
+    /// Time at which the current call first returned something complete.
     complete_since: Option<Instant>,
     /// Number of consecutive calls without a response.
     unanswered: u32,
--- a/broker/src/exchange.rs
+++ b/broker/src/exchange.rs
@@ -17,7 +17,7 @@
 use crate::handover::Presence;
 use crate::routes::{BlockOwners, RouteError, Routes};
 
-/// Why a query was not admitted.
+/// The reason for which a query was not admitted.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SubmitError {
     /// The maximum of open queries and parts is reached; a later retry is harmless.
@@ -31,9 +31,9 @@
 /// An admitted query without a final answer.
 #[derive(Debug)]
 struct PendingEntry {
-    /// Its id on the wire.
+    /// The query's id on the wire.
     name: Rc<str>,
-    /// What it counts towards the maximum of open queries and parts.
+    /// Number that the query counts towards the maximum of open queries and parts.
     size: usize,
     answer: Sender<FinalAnswer>,
 }
--- a/broker/src/routes.rs
+++ b/broker/src/routes.rs
@@ -289,7 +289,7 @@
     ///
     /// # Errors
     ///
-    /// As [`Routes::targets`].
+    /// The errors are those of [`Routes::targets`].
     pub fn successors(
         &self,
         block: u32,
--- a/broker/src/store/frame.rs
+++ b/broker/src/store/frame.rs
@@ -23,7 +23,7 @@
 /// Letter by which a store reports that the frame before was invalid.
 pub const PROTOCOL_ERROR: u8 = b'r';
 
-/// How a store completed a part.
+/// The result of a part at a store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PartOutcome {
     /// The store served the part (`good`).
@@ -41,7 +41,7 @@
     Answer {
         /// Id of the part.
         id: &'a str,
-        /// How the store completed the part.
+        /// Result of the part.
         outcome: PartOutcome,
         /// Score by which shards are ranked for a second step.
         score: u64,
--- a/broker/src/store/link.rs
+++ b/broker/src/store/link.rs
@@ -56,7 +56,7 @@
     queued_at: Instant,
 }
 
-/// How much of a part's call has been written.
+/// The progress of writing a part's call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
     /// No byte of the call has been written.
@@ -103,7 +103,7 @@
     /// Wakes the link's task when there is something to write or the link may close.
     wake: (Sender<()>, Receiver<()>),
     last_used: Cell<Instant>,
-    /// When the last response arrived.
+    /// Time at which the last response arrived.
     last_answer_at: Cell<Instant>,
     /// Whether the link accepts no more parts and closes once it is idle.
     is_closing: Cell<bool>,
@@ -113,7 +113,7 @@
     is_aborted: Cell<bool>,
 }
 
-/// Why a link ended.
+/// The end of a link.
 struct Ending {
     /// Whether the store sent invalid data.
     is_corrupt: bool,
--- a/broker/src/store/mod.rs
+++ b/broker/src/store/mod.rs
@@ -37,9 +37,9 @@
     pub name: String,
     /// Address at which the store listens.
     pub address: Cell<SocketAddr>,
-    /// When this broker learned that the store is draining or removed, if it is.
+    /// Time at which this broker learned that the store is draining or removed; `None` if it is neither.
     draining_since: Cell<Option<Instant>>,
-    /// How long after that new work may still be sent to it.
+    /// Period after that time within which new work may still be sent to the store.
     drain_grace: Duration,
     links: RefCell<Vec<Rc<Link>>>,
     /// Client of the store's feature API, if it serves one.
@@ -53,7 +53,7 @@
     }
 }
 
-/// Why the core stops an attempt.
+/// The reason for which the core stops an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StopReason {
     /// The store did not answer in time.
@@ -69,7 +69,8 @@
     counters: Rc<Counters>,
     limits: Rc<Limits>,
     presence: Rc<Presence>,
-    /// How long after the beginning of a drain new work may still be sent to a store, less [`DRAIN_MARGIN`].
+    /// Period after the beginning of a drain within which new work may still be sent to a store. [`DRAIN_MARGIN`] is already
+    /// subtracted.
     drain_grace: Duration,
     /// Listed stores. A removed store is kept alive only by its links, until these have ended.
     endpoints: RefCell<BTreeMap<ServerId, Rc<Endpoint>>>,
@@ -79,7 +80,7 @@
     next_id: Cell<ServerId>,
     /// Addresses of the stores' feature APIs, by the name of the store.
     feature_addresses: HashMap<String, SocketAddr>,
-    /// By attempt in flight, the channel that stops it.
+    /// Channels that stop the attempts in flight, by attempt.
     stops: RefCell<HashMap<AttemptId, Sender<StopReason>>>,
     /// Attempts to be started at the end of the turn, each with the receiver of its stop channel.
     queued_attempts: RefCell<Vec<(AttemptRequest, Receiver<StopReason>)>>,
@@ -89,7 +90,7 @@
     slots: Rc<ConnectionSlots>,
     /// Number of links that are open, being opened, or waiting for a slot.
     links: Cell<usize>,
-    /// When a store last sent invalid data.
+    /// Time at which a store last sent invalid data.
     last_corruption: Cell<Option<Instant>>,
 }
 
