--- a/broker/src/rotation.rs
+++ b/broker/src/rotation.rs
@@ -173,7 +173,8 @@
     ///
     /// # Errors
     ///
-    /// [`io::ErrorKind::WouldBlock`] if another process holds the lock, or the error of writing the file.
+    /// [`io::ErrorKind::WouldBlock`] if another process holds the lock, [`io::ErrorKind::StorageFull`] if too many stores are
+    /// disabled, or the error of writing the file.
     fn change(&self, change: impl FnOnce(&mut DisabledStores) -> bool) -> io::Result<Vec<String>> {
         let lock = self.file.as_ref().map(|file| {
             let path = file.with_extension("lock");
--- a/broker/src/store/mod.rs
+++ b/broker/src/store/mod.rs
@@ -126,7 +126,7 @@
     }
 
     /// Adds or updates a listed store; returns the core's id of the store.
-    pub fn upsert(&self, name: &str, address: SocketAddr, ready: bool) -> ServerId {
+    pub fn upsert(&self, name: &str, address: SocketAddr, is_ready: bool) -> ServerId {
         let mut endpoints = self.endpoints.borrow_mut();
         let id = *self.names.borrow_mut().entry(name.to_owned()).or_insert_with(|| {
             let id = self.next_id.replace(self.next_id.get() + 1);
@@ -148,7 +148,7 @@
             if endpoint.address.replace(address) != address {
                 endpoint.links.borrow().iter().for_each(|link| link.close_when_idle());
             }
-            set_ready(endpoint, ready);
+            set_ready(endpoint, is_ready);
         }
         if let Some(routes) = &self.routes {
             routes.store_listed(name, id);
@@ -235,8 +235,8 @@
 }
 
 /// Records whether a store accepts new work; the beginning of a drain closes its links once they are idle.
-fn set_ready(endpoint: &Endpoint, ready: bool) {
-    match (ready, endpoint.draining_since.get()) {
+fn set_ready(endpoint: &Endpoint, is_ready: bool) {
+    match (is_ready, endpoint.draining_since.get()) {
         (true, _) => endpoint.draining_since.set(None),
         (false, None) => {
             endpoint.draining_since.set(Some(Instant::now()));
