--- a/broker/src/core/messages.rs
+++ b/broker/src/core/messages.rs
@@ -10,7 +10,7 @@
 use crate::routes::BlockOwners;
 
 /// Bytes that pass through the broker unchanged.
-pub type Text = Rc<[u8]>;
+pub type OpaqueBytes = Rc<[u8]>;
 
 /// Identifies a query at this broker.
 pub type QueryId = RequestId;
@@ -39,7 +39,7 @@
 
 /// Formats in which a query's text may be sent to a store; the core only passes this on.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Form {
+pub enum QueryFormat {
     /// Frames only.
     #[default]
     Opaque,
@@ -65,9 +65,9 @@
     /// The parts of the query, at most one for each shard.
     pub parts: Vec<PartRequest>,
     /// The text that each part carries.
-    pub text: Text,
+    pub text: OpaqueBytes,
     /// Formats in which the text may be sent.
-    pub form: Form,
+    pub format: QueryFormat,
 }
 
 /// The value that a store returned for a part.
@@ -76,7 +76,7 @@
     /// Score by which shards are ranked for the second step of a class that has one.
     pub score: u64,
     /// The value, unchanged.
-    pub value: Text,
+    pub value: OpaqueBytes,
 }
 
 /// The result of one attempt at one store.
@@ -106,7 +106,7 @@
         /// Whether the answer is marked as complete.
         is_complete: bool,
         /// Shards and values.
-        values: Vec<(u32, Text)>,
+        values: Vec<(u32, OpaqueBytes)>,
     },
     /// The query was rejected; a retry is harmless.
     Refused {
@@ -176,9 +176,9 @@
     /// The shard to query.
     pub shard: u32,
     /// The text to send.
-    pub text: Text,
+    pub text: OpaqueBytes,
     /// Formats in which the text may be sent.
-    pub form: Form,
+    pub format: QueryFormat,
     /// Time-out for the response, in milliseconds.
     pub timeout_ms: Millis,
     /// Time within which the attempt must be sent, in milliseconds: later the store may no longer remember an earlier
--- a/broker/src/core/mod.rs
+++ b/broker/src/core/mod.rs
@@ -406,7 +406,7 @@
             query: query.request.name.clone(),
             shard: part.shard,
             text: query.request.text.clone(),
-            form: query.request.form,
+            format: query.request.format,
             send_within_ms: send_within_ms.is_finite().then_some(send_within_ms),
             key: query.request.key.clone(),
             timeout_ms: if timeout_ms > 0.0 { timeout_ms.min(remaining_ms) } else { remaining_ms },
--- a/broker/src/front/features/mod.rs
+++ b/broker/src/front/features/mod.rs
@@ -16,7 +16,7 @@
 use super::{key, Accepted, Reply, Service};
 use crate::clock::{Clock, Millis};
 use crate::config::features::{Collection, Features};
-use crate::core::{FinalAnswer, Form, PartRequest, Query, Text};
+use crate::core::{FinalAnswer, OpaqueBytes, PartRequest, Query, QueryFormat};
 use crate::exchange::{Exchange, SubmitError};
 use crate::geojson;
 use crate::http::{self, Head, BODY_MAX};
@@ -261,7 +261,7 @@
             key,
             parts: blocks.iter().map(part).collect(),
             text: reader.wanted.text().into_bytes().into(),
-            form: Form::Features,
+            format: QueryFormat::Features,
         };
         let ticket = self.exchange.submit(query).map_err(|error| match error {
             SubmitError::AtCapacity => refused(self.full_retry_ms),
@@ -314,7 +314,7 @@
 }
 
 impl Reader {
-    fn reply(&self, values: &[(u32, Text)]) -> Reply {
+    fn reply(&self, values: &[(u32, OpaqueBytes)]) -> Reply {
         let Position { after, limit, .. } = &self.wanted.position;
         let page = match geojson::page(values, after.as_ref(), *limit, BODY_MAX - FRAME) {
             Ok(page) => page,
--- a/broker/src/front/platform.rs
+++ b/broker/src/front/platform.rs
@@ -8,7 +8,7 @@
 
 use super::{key, Accepted, Reply, Service};
 use crate::clock::Clock;
-use crate::core::{FinalAnswer, Form, PartRequest, Query, Text};
+use crate::core::{FinalAnswer, OpaqueBytes, PartRequest, Query, QueryFormat};
 use crate::exchange::{Exchange, SubmitError};
 use crate::http::{self, Head, BODY_MAX};
 use crate::lifecycle::Lifecycle;
@@ -136,13 +136,13 @@
         key,
         parts,
         text: body.predicate.as_bytes().into(),
-        form: Form::Opaque,
+        format: QueryFormat::Opaque,
     })
 }
 
 /// Writes an answer's body; `None` if it is longer than a body may be, or holds a value that no JSON
 /// text can carry unchanged.
-pub fn answer(whole: bool, values: &[(u32, Text)]) -> Option<Vec<u8>> {
+pub fn answer(whole: bool, values: &[(u32, OpaqueBytes)]) -> Option<Vec<u8>> {
     let mut body = format!("{{\"total\":{whole},\"answers\":[").into_bytes();
     for (n, (shard, value)) in values.iter().enumerate() {
         let gap = if n == 0 { "" } else { "," };
--- a/broker/src/geojson.rs
+++ b/broker/src/geojson.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
 
-use crate::core::Text;
+use crate::core::OpaqueBytes;
 
 /// No feature id is longer.
 const ID_MAX: usize = 256;
@@ -157,7 +157,7 @@
 /// Puts a page together of at most `limit` features and about `bytes` bytes. What does not fit is
 /// never left out: it begins the next page.
 pub fn page<'a>(
-    values: &'a [(u32, Text)],
+    values: &'a [(u32, OpaqueBytes)],
     after: Option<&Id>,
     limit: usize,
     bytes: usize,
--- a/broker/src/store/attempts.rs
+++ b/broker/src/store/attempts.rs
@@ -15,7 +15,7 @@
 use super::link::{Link, Part};
 use super::{frame, Endpoint, StopReason, Stores};
 use crate::clock::millis;
-use crate::core::{AttemptId, AttemptOutcome, AttemptRequest, Form};
+use crate::core::{AttemptId, AttemptOutcome, AttemptRequest, QueryFormat};
 use crate::counters::count;
 
 /// Delay between the withdrawal of an attempt and the report of its outcome. The answer may be in flight, and the next
@@ -77,7 +77,7 @@
                 self.finish(request.attempt, Outcome::Void.into());
                 continue;
             };
-            if endpoint.features.is_some() && request.form == Form::Features {
+            if endpoint.features.is_some() && request.format == QueryFormat::Features {
                 let this = self.clone();
                 self.spawn_attempt(request, stop_requests, |request, stop| async move {
                     let send_by = send_deadline(&request, turn_started);
--- a/broker/tests/common/rig.rs
+++ b/broker/tests/common/rig.rs
@@ -9,7 +9,7 @@
 use async_io::{Async, Timer};
 use futures_lite::AsyncReadExt;
 use gingerledge::clock::Clock;
-use gingerledge::core::{AttemptId, AttemptRequest, CoreEvent, Form, PartRequest, Query, QueryId};
+use gingerledge::core::{AttemptId, AttemptRequest, CoreEvent, PartRequest, Query, QueryFormat, QueryId};
 use gingerledge::exchange::PendingQuery;
 use gingerledge::store::frame;
 use gingerledge::store::link::Limits;
@@ -86,7 +86,7 @@
             query: "q".into(),
             shard: part as u32,
             text: Rc::from(&b"c41e"[..]),
-            form: Form::Opaque,
+            format: QueryFormat::Opaque,
             timeout_ms,
             send_within_ms: None,
             key: None,
@@ -111,7 +111,7 @@
             key: None,
             parts: vec![PartRequest::default()],
             text: Rc::from(&b"c41e"[..]),
-            form: Form::Opaque,
+            format: QueryFormat::Opaque,
         };
         let before = self.sides.counters.queries.get();
         (self.sides.exchange.submit(question).unwrap(), before + 1)
--- a/broker/tests/core.rs
+++ b/broker/tests/core.rs
@@ -8,8 +8,8 @@
 use common::{alone, Sides};
 use gingerledge::clock::Clock;
 use gingerledge::core::{
-    AttemptId, AttemptOutcome, AttemptRequest, Command, Core, CoreEvent, FinalAnswer, Form, PartRequest,
-    Query, Served,
+    AttemptId, AttemptOutcome, AttemptRequest, Command, Core, CoreEvent, FinalAnswer, PartRequest, Query,
+    QueryFormat, Served,
 };
 use gingerledge::counters::Counters;
 use gingerledge::exchange::{Exchange, SubmitError};
@@ -44,9 +44,9 @@
     let weight = 1.0 / shards.len() as f64;
     let parts =
         shards.iter().map(|shard| PartRequest { shard: *shard, weight, ..PartRequest::default() }).collect();
-    let (text, form) = (Rc::from(&b"c41e"[..]), Form::Opaque);
+    let (text, format) = (Rc::from(&b"c41e"[..]), QueryFormat::Opaque);
     let (name, key) = (name.into(), None);
-    Query { name, class: 0, tenant: None, deadline, is_retry: false, key, parts, text, form }
+    Query { name, class: 0, tenant: None, deadline, is_retry: false, key, parts, text, format }
 }
 
 fn orders(commands: &[Command]) -> Vec<AttemptRequest> {
--- a/broker/tests/drawn/host.rs
+++ b/broker/tests/drawn/host.rs
@@ -3,7 +3,7 @@
 
 use std::rc::Rc;
 
-use gingerledge::core::{AttemptRequest, Command, Core, CoreEvent, Form, PartRequest, Query};
+use gingerledge::core::{AttemptRequest, Command, Core, CoreEvent, PartRequest, Query, QueryFormat};
 use gingerledge_dispatch::{Entry, ListKind, Outcome, ServerId, Status};
 
 use crate::rules::{hold, Held};
@@ -26,7 +26,7 @@
         key: None,
         parts,
         text: Rc::from(&b"text"[..]),
-        form: Form::Opaque,
+        format: QueryFormat::Opaque,
     }
 }
 
--- a/broker/tests/drawn/least.rs
+++ b/broker/tests/drawn/least.rs
@@ -3,7 +3,8 @@
 use std::rc::Rc;
 
 use gingerledge::core::{
-    AttemptId, AttemptOutcome, AttemptRequest, Command, Core, CoreEvent, Form, PartRequest, Query, Served,
+    AttemptId, AttemptOutcome, AttemptRequest, Command, Core, CoreEvent, PartRequest, Query, QueryFormat,
+    Served,
 };
 use gingerledge_dispatch::{Class, Entry, ListKind, Outcome, Repeat, Settings};
 
@@ -43,8 +44,8 @@
     let parts = (0..parts).map(|shard| PartRequest { shard, weight, ..PartRequest::default() }).collect();
     let (name, text) = (format!("q{id}").into(), Rc::from(&b"x"[..]));
     let deadline = now + 1900.0;
-    let (tenant, is_retry, key, form) = (None, false, None, Form::Opaque);
-    let question = Query { name, class, tenant, deadline, is_retry, key, parts, text, form };
+    let (tenant, is_retry, key, format) = (None, false, None, QueryFormat::Opaque);
+    let question = Query { name, class, tenant, deadline, is_retry, key, parts, text, format };
     orders(core.turn(now, [CoreEvent::QuerySubmitted(id, question)]))
 }
 
--- a/broker/tests/drawn/rules.rs
+++ b/broker/tests/drawn/rules.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-use gingerledge::core::{AttemptRequest, FirstStep, Text};
+use gingerledge::core::{AttemptRequest, FirstStep, OpaqueBytes};
 use gingerledge_dispatch::{Entry, ListKind, Outcome, Repeat, ServerId, Settings, Status};
 
 use crate::scenario::Scenario;
@@ -43,7 +43,7 @@
     pub weight: f64,
     pub tries: Vec<Try>,
     /// Values that stores gave and the broker was told of.
-    pub given: Vec<Text>,
+    pub given: Vec<OpaqueBytes>,
     pub score: u64,
     pub runs: u32,
 }
@@ -221,7 +221,7 @@
     }
 
     /// An attempt's end, as the broker is told.
-    pub fn over(&mut self, place: Place, outcome: Outcome, given: Option<(u64, Text)>) {
+    pub fn over(&mut self, place: Place, outcome: Outcome, given: Option<(u64, OpaqueBytes)>) {
         self.tally.met(&format!("ends {outcome:?}"));
         let piece = self.pieces(place);
         piece.tries[place.number].end = Some(outcome);
--- a/broker/tests/drawn/world.rs
+++ b/broker/tests/drawn/world.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, BinaryHeap};
 use std::rc::Rc;
 
-use gingerledge::core::{AttemptId, AttemptOutcome, Core, CoreEvent, Served, Text};
+use gingerledge::core::{AttemptId, AttemptOutcome, Core, CoreEvent, OpaqueBytes, Served};
 use gingerledge_dispatch::{Entry, ListKind, Outcome, ServerId, Status};
 
 use crate::rules::{hold, Held, Ledger, Place};
@@ -54,7 +54,7 @@
     pub fate: Fate,
     pub over: bool,
     pub dropped: bool,
-    pub value: Text,
+    pub value: OpaqueBytes,
     pub score: u64,
 }
 
@@ -372,7 +372,7 @@
         self.publish(self.entry(id, Status::Ready));
     }
 
-    pub fn flight_text(ask: usize, shard: u32, second: bool, number: usize) -> Text {
+    pub fn flight_text(ask: usize, shard: u32, second: bool, number: usize) -> OpaqueBytes {
         Rc::from(format!("{ask}.{shard}.{second}.{number}").as_bytes())
     }
 }
--- a/broker/tests/endings_store.rs
+++ b/broker/tests/endings_store.rs
@@ -11,7 +11,7 @@
 use async_io::{Async, Timer};
 use common::rig::{at_rest, play, shut, Peer, Rig, GUARD, LONG};
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
-use gingerledge::core::{AttemptRequest, Form};
+use gingerledge::core::{AttemptRequest, QueryFormat};
 use gingerledge::http::{Kind, Stream};
 use gingerledge::store::frame;
 use gingerledge::store::link::Limits;
@@ -123,8 +123,8 @@
             |mut rig| async move {
                 let queued = shut(&rig.store);
                 let (ticket, query_id) = rig.asked();
-                let form = if features { Form::Features } else { Form::Opaque };
-                rig.sides.stores.send(AttemptRequest { query_id, form, ..rig.order(0, LONG) });
+                let format = if features { QueryFormat::Features } else { QueryFormat::Opaque };
+                rig.sides.stores.send(AttemptRequest { query_id, format, ..rig.order(0, LONG) });
                 rig.sides.stores.end_turn();
                 until(|| rig.sides.counters.dials.get() == 1).await;
                 Timer::after(Duration::from_millis(50)).await;
@@ -192,10 +192,10 @@
             let (_ticket, query_id) = rig.asked();
             rig.sides.exchange.next_events(None).await;
             Timer::after(Duration::from_millis(100)).await;
-            let form = if features { Form::Features } else { Form::Opaque };
+            let format = if features { QueryFormat::Features } else { QueryFormat::Opaque };
             rig.sides.stores.send(AttemptRequest {
                 query_id,
-                form,
+                format,
                 send_within_ms: Some(60.0),
                 ..rig.order(0, LONG)
             });
@@ -221,7 +221,7 @@
 }
 
 fn ask(rig: &Rig, part: u64) {
-    rig.sides.stores.send(AttemptRequest { form: Form::Features, ..rig.order(part, LONG) });
+    rig.sides.stores.send(AttemptRequest { format: QueryFormat::Features, ..rig.order(part, LONG) });
     rig.sides.stores.end_turn();
 }
 
--- a/broker/tests/keyed.rs
+++ b/broker/tests/keyed.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 
 use gingerledge::core::{
-    AttemptRequest, Command, Core, CoreEvent, Form, Guard, IdempotencyKey, PartRequest, Query, KEY_MAX,
+    AttemptRequest, Command, Core, CoreEvent, Guard, IdempotencyKey, PartRequest, Query, QueryFormat, KEY_MAX,
 };
 use gingerledge_dispatch::{Class, Entry, ListKind, Outcome, Repeat, Settings};
 use gingerledge_testkit::scripted::{exchange, get, query, run, Mood, World};
@@ -170,7 +170,7 @@
             key: Some(IdempotencyKey::new(KEY).unwrap()),
             parts: vec![PartRequest { shard: 0, weight: 1.0, ..PartRequest::default() }],
             text: Rc::from(&b"x"[..]),
-            form: Form::Opaque,
+            format: QueryFormat::Opaque,
         };
         let first = orders(core.turn(1.0, [CoreEvent::QuerySubmitted(1, question)]));
         let [AttemptRequest { attempt, key: Some(key), .. }] = &first[..] else { panic!("{first:?}") };
--- a/broker/tests/steady.rs
+++ b/broker/tests/steady.rs
@@ -10,7 +10,7 @@
 use common::Sides;
 use fastrand::Rng;
 use gingerledge::core::{
-    AttemptId, AttemptOutcome, Command, Core, CoreEvent, Form, PartRequest, Query, QueryId, Served,
+    AttemptId, AttemptOutcome, Command, Core, CoreEvent, PartRequest, Query, QueryFormat, QueryId, Served,
 };
 use gingerledge::exchange::PendingQuery;
 use gingerledge_dispatch::{Class, Outcome, Repeat, Settings};
@@ -116,7 +116,7 @@
             key: None,
             parts: shards.map(|shard| PartRequest { shard, weight, ..PartRequest::default() }).collect(),
             text: Rc::from(&b"x"[..]),
-            form: Form::Opaque,
+            format: QueryFormat::Opaque,
         };
         if let Ok(ticket) = self.sides.exchange.submit(question) {
             self.tickets.insert(self.asked, ticket);
