--- a/broker/tests/golden.rs
+++ b/broker/tests/golden.rs
@@ -65,7 +65,7 @@
     compare(&file("rotation.txt"), &files(&dir, "changed"));
     let recorded = read(&file("rotation.txt")).remove("changed, gingerledge-127.0.0.1-8080.out").unwrap();
     let (stores, unreadable) = DisabledStores::parse(&recorded);
-    assert_eq!((unreadable, stores.text().into_bytes()), (0, recorded.clone()));
+    assert_eq!((unreadable, stores.to_text().into_bytes()), (0, recorded.clone()));
     assert_eq!(stores.disabled.get("s-1"), Some(&1_700_000_000_000));
     assert_eq!(stores.enabled.get("s-2"), Some(&(1_700_000_000_005, 1_700_000_000_900)));
     // An earlier process's file is taken up by the next.
--- a/broker/tests/sites/main.rs
+++ b/broker/tests/sites/main.rs
@@ -117,7 +117,7 @@
         let settings = &config.setup.settings;
         assert_eq!(settings.classes[config.setup.classes["berth-hold"]].deduplication_ms, 350.0);
         assert_eq!((settings.aggregators, settings.index, settings.subscribe), (4, Some(1), false));
-        assert!(config.calls.pushed);
+        assert!(config.calls.is_pushed);
         assert_eq!((settings.max_attempts, settings.parallel, settings.withdrawals), (4, true, true));
         assert_eq!((settings.max_retry_after_ms, settings.over_quota_value), (400.0, 0.1));
         assert_eq!(
@@ -154,7 +154,7 @@
         holds_zones(config, &["heath", "ridge", "mire"]);
         let settings = &config.setup.settings;
         assert_eq!(settings.classes[config.setup.classes["flock-tally"]].deduplication_ms, 2200.0);
-        assert!(settings.subscribe && !config.calls.pushed && settings.list_refresh_ms == 10_000.0);
+        assert!(settings.subscribe && !config.calls.is_pushed && settings.list_refresh_ms == 10_000.0);
         assert_eq!((settings.max_attempts, settings.parallel, settings.withdrawals), (2, false, false));
         assert_eq!((settings.max_retry_after_ms, settings.over_quota_value), (1500.0, 0.08));
         assert_eq!(
