--- a/broker/src/service.rs
+++ b/broker/src/service.rs
@@ -434,7 +434,7 @@
                 Command::Finish(query, answer) => drop(exchange.complete(query, answer)),
             }
         }
-        stores.end_turn();
+        stores.turn_over();
         happened = exchange.next_events(core.due()).await;
     }
 }
--- a/broker/src/store/attempts.rs
+++ b/broker/src/store/attempts.rs
@@ -39,7 +39,7 @@
 type Stop = Pin<Box<dyn Future<Output = (Outcome, bool)>>>;
 
 impl Stores {
-    /// Queues an attempt until the end of the turn ([`Stores::end_turn`]). Its outcome is reported to the exchange.
+    /// Queues an attempt until the end of the turn ([`Stores::turn_over`]). Its outcome is reported to the exchange.
     pub fn send(&self, request: AttemptRequest) {
         count(&self.counters.attempts);
         let (stop, stop_requests) = async_channel::bounded(1);
@@ -48,7 +48,7 @@
     }
 
     /// Starts the queued attempts of the turn. Attempts at the same store share calls.
-    pub fn end_turn(self: &Rc<Self>) {
+    pub fn turn_over(self: &Rc<Self>) {
         let attempts = self.queued_attempts.take();
         let turn_started = self.exchange.turn_started();
         if attempts.is_empty() || turn_started.elapsed() < LONG_TURN {
--- a/broker/tests/common/rig.rs
+++ b/broker/tests/common/rig.rs
@@ -120,7 +120,7 @@
     /// A turn that sends these parts.
     pub fn turn(&self, parts: impl IntoIterator<Item = u64>) {
         parts.into_iter().for_each(|part| self.sides.stores.send(self.order(part, LONG)));
-        self.sides.stores.end_turn();
+        self.sides.stores.turn_over();
     }
 
     pub fn stop(&self, part: u64) {
--- a/broker/tests/endings_store.rs
+++ b/broker/tests/endings_store.rs
@@ -48,7 +48,7 @@
         let order = AttemptRequest { query_id, send_within_ms, text: text.clone(), ..rig.order(part, LONG) };
         rig.sides.stores.send(order);
     }
-    rig.sides.stores.end_turn();
+    rig.sides.stores.turn_over();
     let mut peer = rig.accept().await;
     let begun = at_rest(|| rig.sides.counters.calls.get()).await;
     assert!(0 < begun && begun < PARTS, "{begun} calls: no stall");
@@ -125,7 +125,7 @@
                 let (ticket, query_id) = rig.asked();
                 let format = if features { QueryFormat::Features } else { QueryFormat::Opaque };
                 rig.sides.stores.send(AttemptRequest { query_id, format, ..rig.order(0, LONG) });
-                rig.sides.stores.end_turn();
+                rig.sides.stores.turn_over();
                 until(|| rig.sides.counters.dials.get() == 1).await;
                 Timer::after(Duration::from_millis(50)).await;
                 assert_eq!(rig.sides.stores.attempt_count(), 1, "the dial is up");
@@ -178,7 +178,7 @@
         drop(client);
         rig.sides.stores.send(AttemptRequest { query_id, ..rig.order(1, LONG) });
         rig.sides.stores.send(AttemptRequest { query_id: kept, ..rig.order(2, LONG) });
-        rig.sides.stores.end_turn();
+        rig.sides.stores.turn_over();
         assert_eq!(peer.call().await, ["q.2"]);
         assert_eq!(rig.ends(2).await[&1], Outcome::Void);
         drop(stays);
@@ -199,7 +199,7 @@
                 send_within_ms: Some(60.0),
                 ..rig.order(0, LONG)
             });
-            rig.sides.stores.end_turn();
+            rig.sides.stores.turn_over();
             assert_eq!(rig.ends(1).await[&0], Outcome::Void);
         });
     }
@@ -222,7 +222,7 @@
 
 fn ask(rig: &Rig, part: u64) {
     rig.sides.stores.send(AttemptRequest { format: QueryFormat::Features, ..rig.order(part, LONG) });
-    rig.sides.stores.end_turn();
+    rig.sides.stores.turn_over();
 }
 
 #[test]
@@ -298,7 +298,7 @@
                 _ => {
                     // A frame that the store leaves unread: its close resets.
                     rig.sides.stores.send(rig.order(7, LONG));
-                    rig.sides.stores.end_turn();
+                    rig.sides.stores.turn_over();
                     peer.0.readable().await.unwrap();
                     drop(peer);
                 }
