--- a/broker/src/store/link.rs
+++ b/broker/src/store/link.rs
@@ -3,7 +3,7 @@
 //!
 //! When the connection ends, for whatever reason, every part on it gets an outcome: no part of a call that was not
 //! completely written was executed, and each part of a completely written call may have been. The connection ends when the
-//! store closes it (closing one half suffices), resets it, sends invalid data, or accepts no bytes for [`writing`]'s
+//! store closes it (closing one half suffices), resets it, sends invalid data, or accepts no bytes within the write
 //! time-out; when a call must be left incomplete; and when it carries no part and is either marked to be closed or has been
 //! idle for nearly as long as the store permits. In the last case no part is in flight, so that a reset caused by bytes that
 //! arrive at that moment loses nothing. The tables hold at most as many parts as the link may carry, and the queue holds
