--- a/broker/src/front/features/mod.rs
+++ b/broker/src/front/features/mod.rs
@@ -16,7 +16,7 @@
 use super::{key, Accepted, Reply, Service};
 use crate::clock::{Clock, Millis};
 use crate::config::features::{Collection, Features};
-use crate::core::{FinalAnswer, Form, PartRequest, Query, Text};
+use crate::core::{FinalAnswer, OpaqueBytes, PartRequest, Query, QueryFormat};
 use crate::exchange::{Exchange, SubmitError};
 use crate::geojson;
 use crate::http::{self, Head, BODY_MAX};
@@ -257,25 +257,25 @@
             class: collection.class,
             tenant,
             deadline,
-            repeated: false,
+            is_retry: false,
             key,
             parts: blocks.iter().map(part).collect(),
             text: reader.wanted.text().into_bytes().into(),
-            form: Form::Features,
+            format: QueryFormat::Features,
         };
         let ticket = self.exchange.submit(query).map_err(|error| match error {
-            SubmitError::Full => refused(self.full_retry_ms),
+            SubmitError::AtCapacity => refused(self.full_retry_ms),
             SubmitError::Unrouted(RouteError::NoMap) => refused(self.full_retry_ms),
             SubmitError::Unrouted(reason) => problem(503, "Service Unavailable", &reason.to_string()),
             SubmitError::Duplicate => problem(502, "Bad Gateway", "a query of this name is open"),
         })?;
         let clock = self.clock;
         let reply = move |answer| match answer {
-            FinalAnswer::Answered { whole, values } => {
+            FinalAnswer::Answered { is_complete, values } => {
                 // One whose block has split meanwhile has a value for each heir.
                 let mut answered: Vec<u32> = values.iter().map(|(shard, _)| *shard).collect();
                 answered.dedup();
-                let complete = whole && blocks == answered;
+                let complete = is_complete && blocks == answered;
                 match complete {
                     true => reader.reply(&values),
                     // Never a silent cut: a page without some of its blocks is no page.
@@ -314,7 +314,7 @@
 }
 
 impl Reader {
-    fn reply(&self, values: &[(u32, Text)]) -> Reply {
+    fn reply(&self, values: &[(u32, OpaqueBytes)]) -> Reply {
         let Position { after, limit, .. } = &self.wanted.position;
         let page = match geojson::page(values, after.as_ref(), *limit, BODY_MAX - FRAME) {
             Ok(page) => page,
--- a/broker/src/front/platform.rs
+++ b/broker/src/front/platform.rs
@@ -8,7 +8,7 @@
 
 use super::{key, Accepted, Reply, Service};
 use crate::clock::Clock;
-use crate::core::{FinalAnswer, Form, PartRequest, Query, Text};
+use crate::core::{FinalAnswer, OpaqueBytes, PartRequest, Query, QueryFormat};
 use crate::exchange::{Exchange, SubmitError};
 use crate::http::{self, Head, BODY_MAX};
 use crate::lifecycle::Lifecycle;
@@ -132,17 +132,17 @@
         class: class_index,
         tenant,
         deadline: now + timeout as f64,
-        repeated: head.header("X-Retried") == Some("1"),
+        is_retry: head.header("X-Retried") == Some("1"),
         key,
         parts,
         text: body.predicate.as_bytes().into(),
-        form: Form::Opaque,
+        format: QueryFormat::Opaque,
     })
 }
 
 /// Writes an answer's body; `None` if it is longer than a body may be, or holds a value that no JSON
 /// text can carry unchanged.
-pub fn answer(whole: bool, values: &[(u32, Text)]) -> Option<Vec<u8>> {
+pub fn answer(whole: bool, values: &[(u32, OpaqueBytes)]) -> Option<Vec<u8>> {
     let mut body = format!("{{\"total\":{whole},\"answers\":[").into_bytes();
     for (n, (shard, value)) in values.iter().enumerate() {
         let gap = if n == 0 { "" } else { "," };
@@ -188,13 +188,13 @@
 impl Service for Platform {
     fn accept(&self, head: &Head, body: Vec<u8>) -> Accepted {
         let reply = match (head.method.as_str(), head.path()) {
-            ("GET" | "HEAD", "/ready") if !self.lifecycle.ready() => Reply::text(503, "not ready"),
+            ("GET" | "HEAD", "/ready") if !self.lifecycle.is_ready() => Reply::text(503, "not ready"),
             ("GET" | "HEAD", "/ready" | "/health") => Reply::text(200, "ok"),
             ("POST", _) => match question(head, &body, &self.names, self.clock.now()) {
                 Err(Bad { status, what }) => Reply::text(status, &what),
                 Ok(question) => match self.exchange.submit(question) {
                     Ok(ticket) => return Accepted::Query(ticket, Box::new(reply)),
-                    Err(SubmitError::Full) => self.overloaded(),
+                    Err(SubmitError::AtCapacity) => self.overloaded(),
                     Err(SubmitError::Unrouted(RouteError::NoMap)) => self.overloaded(),
                     Err(SubmitError::Unrouted(reason @ RouteError::Unknown(_))) => {
                         Reply::text(404, &format!("ranges: {reason}"))
@@ -220,7 +220,7 @@
 
 fn reply(final_answer: FinalAnswer) -> Reply {
     match final_answer {
-        FinalAnswer::Answered { whole, values } => match answer(whole, &values) {
+        FinalAnswer::Answered { is_complete, values } => match answer(is_complete, &values) {
             Some(body) => {
                 Reply { status: 200, headers: "Content-Type: application/json\r\n".to_owned(), body }
             }
--- a/broker/src/front/server.rs
+++ b/broker/src/front/server.rs
@@ -16,10 +16,10 @@
 use super::{Accepted, Reply, Service};
 use crate::config::Waits;
 use crate::counters::{count, Counters};
-use crate::handover::{Other, Presence};
+use crate::handover::{OtherProcess, Presence};
 use crate::http::Fault;
 use crate::lifecycle::Lifecycle;
-use crate::limits::{Clients, ConnectionSlot, ConnectionSlots};
+use crate::limits::{ClientBudget, ConnectionSlot, ConnectionSlots};
 
 /// Delay after a failed accept, such as for a lack of descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
@@ -37,7 +37,7 @@
     counters: Rc<Counters>,
     executor: Rc<LocalExecutor<'static>>,
     waits: Waits,
-    clients: Clients,
+    clients: ClientBudget,
     slots: Rc<ConnectionSlots>,
     /// Number of requests in progress.
     open: Cell<usize>,
@@ -73,7 +73,7 @@
         counters: &Rc<Counters>,
         executor: &Rc<LocalExecutor<'static>>,
         waits: Waits,
-        clients: Clients,
+        clients: ClientBudget,
         bodies: usize,
     ) -> Rc<Self> {
         Rc::new(Self {
@@ -84,7 +84,7 @@
             executor: executor.clone(),
             waits,
             clients,
-            slots: ConnectionSlots::new(clients.all()),
+            slots: ConnectionSlots::new(clients.hard_limit()),
             open: Cell::new(0),
             bodies: BodyMemory::new(bodies, presence),
             connection_limit: ConnectionLimit::default(),
@@ -95,22 +95,22 @@
     /// taken too: it would be turned back when the listener closes.
     pub async fn run(self: Rc<Self>, listener: Async<TcpListener>, own: bool) {
         // Whoever waits where another process serves as well is left to it until this one can.
-        if self.presence.other() != Other::None {
-            self.lifecycle.able().await;
+        if self.presence.other() != OtherProcess::None {
+            self.lifecycle.wait_until_able().await;
         }
         loop {
             let slot = async { Some(self.acquire_slot().await) };
             let leaves = async {
                 match own {
-                    true => self.lifecycle.late().await,
-                    false => self.lifecycle.accepting_over().await,
+                    true => self.lifecycle.slot_deadline().await,
+                    false => self.lifecycle.accept_deadline().await,
                 }
                 None
             };
             let Some(slot) = or(leaves, slot).await else { return };
             let accept = async { Some(listener.accept().await) };
             let closed = async {
-                self.lifecycle.accepting_over().await;
+                self.lifecycle.accept_deadline().await;
                 None
             };
             let taken = match or(closed, accept).await {
@@ -140,8 +140,10 @@
                 return slot;
             }
             self.connection_limit.evict_closing();
-            let excess =
-                self.slots.taken().saturating_sub(self.clients.most + self.connection_limit.closing_count());
+            let excess = self
+                .slots
+                .taken()
+                .saturating_sub(self.clients.soft_limit + self.connection_limit.closing_count());
             for _ in 0..excess {
                 self.connection_limit.evict_idle();
             }
@@ -154,10 +156,10 @@
 
     fn spawn_connection(self: Rc<Self>, socket: Async<std::net::TcpStream>, slot: ConnectionSlot) {
         count(&self.counters.connections);
-        if self.slots.taken() > self.clients.most {
+        if self.slots.taken() > self.clients.soft_limit {
             self.connection_limit.evict_idle();
         }
-        let (this, connection) = (self.clone(), self.lifecycle.connection());
+        let (this, connection) = (self.clone(), self.lifecycle.track_connection());
         let task = async move {
             let Closed { .. } = this.serve(Client::new(socket)).await;
             drop((slot, connection));
@@ -177,7 +179,7 @@
             let within = first_by.map_or(self.waits.idle, |by| by.saturating_duration_since(Instant::now()));
             let first = async { client.first(within).await.map_err(Some) };
             let ended = async {
-                or(eviction.requested(), self.lifecycle.idle_over(accepted)).await;
+                or(eviction.requested(), self.lifecycle.idle_deadline(accepted)).await;
                 Err(None)
             };
             match or(first, ended).await {
@@ -198,7 +200,7 @@
             Err(Stop::Ended)
         };
         let late = async {
-            self.lifecycle.reading_over(accepted).await;
+            self.lifecycle.read_deadline(accepted).await;
             Err(Stop::ShuttingDown)
         };
         match or(request, or(evicted, late)).await {
@@ -229,7 +231,7 @@
 
     fn on_request(&self, client: Client, request: Result<Request, NoRequest>, last: bool) -> Next {
         let fault = match request {
-            Ok(_) if self.open.get() >= self.clients.most => NoRequest::NoCapacity,
+            Ok(_) if self.open.get() >= self.clients.soft_limit => NoRequest::NoCapacity,
             Ok(request) => {
                 count(&self.counters.requests);
                 return Next::Request(client, request, last);
@@ -267,7 +269,7 @@
             // have the thread to itself.
             let invalid = (400..500).contains(&reply.status) && reply.status != 429;
             bad += u32::from(invalid);
-            let keep_alive = keep_alive && !self.lifecycle.closing() && bad < BAD_REQUESTS_MAX;
+            let keep_alive = keep_alive && !self.lifecycle.closes_connections() && bad < BAD_REQUESTS_MAX;
             asking = match asking.answer(&reply, keep_alive, self.waits.write).await {
                 Answered::Reusable(client) => client,
                 Answered::Last(shut) => return self.linger(shut).await,
--- a/broker/src/service.rs
+++ b/broker/src/service.rs
@@ -25,9 +25,9 @@
 use crate::front::features::Front;
 use crate::front::platform::{Names, Platform, TIMEOUT_MAX_MS};
 use crate::front::{Server, Service};
-use crate::handover::{self, Other, Presence};
+use crate::handover::{self, OtherProcess, Presence};
 use crate::lifecycle::Lifecycle;
-use crate::limits::{self, Budget, BudgetRequest, Clients};
+use crate::limits::{self, Budget, BudgetRequest, ClientBudget};
 use crate::readiness::become_ready;
 use crate::rotation::Rotation;
 use crate::routes::Routes;
@@ -116,20 +116,20 @@
     inherited: Option<i32>,
     at: SocketAddr,
 ) -> Result<(Async<TcpListener>, SocketAddr), Error> {
-    let Some(descriptor) = inherited else { return listen("LB_LISTEN", at, handover::listen_alone) };
-    let listener = handover::inherited(descriptor, at).map_err(|e| Error::new("LB_FD", e))?;
+    let Some(descriptor) = inherited else { return listen("LB_LISTEN", at, handover::listen_exclusive) };
+    let listener = handover::inherited_listener(descriptor, at).map_err(|e| Error::new("LB_FD", e))?;
     let listener = Async::new(listener).map_err(|e| Error::new("LB_FD", e.to_string()))?;
     Ok((listener, at))
 }
 
 fn descriptor_budget(config: &Config) -> Budget {
-    Budget::of(BudgetRequest {
+    Budget::new(BudgetRequest {
         sockets: config.sockets,
-        allowed: limits::allowed(),
-        shared: config.listener.is_some(),
-        features: config.features.as_ref().map(|set| set.connections),
-        admin: config.admin.is_some(),
-        blocks: config.blocks.is_some(),
+        process_limit: limits::process_limit(),
+        is_shared: config.listener.is_some(),
+        feature_clients: config.features.as_ref().map(|set| set.connections),
+        has_admin: config.admin.is_some(),
+        has_blocks: config.blocks.is_some(),
     })
 }
 
@@ -138,8 +138,8 @@
         streams: config.streams,
         batch: config.setup.settings.max_parts_per_call.max(1) as usize,
         links: budget.stores,
-        dial: millis(config.dial_timeout_ms),
-        idle: millis(config.idle_ms * IDLE_SHARE),
+        dial_timeout: millis(config.dial_timeout_ms),
+        idle_timeout: millis(config.idle_ms * IDLE_SHARE),
     }
 }
 
@@ -159,7 +159,7 @@
     fn spawn<S: Service + 'static>(
         &self,
         front: S,
-        clients: Clients,
+        clients: ClientBudget,
         listener: Async<TcpListener>,
         own_listener: bool,
     ) {
@@ -223,7 +223,7 @@
         let remembered = config.remembered_list.map(|list| discovery::parse(list.to_string().as_bytes()));
         let mut remembered =
             remembered.transpose().map_err(|fault| Error::new("known", fault.to_string()))?;
-        if !calls.pushed {
+        if !calls.is_pushed {
             remembered.take().iter().for_each(|list| discovery.apply(list, true));
         }
 
@@ -255,7 +255,7 @@
         log::info!("serving on {platform}");
         let mut features = None;
         if let Some(set) = set {
-            let (listener, at) = listen("listen", set.listen, handover::listen_beside)?;
+            let (listener, at) = listen("listen", set.listen, handover::listen_shared)?;
             let front = Front {
                 base: set.base_url.clone().unwrap_or_else(|| format!("http://{at}")).into(),
                 named: Cell::new(first_name(config.seed, clock.now())),
@@ -300,13 +300,14 @@
         }
         let core = Core::with_routes(config.seed, settings, clock.now(), routes);
         executor.spawn(discovery.clone().run()).detach();
-        let has_other_process = presence.other() != Other::None;
+        let has_other_process = presence.other() != OtherProcess::None;
         executor
             .spawn(become_ready(lifecycle.clone(), discovery.clone(), (has_other_process, calls), remembered))
             .detach();
         executor.spawn(follow_rotation(discovery.clone())).detach();
         let sharing = exchange.clone();
-        let share = move |other| sharing.process_count_changed(if other == Other::Serves { 2 } else { 1 });
+        let share =
+            move |other| sharing.process_count_changed(if other == OtherProcess::Serves { 2 } else { 1 });
         share(presence.other());
         executor.spawn(presence.clone().watch(share)).detach();
         executor
@@ -361,7 +362,7 @@
     /// at the start. One that can't be used changes nothing.
     pub fn reload(&self, discovery: Result<SocketAddr, Error>) {
         match discovery {
-            Ok(discovery) => self.discovery.follow(discovery),
+            Ok(discovery) => self.discovery.set_address(discovery),
             Err(error) => log::error!("configuration reload failed, the old one stays: {error}"),
         }
     }
@@ -371,19 +372,19 @@
         log::info!("stopping: {} queries open", self.exchange.open_queries());
         // From here on a successor may serve: stores that are cold get nothing from two processes of one broker.
         self.exchange.shutdown_started();
-        let succeeded = self.presence.look() == Other::Serves;
-        self.presence.leave();
+        let succeeded = self.presence.refresh() == OtherProcess::Serves;
+        self.presence.announce_shutdown();
         // First of all: what is taken and what is left to lie counts from the signal.
-        self.lifecycle.leave(succeeded);
+        self.lifecycle.shut_down(succeeded);
         let subsystems = async {
             for subsystem in self.subsystems.iter() {
                 subsystem.stop().await;
             }
         };
         let clients = async {
-            self.lifecycle.accepting_over().await;
+            self.lifecycle.accept_deadline().await;
             let until = Instant::now() + FINISH_WITHIN;
-            while self.lifecycle.connections() > 0 && Instant::now() < until {
+            while self.lifecycle.connection_count() > 0 && Instant::now() < until {
                 Timer::after(FINISH_CHECK).await;
             }
         };
@@ -396,7 +397,7 @@
 async fn follow_rotation(discovery: Rc<Discovery>) {
     loop {
         Timer::after(FOLLOW).await;
-        discovery.follow_rotation();
+        discovery.reload_rotation();
     }
 }
 
--- a/broker/tests/common/mod.rs
+++ b/broker/tests/common/mod.rs
@@ -13,7 +13,7 @@
 use async_executor::LocalExecutor;
 use gingerledge::clock::Clock;
 use gingerledge::counters::Counters;
-use gingerledge::discovery::watching::Waits;
+use gingerledge::discovery::watching::CallTimeouts;
 use gingerledge::discovery::{self, Discovery};
 use gingerledge::exchange::Exchange;
 use gingerledge::handover::Presence;
@@ -40,7 +40,7 @@
     /// With room for so many queries and parts.
     pub fn new(open_most: usize) -> Self {
         let second = Duration::from_secs(1);
-        let limits = Limits { streams: 32, batch: 1, links: 64, dial: second, idle: second };
+        let limits = Limits { streams: 32, batch: 1, links: 64, dial_timeout: second, idle_timeout: second };
         Self::within(open_most, limits, second)
     }
 
@@ -64,7 +64,7 @@
         let at = ([127, 0, 0, 1], 9).into();
         let rotation = Rc::new(Rotation::open(None, at, 0.0));
         let (told, noted) = (exchange.clone(), stores.clone());
-        let waits = Waits::of(&gingerledge_dispatch::Settings::default());
+        let waits = CallTimeouts::from_settings(&gingerledge_dispatch::Settings::default());
         let counted = counters.clone();
         let discovery = Discovery::new(at, Default::default(), told, noted, rotation, counted, waits);
         Self { exchange, stores, discovery, executor, counters }
--- a/broker/tests/common/rig.rs
+++ b/broker/tests/common/rig.rs
@@ -9,7 +9,7 @@
 use async_io::{Async, Timer};
 use futures_lite::AsyncReadExt;
 use gingerledge::clock::Clock;
-use gingerledge::core::{AttemptId, AttemptRequest, CoreEvent, Form, PartRequest, Query, QueryId};
+use gingerledge::core::{AttemptId, AttemptRequest, CoreEvent, PartRequest, Query, QueryFormat, QueryId};
 use gingerledge::exchange::PendingQuery;
 use gingerledge::store::frame;
 use gingerledge::store::link::Limits;
@@ -65,7 +65,7 @@
 impl Rig {
     pub fn new(streams: usize, batch: usize, grace_ms: u64) -> Self {
         let second = Duration::from_secs(1);
-        let limits = Limits { streams, batch, links: 64, dial: second, idle: second };
+        let limits = Limits { streams, batch, links: 64, dial_timeout: second, idle_timeout: second };
         Self::within(limits, grace_ms, false)
     }
 
@@ -86,7 +86,7 @@
             query: "q".into(),
             shard: part as u32,
             text: Rc::from(&b"c41e"[..]),
-            form: Form::Opaque,
+            format: QueryFormat::Opaque,
             timeout_ms,
             send_within_ms: None,
             key: None,
@@ -107,11 +107,11 @@
             class: 0,
             tenant: None,
             deadline: Clock::new().now() + LONG,
-            repeated: false,
+            is_retry: false,
             key: None,
             parts: vec![PartRequest::default()],
             text: Rc::from(&b"c41e"[..]),
-            form: Form::Opaque,
+            format: QueryFormat::Opaque,
         };
         let before = self.sides.counters.queries.get();
         (self.sides.exchange.submit(question).unwrap(), before + 1)
--- a/broker/tests/core.rs
+++ b/broker/tests/core.rs
@@ -8,8 +8,8 @@
 use common::{alone, Sides};
 use gingerledge::clock::Clock;
 use gingerledge::core::{
-    AttemptId, AttemptOutcome, AttemptRequest, Command, Core, CoreEvent, FinalAnswer, Form, PartRequest,
-    Query, Served,
+    AttemptId, AttemptOutcome, AttemptRequest, Command, Core, CoreEvent, FinalAnswer, PartRequest, Query,
+    QueryFormat, Served,
 };
 use gingerledge::counters::Counters;
 use gingerledge::exchange::{Exchange, SubmitError};
@@ -44,9 +44,9 @@
     let weight = 1.0 / shards.len() as f64;
     let parts =
         shards.iter().map(|shard| PartRequest { shard: *shard, weight, ..PartRequest::default() }).collect();
-    let (text, form) = (Rc::from(&b"c41e"[..]), Form::Opaque);
+    let (text, format) = (Rc::from(&b"c41e"[..]), QueryFormat::Opaque);
     let (name, key) = (name.into(), None);
-    Query { name, class: 0, tenant: None, deadline, repeated: false, key, parts, text, form }
+    Query { name, class: 0, tenant: None, deadline, is_retry: false, key, parts, text, format }
 }
 
 fn orders(commands: &[Command]) -> Vec<AttemptRequest> {
@@ -82,7 +82,7 @@
     let first = core.turn(5.0, [good(sent[0].attempt, 1, b"a")]);
     assert!(finals(&first).is_empty());
     let end = finals(&core.turn(6.0, [good(sent[1].attempt, 2, b"b"), good(sent[1].attempt, 2, b"again")]));
-    let [FinalAnswer::Answered { whole: true, values }] = &end[..] else { panic!("{end:?}") };
+    let [FinalAnswer::Answered { is_complete: true, values }] = &end[..] else { panic!("{end:?}") };
     let shards: Vec<u32> = values.iter().map(|(shard, _)| *shard).collect();
     assert_eq!(shards, [0, 2]);
     assert!(core.turn(7.0, [good(sent[0].attempt, 1, b"late")]).is_empty());
@@ -99,9 +99,9 @@
     second.sort_by_key(|order| order.shard);
     assert_eq!(second.iter().map(|order| order.shard).collect::<Vec<_>>(), [0, 2]);
     let first = second[0].first_step.as_ref().unwrap();
-    assert_eq!((&first.from[..], first.whole), (&[0, 1, 2][..], true));
+    assert_eq!((&first.answered_shards[..], first.is_complete), (&[0, 1, 2][..], true));
     let ends = second.iter().map(|order| good(order.attempt, 0, b"y")).collect::<Vec<_>>();
-    assert!(matches!(&finals(&core.turn(3.0, ends))[..], [FinalAnswer::Answered { whole: true, .. }]));
+    assert!(matches!(&finals(&core.turn(3.0, ends))[..], [FinalAnswer::Answered { is_complete: true, .. }]));
 }
 
 #[test]
@@ -192,7 +192,7 @@
     let ask = |name: &str, shards: &[u32]| exchange.submit(question(name, shards, clock.now() + 60_000.0));
     let first = ask("a", &[0]).unwrap();
     assert_eq!(ask("a", &[0]).unwrap_err(), SubmitError::Duplicate);
-    assert_eq!(ask("b", &[0, 1]).unwrap_err(), SubmitError::Full);
+    assert_eq!(ask("b", &[0, 1]).unwrap_err(), SubmitError::AtCapacity);
     drop(first);
     assert_eq!(counters.clients_gone.get(), 1);
     ask("a", &[0, 1, 2]).unwrap();
--- a/broker/tests/drawn/host.rs
+++ b/broker/tests/drawn/host.rs
@@ -3,7 +3,7 @@
 
 use std::rc::Rc;
 
-use gingerledge::core::{AttemptRequest, Command, Core, CoreEvent, Form, PartRequest, Query};
+use gingerledge::core::{AttemptRequest, Command, Core, CoreEvent, PartRequest, Query, QueryFormat};
 use gingerledge_dispatch::{ListKind, Outcome, ServerEntry, ServerId, ServerStatus};
 
 use crate::rules::{hold, Held};
@@ -22,11 +22,11 @@
         class: asked.class,
         tenant: asked.tenant,
         deadline: base + asked.deadline,
-        repeated: asked.repeated,
+        is_retry: asked.repeated,
         key: None,
         parts,
         text: Rc::from(&b"text"[..]),
-        form: Form::Opaque,
+        format: QueryFormat::Opaque,
     }
 }
 
--- a/broker/tests/endings_store.rs
+++ b/broker/tests/endings_store.rs
@@ -11,7 +11,7 @@
 use async_io::{Async, Timer};
 use common::rig::{at_rest, play, shut, Peer, Rig, GUARD, LONG};
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
-use gingerledge::core::{AttemptRequest, Form};
+use gingerledge::core::{AttemptRequest, QueryFormat};
 use gingerledge::http::{Kind, Stream};
 use gingerledge::store::frame;
 use gingerledge::store::link::Limits;
@@ -22,7 +22,7 @@
 const MINUTE: Duration = Duration::from_secs(60);
 
 fn limits() -> Limits {
-    Limits { streams: 1000, batch: 1, links: 64, dial: MINUTE, idle: MINUTE }
+    Limits { streams: 1000, batch: 1, links: 64, dial_timeout: MINUTE, idle_timeout: MINUTE }
 }
 
 /// What crosses a stalled write.
@@ -119,12 +119,12 @@
 fn what_waits_for_a_dial_ends_with_its_client_and_no_byte_follows() {
     for features in [false, true] {
         play(
-            Rig::within(Limits { dial: Duration::from_secs(30), ..limits() }, 1000, features),
+            Rig::within(Limits { dial_timeout: Duration::from_secs(30), ..limits() }, 1000, features),
             |mut rig| async move {
                 let queued = shut(&rig.store);
                 let (ticket, query_id) = rig.asked();
-                let form = if features { Form::Features } else { Form::Opaque };
-                rig.sides.stores.send(AttemptRequest { query_id, form, ..rig.order(0, LONG) });
+                let format = if features { QueryFormat::Features } else { QueryFormat::Opaque };
+                rig.sides.stores.send(AttemptRequest { query_id, format, ..rig.order(0, LONG) });
                 rig.sides.stores.turn_over();
                 until(|| rig.sides.counters.dials.get() == 1).await;
                 Timer::after(Duration::from_millis(50)).await;
@@ -192,10 +192,10 @@
             let (_ticket, query_id) = rig.asked();
             rig.sides.exchange.next_events(None).await;
             Timer::after(Duration::from_millis(100)).await;
-            let form = if features { Form::Features } else { Form::Opaque };
+            let format = if features { QueryFormat::Features } else { QueryFormat::Opaque };
             rig.sides.stores.send(AttemptRequest {
                 query_id,
-                form,
+                format,
                 send_within_ms: Some(60.0),
                 ..rig.order(0, LONG)
             });
@@ -221,7 +221,7 @@
 }
 
 fn ask(rig: &Rig, part: u64) {
-    rig.sides.stores.send(AttemptRequest { form: Form::Features, ..rig.order(part, LONG) });
+    rig.sides.stores.send(AttemptRequest { format: QueryFormat::Features, ..rig.order(part, LONG) });
     rig.sides.stores.turn_over();
 }
 
--- a/broker/tests/golden.rs
+++ b/broker/tests/golden.rs
@@ -11,16 +11,16 @@
 use std::rc::Rc;
 
 use common::Sides;
-use gingerledge::blocks::{call, door, lease};
+use gingerledge::blocks::{admin, lease, requests};
 use gingerledge::config::Config;
 use gingerledge::counters::Counters;
 use gingerledge::front::features::{describe, link};
 use gingerledge::front::{platform, Reply};
 use gingerledge::geojson::{page, Id};
-use gingerledge::handover::{Other, Presence};
+use gingerledge::handover::{OtherProcess, Presence};
 use gingerledge::http::{self, parse_head, Head};
 use gingerledge::rotation::{DisabledStores, Rotation};
-use gingerledge::store::frame::{self, End, Frame};
+use gingerledge::store::frame::{self, Frame, PartOutcome};
 use gingerledge::subsystem::{self, Host, Subsystem};
 use gingerledge_blocks::*;
 use gingerledge_golden::{compare, read, Sample};
@@ -65,7 +65,7 @@
     compare(&file("rotation.txt"), &files(&dir, "changed"));
     let recorded = read(&file("rotation.txt")).remove("changed, gingerledge-127.0.0.1-8080.out").unwrap();
     let (stores, unreadable) = DisabledStores::parse(&recorded);
-    assert_eq!((unreadable, stores.text().into_bytes()), (0, recorded.clone()));
+    assert_eq!((unreadable, stores.to_text().into_bytes()), (0, recorded.clone()));
     assert_eq!(stores.disabled.get("s-1"), Some(&1_700_000_000_000));
     assert_eq!(stores.enabled.get("s-2"), Some(&(1_700_000_000_005, 1_700_000_000_900)));
     // An earlier process's file is taken up by the next.
@@ -85,9 +85,9 @@
     let first = Presence::register(Some(&dir), at);
     let mut samples = files(&dir, "one process");
     let second = Presence::register(Some(&dir), at);
-    assert_eq!((first.look(), second.look()), (Other::Serves, Other::Serves));
-    first.leave();
-    assert_eq!(second.look(), Other::Leaves);
+    assert_eq!((first.refresh(), second.refresh()), (OtherProcess::Serves, OtherProcess::Serves));
+    first.announce_shutdown();
+    assert_eq!(second.refresh(), OtherProcess::Leaves);
     samples.extend(files(&dir, "two processes"));
     compare(&file("handover.txt"), &samples);
     let _ = fs::remove_dir_all(dir);
@@ -97,7 +97,7 @@
 fn the_lease_and_the_logs_are_what_they_were() {
     let dir = folder("lease");
     let now = 1_700_000_000_000;
-    let term = lease::take(&dir, "b-1", now, 5000).unwrap().unwrap();
+    let term = lease::acquire(&dir, "b-1", now, 5000).unwrap().unwrap();
     let mut samples = files(&dir, "taken");
     let (mut log, _) = lease::open_log(&dir, term).unwrap();
     log.append(&[LogRecord::Paused(true)]).unwrap();
@@ -105,7 +105,7 @@
     samples.extend(files(&dir, "renewed"));
     lease::release(&dir, term).unwrap();
     samples.extend(files(&dir, "released"));
-    lease::keep(&dir.join("blocks-b-1.map"), b"bytes of a map").unwrap();
+    lease::write_checked(&dir.join("blocks-b-1.map"), b"bytes of a map").unwrap();
     samples.extend(files(&dir, "kept"));
     compare(&file("lease.txt"), &samples);
     let recorded = read(&file("lease.txt"));
@@ -115,7 +115,7 @@
     assert!(read == lease::Lease { term: 1, holder: "b-1".into(), until_ms: now + 6000 });
     assert_eq!(&serde_json::to_vec(&read).unwrap(), lease);
     fs::write(dir.join("kept.map"), &recorded["kept, blocks-b-1.map"]).unwrap();
-    assert_eq!(lease::kept(&dir.join("kept.map")).unwrap(), b"bytes of a map");
+    assert_eq!(lease::read_checked(&dir.join("kept.map")).unwrap(), b"bytes of a map");
     let (_, records) = lease::open_log(&dir, Term(2)).unwrap();
     assert!(records == [LogRecord::Paused(true)]);
     let _ = fs::remove_dir_all(dir);
@@ -197,39 +197,46 @@
     compare(
         &file("blocks.txt"),
         &[
-            Sample::new("all", door::show(&coordinator, 1000, 0, 150).to_string()),
-            Sample::new("a page, long after", door::show(&coordinator, 10_000_000, 2, 2).to_string()),
-            Sample::new("plan", door::plan(&coordinator, &planned).to_string()),
+            Sample::new("all", admin::map_page_json(&coordinator, 1000, 0, 150).to_string()),
+            Sample::new(
+                "a page, long after",
+                admin::map_page_json(&coordinator, 10_000_000, 2, 2).to_string(),
+            ),
+            Sample::new("plan", admin::plan_json(&coordinator, &planned).to_string()),
         ],
     );
 }
 
 #[test]
 fn calls_about_blocks_are_read_as_they_were() {
-    use call::{Call, NamedWish};
+    use requests::{NamedChange, Request};
     let cursor = |version, block| Cursor { version, block: BlockId(block) };
     let calls = [
-        ("GET /blocks", "", Call::Show { from: 0, most: 150 }),
-        ("GET /blocks?from=3&most=7", "", Call::Show { from: 3, most: 7 }),
-        ("GET /blocks/news", "", Call::News { since: cursor(0, u32::MAX), term: 0 }),
-        ("GET /blocks/news?since=5&block=6&term=7", "", Call::News { since: cursor(5, 6), term: 7 }),
-        ("GET /blocks/plan", "", Call::Plan { run: false }),
-        ("PUT /blocks/plan", "", Call::Plan { run: true }),
+        ("GET /blocks", "", Request::ShowMap { from: 0, limit: 150 }),
+        ("GET /blocks?from=3&most=7", "", Request::ShowMap { from: 3, limit: 7 }),
+        ("GET /blocks/news", "", Request::MapUpdates { since: cursor(0, u32::MAX), term: 0 }),
+        ("GET /blocks/news?since=5&block=6&term=7", "", Request::MapUpdates { since: cursor(5, 6), term: 7 }),
+        ("GET /blocks/plan", "", Request::Plan { execute: false }),
+        ("PUT /blocks/plan", "", Request::Plan { execute: true }),
         (
             "PUT /blocks/move",
             r#"{"block":1,"from":"a","to":"b"}"#,
-            Call::Wish(NamedWish::Move(1, "a".into(), "b".into())),
+            Request::Change(NamedChange::Move(1, "a".into(), "b".into())),
         ),
-        ("PUT /blocks/move", r#"{"block":1,"to":"b"}"#, Call::Wish(NamedWish::Add(1, "b".into()))),
-        ("PUT /blocks/move", r#"{"block":1,"from":"a"}"#, Call::Wish(NamedWish::Remove(1, "a".into()))),
-        ("PUT /blocks/split", r#"{"block":1,"at":9}"#, Call::Wish(NamedWish::Split(1, 9))),
-        ("PUT /blocks/merge", r#"{"block":1,"with":2}"#, Call::Wish(NamedWish::Merge(1, 2))),
-        ("PUT /blocks/abandon", r#"{"change":8}"#, Call::Abandon(8)),
-        ("PUT /blocks/pause", "", Call::Pause(true)),
-        ("PUT /blocks/resume", "", Call::Pause(false)),
+        ("PUT /blocks/move", r#"{"block":1,"to":"b"}"#, Request::Change(NamedChange::Add(1, "b".into()))),
+        (
+            "PUT /blocks/move",
+            r#"{"block":1,"from":"a"}"#,
+            Request::Change(NamedChange::Remove(1, "a".into())),
+        ),
+        ("PUT /blocks/split", r#"{"block":1,"at":9}"#, Request::Change(NamedChange::Split(1, 9))),
+        ("PUT /blocks/merge", r#"{"block":1,"with":2}"#, Request::Change(NamedChange::Merge(1, 2))),
+        ("PUT /blocks/abandon", r#"{"change":8}"#, Request::Abandon(8)),
+        ("PUT /blocks/pause", "", Request::Pause(true)),
+        ("PUT /blocks/resume", "", Request::Pause(false)),
     ];
     for (line, body, call) in calls {
-        let read = door::call(&head(&format!("{line} HTTP/1.1")), body.as_bytes());
+        let read = admin::parse_request(&head(&format!("{line} HTTP/1.1")), body.as_bytes());
         assert!(read == Ok(call), "{line} {body}");
     }
 }
@@ -261,13 +268,14 @@
 
 #[test]
 fn frames_are_what_they_were() {
-    let letters = [frame::CALL, frame::GIVE_UP, frame::PROBE, frame::LOAD, frame::ANSWER, frame::COMPLAINT];
+    let letters =
+        [frame::CALL, frame::WITHDRAW, frame::PROBE, frame::LOAD_PROBE, frame::ANSWER, frame::PROTOCOL_ERROR];
     let parts = [frame::part("q.3", 3, "k=abc", b"c41e"), frame::part("q.4", 4, "-", b"")].concat();
     let call = frame::frame(frame::CALL, &parts);
     let answers = [
-        ("good", "q.3 good 17 util=0.5,queue=3\nvalue", End::Good, 17, vec![0.5, 3.0], None),
-        ("bad", "q.3 bad - -\n", End::Bad, 0, vec![], None),
-        ("later", "q.3 later 0 epoch=4294967297\n", End::Later, 0, vec![], Some(4_294_967_297)),
+        ("good", "q.3 good 17 util=0.5,queue=3\nvalue", PartOutcome::Served, 17, vec![0.5, 3.0], None),
+        ("bad", "q.3 bad - -\n", PartOutcome::Failed, 0, vec![], None),
+        ("later", "q.3 later 0 epoch=4294967297\n", PartOutcome::Rejected, 0, vec![], Some(4_294_967_297)),
     ];
     let path = file("frames.txt");
     let mut samples = vec![Sample::new("letters", letters), Sample::new("call", call)];
@@ -276,18 +284,18 @@
     }
     compare(&path, &samples);
     let recorded = read(&path);
-    for (name, _, end, score, report, newer) in answers {
+    for (name, _, outcome, score, report, newer_epoch) in answers {
         let (letter, rest, length) = frame::split(&recorded[name]).unwrap().unwrap();
         assert_eq!(length, recorded[name].len());
         let value: &[u8] = if name == "good" { b"value" } else { b"" };
-        let expected = Frame::Answer { id: "q.3", end, score, report, newer, value };
+        let expected = Frame::Answer { id: "q.3", outcome, score, report, newer_epoch, value };
         assert!(frame::parse(letter, rest).unwrap() == expected, "{name}");
     }
     let (letter, rest, _) = frame::split(&recorded["call"]).unwrap().unwrap();
     assert_eq!(frame::frame(letter, rest), recorded["call"]);
     assert!(frame::parse(b'p', b"util=0.5").unwrap() == Frame::Loaded(vec![0.5]));
     assert!(frame::parse(b'o', b"").unwrap() == Frame::Probed);
-    assert!(frame::parse(b'r', b"no").unwrap() == Frame::Complaint(b"no"));
+    assert!(frame::parse(b'r', b"no").unwrap() == Frame::ProtocolError(b"no"));
 }
 
 #[test]
--- a/broker/tests/keyed.rs
+++ b/broker/tests/keyed.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 
 use gingerledge::core::{
-    AttemptRequest, Command, Core, CoreEvent, Form, Guard, IdempotencyKey, PartRequest, Query, KEY_MAX,
+    AttemptRequest, Command, Core, CoreEvent, Guard, IdempotencyKey, PartRequest, Query, QueryFormat, KEY_MAX,
 };
 use gingerledge_dispatch::{Class, ListKind, Outcome, Repeat, ServerEntry, Settings};
 use gingerledge_testkit::scripted::{exchange, get, query, run, Mood, World};
@@ -166,11 +166,11 @@
             class: 0,
             tenant: None,
             deadline: 9000.0,
-            repeated: false,
+            is_retry: false,
             key: Some(IdempotencyKey::new(KEY).unwrap()),
             parts: vec![PartRequest { shard: 0, weight: 1.0, ..PartRequest::default() }],
             text: Rc::from(&b"x"[..]),
-            form: Form::Opaque,
+            format: QueryFormat::Opaque,
         };
         let first = orders(core.turn(1.0, [CoreEvent::QuerySubmitted(1, question)]));
         let [AttemptRequest { attempt, key: Some(key), .. }] = &first[..] else { panic!("{first:?}") };
--- a/broker/tests/parsers.rs
+++ b/broker/tests/parsers.rs
@@ -6,7 +6,7 @@
 use common::cuts::{cuts, garbage};
 use gingerledge::admin;
 use gingerledge::config::Config;
-use gingerledge::discovery::{self, Lists};
+use gingerledge::discovery::{self, ListParser};
 use gingerledge::front::features::{link, query};
 use gingerledge::front::platform::{answer, question, Names};
 use gingerledge::geojson::{self, page, Id};
@@ -76,12 +76,12 @@
     let text = b"out s-1 17\nout s-2 18\nback s-3 19 1764000000000\n";
     let (stores, unreadable) = DisabledStores::parse(text);
     assert_eq!((stores.disabled.len(), stores.enabled["s-3"], unreadable), (2, (19, 1_764_000_000_000), 0));
-    assert_eq!(stores.text().as_bytes(), text);
+    assert_eq!(stores.to_text().as_bytes(), text);
     // Cut short, an id must not be taken for another.
     assert_eq!(DisabledStores::parse(&text[..20]), (DisabledStores::parse(b"out s-1 17\n").0, 1));
     garbage(text, |bytes| {
         let (stores, _) = DisabledStores::parse(bytes);
-        assert_eq!(DisabledStores::parse(stores.text().as_bytes()), (stores, 0));
+        assert_eq!(DisabledStores::parse(stores.to_text().as_bytes()), (stores, 0));
     });
     let many: String = (0..10_000).map(|n| format!("out s-{n} 1\nback t-{n} 1 2\n")).collect();
     let (stores, _) = DisabledStores::parse(many.as_bytes());
@@ -137,11 +137,14 @@
     };
     cuts(&stream, read);
     let taken = read(&[&stream]);
-    let Ok(Frame::Answer { id, end, score, report, value, .. }) = frame::parse(taken[0].0, &taken[0].1)
+    let Ok(Frame::Answer { id, outcome, score, report, value, .. }) = frame::parse(taken[0].0, &taken[0].1)
     else {
         panic!("not an answer: {taken:?}")
     };
-    assert_eq!((id, end, score, value), ("9b1f.3", frame::End::Good, 1_840_277_719, &b"value"[..]));
+    assert_eq!(
+        (id, outcome, score, value),
+        ("9b1f.3", frame::PartOutcome::Served, 1_840_277_719, &b"value"[..])
+    );
     assert_eq!(report, [7.0, 0.61]);
     garbage(&stream, |bytes| {
         if let Ok(Some((letter, rest, length))) = frame::split(bytes) {
@@ -165,14 +168,14 @@
 
 /// All lists that these pieces hold, and whether something is left that is not whole.
 fn lists(pieces: &[&[u8]]) -> (Vec<discovery::List>, bool) {
-    let (mut lists, mut all) = (Lists::default(), Vec::new());
+    let (mut lists, mut all) = (ListParser::default(), Vec::new());
     for piece in pieces {
         lists.push(piece);
-        while let Some(list) = lists.next().unwrap() {
+        while let Some(list) = lists.next_list().unwrap() {
             all.push(list);
         }
     }
-    (all, lists.begun())
+    (all, lists.has_partial_list())
 }
 
 #[test]
@@ -189,9 +192,9 @@
     assert_eq!(lists(&[LIST, &LIST[..LIST.len() - 1]]), (vec![list], true), "what is cut short waits");
     garbage(&stream, |bytes| {
         drop(discovery::parse(bytes));
-        let mut lists = Lists::default();
+        let mut lists = ListParser::default();
         lists.push(bytes);
-        while let Ok(Some(_)) = lists.next() {}
+        while let Ok(Some(_)) = lists.next_list() {}
     });
     for (bad, why) in [
         (b"  x".to_vec(), "no list"),
@@ -199,9 +202,9 @@
         (b"{\"generation\":true}".to_vec(), "not of its form"),
         (vec![b'{'; (1 << 20) + 1], "without end"),
     ] {
-        let mut lists = Lists::default();
+        let mut lists = ListParser::default();
         lists.push(&bad);
-        assert!(lists.next().is_err(), "{why}");
+        assert!(lists.next_list().is_err(), "{why}");
     }
 }
 
--- a/broker/tests/sites/main.rs
+++ b/broker/tests/sites/main.rs
@@ -120,7 +120,7 @@
             (settings.aggregators, settings.index, settings.requires_subscription),
             (4, Some(1), false)
         );
-        assert!(config.calls.pushed);
+        assert!(config.calls.is_pushed);
         assert_eq!(
             (settings.max_attempts, settings.allows_parallel_attempts, settings.allows_withdrawals),
             (4, true, true)
@@ -161,7 +161,7 @@
         let settings = &config.setup.settings;
         assert_eq!(settings.classes[config.setup.classes["flock-tally"]].deduplication_ms, 2200.0);
         assert!(
-            settings.requires_subscription && !config.calls.pushed && settings.list_refresh_ms == 10_000.0
+            settings.requires_subscription && !config.calls.is_pushed && settings.list_refresh_ms == 10_000.0
         );
         assert_eq!(
             (settings.max_attempts, settings.allows_parallel_attempts, settings.allows_withdrawals),
--- a/testkit/broker/src/store.rs
+++ b/testkit/broker/src/store.rs
@@ -12,7 +12,7 @@
 use async_io::{Async, Timer};
 use async_lock::Semaphore;
 use futures_lite::AsyncReadExt;
-use gingerledge::blocks::calls;
+use gingerledge::blocks::store_client;
 use gingerledge::http;
 use gingerledge::store::frame;
 use gingerledge_blocks::wire::{self, Copied, CopyCall, Stretch, TailCall, Word};
@@ -92,7 +92,7 @@
                 let id = String::from_utf8_lossy(id).into_owned();
                 self.ledger.note(self.who, Deed::Began(self.store, id));
             }
-            frame::PROBE | frame::LOAD => self.ledger.note(self.who, Deed::Probed(self.store)),
+            frame::PROBE | frame::LOAD_PROBE => self.ledger.note(self.who, Deed::Probed(self.store)),
             _ => {}
         }
     }
@@ -286,7 +286,7 @@
         match letter {
             frame::CALL => store.part(&rest).await,
             frame::PROBE => Some(frame::frame(frame::PROBE, b"good")),
-            frame::LOAD => Some(frame::frame(frame::LOAD, b"-")),
+            frame::LOAD_PROBE => Some(frame::frame(frame::LOAD_PROBE, b"-")),
             wire::ORDER => {
                 let word = store.order(&wire::unpack(&rest)?)?;
                 Some(frame::frame(wire::WORD, &wire::pack(&word)))
@@ -510,7 +510,7 @@
 async fn ask(at: SocketAddr, letter: u8, rest: &[u8], answer: u8) -> Option<Vec<u8>> {
     let ask = async {
         let socket = http::connect(at, PEER_WITHIN).await.ok()?;
-        calls::exchange(&socket, &frame::frame(letter, rest), answer, PEER_WITHIN).await
+        store_client::round_trip(&socket, &frame::frame(letter, rest), answer, PEER_WITHIN).await
     };
     let late = async {
         Timer::after(PEER_WITHIN).await;
