--- a/broker/src/discovery/calls.rs
+++ b/broker/src/discovery/calls.rs
@@ -61,7 +61,7 @@
                 match action {
                     Action::DropCall => {
                         if let Some((call, _)) = current.take().filter(|_| event == Event::TimeoutElapsed) {
-                            self.log_fault(call, "timed out");
+                            self.log_fault(call, "silent");
                         }
                     }
                     Action::Call(call) => {
