--- a/system/jobs/src/backend/mod.rs
+++ b/system/jobs/src/backend/mod.rs
@@ -1,7 +1,7 @@
-//! All partitions of one backend on their common disk. Sans I/O.
+//! All partitions of one backend and their writes to the disk that they share. Sans I/O.
 //!
 //! The host writes the records of [`BackendAction::Persist`] in the given order, the records of each action as one batch that is
-//! durable as a whole or not at all, and gives [`BackendEvent::Durable`] once they are synced. Nothing is acknowledged before.
+//! durable as a whole or not at all, and passes [`BackendEvent::Durable`] once they are synced. Nothing is acknowledged earlier.
 
 mod record;
 mod write_queue;
@@ -19,82 +19,82 @@
 use crate::settings::JobsSettings;
 use write_queue::WriteQueue;
 
-/// Something that happens to a backend.
+/// Input event of a backend.
 #[derive(Clone, Debug)]
 pub enum BackendEvent {
-    /// The process has started; given once, first.
+    /// The process has started. Must be the first event, and is passed exactly once.
     Started,
-    /// The control plane has decided the chain of a partition.
-    ChainDecided {
-        /// The partition.
+    /// The control plane has set a new chain for a partition.
+    ChainChanged {
+        /// Number of the partition.
         partition: u16,
-        /// Its chain and epoch.
+        /// Chain and epoch of the partition.
         record: PartitionRecord,
     },
-    /// The registry has a new state of an edge.
+    /// The registry reports a new state of an edge.
     EdgeChanged {
-        /// The edge's incarnation.
+        /// Incarnation of the edge.
         incarnation: u64,
-        /// Its state.
+        /// New state of the edge.
         state: EdgeState,
     },
     /// Another replica of a partition has sent a message.
     ReplicaMessage {
-        /// The partition.
+        /// Number of the partition.
         partition: u16,
-        /// The sender.
+        /// Member that sent the message.
         from: MemberId,
         /// The message.
         message: ReplicaMessage,
     },
     /// An edge has sent a request.
     Request {
-        /// The partition.
+        /// Number of the partition.
         partition: u16,
         /// The request.
         request: ClientRequest,
     },
-    /// All records up to those of this token are synced.
+    /// All records up to and including those of this token are synced.
     Durable {
         /// The token of a [`BackendAction::Persist`].
         token: u64,
     },
-    /// The time of [`Backend::next_timer`] has come.
+    /// The time returned by [`Backend::next_timer`] has been reached.
     TimerExpired,
 }
 
-/// Something that the host of a backend carries out.
+/// Output action of a backend, for its host to perform.
 #[derive(Clone, Debug)]
 pub enum BackendAction {
-    /// Send a message to a replica; drop it if the address of the member isn't known.
-    SendMember {
-        /// The receiver.
+    /// Send a message to another replica of a partition; dropped if the address of its member isn't known.
+    SendToMember {
+        /// Member that receives the message.
         to: MemberId,
-        /// The partition.
+        /// Number of the partition.
         partition: u16,
         /// The message.
         message: ReplicaMessage,
     },
     /// Send a message to an edge.
-    SendEdge {
-        /// Internal address of the edge.
+    SendToEdge {
+        /// Internal address of the receiving edge.
         to: SocketAddr,
         /// The message.
         message: JobsMessage,
     },
-    /// Write records as one batch and sync them, then give [`BackendEvent::Durable`].
+    /// Write records as one batch and sync them, then pass [`BackendEvent::Durable`] with the token.
     Persist {
-        /// Identifies this action; tokens rise by one.
+        /// Identifies this write; each token is one higher than the previous one.
         token: u64,
         /// The records, encoded.
         records: Vec<Vec<u8>>,
     },
 }
 
-/// One backend.
+/// One backend: its partitions, the known edges, and the queue of disk writes.
 #[derive(Debug)]
 pub struct Backend {
-    me: MemberId,
+    member_id: MemberId,
     settings: JobsSettings,
     partitions: Vec<Partition>,
     edges: Edges,
@@ -102,30 +102,30 @@
 }
 
 impl Backend {
-    /// A backend with the content of its disk.
+    /// Creates a backend from the content of its disk.
     #[must_use]
-    pub fn new(me: MemberId, mut content: DiskContent, settings: JobsSettings, seed: u64) -> Self {
-        let mut seeds = fastrand::Rng::with_seed(seed);
+    pub fn new(member_id: MemberId, mut content: DiskContent, settings: JobsSettings, seed: u64) -> Self {
+        let mut seed_rng = fastrand::Rng::with_seed(seed);
         let partitions = (0..PARTITION_COUNT).map(|partition| {
-            let seed = seeds.u64(..);
+            let seed = seed_rng.u64(..);
             match content.partitions.remove(&partition) {
-                Some(records) => Partition::recover(me, &records, &settings, seed),
-                None => Partition::new(me, &settings, seed),
+                Some(records) => Partition::recover(member_id, &records, &settings, seed),
+                None => Partition::new(member_id, &settings, seed),
             }
         });
         let partitions = partitions.collect();
-        Self { me, settings, partitions, edges: Edges::default(), writes: WriteQueue::default() }
+        Self { member_id, settings, partitions, edges: Edges::default(), writes: WriteQueue::default() }
     }
 
-    /// Handles an event and appends the actions that follow.
+    /// Handles an event and appends the resulting actions to `out`.
     pub fn handle(&mut self, now: Duration, event: BackendEvent, out: &mut Vec<BackendAction>) {
         match event {
             BackendEvent::Started => {
                 self.with_each_partition(now, out, super::partition::Partition::start);
             }
-            BackendEvent::ChainDecided { partition, record } => {
+            BackendEvent::ChainChanged { partition, record } => {
                 self.with_partition(now, partition, out, |partition, context| {
-                    partition.install(context, &record);
+                    partition.install_chain(context, &record);
                 });
             }
             BackendEvent::EdgeChanged { incarnation, state } => {
@@ -145,24 +145,24 @@
         }
     }
 
-    /// When [`BackendEvent::TimerExpired`] is to be given next.
+    /// Time at which [`BackendEvent::TimerExpired`] must be passed next.
     pub fn next_timer(&self) -> Option<Duration> {
         self.partitions.iter().filter_map(Partition::next_timer).min()
     }
 
-    /// The identity of the disk.
+    /// Member id of this backend, which is the identity of its disk.
     #[must_use]
     pub fn member(&self) -> MemberId {
-        self.me
+        self.member_id
     }
 
-    /// The partition with a number.
+    /// The partition with this number, if there is one.
     #[must_use]
     pub fn partition(&self, partition: u16) -> Option<&Partition> {
         self.partitions.get(usize::from(partition))
     }
 
-    /// The report to the coordinator of the control plane.
+    /// Status report for the coordinator of the control plane.
     #[must_use]
     pub fn report(&self, now: Duration) -> BackendReport {
         let in_sync = (0..)
@@ -175,25 +175,26 @@
         }
     }
 
-    /// Whether the oldest write takes longer than the disk-stall time-out.
+    /// Whether the oldest pending write has been queued for at least the disk-stall time-out.
     #[must_use]
     pub fn is_disk_stalled(&self, now: Duration) -> bool {
-        self.writes.oldest_since().is_some_and(|since| now >= since + self.settings.disk_stall_timeout)
+        self.writes.oldest_queued_at().is_some_and(|since| now >= since + self.settings.disk_stall_timeout)
     }
 
     /// Whether all writes are durable.
     #[must_use]
     pub fn is_synced(&self) -> bool {
-        self.writes.oldest_since().is_none()
+        self.writes.oldest_queued_at().is_none()
     }
 
-    /// All records that must stay on the disk, in place of all before. None while that is not known, to be retried later.
+    /// All records that must stay on the disk; they replace all earlier ones. `None` if they can't be determined at present; the
+    /// caller retries later.
     ///
     /// # Errors
     ///
     /// A record can't be encoded.
     pub fn checkpoint(&self) -> Result<Option<Vec<Vec<u8>>>, JobsError> {
-        let mut records = vec![DiskRecord::Identity(self.me.0).encode()?];
+        let mut records = vec![DiskRecord::Identity(self.member_id.0).encode()?];
         for (number, partition) in (0..).zip(&self.partitions) {
             let Some(checkpoint) = partition.checkpoint()? else { return Ok(None) };
             for record in checkpoint {
@@ -230,7 +231,7 @@
         } else {
             let caller = request.caller;
             let message = JobsMessage::Response { request: caller.request, body: JobsResponse::Unavailable };
-            out.push(BackendAction::SendEdge { to: caller.reply_to, message });
+            out.push(BackendAction::SendToEdge { to: caller.reply_to, message });
         }
     }
 
@@ -242,7 +243,7 @@
         out: &mut Vec<BackendAction>,
     ) {
         self.edges.set_state(incarnation, state);
-        // Drivers that it replaces, or that have ended with it, are replaced without waiting for a time-out.
+        // Batch jobs whose driver has shut down or was succeeded by this edge get a new driver without waiting for a time-out.
         self.with_each_partition(now, out, super::partition::Partition::handle_timeout);
     }
 
@@ -275,7 +276,7 @@
         }
     }
 
-    /// Lets a partition handle an event, and carries out its actions.
+    /// Calls `handle` with a partition, and processes the actions that result.
     fn with_partition(
         &mut self,
         now: Duration,
@@ -288,11 +289,11 @@
         handle(partition, &mut Context { partition: number, now, edges: &self.edges, out: &mut actions });
         for action in actions {
             match action {
-                PartitionAction::SendMember { to, message } => {
-                    out.push(BackendAction::SendMember { to, partition: number, message });
+                PartitionAction::SendToMember { to, message } => {
+                    out.push(BackendAction::SendToMember { to, partition: number, message });
                 }
-                PartitionAction::SendEdge { to, message } => {
-                    out.push(BackendAction::SendEdge { to, message });
+                PartitionAction::SendToEdge { to, message } => {
+                    out.push(BackendAction::SendToEdge { to, message });
                 }
                 PartitionAction::Persist { token, records } => self.writes.push(number, token, records),
             }
--- a/system/jobs/src/backend/record.rs
+++ b/system/jobs/src/backend/record.rs
@@ -1,6 +1,6 @@
-//! The records on a backend's disk: its identity, and the records of all its partitions in one log.
+//! The records on a backend's disk: the identity of the disk, and the records of all partitions in one log.
 //!
-//! Encoded by bincode: never reorder the variants.
+//! Records are encoded with bincode, which identifies a variant by its position: never reorder the variants.
 
 use std::collections::BTreeMap;
 
@@ -15,14 +15,14 @@
 /// One record on the disk.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum DiskRecord {
-    /// The identity of the disk; the first record.
+    /// Identity of the disk, which is the member id of its backend. Always the first record.
     Identity(u64),
-    /// A record of a partition's replica.
+    /// Number of a partition, and a record of its replica.
     Partition(u16, LogRecord),
 }
 
 impl DiskRecord {
-    /// The bytes of the record on the disk.
+    /// Encodes the record as it is stored on the disk.
     ///
     /// # Errors
     ///
@@ -32,17 +32,17 @@
     }
 }
 
-/// The content of a disk.
+/// The decoded content of a backend's disk.
 #[derive(Debug, Default)]
 pub struct DiskContent {
-    /// The identity of the disk, if it has one.
+    /// Identity of the disk, if it has one already.
     pub member: Option<u64>,
-    /// Records by partition, in the order written.
+    /// Records by partition, in the order in which they were written.
     pub partitions: BTreeMap<u16, Vec<LogRecord>>,
 }
 
 impl DiskContent {
-    /// Reads the records of a disk, in order.
+    /// Decodes the records of a disk, given in the order in which they were written.
     ///
     /// # Errors
     ///
--- a/system/jobs/src/codec.rs
+++ b/system/jobs/src/codec.rs
@@ -1,14 +1,14 @@
-//! The encoding of all values that this crate writes to disks and logs: bincode with variable-length integers.
+//! Encoding of all values that this crate writes to disks and logs: bincode with variable-length integers.
 
 use bincode::config::{standard, Configuration, Limit, LittleEndian, Varint};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use snafu::{ensure, Snafu};
 
-/// Bounds an encoded value, so that a damaged length cannot allocate more memory than there is.
+/// Maximum size of an encoded value in bytes, so that a corrupt length can't cause an allocation beyond the available memory.
 const MAX_BYTES: usize = 256 * 1024 * 1024;
 
-/// Why a value can't be encoded or decoded.
+/// Error in encoding or decoding a value.
 #[derive(Debug, Snafu)]
 pub enum CodecError {
     /// The value can't be encoded.
@@ -17,7 +17,7 @@
         /// The error of bincode.
         source: bincode::error::EncodeError,
     },
-    /// The bytes don't start with such a value.
+    /// The bytes do not start with a valid value of the expected type.
     #[snafu(display("cannot be decoded: {source}"), context(false))]
     Decode {
         /// The error of bincode.
@@ -25,8 +25,8 @@
     },
     /// Bytes follow the value.
     #[snafu(display("{bytes} bytes are left over"))]
-    LeftOver {
-        /// How many bytes follow.
+    TrailingBytes {
+        /// Number of bytes after the value.
         bytes: usize,
     },
 }
@@ -40,9 +40,9 @@
     Ok(bincode::serde::encode_to_vec(value, configuration())?)
 }
 
-/// Decodes a value that takes up all the bytes.
+/// Decodes a value; fails if it does not take up all the bytes.
 pub(crate) fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, CodecError> {
     let (value, read) = bincode::serde::decode_from_slice(bytes, configuration())?;
-    ensure!(read == bytes.len(), LeftOverSnafu { bytes: bytes.len() - read });
+    ensure!(read == bytes.len(), TrailingBytesSnafu { bytes: bytes.len() - read });
     Ok(value)
 }
--- a/system/jobs/src/error.rs
+++ b/system/jobs/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors of the backend plane.
+//! Errors of a backend.
 
 use gingerledge_storage::StorageError;
 use gingerledge_transport::TransportError;
@@ -6,7 +6,7 @@
 
 pub use crate::codec::CodecError;
 
-/// Why a backend can't start, or can't read or write something.
+/// Error in starting a backend, or in reading or writing its data.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum JobsError {
@@ -28,9 +28,9 @@
         /// The cause.
         source: CodecError,
     },
-    /// The settings name no data directory.
+    /// The settings contain no data directory, which a backend needs.
     #[snafu(display("dataDir: is missing; a backend needs a disk"))]
-    NoDisk,
+    MissingDataDir,
     /// The disk can't be opened or written.
     #[snafu(display("the disk: {source}"))]
     Disk {
--- a/system/jobs/src/lib.rs
+++ b/system/jobs/src/lib.rs
@@ -1,7 +1,8 @@
-//! The backend plane: batch jobs, their items and results, replicated by partition.
+//! The backend plane: batch jobs with their items and results, divided into partitions that are replicated by chains.
 //!
-//! [`store`] is the replicated state of one partition, [`partition`] adds its replica and the duties of head and tail, [`backend`]
-//! has all partitions on one disk; none of them does I/O. [`node`] owns the sockets, the disk and the clock.
+//! [`store`] is the replicated state of one partition. [`partition`] adds the chain replica and the work of the chain's head and
+//! tail. [`backend`] combines all partitions of a process on one disk. None of these performs I/O: [`node`] owns the sockets, the
+//! disk and the clock.
 
 #![warn(unreachable_pub)]
 
--- a/system/jobs/src/node/disk.rs
+++ b/system/jobs/src/node/disk.rs
@@ -1,7 +1,7 @@
-//! The disk of a backend: a ring of files, written on a thread of its own.
+//! The disk of a backend: a ring of files, written on a separate thread.
 //!
-//! After a failed write the ring accepts nothing but a snapshot. Records that are appended meanwhile are not queued: the snapshot
-//! that ends this state contains them all.
+//! After a failed write the ring accepts only a snapshot. Records that are appended until then are not queued, since the snapshot
+//! contains them all.
 
 use std::collections::VecDeque;
 use std::path::Path;
@@ -15,45 +15,50 @@
 use crate::error::{DiskSnafu, JobsError};
 use crate::settings::JobsSettings;
 
-/// Time from a failed snapshot to the next attempt.
+/// Time between a failed snapshot and the next attempt.
 const SNAPSHOT_RETRY: Duration = Duration::from_millis(500);
-/// Bounds the batches and bytes that the writer has at a time; both are below its own bounds.
-const MAX_QUEUED: usize = 2048;
+/// Maximum number of writes queued at the writer. Lower than the writer's own limit.
+const MAX_QUEUED_WRITES: usize = 2048;
+/// Maximum total size in bytes of the writes queued at the writer. Lower than the writer's own limit.
 const MAX_QUEUED_BYTES: usize = 8 * 1024 * 1024;
 
-/// The content of the disk, and the ring for further writes.
-pub(super) struct Opened {
+/// An opened disk: its identity, its content, and the ring for further writes.
+pub(super) struct OpenedDisk {
     pub member: u64,
     pub content: DiskContent,
     pub ring: Ring<FileDisk>,
 }
 
-/// Opens the ring of a directory. A disk without a ring gets the new identity, which is durable before it is used; so does one
-/// whose synced bytes are corrupt: what it has lost is unknown, so that it must not count as the member that it was.
+/// Opens the ring in a directory. A disk without a ring gets the new identity, which is durable before it is used. So does a disk
+/// whose synced bytes are corrupt: it is unknown which records it has lost, so it must not count as the same member any more.
 ///
 /// # Errors
 ///
 /// The disk can't be read or written, or a record on it can't be decoded.
-pub(super) fn open(folder: &Path, settings: &JobsSettings, new_member: u64) -> Result<Opened, JobsError> {
-    let shape = RingSettings {
+pub(super) fn open(
+    directory: &Path,
+    settings: &JobsSettings,
+    new_member: u64,
+) -> Result<OpenedDisk, JobsError> {
+    let ring_settings = RingSettings {
         files: settings.ring_files,
         file_bytes: settings.ring_file_bytes,
         extent_bytes: settings.ring_extent_bytes,
     };
-    let disk = FileDisk::open(folder).context(DiskSnafu)?;
-    let (ring, recovered) = match Ring::open(disk, shape) {
+    let disk = FileDisk::open(directory).context(DiskSnafu)?;
+    let (ring, recovered) = match Ring::open(disk, ring_settings) {
         Err(error @ StorageError::Corrupt { .. }) => {
             log::error!("disk corrupt, erased for a new member: {error}");
-            Ring::open(erase(folder)?, shape).context(DiskSnafu)?
+            Ring::open(erase(directory)?, ring_settings).context(DiskSnafu)?
         }
         opened => opened.context(DiskSnafu)?,
     };
-    identify(ring, recovered, new_member)
+    read_or_assign_identity(ring, recovered, new_member)
 }
 
-/// Removes all files of a directory.
-fn erase(folder: &Path) -> Result<FileDisk, JobsError> {
-    let mut disk = FileDisk::open(folder).context(DiskSnafu)?;
+/// Removes all files of a disk.
+fn erase(directory: &Path) -> Result<FileDisk, JobsError> {
+    let mut disk = FileDisk::open(directory).context(DiskSnafu)?;
     for file in disk.list().context(DiskSnafu)? {
         disk.remove(&file.name).context(DiskSnafu)?;
     }
@@ -61,8 +66,12 @@
     Ok(disk)
 }
 
-/// Reads the identity of the disk, or gives it the new one.
-fn identify(mut ring: Ring<FileDisk>, recovered: Recovered, new_member: u64) -> Result<Opened, JobsError> {
+/// Reads the identity and the content of a recovered disk; writes the new identity if the disk has none.
+fn read_or_assign_identity(
+    mut ring: Ring<FileDisk>,
+    recovered: Recovered,
+    new_member: u64,
+) -> Result<OpenedDisk, JobsError> {
     let content = DiskContent::read(recovered.snapshot.into_iter().chain(recovered.records))?;
     let member = match content.member {
         Some(member) => member,
@@ -71,39 +80,39 @@
             new_member
         }
     };
-    Ok(Opened { member, content, ring })
+    Ok(OpenedDisk { member, content, ring })
 }
 
-/// A write that is queued at the writer.
+/// A write that is queued at the writer and not yet completed.
 #[derive(Debug)]
-struct Queued {
-    /// The backend's token.
+struct QueuedWrite {
+    /// Token by which the backend identifies the write.
     token: u64,
     bytes: usize,
     is_snapshot: bool,
 }
 
-/// Queues writes for the writer's thread, and follows them until they are durable.
+/// Queues writes for the writer's thread, and tracks them until they are durable.
 pub(super) struct DiskWriter {
     writer: Writer,
     events: UnboundedReceiver<WriterEvent>,
-    /// Writes at the writer, in order.
-    queued: VecDeque<Queued>,
-    /// The writer's number of the first one.
-    first: u64,
+    /// Writes queued at the writer, oldest first.
+    queued: VecDeque<QueuedWrite>,
+    /// Number by which the writer identifies the first of the queued writes.
+    first_number: u64,
     queued_bytes: usize,
-    /// Batches that wait until the writer has capacity.
+    /// Tokens and records of batches that wait until the writer has capacity.
     backlog: VecDeque<(u64, Vec<Vec<u8>>)>,
-    /// A write has failed; only a snapshot recovers from that.
+    /// Whether a write has failed; only a snapshot recovers from that.
     has_failed: bool,
     is_snapshot_queued: bool,
-    wants_snapshot: bool,
-    /// No snapshot before this time.
-    retry_at: Duration,
+    is_snapshot_requested: bool,
+    /// Earliest time of the next snapshot.
+    next_snapshot_at: Duration,
 }
 
 impl DiskWriter {
-    /// Starts the thread of the writer.
+    /// Starts the writer's thread.
     ///
     /// # Errors
     ///
@@ -118,48 +127,48 @@
             writer: Writer::start(ring, on_event).context(DiskSnafu)?,
             events,
             queued: VecDeque::new(),
-            first: 0,
+            first_number: 0,
             queued_bytes: 0,
             backlog: VecDeque::new(),
             has_failed: false,
             is_snapshot_queued: false,
-            wants_snapshot: false,
-            retry_at: Duration::ZERO,
+            is_snapshot_requested: false,
+            next_snapshot_at: Duration::ZERO,
         })
     }
 
-    /// Waits for the next event of the writer.
+    /// Waits for the next event from the writer.
     pub(super) async fn next(&mut self) -> Option<WriterEvent> {
         self.events.recv().await
     }
 
-    /// Handles an event of the writer; returns the token up to which all is durable now.
+    /// Handles an event from the writer. Returns the token up to which all writes are durable now, unless the write failed.
     pub(super) fn handle_event(&mut self, now: Duration, event: WriterEvent) -> Option<u64> {
-        let done = self.queued.pop_front()?;
-        self.first += 1;
-        self.queued_bytes -= done.bytes;
+        let completed = self.queued.pop_front()?;
+        self.first_number += 1;
+        self.queued_bytes -= completed.bytes;
         match event {
             WriterEvent::Durable { wants_snapshot, .. } => {
-                self.wants_snapshot = wants_snapshot;
-                if done.is_snapshot {
+                self.is_snapshot_requested = wants_snapshot;
+                if completed.is_snapshot {
                     self.is_snapshot_queued = false;
                     self.has_failed = false;
                 }
                 self.fill_writer();
-                Some(done.token)
+                Some(completed.token)
             }
             WriterEvent::Failed { error, .. } => {
-                self.on_failure(now, &done, &error);
+                self.on_failure(now, &completed, &error);
                 None
             }
         }
     }
 
-    fn on_failure(&mut self, now: Duration, done: &Queued, error: &StorageError) {
-        if done.is_snapshot {
+    fn on_failure(&mut self, now: Duration, completed: &QueuedWrite, error: &StorageError) {
+        if completed.is_snapshot {
             log::error!("snapshot failed: {error}");
             self.is_snapshot_queued = false;
-            self.retry_at = now + SNAPSHOT_RETRY;
+            self.next_snapshot_at = now + SNAPSHOT_RETRY;
         } else if !self.has_failed {
             log::error!("disk write failed: {error}");
             self.has_failed = true;
@@ -167,7 +176,7 @@
         }
     }
 
-    /// Writes records as one batch, durable as a whole or not at all.
+    /// Queues records as one batch, which becomes durable as a whole or not at all.
     pub(super) fn append(&mut self, token: u64, records: Vec<Vec<u8>>) {
         if self.has_failed && !self.is_snapshot_queued {
             return;
@@ -176,13 +185,13 @@
         self.fill_writer();
     }
 
-    /// Gives the writer batches of the backlog, as many as it has capacity for.
+    /// Passes batches from the backlog to the writer, as many as it has capacity for.
     fn fill_writer(&mut self) {
-        while self.queued.len() < MAX_QUEUED && self.queued_bytes < MAX_QUEUED_BYTES {
+        while self.queued.len() < MAX_QUEUED_WRITES && self.queued_bytes < MAX_QUEUED_BYTES {
             let Some((token, records)) = self.backlog.pop_front() else { return };
             let bytes = records.iter().map(Vec::len).sum();
             match self.writer.append(self.next_number(), records) {
-                Ok(()) => self.push(Queued { token, bytes, is_snapshot: false }),
+                Ok(()) => self.push_queued(QueuedWrite { token, bytes, is_snapshot: false }),
                 Err(error) => {
                     log::error!("records not written: {error}");
                     self.has_failed = true;
@@ -193,32 +202,32 @@
     }
 
     fn next_number(&self) -> u64 {
-        self.first + self.queued.len() as u64
+        self.first_number + self.queued.len() as u64
     }
 
-    fn push(&mut self, queued: Queued) {
+    fn push_queued(&mut self, queued: QueuedWrite) {
         self.queued_bytes += queued.bytes;
         self.queued.push_back(queued);
     }
 
-    /// Whether a snapshot is to be written now.
+    /// Whether a snapshot should be written now.
     pub(super) fn is_snapshot_due(&self, now: Duration) -> bool {
-        let wanted = self.has_failed || (self.wants_snapshot && self.backlog.is_empty());
-        wanted && !self.is_snapshot_queued && now >= self.retry_at
+        let wanted = self.has_failed || (self.is_snapshot_requested && self.backlog.is_empty());
+        wanted && !self.is_snapshot_queued && now >= self.next_snapshot_at
     }
 
     /// When [`DiskWriter::is_snapshot_due`] becomes true without any other event.
     pub(super) fn next_timer(&self) -> Option<Duration> {
-        (self.has_failed && !self.is_snapshot_queued).then_some(self.retry_at)
+        (self.has_failed && !self.is_snapshot_queued).then_some(self.next_snapshot_at)
     }
 
-    /// Replaces all records up to this token by these.
+    /// Queues a snapshot: `records` replace all records up to and including those of `token`.
     pub(super) fn snapshot(&mut self, now: Duration, token: u64, records: Vec<Vec<u8>>) {
         let bytes = records.iter().map(Vec::len).sum();
         match self.writer.snapshot(self.next_number(), records) {
             Ok(()) => {
                 self.is_snapshot_queued = true;
-                self.push(Queued { token, bytes, is_snapshot: true });
+                self.push_queued(QueuedWrite { token, bytes, is_snapshot: true });
             }
             Err(error) => {
                 log::warn!("snapshot postponed: {error}");
@@ -227,8 +236,8 @@
         }
     }
 
-    /// No snapshot is available now; the next attempt follows after a pause.
+    /// Delays the next snapshot by the retry interval, because no snapshot is available now.
     pub(super) fn postpone_snapshot(&mut self, now: Duration) {
-        self.retry_at = now + SNAPSHOT_RETRY;
+        self.next_snapshot_at = now + SNAPSHOT_RETRY;
     }
 }
--- a/system/jobs/src/node/heartbeats.rs
+++ b/system/jobs/src/node/heartbeats.rs
@@ -1,56 +1,59 @@
-//! The heartbeats of a backend: to one control node, which keeps its session, and with a report to the coordinator. Sans I/O.
+//! The heartbeats of a backend: plain ones to the control node that keeps its session, and ones with a status report to the
+//! coordinator. Sans I/O.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use gingerledge_wire::{BackendReport, ControlMessage, NodeRecord};
 
-/// Time between heartbeats to a control node.
+/// Interval of the heartbeats to the control node that keeps the session.
 const SESSION_INTERVAL: Duration = Duration::from_millis(500);
-/// Time between heartbeats to the coordinator.
+/// Interval of the heartbeats to the coordinator.
 const REPORT_INTERVAL: Duration = Duration::from_millis(300);
 /// A control node that has not acknowledged for this long is replaced by the next one.
 const ACK_TIMEOUT: Duration = Duration::from_millis(1200);
-/// Bounds the control nodes remembered besides the seeds.
-const MAX_LEARNED: usize = 32;
+/// Maximum number of control nodes known in addition to the seeds.
+const MAX_LEARNED_CONTROL_NODES: usize = 32;
 
-/// The heartbeats of one node.
+/// Schedule and receivers of the heartbeats of one node.
 #[derive(Debug)]
 pub(super) struct Heartbeats {
     node: NodeRecord,
     sequence: u64,
-    seeds: Vec<SocketAddr>,
-    learned: Vec<SocketAddr>,
-    /// Position of the control node that keeps the session.
-    current: usize,
-    /// When that control node last acknowledged.
+    seed_control_nodes: Vec<SocketAddr>,
+    learned_control_nodes: Vec<SocketAddr>,
+    /// Index of the control node that keeps the session, in the seeds followed by the learned control nodes.
+    current_index: usize,
+    /// Time of the last acknowledgement from that control node, or of the switch to it.
     acknowledged_at: Duration,
-    next_session: Duration,
-    next_report: Duration,
+    next_session_heartbeat: Duration,
+    next_report_heartbeat: Duration,
 }
 
 impl Heartbeats {
-    /// The first heartbeats are due immediately; `start` spreads nodes over the control nodes.
-    pub(super) fn new(node: NodeRecord, seeds: Vec<SocketAddr>, start: u64) -> Self {
-        let current = usize::try_from(start % seeds.len().max(1) as u64).unwrap_or(0);
+    /// Creates a schedule whose first heartbeats are due immediately. `start_offset` selects the first control node, so that nodes
+    /// are spread over the control nodes.
+    pub(super) fn new(node: NodeRecord, seed_control_nodes: Vec<SocketAddr>, start_offset: u64) -> Self {
+        let current_index =
+            usize::try_from(start_offset % seed_control_nodes.len().max(1) as u64).unwrap_or(0);
         Self {
             node,
             sequence: 0,
-            seeds,
-            learned: Vec::new(),
-            current,
+            seed_control_nodes,
+            learned_control_nodes: Vec::new(),
+            current_index,
             acknowledged_at: Duration::ZERO,
-            next_session: Duration::ZERO,
-            next_report: Duration::ZERO,
+            next_session_heartbeat: Duration::ZERO,
+            next_report_heartbeat: Duration::ZERO,
         }
     }
 
-    /// When [`Heartbeats::poll_messages`] has messages next.
+    /// Time at which [`Heartbeats::poll_messages`] next returns messages.
     pub(super) fn next_timer(&self) -> Duration {
-        self.next_session.min(self.next_report)
+        self.next_session_heartbeat.min(self.next_report_heartbeat)
     }
 
-    /// The messages that are due.
+    /// Returns the heartbeats that are due, with their receivers.
     pub(super) fn poll_messages(
         &mut self,
         now: Duration,
@@ -58,42 +61,45 @@
         report: impl FnOnce() -> BackendReport,
     ) -> Vec<(SocketAddr, ControlMessage)> {
         let mut messages = Vec::new();
-        if now >= self.next_report {
-            self.next_report = now + REPORT_INTERVAL;
+        if now >= self.next_report_heartbeat {
+            self.next_report_heartbeat = now + REPORT_INTERVAL;
             if let Some(coordinator) = coordinator {
                 let report = Some(report());
                 messages.push((coordinator, self.heartbeat(report)));
             }
         }
-        if now >= self.next_session {
-            self.next_session = now + SESSION_INTERVAL;
-            self.replace_timed_out(now);
-            if let Some(to) = self.control_nodes().get(self.current).copied() {
+        if now >= self.next_session_heartbeat {
+            self.next_session_heartbeat = now + SESSION_INTERVAL;
+            self.replace_timed_out_control_node(now);
+            if let Some(to) = self.control_nodes().get(self.current_index).copied() {
                 messages.push((to, self.heartbeat(None)));
             }
         }
         messages
     }
 
-    /// A control node has acknowledged a heartbeat, and lists all control nodes that it knows.
+    /// Handles the acknowledgement of a heartbeat, which lists all control nodes that the sender knows.
     pub(super) fn on_acknowledged(
         &mut self,
         now: Duration,
         from: SocketAddr,
         control_nodes: Vec<SocketAddr>,
     ) {
-        if self.control_nodes().get(self.current) == Some(&from) {
+        if self.control_nodes().get(self.current_index) == Some(&from) {
             self.acknowledged_at = now;
         }
-        let new = control_nodes.into_iter().filter(|address| !self.seeds.contains(address));
-        let mut learned: Vec<_> = new.take(MAX_LEARNED).collect();
-        learned.sort_unstable();
-        learned.dedup();
-        self.learned = learned;
+        let unlisted = control_nodes.into_iter().filter(|address| !self.seed_control_nodes.contains(address));
+        let mut learned_control_nodes: Vec<_> = unlisted.take(MAX_LEARNED_CONTROL_NODES).collect();
+        learned_control_nodes.sort_unstable();
+        learned_control_nodes.dedup();
+        self.learned_control_nodes = learned_control_nodes;
     }
 
-    /// The messages that announce a graceful shutdown.
-    pub(super) fn goodbyes(&self, coordinator: Option<SocketAddr>) -> Vec<(SocketAddr, ControlMessage)> {
+    /// The messages that announce a graceful shutdown, with their receivers.
+    pub(super) fn goodbye_messages(
+        &self,
+        coordinator: Option<SocketAddr>,
+    ) -> Vec<(SocketAddr, ControlMessage)> {
         let message = ControlMessage::Goodbye { incarnation: self.node.incarnation };
         let mut receivers = self.control_nodes();
         receivers.extend(coordinator);
@@ -103,14 +109,14 @@
     }
 
     fn control_nodes(&self) -> Vec<SocketAddr> {
-        self.seeds.iter().chain(&self.learned).copied().collect()
+        self.seed_control_nodes.iter().chain(&self.learned_control_nodes).copied().collect()
     }
 
-    /// Moves the session to the next control node if the present one has timed out.
-    fn replace_timed_out(&mut self, now: Duration) {
+    /// Moves the session to the next control node if the current one has timed out.
+    fn replace_timed_out_control_node(&mut self, now: Duration) {
         if now >= self.acknowledged_at + ACK_TIMEOUT {
             self.acknowledged_at = now;
-            self.current = (self.current + 1) % self.control_nodes().len().max(1);
+            self.current_index = (self.current_index + 1) % self.control_nodes().len().max(1);
         }
     }
 
--- a/system/jobs/src/node/mod.rs
+++ b/system/jobs/src/node/mod.rs
@@ -1,4 +1,4 @@
-//! The process around a [`Backend`]: its sockets, disk, clock and signals, on one thread beside that of the disk.
+//! The process that runs a [`Backend`]: its sockets, disk, clock and signals, on one thread in addition to the disk's own.
 
 mod disk;
 mod heartbeats;
@@ -18,24 +18,24 @@
 use tokio::time::Instant;
 
 use crate::backend::{Backend, BackendAction, BackendEvent};
-use crate::error::{JobsError, NetworkSnafu, NoDiskSnafu, SignalsSnafu};
+use crate::error::{JobsError, MissingDataDirSnafu, NetworkSnafu, SignalsSnafu};
 use crate::partition::{ClientRequest, EdgeState};
 use crate::settings::JobsSettings;
 use crate::store::Caller;
 use disk::DiskWriter;
 use heartbeats::Heartbeats;
 
-/// Time from a failed attempt to open the disk to the next one.
+/// Time between a failed attempt to open the disk and the next one.
 const OPEN_RETRY: Duration = Duration::from_millis(500);
-/// Bounds the time for which a shutdown waits for the disk.
-const LAST_SYNC_TIMEOUT: Duration = Duration::from_secs(1);
-/// Messages handled one after the other before signals and timers are checked.
-const MAX_MESSAGES_IN_A_ROW: usize = 64;
-/// Time from the announcements of a shutdown to the end of the process.
-const GOODBYE_DELAY: Duration = Duration::from_millis(100);
-/// Bounds the members whose addresses are remembered.
-const MAX_MEMBERS: usize = 16_384;
-/// Without any timer the process wakes up this often.
+/// Maximum time for which a shutdown waits until all writes are durable.
+const SHUTDOWN_SYNC_TIMEOUT: Duration = Duration::from_secs(1);
+/// Maximum number of messages handled before signals and timers are checked again.
+const MAX_CONSECUTIVE_MESSAGES: usize = 64;
+/// Time between the last sync of a shutdown and the end of the process, for the connections to send the announcements.
+const SHUTDOWN_DELAY: Duration = Duration::from_millis(100);
+/// Maximum number of members whose addresses are stored.
+const MAX_KNOWN_MEMBERS: usize = 16_384;
+/// Maximum time that the event loop waits when no timer is due earlier.
 const MAX_SLEEP: Duration = Duration::from_secs(1);
 
 /// Runs a backend until it receives SIGTERM.
@@ -45,7 +45,7 @@
 /// The settings are incomplete, or the network, the disk or signals can't be set up.
 pub async fn run(settings: Settings) -> Result<(), JobsError> {
     let mut terminate = signal(SignalKind::terminate()).context(SignalsSnafu)?;
-    // A changed settings file changes nothing here, but must not end the process.
+    // SIGHUP announces a changed settings file. A backend does not reload its settings, but the signal must not end the process.
     let _hangup = signal(SignalKind::hangup()).context(SignalsSnafu)?;
     let mut node = Node::start(&settings).await?;
     loop {
@@ -74,22 +74,22 @@
     backend: Backend,
     relay: Relay,
     heartbeats: Heartbeats,
-    /// Addresses of other backends.
-    members: BTreeMap<MemberId, SocketAddr>,
-    /// The last token given to the disk.
+    /// Addresses of backends by member id.
+    member_addresses: BTreeMap<MemberId, SocketAddr>,
+    /// Token of the last write passed to the disk.
     last_token: u64,
 }
 
 impl Node {
     async fn start(settings: &Settings) -> Result<Self, JobsError> {
         let started = Instant::now();
-        let jobs = JobsSettings::new(settings);
+        let jobs_settings = JobsSettings::new(settings);
         let address = settings.internal_address();
-        let folder = settings.data_dir.clone().context(NoDiskSnafu)?;
-        let draw = |purpose| identity::draw(&settings.node_name, address, purpose);
+        let data_dir = settings.data_dir.clone().context(MissingDataDirSnafu)?;
+        let random_id = |purpose| identity::draw(&settings.node_name, address, purpose);
         let (network, inbox) = Network::bind(NetworkSettings::new(address)).await.context(NetworkSnafu)?;
         let opened = loop {
-            match disk::open(&folder, &jobs, draw("member")) {
+            match disk::open(&data_dir, &jobs_settings, random_id("member")) {
                 Ok(opened) => break opened,
                 Err(error) => log::warn!("disk not opened, retrying: {error}"),
             }
@@ -98,24 +98,25 @@
         let node = NodeRecord {
             role: Role::Backend,
             name: settings.node_name.clone(),
-            incarnation: draw("incarnation"),
+            incarnation: random_id("incarnation"),
             member: opened.member,
             address,
             zone: settings.zone.clone(),
         };
         log::info!(member:% = format_args!("{:016x}", node.member), node = node.name.as_str(); "backend started");
         let relay_settings = RelaySettings::for_role(Role::Backend, &settings.zone);
-        let backend = Backend::new(MemberId(opened.member), opened.content, jobs.clone(), draw("chain"));
+        let backend =
+            Backend::new(MemberId(opened.member), opened.content, jobs_settings.clone(), random_id("chain"));
         let mut node = Self {
             started,
-            settings: jobs,
+            settings: jobs_settings,
             network,
             inbox,
             disk: DiskWriter::start(opened.ring)?,
             backend,
-            relay: Relay::new(relay_settings, address, false, draw("relay")),
-            heartbeats: Heartbeats::new(node, settings.internal_seeds(), draw("heartbeats")),
-            members: BTreeMap::new(),
+            relay: Relay::new(relay_settings, address, false, random_id("relay")),
+            heartbeats: Heartbeats::new(node, settings.internal_seeds(), random_id("heartbeats")),
+            member_addresses: BTreeMap::new(),
             last_token: 0,
         };
         node.handle_backend_event(BackendEvent::Started);
@@ -128,7 +129,7 @@
         self.started.elapsed()
     }
 
-    /// When the next timer expires.
+    /// Time at which the next timer expires.
     fn deadline(&self) -> Instant {
         let timers = [self.backend.next_timer(), self.relay.next_timer(), self.disk.next_timer()];
         let next = timers.into_iter().flatten().fold(self.heartbeats.next_timer(), Duration::min);
@@ -174,7 +175,7 @@
 
     fn handle_messages(&mut self, first: Incoming<Envelope>) {
         self.handle_message(first);
-        for _ in 1..MAX_MESSAGES_IN_A_ROW {
+        for _ in 1..MAX_CONSECUTIVE_MESSAGES {
             let Some(next) = self.inbox.try_next() else { return };
             self.handle_message(next);
         }
@@ -189,7 +190,7 @@
         };
         match message {
             Envelope::Partition { partition, from: member, message } => {
-                self.remember_member(member, from);
+                self.record_member_address(member, from);
                 self.handle_backend_event(BackendEvent::ReplicaMessage {
                     partition,
                     from: MemberId(member),
@@ -223,13 +224,13 @@
         self.backend.handle(now, event, &mut actions);
         for action in actions {
             match action {
-                BackendAction::SendMember { to, partition, message } => {
-                    if let Some(address) = self.members.get(&to).copied() {
+                BackendAction::SendToMember { to, partition, message } => {
+                    if let Some(address) = self.member_addresses.get(&to).copied() {
                         let from = self.backend.member().0;
                         self.send(address, &Envelope::Partition { partition, from, message });
                     }
                 }
-                BackendAction::SendEdge { to, message } => self.send(to, &Envelope::Jobs(message)),
+                BackendAction::SendToEdge { to, message } => self.send(to, &Envelope::Jobs(message)),
                 BackendAction::Persist { token, records } => {
                     self.last_token = token;
                     self.disk.append(token, records);
@@ -250,7 +251,7 @@
         }
     }
 
-    /// Applies changed entries of the registry: nodes first, since chains consist of them.
+    /// Applies changed registry entries: nodes first, since the members of a chain are addressed by them.
     fn apply_registry(&mut self, entries: Vec<Entry>) {
         let (nodes, others): (Vec<_>, Vec<_>) =
             entries.into_iter().partition(|entry| matches!(entry.key, Key::Node(_)));
@@ -259,14 +260,14 @@
         }
         for entry in others {
             if let (Key::Partition(partition), Value::Partition(record)) = (entry.key, entry.value) {
-                self.handle_backend_event(BackendEvent::ChainDecided { partition, record });
+                self.handle_backend_event(BackendEvent::ChainChanged { partition, record });
             }
         }
     }
 
     fn apply_node(&mut self, entry: Entry) {
         let Key::Node(incarnation) = entry.key else { return };
-        let ended = entry.is_ended();
+        let has_ended = entry.is_ended();
         match entry.value {
             Value::Node(node) if node.role == Role::Edge => {
                 self.handle_backend_event(BackendEvent::EdgeChanged {
@@ -275,41 +276,41 @@
                 });
             }
             Value::Node(node) if node.role == Role::Backend => {
-                self.remember_member(node.member, node.address);
+                self.record_member_address(node.member, node.address);
             }
             Value::Tombstone => {
-                let state = if ended { EdgeState::Ended } else { EdgeState::Unreachable };
+                let state = if has_ended { EdgeState::Ended } else { EdgeState::Unreachable };
                 self.handle_backend_event(BackendEvent::EdgeChanged { incarnation, state });
             }
             _ => {}
         }
     }
 
-    fn remember_member(&mut self, member: u64, address: SocketAddr) {
+    fn record_member_address(&mut self, member: u64, address: SocketAddr) {
         let member = MemberId(member);
-        if self.members.len() < MAX_MEMBERS || self.members.contains_key(&member) {
-            self.members.insert(member, address);
+        if self.member_addresses.len() < MAX_KNOWN_MEMBERS || self.member_addresses.contains_key(&member) {
+            self.member_addresses.insert(member, address);
         }
     }
 
     fn send(&self, to: SocketAddr, message: &Envelope) {
-        // Messages may be lost: senders retry what has to arrive.
+        // Delivery is best effort: senders resend messages that must arrive.
         let _ = self.network.send(to, message);
     }
 
-    /// Announces the shutdown, and waits for a bounded time until all writes are durable.
+    /// Announces the shutdown, and waits for a limited time until all writes are durable.
     async fn shut_down(&mut self) {
-        for (to, message) in self.heartbeats.goodbyes(self.coordinator()) {
+        for (to, message) in self.heartbeats.goodbye_messages(self.coordinator()) {
             self.send(to, &Envelope::Control(message));
         }
-        let deadline = Instant::now() + LAST_SYNC_TIMEOUT.min(self.settings.driver_timeout);
+        let deadline = Instant::now() + SHUTDOWN_SYNC_TIMEOUT.min(self.settings.driver_timeout);
         while !self.backend.is_synced() {
             match tokio::time::timeout_at(deadline, self.disk.next()).await {
                 Ok(Some(event)) => self.handle_disk_event(event),
                 Ok(None) | Err(_) => return,
             }
         }
-        // Gives the connections time to send the announcements.
-        tokio::time::sleep(GOODBYE_DELAY).await;
+        // The connections need time to send the announcements.
+        tokio::time::sleep(SHUTDOWN_DELAY).await;
     }
 }
--- a/system/jobs/src/partition/applied_state.rs
+++ b/system/jobs/src/partition/applied_state.rs
@@ -1,11 +1,11 @@
-//! The replicated state of a partition, with the number of the last entry that it contains.
+//! The replicated state of a partition, with the index of the last log entry that it contains.
 
 use std::time::Duration;
 
 use crate::error::JobsError;
 use crate::store::{Command, Outcome, Store};
 
-/// The state after some prefix of the log.
+/// The state after a prefix of the log.
 #[derive(Debug, Default)]
 pub(super) struct AppliedState {
     store: Store,
@@ -17,12 +17,12 @@
         &self.store
     }
 
-    /// Number of the last entry applied.
+    /// Index of the last applied entry; 0 if none is applied.
     pub(super) fn index(&self) -> u64 {
         self.index
     }
 
-    /// Applies the command of the next entry; its batch job has certainly reached the age.
+    /// Applies the command of the entry at `index`. `age` is a lower bound of the age of the command's batch job.
     pub(super) fn apply(&mut self, index: u64, command: Command, age: Duration) -> Outcome {
         self.index = index;
         let job = command.job().cloned();
@@ -33,11 +33,11 @@
         outcome
     }
 
-    /// Replaces the state by a snapshot; an empty one is that of an empty log.
+    /// Replaces the state by a snapshot of the log up to `index`. An empty snapshot is the state of an empty log.
     ///
     /// # Errors
     ///
-    /// The bytes are not a state.
+    /// The bytes are not a valid encoded state.
     pub(super) fn install_snapshot(&mut self, index: u64, bytes: &[u8]) -> Result<(), JobsError> {
         self.index = index;
         self.store = if bytes.is_empty() { Store::default() } else { Store::decode(bytes)? };
--- a/system/jobs/src/partition/driver_assignment.rs
+++ b/system/jobs/src/partition/driver_assignment.rs
@@ -1,4 +1,4 @@
-//! The messages by which the head starts and stops the driver of a batch job.
+//! Messages by which the head of a chain starts and stops the driver of a batch job.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,8 +7,8 @@
 
 use crate::store::Job;
 
-/// Makes an edge the driver of a batch job, with all that it needs to continue it.
-pub(super) fn assignment(job: &Job, age: Duration) -> JobsMessage {
+/// The message that makes an edge the driver of a batch job, with all data that it needs to continue the batch job.
+pub(super) fn assign_message(job: &Job, age: Duration) -> JobsMessage {
     JobsMessage::AssignDriver {
         job: Arc::new(job.record().clone()),
         term: job.term(),
@@ -18,7 +18,7 @@
     }
 }
 
-/// Stops the driver of a batch job that is ended.
-pub(super) fn stop(id: &str, term: DriverTerm) -> JobsMessage {
+/// The message that stops the driver of an ended batch job.
+pub(super) fn stop_message(id: &str, term: DriverTerm) -> JobsMessage {
     JobsMessage::StopDriver { job: id.to_owned(), term }
 }
--- a/system/jobs/src/partition/driver_leases.rs
+++ b/system/jobs/src/partition/driver_leases.rs
@@ -1,8 +1,9 @@
-//! The driver leases of a partition's open batch jobs, as its head grants them.
+//! Driver leases of the open batch jobs of a partition, granted by the head of its chain.
 //!
-//! A driver lease lasts while its edge renews it. Leases are in the memory of the head only: a new head gives every driver the
-//! whole time-out to renew (Gray & Cheriton 1989: a server that recovers waits out the leases that it may have granted). Safety
-//! does not depend on them: a driver's writes carry its term, and the replicated state rejects those of older terms.
+//! A driver lease is valid while its edge renews it. Leases are kept only in the memory of the head: a new head gives every driver
+//! the full time-out to renew (Gray & Cheriton 1989: a recovering server waits until the leases that it may have granted have
+//! expired). Safety does not depend on leases: a driver's writes carry its term, and the replicated state rejects writes of older
+//! terms.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,44 +13,44 @@
 use super::edges::Edges;
 use crate::store::{EdgeProcess, Job, Store};
 
-/// Bounds the drivers remembered as timed out, for one batch job.
-const MAX_TIMED_OUT: usize = 16;
+/// Maximum number of timed-out drivers stored for one batch job.
+const MAX_TIMED_OUT_EDGES: usize = 16;
 
-/// The lease of one batch job's driver.
+/// The lease of the driver of one batch job.
 #[derive(Debug)]
 struct DriverLease {
     edge: EdgeProcess,
     term: DriverTerm,
     renewed_at: Duration,
-    /// Whether the driver has renewed under this term.
+    /// Whether the driver has renewed its lease in this term.
     is_confirmed: bool,
-    /// When this head last sent the assignment to the driver, if it did.
+    /// Time at which this head last sent the assignment to the driver, if it has sent one.
     assigned_at: Option<Duration>,
-    /// Whether another driver has been proposed.
-    is_replacing: bool,
-    /// Incarnations of drivers that timed out one after the other, newest first; chosen again only when no other is left.
-    timed_out: Vec<u64>,
+    /// Whether the assignment of another driver has been proposed.
+    is_replacement_proposed: bool,
+    /// Incarnations of consecutive drivers that have timed out, newest first. They are chosen again only if there is no other edge.
+    timed_out_edges: Vec<u64>,
 }
 
-/// Something that the head does about a driver lease.
+/// Action of the head that follows from a driver lease.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) enum LeaseAction {
-    /// Propose another driver.
+    /// Propose the assignment of another driver.
     Reassign { job: JobId, term: DriverTerm, edge: EdgeProcess },
-    /// Send the assignment once more: the driver has not renewed yet.
+    /// Send the assignment again, because the driver has not renewed its lease yet.
     ResendAssignment { job: JobId },
 }
 
-/// Time spans of driver leases.
+/// Time-outs of driver leases.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct LeaseTimeouts {
-    /// A driver that has not renewed for this long is replaced.
-    pub driver: Duration,
-    /// An assignment that its driver has not confirmed is sent again after this long.
-    pub resend: Duration,
+    /// Time without a renewal after which a driver is replaced.
+    pub driver_timeout: Duration,
+    /// Interval at which an assignment is sent again until its driver confirms it by a renewal.
+    pub resend_interval: Duration,
 }
 
-/// All driver leases of a partition; empty where the replica is not the head.
+/// All driver leases of a partition; empty if the replica is not the head.
 #[derive(Debug)]
 pub(super) struct DriverLeases {
     timeouts: LeaseTimeouts,
@@ -61,7 +62,7 @@
         Self { timeouts, by_job: BTreeMap::new() }
     }
 
-    /// The replica has become the head: grants a whole lease to every driver.
+    /// Grants a full lease to every driver. Called when the replica becomes the head.
     pub(super) fn restart(&mut self, now: Duration, store: &Store) {
         self.by_job.clear();
         for (id, job) in store.jobs() {
@@ -69,12 +70,12 @@
         }
     }
 
-    /// The replica is not the head any more.
+    /// Removes all leases. Called when the replica is no longer the head.
     pub(super) fn clear(&mut self) {
         self.by_job.clear();
     }
 
-    /// Follows the newest state of a batch job. Returns whether its driver has to be sent the assignment.
+    /// Updates the lease to the newest state of a batch job. Returns whether the assignment must be sent to the driver.
     pub(super) fn update(&mut self, now: Duration, id: &str, job: &Job) -> bool {
         if !job.needs_driver() {
             self.by_job.remove(id);
@@ -83,8 +84,8 @@
         match self.by_job.get_mut(id) {
             Some(lease) if lease.term == job.term() => false,
             Some(lease) => {
-                let timed_out = std::mem::take(&mut lease.timed_out);
-                *lease = DriverLease { timed_out, ..DriverLease::new(now, job) };
+                let timed_out_edges = std::mem::take(&mut lease.timed_out_edges);
+                *lease = DriverLease { timed_out_edges, ..DriverLease::new(now, job) };
                 true
             }
             None => {
@@ -94,26 +95,26 @@
         }
     }
 
-    /// The batch job is ended or deleted.
+    /// Removes the lease of a batch job that is ended or deleted.
     pub(super) fn remove(&mut self, id: &str) {
         self.by_job.remove(id);
     }
 
-    /// The assignment is sent to the driver.
+    /// Records that the assignment is sent to the driver.
     pub(super) fn on_assignment_sent(&mut self, now: Duration, id: &str) {
         if let Some(lease) = self.by_job.get_mut(id) {
             lease.assigned_at = Some(now);
         }
     }
 
-    /// The replica rejected the proposal of another driver.
+    /// Handles the rejection of a proposed driver by the replica, so that it is proposed again.
     pub(super) fn on_reassignment_rejected(&mut self, id: &str) {
         if let Some(lease) = self.by_job.get_mut(id) {
-            lease.is_replacing = false;
+            lease.is_replacement_proposed = false;
         }
     }
 
-    /// Renews the lease of a driver. The chain must have confirmed `store` to be the newest state since the request came.
+    /// Renews the lease of a driver. The chain must have confirmed, after the request arrived, that `store` is the newest state.
     pub(super) fn renew(
         &mut self,
         now: Duration,
@@ -126,24 +127,24 @@
             return DriverLeaseState::Ended;
         }
         match self.by_job.get_mut(id) {
-            Some(lease) if lease.term == term && !lease.is_replacing => {
+            Some(lease) if lease.term == term && !lease.is_replacement_proposed => {
                 lease.renewed_at = now;
                 lease.is_confirmed = true;
-                lease.timed_out.clear();
+                lease.timed_out_edges.clear();
                 DriverLeaseState::Held
             }
             _ => DriverLeaseState::Fenced,
         }
     }
 
-    /// What has to be done about leases by now.
+    /// Returns the actions that are due for all leases.
     pub(super) fn handle_timeout(&mut self, now: Duration, edges: &Edges) -> Vec<LeaseAction> {
         let timeouts = self.timeouts;
         let leases = self.by_job.iter_mut();
         leases.filter_map(|(id, lease)| lease.handle_timeout(now, timeouts, id, edges)).collect()
     }
 
-    /// When [`DriverLeases::handle_timeout`] is to be called next.
+    /// Time at which [`DriverLeases::handle_timeout`] must be called next.
     pub(super) fn next_timer(&self) -> Option<Duration> {
         self.by_job.values().map(|lease| lease.next_timer(self.timeouts)).min()
     }
@@ -157,8 +158,8 @@
             renewed_at: now,
             is_confirmed: false,
             assigned_at: None,
-            is_replacing: false,
-            timed_out: Vec::new(),
+            is_replacement_proposed: false,
+            timed_out_edges: Vec::new(),
         }
     }
 
@@ -170,18 +171,19 @@
         edges: &Edges,
     ) -> Option<LeaseAction> {
         let successor = edges.successor(self.edge);
-        let is_lost = now >= self.renewed_at + timeouts.driver || edges.has_ended(self.edge.incarnation);
-        if (is_lost || successor.is_some()) && !self.is_replacing {
+        let is_unavailable =
+            now >= self.renewed_at + timeouts.driver_timeout || edges.has_ended(self.edge.incarnation);
+        if (is_unavailable || successor.is_some()) && !self.is_replacement_proposed {
             return self.replace(now, timeouts, id, edges, successor);
         }
-        let assigned_at = self.assigned_at.filter(|_| !self.is_confirmed && !self.is_replacing)?;
-        (now >= assigned_at + timeouts.resend).then(|| {
+        let assigned_at = self.assigned_at.filter(|_| !self.is_confirmed && !self.is_replacement_proposed)?;
+        (now >= assigned_at + timeouts.resend_interval).then(|| {
             self.assigned_at = Some(now);
             LeaseAction::ResendAssignment { job: id.to_owned() }
         })
     }
 
-    /// Chooses the next driver: the next incarnation of the same edge if there is one, or else another edge.
+    /// Chooses the next driver: the next incarnation of the same edge if there is one, otherwise another edge.
     fn replace(
         &mut self,
         now: Duration,
@@ -191,31 +193,31 @@
         successor: Option<EdgeProcess>,
     ) -> Option<LeaseAction> {
         let previous = self.edge.incarnation;
-        if !self.timed_out.contains(&previous) {
-            self.timed_out.truncate(MAX_TIMED_OUT - 1);
-            self.timed_out.insert(0, previous);
+        if !self.timed_out_edges.contains(&previous) {
+            self.timed_out_edges.truncate(MAX_TIMED_OUT_EDGES - 1);
+            self.timed_out_edges.insert(0, previous);
         }
-        let successor = successor.filter(|edge| !self.timed_out.contains(&edge.incarnation));
-        let edge = successor.or_else(|| edges.choose(id, &self.timed_out)).or_else(|| {
-            self.timed_out.clear();
+        let successor = successor.filter(|edge| !self.timed_out_edges.contains(&edge.incarnation));
+        let edge = successor.or_else(|| edges.choose(id, &self.timed_out_edges)).or_else(|| {
+            self.timed_out_edges.clear();
             edges.choose(id, &[previous]).or_else(|| edges.choose(id, &[]))
         });
         let Some(edge) = edge else {
-            // No edge is known yet: try again after a resend interval.
-            self.renewed_at = now.saturating_sub(timeouts.driver) + timeouts.resend;
+            // No edge is known yet. Retries after one resend interval.
+            self.renewed_at = now.saturating_sub(timeouts.driver_timeout) + timeouts.resend_interval;
             return None;
         };
-        self.is_replacing = true;
+        self.is_replacement_proposed = true;
         Some(LeaseAction::Reassign { job: id.to_owned(), term: self.term + 1, edge })
     }
 
     fn next_timer(&self, timeouts: LeaseTimeouts) -> Duration {
-        if self.is_replacing {
+        if self.is_replacement_proposed {
             return Duration::MAX;
         }
-        let expiry = self.renewed_at + timeouts.driver;
+        let expiry = self.renewed_at + timeouts.driver_timeout;
         match self.assigned_at.filter(|_| !self.is_confirmed) {
-            Some(assigned_at) => expiry.min(assigned_at + timeouts.resend),
+            Some(assigned_at) => expiry.min(assigned_at + timeouts.resend_interval),
             None => expiry,
         }
     }
--- a/system/jobs/src/partition/edges.rs
+++ b/system/jobs/src/partition/edges.rs
@@ -1,4 +1,4 @@
-//! The edges that may drive batch jobs, as the registry lists them.
+//! The edges that may drive batch jobs, as listed in the registry.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -6,18 +6,18 @@
 
 use crate::store::EdgeProcess;
 
-/// State of an edge, as far as the control nodes know it.
+/// State of an edge, as known to the control nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EdgeState {
-    /// It runs, and receives messages at this address.
+    /// The edge is running and receives messages at this address.
     Reachable(SocketAddr),
-    /// Its session timed out. It may still run: a control node that is cut off receives no heartbeats at all.
+    /// The session of the edge has timed out. The edge may still be running: an isolated control node receives no heartbeats.
     Unreachable,
-    /// It has announced its shutdown.
+    /// The edge has announced its shutdown.
     Ended,
 }
 
-/// The edges that can be reached, by incarnation, and those that have announced their shutdown.
+/// Addresses of the reachable edges by incarnation, and the incarnations that have announced their shutdown.
 #[derive(Clone, Debug, Default)]
 pub struct Edges {
     addresses: BTreeMap<u64, SocketAddr>,
@@ -25,8 +25,8 @@
 }
 
 impl Edges {
-    /// Bounds the edges remembered as ended.
-    const MAX_ENDED: usize = 4096;
+    /// Maximum number of ended incarnations stored.
+    const MAX_ENDED_EDGES: usize = 4096;
 
     /// Records the newest state of an edge.
     pub fn set_state(&mut self, incarnation: u64, state: EdgeState) {
@@ -39,20 +39,20 @@
             }
             EdgeState::Ended => {
                 self.addresses.remove(&incarnation);
-                if self.ended.len() < Self::MAX_ENDED {
+                if self.ended.len() < Self::MAX_ENDED_EDGES {
                     self.ended.insert(incarnation);
                 }
             }
         }
     }
 
-    /// Internal address of an edge that can be reached.
+    /// Internal address of a reachable edge.
     #[must_use]
     pub fn address(&self, incarnation: u64) -> Option<SocketAddr> {
         self.addresses.get(&incarnation).copied()
     }
 
-    /// The process that runs at the address of one that can't be reached any more: the next incarnation of the same edge.
+    /// The next incarnation of an edge that is no longer reachable: a reachable edge with the same address.
     #[must_use]
     pub fn successor(&self, edge: EdgeProcess) -> Option<EdgeProcess> {
         if self.addresses.contains_key(&edge.incarnation) {
@@ -68,12 +68,13 @@
         self.ended.contains(&incarnation)
     }
 
-    /// The edge with the highest weight for a batch job (rendezvous hashing: Thaler & Ravishankar 1998), some excluded.
+    /// The edge with the highest weight for a batch job (rendezvous hashing: Thaler & Ravishankar 1998), without the excluded
+    /// incarnations.
     #[must_use]
     pub fn choose(&self, job: &str, excluded: &[u64]) -> Option<EdgeProcess> {
         let candidates = self.addresses.iter().filter(|(edge, _)| !excluded.contains(edge));
-        let best = candidates.max_by_key(|(edge, _)| rendezvous_weight(job, **edge));
-        best.map(|(&incarnation, &address)| EdgeProcess { incarnation, address })
+        let highest = candidates.max_by_key(|(edge, _)| rendezvous_weight(job, **edge));
+        highest.map(|(&incarnation, &address)| EdgeProcess { incarnation, address })
     }
 }
 
--- a/system/jobs/src/partition/mod.rs
+++ b/system/jobs/src/partition/mod.rs
@@ -1,21 +1,20 @@
-//! One partition at one backend: a chain replica, the state that it replicates, and the duties of its head and tail. Sans I/O.
+//! One partition at one backend: a chain replica, its replicated state, and the work of the chain's head and tail. Sans I/O.
 //!
-//! The head accepts requests that write and proposes commands; the tail responds once they are committed (van Renesse &
-//! Schneider 2004). The tail serves reads. A replica that is neither, or that is not in sync, responds with
-//! [`JobsResponse::Unavailable`].
+//! The head accepts write requests and proposes commands; the tail responds once they are committed (van Renesse & Schneider
+//! 2004). The tail serves reads. A replica that is neither, or that is not in sync, responds with [`JobsResponse::Unavailable`].
 //!
-//! [`Partition`] passes events and outputs between components with private state; it decides nothing itself:
+//! [`Partition`] passes events and outputs between components with private state; the decisions are made in the components:
 //!
 //! | component | owns |
 //! | --- | --- |
 //! | [`replica_host`] | the replica, its role, its tokens |
 //! | [`applied_state`] | the replicated state |
-//! | [`requests`] | decisions about requests that write (no state) |
-//! | [`pending_creations`] | creations proposed and not applied, with their memory budget (head) |
+//! | [`requests`] | decisions about write requests (no state) |
+//! | [`pending_creations`] | creations that are proposed and not yet applied, with their memory budget (head) |
 //! | [`pending_renewals`], [`driver_leases`] | the leases of drivers (head) |
 //! | [`driver_assignment`] | messages to drivers (no state) |
 //! | [`retention`] | ages of batch jobs, deletion of ended ones (ages: every replica; deletion: head) |
-//! | [`pending_reads`] | reads that wait (tail) |
+//! | [`pending_reads`] | reads that wait for results or for confirmation (tail) |
 
 mod applied_state;
 mod context;
@@ -55,12 +54,12 @@
 use requests::WriteDecision;
 use retention::Retention;
 
-/// One partition at one backend.
+/// The replica of one partition at one backend, with the components that serve requests.
 #[derive(Debug)]
 pub struct Partition {
     replica: ReplicaHost,
     state: AppliedState,
-    /// The role for which the components below are set up.
+    /// Role of the replica for which the components below are initialized.
     role: Role,
     read_tokens: ReadTokens,
     reads: PendingReads,
@@ -71,21 +70,23 @@
 }
 
 impl Partition {
-    /// A partition without any history.
+    /// Creates a partition without any records.
     #[must_use]
-    pub fn new(me: MemberId, settings: &JobsSettings, seed: u64) -> Self {
-        Self::with_replica(ReplicaHost::new(me, settings.replica.clone(), seed), settings)
+    pub fn new(member_id: MemberId, settings: &JobsSettings, seed: u64) -> Self {
+        Self::with_replica(ReplicaHost::new(member_id, settings.replica.clone(), seed), settings)
     }
 
-    /// A partition with the records that the disk holds of it.
+    /// Creates a partition from its records on the disk.
     #[must_use]
-    pub fn recover(me: MemberId, records: &[LogRecord], settings: &JobsSettings, seed: u64) -> Self {
-        Self::with_replica(ReplicaHost::recover(me, records, settings.replica.clone(), seed), settings)
+    pub fn recover(member_id: MemberId, records: &[LogRecord], settings: &JobsSettings, seed: u64) -> Self {
+        Self::with_replica(ReplicaHost::recover(member_id, records, settings.replica.clone(), seed), settings)
     }
 
     fn with_replica(replica: ReplicaHost, settings: &JobsSettings) -> Self {
-        let timeouts =
-            LeaseTimeouts { driver: settings.driver_timeout, resend: settings.assignment_resend_interval };
+        let timeouts = LeaseTimeouts {
+            driver_timeout: settings.driver_timeout,
+            resend_interval: settings.assignment_resend_interval,
+        };
         Self {
             replica,
             state: AppliedState::default(),
@@ -99,31 +100,31 @@
         }
     }
 
-    /// The process has started; called once, first.
+    /// Starts the replica. Must be called exactly once, before any other method that takes a context.
     pub fn start(&mut self, context: &mut Context<'_>) {
         self.handle_replica_event(context, ReplicaEvent::Started);
     }
 
-    /// The control plane has decided a chain.
-    pub fn install(&mut self, context: &mut Context<'_>, record: &PartitionRecord) {
+    /// Installs a chain that the control plane has set.
+    pub fn install_chain(&mut self, context: &mut Context<'_>, record: &PartitionRecord) {
         for view in self.replica.views_to_install(record) {
             self.handle_replica_event(context, ReplicaEvent::View(ViewEvent::Install { view }));
         }
     }
 
-    /// Another replica has sent a message.
+    /// Handles a message from another replica.
     pub fn handle_message(&mut self, context: &mut Context<'_>, from: MemberId, message: ReplicaMessage) {
         self.handle_replica_event(context, ReplicaEvent::Message { from, message });
     }
 
-    /// All records up to those of this token are durable.
+    /// Handles the completion of writes: all records up to and including those of this token are durable.
     pub fn on_durable(&mut self, context: &mut Context<'_>, token: u64) {
         if let Some(event) = self.replica.durable_event(token) {
             self.handle_replica_event(context, event);
         }
     }
 
-    /// The time of [`Partition::next_timer`] has come, or the state of an edge has changed.
+    /// Handles all expired timers. Called at the time of [`Partition::next_timer`], and when the state of an edge changes.
     pub fn handle_timeout(&mut self, context: &mut Context<'_>) {
         if self.replica.next_timer().is_some_and(|timer| timer <= context.now) {
             self.handle_replica_event(context, ReplicaEvent::TimerExpired);
@@ -135,7 +136,7 @@
         }
     }
 
-    /// A client has sent a request.
+    /// Handles a request from a client.
     pub fn handle_request(&mut self, context: &mut Context<'_>, request: ClientRequest, capacity: Capacity) {
         let has_role = if request.is_for_tail() { self.role.is_tail } else { self.role.is_head };
         let ClientRequest { caller, epoch, body } = request;
@@ -172,7 +173,7 @@
         }
     }
 
-    /// When [`Partition::handle_timeout`] is to be called next.
+    /// Time at which [`Partition::handle_timeout`] must be called next.
     #[must_use]
     pub fn next_timer(&self) -> Option<Duration> {
         let leases = self.driver_leases.next_timer().filter(|_| self.role.is_head);
@@ -181,7 +182,7 @@
         [self.replica.next_timer(), self.reads.next_timer(), leases, expiry].into_iter().flatten().min()
     }
 
-    /// The replicated state, as far as it is applied here.
+    /// The replicated state after the entries that are applied at this replica.
     #[must_use]
     pub fn store(&self) -> &Store {
         self.state.store()
@@ -199,13 +200,13 @@
         self.replica.in_sync_epoch()
     }
 
-    /// Bytes of batch jobs, those of pending creations included.
+    /// Estimated bytes of all batch jobs in memory, including those of pending creations.
     #[must_use]
     pub fn bytes(&self) -> u64 {
         self.state.store().bytes() + self.creations.bytes()
     }
 
-    /// All records that must stay on the disk; none while that is not known, to be retried later.
+    /// All records that must stay on the disk; `None` if they can't be determined at present, and the caller retries later.
     ///
     /// # Errors
     ///
@@ -214,7 +215,7 @@
         Ok(self.replica.checkpoint(self.state.store().encode()?))
     }
 
-    /// Passes an event to the replica, and carries out all that follows from it.
+    /// Passes an event to the replica and performs all resulting actions.
     fn handle_replica_event(&mut self, context: &mut Context<'_>, event: ReplicaEvent) {
         if self.replica.has_failed() {
             return;
@@ -230,7 +231,7 @@
     fn handle_replica_action(&mut self, context: &mut Context<'_>, action: ReplicaAction) {
         match action {
             ReplicaAction::Send { to, message } => {
-                context.out.push(PartitionAction::SendMember { to, message });
+                context.out.push(PartitionAction::SendToMember { to, message });
             }
             ReplicaAction::Persist { token, records } => {
                 let write = self.replica.register_write(token, records);
@@ -255,8 +256,8 @@
         }
     }
 
-    /// Applies a committed command; the tail (`reply`) responds to its caller.
-    fn apply(&mut self, context: &mut Context<'_>, index: u64, command: &[u8], reply: bool) {
+    /// Applies a committed command. At the tail, `should_respond` is set, and the caller gets its response.
+    fn apply(&mut self, context: &mut Context<'_>, index: u64, command: &[u8], should_respond: bool) {
         let Proposal { caller, age, command } = match Proposal::decode(command) {
             Ok(proposal) => proposal,
             Err(error) => return self.fail(context, &error),
@@ -266,7 +267,7 @@
         let outcome = self.state.apply(index, command, age);
         let Some(id) = job else { return self.retention.observe_all(context.now, self.state.store()) };
         self.retention.observe(context.now, &id, self.state.store());
-        if let Some(caller) = caller.filter(|_| reply) {
+        if let Some(caller) = caller.filter(|_| should_respond) {
             context.respond(caller, outcome.response(caller.edge));
         }
         if is_creation {
@@ -296,13 +297,13 @@
         }
     }
 
-    /// What every replica holds alike can't be read here.
+    /// Stops the replica, because an entry or state that all replicas share can't be encoded or decoded here.
     fn fail(&mut self, context: &Context<'_>, error: &JobsError) {
         log::error!(partition = context.partition; "replica stopped: {error}");
         self.replica.fail();
     }
 
-    /// Sets up or clears what only a head or only a tail keeps.
+    /// Initializes or clears the state of the head and of the tail after a change of role.
     fn update_role(&mut self, context: &mut Context<'_>) {
         let role = self.replica.role();
         let previous = std::mem::replace(&mut self.role, role);
@@ -319,7 +320,7 @@
             context.respond_all(self.reads.remove_all(), &JobsResponse::Unavailable);
         }
         if role.is_head && !previous.is_head {
-            // Drivers that ended while there was no head are replaced without waiting for a time-out.
+            // Drivers that shut down while there was no head are replaced without waiting for a time-out.
             self.check_driver_leases(context);
         }
     }
@@ -346,7 +347,7 @@
         }
     }
 
-    /// The replica has rejected a proposal: it is not the head, or has too many pending.
+    /// Handles a proposal rejected by the replica, because it is not the head or has too many pending proposals.
     fn on_proposal_rejected(&mut self, context: &mut Context<'_>, command: &[u8]) {
         let Ok(proposal) = Proposal::decode(command) else { return };
         let mut callers: Vec<_> = proposal.caller.into_iter().collect();
@@ -387,7 +388,7 @@
         self.handle_replica_event(context, ReplicaEvent::Read { token });
     }
 
-    /// The chain has confirmed a read: what is applied here is the newest state.
+    /// Handles a read confirmed by the chain: the state applied here is the newest one.
     fn on_read_confirmed(&mut self, context: &mut Context<'_>, token: ReadToken) {
         self.reads.confirm(token);
         if let Some(Renewal { caller, leases }) = self.renewals.remove(token) {
@@ -398,7 +399,7 @@
         }
     }
 
-    /// The chain could not confirm a read.
+    /// Handles a read that the chain could not confirm.
     fn on_read_failed(&mut self, context: &mut Context<'_>, token: ReadToken) {
         let renewal = self.renewals.remove(token).map(|renewal| renewal.caller);
         let callers = renewal.into_iter().chain(self.reads.remove(token));
@@ -414,12 +415,13 @@
         }
     }
 
-    /// What the head does about a batch job's driver once a command is committed.
+    /// Updates the lease of a batch job's driver after a committed command, and sends the driver its assignment or stops it. Called
+    /// at the head.
     fn update_driver(&mut self, context: &mut Context<'_>, id: &str, outcome: &Outcome) {
         match (self.state.store().job(id), outcome) {
             (Some(job), Outcome::Ended { stopped: Some((_, term)) }) => {
                 self.driver_leases.remove(id);
-                context.send_edge(job.driver().address, driver_assignment::stop(id, *term));
+                context.send_to_edge(job.driver().address, driver_assignment::stop_message(id, *term));
             }
             (Some(job), _) => {
                 if self.driver_leases.update(context.now, id, job) {
@@ -446,11 +448,11 @@
         self.driver_leases.on_assignment_sent(context.now, id);
         if let Some(to) = context.edges.address(job.driver().incarnation) {
             let age = self.retention.age(context.now, id);
-            context.send_edge(to, driver_assignment::assignment(job, age));
+            context.send_to_edge(to, driver_assignment::assign_message(job, age));
         }
     }
 
-    /// Deletes ended batch jobs whose retention is over, and replicates the ages of the others.
+    /// Proposes the deletion of ended batch jobs whose retention period has passed, and the replication of the ages of ended ones.
     fn enforce_retention(&mut self, context: &mut Context<'_>) {
         let Some(expired) = self.retention.check_expiry(context.now, self.state.store()) else { return };
         for job in expired {
--- a/system/jobs/src/partition/pending_creations.rs
+++ b/system/jobs/src/partition/pending_creations.rs
@@ -1,5 +1,5 @@
-//! Batch jobs whose creation has been proposed by the head and is not applied yet: each is proposed once, however many clients
-//! submit it meanwhile.
+//! Batch jobs whose creation has been proposed by the head and is not yet applied. Each creation is proposed only once, even if
+//! several clients submit the same batch job in the meantime.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -9,18 +9,19 @@
 use super::requests::{Capacity, WriteDecision};
 use crate::store::{record_bytes, Caller, Command, EdgeProcess, Outcome, Store};
 
-/// Bounds the callers remembered for one batch job; clients repeat their requests anyway.
+/// Maximum number of callers stored for one batch job. Callers beyond it get no response and repeat their requests.
 const MAX_CALLERS: usize = 8;
 
+/// A creation that is proposed and not yet applied.
 #[derive(Debug)]
 struct PendingCreation {
-    /// Reserved in the memory budget.
+    /// Bytes reserved in the memory budget.
     bytes: u64,
-    /// Those that submitted the batch job after the first.
+    /// Callers that submitted the batch job after the first one.
     callers: Vec<Caller>,
 }
 
-/// All pending creations of a partition; empty where the replica is not the head.
+/// All pending creations of a partition; empty if the replica is not the head.
 #[derive(Debug)]
 pub(super) struct PendingCreations {
     reserved_bytes_per_result: u64,
@@ -33,12 +34,13 @@
         Self { reserved_bytes_per_result, by_job: BTreeMap::new(), bytes: 0 }
     }
 
-    /// Bytes reserved in the memory budget.
+    /// Total bytes reserved in the memory budget.
     pub(super) fn bytes(&self) -> u64 {
         self.bytes
     }
 
-    /// A client submits a batch job. If the creation is to be proposed, its bytes are reserved until [`Self::remove`].
+    /// Decides about a batch job that a client submits. If the decision is to propose the creation, its bytes are reserved until
+    /// [`Self::remove`] is called.
     pub(super) fn admit(
         &mut self,
         store: &Store,
@@ -46,8 +48,8 @@
         caller: Caller,
         job: Arc<JobRecord>,
     ) -> WriteDecision {
-        if let Some(known) = store.job(&job.id) {
-            let driver = known.needs_driver().then(|| (known.driver().incarnation, known.term()));
+        if let Some(existing) = store.job(&job.id) {
+            let driver = existing.needs_driver().then(|| (existing.driver().incarnation, existing.term()));
             return WriteDecision::Respond(Outcome::Created { driver }.response(caller.edge));
         }
         if self.join_pending(&job.id, caller) {
@@ -65,14 +67,14 @@
         WriteDecision::Propose(Command::Create { job, edge })
     }
 
-    /// The creation is applied, or won't be. Returns the callers that joined it.
+    /// Removes a creation that has been applied or rejected. Returns the callers that submitted it after the first one.
     pub(super) fn remove(&mut self, job: &str) -> Vec<Caller> {
         let Some(creation) = self.by_job.remove(job) else { return Vec::new() };
         self.bytes -= creation.bytes;
         creation.callers
     }
 
-    /// The replica is not the head any more; the callers get no response and repeat their requests.
+    /// Removes all creations. Called when the replica is no longer the head; the callers get no response and repeat their requests.
     pub(super) fn clear(&mut self) {
         self.by_job.clear();
         self.bytes = 0;
@@ -83,7 +85,7 @@
         self.by_job.insert(job, PendingCreation { bytes, callers: Vec::new() });
     }
 
-    /// Adds a caller to a pending creation; returns whether there is one.
+    /// Adds a caller to the pending creation of a batch job; returns whether there is one.
     fn join_pending(&mut self, job: &str, caller: Caller) -> bool {
         let Some(creation) = self.by_job.get_mut(job) else { return false };
         if !creation.callers.contains(&caller) && creation.callers.len() < MAX_CALLERS {
--- a/system/jobs/src/partition/pending_renewals.rs
+++ b/system/jobs/src/partition/pending_renewals.rs
@@ -7,14 +7,14 @@
 use super::read_token::ReadToken;
 use crate::store::Caller;
 
-/// Bounds the renewals that wait at the same time.
+/// Maximum number of renewals that wait at the same time.
 const MAX_PENDING: usize = 256;
 
 /// One request to renew driver leases.
 #[derive(Debug)]
 pub(super) struct Renewal {
     pub caller: Caller,
-    /// Batch jobs with the terms of their driver.
+    /// Batch jobs whose leases are renewed, with the term of the driver.
     pub leases: Vec<(JobId, DriverTerm)>,
 }
 
@@ -33,12 +33,12 @@
         self.by_token.insert(token, renewal);
     }
 
-    /// The chain has confirmed the read with this token, or could not.
+    /// Removes and returns the renewal whose read through the chain has this token.
     pub(super) fn remove(&mut self, token: ReadToken) -> Option<Renewal> {
         self.by_token.remove(&token)
     }
 
-    /// The replica is not the head any more. Returns the callers, which are to be told.
+    /// Removes all renewals. Called when the replica is no longer the head; returns the callers, to which the caller must respond.
     pub(super) fn remove_all(&mut self) -> Vec<Caller> {
         std::mem::take(&mut self.by_token).into_values().map(|renewal| renewal.caller).collect()
     }
--- a/system/jobs/src/partition/read_token.rs
+++ b/system/jobs/src/partition/read_token.rs
@@ -1,9 +1,9 @@
-//! Tokens that tell the reads through the chain of one partition apart.
+//! Tokens that identify the reads through the chain of one partition.
 
 /// Identifies a read through the chain ([`gingerledge_chain::ReplicaEvent::Read`]).
 pub(super) type ReadToken = u64;
 
-/// Gives out tokens in rising order.
+/// Allocates tokens in ascending order.
 #[derive(Debug, Default)]
 pub(super) struct ReadTokens {
     last: ReadToken,
--- a/system/jobs/src/partition/replica_host.rs
+++ b/system/jobs/src/partition/replica_host.rs
@@ -1,4 +1,4 @@
-//! The chain replica of a partition: its pending actions, its role, and its replacement when the member leaves the chain.
+//! The chain replica of a partition, its pending actions and its role. Replaces the replica when its member leaves the chain.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -6,19 +6,19 @@
 use gingerledge_chain::{LogRecord, MemberId, Replica, ReplicaAction, ReplicaEvent, ReplicaSettings, View};
 use gingerledge_wire::PartitionRecord;
 
-/// Bounds the views that are installed one by one; a replica that missed more rejoins with a snapshot.
-const MAX_SKIPPED_VIEWS: u64 = 4096;
+/// Maximum number of missed views that are installed one by one; a replica that missed more rejoins with a snapshot.
+const MAX_MISSED_VIEWS: u64 = 4096;
 
-/// The duties of a replica in its view. A chain of one member is head and tail.
+/// The role of a replica in its view. The only member of a chain is both head and tail.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct Role {
-    /// It proposes commands.
+    /// Whether the replica is the head, which proposes commands.
     pub is_head: bool,
-    /// It serves reads, and sends the responses to committed commands.
+    /// Whether the replica is the tail, which serves reads and sends the responses to committed commands.
     pub is_tail: bool,
 }
 
-/// Records that have to be made durable, with the partition's token for them.
+/// Records to be made durable, with the partition's token for the write.
 #[derive(Debug)]
 pub(super) struct DurableWrite {
     pub token: u64,
@@ -27,45 +27,50 @@
 
 /// The replica of one partition.
 ///
-/// A replica counts its tokens from 1. Since the host may replace it, the partition's tokens continue behind those of the
-/// replica before: `first_token` is added to the replica's own.
+/// A replica numbers its writes from 1. Since the host may replace the replica, the partition's tokens continue after those of
+/// the previous replica: `token_offset` is added to the tokens of the current replica.
 #[derive(Debug)]
 pub(super) struct ReplicaHost {
-    me: MemberId,
+    member_id: MemberId,
     settings: ReplicaSettings,
     seed: u64,
     replica: Replica,
     actions: VecDeque<ReplicaAction>,
-    /// The last token given out.
+    /// Last token passed to the partition.
     last_token: u64,
-    /// The token before the first one of the present replica.
-    first_token: u64,
-    /// The replicated state could not be read: the replica takes part in nothing any more.
+    /// Last token of the previous replica, 0 if there was none; added to the tokens of the current replica.
+    token_offset: u64,
+    /// Whether the replicated state could not be encoded or decoded; the replica no longer takes part in the chain.
     has_failed: bool,
 }
 
 impl ReplicaHost {
-    /// A replica without any history.
-    pub(super) fn new(me: MemberId, settings: ReplicaSettings, seed: u64) -> Self {
-        let replica = Replica::new(me, settings.clone(), seed);
-        Self::with_replica(me, settings, replica, seed)
+    /// Creates a replica without any records.
+    pub(super) fn new(member_id: MemberId, settings: ReplicaSettings, seed: u64) -> Self {
+        let replica = Replica::new(member_id, settings.clone(), seed);
+        Self::with_replica(member_id, settings, replica, seed)
     }
 
-    /// A replica with the records that the disk holds of it.
-    pub(super) fn recover(me: MemberId, records: &[LogRecord], settings: ReplicaSettings, seed: u64) -> Self {
-        let replica = Replica::recover(me, records, settings.clone(), seed);
-        Self::with_replica(me, settings, replica, seed)
+    /// Creates a replica from its records on the disk.
+    pub(super) fn recover(
+        member_id: MemberId,
+        records: &[LogRecord],
+        settings: ReplicaSettings,
+        seed: u64,
+    ) -> Self {
+        let replica = Replica::recover(member_id, records, settings.clone(), seed);
+        Self::with_replica(member_id, settings, replica, seed)
     }
 
-    fn with_replica(me: MemberId, settings: ReplicaSettings, replica: Replica, seed: u64) -> Self {
+    fn with_replica(member_id: MemberId, settings: ReplicaSettings, replica: Replica, seed: u64) -> Self {
         Self {
-            me,
+            member_id,
             settings,
             seed,
             replica,
             actions: VecDeque::new(),
             last_token: 0,
-            first_token: 0,
+            token_offset: 0,
             has_failed: false,
         }
     }
@@ -77,12 +82,12 @@
         self.actions.extend(actions);
     }
 
-    /// The next action of the replica, in order.
+    /// Removes and returns the oldest pending action of the replica.
     pub(super) fn poll_action(&mut self) -> Option<ReplicaAction> {
         self.actions.pop_front()
     }
 
-    /// Excludes the replica from everything: continuing could only make it differ from the others.
+    /// Stops the replica for good, since by continuing it could only diverge from the others.
     pub(super) fn fail(&mut self) {
         self.has_failed = true;
         self.actions.clear();
@@ -93,11 +98,11 @@
         self.has_failed
     }
 
-    /// The role of the replica in the view in force.
+    /// Role of the replica in the current view; neither head nor tail unless the replica is serving.
     pub(super) fn role(&self) -> Role {
         let is_serving = self.replica.is_serving() && !self.has_failed;
         let Some(view) = self.replica.view().filter(|_| is_serving) else { return Role::default() };
-        Role { is_head: view.head() == Some(self.me), is_tail: view.tail() == Some(self.me) }
+        Role { is_head: view.head() == Some(self.member_id), is_tail: view.tail() == Some(self.member_id) }
     }
 
     /// The epoch of the newest view known.
@@ -115,63 +120,66 @@
         (self.replica.is_in_sync() && !self.has_failed).then(|| self.replica.epoch())
     }
 
-    /// When the replica wants [`ReplicaEvent::TimerExpired`] next.
+    /// Time at which [`ReplicaEvent::TimerExpired`] must be passed next.
     pub(super) fn next_timer(&self) -> Option<Duration> {
         self.replica.next_timer()
     }
 
-    /// All records that must stay on the disk, with an encoded state; none while that is not known.
+    /// All records that must stay on the disk, including the encoded state; `None` if they can't be determined at present.
     pub(super) fn checkpoint(&self, state: Vec<u8>) -> Option<Vec<LogRecord>> {
         self.replica.checkpoint(state)
     }
 
-    /// The partition's token for a write of the replica.
+    /// Assigns the partition's token to a write of the replica.
     pub(super) fn register_write(&mut self, token: u64, records: Vec<LogRecord>) -> DurableWrite {
-        self.last_token = self.first_token + token;
+        self.last_token = self.token_offset + token;
         DurableWrite { token: self.last_token, records }
     }
 
-    /// The event for the replica when all writes up to a token are durable; none if they are those of a replica before.
+    /// The event to pass when all writes up to the partition's token are durable; `None` if they belong to a previous replica.
     pub(super) fn durable_event(&self, token: u64) -> Option<ReplicaEvent> {
-        let token = token.checked_sub(self.first_token).filter(|token| *token > 0)?;
+        let token = token.checked_sub(self.token_offset).filter(|token| *token > 0)?;
         Some(ReplicaEvent::Durable { token })
     }
 
-    /// The views to install, in order, to reach a decided chain.
+    /// The views to install, in order, for a chain that the control plane has set.
     pub(super) fn views_to_install(&self, record: &PartitionRecord) -> Vec<View> {
         if record.epoch <= self.replica.epoch() {
             return Vec::new();
         }
         let mut views = Vec::new();
-        if self.is_certainly_in_sync(record) {
-            let mut before: Vec<_> = members(record).take_while(|member| *member != self.me).collect();
-            before.push(self.me);
-            let missed = self.replica.epoch() + 1..record.epoch;
-            views.extend(missed.map(|epoch| View { epoch, chain: before.clone() }));
+        if self.is_provably_in_sync(record) {
+            let mut preceding: Vec<_> =
+                members(record).take_while(|member| *member != self.member_id).collect();
+            preceding.push(self.member_id);
+            let missed_epochs = self.replica.epoch() + 1..record.epoch;
+            views.extend(missed_epochs.map(|epoch| View { epoch, chain: preceding.clone() }));
         }
         views.push(View { epoch: record.epoch, chain: members(record).collect() });
         views
     }
 
-    /// Whether this replica holds all that was committed before a chain, though it missed some chains before it.
+    /// Whether this replica has all entries committed before a chain, although it has missed some chains before that one.
     ///
     /// The control plane keeps a member in sync only from one chain to the next, and no chain commits without all its members.
-    /// So nothing was committed in the missed chains that this member would not hold. The missed views are then installed one
-    /// after the other, as if only this member and those before it had stayed: they were before it all the time, since new
-    /// members join at the end. All are on the disk in one batch, and none of them is ever in force here.
-    fn is_certainly_in_sync(&self, record: &PartitionRecord) -> bool {
-        let missed = record.epoch.saturating_sub(self.replica.epoch() + 1);
+    /// So this member has all entries that were committed in the missed chains. The missed views are then installed one after
+    /// the other, each with a chain of only this member and those before it: these were before it in every missed chain, since
+    /// new members join at the end. All these views are written to the disk in one batch, and none of them ever takes effect here.
+    fn is_provably_in_sync(&self, record: &PartitionRecord) -> bool {
+        let missed_epochs = record.epoch.saturating_sub(self.replica.epoch() + 1);
         let was_in_sync = match self.replica.view() {
             None => self.replica.last_index() == 0,
             Some(_) => self.replica.is_in_sync(),
         };
-        was_in_sync && (1..=MAX_SKIPPED_VIEWS).contains(&missed) && record.in_sync.contains(&self.me.0)
+        was_in_sync
+            && (1..=MAX_MISSED_VIEWS).contains(&missed_epochs)
+            && record.in_sync.contains(&self.member_id.0)
     }
 
-    /// Replaces the replica by an empty one if its member has left the chain: outside the chain its entries are worth nothing,
-    /// and whoever rejoins receives a snapshot. The view stays known, so that an older chain never brings this member back.
+    /// Replaces the replica by an empty one if its member has left the chain: its entries are of no use outside the chain, and a
+    /// member that rejoins receives a snapshot. The view is kept, so that an older chain never makes this member part of it again.
     pub(super) fn reset_if_removed(&mut self, now: Duration) -> Option<DurableWrite> {
-        let view = self.replica.view().filter(|view| !view.contains(self.me)).cloned()?;
+        let view = self.replica.view().filter(|view| !view.contains(self.member_id)).cloned()?;
         if self.replica.last_index() == 0 {
             return None;
         }
@@ -180,10 +188,10 @@
             LogRecord::View { view, in_sync: false },
         ];
         let seed = self.seed.wrapping_add(self.last_token);
-        self.replica = Replica::recover(self.me, &records, self.settings.clone(), seed);
+        self.replica = Replica::recover(self.member_id, &records, self.settings.clone(), seed);
         self.actions.clear();
-        let write = self.register_write(self.last_token + 1 - self.first_token, records);
-        self.first_token = self.last_token;
+        let write = self.register_write(self.last_token + 1 - self.token_offset, records);
+        self.token_offset = self.last_token;
         self.handle_event(now, ReplicaEvent::Started);
         Some(write)
     }
--- a/system/jobs/src/partition/requests.rs
+++ b/system/jobs/src/partition/requests.rs
@@ -1,4 +1,4 @@
-//! Requests of clients, and what the head decides about those that write: from the state alone, without changing anything.
+//! Requests of clients, and the decisions of the head about write requests. Decisions depend on the state and do not change it.
 
 use gingerledge_wire::{DriverTerm, JobId, JobsRequest, JobsResponse, PartialText, ResultRecord};
 
@@ -7,43 +7,43 @@
 /// A request of a client (an edge) to one partition.
 #[derive(Clone, Debug)]
 pub struct ClientRequest {
-    /// Who gets the response.
+    /// The client that receives the response.
     pub caller: Caller,
     /// The epoch of the newest view of the partition that the client knows.
     pub epoch: u64,
-    /// What it requests.
+    /// The request itself.
     pub body: JobsRequest,
 }
 
 impl ClientRequest {
-    /// Whether the tail serves it; all others are served by the head.
+    /// Whether the request is served by the tail; all others are served by the head.
     pub(super) fn is_for_tail(&self) -> bool {
         matches!(self.body, JobsRequest::ReadResults { .. } | JobsRequest::ReadItemBody { .. })
     }
 }
 
-/// What a partition may still accept, within the bounds of the whole backend.
+/// Remaining capacity for writes of one partition, within the limits of the whole backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Capacity {
-    /// Bytes of batch jobs.
+    /// Bytes that further batch jobs may take up in memory.
     pub state_bytes: u64,
     /// Whether the disk keeps up with the writes.
     pub is_disk_ready: bool,
 }
 
-/// What the head does about a request that writes.
+/// Decision of the head about a write request.
 #[derive(Debug)]
 pub(super) enum WriteDecision {
-    /// Respond: nothing has to be written, or it can't be now.
+    /// Respond immediately: nothing has to be written, or nothing can be written at present.
     Respond(JobsResponse),
-    /// Propose a command; the caller gets the response once it is committed.
+    /// Propose a command; the caller receives the response once the command is committed.
     Propose(Command),
-    /// The same change is pending already, and its outcome is sent to this caller too.
+    /// Wait for the same change, which is already pending; its outcome is sent to this caller too.
     AwaitPending,
 }
 
 impl WriteDecision {
-    /// Proposes a command, unless the response is known already or the disk does not keep up.
+    /// Decides to propose a command, unless the response is already known or the disk does not keep up.
     fn new(known: Option<JobsResponse>, capacity: Capacity, command: Command) -> Self {
         match known {
             Some(response) => Self::Respond(response),
@@ -53,7 +53,7 @@
     }
 }
 
-/// A driver appends results.
+/// Decides about results that a driver appends.
 pub(super) fn decide_append(
     store: &Store,
     capacity: Capacity,
@@ -65,7 +65,7 @@
     WriteDecision::new(known, capacity, Command::AppendResults { job, term, results })
 }
 
-/// A driver saves texts of items that have no result yet.
+/// Decides about texts that a driver saves of items without a result.
 pub(super) fn decide_checkpoint(
     store: &Store,
     capacity: Capacity,
@@ -80,13 +80,13 @@
     WriteDecision::new(known, capacity, Command::SaveCheckpoint { job, term, texts })
 }
 
-/// A client ends a batch job.
+/// Decides about the end of a batch job that a client requests.
 pub(super) fn decide_end(store: &Store, capacity: Capacity, job: JobId) -> WriteDecision {
     let is_ended = store.job(&job).is_some_and(Job::is_ended);
     WriteDecision::new(is_ended.then_some(JobsResponse::Ended), capacity, Command::End { job })
 }
 
-/// The response to an edge that is not the driver any more.
+/// The response to an edge that is no longer the driver; `None` if it may still be the driver.
 fn rejection(job: &Job, term: DriverTerm) -> Option<JobsResponse> {
     if job.is_ended() {
         return Some(JobsResponse::Ended);
@@ -94,12 +94,13 @@
     (term < job.term()).then_some(JobsResponse::Fenced)
 }
 
-/// The response to results that need not be written: the term is older, the batch job is ended, or all items have results.
+/// The response to results that need not be written: the term is older, the batch job is ended, or all their items have results
+/// already.
 fn known_append_response(job: &Job, term: DriverTerm, results: &[ResultRecord]) -> Option<JobsResponse> {
     let rejected = rejection(job, term);
     if rejected.is_some() {
         return rejected;
     }
-    let is_complete = results.iter().all(|result| job.has_result(result.item));
-    (is_complete && term == job.term()).then_some(JobsResponse::Appended)
+    let has_all_results = results.iter().all(|result| job.has_result(result.item));
+    (has_all_results && term == job.term()).then_some(JobsResponse::Appended)
 }
--- a/system/jobs/src/partition/retention.rs
+++ b/system/jobs/src/partition/retention.rs
@@ -1,9 +1,9 @@
-//! Lower bounds of the ages of a partition's batch jobs, and the deletion of ended ones whose retention is over.
+//! Lower bounds of the ages of a partition's batch jobs, and the deletion of ended ones whose retention period has passed.
 //!
-//! An age is measured by the monotonic clock of this process, from the moment at which the batch job, or a command that carries
-//! its age, was applied here; the head sends the ages that it knows along with its commands. So ages never depend on the time of
-//! day of any machine. A restart loses what no command has carried since, which only makes a batch job look younger than it is:
-//! it is never deleted too early.
+//! An age is measured by the monotonic clock of this process, from the time at which the batch job, or a command that carries its
+//! age, was applied here. The head adds the ages that it knows to its commands, so ages never depend on the time of day of any
+//! machine. A restart loses the age gained since the last command that carried it. This only makes a batch job appear younger than
+//! it is, so it is never deleted too early.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,16 +13,16 @@
 use crate::settings::JobsSettings;
 use crate::store::Store;
 
-/// An age, and when it was observed.
+/// An age, and the time at which it was observed.
 #[derive(Clone, Copy, Debug)]
 struct ObservedAge {
     age: Duration,
-    at: Duration,
+    observed_at: Duration,
 }
 
 impl ObservedAge {
     fn age(self, now: Duration) -> Duration {
-        self.age + now.saturating_sub(self.at)
+        self.age + now.saturating_sub(self.observed_at)
     }
 }
 
@@ -30,7 +30,7 @@
 #[derive(Debug)]
 pub(super) struct Retention {
     by_job: BTreeMap<JobId, ObservedAge>,
-    /// An ended batch job is deleted once it is certainly older.
+    /// Age above which an ended batch job is deleted.
     retention: Duration,
     expiry_check_interval: Duration,
     age_record_interval: Duration,
@@ -50,13 +50,13 @@
         }
     }
 
-    /// Observes the age that the replicated state has for a batch job: the one that it had at some time before `now`.
+    /// Observes the age of a batch job in the replicated state: the batch job reached that age at some time before `now`.
     pub(super) fn observe(&mut self, now: Duration, id: &str, store: &Store) {
         let Some(job) = store.job(id) else {
             self.by_job.remove(id);
             return;
         };
-        let observed = ObservedAge { age: job.age(), at: now };
+        let observed = ObservedAge { age: job.age(), observed_at: now };
         match self.by_job.get_mut(id) {
             Some(known) if known.age(now) >= observed.age => {}
             Some(known) => *known = observed,
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Observes all ages, after a snapshot or a command that carries many.
+    /// Observes the ages of all batch jobs, after a snapshot or a command that carries several ages.
     pub(super) fn observe_all(&mut self, now: Duration, store: &Store) {
         self.by_job.retain(|id, _| store.job(id).is_some());
         for (id, _) in store.jobs() {
@@ -74,23 +74,23 @@
         }
     }
 
-    /// How old a batch job is at least.
+    /// Lower bound of the age of a batch job.
     pub(super) fn age(&self, now: Duration, id: &str) -> Duration {
         self.by_job.get(id).map_or(Duration::ZERO, |observed| observed.age(now))
     }
 
-    /// The replica has become the head.
+    /// Restarts the timers. Called when the replica becomes the head.
     pub(super) fn restart_timers(&mut self, now: Duration) {
         self.next_expiry_check = now + self.expiry_check_interval;
         self.next_age_record = now + self.age_record_interval;
     }
 
-    /// When the head checks for expired batch jobs next.
+    /// Time at which the head next checks for expired batch jobs.
     pub(super) fn next_expiry_check(&self) -> Duration {
         self.next_expiry_check
     }
 
-    /// Ended batch jobs whose retention is over; none before the time of the next check.
+    /// Ended batch jobs whose retention period has passed; `None` before the time of the next check.
     pub(super) fn check_expiry(&mut self, now: Duration, store: &Store) -> Option<Vec<JobId>> {
         if now < self.next_expiry_check {
             return None;
@@ -101,10 +101,10 @@
         Some(expired.map(|(id, _)| id.clone()).collect())
     }
 
-    /// Ages of ended batch jobs that are to be replicated, if that is due.
+    /// Ages of ended batch jobs to be replicated; `None` before they are due, or if no batch job is ended.
     ///
-    /// No other command carries the age of an ended batch job. Without these, restarts in quick succession would keep it
-    /// indefinitely.
+    /// No other command carries the age of an ended batch job. Without these ages, an ended batch job would never be deleted if the
+    /// processes restarted in quick succession.
     pub(super) fn ages_to_record(&mut self, now: Duration, store: &Store) -> Option<Vec<(JobId, Duration)>> {
         if now < self.next_age_record {
             return None;
--- a/system/jobs/src/settings.rs
+++ b/system/jobs/src/settings.rs
@@ -1,4 +1,4 @@
-//! Bounds and time spans of the backend plane, derived from the settings of the process.
+//! Limits and time-outs of the backend plane, derived from the settings of the process.
 
 use std::time::Duration;
 
@@ -6,66 +6,67 @@
 use gingerledge_protocol::Settings;
 
 const MEBIBYTE: u64 = 1024 * 1024;
-/// Batch jobs are stored that much longer than required, in case the monotonic clock runs fast.
+/// Time for which batch jobs are stored beyond the required retention, in case the monotonic clock runs fast.
 const RETENTION_MARGIN: Duration = Duration::from_secs(30);
-/// Share of the process's memory for batch jobs: while a snapshot is written they are in memory twice.
+/// Share of the process's memory limit for batch jobs, in percent. While a snapshot is written, they are in memory twice.
 const MEMORY_SHARE_PERCENT: u64 = 28;
-/// Share of the disk for the storage ring.
+/// Share of the disk limit for the storage ring, in percent.
 const RING_SHARE_PERCENT: u64 = 60;
-/// The smallest storage ring.
+/// Minimum size of the storage ring, in bytes.
 const MIN_RING_BYTES: u64 = 64 * MEBIBYTE;
-/// Files of the storage ring.
+/// Number of files of the storage ring.
 const RING_FILES: usize = 8;
-/// The storage ring gets its length in extents of so many bytes: more than a loaded backend writes in the seconds for which a disk may
-/// take no more bytes.
+/// Extent size in bytes by which the files of the storage ring grow: more than a loaded backend writes in the seconds for which a
+/// disk may accept no more bytes.
 const RING_EXTENT_BYTES: u64 = 4 * MEBIBYTE;
-/// Share of the ring for the state; a ring accepts snapshots of up to 7/16 of its length.
+/// Share of the ring for the state, in percent. A ring accepts snapshots of up to 7/16 of its length.
 const RING_STATE_PERCENT: u64 = 35;
 
-/// Bounds and time spans of one backend.
+/// Limits and time-outs of one backend.
 #[derive(Clone, Debug)]
 pub struct JobsSettings {
     /// Settings of the partitions' replicas.
     pub replica: ReplicaSettings,
-    /// A driver that has not renewed its lease for this long is replaced.
+    /// Time without a renewal of its lease after which a driver is replaced.
     pub driver_timeout: Duration,
-    /// An assignment that its driver has not confirmed by a renewal is sent again after this long.
+    /// Interval at which an assignment is sent again until its driver confirms it by a renewal.
     pub assignment_resend_interval: Duration,
-    /// An ended batch job is deleted once it is certainly older.
+    /// Age above which an ended batch job is deleted.
     pub retention: Duration,
-    /// How often the head looks for batch jobs to delete.
+    /// Interval at which the head checks for batch jobs to delete.
     pub expiry_check_interval: Duration,
-    /// How often the head replicates the ages of ended batch jobs.
+    /// Interval at which the head replicates the ages of ended batch jobs.
     pub age_record_interval: Duration,
-    /// Bounds the bytes of batch jobs in all partitions; beyond it new ones are rejected.
+    /// Maximum bytes of batch jobs in all partitions; new ones beyond it are rejected.
     pub max_state_bytes: u64,
     /// Bytes reserved for each result of a new batch job.
     pub reserved_bytes_per_result: u64,
-    /// Bytes written and not yet durable beyond which nothing new is proposed.
+    /// Bytes of writes that are not yet durable at or above which no new command of a client is proposed.
     pub max_unsynced_bytes: u64,
-    /// The disk counts as stalled when a write takes longer.
+    /// Duration of a write from which on the disk counts as stalled.
     pub disk_stall_timeout: Duration,
-    /// Bounds the reads that wait at the same time in one partition.
+    /// Maximum number of reads that wait at the same time in one partition.
     pub max_pending_reads: usize,
-    /// Bounds the time for which a read waits for a result.
+    /// Maximum time for which a read waits for a result.
     pub max_read_wait: Duration,
-    /// Bounds the bytes of results in one response.
+    /// Maximum bytes of results in one response.
     pub max_read_bytes: u64,
-    /// Files of the storage ring.
+    /// Number of files of the storage ring.
     pub ring_files: usize,
     /// Length of each file of the storage ring, in bytes.
     pub ring_file_bytes: u64,
-    /// Length of the extents in which the storage ring grows, in bytes.
+    /// Length of the extents by which the files of the storage ring grow, in bytes.
     pub ring_extent_bytes: u64,
 }
 
 impl JobsSettings {
-    /// Derives them from the settings of the process.
+    /// Derives the settings of a backend from those of the process.
     #[must_use]
     pub fn new(settings: &Settings) -> Self {
-        let memory = settings.limits.memory_mb * MEBIBYTE;
-        let ring = (settings.limits.disk_mb * MEBIBYTE * RING_SHARE_PERCENT / 100).max(MIN_RING_BYTES);
-        let max_state_bytes = (memory * MEMORY_SHARE_PERCENT / 100).min(ring * RING_STATE_PERCENT / 100);
+        let memory_bytes = settings.limits.memory_mb * MEBIBYTE;
+        let ring_bytes = (settings.limits.disk_mb * MEBIBYTE * RING_SHARE_PERCENT / 100).max(MIN_RING_BYTES);
+        let max_state_bytes =
+            (memory_bytes * MEMORY_SHARE_PERCENT / 100).min(ring_bytes * RING_STATE_PERCENT / 100);
         let retention = Duration::try_from_secs_f64(settings.bounds.status_s).unwrap_or(Duration::MAX);
         let replica = ReplicaSettings {
             min_chain_length: settings.fault_tolerance.machines + 1,
@@ -90,7 +91,7 @@
             max_read_wait: Duration::from_secs(2),
             max_read_bytes: MEBIBYTE,
             ring_files: RING_FILES,
-            ring_file_bytes: ring / RING_FILES as u64,
+            ring_file_bytes: ring_bytes / RING_FILES as u64,
             ring_extent_bytes: RING_EXTENT_BYTES,
         }
     }
--- a/system/jobs/src/store/command.rs
+++ b/system/jobs/src/store/command.rs
@@ -1,10 +1,10 @@
-//! The commands of one partition, in the form in which its chain replicates them, and their outcomes.
+//! The commands of one partition, as its chain replicates them, and their outcomes.
 //!
-//! [`Command`] resembles [`gingerledge_wire::JobsRequest`] and is a type of its own on purpose. A request is what an edge sends,
-//! and its encoding changes with the protocol between edges and backends; a command is what the log of a partition holds, on disks
-//! and between replicas of different versions. Requests also contain reads and renewals, which are never replicated, and commands
-//! contain changes that only the head makes. A command names the edge that becomes the driver, which the request's envelope does.
-//! Both are encoded with the variants' positions: never reorder variants or fields here.
+//! [`Command`] resembles [`gingerledge_wire::JobsRequest`] but is a separate type on purpose. A request is sent by an edge, and its
+//! encoding changes with the protocol between edges and backends. A command is stored in the log of a partition, on disks and
+//! between replicas of different versions. Requests include reads and renewals, which are never replicated; commands include
+//! changes that only the head makes. A command contains the edge that becomes the driver; with a request, the envelope does.
+//! Both types are encoded with the positions of variants and fields: never reorder variants or fields here.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,65 +17,65 @@
 use crate::codec;
 use crate::error::{CommandSnafu, JobsError};
 
-/// One incarnation of an edge.
+/// One process of an edge, identified by its incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EdgeProcess {
-    /// Drawn at each start of the process.
+    /// Incarnation of the edge, drawn at random at each start of the process.
     pub incarnation: u64,
-    /// Its internal address, which the next incarnation of the same edge has too.
+    /// Internal address of the edge, which stays the same for its next incarnation.
     pub address: SocketAddr,
 }
 
 /// A change of a partition's state, applied by every replica in the order of the chain's log.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Command {
-    /// Create a batch job; the edge becomes its driver with the first term.
+    /// Create a batch job; `edge` becomes its driver in the first term.
     Create {
         /// The batch job.
         job: Arc<JobRecord>,
         /// The first driver.
         edge: EdgeProcess,
     },
-    /// Append results. Those of items that have one already are ignored.
+    /// Append results. Results of items that have one already are ignored.
     AppendResults {
-        /// The batch job.
+        /// Id of the batch job.
         job: JobId,
-        /// The driver's term.
+        /// Term of the driver.
         term: DriverTerm,
         /// The results, in the order of their positions.
         results: Vec<ResultRecord>,
     },
     /// Save texts of items that have no result yet.
     SaveCheckpoint {
-        /// The batch job.
+        /// Id of the batch job.
         job: JobId,
-        /// The driver's term.
+        /// Term of the driver.
         term: DriverTerm,
         /// The texts, in order.
         texts: Vec<PartialText>,
     },
     /// End a batch job.
     End {
-        /// The batch job.
+        /// Id of the batch job.
         job: JobId,
     },
-    /// Give a batch job another driver; applies only if the term is the one after the present term.
+    /// Assign another driver to a batch job; applied only if `term` is one higher than the current term.
     AssignDriver {
-        /// The batch job.
+        /// Id of the batch job.
         job: JobId,
         /// The new term.
         term: DriverTerm,
         /// The new driver.
         edge: EdgeProcess,
     },
-    /// Delete an ended batch job whose retention is over.
+    /// Delete an ended batch job whose retention period has passed.
     Delete {
-        /// The batch job.
+        /// Id of the batch job.
         job: JobId,
     },
     /// Record the ages that batch jobs have reached, so that they survive a restart.
     RecordAges {
-        /// Batch jobs with their ages.
+        /// Ids of batch jobs, with lower bounds of their ages.
         ages: Vec<(JobId, Duration)>,
     },
 }
@@ -83,27 +83,27 @@
 /// The client that waits for the response to a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Caller {
-    /// The client's number for its request.
+    /// Number by which the client identifies its request.
     pub request: u64,
-    /// The client's internal address.
+    /// Internal address of the client, to which the response is sent.
     pub reply_to: SocketAddr,
-    /// The client's incarnation.
+    /// Incarnation of the client, which is an edge.
     pub edge: u64,
 }
 
-/// A command as the chain replicates it, with the caller to whom the tail responds.
+/// A command as the chain replicates it, with the caller to which the tail responds.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Proposal {
-    /// Who requested it; none for commands that the head proposes itself.
+    /// The client that requested the command; `None` for commands that the head proposes itself.
     pub caller: Option<Caller>,
-    /// The age that the command's batch job has certainly reached.
+    /// Lower bound of the age of the command's batch job when the command was proposed.
     pub age: Duration,
     /// The command.
     pub command: Command,
 }
 
 impl Proposal {
-    /// The bytes of an entry in the log.
+    /// Encodes the proposal as the content of a log entry.
     ///
     /// # Errors
     ///
@@ -112,7 +112,7 @@
         codec::encode(self).context(CommandSnafu)
     }
 
-    /// Reads the bytes of an entry in the log.
+    /// Decodes the content of a log entry.
     ///
     /// # Errors
     ///
@@ -122,21 +122,22 @@
     }
 }
 
-/// The outcome of a command: the same at every replica.
+/// The outcome of a command, which is the same at every replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// The batch job exists, by this command or an earlier one.
     Created {
-        /// Incarnation and term of its driver; none once it has ended or all its items have results.
+        /// Incarnation and term of the driver; `None` once the batch job is ended or all its items have results.
         driver: Option<(u64, DriverTerm)>,
     },
-    /// The results are stored, by this command or an earlier one; or the texts that continue the stored ones are.
+    /// The results are stored, by this command or an earlier one. For a checkpoint: the texts that continue the stored ones are
+    /// stored.
     Appended,
-    /// The term is not the present one.
+    /// The command is rejected, because its term is not the current one (or, for an assignment, not the next one).
     Fenced,
     /// The batch job is ended, by this command or an earlier one.
     Ended {
-        /// Incarnation and term of the driver that this command has stopped; none if the batch job was ended before.
+        /// Incarnation and term of the driver that this command stops; `None` if the batch job was ended before.
         stopped: Option<(u64, DriverTerm)>,
     },
     /// The new driver is assigned.
@@ -145,7 +146,7 @@
     Deleted,
     /// The ages are recorded.
     AgesRecorded,
-    /// Nothing has changed: there is no such batch job, or the command does not apply to its present state.
+    /// The state is unchanged: there is no such batch job, or the command does not apply to its current state.
     NotApplicable,
 }
 
@@ -168,7 +169,7 @@
 }
 
 impl Command {
-    /// The batch job that it changes, if it changes just one.
+    /// Id of the batch job that the command changes, if it changes exactly one.
     #[must_use]
     pub fn job(&self) -> Option<&JobId> {
         match self {
--- a/system/jobs/src/store/job.rs
+++ b/system/jobs/src/store/job.rs
@@ -1,4 +1,4 @@
-//! One batch job as a replica stores it: its items, its results by position, its driver.
+//! One batch job as a replica stores it: its items, its results by position, and its driver.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,90 +8,90 @@
 
 use super::EdgeProcess;
 
-/// Estimated bytes of an item or a result in memory besides its strings and bodies.
+/// Estimated bytes of an item or a result in memory in addition to its strings and bodies.
 const OVERHEAD_BYTES: u64 = 160;
-/// Bounds the text stored of an item without a result; the next driver generates a longer one from its start.
+/// Maximum bytes of the text stored for an item without a result. The next driver generates a longer text from the start.
 const MAX_TEXT_BYTES: usize = 256 * 1024;
 
-/// A batch job. What is only needed to generate an item's result (body, headers, reward call) is removed once the item has a
-/// result, or the batch job is ended.
+/// A batch job. The data that is only needed to generate an item's result (body, headers, scoring request) is removed once the item
+/// has a result or the batch job is ended.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Job {
     record: JobRecord,
-    /// By item: whether it has a result.
+    /// Whether an item has a result, by item index.
     has_result: Vec<bool>,
-    /// Results by position.
+    /// Results in the order of their positions.
     results: Vec<ResultRecord>,
-    /// Texts of items without a result, by item; each from its first event on.
+    /// Texts of items without a result, by item index; each starts with its first event.
     partial_texts: BTreeMap<u32, PartialText>,
     driver: EdgeProcess,
     term: DriverTerm,
-    ended: bool,
-    /// The age that the newest commands carried: a lower bound.
+    is_ended: bool,
+    /// Lower bound of the age: the highest one that a command has carried.
     age: Duration,
     bytes: u64,
 }
 
 impl Job {
-    /// A new batch job with its first driver.
+    /// Creates a batch job with its first driver.
     #[must_use]
     pub fn new(record: JobRecord, driver: EdgeProcess) -> Self {
         let has_result = vec![false; record.items.len()];
         let bytes = record_bytes(&record);
         let (results, partial_texts) = (Vec::new(), BTreeMap::new());
         let age = Duration::ZERO;
-        Self { record, has_result, results, partial_texts, driver, term: 1, ended: false, age, bytes }
+        Self { record, has_result, results, partial_texts, driver, term: 1, is_ended: false, age, bytes }
     }
 
-    /// The batch job; items with results have neither body nor headers nor reward call any more.
+    /// The submitted batch job. Items with results no longer have a body, headers or a scoring request.
     #[must_use]
     pub fn record(&self) -> &JobRecord {
         &self.record
     }
 
-    /// Results by position.
+    /// Results in the order of their positions.
     #[must_use]
     pub fn results(&self) -> &[ResultRecord] {
         &self.results
     }
 
-    /// Texts of items that have no result.
+    /// Texts of items that have no result yet.
     #[must_use]
     pub fn partial_texts(&self) -> Vec<PartialText> {
         self.partial_texts.values().cloned().collect()
     }
 
-    /// The driver.
+    /// The edge process that currently drives the batch job.
     #[must_use]
     pub fn driver(&self) -> EdgeProcess {
         self.driver
     }
 
-    /// The driver's term.
+    /// Term of the current driver.
     #[must_use]
     pub fn term(&self) -> DriverTerm {
         self.term
     }
 
-    /// Whether it is ended.
+    /// Whether the batch job is ended.
     #[must_use]
     pub fn is_ended(&self) -> bool {
-        self.ended
+        self.is_ended
     }
 
-    /// Whether it needs a driver: it is open, and an item has no result yet.
+    /// Whether the batch job needs a driver: it is open, and at least one item has no result yet.
     #[must_use]
     pub fn needs_driver(&self) -> bool {
-        !self.ended && self.results.len() < self.record.items.len()
+        !self.is_ended && self.results.len() < self.record.items.len()
     }
 
-    /// A lower bound of the age that it had when the newest command about it was proposed.
+    /// Lower bound of the age of the batch job when the newest command about it was proposed.
     #[must_use]
     pub fn age(&self) -> Duration {
         self.age
     }
 
-    /// Estimated bytes of it in memory.
+    /// Estimated bytes of the batch job in memory.
     #[must_use]
     pub fn bytes(&self) -> u64 {
         self.bytes
@@ -104,40 +104,41 @@
         with_results.filter_map(|(item, _)| u32::try_from(item).ok()).collect()
     }
 
-    /// Whether an item has a result; also true of an index without item, for which none is accepted either.
+    /// Whether an item has a result. Also true for an index without an item, since no result is accepted for it either.
     #[must_use]
     pub fn has_result(&self, item: u32) -> bool {
         self.has_result.get(item as usize).copied().unwrap_or(true)
     }
 
-    /// The body of an item that has no result yet, while the batch job is open.
+    /// Body of an item; `None` once the item has a result or the batch job is ended.
     #[must_use]
     pub fn body(&self, id: &str) -> Option<&[u8]> {
         let index = self.record.items.iter().position(|item| item.id == id)?;
-        let is_open = !self.ended && !self.has_result.get(index).copied().unwrap_or(true);
+        let is_open = !self.is_ended && !self.has_result.get(index).copied().unwrap_or(true);
         self.record.items.get(index).filter(|_| is_open).map(|item| item.body.as_slice())
     }
 
-    /// Results from a position on, with their items' ids: as many as fit into the bytes, but at least one if there is one.
+    /// Results from position `start_after` on, with the ids of their items: as many as fit into `max_bytes`, but at least one if
+    /// there is any.
     #[must_use]
     pub fn results_from(&self, start_after: u64, max_bytes: u64) -> Vec<(String, ResultRecord)> {
         let start = usize::try_from(start_after).unwrap_or(usize::MAX);
         let mut bytes_left = max_bytes;
-        let mut found = Vec::new();
+        let mut page = Vec::new();
         for result in self.results.iter().skip(start) {
             let bytes = result_bytes(result);
-            if bytes > bytes_left && !found.is_empty() {
+            if bytes > bytes_left && !page.is_empty() {
                 break;
             }
             bytes_left = bytes_left.saturating_sub(bytes);
             let id =
                 self.record.items.get(result.item as usize).map(|item| item.id.clone()).unwrap_or_default();
-            found.push((id, result.clone()));
+            page.push((id, result.clone()));
         }
-        found
+        page
     }
 
-    /// Gives a result the next position, unless its item has one already or does not exist.
+    /// Stores a result at the next position, unless its item already has a result or does not exist.
     pub(super) fn append_result(&mut self, result: ResultRecord) {
         let index = result.item as usize;
         let (Some(has_result), Some(item)) =
@@ -153,7 +154,7 @@
         self.results.push(result);
     }
 
-    /// Stores a part of an item's text, if it is the start of the text or continues the stored one.
+    /// Stores a part of an item's text if it is the start of the text or continues the stored text.
     pub(super) fn append_text(&mut self, part: PartialText) {
         if self.has_result(part.item) || part.data.len() > MAX_TEXT_BYTES {
             return;
@@ -164,16 +165,16 @@
             self.partial_texts.insert(part.item, part);
             return;
         }
-        let Some(known) = self.partial_texts.get_mut(&part.item) else { return };
+        let Some(stored) = self.partial_texts.get_mut(&part.item) else { return };
         let is_continuation =
-            known.origin == part.origin && Some(known.last_event_id) == part.previous_event_id;
-        if is_continuation && known.data.len() + part.data.len() <= MAX_TEXT_BYTES {
-            self.bytes -= text_bytes(known);
-            known.data.extend_from_slice(&part.data);
-            known.last_event_id = part.last_event_id;
-            known.versions = part.versions;
-            known.is_complete = part.is_complete;
-            self.bytes += text_bytes(known);
+            stored.origin == part.origin && Some(stored.last_event_id) == part.previous_event_id;
+        if is_continuation && stored.data.len() + part.data.len() <= MAX_TEXT_BYTES {
+            self.bytes -= text_bytes(stored);
+            stored.data.extend_from_slice(&part.data);
+            stored.last_event_id = part.last_event_id;
+            stored.versions = part.versions;
+            stored.is_complete = part.is_complete;
+            self.bytes += text_bytes(stored);
         }
     }
 
@@ -183,20 +184,20 @@
         }
     }
 
-    /// Ends it; returns whether it was open.
+    /// Ends the batch job; returns whether it was open.
     pub(super) fn end(&mut self) -> bool {
-        let released: u64 = self.record.items.iter_mut().map(remove_execution_data).sum();
-        let texts: u64 = std::mem::take(&mut self.partial_texts).values().map(text_bytes).sum();
-        self.bytes = self.bytes.saturating_sub(released + texts);
-        !std::mem::replace(&mut self.ended, true)
+        let removed_execution_bytes: u64 = self.record.items.iter_mut().map(remove_execution_data).sum();
+        let removed_text_bytes: u64 = std::mem::take(&mut self.partial_texts).values().map(text_bytes).sum();
+        self.bytes = self.bytes.saturating_sub(removed_execution_bytes + removed_text_bytes);
+        !std::mem::replace(&mut self.is_ended, true)
     }
 
-    /// Records an age that it has certainly reached.
+    /// Raises the age to a lower bound that is now known.
     pub(super) fn raise_age(&mut self, age: Duration) {
         self.age = self.age.max(age);
     }
 
-    /// Gives it another driver.
+    /// Assigns another driver.
     pub(super) fn assign_driver(&mut self, driver: EdgeProcess, term: DriverTerm) {
         self.driver = driver;
         self.term = term;
@@ -206,26 +207,24 @@
 /// Estimated bytes of a new batch job in memory.
 pub fn record_bytes(record: &JobRecord) -> u64 {
     let items: u64 = record.items.iter().map(item_bytes).sum();
-    OVERHEAD_BYTES
-        + total(&[record.id.len(), record.host.len(), record.path.len(), record.model.len()])
-        + items
+    OVERHEAD_BYTES + sum(&[record.id.len(), record.host.len(), record.path.len(), record.model.len()]) + items
 }
 
 fn item_bytes(item: &ItemRecord) -> u64 {
-    OVERHEAD_BYTES + total(&[item.id.len(), item.path.len(), item.group.len()]) + execution_bytes(item)
+    OVERHEAD_BYTES + sum(&[item.id.len(), item.path.len(), item.group.len()]) + execution_bytes(item)
 }
 
-/// Estimated bytes of what is only needed to generate the item's result.
+/// Estimated bytes of the data that is only needed to generate the item's result.
 fn execution_bytes(item: &ItemRecord) -> u64 {
     let headers: usize = item.headers.iter().map(|(name, value)| name.len() + value.len()).sum();
     let scoring = item
         .scoring
         .as_ref()
         .map_or(0, |scoring| scoring.id.len() + scoring.host.len() + scoring.path.len() + scoring.body.len());
-    total(&[item.body.len(), headers, scoring])
+    sum(&[item.body.len(), headers, scoring])
 }
 
-/// Removes what is only needed to generate the item's result; returns its bytes.
+/// Removes the data that is only needed to generate the item's result; returns its estimated bytes.
 fn remove_execution_data(item: &mut ItemRecord) -> u64 {
     let bytes = execution_bytes(item);
     item.body = Vec::new();
@@ -234,16 +233,16 @@
     bytes
 }
 
-/// Estimated bytes of a result, in memory and in a response.
+/// Estimated bytes of a result, both in memory and in a response.
 #[must_use]
 pub fn result_bytes(result: &ResultRecord) -> u64 {
-    OVERHEAD_BYTES + total(&[result.text.len(), result.score.len(), result.versions.len() * 8])
+    OVERHEAD_BYTES + sum(&[result.text.len(), result.score.len(), result.versions.len() * 8])
 }
 
 fn text_bytes(text: &PartialText) -> u64 {
-    OVERHEAD_BYTES + total(&[text.data.len(), text.versions.len() * 8])
+    OVERHEAD_BYTES + sum(&[text.data.len(), text.versions.len() * 8])
 }
 
-fn total(parts: &[usize]) -> u64 {
+fn sum(parts: &[usize]) -> u64 {
     parts.iter().sum::<usize>() as u64
 }
--- a/system/jobs/src/store/mod.rs
+++ b/system/jobs/src/store/mod.rs
@@ -1,7 +1,8 @@
-//! The state of one partition: batch jobs by id. Deterministic: replicas that apply the same commands in the same order are equal.
+//! The state of one partition: batch jobs by id. Deterministic: replicas that apply the same commands in the same order have equal
+//! states.
 //!
-//! The position of a result never changes; an item has one result at most; only [`Command::Delete`] removes a batch job.
-//! Snapshots hold the state as bincode writes it: never reorder the fields of [`Store`] or [`Job`].
+//! The position of a result never changes, an item has at most one result, and only [`Command::Delete`] removes a batch job.
+//! Snapshots contain the state encoded with bincode: never reorder the fields of [`Store`] or [`Job`].
 
 mod command;
 mod job;
@@ -41,20 +42,20 @@
         }
     }
 
-    /// Records an age that a batch job has certainly reached; a lower one than the known age changes nothing.
+    /// Raises the age of a batch job to a lower bound that is now known. An age below the stored one changes nothing.
     pub fn raise_age(&mut self, id: &str, age: Duration) {
         if let Some(job) = self.jobs.get_mut(id) {
             job.raise_age(age);
         }
     }
 
-    /// The batch job with an id.
+    /// The batch job with this id, if it exists.
     #[must_use]
     pub fn job(&self, id: &str) -> Option<&Job> {
         self.jobs.get(id)
     }
 
-    /// All batch jobs.
+    /// All batch jobs, in the order of their ids.
     pub fn jobs(&self) -> impl Iterator<Item = (&JobId, &Job)> {
         self.jobs.iter()
     }
@@ -65,7 +66,7 @@
         self.bytes
     }
 
-    /// The whole state as bytes, for a snapshot.
+    /// Encodes the whole state for a snapshot.
     ///
     /// # Errors
     ///
@@ -74,7 +75,7 @@
         codec::encode(self).context(StateSnafu)
     }
 
-    /// Reads the bytes of a snapshot.
+    /// Decodes the state from the bytes of a snapshot.
     ///
     /// # Errors
     ///
@@ -84,8 +85,8 @@
     }
 
     fn create(&mut self, record: Arc<JobRecord>, edge: EdgeProcess) -> Outcome {
-        if let Some(known) = self.jobs.get(&record.id) {
-            return Outcome::Created { driver: current_driver(known) };
+        if let Some(existing) = self.jobs.get(&record.id) {
+            return Outcome::Created { driver: current_driver(existing) };
         }
         let record = Arc::try_unwrap(record).unwrap_or_else(|shared| (*shared).clone());
         let id = record.id.clone();
@@ -106,7 +107,7 @@
         self.change_as_driver(id, term, |job| texts.into_iter().for_each(|text| job.append_text(text)))
     }
 
-    /// Makes a change that is reserved to the present driver. The term fences former ones (Burrows 2006: sequencers).
+    /// Makes a change that only the current driver may make. The term fences former drivers (Burrows 2006: sequencers).
     fn change_as_driver(&mut self, id: &str, term: DriverTerm, change: impl FnOnce(&mut Job)) -> Outcome {
         let Some(job) = self.jobs.get_mut(id) else { return Outcome::NotApplicable };
         if job.is_ended() {
--- a/system/jobs/tests/backend.rs
+++ b/system/jobs/tests/backend.rs
@@ -266,7 +266,7 @@
     let mut host = SingleBackend::new(0);
     host.request(create(10));
     let record = PartitionRecord { epoch: 2, chain: vec![9], in_sync: vec![9] };
-    host.handle(BackendEvent::ChainDecided { partition: PARTITION, record });
+    host.handle(BackendEvent::ChainChanged { partition: PARTITION, record });
     host.sync();
     assert_eq!(host.backend.report(host.now).bytes, 0);
     let again = Backend::new(MemberId(ME), DiskContent::read(host.records).unwrap(), settings(0), 2);
--- a/system/jobs/tests/common/cluster.rs
+++ b/system/jobs/tests/common/cluster.rs
@@ -188,12 +188,12 @@
         let (from, isolation) = (MemberId(machine.member), machine.isolation);
         for action in actions {
             match action {
-                BackendAction::SendMember { to, partition, message } => {
+                BackendAction::SendToMember { to, partition, message } => {
                     if isolation == Isolation::None {
                         self.send(to.0, BackendEvent::ReplicaMessage { partition, from, message });
                     }
                 }
-                BackendAction::SendEdge { to, message } => {
+                BackendAction::SendToEdge { to, message } => {
                     if isolation != Isolation::Complete && self.rng.u8(..100) >= self.loss {
                         let delay = 1 + self.rng.u64(..MAX_DELAY_MS);
                         self.after(delay, SimulatedEvent::ToEdge { to, message });
--- a/system/jobs/tests/common/faults.rs
+++ b/system/jobs/tests/common/faults.rs
@@ -23,7 +23,7 @@
         for (partition, record) in self.coordinator.records() {
             for member in alive.clone() {
                 if self.rng.u8(..100) < 60 {
-                    self.send(member, BackendEvent::ChainDecided { partition, record: record.clone() });
+                    self.send(member, BackendEvent::ChainChanged { partition, record: record.clone() });
                 }
             }
         }
--- a/system/jobs/tests/common/single_backend.rs
+++ b/system/jobs/tests/common/single_backend.rs
@@ -78,7 +78,7 @@
 
     pub fn learn_chain(&mut self) {
         let record = PartitionRecord { epoch: 1, chain: vec![ME], in_sync: vec![ME] };
-        self.handle(BackendEvent::ChainDecided { partition: PARTITION, record });
+        self.handle(BackendEvent::ChainChanged { partition: PARTITION, record });
         self.sync();
     }
 
@@ -101,12 +101,12 @@
         self.backend.handle(self.now, event, &mut actions);
         for action in actions {
             match action {
-                BackendAction::SendEdge { message, .. } => self.sent.push(message),
+                BackendAction::SendToEdge { message, .. } => self.sent.push(message),
                 BackendAction::Persist { token, records } => {
                     self.unsynced.push(token);
                     self.records.extend(records);
                 }
-                BackendAction::SendMember { .. } => {}
+                BackendAction::SendToMember { .. } => {}
             }
         }
     }
--- a/system/jobs/tests/golden_disk.rs
+++ b/system/jobs/tests/golden_disk.rs
@@ -329,7 +329,7 @@
     let (_, content) = open(&laid_out("backend.txt", "sealed"));
     let mut backend = start(content);
     let old = PartitionRecord { epoch: 6, chain: vec![ME, SECOND], in_sync: vec![ME, SECOND] };
-    let event = BackendEvent::ChainDecided { partition: EMPTY_PARTITION, record: old };
+    let event = BackendEvent::ChainChanged { partition: EMPTY_PARTITION, record: old };
     backend.handle(Duration::ZERO, event, &mut Vec::new());
     assert!(backend.partition(EMPTY_PARTITION).unwrap().view() == Some(&view(7, &[SECOND, ME])));
     let records = DiskContent::read(backend.checkpoint().unwrap().unwrap()).unwrap();
