--- a/system/jobs/tests/backend.rs
+++ b/system/jobs/tests/backend.rs
@@ -1,4 +1,5 @@
-//! One backend without peers: the responses of its head and its tail, when they are sent, and what is stored.
+//! Tests of a single backend that is the whole chain: its responses as head and tail, the time of each response, and the stored
+//! data.
 
 mod common;
 
@@ -6,7 +7,7 @@
 
 use common::single_backend::{
     address, append, create, end, read, renew, result_count, save_checkpoint, settings, SingleBackend, EDGE,
-    ME, NEXT_INCARNATION, OTHER_EDGE, PARTITION,
+    MEMBER, NEXT_INCARNATION, OTHER_EDGE, PARTITION,
 };
 use gingerledge_chain::{LogRecord, MemberId};
 use gingerledge_jobs::backend::{Backend, BackendEvent, DiskContent};
@@ -39,11 +40,11 @@
     assert!(host.take_responses().is_empty());
     host.sync();
     let responses = host.take_responses();
-    let drives: Vec<_> = responses
+    let driver_flags: Vec<_> = responses
         .iter()
         .map(|response| matches!(response, JobsResponse::Created { driver_term: Some(_) }))
         .collect();
-    assert_eq!(drives.iter().filter(|drives| **drives).count(), 1, "{responses:?}");
+    assert_eq!(driver_flags.iter().filter(|is_driver| **is_driver).count(), 1, "{responses:?}");
     assert_eq!(responses.len(), 2);
 }
 
@@ -120,13 +121,13 @@
         );
     }
     host.advance(1_600);
-    let drive = host.sent.iter().find_map(|message| match message {
+    let assignment = host.sent.iter().find_map(|message| match message {
         JobsMessage::AssignDriver { term, items_with_results, job, .. } => {
             Some((*term, items_with_results.len(), job.items.len()))
         }
         _ => None,
     });
-    assert_eq!(drive, Some((2, 0, 2)));
+    assert_eq!(assignment, Some((2, 0, 2)));
     host.sent.clear();
     assert!(
         matches!(&host.request(renew(1))[..], [JobsResponse::Renewed(states)] if states == &[DriverLeaseState::Fenced])
@@ -188,12 +189,12 @@
 }
 
 #[test]
-fn a_new_head_assigns_edges_that_it_knew_before() {
+fn a_new_head_assigns_edges_that_were_reachable_before_it_became_head() {
     let mut host = SingleBackend::new(0);
     host.request(create(10));
     host.restart_without_chain();
     host.edge_is_reachable(NEXT_INCARNATION, address(EDGE));
-    host.learn_chain();
+    host.install_chain();
     assert_eq!(host.assigned_terms(), [2]);
 }
 
@@ -254,10 +255,10 @@
     let checkpoint = host.backend.checkpoint().unwrap().unwrap();
     for records in [host.records.clone(), checkpoint] {
         let content = DiskContent::read(records).unwrap();
-        let mut again = Backend::new(MemberId(ME), content, settings(0), 2);
-        let moment = Duration::ZERO;
-        again.handle(moment, BackendEvent::Started, &mut Vec::new());
-        assert_eq!(store(&again), store(&host.backend));
+        let mut recovered = Backend::new(MemberId(MEMBER), content, settings(0), 2);
+        let now = Duration::ZERO;
+        recovered.handle(now, BackendEvent::Started, &mut Vec::new());
+        assert_eq!(store(&recovered), store(&host.backend));
     }
 }
 
@@ -269,8 +270,8 @@
     host.handle(BackendEvent::ChainChanged { partition: PARTITION, record });
     host.sync();
     assert_eq!(host.backend.report(host.now).bytes, 0);
-    let again = Backend::new(MemberId(ME), DiskContent::read(host.records).unwrap(), settings(0), 2);
-    let mut recovered = DiskContent::read(again.checkpoint().unwrap().unwrap()).unwrap();
+    let restarted = Backend::new(MemberId(MEMBER), DiskContent::read(host.records).unwrap(), settings(0), 2);
+    let mut recovered = DiskContent::read(restarted.checkpoint().unwrap().unwrap()).unwrap();
     let recovered = recovered.partitions.remove(&PARTITION).unwrap();
     assert!(recovered.iter().all(|record| !matches!(record, LogRecord::Entry { .. })), "{recovered:?}");
     assert!(
--- a/system/jobs/tests/common/clients.rs
+++ b/system/jobs/tests/common/clients.rs
@@ -1,4 +1,4 @@
-//! Edges that create, drive, read and end batch jobs, and check every response against those before.
+//! Simulated edges that create, drive, read and end batch jobs, and check every response against earlier ones.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -14,12 +14,13 @@
 use super::cluster::{Cluster, PARTITION_COUNT};
 use super::observations::{Observations, ObservedJob};
 
-const EDGES: u64 = 3;
+const EDGE_COUNT: u64 = 3;
 const RESEND_MS: u64 = 250;
 const RENEW_MS: u64 = 300;
 const REQUEST_TIMEOUT_MS: u64 = 20_000;
 const MAX_JOBS: usize = 24;
 
+/// A request that has not received its response.
 struct PendingRequest {
     edge: u64,
     job: String,
@@ -29,10 +30,11 @@
     last_sent: Duration,
 }
 
+/// One running edge process.
 struct Edge {
     address: SocketAddr,
-    /// Batch jobs that it drives, with the term and when it renews next.
-    drives: BTreeMap<String, (u64, Duration)>,
+    /// Batch jobs driven by the edge, with the term and the time of the next renewal.
+    driven_jobs: BTreeMap<String, (u64, Duration)>,
 }
 
 /// All edges of a simulated cluster.
@@ -42,12 +44,12 @@
     next_request: u64,
     next_edge: u64,
     next_job: u64,
-    next_act: Duration,
+    next_actions_at: Duration,
     pub observations: Observations,
     pub is_quiescent: bool,
 }
 
-/// Few partitions are used, so that each has many events.
+/// Partition of a batch job. Only a few partitions are used, so that each has many events.
 pub fn partition_of(job: &str) -> u16 {
     job.bytes().last().map_or(0, |byte| u16::from(byte) % PARTITION_COUNT)
 }
@@ -60,11 +62,11 @@
             next_request: 0,
             next_edge: 0,
             next_job: 0,
-            next_act: Duration::ZERO,
+            next_actions_at: Duration::ZERO,
             observations: Observations::default(),
             is_quiescent: false,
         };
-        for _ in 0..EDGES {
+        for _ in 0..EDGE_COUNT {
             clients.start_edge(cluster);
         }
         clients
@@ -73,19 +75,19 @@
     fn start_edge(&mut self, cluster: &mut Cluster) {
         self.next_edge += 1;
         let address = SocketAddr::from(([10, 1, 0, 1], 1000 + self.next_edge as u16));
-        self.edges.insert(self.next_edge, Edge { address, drives: BTreeMap::new() });
+        self.edges.insert(self.next_edge, Edge { address, driven_jobs: BTreeMap::new() });
         cluster.set_edge(self.next_edge, Some(address));
     }
 
-    /// Does what is due at the edges.
-    pub fn act(&mut self, cluster: &mut Cluster) {
-        if cluster.now < self.next_act {
+    /// Performs the due actions of all edges.
+    pub fn run_due_actions(&mut self, cluster: &mut Cluster) {
+        if cluster.now < self.next_actions_at {
             return;
         }
-        self.next_act = cluster.now + Duration::from_millis(20);
+        self.next_actions_at = cluster.now + Duration::from_millis(20);
         cluster.wake_in(20);
         self.resend(cluster);
-        self.drive(cluster);
+        self.send_driver_requests(cluster);
         if !self.is_quiescent {
             self.send_random_request(cluster);
             self.replace_edge(cluster);
@@ -100,7 +102,7 @@
         if let Some(edge) = cluster.rng.choice(&ids).copied() {
             self.edges.remove(&edge);
             self.requests.retain(|_, pending| pending.edge != edge);
-            // Sometimes it announces its shutdown; otherwise only time-outs reveal it.
+            // Half of the edges announce their shutdown; the others are replaced as drivers only after a time-out.
             if cluster.rng.bool() {
                 cluster.set_edge(edge, None);
             }
@@ -127,13 +129,13 @@
                 self.send_request(cluster, edge, &job.clone(), JobsRequest::ReadItemBody { job, item });
             }
             (8, Some(job)) if cluster.rng.u8(..10) == 0 => {
-                if let Some(known) = self.observations.jobs.get_mut(&job) {
-                    known.end_requested = true;
+                if let Some(observed) = self.observations.jobs.get_mut(&job) {
+                    observed.end_requested = true;
                 }
                 self.send_request(cluster, edge, &job.clone(), JobsRequest::EndJob { job });
             }
             (9, Some(job)) => {
-                // Submitted again, at another edge.
+                // Submits the batch job again, possibly at another edge.
                 let record = Arc::clone(&self.observations.jobs[&job].record);
                 self.send_request(cluster, edge, &job, JobsRequest::CreateJob { job: record });
             }
@@ -163,7 +165,7 @@
             desired_groups: 1,
             items: items.collect(),
         });
-        let known = ObservedJob {
+        let observed = ObservedJob {
             record: Arc::clone(&record),
             first_sent: cluster.now,
             highest_age: Duration::ZERO,
@@ -175,16 +177,16 @@
             acknowledged_items: Default::default(),
             held_term: (0, Duration::ZERO),
         };
-        self.observations.jobs.insert(id.clone(), known);
+        self.observations.jobs.insert(id.clone(), observed);
         self.send_request(cluster, edge, &id, JobsRequest::CreateJob { job: record });
     }
 
-    /// Renews the leases of drivers, and appends results.
-    fn drive(&mut self, cluster: &mut Cluster) {
+    /// Sends the requests of the drivers: renewals that are due, and results at random.
+    fn send_driver_requests(&mut self, cluster: &mut Cluster) {
         let now = cluster.now;
         let mut requests = Vec::new();
         for (edge, state) in &mut self.edges {
-            for (job, (term, renew_at)) in &mut state.drives {
+            for (job, (term, renew_at)) in &mut state.driven_jobs {
                 if now >= *renew_at {
                     *renew_at = now + Duration::from_millis(RENEW_MS);
                     requests.push((
@@ -194,9 +196,9 @@
                     ));
                 }
                 if cluster.rng.u8(..30) == 0 {
-                    let Some(known) = self.observations.jobs.get_mut(job) else { continue };
-                    let item = cluster.rng.u32(..known.record.items.len() as u32);
-                    known.sent.insert(item);
+                    let Some(observed) = self.observations.jobs.get_mut(job) else { continue };
+                    let item = cluster.rng.u32(..observed.record.items.len() as u32);
+                    observed.sent.insert(item);
                     let text = format!("{job} {item} by {edge} under {term}").into_bytes();
                     let versions = vec![*term];
                     let result = ResultRecord { item, completed: true, text, versions, score: String::new() };
@@ -229,14 +231,15 @@
         let Some(edge) = self.edges.get(&pending.edge) else { return };
         let caller = Caller { request, reply_to: edge.address, edge: pending.edge };
         let record = cluster.chain(pending.partition).clone();
-        let at_tail =
+        let is_for_tail =
             matches!(pending.request, JobsRequest::ReadResults { .. } | JobsRequest::ReadItemBody { .. });
-        let member = if at_tail { record.chain.last() } else { record.chain.first() };
-        // Not every edge knows the newest chain, so some requests go to any backend.
-        let any_backend: Vec<u64> = cluster.backends().map(|(member, _)| member).collect();
-        let misdirected = cluster.rng.u8(..100) < 10;
-        let member = if misdirected { cluster.rng.choice(&any_backend).copied() } else { member.copied() };
-        let epoch = if misdirected { 1 } else { record.epoch };
+        let member = if is_for_tail { record.chain.last() } else { record.chain.first() };
+        // Some edges don't know the newest chain, so 10 % of the requests are sent to an arbitrary backend.
+        let running_backends: Vec<u64> = cluster.backends().map(|(member, _)| member).collect();
+        let is_misdirected = cluster.rng.u8(..100) < 10;
+        let member =
+            if is_misdirected { cluster.rng.choice(&running_backends).copied() } else { member.copied() };
+        let epoch = if is_misdirected { 1 } else { record.epoch };
         let body = pending.request.clone();
         if let Some(member) = member {
             cluster.send_request(member, pending.partition, ClientRequest { caller, epoch, body });
@@ -245,16 +248,17 @@
 
     fn resend(&mut self, cluster: &mut Cluster) {
         let now = cluster.now;
-        let age = |since: Duration| (now - since).as_millis() as u64;
+        let elapsed_ms = |since: Duration| (now - since).as_millis() as u64;
         let is_renewal =
             |pending: &PendingRequest| matches!(pending.request, JobsRequest::RenewDriverLeases { .. });
         self.requests.retain(|_, pending| {
-            let most = if is_renewal(pending) { RENEW_MS } else { REQUEST_TIMEOUT_MS };
-            age(pending.first_sent) < most
+            let max_age_ms = if is_renewal(pending) { RENEW_MS } else { REQUEST_TIMEOUT_MS };
+            elapsed_ms(pending.first_sent) < max_age_ms
         });
-        let late = |pending: &PendingRequest| age(pending.last_sent) >= RESEND_MS && !is_renewal(pending);
+        let is_due =
+            |pending: &PendingRequest| elapsed_ms(pending.last_sent) >= RESEND_MS && !is_renewal(pending);
         let due: Vec<u64> =
-            self.requests.iter().filter(|(_, pending)| late(pending)).map(|(number, _)| *number).collect();
+            self.requests.iter().filter(|(_, pending)| is_due(pending)).map(|(number, _)| *number).collect();
         for number in due {
             if let Some(mut pending) = self.requests.remove(&number) {
                 pending.last_sent = now;
@@ -264,7 +268,7 @@
         }
     }
 
-    /// A message to an edge has arrived.
+    /// Handles a message to an edge.
     pub fn receive(&mut self, cluster: &Cluster, to: SocketAddr, message: JobsMessage) {
         let now = cluster.now;
         match message {
@@ -274,17 +278,20 @@
                 for item in items_with_results {
                     assert!((item as usize) < job.items.len());
                 }
-                self.observations.count("drive");
+                self.observations.count("assignment");
                 let found = self.edges.values_mut().find(|edge| edge.address == to);
                 if let Some(edge) = found {
-                    let known = edge.drives.entry(job.id.clone()).or_insert((term, now));
-                    if known.0 < term {
-                        *known = (term, now);
+                    let driven_job = edge.driven_jobs.entry(job.id.clone()).or_insert((term, now));
+                    if driven_job.0 < term {
+                        *driven_job = (term, now);
                     }
                 }
             }
             JobsMessage::StopDriver { job, .. } => {
-                self.edges.values_mut().find(|edge| edge.address == to).map(|edge| edge.drives.remove(&job));
+                self.edges
+                    .values_mut()
+                    .find(|edge| edge.address == to)
+                    .map(|edge| edge.driven_jobs.remove(&job));
             }
             JobsMessage::Request { .. } => unreachable!("backends send no requests"),
         }
@@ -301,13 +308,13 @@
                 self.observations.count("created");
                 self.observations.jobs.get_mut(&job).unwrap().created.get_or_insert(now);
                 if let (Some(term), Some(state)) = (driver_term, self.edges.get_mut(&edge)) {
-                    state.drives.entry(job).or_insert((term, now));
+                    state.driven_jobs.entry(job).or_insert((term, now));
                 }
             }
             (JobsRequest::AppendResults { results, .. }, JobsResponse::Appended) => {
                 self.observations.count("appended");
-                let known = self.observations.jobs.get_mut(&job).unwrap();
-                known.acknowledged_items.extend(results.iter().map(|result| result.item));
+                let observed = self.observations.jobs.get_mut(&job).unwrap();
+                observed.acknowledged_items.extend(results.iter().map(|result| result.item));
             }
             (JobsRequest::AppendResults { .. }, JobsResponse::Fenced | JobsResponse::Ended) => {}
             (JobsRequest::EndJob { .. }, JobsResponse::Ended) => {
@@ -322,11 +329,11 @@
             (JobsRequest::ReadItemBody { item, .. }, JobsResponse::ItemBody(body)) => {
                 self.observations.count("body");
                 let record = &self.observations.jobs[&job].record;
-                let expected = record.items.iter().find(|known| known.id == item);
+                let expected = record.items.iter().find(|candidate| candidate.id == item);
                 assert_eq!(Some(&body), expected.map(|item| &item.body));
             }
             (JobsRequest::ReadItemBody { item, .. }, JobsResponse::NotFound) => {
-                self.on_no_body(sent, &job, &item);
+                self.on_item_body_not_found(sent, &job, &item);
             }
             (JobsRequest::RenewDriverLeases { jobs }, JobsResponse::Renewed(states)) => {
                 for ((job, term), state) in jobs.into_iter().zip(states) {
@@ -338,13 +345,13 @@
         }
     }
 
-    /// An item without a body has a result or does not exist, or its batch job is ended or was never acknowledged.
-    fn on_no_body(&mut self, sent: Duration, job: &str, item: &str) {
-        let known = &self.observations.jobs[job];
-        let index = known.record.items.iter().position(|known| known.id == item);
-        let acknowledged = known.created.is_some_and(|at| at < sent);
-        let may_have_result = index.is_none_or(|index| known.sent.contains(&(index as u32)));
-        assert!(!acknowledged || known.end_requested || may_have_result, "{item} has no body");
+    /// Checks a response without a body: the item has a result or does not exist, or its batch job is ended or was never acknowledged.
+    fn on_item_body_not_found(&mut self, sent: Duration, job: &str, item: &str) {
+        let observed = &self.observations.jobs[job];
+        let index = observed.record.items.iter().position(|candidate| candidate.id == item);
+        let is_acknowledged = observed.created.is_some_and(|at| at < sent);
+        let may_have_result = index.is_none_or(|index| observed.sent.contains(&(index as u32)));
+        assert!(!is_acknowledged || observed.end_requested || may_have_result, "{item} has no body");
     }
 
     fn on_lease_state(
@@ -358,21 +365,21 @@
     ) {
         match state {
             DriverLeaseState::Held => {
-                self.observations.count("held");
+                self.observations.count("lease held");
                 self.observations.on_lease_held(now, sent, job, term);
             }
             DriverLeaseState::Ended | DriverLeaseState::Fenced => {
                 if let Some(state) = self.edges.get_mut(&edge) {
-                    if state.drives.get(job).is_some_and(|(known, _)| *known == term) {
-                        state.drives.remove(job);
+                    if state.driven_jobs.get(job).is_some_and(|(current_term, _)| *current_term == term) {
+                        state.driven_jobs.remove(job);
                     }
                 }
             }
         }
     }
 
-    /// Whether some edge drives a batch job.
+    /// Whether any running edge drives a batch job.
     pub fn is_driven(&self, job: &str) -> bool {
-        self.edges.values().any(|edge| edge.drives.contains_key(job))
+        self.edges.values().any(|edge| edge.driven_jobs.contains_key(job))
     }
 }
--- a/system/jobs/tests/common/cluster.rs
+++ b/system/jobs/tests/common/cluster.rs
@@ -1,4 +1,4 @@
-//! Backends on a simulated network with simulated disks, clocks and crashes. Deterministic for a seed.
+//! Backends on a simulated network with simulated disks, clocks and crashes. Deterministic for a given seed.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -15,9 +15,9 @@
 use super::disk::Disk;
 use super::settings::TestSettings;
 
-/// Partitions that are used.
+/// Number of partitions that are used, starting from 0.
 pub const PARTITION_COUNT: u16 = 2;
-const BACKENDS: usize = 4;
+const BACKEND_COUNT: usize = 4;
 const MAX_DELAY_MS: u64 = 15;
 const MAX_CLOCK_OFFSET_MS: u64 = 1_000_000_000;
 
@@ -32,15 +32,16 @@
     Wake,
 }
 
-/// From whom a machine is cut off, in both directions.
+/// The peers from which a machine is isolated, in both directions.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum Isolation {
     None,
-    /// From all but edges.
+    /// Isolated from all but edges.
     Peers,
     Complete,
 }
 
+/// A machine with the process and the disk of one backend.
 pub(super) struct Machine {
     pub(super) member: u64,
     incarnation: u64,
@@ -49,33 +50,33 @@
     last_token: u64,
     timer_at: Option<Duration>,
     is_syncing: bool,
-    /// What the monotonic clock of this incarnation showed when the simulation began: each has its own.
+    /// Reading of the monotonic clock of this incarnation at the start of the simulation; different for each incarnation.
     clock_offset: Duration,
     pub(super) isolation: Isolation,
-    /// Its disk completes no writes.
+    /// Whether the disk completes no writes.
     pub(super) is_disk_stalled: bool,
 }
 
-/// The simulation of everything but the clients.
+/// The simulated cluster without its clients.
 pub struct Cluster {
     pub now: Duration,
     pub rng: Rng,
     pub coordinator: Coordinator,
-    /// Edges that run.
+    /// Addresses of the running edges by incarnation.
     pub edges: BTreeMap<u64, SocketAddr>,
     settings: JobsSettings,
     pub(super) machines: Vec<Machine>,
     queue: BTreeMap<(Duration, u64), SimulatedEvent>,
-    next: u64,
+    last_event_number: u64,
     pub(super) next_member: u64,
-    /// How likely a message is lost, in percent.
-    pub loss: u8,
+    /// Probability that a message is lost, in percent.
+    pub loss_percent: u8,
     pub has_faults: bool,
 }
 
 impl Cluster {
     pub fn new(seed: u64) -> Self {
-        let members: Vec<u64> = (1..=BACKENDS as u64).collect();
+        let members: Vec<u64> = (1..=BACKEND_COUNT as u64).collect();
         let coordinator = Coordinator::new(PARTITION_COUNT, &members);
         let machines = members.iter().map(|member| Machine::new(*member)).collect();
         let mut cluster = Self {
@@ -86,19 +87,20 @@
             settings: TestSettings { fault_tolerance: 1, memory_mb: 64, retention_s: None }.build(),
             machines,
             queue: BTreeMap::new(),
-            next: 0,
-            next_member: BACKENDS as u64 + 1,
-            loss: 3,
+            last_event_number: 0,
+            next_member: BACKEND_COUNT as u64 + 1,
+            loss_percent: 3,
             has_faults: true,
         };
-        for backend in 0..BACKENDS {
+        for backend in 0..BACKEND_COUNT {
             cluster.start(backend);
         }
         cluster.after(100, SimulatedEvent::Coordinate);
         cluster
     }
 
-    /// Handles the next event; returns the message if it is one to an edge. None once the end is reached.
+    /// Handles the next event. Returns `Some(Some(..))` with the message if the event delivers one to an edge, and `None` once `end`
+    /// is reached.
     pub fn step(&mut self, end: Duration) -> Option<Option<(SocketAddr, JobsMessage)>> {
         let ((at, _), event) = self.queue.pop_first()?;
         if at > end {
@@ -118,11 +120,12 @@
             }
             SimulatedEvent::Sync { backend, incarnation } => self.sync(backend, incarnation),
             SimulatedEvent::Deliver { to, event } => {
-                let reached = |it: &Machine| {
-                    it.isolation == Isolation::None
-                        || (it.isolation == Isolation::Peers && is_from_edge(&event))
+                let is_reachable = |machine: &Machine| {
+                    machine.isolation == Isolation::None
+                        || (machine.isolation == Isolation::Peers && is_from_edge(&event))
                 };
-                let found = self.machines.iter().position(|it| it.member == to && reached(it));
+                let found =
+                    self.machines.iter().position(|machine| machine.member == to && is_reachable(machine));
                 if let Some(backend) = found {
                     self.handle_event(backend, event);
                 }
@@ -135,7 +138,7 @@
         Some(None)
     }
 
-    /// Schedules a step without any event.
+    /// Schedules a step that handles no event, so that the clients can act.
     pub fn wake_in(&mut self, milliseconds: u64) {
         self.after(milliseconds, SimulatedEvent::Wake);
     }
@@ -145,33 +148,35 @@
         self.send(member, BackendEvent::Request { partition, request });
     }
 
-    /// The newest chain of a partition.
+    /// The current chain of a partition.
     pub fn chain(&self, partition: u16) -> &PartitionRecord {
         self.coordinator.record(partition)
     }
 
-    /// Ends all faults.
+    /// Ends all faults and restores all machines.
     pub fn end_faults(&mut self) {
         self.has_faults = false;
-        self.loss = 0;
+        self.loss_percent = 0;
         for backend in 0..self.machines.len() {
             self.restore(backend);
         }
     }
 
-    /// The backends that run.
+    /// The running backends by member.
     pub fn backends(&self) -> impl Iterator<Item = (u64, &Backend)> {
-        self.machines.iter().filter_map(|it| it.backend.as_ref().map(|backend| (it.member, backend)))
+        self.machines
+            .iter()
+            .filter_map(|machine| machine.backend.as_ref().map(|backend| (machine.member, backend)))
     }
 
     pub(super) fn after(&mut self, milliseconds: u64, event: SimulatedEvent) {
-        self.next += 1;
+        self.last_event_number += 1;
         let at = self.now + Duration::from_millis(milliseconds);
-        self.queue.insert((at, self.next), event);
+        self.queue.insert((at, self.last_event_number), event);
     }
 
     pub(super) fn send(&mut self, to: u64, event: BackendEvent) {
-        if self.rng.u8(..100) >= self.loss {
+        if self.rng.u8(..100) >= self.loss_percent {
             let delay = 1 + self.rng.u64(..MAX_DELAY_MS);
             self.after(delay, SimulatedEvent::Deliver { to, event });
         }
@@ -179,12 +184,12 @@
 
     fn handle_event(&mut self, backend: usize, event: BackendEvent) {
         let machine = &mut self.machines[backend];
-        let moment = self.now + machine.clock_offset;
-        let Some(running) = machine.backend.as_mut() else {
+        let local_now = self.now + machine.clock_offset;
+        let Some(running_backend) = machine.backend.as_mut() else {
             return;
         };
         let mut actions = Vec::new();
-        running.handle(moment, event, &mut actions);
+        running_backend.handle(local_now, event, &mut actions);
         let (from, isolation) = (MemberId(machine.member), machine.isolation);
         for action in actions {
             match action {
@@ -194,7 +199,7 @@
                     }
                 }
                 BackendAction::SendToEdge { to, message } => {
-                    if isolation != Isolation::Complete && self.rng.u8(..100) >= self.loss {
+                    if isolation != Isolation::Complete && self.rng.u8(..100) >= self.loss_percent {
                         let delay = 1 + self.rng.u64(..MAX_DELAY_MS);
                         self.after(delay, SimulatedEvent::ToEdge { to, message });
                     }
@@ -210,12 +215,12 @@
     }
 
     fn write_snapshot_sometimes(&mut self, backend: usize) {
-        let due = self.rng.u16(..500) == 0;
+        let is_due = self.rng.u16(..500) == 0;
         let machine = &mut self.machines[backend];
-        let Some(running) = machine.backend.as_ref().filter(|_| due) else {
+        let Some(running_backend) = machine.backend.as_ref().filter(|_| is_due) else {
             return;
         };
-        if let Some(records) = running.checkpoint().unwrap() {
+        if let Some(records) = running_backend.checkpoint().unwrap() {
             machine.disk.snapshot(machine.last_token, records);
         }
     }
@@ -236,8 +241,11 @@
         };
         if machine.timer_at.is_none_or(|at| timer < at) {
             machine.timer_at = Some(timer);
-            self.next += 1;
-            self.queue.insert((timer, self.next), SimulatedEvent::TimerExpired { backend, incarnation });
+            self.last_event_number += 1;
+            self.queue.insert(
+                (timer, self.last_event_number),
+                SimulatedEvent::TimerExpired { backend, incarnation },
+            );
         }
     }
 
@@ -277,7 +285,7 @@
         }
     }
 
-    /// An edge starts, or announces its shutdown.
+    /// Starts an edge at an address, or shuts it down with an announcement if there is none.
     pub fn set_edge(&mut self, incarnation: u64, address: Option<SocketAddr>) {
         match address {
             Some(address) => self.edges.insert(incarnation, address),
--- a/system/jobs/tests/common/coordinator.rs
+++ b/system/jobs/tests/common/coordinator.rs
@@ -1,4 +1,4 @@
-//! The chains of partitions as the control plane changes them: its state and its planner, over the members of a simulation.
+//! A coordinator for simulations: changes the chains of partitions with the state and the planner of the control plane.
 
 use std::collections::BTreeMap;
 
@@ -8,7 +8,7 @@
 
 const FAULT_TOLERANCE: usize = 1;
 
-/// The chains of some partitions.
+/// Control state with the chains of the partitions numbered from 0 up to `partitions`, exclusive.
 pub struct Coordinator {
     state: ControlState,
     sequence: u64,
@@ -18,7 +18,7 @@
 }
 
 impl Coordinator {
-    /// First chains over these members.
+    /// Creates the first chains from these members.
     pub fn new(partitions: u16, members: &[u64]) -> Self {
         let mut coordinator =
             Self { state: ControlState::default(), sequence: 0, partitions, retiring: None };
@@ -26,17 +26,17 @@
         coordinator
     }
 
-    /// The newest chain of a partition.
+    /// The current chain of a partition.
     pub fn record(&self, partition: u16) -> &PartitionRecord {
         self.state.partitions().get(partition).unwrap()
     }
 
-    /// The newest chains.
+    /// The current chains by partition.
     pub fn records(&self) -> BTreeMap<u16, PartitionRecord> {
         (0..self.partitions).map(|partition| (partition, self.record(partition).clone())).collect()
     }
 
-    /// A member reports the epochs in which it is in sync; what is known already is not applied again.
+    /// Handles a report of a member about the epochs in which it is in sync. Epochs reported before are not applied again.
     pub fn report(&mut self, member: u64, in_sync: &[(u16, u64)]) {
         for (partition, epoch) in in_sync.iter().copied() {
             let known = self.state.partitions().get(partition);
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Whether every member of every chain is in sync and alive.
+    /// Whether all members of all chains are in sync and alive.
     pub fn is_in_sync(&self, alive: &[u64]) -> bool {
         self.records().values().all(|record| {
             record.in_sync.len() == record.chain.len()
@@ -55,13 +55,13 @@
         })
     }
 
-    /// Whether a member is in no chain.
-    pub fn is_empty(&self, member: u64) -> bool {
+    /// Whether a member belongs to no chain.
+    pub fn has_no_partitions(&self, member: u64) -> bool {
         self.records().values().all(|record| !record.chain.contains(&member))
     }
 
-    /// Changes the chains of some partitions, where a member is not alive or is to leave.
-    pub fn plan(&mut self, alive: &[u64], mut looks_at: impl FnMut(u16) -> bool) {
+    /// Changes the chains that have a member that is not alive or is being retired, for the partitions selected by `is_planned`.
+    pub fn plan(&mut self, alive: &[u64], mut is_planned: impl FnMut(u16) -> bool) {
         let condition = |member: u64| {
             if Some(member) == self.retiring {
                 BackendCondition::Retiring
@@ -77,7 +77,7 @@
         let backends = Backends::new(backends, FAULT_TOLERANCE);
         let changes = backends.plan(|partition| self.state.partitions().get(partition));
         for change in changes {
-            if change.partition < self.partitions && looks_at(change.partition) {
+            if change.partition < self.partitions && is_planned(change.partition) {
                 let set = Command::SetPartition {
                     partition: change.partition,
                     record: change.record,
--- a/system/jobs/tests/common/disk.rs
+++ b/system/jobs/tests/common/disk.rs
@@ -1,9 +1,11 @@
-//! A disk that syncs batches in order after a delay; after a crash it holds what was synced and perhaps a few batches more.
+//! A simulated disk that syncs batches in order after a delay. After a crash it contains the synced batches, and possibly some of the
+//! batches that were pending.
 
 use std::collections::VecDeque;
 
 use fastrand::Rng;
 
+/// A queued write.
 struct Write {
     token: u64,
     records: Vec<Vec<u8>>,
@@ -18,7 +20,7 @@
 }
 
 impl Disk {
-    /// An empty disk with an identity.
+    /// Creates a disk that contains only its identity.
     pub fn new(identity: Vec<u8>) -> Self {
         Self { synced: vec![identity], pending: VecDeque::new() }
     }
@@ -28,7 +30,7 @@
         self.pending.push_back(Write { token, records, is_snapshot: false });
     }
 
-    /// Queues records that replace all before.
+    /// Queues records that replace all earlier ones.
     pub fn snapshot(&mut self, token: u64, records: Vec<Vec<u8>>) {
         self.pending.push_back(Write { token, records, is_snapshot: true });
     }
@@ -38,13 +40,14 @@
         !self.pending.is_empty()
     }
 
-    /// Syncs some of the pending writes; returns the token up to which all is durable.
+    /// Syncs a random number of the pending writes; returns the token up to which all writes are durable.
     pub fn sync(&mut self, rng: &mut Rng) -> Option<u64> {
         let count = rng.usize(..=self.pending.len());
         self.sync_first(count)
     }
 
-    /// The process or the machine crashes: batches that were not synced may be there or not, each as a whole and in order.
+    /// Simulates a crash of the process or the machine: a random number of the pending batches is on the disk, in order and each as a
+    /// whole; the others are lost.
     pub fn crash(&mut self, rng: &mut Rng) {
         let _ = self.sync(rng);
         self.pending.clear();
--- a/system/jobs/tests/common/mod.rs
+++ b/system/jobs/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! The one way in which tests set up backends: a single one driven step by step, or a simulated cluster with clients, a coordinator
-//! and faults. All have the same settings and disks in memory. Each test uses a part of this.
+//! Set-up of backends shared by all tests: a single backend driven step by step, or a simulated cluster with clients, a coordinator
+//! and faults. Settings are built by the same code, and disks are in memory. Each test uses only a part of this module.
 #![allow(dead_code)]
 
 pub mod clients;
--- a/system/jobs/tests/common/observations.rs
+++ b/system/jobs/tests/common/observations.rs
@@ -1,4 +1,4 @@
-//! What edges have received, and what therefore must hold of everything that they receive later.
+//! Responses and messages that the simulated edges have received, and checks of later ones against them.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -9,40 +9,40 @@
 /// A batch job as the edges have observed it.
 pub struct ObservedJob {
     pub record: Arc<JobRecord>,
-    /// When it was sent first.
+    /// Time at which its creation was first sent.
     pub first_sent: Duration,
-    /// The highest age in an assignment.
+    /// Highest age received in an assignment.
     pub highest_age: Duration,
-    /// When it was first acknowledged.
+    /// Time at which its creation was first acknowledged.
     pub created: Option<Duration>,
-    /// When its end was first acknowledged.
+    /// Time at which its end was first acknowledged.
     pub ended: Option<Duration>,
     /// Whether any edge has requested its end.
     pub end_requested: bool,
-    /// Items for which somebody sent a result.
+    /// Items for which an edge has sent a result.
     pub sent: BTreeSet<u32>,
-    /// By position: the item and result that were received, and when first.
+    /// Received results by position: id of the item, result, and time at which it was first received.
     pub received: BTreeMap<u64, (String, ResultRecord, Duration)>,
     /// Items whose results were acknowledged.
     pub acknowledged_items: BTreeSet<u32>,
-    /// The newest term whose lease was held, and when a renewal first confirmed it.
+    /// Newest term in which a lease was confirmed as held, and the time of the first confirmation.
     pub held_term: (u64, Duration),
 }
 
-/// All that edges have observed.
+/// All observations of the edges.
 #[derive(Default)]
 pub struct Observations {
     pub jobs: BTreeMap<String, ObservedJob>,
-    /// Numbers of responses by kind, which show that a run covers them.
+    /// Numbers of received responses and messages by kind, which show that a run covers each kind.
     pub responses: BTreeMap<&'static str, u64>,
 }
 
 impl Observations {
-    pub fn count(&mut self, what: &'static str) {
-        *self.responses.entry(what).or_default() += 1;
+    pub fn count(&mut self, kind: &'static str) {
+        *self.responses.entry(kind).or_default() += 1;
     }
 
-    /// Results have arrived for a request sent at a time.
+    /// Checks results received at `now` for a request sent at `sent`.
     pub fn on_results(
         &mut self,
         now: Duration,
@@ -51,35 +51,40 @@
         start: u64,
         page: &[(String, ResultRecord)],
     ) {
-        let known = self.jobs.get_mut(id).unwrap();
+        let observed = self.jobs.get_mut(id).unwrap();
         let end = start + page.len() as u64;
         for (position, (item, result)) in (start..).zip(page) {
-            assert_eq!(known.record.items[result.item as usize].id, *item, "{id}: position {position}");
-            let received =
-                known.received.entry(position).or_insert_with(|| (item.clone(), result.clone(), now)).clone();
+            assert_eq!(observed.record.items[result.item as usize].id, *item, "{id}: position {position}");
+            let received = observed
+                .received
+                .entry(position)
+                .or_insert_with(|| (item.clone(), result.clone(), now))
+                .clone();
             assert_eq!((&received.0, &received.1), (item, result), "{id}: position {position} has changed");
         }
-        let missing =
-            known.received.iter().find(|(position, (_, _, at))| **position >= start.max(end) && *at < sent);
+        let missing = observed
+            .received
+            .iter()
+            .find(|(position, (_, _, at))| **position >= start.max(end) && *at < sent);
         assert!(
             missing.is_none() || !page.is_empty(),
-            "{id}: position {missing:?} was received, and is gone"
+            "{id}: position {missing:?} was received and is missing now"
         );
-        let mut items: Vec<_> = known.received.values().map(|(item, _, _)| item).collect();
+        let mut items: Vec<_> = observed.received.values().map(|(item, _, _)| item).collect();
         items.sort();
         items.dedup();
-        assert_eq!(items.len(), known.received.len(), "{id}: an item stands at two positions");
+        assert_eq!(items.len(), observed.received.len(), "{id}: an item has two positions");
     }
 
-    /// A driver has received an age: it may be lower than the true one, never higher.
+    /// Checks an age that a driver has received: it may be lower than the true age, but never higher.
     pub fn on_age_received(&mut self, now: Duration, id: &str, age: Duration) {
-        let known = self.jobs.get_mut(id).unwrap();
-        let most = now - known.first_sent;
-        assert!(age <= most, "{id} is said to be {age:?} old, and was sent {most:?} ago");
-        known.highest_age = known.highest_age.max(age);
+        let observed = self.jobs.get_mut(id).unwrap();
+        let max_age = now - observed.first_sent;
+        assert!(age <= max_age, "{id}: received age {age:?}, but it was first sent {max_age:?} ago");
+        observed.highest_age = observed.highest_age.max(age);
     }
 
-    /// "No such batch job" has arrived for a request sent at a time.
+    /// Checks a response that a batch job does not exist, received for a request sent at `sent`.
     pub fn on_not_found(&mut self, sent: Duration, id: &str) {
         let created = self.jobs[id].created;
         assert!(
@@ -88,17 +93,21 @@
         );
     }
 
-    /// A lease was confirmed for a renewal sent at a time.
+    /// Checks that a lease may be held, confirmed at `now` for a renewal sent at `sent`.
     pub fn on_lease_held(&mut self, now: Duration, sent: Duration, id: &str, term: u64) {
-        let known = self.jobs.get_mut(id).unwrap();
-        assert!(known.ended.is_none_or(|at| at >= sent), "{id} was ended at {:?} and is held", known.ended);
-        let (newest, since) = known.held_term;
+        let observed = self.jobs.get_mut(id).unwrap();
+        assert!(
+            observed.ended.is_none_or(|at| at >= sent),
+            "{id} was ended at {:?}, but its lease is held",
+            observed.ended
+        );
+        let (newest, since) = observed.held_term;
         assert!(
             term >= newest || since >= sent,
-            "{id} is held under {term} after it was held under {newest}"
+            "{id}: lease held in term {term} after it was held in term {newest}"
         );
         if term > newest {
-            known.held_term = (term, now);
+            observed.held_term = (term, now);
         }
     }
 }
--- a/system/jobs/tests/common/settings.rs
+++ b/system/jobs/tests/common/settings.rs
@@ -3,18 +3,18 @@
 use gingerledge_jobs::JobsSettings;
 use gingerledge_protocol::Settings;
 
-/// The settings that differ between tests.
+/// Settings that differ between tests.
 pub struct TestSettings {
-    /// Machines that may be lost at the same time; a chain needs one member more.
+    /// Number of machines that may fail at the same time; a chain needs at least one member more.
     pub fault_tolerance: usize,
-    /// The memory limit of the process.
+    /// Memory limit of the process, in MiB.
     pub memory_mb: u64,
-    /// For how many seconds ended batch jobs are retained, in place of the default.
+    /// Retention period of ended batch jobs in seconds; the default if `None`.
     pub retention_s: Option<u64>,
 }
 
 impl TestSettings {
-    /// The settings of a backend, derived as in production.
+    /// Builds the settings of a backend, derived from process settings as in production.
     pub fn build(&self) -> JobsSettings {
         let bounds = self.retention_s.map_or(String::new(), |s| format!(r#""bounds":{{"statusS":{s}}},"#));
         let text = format!(
--- a/system/jobs/tests/common/single_backend.rs
+++ b/system/jobs/tests/common/single_backend.rs
@@ -1,4 +1,4 @@
-//! One backend alone on a backend: its disk is as fast as the test wants, and its edges are the test.
+//! A single backend without peers. The test controls the clock and the disk, and acts as the edges.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,24 +16,25 @@
 
 use super::settings::TestSettings;
 
-pub const ME: u64 = 5;
+pub const MEMBER: u64 = 5;
 pub const EDGE: u64 = 77;
 pub const OTHER_EDGE: u64 = 78;
-/// The next incarnation of `EDGE`.
+/// Incarnation of the edge `EDGE` after a restart.
 pub const NEXT_INCARNATION: u64 = 79;
 pub const PARTITION: u16 = 3;
 
-/// A backend, a clock, and all that the backend has written and sent.
+/// A backend with a clock, the records that it has written, and the messages that it has sent to edges.
 pub struct SingleBackend {
     pub backend: Backend,
     pub now: Duration,
+    /// Tokens of the writes that are not synced.
     unsynced: Vec<u64>,
     pub records: Vec<Vec<u8>>,
     pub sent: Vec<JobsMessage>,
     next_request: u64,
 }
 
-/// Settings of a backend that tolerates the loss of some machines.
+/// Settings of a backend whose chains tolerate the failure of `fault_tolerance` machines.
 pub fn settings(fault_tolerance: usize) -> JobsSettings {
     TestSettings { fault_tolerance, memory_mb: 16, retention_s: Some(100) }.build()
 }
@@ -43,9 +44,9 @@
 }
 
 impl SingleBackend {
-    /// A backend that is the whole chain of a partition.
-    pub fn new(machines: usize) -> Self {
-        let backend = Backend::new(MemberId(ME), DiskContent::default(), settings(machines), 1);
+    /// Creates a backend that is the only member of the chain of `PARTITION`.
+    pub fn new(fault_tolerance: usize) -> Self {
+        let backend = Backend::new(MemberId(MEMBER), DiskContent::default(), settings(fault_tolerance), 1);
         let (unsynced, records, sent) = (Vec::new(), Vec::new(), Vec::new());
         let mut host = Self { backend, now: Duration::ZERO, unsynced, records, sent, next_request: 0 };
         host.handle(BackendEvent::Started);
@@ -55,29 +56,31 @@
                 state: EdgeState::Reachable(address(edge)),
             });
         }
-        host.learn_chain();
+        host.install_chain();
         host
     }
 
-    /// The process starts again with its disk; the registry is not known yet.
+    /// Restarts the process with the content of its disk, and installs the chain. No edge is known yet.
     pub fn restart(&mut self) {
         self.restart_without_chain();
-        self.learn_chain();
-        // Callers of the incarnation before may get a second response.
+        self.install_chain();
+        // Callers of the previous incarnation may get a second response.
         self.sent.clear();
     }
 
+    /// Restarts the process with the content of its disk. Neither the chain nor any edge is known yet.
     pub fn restart_without_chain(&mut self) {
         let content = DiskContent::read(self.records.clone()).unwrap();
-        self.backend = Backend::new(MemberId(ME), content, settings(0), 2);
+        self.backend = Backend::new(MemberId(MEMBER), content, settings(0), 2);
         self.unsynced.clear();
         self.sent.clear();
         self.handle(BackendEvent::Started);
         self.sync();
     }
 
-    pub fn learn_chain(&mut self) {
-        let record = PartitionRecord { epoch: 1, chain: vec![ME], in_sync: vec![ME] };
+    /// Installs the chain of `PARTITION`.
+    pub fn install_chain(&mut self) {
+        let record = PartitionRecord { epoch: 1, chain: vec![MEMBER], in_sync: vec![MEMBER] };
         self.handle(BackendEvent::ChainChanged { partition: PARTITION, record });
         self.sync();
     }
@@ -87,7 +90,7 @@
         self.sync();
     }
 
-    /// The terms of the assignments sent to drivers.
+    /// Terms of the assignments sent to drivers.
     pub fn assigned_terms(&self) -> Vec<u64> {
         let term = |message: &JobsMessage| match message {
             JobsMessage::AssignDriver { term, .. } => Some(*term),
@@ -118,7 +121,7 @@
         }
     }
 
-    /// Advances the clock, and expires all timers on the way.
+    /// Advances the clock and handles all timers that expire in the meantime.
     pub fn advance(&mut self, milliseconds: u64) {
         let end = self.now + Duration::from_millis(milliseconds);
         while let Some(timer) = self.backend.next_timer().filter(|timer| *timer <= end) {
@@ -193,7 +196,7 @@
     JobsRequest::ReadResults { job: "j".to_owned(), start_after, wait_ms, max_bytes: 1_000_000 }
 }
 
-/// A part of the text of the second item.
+/// Saves a part of the text of the second item.
 pub fn save_checkpoint(term: u64, after: Option<u64>, last_id: u64, data: &[u8]) -> JobsRequest {
     let (data, versions) = (data.to_vec(), vec![1]);
     let part = PartialText {
--- a/system/jobs/tests/golden.rs
+++ b/system/jobs/tests/golden.rs
@@ -1,5 +1,5 @@
-//! The bytes that a backend stores: records on its disk, proposals of its chains, and the states of partitions. They are equal to
-//! the recorded ones.
+//! Checks that the bytes a backend stores equal the recorded ones: records on its disk, proposals of its chains, and states of
+//! partitions.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,6 +13,7 @@
 use gingerledge_jobs::store::{Caller, Command, EdgeProcess, Proposal, Store};
 use gingerledge_wire::{ItemRecord, JobRecord, PartialText, ResultRecord, ScoringRecord};
 
+/// A file of recorded samples, and the samples that the current code encodes.
 struct Golden {
     path: PathBuf,
     recorded: BTreeMap<String, Vec<u8>>,
@@ -26,7 +27,7 @@
         Self { path, recorded, samples: Vec::new() }
     }
 
-    /// Adds an encoded value; gives what is recorded under its name.
+    /// Adds an encoded value; returns the bytes recorded under its name, if there are any.
     fn add(&mut self, name: &str, bytes: Vec<u8>) -> Option<Vec<u8>> {
         self.samples.push(Sample::new(name, bytes));
         self.recorded.get(name).cloned()
@@ -149,13 +150,13 @@
     let mut golden = Golden::new("proposals.txt");
     let caller = Caller { request: 300, reply_to: address(2), edge: 70 };
     for (name, command) in commands() {
-        for (by, caller) in [("edge", Some(caller)), ("head", None)] {
+        for (proposer, caller) in [("edge", Some(caller)), ("head", None)] {
             let proposal = Proposal { caller, age: Duration::new(2, 3), command: command.clone() };
             let bytes = proposal.encode().expect("encodes");
-            if let Some(recorded) = golden.add(&format!("{name} by {by}"), bytes) {
+            if let Some(recorded) = golden.add(&format!("{name} by {proposer}"), bytes) {
                 let decoded = Proposal::decode(&recorded).expect("readable");
-                assert!(decoded == proposal, "{name} by {by}");
-                assert_eq!(decoded.encode().expect("encodes"), recorded, "{name} by {by}");
+                assert!(decoded == proposal, "{name} by {proposer}");
+                assert_eq!(decoded.encode().expect("encodes"), recorded, "{name} by {proposer}");
             }
         }
     }
--- a/system/jobs/tests/retention.rs
+++ b/system/jobs/tests/retention.rs
@@ -1,4 +1,5 @@
-//! Ages of batch jobs: measured by monotonic clocks alone, sent to the next driver, recorded over restarts, and never too high.
+//! Tests of the ages of batch jobs: they are measured only by monotonic clocks, sent to the next driver, preserved across restarts,
+//! and never too high.
 
 mod common;
 
@@ -10,7 +11,7 @@
 use gingerledge_wire::JobsMessage;
 use yare::parameterized;
 
-/// The age in the newest assignment, in milliseconds.
+/// Age of the batch job in the last assignment sent, in milliseconds.
 fn assigned_age(host: &SingleBackend) -> Option<u64> {
     let mut ages = host.sent.iter().filter_map(|message| match message {
         JobsMessage::AssignDriver { age_ms, .. } => Some(*age_ms),
@@ -19,19 +20,20 @@
     ages.next_back()
 }
 
+/// Whether the batch job is stored.
 fn is_stored(host: &SingleBackend) -> bool {
     host.backend.partition(PARTITION).is_some_and(|partition| partition.store().job("j").is_some())
 }
 
 #[parameterized(open = { false, 300_000, true }, ended_and_young = { true, 100_000, true }, ended_and_old = { true, 140_000, false })]
-fn only_an_ended_job_whose_retention_is_over_is_deleted(ended: bool, milliseconds: u64, stays: bool) {
+fn only_an_ended_job_whose_retention_is_over_is_deleted(ended: bool, elapsed_ms: u64, is_retained: bool) {
     let mut host = SingleBackend::new(0);
     host.request(create(10));
     if ended {
         host.request(end());
     }
-    host.advance(milliseconds);
-    assert_eq!(is_stored(&host), stays);
+    host.advance(elapsed_ms);
+    assert_eq!(is_stored(&host), is_retained);
 }
 
 #[test]
@@ -58,7 +60,7 @@
     }
     host.request(append(1, 0));
     host.advance(1_000);
-    // The monotonic clock of the next incarnation starts elsewhere.
+    // The monotonic clock of the next incarnation starts at another value.
     host.now = Duration::from_secs(1_000_000);
     host.restart();
     host.edge_is_reachable(NEXT_INCARNATION, address(EDGE));
@@ -71,12 +73,12 @@
     let mut host = SingleBackend::new(0);
     host.request(create(10));
     host.request(end());
-    let mut passed_s = 0;
+    let mut elapsed_s = 0;
     while is_stored(&host) {
-        assert!(passed_s < 600, "its age is lost with each restart");
+        assert!(elapsed_s < 600, "not deleted after {elapsed_s} s: each restart loses the age");
         host.advance(40_000);
-        passed_s += 40;
+        elapsed_s += 40;
         host.restart();
     }
-    assert!(passed_s >= 130, "deleted after {passed_s} s");
+    assert!(elapsed_s >= 130, "deleted after {elapsed_s} s");
 }
--- a/system/jobs/tests/simulation.rs
+++ b/system/jobs/tests/simulation.rs
@@ -1,4 +1,4 @@
-//! Backends, edges and a coordinator under faults: what was acknowledged is never lost and never changes.
+//! Simulation of backends, edges and a coordinator under faults. Acknowledged data must never be lost or changed.
 
 mod common;
 
@@ -14,16 +14,16 @@
 const QUIESCENT_DURATION: Duration = Duration::from_secs(12);
 
 fn run_until(cluster: &mut Cluster, clients: &mut Clients, end: Duration) {
-    clients.act(cluster);
+    clients.run_due_actions(cluster);
     while let Some(message) = cluster.step(end) {
         if let Some((to, message)) = message {
             clients.receive(cluster, to, message);
         }
-        clients.act(cluster);
+        clients.run_due_actions(cluster);
     }
 }
 
-/// Every acknowledged batch job is at every member of its chain, with the received results at their positions.
+/// Checks that every acknowledged batch job is stored at every member of its chain, with the received results at their positions.
 fn check_replicas(cluster: &Cluster, clients: &Clients) {
     for partition in 0..PARTITION_COUNT {
         let chain = cluster.chain(partition);
@@ -38,25 +38,26 @@
             assert_eq!(replica.in_sync_epoch(), Some(chain.epoch), "{chain:?}, here {:?}", replica.view());
             assert_eq!(replica.store(), replicas[0].store(), "replicas of partition {partition} differ");
         }
-        for (id, known) in clients.observations.jobs.iter().filter(|(id, _)| partition_of(id) == partition) {
-            check_job(replicas[0].store(), id, known, clients);
+        for (id, observed) in clients.observations.jobs.iter().filter(|(id, _)| partition_of(id) == partition)
+        {
+            check_job(replicas[0].store(), id, observed, clients);
         }
     }
 }
 
-fn check_job(store: &Store, id: &str, known: &ObservedJob, clients: &Clients) {
+fn check_job(store: &Store, id: &str, observed: &ObservedJob, clients: &Clients) {
     let Some(job) = store.job(id) else {
-        assert!(known.created.is_none(), "{id} was acknowledged and is lost");
+        assert!(observed.created.is_none(), "{id} was acknowledged and is lost");
         return;
     };
-    for (position, (_, result, _)) in &known.received {
+    for (position, (_, result, _)) in &observed.received {
         assert_eq!(job.results().get(*position as usize), Some(result), "{id}: position {position}");
     }
     assert!(
-        known.acknowledged_items.iter().all(|item| job.has_result(*item)),
+        observed.acknowledged_items.iter().all(|item| job.has_result(*item)),
         "{id}: an acknowledged result is lost"
     );
-    assert!(known.ended.is_none() || job.is_ended(), "{id}: an acknowledged end is lost");
+    assert!(observed.ended.is_none() || job.is_ended(), "{id}: an acknowledged end is lost");
     assert!(!job.needs_driver() || clients.is_driven(id), "{id} has no driver");
 }
 
@@ -68,18 +69,18 @@
     clients.is_quiescent = true;
     run_until(&mut cluster, &mut clients, FAULT_DURATION + QUIESCENT_DURATION);
     check_replicas(&cluster, &clients);
-    for (what, count) in &clients.observations.responses {
-        *totals.entry(what).or_default() += count;
+    for (kind, count) in &clients.observations.responses {
+        *totals.entry(kind).or_default() += count;
     }
-    let well_known = |known: &&ObservedJob| known.highest_age > Duration::from_secs(5);
+    let has_measured_age = |observed: &&ObservedJob| observed.highest_age > Duration::from_secs(5);
     *totals.entry("age of seconds").or_default() +=
-        clients.observations.jobs.values().filter(well_known).count() as u64;
+        clients.observations.jobs.values().filter(has_measured_age).count() as u64;
 }
 
-/// Prints the seed of a run that fails.
-struct PrintedSeed(u64);
+/// Prints the seed of a run that panics.
+struct SeedReport(u64);
 
-impl Drop for PrintedSeed {
+impl Drop for SeedReport {
     fn drop(&mut self) {
         if std::thread::panicking() {
             eprintln!("seed {}", self.0);
@@ -89,17 +90,28 @@
 
 #[test]
 fn acknowledged_jobs_results_and_ends_survive_crashes_partitions_and_view_changes() {
-    let first: u64 = std::env::var("SEED").ok().and_then(|it| it.parse().ok()).unwrap_or(1);
-    let count: u64 = std::env::var("SEEDS").ok().and_then(|it| it.parse().ok()).unwrap_or(60);
+    let first_seed: u64 = std::env::var("SEED").ok().and_then(|value| value.parse().ok()).unwrap_or(1);
+    let seed_count: u64 = std::env::var("SEEDS").ok().and_then(|value| value.parse().ok()).unwrap_or(60);
     let mut totals = BTreeMap::new();
-    for seed in first..first + count {
-        let _printed = PrintedSeed(seed);
+    for seed in first_seed..first_seed + seed_count {
+        let _seed_report = SeedReport(seed);
         run(seed, &mut totals);
     }
     eprintln!("{totals:?}");
-    for what in
-        ["created", "appended", "ended", "page", "empty page", "body", "held", "drive", "age of seconds"]
-    {
-        assert!(totals.get(what).is_some_and(|it| *it > 0), "no run had an response of the kind '{what}'");
+    for kind in [
+        "created",
+        "appended",
+        "ended",
+        "page",
+        "empty page",
+        "body",
+        "lease held",
+        "assignment",
+        "age of seconds",
+    ] {
+        assert!(
+            totals.get(kind).is_some_and(|value| *value > 0),
+            "no run had a response or message of the kind '{kind}'"
+        );
     }
 }
--- a/system/jobs/tests/store.rs
+++ b/system/jobs/tests/store.rs
@@ -1,4 +1,4 @@
-//! The state of one partition: positions, terms, ends, and what is stored and removed.
+//! Tests of the state of one partition: positions of results, terms, ends of batch jobs, and the storage and removal of data.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -71,8 +71,8 @@
 }
 
 fn result_texts(store: &Store) -> Vec<(String, String)> {
-    let found = store.job("j").map(|job| job.results_from(0, u64::MAX)).unwrap_or_default();
-    found.into_iter().map(|(id, result)| (id, String::from_utf8(result.text).unwrap())).collect()
+    let page = store.job("j").map(|job| job.results_from(0, u64::MAX)).unwrap_or_default();
+    page.into_iter().map(|(id, result)| (id, String::from_utf8(result.text).unwrap())).collect()
 }
 
 fn pairs(expected: &[(&str, &str)]) -> Vec<(String, String)> {
@@ -100,12 +100,12 @@
     let driver = Some((EDGE, 1));
     assert_eq!(create(&mut store), Outcome::Created { driver });
     append(&mut store, 1, &[(0, "a")]);
-    let again = store.apply(Command::Create { job: job("j"), edge: edge(99) });
-    assert_eq!(again, Outcome::Created { driver });
+    let second_outcome = store.apply(Command::Create { job: job("j"), edge: edge(99) });
+    assert_eq!(second_outcome, Outcome::Created { driver });
     assert_eq!(result_texts(&store), pairs(&[("a", "a")]));
 }
 
-/// A part of the text of item 1: from which beginning, after which event, up to which, and its data.
+/// A part of the text of item 1: origin, id of the previous event if any, id of the last event, and data.
 type TextPart = (u64, Option<u64>, u64, &'static str);
 
 fn save_checkpoint(store: &mut Store, term: u64, (origin, after, last_id, data): TextPart) -> Outcome {
@@ -155,14 +155,18 @@
         create(&mut store);
         let before = store.bytes();
         save_checkpoint(&mut store, 1, part);
-        assert!(store.bytes() > before, "it counts");
+        assert!(store.bytes() > before, "the text is included in the bytes");
         finish(&mut store);
         assert!(partial_texts(&store).is_empty());
         let after = store.bytes();
         save_checkpoint(&mut store, 1, part);
-        assert_eq!((partial_texts(&store).len(), store.bytes()), (0, after), "none is stored any more");
-        let again = Store::decode(&store.encode().unwrap()).unwrap();
-        assert_eq!(again, store);
+        assert_eq!(
+            (partial_texts(&store).len(), store.bytes()),
+            (0, after),
+            "a text is stored although its item has a result or the batch job is ended"
+        );
+        let decoded = Store::decode(&store.encode().unwrap()).unwrap();
+        assert_eq!(decoded, store);
     }
 }
 
@@ -250,8 +254,8 @@
     let mut store = Store::default();
     create(&mut store);
     append(&mut store, 1, &[(0, "a"), (1, "b"), (2, "c")]);
-    let found = store.job("j").map(|job| job.results_from(start_after, max_bytes)).unwrap_or_default();
-    assert_eq!(found.len(), expected);
+    let page = store.job("j").map(|job| job.results_from(start_after, max_bytes)).unwrap_or_default();
+    assert_eq!(page.len(), expected);
 }
 
 #[test]
