--- a/system/jobs/src/node/disk.rs
+++ b/system/jobs/src/node/disk.rs
@@ -51,7 +51,7 @@
             log::error!("disk corrupt, erased for a new member: {error}");
             Ring::open(erase(directory)?, ring_settings).context(DiskSnafu)?
         }
-        opened => opened.context(DiskSnafu)?,
+        result => result.context(DiskSnafu)?,
     };
     read_or_assign_identity(ring, recovered, new_member)
 }
@@ -212,11 +212,11 @@
 
     /// Whether a snapshot should be written now.
     pub(super) fn is_snapshot_due(&self, now: Duration) -> bool {
-        let wanted = self.has_failed || (self.is_snapshot_requested && self.backlog.is_empty());
-        wanted && !self.is_snapshot_queued && now >= self.next_snapshot_at
+        let is_needed = self.has_failed || (self.is_snapshot_requested && self.backlog.is_empty());
+        is_needed && !self.is_snapshot_queued && now >= self.next_snapshot_at
     }
 
-    /// When [`DiskWriter::is_snapshot_due`] becomes true without any other event.
+    /// Time at which [`DiskWriter::is_snapshot_due`] becomes true if no other event occurs before; `None` if it needs an event.
     pub(super) fn next_timer(&self) -> Option<Duration> {
         (self.has_failed && !self.is_snapshot_queued).then_some(self.next_snapshot_at)
     }
--- a/system/jobs/src/node/heartbeats.rs
+++ b/system/jobs/src/node/heartbeats.rs
@@ -10,7 +10,7 @@
 const SESSION_INTERVAL: Duration = Duration::from_millis(500);
 /// Interval of the heartbeats to the coordinator.
 const REPORT_INTERVAL: Duration = Duration::from_millis(300);
-/// A control node that has not acknowledged for this long is replaced by the next one.
+/// Time without an acknowledgement after which a control node is replaced by the next one.
 const ACK_TIMEOUT: Duration = Duration::from_millis(1200);
 /// Maximum number of control nodes known in addition to the seeds.
 const MAX_LEARNED_CONTROL_NODES: usize = 32;
--- a/system/jobs/src/node/mod.rs
+++ b/system/jobs/src/node/mod.rs
@@ -66,7 +66,7 @@
 }
 
 struct Node {
-    started: Instant,
+    started_at: Instant,
     settings: JobsSettings,
     network: Network<Envelope>,
     inbox: Inbox<Envelope>,
@@ -82,15 +82,15 @@
 
 impl Node {
     async fn start(settings: &Settings) -> Result<Self, JobsError> {
-        let started = Instant::now();
+        let started_at = Instant::now();
         let jobs_settings = JobsSettings::new(settings);
         let address = settings.internal_address();
         let data_dir = settings.data_dir.clone().context(MissingDataDirSnafu)?;
         let random_id = |purpose| identity::draw(&settings.node_name, address, purpose);
         let (network, inbox) = Network::bind(NetworkSettings::new(address)).await.context(NetworkSnafu)?;
-        let opened = loop {
+        let opened_disk = loop {
             match disk::open(&data_dir, &jobs_settings, random_id("member")) {
-                Ok(opened) => break opened,
+                Ok(opened_disk) => break opened_disk,
                 Err(error) => log::warn!("disk not opened, retrying: {error}"),
             }
             tokio::time::sleep(OPEN_RETRY).await;
@@ -99,20 +99,24 @@
             role: Role::Backend,
             name: settings.node_name.clone(),
             incarnation: random_id("incarnation"),
-            member: opened.member,
+            member: opened_disk.member,
             address,
             zone: settings.zone.clone(),
         };
         log::info!(member:% = format_args!("{:016x}", node.member), node = node.name.as_str(); "backend started");
         let relay_settings = RelaySettings::for_role(Role::Backend, &settings.zone);
-        let backend =
-            Backend::new(MemberId(opened.member), opened.content, jobs_settings.clone(), random_id("chain"));
+        let backend = Backend::new(
+            MemberId(opened_disk.member),
+            opened_disk.content,
+            jobs_settings.clone(),
+            random_id("chain"),
+        );
         let mut node = Self {
-            started,
+            started_at,
             settings: jobs_settings,
             network,
             inbox,
-            disk: DiskWriter::start(opened.ring)?,
+            disk: DiskWriter::start(opened_disk.ring)?,
             backend,
             relay: Relay::new(relay_settings, address, false, random_id("relay")),
             heartbeats: Heartbeats::new(node, settings.internal_seeds(), random_id("heartbeats")),
@@ -126,7 +130,7 @@
     }
 
     fn now(&self) -> Duration {
-        self.started.elapsed()
+        self.started_at.elapsed()
     }
 
     /// Time at which the next timer expires.
@@ -134,7 +138,7 @@
         let timers = [self.backend.next_timer(), self.relay.next_timer(), self.disk.next_timer()];
         let next = timers.into_iter().flatten().fold(self.heartbeats.next_timer(), Duration::min);
         let latest = self.now() + MAX_SLEEP;
-        self.started + next.min(latest)
+        self.started_at + next.min(latest)
     }
 
     /// Handles all timers that have expired.
--- a/system/jobs/src/partition/requests.rs
+++ b/system/jobs/src/partition/requests.rs
@@ -44,8 +44,8 @@
 
 impl WriteDecision {
     /// Decides to propose a command, unless the response is already known or the disk does not keep up.
-    fn new(known: Option<JobsResponse>, capacity: Capacity, command: Command) -> Self {
-        match known {
+    fn new(known_response: Option<JobsResponse>, capacity: Capacity, command: Command) -> Self {
+        match known_response {
             Some(response) => Self::Respond(response),
             None if capacity.is_disk_ready => Self::Propose(command),
             None => Self::Respond(JobsResponse::Unavailable),
@@ -61,8 +61,8 @@
     term: DriverTerm,
     results: Vec<ResultRecord>,
 ) -> WriteDecision {
-    let known = store.job(&job).and_then(|known| known_append_response(known, term, &results));
-    WriteDecision::new(known, capacity, Command::AppendResults { job, term, results })
+    let known_response = store.job(&job).and_then(|existing| known_append_response(existing, term, &results));
+    WriteDecision::new(known_response, capacity, Command::AppendResults { job, term, results })
 }
 
 /// Decides about texts that a driver saves of items without a result.
@@ -73,11 +73,11 @@
     term: DriverTerm,
     texts: Vec<PartialText>,
 ) -> WriteDecision {
-    let rejected = store.job(&job).and_then(|known| rejection(known, term));
+    let rejected = store.job(&job).and_then(|existing| rejection(existing, term));
     let bytes = texts.iter().map(|text| text.data.len() as u64).sum::<u64>();
     let is_too_large = bytes > capacity.state_bytes;
-    let known = rejected.or(is_too_large.then_some(JobsResponse::CapacityExceeded));
-    WriteDecision::new(known, capacity, Command::SaveCheckpoint { job, term, texts })
+    let known_response = rejected.or(is_too_large.then_some(JobsResponse::CapacityExceeded));
+    WriteDecision::new(known_response, capacity, Command::SaveCheckpoint { job, term, texts })
 }
 
 /// Decides about the end of a batch job that a client requests.
--- a/system/jobs/src/partition/retention.rs
+++ b/system/jobs/src/partition/retention.rs
@@ -58,8 +58,8 @@
         };
         let observed = ObservedAge { age: job.age(), observed_at: now };
         match self.by_job.get_mut(id) {
-            Some(known) if known.age(now) >= observed.age => {}
-            Some(known) => *known = observed,
+            Some(previous) if previous.age(now) >= observed.age => {}
+            Some(previous) => *previous = observed,
             None => {
                 self.by_job.insert(id.to_owned(), observed);
             }
--- a/system/jobs/tests/common/clients.rs
+++ b/system/jobs/tests/common/clients.rs
@@ -279,8 +279,8 @@
                     assert!((item as usize) < job.items.len());
                 }
                 self.observations.count("assignment");
-                let found = self.edges.values_mut().find(|edge| edge.address == to);
-                if let Some(edge) = found {
+                let receiver = self.edges.values_mut().find(|edge| edge.address == to);
+                if let Some(edge) = receiver {
                     let driven_job = edge.driven_jobs.entry(job.id.clone()).or_insert((term, now));
                     if driven_job.0 < term {
                         *driven_job = (term, now);
@@ -345,7 +345,8 @@
         }
     }
 
-    /// Checks a response without a body: the item has a result or does not exist, or its batch job is ended or was never acknowledged.
+    /// Checks a response without a body: the item has a result or does not exist, or its batch job is ended or was never
+    /// acknowledged.
     fn on_item_body_not_found(&mut self, sent: Duration, job: &str, item: &str) {
         let observed = &self.observations.jobs[job];
         let index = observed.record.items.iter().position(|candidate| candidate.id == item);
--- a/system/jobs/tests/common/cluster.rs
+++ b/system/jobs/tests/common/cluster.rs
@@ -99,8 +99,8 @@
         cluster
     }
 
-    /// Handles the next event. Returns `Some(Some(..))` with the message if the event delivers one to an edge, and `None` once `end`
-    /// is reached.
+    /// Handles the next event. Returns `Some(Some(..))` with the message if the event delivers one to an edge, and `None` once
+    /// `end` is reached.
     pub fn step(&mut self, end: Duration) -> Option<Option<(SocketAddr, JobsMessage)>> {
         let ((at, _), event) = self.queue.pop_first()?;
         if at > end {
@@ -124,9 +124,9 @@
                     machine.isolation == Isolation::None
                         || (machine.isolation == Isolation::Peers && is_from_edge(&event))
                 };
-                let found =
+                let receiver =
                     self.machines.iter().position(|machine| machine.member == to && is_reachable(machine));
-                if let Some(backend) = found {
+                if let Some(backend) = receiver {
                     self.handle_event(backend, event);
                 }
             }
@@ -138,7 +138,7 @@
         Some(None)
     }
 
-    /// Schedules a step that handles no event, so that the clients can act.
+    /// Schedules a step that handles no event, so that the clients run their due actions.
     pub fn wake_in(&mut self, milliseconds: u64) {
         self.after(milliseconds, SimulatedEvent::Wake);
     }
--- a/system/jobs/tests/common/coordinator.rs
+++ b/system/jobs/tests/common/coordinator.rs
@@ -39,8 +39,8 @@
     /// Handles a report of a member about the epochs in which it is in sync. Epochs reported before are not applied again.
     pub fn report(&mut self, member: u64, in_sync: &[(u16, u64)]) {
         for (partition, epoch) in in_sync.iter().copied() {
-            let known = self.state.partitions().get(partition);
-            if known.is_some_and(|record| record.epoch == epoch && !record.in_sync.contains(&member)) {
+            let current = self.state.partitions().get(partition);
+            if current.is_some_and(|record| record.epoch == epoch && !record.in_sync.contains(&member)) {
                 self.sequence += 1;
                 self.state.apply(self.sequence, &Command::ReplicaInSync { partition, epoch, member });
             }
--- a/system/jobs/tests/common/disk.rs
+++ b/system/jobs/tests/common/disk.rs
@@ -1,5 +1,5 @@
-//! A simulated disk that syncs batches in order after a delay. After a crash it contains the synced batches, and possibly some of the
-//! batches that were pending.
+//! A simulated disk that syncs batches in order after a delay. After a crash it contains the synced batches, and possibly some of
+//! the batches that were pending.
 
 use std::collections::VecDeque;
 
@@ -46,8 +46,8 @@
         self.sync_first(count)
     }
 
-    /// Simulates a crash of the process or the machine: a random number of the pending batches is on the disk, in order and each as a
-    /// whole; the others are lost.
+    /// Simulates a crash of the process or the machine: a random number of the pending batches is on the disk, in order and each as
+    /// a whole; the others are lost.
     pub fn crash(&mut self, rng: &mut Rng) {
         let _ = self.sync(rng);
         self.pending.clear();
--- a/system/jobs/tests/golden_disk.rs
+++ b/system/jobs/tests/golden_disk.rs
@@ -1,8 +1,9 @@
 //! Checks that the current code reads the disk of a backend written by an earlier version, and continues to write it in the same
 //! format.
 //!
-//! The recorded disks are only written on request: `GOLDEN_WRITE=1 cargo test -p gingerledge-jobs --test golden_disk -- the_present_code`,
-//! twice, since the rewritten disk comes from a recorded one.
+//! The recorded disks are only written on request, by running
+//! `GOLDEN_WRITE=1 cargo test -p gingerledge-jobs --test golden_disk -- the_present_code` twice, since the rewritten disk comes from
+//! a recorded one.
 
 mod common;
 
