--- a/system/control/src/node/relay_host.rs
+++ b/system/control/src/node/relay_host.rs
@@ -42,7 +42,7 @@
     /// Merges entries that are new at this node into the registry, and sends them down the tree.
     pub(super) fn merge_entries(&mut self, entries: Vec<Entry>) {
         if !entries.is_empty() {
-            self.handle_event(RelayEvent::EntriesLearned(entries));
+            self.handle_event(RelayEvent::EntriesReceived(entries));
         }
     }
 
--- a/system/data/src/shared.rs
+++ b/system/data/src/shared.rs
@@ -141,7 +141,7 @@
 
     /// Merges entries that were learned from another source than the relay tree.
     pub fn merge(&self, entries: impl IntoIterator<Item = Entry>) {
-        self.relay(RelayEvent::EntriesLearned(entries.into_iter().collect()));
+        self.relay(RelayEvent::EntriesReceived(entries.into_iter().collect()));
     }
 
     /// The newest configuration known, parsed once for each change.
--- a/system/data/tests/edge_common/control.rs
+++ b/system/data/tests/edge_common/control.rs
@@ -41,7 +41,7 @@
 
     /// Learns entries from the control chain or sessions.
     pub fn learn(&self, entries: Vec<Entry>) {
-        self.relay(RelayEvent::EntriesLearned(entries));
+        self.relay(RelayEvent::EntriesReceived(entries));
     }
 
     async fn run(self: Rc<Self>, mut inbox: Inbox<Envelope>) {
--- a/system/data/tests/rollout_common/mod.rs
+++ b/system/data/tests/rollout_common/mod.rs
@@ -168,7 +168,7 @@
     }
 
     fn learn(&self, key: Key, version: u64, value: Value) {
-        self.shared.relay(RelayEvent::EntriesLearned(vec![Entry { key, version, value }]));
+        self.shared.relay(RelayEvent::EntriesReceived(vec![Entry { key, version, value }]));
     }
 
     /// Nothing is out at any of these stores by the edge's own counts.
--- a/system/relay/examples/cost.rs
+++ b/system/relay/examples/cost.rs
@@ -1,4 +1,4 @@
-//! Prints the processor time that an edge with all its children spends on a tick, on a change and on a subscription.
+//! Prints the time that an edge with its maximum number of children takes to handle a tick, a change and a subscription.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::{Duration, Instant};
@@ -27,12 +27,12 @@
     Entry { key: Key::Store(format!("store-{number:05}")), version, value: Value::Store(record) }
 }
 
-/// An edge and the parent's side of its subscription.
+/// An edge, and the state that its parent keeps for the subscription.
 struct Edge {
     relay: Relay,
     now: Duration,
     sequence: u64,
-    sent: usize,
+    sent_messages: usize,
 }
 
 const SUBSCRIPTION: u64 = 7;
@@ -43,7 +43,7 @@
         let mut actions = Vec::new();
         self.relay.handle(self.now, event, &mut actions);
         let _ = self.relay.next_timer();
-        self.sent += actions.len();
+        self.sent_messages += actions.len();
         actions
     }
 
@@ -67,7 +67,7 @@
     let settings =
         RelaySettings { child_timeout: Duration::MAX / 4, ..RelaySettings::for_role(Role::Edge, "") };
     let relay = Relay::new(settings, address(1), false, 1);
-    let mut edge = Edge { relay, now: Duration::from_secs(1), sequence: 0, sent: 0 };
+    let mut edge = Edge { relay, now: Duration::from_secs(1), sequence: 0, sent_messages: 0 };
     edge.handle(RelayEvent::ControlNodesKnown(vec![address(PARENT)]));
     let subscription = edge.handle(RelayEvent::Started).into_iter().find_map(|action| match action {
         RelayAction::Send { message: RelayMessage::Subscribe { subscription, .. }, .. } => Some(subscription),
@@ -77,7 +77,7 @@
 
     let start = Instant::now();
     edge.update(subscription, (0..STORES).map(|number| store(number, 1)).collect());
-    println!("{STORES} entries taken: {:?} each", start.elapsed() / STORES as u32);
+    println!("{STORES} entries merged: {:?} per entry", start.elapsed() / STORES as u32);
 
     let start = Instant::now();
     for number in 0..CHILDREN {
@@ -91,22 +91,22 @@
         };
         edge.handle(RelayEvent::Message { from: address(100 + number), message });
     }
-    println!("a child that gets all of it: {:?}", start.elapsed() / u32::from(CHILDREN));
+    println!("subscription of a child with an empty copy: {:?}", start.elapsed() / u32::from(CHILDREN));
     for number in 0..CHILDREN {
-        let received = RelayMessage::Ack { subscription: 1, sequence: 100, free_child_slots: 8 };
-        edge.handle(RelayEvent::Message { from: address(100 + number), message: received });
+        let ack = RelayMessage::Ack { subscription: 1, sequence: 100, free_child_slots: 8 };
+        edge.handle(RelayEvent::Message { from: address(100 + number), message: ack });
     }
 
-    edge.sent = 0;
+    edge.sent_messages = 0;
     let start = Instant::now();
     for _ in 0..ROUNDS {
         edge.update(subscription, Vec::new());
     }
     println!(
-        "a tick for {} children: {:?}, {} messages",
+        "tick for {} children: {:?}, {} messages",
         edge.relay.child_count(),
         start.elapsed() / ROUNDS,
-        edge.sent / ROUNDS as usize
+        edge.sent_messages / ROUNDS as usize
     );
 
     let start = Instant::now();
@@ -114,10 +114,10 @@
         edge.update(subscription, vec![store(round as usize % STORES, 2 + u64::from(round))]);
         if round % 100 == 0 {
             for number in 0..CHILDREN {
-                let received = RelayMessage::Ack { subscription: 1, sequence: u64::MAX, free_child_slots: 8 };
-                edge.handle(RelayEvent::Message { from: address(100 + number), message: received });
+                let ack = RelayMessage::Ack { subscription: 1, sequence: u64::MAX, free_child_slots: 8 };
+                edge.handle(RelayEvent::Message { from: address(100 + number), message: ack });
             }
         }
     }
-    println!("a change for {} children: {:?}", edge.relay.child_count(), start.elapsed() / ROUNDS);
+    println!("change for {} children: {:?}", edge.relay.child_count(), start.elapsed() / ROUNDS);
 }
--- a/system/relay/src/candidates.rs
+++ b/system/relay/src/candidates.rs
@@ -1,9 +1,9 @@
 //! The candidates for the parent of a node, in the order in which they are tried.
 //!
-//! A round goes through the known control nodes, those of the same zone first and each part in rendezvous order, so that nodes
-//! spread over them evenly; those that failed lately come last. After a round without success, a few random edges are tried as
-//! well: a node may be separated from all control nodes and yet reach others. A node that declines may name alternatives, which
-//! come next.
+//! A round tries the known control nodes: those in the same zone first, and within each group in rendezvous-hash order, so that
+//! nodes spread evenly over them. Nodes that failed recently come last. After a round without success, a few random edges are tried
+//! as well, since a node may be partitioned from all control nodes and still reach edges. A node that declines a subscription may
+//! list alternatives, which are tried next.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -14,34 +14,35 @@
 use crate::digest::{hash_bytes, mix};
 use crate::directory::{Directory, NodeLocation};
 
-/// Of the alternatives named in one response, only so many count.
+/// Maximum number of alternatives that are used from one response.
 const MAX_ALTERNATIVES: usize = 4;
-/// In one round, only so many alternatives are tried.
+/// Maximum number of alternatives that are tried in one round.
 const MAX_ALTERNATIVES_PER_ROUND: usize = 24;
-/// Edges that are tried in a round after one without success.
+/// Number of edges that are tried in a round that follows an unsuccessful one.
 const EDGES_PER_ROUND: usize = 3;
-/// Most control nodes that the host may name.
+/// Maximum number of seed control nodes that the host may provide.
 const MAX_SEEDS: usize = 64;
-/// Most failed addresses that are remembered.
+/// Maximum number of failed addresses that are remembered.
 const MAX_FAILED: usize = 64;
 
-/// Addresses to try, in order.
+/// The addresses to try, in order.
 #[derive(Debug)]
 pub(crate) struct Candidates {
-    me: SocketAddr,
+    own_address: SocketAddr,
     seeds: Vec<SocketAddr>,
     queue: VecDeque<SocketAddr>,
     alternatives_in_round: usize,
+    /// For each address that failed, the time until which it is tried after all others.
     failed: BTreeMap<SocketAddr, Duration>,
     failure_penalty: Duration,
 }
 
 impl Candidates {
-    /// Of the node at an address, without any seeds yet. A failure counts for `failure_penalty`.
-    pub(crate) fn new(me: SocketAddr, failure_penalty: Duration) -> Self {
+    /// Creates an empty list for the node at `own_address`. A failed address is tried last for `failure_penalty`.
+    pub(crate) fn new(own_address: SocketAddr, failure_penalty: Duration) -> Self {
         let failed = BTreeMap::new();
         Self {
-            me,
+            own_address,
             seeds: Vec::new(),
             queue: VecDeque::new(),
             alternatives_in_round: 0,
@@ -50,7 +51,7 @@
         }
     }
 
-    /// Replaces the control nodes that the host knows of; returns whether there are new ones.
+    /// Replaces the control nodes provided by the host; returns whether any of them is new.
     pub(crate) fn set_seeds(&mut self, mut seeds: Vec<SocketAddr>) -> bool {
         seeds.truncate(MAX_SEEDS);
         let has_new = seeds.iter().any(|seed| !self.seeds.contains(seed));
@@ -58,26 +59,26 @@
         has_new
     }
 
-    /// Removes the next candidate of this round.
+    /// Removes and returns the next candidate of this round.
     pub(crate) fn next(&mut self) -> Option<SocketAddr> {
         self.queue.pop_front()
     }
 
-    /// Puts alternatives that another node has named at the front; returns whether any is new.
+    /// Inserts the alternatives from a declining node at the front of the queue; returns whether any was added.
     pub(crate) fn add_alternatives(&mut self, alternatives: Vec<SocketAddr>, rng: &mut Rng) -> bool {
         let mut alternatives: Vec<SocketAddr> = alternatives.into_iter().take(MAX_ALTERNATIVES).collect();
         rng.shuffle(&mut alternatives);
-        let before = self.alternatives_in_round;
+        let previous_count = self.alternatives_in_round;
         for alternative in alternatives {
             if self.alternatives_in_round < MAX_ALTERNATIVES_PER_ROUND && !self.queue.contains(&alternative) {
                 self.alternatives_in_round += 1;
                 self.queue.push_front(alternative);
             }
         }
-        self.alternatives_in_round > before
+        self.alternatives_in_round > previous_count
     }
 
-    /// A node at an address didn't respond.
+    /// Records that the node at an address did not respond.
     pub(crate) fn record_failure(&mut self, address: SocketAddr, now: Duration) {
         self.failed.retain(|_, until| *until > now);
         if self.failed.len() < MAX_FAILED {
@@ -85,12 +86,12 @@
         }
     }
 
-    /// Discards the rest of the round.
+    /// Discards the remaining candidates of the round.
     pub(crate) fn clear(&mut self) {
         self.queue.clear();
     }
 
-    /// Begins a round.
+    /// Starts a round; `with_edges` adds a few random edges after the control nodes.
     pub(crate) fn start_round(
         &mut self,
         directory: &Directory,
@@ -116,19 +117,20 @@
 
     fn add_edges(&mut self, directory: &Directory, rng: &mut Rng) {
         for location in directory.edges_from(rng.u64(..)).take(EDGES_PER_ROUND) {
-            if location.address != self.me {
+            if location.address != self.own_address {
                 self.queue.push_back(location.address);
             }
         }
     }
 
+    /// Sort key of a location; locations with lower keys are tried first.
     fn preference(&self, location: &NodeLocation) -> (bool, bool, u64) {
         let failed = self.failed.contains_key(&location.address);
-        (failed, !location.in_same_zone, rendezvous(self.me, location.address))
+        (failed, !location.in_same_zone, rendezvous(self.own_address, location.address))
     }
 }
 
-/// The lower, the earlier `parent` is tried by `child`.
+/// Rendezvous hash of a pair of nodes: `child` tries the parents with lower hashes first.
 fn rendezvous(child: SocketAddr, parent: SocketAddr) -> u64 {
     mix(hash_address(mix(hash_address(0, child)), parent))
 }
--- a/system/relay/src/change_log.rs
+++ b/system/relay/src/change_log.rs
@@ -1,19 +1,20 @@
-//! The keys that changed, in order, for as long as a child may still have to be sent them.
+//! The log of changed keys, in order. A change is kept until it has been sent to every child.
 
 use std::collections::VecDeque;
 
 use gingerledge_wire::Key;
 
-/// The latest changes; all children read from this one log.
+/// The latest changes. All children share this log and read it at positions of their own.
 #[derive(Debug)]
 pub(crate) struct ChangeLog {
     keys: VecDeque<Key>,
+    /// Position of the first change in `keys`.
     start: u64,
     max_changes: usize,
 }
 
 impl ChangeLog {
-    /// An empty log of at most so many changes.
+    /// Creates an empty log that holds at most `max_changes` changes.
     pub(crate) fn new(max_changes: usize) -> Self {
         Self { keys: VecDeque::new(), start: 0, max_changes }
     }
@@ -23,7 +24,7 @@
         self.start + self.keys.len() as u64
     }
 
-    /// Adds a change; the oldest one is dropped if there are too many.
+    /// Appends a change; drops the oldest one if the log is full.
     pub(crate) fn push(&mut self, key: Key) {
         self.keys.push_back(key);
         if self.keys.len() > self.max_changes {
@@ -32,7 +33,7 @@
         }
     }
 
-    /// The changes from a position on; none if the log doesn't reach back so far.
+    /// The changes from a position on; `None` if changes from that position have already been dropped.
     pub(crate) fn since(&self, position: u64) -> Option<impl Iterator<Item = &Key>> {
         let skip = usize::try_from(position.checked_sub(self.start)?).ok()?;
         Some(self.keys.iter().skip(skip))
--- a/system/relay/src/child_progress.rs
+++ b/system/relay/src/child_progress.rs
@@ -1,8 +1,8 @@
-//! The progress of one child: what it still has to be sent, and when.
+//! The progress of one child: which entries it still has to be sent, and when.
 //!
-//! Updates are of bounded size: changes from the log come first, then what remains of the buckets that differed when the child
-//! subscribed. A new tick goes only with an update after which nothing remains, so that a child with a tick has all that this node
-//! had when it got that tick.
+//! Updates are of bounded size. Each holds changes from the log first, then remaining entries of the buckets that differed when the
+//! child subscribed. A new tick is sent only with an update after which nothing remains to be sent, so a child with a tick has all
+//! entries that this node had when it received that tick.
 
 use std::collections::{BTreeSet, VecDeque};
 use std::time::Duration;
@@ -17,7 +17,7 @@
 use crate::replica::Replica;
 use crate::settings::RelaySettings;
 
-/// What updates are made from.
+/// The state of this node from which updates are built.
 #[derive(Clone, Copy)]
 pub(crate) struct UpdateSource<'a> {
     pub settings: &'a RelaySettings,
@@ -34,31 +34,32 @@
     sent_at: Option<Duration>,
     log_position: u64,
     differing_buckets: Option<DifferingBuckets>,
-    /// The number of the change of the configuration that the child has, once it has received all that was sent.
-    configuration: u64,
+    /// Version of the configuration that the child has once it has received all updates sent so far.
+    configuration_version: u64,
     tick: FreshnessTick,
-    /// Sequence and bytes of the updates without acknowledgement.
+    /// Sequence number and size in bytes of each unacknowledged update with entries.
     in_flight: VecDeque<(u64, usize)>,
     in_flight_bytes: usize,
 }
 
-/// The buckets of the copy that differ, of which the entries after a key are still to be sent.
+/// The buckets in which the child's copy differs. Their entries after the key `after` are still to be sent.
 #[derive(Debug)]
 struct DifferingBuckets {
+    /// Whether each bucket differs.
     buckets: Vec<bool>,
     after: Option<Key>,
 }
 
-/// The child is too far behind to be served from the log.
+/// Error: the change log no longer holds all changes that the child needs.
 #[derive(Debug)]
-pub(crate) struct Overrun;
+pub(crate) struct ChangeLogOverrun;
 
 impl ChildProgress {
-    /// The progress of a child whose copy has this digest, and whose configuration is that of this change.
+    /// Creates the progress of a child whose copy has this digest and this configuration version.
     pub(crate) fn new(
         subscription: u64,
         digest: &[u64],
-        configuration: u64,
+        configuration_version: u64,
         source: UpdateSource<'_>,
     ) -> Self {
         let differing_buckets = DifferingBuckets::of_difference(source.replica.digest(), digest);
@@ -68,32 +69,34 @@
             sent_at: None,
             log_position: source.change_log.end(),
             differing_buckets,
-            configuration,
+            configuration_version,
             tick: FreshnessTick::default(),
             in_flight: VecDeque::new(),
             in_flight_bytes: 0,
         }
     }
 
-    /// The subscription's identifier, chosen by the child.
+    /// The identifier of the subscription, chosen by the child.
     pub(crate) fn subscription(&self) -> u64 {
         self.subscription
     }
 
-    /// The position in the change log up to which the child has been sent everything.
+    /// The position in the change log up to which the child has been sent all changes.
     pub(crate) fn log_position(&self) -> u64 {
         self.log_position
     }
 
-    /// The child has received everything up to a sequence.
+    /// Records that the child has received all updates up to a sequence number.
     pub(crate) fn acknowledge(&mut self, sequence: u64) {
-        while let Some((_, bytes)) = self.in_flight.front().copied().filter(|(sent, _)| *sent <= sequence) {
+        while let Some((_, bytes)) =
+            self.in_flight.front().copied().filter(|(sent_sequence, _)| *sent_sequence <= sequence)
+        {
             self.in_flight.pop_front();
             self.in_flight_bytes -= bytes;
         }
     }
 
-    /// When the next update is due, if nothing else changes.
+    /// The time at which the next update is due, if nothing else changes.
     pub(crate) fn next_update_at(&self, source: UpdateSource<'_>) -> Duration {
         let Some(sent_at) = self.sent_at else { return Duration::ZERO };
         if self.is_window_open(source) && self.differing_buckets.is_some() {
@@ -105,23 +108,23 @@
         sent_at + source.settings.keepalive_interval
     }
 
-    /// The next update.
+    /// Builds the next update.
     ///
     /// # Errors
     ///
-    /// [`Overrun`] if the change log no longer reaches back to the position of the child.
+    /// [`ChangeLogOverrun`] if the change log no longer reaches back to the position of the child.
     pub(crate) fn next_update(
         &mut self,
         now: Duration,
         source: UpdateSource<'_>,
-    ) -> Result<RelayMessage, Overrun> {
-        let mut update = UpdateBuilder::new(source.settings.max_update_bytes, self.configuration);
-        let changes = source.change_log.since(self.log_position).ok_or(Overrun)?;
+    ) -> Result<RelayMessage, ChangeLogOverrun> {
+        let mut update = UpdateBuilder::new(source.settings.max_update_bytes, self.configuration_version);
+        let changes = source.change_log.since(self.log_position).ok_or(ChangeLogOverrun)?;
         if self.is_window_open(source) {
             self.add_changes(changes, source, &mut update);
             self.add_differing_entries(source, &mut update);
         }
-        self.configuration = update.configuration;
+        self.configuration_version = update.configuration_version;
         if self.is_complete(source) {
             self.tick = source.freshness.tick();
         }
@@ -146,8 +149,8 @@
     }
 
     fn has_updates(&self, source: UpdateSource<'_>) -> bool {
-        let entries = self.log_position < source.change_log.end() && self.is_window_open(source);
-        entries || (self.is_complete(source) && self.tick != source.freshness.tick())
+        let has_changes = self.log_position < source.change_log.end() && self.is_window_open(source);
+        has_changes || (self.is_complete(source) && self.tick != source.freshness.tick())
     }
 
     fn is_complete(&self, source: UpdateSource<'_>) -> bool {
@@ -176,23 +179,23 @@
     fn add_differing_entries(&mut self, source: UpdateSource<'_>, update: &mut UpdateBuilder) {
         let Some(differing_buckets) = &mut self.differing_buckets else { return };
         let remaining = source.replica.registry().entries_after(differing_buckets.after.as_ref());
-        let mut last = None;
+        let mut last_key = None;
         for entry in remaining {
             if update.is_full() {
-                differing_buckets.after = last;
+                differing_buckets.after = last_key;
                 return;
             }
             if differing_buckets.covers(&entry.key) {
                 update.add(entry);
             }
-            last = Some(entry.key.clone());
+            last_key = Some(entry.key.clone());
         }
         self.differing_buckets = None;
     }
 }
 
 impl DifferingBuckets {
-    /// The buckets that differ, if any do; all if the other has them divided in another way.
+    /// The buckets that differ, or `None` if both digests are equal. All buckets count as different if the numbers of buckets are.
     fn of_difference(ours: &[u64], theirs: &[u64]) -> Option<Self> {
         let buckets = if theirs.len() == ours.len() {
             ours.iter().zip(theirs).map(|(our, their)| our != their).collect()
@@ -208,18 +211,18 @@
     }
 }
 
-/// Collects the entries of one update, up to about a size.
+/// Collects the entries of one update, up to a size that the last entry may exceed.
 struct UpdateBuilder {
     entries: Vec<Entry>,
     bytes: usize,
     max_bytes: usize,
-    /// The number of the change of the configuration that the child has with this update.
-    configuration: u64,
+    /// Version of the configuration that the child has once it has received this update.
+    configuration_version: u64,
 }
 
 impl UpdateBuilder {
-    fn new(max_bytes: usize, configuration: u64) -> Self {
-        Self { entries: Vec::new(), bytes: 0, max_bytes, configuration }
+    fn new(max_bytes: usize, configuration_version: u64) -> Self {
+        Self { entries: Vec::new(), bytes: 0, max_bytes, configuration_version }
     }
 
     fn is_full(&self) -> bool {
@@ -228,7 +231,7 @@
 
     fn add(&mut self, entry: &Entry) {
         let entry = match &entry.value {
-            Value::Configuration(_) if self.configuration >= entry.version => return,
+            Value::Configuration(_) if self.configuration_version >= entry.version => return,
             Value::Configuration(document) => self.configuration_entry(entry, document),
             _ => entry.clone(),
         };
@@ -236,12 +239,12 @@
         self.entries.push(entry);
     }
 
-    /// The configuration, as the updates that lead to it from the one that the child has, or in full where those are not known.
+    /// The configuration as the series of updates since the child's version, or in full if those updates are no longer kept.
     fn configuration_entry(&mut self, entry: &Entry, document: &ConfigurationDocument) -> Entry {
-        let known_sequence = std::mem::replace(&mut self.configuration, entry.version);
-        match document.updates_since(known_sequence) {
-            Some(series) => {
-                Entry { value: Value::ConfigurationUpdates(series.cloned().collect()), ..entry.clone() }
+        let known_version = std::mem::replace(&mut self.configuration_version, entry.version);
+        match document.updates_since(known_version) {
+            Some(updates) => {
+                Entry { value: Value::ConfigurationUpdates(updates.cloned().collect()), ..entry.clone() }
             }
             None => entry.clone(),
         }
--- a/system/relay/src/children.rs
+++ b/system/relay/src/children.rs
@@ -1,4 +1,4 @@
-//! The children of a node: which are accepted, to which others are redirected, and what each is sent.
+//! The children of a node: admission, redirection of declined nodes, and sending of updates.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -9,10 +9,10 @@
 use crate::child_progress::{ChildProgress, UpdateSource};
 use crate::event::RelayAction;
 
-/// Children that are named to a node that is declined.
+/// Maximum number of children that are listed as alternatives for a declined node.
 const MAX_ALTERNATIVES: usize = 4;
-/// Of the slots, one in so many is only for nodes that accept children themselves, so that the tree can always grow.
-const GROWTH_SHARE: usize = 4;
+/// One in this many slots is reserved for nodes that accept children themselves, so that the tree can always grow.
+const SLOTS_PER_RESERVED_SLOT: usize = 4;
 
 /// The children of a node.
 #[derive(Debug)]
@@ -21,12 +21,12 @@
     children: BTreeMap<SocketAddr, Child>,
 }
 
-/// How many children a node accepts.
+/// The capacity of a node for children.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ChildCapacity {
-    /// How many more children it accepts.
+    /// Number of further children that the node accepts.
     pub free_child_slots: u16,
-    /// How many it accepts at most.
+    /// Maximum number of children that the node accepts.
     pub capacity: u16,
 }
 
@@ -35,28 +35,28 @@
     progress: ChildProgress,
     last_message_at: Duration,
     free_child_slots: u16,
-    /// How often it was named as an alternative since its last acknowledgement.
-    times_named: u16,
+    /// Number of nodes that were redirected to this child since its last acknowledgement.
+    redirects_since_ack: u16,
     accepts_children: bool,
 }
 
 impl Children {
-    /// No children yet, and never more than `max_children`.
+    /// Creates an empty set that never holds more than `max_children` children.
     pub(crate) fn new(max_children: usize) -> Self {
         Self { max_children, children: BTreeMap::new() }
     }
 
-    /// How many there are.
+    /// The number of children.
     pub(crate) fn len(&self) -> usize {
         self.children.len()
     }
 
-    /// Whether a node is one of them.
+    /// Whether the node at an address is a child.
     pub(crate) fn contains(&self, address: &SocketAddr) -> bool {
         self.children.contains_key(address)
     }
 
-    /// How many children this node accepts.
+    /// The capacity of this node for children.
     pub(crate) fn child_capacity(&self) -> ChildCapacity {
         ChildCapacity {
             free_child_slots: self.free_child_slots(),
@@ -64,12 +64,13 @@
         }
     }
 
-    /// How many more there may be.
+    /// Number of further children that this node accepts.
     pub(crate) fn free_child_slots(&self) -> u16 {
         u16::try_from(self.max_children.saturating_sub(self.children.len())).unwrap_or(u16::MAX)
     }
 
-    /// Whether there is a slot for a node, which accepts children itself or not; one that subscribes again keeps its slot.
+    /// Whether there is a free slot for a node; `accepts_children` is true if that node accepts children itself. A child that
+    /// subscribes again keeps its slot.
     pub(crate) fn has_capacity_for(&self, address: &SocketAddr, accepts_children: bool) -> bool {
         if self.contains(address) {
             return true;
@@ -77,12 +78,12 @@
         if accepts_children {
             return self.children.len() < self.max_children;
         }
-        let childless = self.children.values().filter(|child| !child.accepts_children).count();
+        let leaf_count = self.children.values().filter(|child| !child.accepts_children).count();
         self.children.len() < self.max_children
-            && childless < self.max_children - self.max_children.div_ceil(GROWTH_SHARE)
+            && leaf_count < self.max_children - self.max_children.div_ceil(SLOTS_PER_RESERVED_SLOT)
     }
 
-    /// Adds a child; that replaces its earlier subscription, if it has one.
+    /// Adds a child; replaces its earlier subscription, if it has one.
     pub(crate) fn insert(
         &mut self,
         address: SocketAddr,
@@ -95,13 +96,13 @@
             progress,
             last_message_at: now,
             free_child_slots,
-            times_named: 0,
+            redirects_since_ack: 0,
             accepts_children: capacity > 0,
         };
         self.children.insert(address, child);
     }
 
-    /// A node acknowledges an update; returns whether it is a child with this subscription.
+    /// Records the acknowledgement of an update; returns whether the sender is a child with this subscription.
     pub(crate) fn on_ack(
         &mut self,
         from: SocketAddr,
@@ -116,48 +117,55 @@
         child.progress.acknowledge(sequence);
         child.last_message_at = now;
         child.free_child_slots = free_child_slots;
-        child.times_named = 0;
+        child.redirects_since_ack = 0;
         true
     }
 
-    /// A child ends its subscription.
+    /// Removes a child that has ended its subscription; ignores an identifier of an earlier subscription.
     pub(crate) fn unsubscribe(&mut self, from: SocketAddr, subscription: u64) {
         if self.children.get(&from).is_some_and(|child| child.progress.subscription() == subscription) {
             self.children.remove(&from);
         }
     }
 
-    /// Drops a child, if the node is one, without a message to it.
+    /// Removes the child at an address, if there is one, without sending it a message.
     pub(crate) fn remove(&mut self, address: &SocketAddr) {
         self.children.remove(address);
     }
 
-    /// Drops children from which nothing has come for `limit`.
-    pub(crate) fn drop_timed_out(&mut self, limit: Duration, now: Duration, actions: &mut Vec<RelayAction>) {
+    /// Removes the children that have sent nothing for `timeout`, and notifies them.
+    pub(crate) fn drop_timed_out(
+        &mut self,
+        timeout: Duration,
+        now: Duration,
+        actions: &mut Vec<RelayAction>,
+    ) {
         self.children.retain(|address, child| {
-            let is_alive = now < child.last_message_at + limit;
-            if !is_alive {
+            let is_active = now < child.last_message_at + timeout;
+            if !is_active {
                 actions.push(unsubscribe(*address, child.progress.subscription()));
             }
-            is_alive
+            is_active
         });
     }
 
-    /// Children that may have free slots, those with the most first, for a node that is declined. Each naming counts as if the named
-    /// child had accepted the node, until it reports its free slots again.
-    pub(crate) fn alternatives(&mut self, request: &SocketAddr) -> Vec<SocketAddr> {
-        let mut open: Vec<(&SocketAddr, &mut Child)> = self.children.iter_mut().collect();
-        open.retain(|(address, child)| *address != request && child.free_child_slots > 0);
-        open.sort_by_key(|(_, child)| i32::from(child.times_named) - i32::from(child.free_child_slots));
-        open.truncate(MAX_ALTERNATIVES);
-        let names = open.into_iter().map(|(address, child)| {
-            child.times_named = child.times_named.saturating_add(1);
+    /// Children that may have free slots, those with the most first, as alternatives for a declined node. Each redirection counts as
+    /// if the child had accepted the node, until the child reports its free slots again.
+    pub(crate) fn alternatives(&mut self, declined: &SocketAddr) -> Vec<SocketAddr> {
+        let mut candidates: Vec<(&SocketAddr, &mut Child)> = self.children.iter_mut().collect();
+        candidates.retain(|(address, child)| *address != declined && child.free_child_slots > 0);
+        candidates.sort_by_key(|(_, child)| {
+            i32::from(child.redirects_since_ack) - i32::from(child.free_child_slots)
+        });
+        candidates.truncate(MAX_ALTERNATIVES);
+        let addresses = candidates.into_iter().map(|(address, child)| {
+            child.redirects_since_ack = child.redirects_since_ack.saturating_add(1);
             *address
         });
-        names.collect()
+        addresses.collect()
     }
 
-    /// Sends each child what is due.
+    /// Sends each child the updates that are due; removes children that the change log no longer covers.
     pub(crate) fn send_due_updates(
         &mut self,
         now: Duration,
@@ -167,23 +175,23 @@
         self.children.retain(|address, child| send_due_to_child(*address, child, now, source, actions));
     }
 
-    /// When the next update is due or the next child times out.
+    /// The time at which the next update is due or the next child times out.
     pub(crate) fn next_timer(&self, source: UpdateSource<'_>) -> Option<Duration> {
         let timeout = source.settings.child_timeout;
-        let each = self
+        let timers = self
             .children
             .values()
             .map(|child| child.progress.next_update_at(source).min(child.last_message_at + timeout));
-        each.min()
+        timers.min()
     }
 
-    /// The position in the change log before which no child needs anything.
+    /// The position in the change log before which no child needs any change.
     pub(crate) fn oldest_needed_position(&self) -> Option<u64> {
         self.children.values().map(|child| child.progress.log_position()).min()
     }
 }
 
-/// Sends a child what is due; returns whether it can be kept.
+/// Sends a child the updates that are due; returns false if the change log no longer covers it, so that it has to be removed.
 fn send_due_to_child(
     to: SocketAddr,
     child: &mut Child,
@@ -201,7 +209,7 @@
     true
 }
 
-/// The message that ends a subscription.
+/// The action that ends a subscription.
 pub(crate) fn unsubscribe(to: SocketAddr, subscription: u64) -> RelayAction {
     RelayAction::Send { to, message: RelayMessage::Unsubscribe { subscription } }
 }
--- a/system/relay/src/digest.rs
+++ b/system/relay/src/digest.rs
@@ -1,17 +1,17 @@
-//! Hashes that describe a copy of the registry, the same in every process.
+//! Hashes that summarize a copy of the registry; they are the same in every process.
 //!
-//! An entry counts with its key, version and rank only: two entries that agree in these are the same. The hashes of a bucket's
-//! entries are combined by exclusive or, so that an entry is added or removed without the others.
+//! Only the key, version and rank of an entry are hashed: two entries that agree in these are equal. The hash of a bucket is the
+//! exclusive or of the hashes of its entries, so an entry can be added or removed without rehashing the others.
 
 use std::hash::Hasher;
 
 use fnv::FnvHasher;
 use gingerledge_wire::{Entry, Key};
 
-/// Into how many buckets keys are divided: many, so that few differing entries cause few others to be sent.
+/// Number of buckets into which keys are divided. With many buckets, a differing entry causes only a few other entries to be sent.
 pub(crate) const BUCKETS: usize = 512;
 
-/// The offset basis of 64-bit FNV.
+/// The offset basis of the 64-bit FNV hash.
 const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
 
 /// The bucket of a key.
@@ -19,7 +19,7 @@
     bucket_of_hash(hash_key(key))
 }
 
-/// The bucket of an entry and its part of that bucket's hash.
+/// The bucket of an entry, and the entry's contribution to the hash of that bucket.
 pub(crate) fn fingerprint(entry: &Entry) -> (usize, u64) {
     let key = hash_key(&entry.key);
     let (version, rank) = entry.rank();
@@ -27,8 +27,8 @@
     (bucket_of_hash(key), hash)
 }
 
-/// The 64-bit FNV-1a hash of bytes, with its offset basis changed by `start`. The hashes go over the wire in digests, so this one
-/// stays (`tests/digest.rs`).
+/// The 64-bit FNV-1a hash of bytes, with `start` mixed into its offset basis. Digests are sent to other nodes, so this function
+/// must not change (`tests/digest.rs`).
 pub(crate) fn hash_bytes(start: u64, bytes: &[u8]) -> u64 {
     let mut hasher = FnvHasher::with_key(start ^ FNV_OFFSET);
     hasher.write(bytes);
--- a/system/relay/src/directory.rs
+++ b/system/relay/src/directory.rs
@@ -13,22 +13,22 @@
     edges: BTreeMap<u64, NodeLocation>,
 }
 
-/// The address of a node, and its zone compared with that of this one.
+/// The address of a node, and whether it is in the zone of this node.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct NodeLocation {
-    /// Where it takes internal messages.
+    /// The address at which the node receives internal messages.
     pub address: SocketAddr,
-    /// Whether it is in the zone of this node.
+    /// Whether the node is in the zone of this node.
     pub in_same_zone: bool,
 }
 
 impl Directory {
-    /// An empty one, of a node in a zone.
+    /// Creates the empty directory of a node in a zone.
     pub(crate) fn new(zone: String) -> Self {
         Self { zone, control: BTreeMap::new(), edges: BTreeMap::new() }
     }
 
-    /// Applies an entry.
+    /// Applies an entry; only entries of nodes have an effect.
     pub(crate) fn update(&mut self, entry: &Entry) {
         let Key::Node(incarnation) = entry.key else { return };
         self.control.remove(&incarnation);
@@ -42,12 +42,13 @@
         };
     }
 
-    /// All control nodes.
+    /// The locations of all control nodes.
     pub(crate) fn control(&self) -> impl Iterator<Item = NodeLocation> + '_ {
         self.control.values().copied()
     }
 
-    /// The edges that follow a random number; incarnations are random, so this picks evenly.
+    /// All edges, starting with the first incarnation from `random` on. Incarnations are random, so each edge comes first with about
+    /// the same probability.
     pub(crate) fn edges_from(&self, random: u64) -> impl Iterator<Item = NodeLocation> + '_ {
         let after = self.edges.range(random..);
         after.chain(self.edges.range(..random)).map(|(_, location)| *location)
--- a/system/relay/src/entry_size.rs
+++ b/system/relay/src/entry_size.rs
@@ -2,7 +2,7 @@
 
 use gingerledge_wire::{Entry, Key, Value};
 
-/// Size of an entry without its text.
+/// Approximate size of an entry without its variable-length fields, in bytes.
 const FIXED_BYTES: usize = 32;
 
 /// The approximate size of an entry in a message, in bytes.
@@ -21,8 +21,8 @@
 fn value_size(value: &Value) -> usize {
     match value {
         Value::Configuration(document) => document.size_estimate(),
-        Value::ConfigurationUpdates(series) => {
-            series.iter().map(|applied| FIXED_BYTES + applied.json.len()).sum()
+        Value::ConfigurationUpdates(updates) => {
+            updates.iter().map(|update| FIXED_BYTES + update.json.len()).sum()
         }
         Value::Store(store) => {
             let models: usize = store.models.iter().map(|model| model.name.len() + FIXED_BYTES).sum();
--- a/system/relay/src/event.rs
+++ b/system/relay/src/event.rs
@@ -1,17 +1,17 @@
-//! The events that go into the relay, and the actions that come out.
+//! The events that the host passes to the relay, and the actions that the relay returns.
 
 use std::net::SocketAddr;
 
 use gingerledge_wire::{Entry, FreshnessTick, RelayMessage};
 
-/// An event that the host gives to the relay.
+/// An event that the host passes to the relay.
 #[derive(Clone, Debug)]
 pub enum RelayEvent {
-    /// The process is up and receives internal messages.
+    /// The process is ready to receive internal messages.
     Started,
-    /// A message came in.
+    /// A message was received.
     Message {
-        /// The address where the sender receives internal messages.
+        /// The address at which the sender receives internal messages.
         from: SocketAddr,
         /// The message.
         message: RelayMessage,
@@ -21,14 +21,14 @@
         /// The peer's address.
         peer: SocketAddr,
     },
-    /// Entries from another source than the tree, at a root from the control chain and its sessions.
-    EntriesLearned(Vec<Entry>),
+    /// Entries from a source other than the tree; at a root, from the control chain and the sessions of the control node.
+    EntriesReceived(Vec<Entry>),
     /// A confirmed tick of the control chain, at a root.
     Tick(FreshnessTick),
-    /// The time of [`crate::Relay::next_timer`] has come.
+    /// The time returned by [`crate::Relay::next_timer`] has been reached.
     TimerExpired,
-    /// Control nodes that the host knows of, for instance the seeds. They replace those of the last such event; the
-    /// registry's own control nodes are known besides.
+    /// Control nodes that the host provides, for example the configured seeds. They replace those of the previous event of this kind;
+    /// the control nodes in the registry are used in addition.
     ControlNodesKnown(Vec<SocketAddr>),
 }
 
@@ -37,11 +37,11 @@
 pub enum RelayAction {
     /// Send a message.
     Send {
-        /// Where to.
+        /// The address of the receiver.
         to: SocketAddr,
         /// The message.
         message: RelayMessage,
     },
-    /// These entries are new in the registry; one that was removed because no parent confirmed it comes as a tombstone.
+    /// Entries that are new in the registry. An entry that was removed because no parent confirmed it is reported as a tombstone.
     EntriesChanged(Vec<Entry>),
 }
--- a/system/relay/src/lib.rs
+++ b/system/relay/src/lib.rs
@@ -1,21 +1,22 @@
-//! The relay tree that brings the registry to every node, sans I/O.
+//! The relay tree that replicates the registry to every node, as a state machine without I/O.
 //!
-//! Control nodes are roots: their host feeds [`RelayEvent::EntriesLearned`] and [`RelayEvent::Tick`]. All other nodes subscribe to one parent, a
-//! control node or an edge, and serve what they learn to a bounded number of children. A [`Relay`] owns the node's copy of the
-//! registry; the host reads it by [`Relay::registry`] and acts on [`RelayAction::EntriesChanged`].
+//! Control nodes are the roots of the tree: their host passes in [`RelayEvent::EntriesReceived`] and [`RelayEvent::Tick`]. Every other
+//! node subscribes to one parent, a control node or an edge, and forwards the entries it receives to a bounded number of children. A
+//! [`Relay`] owns the node's copy of the registry; the host reads it through [`Relay::registry`] and acts on
+//! [`RelayAction::EntriesChanged`].
 //!
-//! It promises:
+//! Guarantees:
 //!
-//! - a copy never goes back: entries only rise, whatever parent they come from;
-//! - an entry is removed only by a tombstone. The exception are entries of sessions at a node that was without a fresh parent for
-//!   longer than half of [`RelaySettings::tombstone_retention`]: those that no parent has confirmed after the node has been fresh
-//!   again for as long are removed, since their tombstones may have expired everywhere else;
-//! - a node is [fresh](Relay::is_fresh) only while ticks of the control chain move through its whole path from a root, and then has
-//!   every entry that the root had at that tick;
-//! - a node without a fresh parent looks for another until it has one; only a fresh node accepts children, so that a cycle can't last;
-//! - children, buffered changes, frame sizes and known addresses are bounded, most of them by [`RelaySettings`].
+//! - A copy never regresses: the version of an entry only increases, whichever parent sends it.
+//! - An entry is removed only by a tombstone. The exception is session entries at a node that had no fresh parent for longer than
+//!   half of [`RelaySettings::tombstone_retention`]: entries that no parent has confirmed by the time the node has been fresh again
+//!   for as long are removed, since their tombstones may have expired everywhere else.
+//! - A node is [fresh](Relay::is_fresh) only while ticks of the control chain reach it along its whole path from a root. It then has
+//!   every entry that the root had at that tick.
+//! - A node without a fresh parent searches for another until it has one. Only a fresh node accepts children, so a cycle cannot last.
+//! - Children, buffered changes, frame sizes and known addresses are bounded, most of them by [`RelaySettings`].
 //!
-//! It does not know sockets, clocks or the meaning of most entries.
+//! The crate uses no sockets and no clocks, and interprets only a few kinds of entries.
 
 #![warn(unreachable_pub)]
 
--- a/system/relay/src/parent_search.rs
+++ b/system/relay/src/parent_search.rs
@@ -1,8 +1,8 @@
-//! The search for a parent, one attempt after the other. One without a response doesn't delay the next for long (the next is hedged),
-//! and may still be accepted while that is pending.
+//! The search for a parent. Attempts are hedged: if one gets no response within a short delay, the next one starts, and the first may
+//! still be accepted while the next is pending.
 //!
-//! A search runs while a node has no parent, or one through which no ticks come. The old parent is kept until another accepts,
-//! since ticks may stand still for all: then the tree stays as it is.
+//! A search runs while a node has no parent, or a parent that delivers no new ticks. The present parent is kept until another node
+//! accepts, since the control chain may have stopped ticking for all nodes; the tree then keeps its shape.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -14,9 +14,9 @@
 use crate::directory::Directory;
 use crate::settings::RelaySettings;
 
-/// The longest time-out of an attempt is so many times the shortest.
+/// Ratio of the longest time-out of an attempt to the shortest.
 const MAX_TIMEOUT_FACTOR: u32 = 3;
-/// Attempts that may be pending at a time.
+/// Maximum number of attempts that are pending at a time.
 const MAX_PENDING_ATTEMPTS: usize = 3;
 
 /// A search in progress.
@@ -26,39 +26,40 @@
     round: u32,
     is_in_round: bool,
     backoff: Duration,
+    /// The time at which the next attempt or round is due.
     next_at: Duration,
 }
 
-/// A subscription without a response yet.
+/// A request to subscribe without a response yet.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Attempt {
     /// The receiver of the request.
     pub to: SocketAddr,
     /// The identifier of the subscription.
     pub subscription: u64,
-    /// What the node reported of itself.
+    /// The capacity for children that the request reported.
     pub child_capacity: ChildCapacity,
-    /// Whether it requested a full copy.
+    /// Whether the request asks for a full copy of the registry.
     pub full_copy: bool,
-    /// Until when a response counts.
+    /// The time until which a response is accepted.
     expires_at: Duration,
 }
 
 /// The content of a request to subscribe.
 #[derive(Clone, Copy)]
 pub(crate) struct SubscribeRequest<'a> {
-    /// Where nodes are.
+    /// The locations of the nodes in the registry.
     pub directory: &'a Directory,
     /// The hash of each bucket; empty for a full copy.
     pub digest: &'a [u64],
-    /// The number of the change of the configuration that the node has; 0 to be sent it in full.
-    pub configuration: u64,
-    /// How many children this node accepts itself.
+    /// Version of the configuration that the node has; 0 to request the full configuration.
+    pub configuration_version: u64,
+    /// The capacity of this node for children.
     pub child_capacity: ChildCapacity,
 }
 
 impl ParentSearch {
-    /// A search whose first round begins now.
+    /// Creates a search whose first round is due now.
     pub(crate) fn new(now: Duration, settings: &RelaySettings) -> Self {
         Self {
             pending: VecDeque::new(),
@@ -84,8 +85,8 @@
         self.round > 1
     }
 
-    /// There are no candidates left. Begins the next round if its time has come; else the current round ends with a backoff, which
-    /// grows from round to round. Returns whether a round begins.
+    /// Called when no candidates are left. Begins the next round if it is due; otherwise ends the current round with a backoff, which
+    /// doubles from round to round. Returns whether a round begins.
     pub(crate) fn begin_round(&mut self, now: Duration, settings: &RelaySettings, rng: &mut Rng) -> bool {
         if !self.is_in_round {
             self.is_in_round = true;
@@ -98,20 +99,20 @@
         false
     }
 
-    /// An attempt failed: the next one is due, unless the round is over.
+    /// Makes the next attempt due now, after an attempt has failed, unless the round has ended.
     pub(crate) fn expedite_next(&mut self, now: Duration) {
         if self.is_in_round {
             self.next_at = now;
         }
     }
 
-    /// There are new candidates, which belong to the same round.
+    /// Continues the round, or the last one if it has ended, with new candidates.
     pub(crate) fn extend_round(&mut self, now: Duration) {
         self.is_in_round = true;
         self.next_at = now;
     }
 
-    /// A new round is due now.
+    /// Makes a new round due now.
     pub(crate) fn expedite_round(&mut self, now: Duration) {
         self.is_in_round = false;
         self.next_at = now;
@@ -143,32 +144,32 @@
         attempt
     }
 
-    /// Removes the attempt that a message responds to.
+    /// Removes and returns the attempt that a message responds to.
     pub(crate) fn remove_attempt(&mut self, from: SocketAddr, subscription: u64) -> Option<Attempt> {
-        let at = self
+        let index = self
             .pending
             .iter()
             .position(|pending| pending.to == from && pending.subscription == subscription)?;
-        self.pending.remove(at)
+        self.pending.remove(index)
     }
 
-    /// Removes the attempts at a node that can't be reached; returns whether there were any.
+    /// Removes the attempts at a node that cannot be reached; returns whether there were any.
     pub(crate) fn remove_attempts_to(&mut self, peer: SocketAddr) -> bool {
-        let before = self.pending.len();
+        let previous_count = self.pending.len();
         self.pending.retain(|attempt| attempt.to != peer);
-        self.pending.len() < before
+        self.pending.len() < previous_count
     }
 
-    /// Removes the attempts without a response in time, and returns them.
+    /// Removes and returns the attempts that got no response in time.
     pub(crate) fn remove_expired(&mut self, now: Duration) -> Vec<Attempt> {
         let expired = self.pending.iter().copied().filter(|attempt| attempt.expires_at <= now).collect();
         self.pending.retain(|attempt| attempt.expires_at > now);
         expired
     }
 
-    /// When there is something to do.
+    /// The time at which an attempt or round is due, or a pending attempt expires.
     pub(crate) fn next_timer(&self) -> Duration {
-        let answers = self.pending.iter().map(|attempt| attempt.expires_at);
-        answers.fold(self.next_at, Duration::min)
+        let expiry_times = self.pending.iter().map(|attempt| attempt.expires_at);
+        expiry_times.fold(self.next_at, Duration::min)
     }
 }
--- a/system/relay/src/relay.rs
+++ b/system/relay/src/relay.rs
@@ -1,4 +1,4 @@
-//! The relay of one node: passes events to its parts, which are the copy, the upstream and the children.
+//! The relay of one node: dispatches events to the copy of the registry, the upstream and the children.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,11 +17,11 @@
 use crate::unconfirmed::UnconfirmedEntries;
 use crate::upstream::Upstream;
 
-/// One node's part of the tree, with its copy of the registry.
+/// The relay of one node in the tree, with its copy of the registry.
 #[derive(Debug)]
 pub struct Relay {
     settings: RelaySettings,
-    me: SocketAddr,
+    own_address: SocketAddr,
     is_root: bool,
     is_started: bool,
     replica: Replica,
@@ -32,7 +32,7 @@
     change_log: ChangeLog,
 }
 
-/// An update, as it came from a parent.
+/// An update as received from a parent; see [`RelayMessage::Update`].
 struct Update {
     from: SocketAddr,
     subscription: u64,
@@ -43,39 +43,40 @@
     tick_age_ms: u32,
 }
 
-/// The digest and the configuration of a node that subscribes.
+/// The digest and the configuration version of a node that subscribes.
 #[derive(Clone, Copy)]
-struct ChildCopy<'a> {
+struct SubscriberState<'a> {
     digest: &'a [u64],
-    configuration: u64,
+    configuration_version: u64,
 }
 
 impl Relay {
-    /// The relay of the node that takes internal messages at `me`. A `is_root` is fed by its host and has no parent.
+    /// Creates the relay of the node that receives internal messages at `own_address`. A root receives entries and ticks from its host
+    /// and has no parent. `seed` seeds the random numbers of the search for a parent.
     #[must_use]
-    pub fn new(settings: RelaySettings, me: SocketAddr, is_root: bool, seed: u64) -> Self {
+    pub fn new(settings: RelaySettings, own_address: SocketAddr, is_root: bool, seed: u64) -> Self {
         Self {
-            me,
+            own_address,
             is_root,
             is_started: false,
             replica: Replica::new(&settings),
             unconfirmed: UnconfirmedEntries::default(),
-            freshness: Freshness::new(settings.freshness),
-            upstream: Upstream::new(settings.clone(), me, seed),
+            freshness: Freshness::new(settings.max_tick_age),
+            upstream: Upstream::new(settings.clone(), own_address, seed),
             children: Children::new(settings.max_children),
             change_log: ChangeLog::new(settings.max_logged_changes),
             settings,
         }
     }
 
-    /// Handles an event, and appends the actions that follow.
+    /// Handles an event at the time `now`, and appends the resulting actions to `actions`.
     pub fn handle(&mut self, now: Duration, event: RelayEvent, actions: &mut Vec<RelayAction>) {
         self.expire(now, actions);
         match event {
             RelayEvent::Started => self.is_started = true,
             RelayEvent::Message { from, message } => self.on_message(from, message, now, actions),
             RelayEvent::PeerDisconnected { peer } => self.on_peer_disconnected(peer, now),
-            RelayEvent::EntriesLearned(entries) => self.merge(entries, Vec::new(), now, actions),
+            RelayEvent::EntriesReceived(entries) => self.merge(entries, Vec::new(), now, actions),
             RelayEvent::Tick(tick) => self.freshness.on_confirmed_tick(tick, now),
             RelayEvent::ControlNodesKnown(seeds) => self.upstream.set_seeds(seeds, now),
             RelayEvent::TimerExpired => {}
@@ -87,7 +88,7 @@
         self.send_to_children(now, actions);
     }
 
-    /// When [`RelayEvent::TimerExpired`] is due, if at all.
+    /// The time at which [`RelayEvent::TimerExpired`] is due, if at all.
     #[must_use]
     pub fn next_timer(&self) -> Option<Duration> {
         let upstream =
@@ -103,25 +104,27 @@
         self.replica.registry()
     }
 
-    /// Whether the copy had, within the last [`RelaySettings::freshness`], all that the control chain had confirmed.
+    /// Whether, at some time within the last [`RelaySettings::max_tick_age`], the copy had all entries that the control chain had
+    /// confirmed.
     #[must_use]
     pub fn is_fresh(&self, now: Duration) -> bool {
         self.freshness.is_fresh(now)
     }
 
-    /// When the newest tick was confirmed at a root, less the time on the wire.
+    /// The time at which a root confirmed the newest tick, by this node's clock. The value is late by the time that the tick spent in
+    /// transmission, which its age does not include.
     #[must_use]
     pub fn last_tick_at(&self) -> Option<Duration> {
-        self.freshness.expires_at().map(|at| at.saturating_sub(self.settings.freshness))
+        self.freshness.expires_at().map(|at| at.saturating_sub(self.settings.max_tick_age))
     }
 
-    /// The node's parent in the tree, while it has one.
+    /// The address of the node's parent in the tree, while it has one.
     #[must_use]
     pub fn parent(&self) -> Option<SocketAddr> {
         self.upstream.parent()
     }
 
-    /// How many children the node has.
+    /// The number of children of the node.
     #[must_use]
     pub fn child_count(&self) -> usize {
         self.children.len()
@@ -136,7 +139,7 @@
         }
     }
 
-    /// Handles deadlines before anything else: after a pause of this process the event may be old.
+    /// Handles expired deadlines. Called before the event, which may have been queued during a pause of this process.
     fn expire(&mut self, now: Duration, actions: &mut Vec<RelayAction>) {
         self.replica.expire(now);
         self.upstream.expire(now, actions);
@@ -153,8 +156,9 @@
         match message {
             RelayMessage::Subscribe { subscription, digest, configuration, free_child_slots, capacity } => {
                 let child_capacity = ChildCapacity { free_child_slots, capacity };
-                let copy = ChildCopy { digest: &digest, configuration };
-                let response = self.subscription_response(from, subscription, copy, child_capacity, now);
+                let subscriber = SubscriberState { digest: &digest, configuration_version: configuration };
+                let response =
+                    self.subscription_response(from, subscription, subscriber, child_capacity, now);
                 actions.push(RelayAction::Send { to: from, message: response });
             }
             RelayMessage::SubscribeAccepted { subscription } => {
@@ -189,13 +193,13 @@
         }
     }
 
-    /// Accepts a node as a child, or names alternatives. A node that isn't fresh accepts none, which keeps cycles from lasting: no
-    /// ticks come into one, so that no node in it stays fresh.
+    /// Accepts a node as a child, or declines it and lists alternatives. A node that is not fresh accepts no children, so that cycles
+    /// cannot last: a cycle receives no new ticks, so no node in it stays fresh.
     fn subscription_response(
         &mut self,
         from: SocketAddr,
         subscription: u64,
-        copy: ChildCopy<'_>,
+        subscriber: SubscriberState<'_>,
         child_capacity: ChildCapacity,
         now: Duration,
     ) -> RelayMessage {
@@ -203,14 +207,19 @@
             self.children.remove(&from);
             return RelayMessage::SubscribeDeclined { subscription, alternatives: Vec::new() };
         }
-        let is_upstream = from == self.me || self.upstream.is_possible_parent(from);
+        let is_upstream = from == self.own_address || self.upstream.is_possible_parent(from);
         if is_upstream || !self.children.has_capacity_for(&from, child_capacity.capacity > 0) {
             return RelayMessage::SubscribeDeclined {
                 subscription,
                 alternatives: self.children.alternatives(&from),
             };
         }
-        let progress = ChildProgress::new(subscription, copy.digest, copy.configuration, self.source());
+        let progress = ChildProgress::new(
+            subscription,
+            subscriber.digest,
+            subscriber.configuration_version,
+            self.source(),
+        );
         self.children.insert(from, progress, child_capacity, now);
         RelayMessage::SubscribeAccepted { subscription }
     }
@@ -224,17 +233,18 @@
             self.upstream.unsubscribe_from_parent(actions);
             return;
         }
-        let rises = subscription.on_tick(update.tick);
-        let is_updates = |entry: &Entry| matches!(entry.value, Value::ConfigurationUpdates(_));
-        let brought_updates = update.entries.iter().any(is_updates);
+        let is_higher = subscription.on_tick(update.tick);
+        let is_configuration_updates = |entry: &Entry| matches!(entry.value, Value::ConfigurationUpdates(_));
+        let has_configuration_updates = update.entries.iter().any(is_configuration_updates);
         self.merge(update.entries, update.tombstone_ages_ms, now, actions);
-        // Another parent may have no newer configuration either: that is no reason to leave it.
-        if brought_updates && self.replica.lacks_configuration() {
+        // Without updates in the message, the parent has no newer configuration. Another parent may have none either, so the
+        // subscription continues.
+        if has_configuration_updates && self.replica.needs_full_configuration() {
             self.upstream.unsubscribe_from_parent(actions);
             return;
         }
         let tick_age = Duration::from_millis(u64::from(update.tick_age_ms));
-        self.freshness.on_relayed_tick(update.tick, tick_age, rises, now);
+        self.freshness.on_relayed_tick(update.tick, tick_age, is_higher, now);
     }
 
     fn on_peer_disconnected(&mut self, peer: SocketAddr, now: Duration) {
@@ -242,7 +252,8 @@
         self.children.remove(&peer);
     }
 
-    /// Merges what is new, for this node and its children. The ages belong to the tombstones; one without an age is new.
+    /// Merges the entries that are new into the copy, and logs them for the children. `tombstone_ages_ms` holds the ages of the
+    /// tombstones in their order; a tombstone without an age counts as new.
     fn merge(
         &mut self,
         entries: Vec<Entry>,
@@ -268,8 +279,8 @@
         }
     }
 
-    /// For how long a node may be without a tick before its entries of sessions need to be confirmed, and then how long it waits for
-    /// parents to confirm them.
+    /// Maximum time that a node may be stale before its session entries have to be confirmed. It is also the time that a node, once
+    /// fresh again, waits for parents to confirm them.
     fn confirmation_period(&self) -> Duration {
         self.settings.tombstone_retention / 2
     }
@@ -280,7 +291,8 @@
             || stale_since.is_some_and(|since| since + self.confirmation_period() <= now)
     }
 
-    /// The subscription that a message belongs to; where that begins with a full copy, entries of sessions have to be confirmed.
+    /// The subscription that a message belongs to. If the message is the first of a subscription with a full copy, marks all session
+    /// entries as unconfirmed.
     fn subscription_of(
         &mut self,
         from: SocketAddr,
@@ -302,19 +314,19 @@
         self.merge(tombstones, Vec::new(), now, actions);
     }
 
-    /// Searches for a parent if necessary, and acknowledges to the present one.
+    /// Searches for a parent if necessary, and sends the acknowledgement that is due to the present one.
     fn drive_upstream(&mut self, now: Duration, actions: &mut Vec<RelayAction>) {
         let digest = if self.needs_full_copy(now) { &[] } else { self.replica.digest() };
         let request = SubscribeRequest {
             directory: self.replica.directory(),
             digest,
-            configuration: self.replica.configuration_known(),
+            configuration_version: self.replica.known_configuration_version(),
             child_capacity: self.children.child_capacity(),
         };
-        let (me, children) = (self.me, &self.children);
-        let is_excluded = |address: &SocketAddr| *address == me || children.contains(address);
+        let (own_address, children) = (self.own_address, &self.children);
+        let is_excluded = |address: &SocketAddr| *address == own_address || children.contains(address);
         actions.extend(self.upstream.continue_search(now, self.freshness.expires_at(), request, is_excluded));
-        actions.extend(self.upstream.report(self.children.free_child_slots(), now));
+        actions.extend(self.upstream.acknowledge(self.children.free_child_slots(), now));
     }
 
     fn send_to_children(&mut self, now: Duration, actions: &mut Vec<RelayAction>) {
--- a/system/relay/src/replica.rs
+++ b/system/relay/src/replica.rs
@@ -1,9 +1,10 @@
 //! This node's copy of the registry, with its digest, the ages of its tombstones and the addresses of nodes.
 //!
-//! A tombstone is kept for [`RelaySettings::tombstone_retention`] from when it was first learned at a root: its age goes along with
-//! it, so that all copies drop it at about the same time, and none that has is sent it again, however often nodes come and go. Only a copy that still had the entry itself keeps its tombstone for at least half the time, so that its own children get
-//! it. A copy that was separated for less than half the time finds every tombstone that it missed at any parent; one that was
-//! separated for longer has its entries confirmed (see [`crate::unconfirmed`]).
+//! A tombstone is kept for [`RelaySettings::tombstone_retention`] from the time it was first received at a root. Its age is sent along
+//! with it, so that all copies drop it at about the same time, and a copy that has dropped it is not sent it again, however often
+//! nodes join and leave. Only a copy that still had the entry itself keeps its tombstone for at least half the retention, so that
+//! its own children receive it. A copy that was partitioned for less than half the retention finds every tombstone that it missed
+//! at any parent; the entries of a copy that was partitioned for longer have to be confirmed (see [`crate::unconfirmed`]).
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -14,36 +15,36 @@
 use crate::directory::Directory;
 use crate::settings::RelaySettings;
 
-/// The registry, kept together with what is derived from it.
+/// The registry, with the indexes derived from it.
 #[derive(Debug)]
 pub(crate) struct Replica {
     registry: Registry,
     digest: Vec<u64>,
     directory: Directory,
     retention: Duration,
-    /// Updates of the configuration came that don't build on the one here, so that it is needed in full.
-    lacks_configuration: bool,
-    /// When each tombstone expires.
-    tombstones: BTreeMap<Key, Duration>,
-    /// The same in the order of time.
-    expiries: BTreeSet<(Duration, Key)>,
+    /// Updates to the configuration were received whose base is not the version here, so the full configuration is needed.
+    needs_full_configuration: bool,
+    /// The time at which each tombstone expires.
+    tombstone_expiries: BTreeMap<Key, Duration>,
+    /// The keys of the tombstones, ordered by the time at which they expire.
+    expiry_order: BTreeSet<(Duration, Key)>,
 }
 
 impl Replica {
-    /// An empty copy.
+    /// Creates an empty copy.
     pub(crate) fn new(settings: &RelaySettings) -> Self {
         Self {
             registry: Registry::default(),
             digest: vec![0; BUCKETS],
             directory: Directory::new(settings.zone.clone()),
             retention: settings.tombstone_retention,
-            lacks_configuration: false,
-            tombstones: BTreeMap::new(),
-            expiries: BTreeSet::new(),
+            needs_full_configuration: false,
+            tombstone_expiries: BTreeMap::new(),
+            expiry_order: BTreeSet::new(),
         }
     }
 
-    /// The entries.
+    /// The entries of the copy.
     pub(crate) fn registry(&self) -> &Registry {
         &self.registry
     }
@@ -53,12 +54,12 @@
         &self.digest
     }
 
-    /// Where nodes are.
+    /// The locations of the nodes in the registry.
     pub(crate) fn directory(&self) -> &Directory {
         &self.directory
     }
 
-    /// Takes an entry in if it is newer than what is known; returns whether it was. `tombstone_age` is the age of a tombstone.
+    /// Merges an entry if it is newer than the known one; returns whether it was. `tombstone_age` applies to tombstones only.
     pub(crate) fn merge(&mut self, entry: &Entry, tombstone_age: Duration, now: Duration) -> bool {
         if !self.registry.accepts(entry) {
             return false;
@@ -79,64 +80,66 @@
     }
 
     fn merge_configuration(&mut self, entry: &Entry) -> bool {
-        let before = self.registry.entry(&entry.key).cloned();
+        let previous = self.registry.entry(&entry.key).cloned();
         let merged = self.registry.merge(entry.clone());
-        self.lacks_configuration = !merged;
+        self.needs_full_configuration = !merged;
         if merged {
-            before.iter().for_each(|before| self.add_to_digest(before));
+            previous.iter().for_each(|previous| self.add_to_digest(previous));
             self.add_to_digest(entry);
         }
         merged
     }
 
-    /// Whether the configuration here is behind, and updates can't bring it forward.
-    pub(crate) fn lacks_configuration(&self) -> bool {
-        self.lacks_configuration
+    /// Whether updates were received that do not apply to the configuration here, so that it is needed in full.
+    pub(crate) fn needs_full_configuration(&self) -> bool {
+        self.needs_full_configuration
     }
 
-    /// The number of the change of the configuration that others may build on; 0 where it is needed in full.
-    pub(crate) fn configuration_known(&self) -> u64 {
+    /// The version of the configuration to which a parent may send updates; 0 if the full configuration is needed.
+    pub(crate) fn known_configuration_version(&self) -> u64 {
         match self.registry.configuration() {
-            Some((sequence, _)) if !self.lacks_configuration => sequence,
+            Some((version, _)) if !self.needs_full_configuration => version,
             _ => 0,
         }
     }
 
-    /// How long ago an entry was removed; zero if it wasn't.
+    /// The age of the tombstone of a key; zero if there is none.
     pub(crate) fn tombstone_age(&self, key: &Key, now: Duration) -> Duration {
-        self.tombstones.get(key).map_or(Duration::ZERO, |until| (now + self.retention).saturating_sub(*until))
+        self.tombstone_expiries
+            .get(key)
+            .map_or(Duration::ZERO, |expires_at| (now + self.retention).saturating_sub(*expires_at))
     }
 
     /// Drops expired tombstones.
     pub(crate) fn expire(&mut self, now: Duration) {
         while self.next_expiry().is_some_and(|at| at <= now) {
-            let Some((_, key)) = self.expiries.pop_first() else { return };
+            let Some((_, key)) = self.expiry_order.pop_first() else { return };
             self.remove_from_digest(&key);
-            self.tombstones.remove(&key);
+            self.tombstone_expiries.remove(&key);
             self.registry.remove(&key);
         }
     }
 
-    /// When [`Replica::expire`] has something to do.
+    /// The time at which the next tombstone expires.
     pub(crate) fn next_expiry(&self) -> Option<Duration> {
-        self.expiries.first().map(|(until, _)| *until)
+        self.expiry_order.first().map(|(expires_at, _)| *expires_at)
     }
 
-    fn add_tombstone(&mut self, key: Key, until: Duration) {
-        self.tombstones.insert(key.clone(), until);
-        self.expiries.insert((until, key));
+    fn add_tombstone(&mut self, key: Key, expires_at: Duration) {
+        self.tombstone_expiries.insert(key.clone(), expires_at);
+        self.expiry_order.insert((expires_at, key));
     }
 
     fn remove_tombstone(&mut self, key: &Key) {
-        if let Some((key, until)) = self.tombstones.remove_entry(key) {
-            self.expiries.remove(&(until, key));
+        if let Some((key, expires_at)) = self.tombstone_expiries.remove_entry(key) {
+            self.expiry_order.remove(&(expires_at, key));
         }
     }
 
     fn add_to_digest(&mut self, entry: &Entry) {
         let (bucket, hash) = fingerprint(entry);
-        if let Some(sum) = self.digest.get_mut(bucket) {
-            *sum ^= hash;
+        if let Some(bucket_hash) = self.digest.get_mut(bucket) {
+            *bucket_hash ^= hash;
         }
     }
 
@@ -144,8 +147,8 @@
     fn remove_from_digest(&mut self, key: &Key) {
         let Some(entry) = self.registry.entry(key) else { return };
         let (bucket, hash) = fingerprint(entry);
-        if let Some(sum) = self.digest.get_mut(bucket) {
-            *sum ^= hash;
+        if let Some(bucket_hash) = self.digest.get_mut(bucket) {
+            *bucket_hash ^= hash;
         }
     }
 }
--- a/system/relay/src/settings.rs
+++ b/system/relay/src/settings.rs
@@ -1,57 +1,59 @@
-//! The bounds and times of the tree.
+//! Settings of the relay tree.
 
 use std::time::Duration;
 
 use gingerledge_wire::Role;
 
+/// Maximum number of children of a control node.
 const CONTROL_CHILDREN: usize = 24;
+/// Maximum number of children of an edge.
 const EDGE_CHILDREN: usize = 8;
 
-/// The bounds and times of the tree. All nodes of a system should have the same times.
+/// Bounds and durations of the relay tree. All nodes of a deployment should use the same durations.
 #[derive(Clone, Debug)]
 pub struct RelaySettings {
-    /// This node's zone; parents there are tried first. Empty if unknown.
+    /// Zone of this node; parents in the same zone are tried first. Empty if unknown.
     pub zone: String,
-    /// The most children; 0 if this node accepts none.
+    /// Maximum number of children; 0 if this node accepts none.
     pub max_children: usize,
     /// A node is fresh while its newest tick is younger than this.
-    pub freshness: Duration,
-    /// A parent from which nothing has come for this long is left.
+    pub max_tick_age: Duration,
+    /// Time without messages after which a node ends the subscription to its parent.
     pub parent_timeout: Duration,
-    /// A child from which nothing has come for this long is dropped.
+    /// Time without messages after which a child is removed.
     pub child_timeout: Duration,
-    /// A child gets at most one update in this time.
+    /// Minimum interval between updates to a child.
     pub update_interval: Duration,
-    /// A child gets an update at least this often, also without changes.
+    /// Maximum interval between updates to a child; updates without changes are sent if necessary.
     pub keepalive_interval: Duration,
-    /// A child acknowledges at least this often.
+    /// Maximum interval between acknowledgements of a child.
     pub ack_interval: Duration,
-    /// A child reports a change of its free slots at most this often.
+    /// Minimum interval between acknowledgements that only report a changed number of free slots.
     pub capacity_report_interval: Duration,
-    /// How long a node waits for the response to a subscription.
+    /// Time that a node waits for the response to a subscription in the first round of a search.
     pub response_timeout: Duration,
-    /// How long a node waits before it tries another parent as well.
+    /// Time that a node waits for a response before it tries another parent in addition, in the first round of a search.
     pub hedge_delay: Duration,
-    /// The shortest backoff between rounds of attempts.
+    /// Minimum backoff between rounds of attempts, before jitter.
     pub min_backoff: Duration,
-    /// The longest backoff between rounds of attempts.
+    /// Maximum backoff between rounds of attempts.
     pub max_backoff: Duration,
-    /// For how long an address that didn't respond is tried after all others.
+    /// Time for which an address that did not respond is tried after all others.
     pub failure_penalty: Duration,
-    /// A copy that is being sent in full may delay ticks for at most this long.
+    /// Maximum time for which the transfer of a full copy may delay the first tick.
     pub snapshot_timeout: Duration,
-    /// An update is not larger than about this, unless a single entry is.
+    /// Approximate maximum size of the entries in one update, in bytes; a single larger entry is still sent.
     pub max_update_bytes: usize,
-    /// The most bytes of entries in flight to one child.
+    /// Maximum size of the unacknowledged entries in flight to one child, in bytes; the last update may exceed it.
     pub max_inflight_bytes: usize,
-    /// The most changes kept for children; one further behind is dropped and subscribes again.
+    /// Maximum number of changes kept for children; a child that is further behind is removed and has to subscribe again.
     pub max_logged_changes: usize,
-    /// How long a tombstone is kept.
+    /// Time for which a tombstone is kept.
     pub tombstone_retention: Duration,
 }
 
 impl RelaySettings {
-    /// The usual settings of a node with a role.
+    /// The default settings of a node with a role.
     #[must_use]
     pub fn for_role(role: Role, zone: &str) -> Self {
         let max_children = match role {
@@ -68,7 +70,7 @@
         Self {
             zone: String::new(),
             max_children: 0,
-            freshness: Duration::from_millis(800),
+            max_tick_age: Duration::from_millis(800),
             parent_timeout: Duration::from_millis(600),
             child_timeout: Duration::from_secs(3),
             update_interval: Duration::from_millis(20),
--- a/system/relay/src/unconfirmed.rs
+++ b/system/relay/src/unconfirmed.rs
@@ -1,8 +1,9 @@
-//! Entries of sessions that a node held through a long time without a fresh parent.
+//! Session entries that have to be confirmed after a node had no fresh parent for a long time.
 //!
-//! Their tombstones may have been created and expired everywhere else meanwhile, so nothing would ever remove them here. Such a
-//! node requests a full copy from its next parent; entries that no parent has confirmed after the node has been fresh for the
-//! confirmation period are removed. A node that kept its parent has missed nothing, for however long ticks stood still.
+//! In that time, tombstones of these entries may have been created and have expired at all other nodes, so that nothing would ever
+//! remove the entries here. Such a node requests a full copy from its next parent; entries that no parent has confirmed by the time
+//! the node has been fresh for the confirmation period are removed. A node that kept its parent has missed no tombstone, however
+//! long no ticks came.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -13,11 +14,12 @@
 #[derive(Debug, Default)]
 pub(crate) struct UnconfirmedEntries {
     keys: BTreeSet<Key>,
+    /// Since when the node has been fresh without interruption.
     fresh_since: Option<Duration>,
 }
 
 impl UnconfirmedEntries {
-    /// Marks all entries of sessions as unconfirmed.
+    /// Marks all session entries of the registry as unconfirmed, except tombstones.
     pub(crate) fn mark_sessions(&mut self, registry: &Registry) {
         let sessions = registry
             .entries()
@@ -32,14 +34,14 @@
         self.keys.is_empty()
     }
 
-    /// A parent has this entry.
+    /// Records that a parent has the entry of this key.
     pub(crate) fn confirm(&mut self, key: &Key) {
         if !self.keys.is_empty() {
             self.keys.remove(key);
         }
     }
 
-    /// When [`UnconfirmedEntries::remove_overdue`] has something to do.
+    /// The time at which [`UnconfirmedEntries::remove_overdue`] returns keys, if the node stays fresh.
     pub(crate) fn next_timer(&self, confirmation_period: Duration) -> Option<Duration> {
         if self.keys.is_empty() {
             return None;
@@ -47,7 +49,7 @@
         self.fresh_since.map(|since| since + confirmation_period)
     }
 
-    /// Takes notice of whether the node is fresh; once it has been so for the confirmation period, removes and returns the keys.
+    /// Records whether the node is fresh. Once it has been fresh for the confirmation period, removes and returns all keys.
     pub(crate) fn remove_overdue(
         &mut self,
         is_fresh: bool,
--- a/system/relay/src/upstream.rs
+++ b/system/relay/src/upstream.rs
@@ -1,4 +1,4 @@
-//! The side of a node towards its parent: its subscription, and the search for another parent.
+//! The relation of a node to its parent: its subscription, and the search for another parent.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,7 +13,7 @@
 use crate::parent_subscription::ParentSubscription;
 use crate::settings::RelaySettings;
 
-/// The parent of a node, or the search for one.
+/// The subscription of a node to its parent, and the search for another parent while one runs.
 #[derive(Debug)]
 pub(crate) struct Upstream {
     settings: RelaySettings,
@@ -24,24 +24,25 @@
 }
 
 impl Upstream {
-    /// Without a parent.
-    pub(crate) fn new(settings: RelaySettings, me: SocketAddr, seed: u64) -> Self {
-        let candidates = Candidates::new(me, settings.failure_penalty);
+    /// Creates the state of a node without a parent.
+    pub(crate) fn new(settings: RelaySettings, own_address: SocketAddr, seed: u64) -> Self {
+        let candidates = Candidates::new(own_address, settings.failure_penalty);
         Self { settings, rng: Rng::with_seed(seed), candidates, subscription: None, search: None }
     }
 
-    /// The parent's address.
+    /// The address of the parent.
     pub(crate) fn parent(&self) -> Option<SocketAddr> {
         self.subscription.as_ref().map(ParentSubscription::parent)
     }
 
-    /// Whether a node is the parent, or an attempt at it is pending.
+    /// Whether the node at an address is the parent, or an attempt to subscribe to it is pending.
     pub(crate) fn is_possible_parent(&self, address: SocketAddr) -> bool {
         self.parent() == Some(address)
             || self.search.as_ref().is_some_and(|search| search.is_pending(&address))
     }
 
-    /// The subscription that a message belongs to. The first message of a pending attempt makes it the subscription.
+    /// The subscription that a message belongs to. The first message that responds to a pending attempt makes that attempt the
+    /// subscription.
     pub(crate) fn subscription_of(
         &mut self,
         from: SocketAddr,
@@ -57,7 +58,7 @@
         self.subscription.as_mut().filter(|current| current.matches_message(from, subscription))
     }
 
-    /// A node has declined this one as a child, and names alternatives.
+    /// Handles the refusal of a subscription, with the alternatives that the refusing node lists.
     pub(crate) fn on_declined(
         &mut self,
         from: SocketAddr,
@@ -76,7 +77,7 @@
         }
     }
 
-    /// The other side ends a subscription.
+    /// Handles the end of a subscription by the parent or by a node with a pending attempt.
     pub(crate) fn on_unsubscribed(&mut self, from: SocketAddr, subscription: u64, now: Duration) {
         if self.subscription.as_ref().is_some_and(|current| current.matches_message(from, subscription)) {
             self.subscription = None;
@@ -84,14 +85,14 @@
         self.on_declined(from, subscription, Vec::new(), now);
     }
 
-    /// Leaves the parent, for instance because an update is missing.
+    /// Ends the subscription to the parent, for example because an update is missing.
     pub(crate) fn unsubscribe_from_parent(&mut self, actions: &mut Vec<RelayAction>) {
         if let Some(subscription) = self.subscription.take() {
             actions.push(unsubscribe(subscription.parent(), subscription.subscription()));
         }
     }
 
-    /// The connection to a node failed.
+    /// Handles a failed connection to a node.
     pub(crate) fn on_disconnected(&mut self, peer: SocketAddr, now: Duration) {
         if self.parent() == Some(peer) {
             self.subscription = None;
@@ -104,7 +105,7 @@
         }
     }
 
-    /// Replaces the control nodes that the host knows of.
+    /// Replaces the control nodes provided by the host.
     pub(crate) fn set_seeds(&mut self, seeds: Vec<SocketAddr>, now: Duration) {
         let has_new = self.candidates.set_seeds(seeds);
         if let Some(search) = self.search.as_mut().filter(|_| has_new) {
@@ -112,8 +113,8 @@
         }
     }
 
-    /// Leaves a parent that has timed out, and drops attempts that have. To be called before a message is handled: after a pause of
-    /// this process, messages that waited meanwhile prove nothing.
+    /// Ends the subscription to a parent that has timed out, and drops attempts that have expired. Must be called before a message is
+    /// handled: after a pause of this process, messages queued during the pause do not show that their sender is still reachable.
     pub(crate) fn expire(&mut self, now: Duration, actions: &mut Vec<RelayAction>) {
         if let Some(subscription) =
             self.subscription.as_ref().filter(|subscription| subscription.times_out_at(&self.settings) <= now)
@@ -127,8 +128,8 @@
         }
     }
 
-    /// Begins, continues or ends the search. The newest tick counts until `fresh_until`; `is_excluded` holds for nodes that
-    /// can't be parents.
+    /// Begins, continues or ends the search, and returns the request to send, if one is due. The newest tick expires at `fresh_until`;
+    /// `is_excluded` is true for nodes that cannot be the parent.
     pub(crate) fn continue_search(
         &mut self,
         now: Duration,
@@ -162,34 +163,34 @@
         Some(subscribe(search.start_attempt(to, request, now, settings, rng), request))
     }
 
-    /// Acknowledges to the parent, if that is due.
-    pub(crate) fn report(&mut self, free_child_slots: u16, now: Duration) -> Option<RelayAction> {
+    /// The acknowledgement to the parent, if one is due.
+    pub(crate) fn acknowledge(&mut self, free_child_slots: u16, now: Duration) -> Option<RelayAction> {
         let subscription = self.subscription.as_mut()?;
-        if subscription.report_at(free_child_slots, &self.settings) > now {
+        if subscription.next_ack_at(free_child_slots, &self.settings) > now {
             return None;
         }
         Some(RelayAction::Send {
             to: subscription.parent(),
-            message: subscription.report(free_child_slots, now),
+            message: subscription.acknowledge(free_child_slots, now),
         })
     }
 
-    /// When there is something to do.
+    /// The time of the next time-out, acknowledgement or step of the search.
     pub(crate) fn next_timer(
         &self,
         fresh_until: Option<Duration>,
         free_child_slots: u16,
     ) -> Option<Duration> {
         let settings = &self.settings;
-        let subscription = self.subscription.as_ref().map(|subscription| {
+        let subscription_timer = self.subscription.as_ref().map(|subscription| {
             let stalled_at = subscription.stalled_at(fresh_until, settings);
             let stall_check_at = if self.search.is_none() { stalled_at } else { Duration::MAX };
             subscription
                 .times_out_at(settings)
-                .min(subscription.report_at(free_child_slots, settings))
+                .min(subscription.next_ack_at(free_child_slots, settings))
                 .min(stall_check_at)
         });
-        subscription.into_iter().chain(self.search.as_ref().map(ParentSearch::next_timer)).min()
+        subscription_timer.into_iter().chain(self.search.as_ref().map(ParentSearch::next_timer)).min()
     }
 
     fn needs_parent(&self, now: Duration, fresh_until: Option<Duration>) -> bool {
@@ -209,7 +210,7 @@
     let message = RelayMessage::Subscribe {
         subscription: attempt.subscription,
         digest: request.digest.to_vec(),
-        configuration: request.configuration,
+        configuration: request.configuration_version,
         free_child_slots: attempt.child_capacity.free_child_slots,
         capacity: attempt.child_capacity.capacity,
     };
--- a/system/relay/tests/cluster/entries.rs
+++ b/system/relay/tests/cluster/entries.rs
@@ -4,7 +4,7 @@
 
 use gingerledge_wire::{Entry, Key, StoreRecord, Value};
 
-/// An entry of a store with some text.
+/// The entry of a store.
 pub fn store(number: usize, version: u64) -> Entry {
     let record = StoreRecord {
         service: "reader".to_owned(),
@@ -23,7 +23,7 @@
     Key::Store(format!("store-{number:05}"))
 }
 
-/// The same store, removed.
+/// The tombstone of a store.
 pub fn tombstone(number: usize, version: u64) -> Entry {
     Entry { key: store_key(number), version, value: Value::Tombstone }
 }
--- a/system/relay/tests/cluster/mod.rs
+++ b/system/relay/tests/cluster/mod.rs
@@ -1,7 +1,7 @@
-//! A seeded simulation of relays: ordered links with delay that can be blocked, processes that stop, pause and start again, and a
-//! control chain that is only a source of ticks. The invariants are checked after every event.
+//! A seeded simulation of relays: links deliver in order, with a delay, and can be blocked; processes stop, pause and restart; the
+//! control chain is only a source of ticks. The invariants are checked after every event.
 
-// Each file of tests uses a part of it.
+// Each test file uses only a part of this module.
 #![allow(dead_code, unused_imports)]
 
 mod check;
@@ -20,54 +20,54 @@
 pub use entries::{store, store_key, tombstone};
 pub use node::Node;
 
-/// How often the control chain confirms a tick.
-pub const TICK_EVERY: Duration = Duration::from_millis(250);
-/// After this time without acknowledgement, a connection is reported as lost.
-const USER_TIMEOUT: Duration = Duration::from_secs(1);
+/// Interval between the ticks that the control chain confirms.
+pub const TICK_INTERVAL: Duration = Duration::from_millis(250);
+/// Time without acknowledgement after which a connection is reported as lost.
+const DISCONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The seeds to try: so many as usual, or as many as `RELAY_SEEDS` says; from 0 on, or from `RELAY_FIRST_SEED`.
-pub fn seeds(usual: u64) -> Range<u64> {
-    let number = |name| std::env::var(name).ok().and_then(|text| text.parse().ok());
-    let first = number("RELAY_FIRST_SEED").unwrap_or(0);
-    first..first + number("RELAY_SEEDS").unwrap_or(usual)
+/// The seeds to test: `default_count` seeds, or `RELAY_SEEDS` if that is set, starting from 0 or from `RELAY_FIRST_SEED`.
+pub fn seeds(default_count: u64) -> Range<u64> {
+    let variable = |name| std::env::var(name).ok().and_then(|text| text.parse().ok());
+    let first = variable("RELAY_FIRST_SEED").unwrap_or(0);
+    first..first + variable("RELAY_SEEDS").unwrap_or(default_count)
 }
 
-/// Milliseconds.
+/// A duration of this many milliseconds.
 pub fn millis(value: u64) -> Duration {
     Duration::from_millis(value)
 }
 
-/// An event of the simulation.
+/// An event that the simulation has scheduled.
 enum ScheduledEvent {
     MessageArrives { from: SocketAddr, to: SocketAddr, message: RelayMessage, bytes: usize },
     Disconnected { at: SocketAddr, peer: SocketAddr },
     TimerExpires { at: SocketAddr, incarnation: u32 },
-    EntryLearned { root: SocketAddr, entry: Entry },
+    EntryReceived { root: SocketAddr, entry: Entry },
     Tick,
     Resume { at: SocketAddr },
     ProcessStarts { at: SocketAddr },
 }
 
-/// The simulated nodes.
+/// The simulated nodes, their network and the schedule of events.
 pub struct Cluster {
     pub now: Duration,
     pub rng: Rng,
     pub nodes: BTreeMap<SocketAddr, Node>,
-    /// Whether the control chain makes ticks.
+    /// Whether the control chain confirms ticks.
     pub ticks_enabled: bool,
-    /// Whether messages take processor time.
+    /// Whether handling a message takes processor time.
     pub charges_processor_time: bool,
-    /// Directed pairs between which nothing passes.
+    /// Directed pairs of sender and receiver whose messages are dropped.
     pub blocked_links: BTreeSet<(SocketAddr, SocketAddr)>,
-    /// Roots that are separated from the control chain.
+    /// Roots that are partitioned from the control chain.
     pub separated_roots: BTreeSet<SocketAddr>,
-    /// Entries that all roots in the chain learned, with the time by which they all had.
-    pub learned: Vec<(Duration, Entry)>,
-    /// How much newer than `last_tick_at` an entry may be that a node still lacks.
+    /// Entries that all roots connected to the control chain have received, with the time by which all of them had.
+    pub received_at_roots: Vec<(Duration, Entry)>,
+    /// An entry received at the roots within this time before `last_tick_at` may still be missing at a fresh node.
     pub freshness_slack: Duration,
-    /// Sees every message sent.
+    /// Called for every message sent.
     pub message_observer: Option<fn(&RelayMessage)>,
-    /// When each tombstone was learned at the roots.
+    /// The time at which the roots received each tombstone, by key and version.
     pub tombstone_times: BTreeMap<(Key, u64), Duration>,
     tick: FreshnessTick,
     schedule: BTreeMap<(Duration, u64), ScheduledEvent>,
@@ -77,7 +77,7 @@
 }
 
 impl Cluster {
-    /// No nodes yet. The seed decides everything.
+    /// Creates a cluster without nodes. The seed determines all random choices.
     pub fn new(seed: u64) -> Self {
         let mut cluster = Self {
             now: Duration::from_secs(1),
@@ -87,7 +87,7 @@
             charges_processor_time: false,
             blocked_links: BTreeSet::new(),
             separated_roots: BTreeSet::new(),
-            learned: Vec::new(),
+            received_at_roots: Vec::new(),
             freshness_slack: millis(50),
             message_observer: None,
             tombstone_times: BTreeMap::new(),
@@ -97,11 +97,11 @@
             last_delivery: BTreeMap::new(),
             seed,
         };
-        cluster.schedule_after(TICK_EVERY, ScheduledEvent::Tick);
+        cluster.schedule_after(TICK_INTERVAL, ScheduledEvent::Tick);
         cluster
     }
 
-    /// So many control nodes, edges and backends, all started within the spread.
+    /// Creates a cluster of control nodes, edges and backends that start at random times within `spread`.
     pub fn with_nodes(seed: u64, control: usize, edges: usize, backends: usize, spread: Duration) -> Self {
         let mut cluster = Self::new(seed);
         let roles = [(Role::Control, control), (Role::Edge, edges), (Role::Backend, backends)];
@@ -115,7 +115,7 @@
         cluster
     }
 
-    /// Adds a node that isn't started yet.
+    /// Adds a node without starting it.
     pub fn add(&mut self, role: Role) -> SocketAddr {
         let index = self.nodes.len() + 1;
         let ip = Ipv4Addr::new(10, 0, (index / 250) as u8, (index % 250) as u8);
@@ -126,12 +126,12 @@
         address
     }
 
-    /// Addresses of nodes with a role.
+    /// The addresses of the nodes with a role.
     pub fn with_role(&self, role: Role) -> Vec<SocketAddr> {
         self.nodes.iter().filter(|(_, node)| node.role == role).map(|(address, _)| *address).collect()
     }
 
-    /// A node's relay; it must be up.
+    /// The relay of a node, which must be running or paused.
     pub fn relay(&self, at: SocketAddr) -> &Relay {
         self.nodes[&at].relay.as_ref().unwrap_or_else(|| panic!("{at} is down, seed {}", self.seed))
     }
@@ -147,28 +147,28 @@
         self.catch_up(at);
     }
 
-    /// Gives a control node what the others know, as its host does before it counts as a root again.
+    /// Passes a control node the entries of the others, as its host does before the node acts as a root again.
     fn catch_up(&mut self, at: SocketAddr) {
         if self.nodes[&at].role == Role::Control && !self.separated_roots.contains(&at) {
-            let known = self.learned.iter().map(|(_, entry)| entry.clone()).collect();
-            self.handle(at, RelayEvent::EntriesLearned(known));
+            let known = self.received_at_roots.iter().map(|(_, entry)| entry.clone()).collect();
+            self.handle(at, RelayEvent::EntriesReceived(known));
         }
     }
 
-    /// A control node is separated from the others.
+    /// Partitions a control node from the control chain.
     pub fn separate_root(&mut self, at: SocketAddr) {
         self.separated_roots.insert(at);
     }
 
-    /// A control node is connected again.
+    /// Connects a partitioned control node to the control chain again.
     pub fn reconnect_root(&mut self, at: SocketAddr) {
         self.separated_roots.remove(&at);
         self.catch_up(at);
     }
 
-    /// All control nodes end and start again with nothing, and count ticks anew.
+    /// Kills all control nodes and restarts them with empty copies; ticks start from the beginning.
     pub fn restart_control_nodes(&mut self) {
-        self.learned.clear();
+        self.received_at_roots.clear();
         self.tick.number = 0;
         for at in self.with_role(Role::Control) {
             self.kill(at);
@@ -176,12 +176,12 @@
         }
     }
 
-    /// Starts a process later.
+    /// Starts a process after a delay.
     pub fn start_after(&mut self, after: Duration, at: SocketAddr) {
         self.schedule_after(after, ScheduledEvent::ProcessStarts { at });
     }
 
-    /// Ends a process; its peers see their connections close.
+    /// Kills a process; its peers see their connections close.
     pub fn kill(&mut self, at: SocketAddr) {
         let Some(node) = self.nodes.get_mut(&at) else { return };
         node.stop();
@@ -190,56 +190,57 @@
         }
     }
 
-    /// A machine loses power: no peer notices a closed connection.
+    /// Powers off a machine: its peers see no closed connection.
     pub fn power_off(&mut self, at: SocketAddr) {
         let Some(node) = self.nodes.get_mut(&at) else { return };
         node.stop();
         node.is_powered_off = true;
     }
 
-    /// Pauses a process; events for it wait.
+    /// Pauses a process; its events are queued.
     pub fn pause(&mut self, at: SocketAddr, time: Duration) {
         let Some(node) = self.nodes.get_mut(&at) else { return };
         node.is_paused = true;
         self.schedule_after(time, ScheduledEvent::Resume { at });
     }
 
-    /// No messages pass between two nodes any more.
-    pub fn block_link(&mut self, one: SocketAddr, other: SocketAddr) {
-        self.blocked_links.insert((one, other));
-        self.blocked_links.insert((other, one));
+    /// Drops all messages between two nodes, in both directions.
+    pub fn block_link(&mut self, first: SocketAddr, second: SocketAddr) {
+        self.blocked_links.insert((first, second));
+        self.blocked_links.insert((second, first));
     }
 
-    /// Lets all roots in the chain learn an entry, one after the other within a few milliseconds.
-    pub fn learn_at_roots(&mut self, entry: Entry) {
+    /// Passes an entry to all roots connected to the control chain, to each after a random delay of less than 5 ms.
+    pub fn receive_at_roots(&mut self, entry: Entry) {
         let roots: Vec<SocketAddr> = self.roots().collect();
         let mut latest = Duration::ZERO;
         for root in &roots {
             let after = millis(self.rng.u64(0..5));
             latest = latest.max(after);
-            self.schedule_after(after, ScheduledEvent::EntryLearned { root: *root, entry: entry.clone() });
+            self.schedule_after(after, ScheduledEvent::EntryReceived { root: *root, entry: entry.clone() });
         }
         if !roots.is_empty() {
-            self.learned.retain(|(_, known)| known.key != entry.key);
+            self.received_at_roots.retain(|(_, known)| known.key != entry.key);
             self.tombstone_times.insert((entry.key.clone(), entry.version), self.now);
-            self.learned.push((self.now + latest, entry));
+            self.received_at_roots.push((self.now + latest, entry));
         }
     }
 
-    /// Lets time pass.
+    /// Runs the simulation for some time.
     pub fn run(&mut self, time: Duration) {
         let until = self.now + time;
-        while let Some(((at, _), process)) = self.pop_until(until) {
+        while let Some(((at, _), event)) = self.pop_until(until) {
             self.now = at;
-            self.process(process);
+            self.process(event);
         }
         self.now = until;
     }
 
-    /// Lets time pass until a condition holds, checked every 5 ms; the time that it took, if it came to hold.
-    pub fn run_until(&mut self, most: Duration, condition: impl Fn(&Cluster) -> bool) -> Option<Duration> {
+    /// Runs the simulation until a condition holds, which is checked every 5 ms, for at most `timeout`. Returns the time that it took;
+    /// `None` after the time-out.
+    pub fn run_until(&mut self, timeout: Duration, condition: impl Fn(&Cluster) -> bool) -> Option<Duration> {
         let start = self.now;
-        while self.now < start + most {
+        while self.now < start + timeout {
             if condition(self) {
                 return Some(self.now - start);
             }
@@ -248,10 +249,10 @@
         condition(self).then_some(self.now - start)
     }
 
-    /// Fails with the seed.
+    /// Asserts a condition; the panic message names the seed and the simulated time.
     #[track_caller]
-    pub fn assert_holds(&self, has_live_entry: bool, what: &str) {
-        assert!(has_live_entry, "seed {} at {:?}: {what}", self.seed, self.now);
+    pub fn assert_holds(&self, condition: bool, description: &str) {
+        assert!(condition, "seed {} at {:?}: {description}", self.seed, self.now);
     }
 
     fn roots(&self) -> impl Iterator<Item = SocketAddr> + '_ {
@@ -259,9 +260,9 @@
         control.map(|(address, _)| *address).filter(|address| !self.separated_roots.contains(address))
     }
 
-    fn schedule_after(&mut self, after: Duration, process: ScheduledEvent) {
+    fn schedule_after(&mut self, after: Duration, event: ScheduledEvent) {
         self.scheduled_count += 1;
-        self.schedule.insert((self.now + after, self.scheduled_count), process);
+        self.schedule.insert((self.now + after, self.scheduled_count), event);
     }
 
     fn pop_until(&mut self, until: Duration) -> Option<((Duration, u64), ScheduledEvent)> {
@@ -272,8 +273,8 @@
         Some(first.remove_entry())
     }
 
-    fn process(&mut self, process: ScheduledEvent) {
-        match process {
+    fn process(&mut self, event: ScheduledEvent) {
+        match event {
             ScheduledEvent::MessageArrives { from, to, message, bytes } => {
                 self.deliver(from, to, message, bytes);
             }
@@ -281,8 +282,8 @@
                 self.handle(at, RelayEvent::PeerDisconnected { peer });
             }
             ScheduledEvent::TimerExpires { at, incarnation } => self.timer(at, incarnation),
-            ScheduledEvent::EntryLearned { root, entry } => {
-                self.handle(root, RelayEvent::EntriesLearned(vec![entry]));
+            ScheduledEvent::EntryReceived { root, entry } => {
+                self.handle(root, RelayEvent::EntriesReceived(vec![entry]));
             }
             ScheduledEvent::Tick => self.tick(),
             ScheduledEvent::Resume { at } => self.resume(at),
@@ -291,7 +292,7 @@
     }
 
     fn tick(&mut self) {
-        self.schedule_after(TICK_EVERY, ScheduledEvent::Tick);
+        self.schedule_after(TICK_INTERVAL, ScheduledEvent::Tick);
         if !self.ticks_enabled {
             return;
         }
@@ -321,7 +322,7 @@
     }
 
     fn deliver(&mut self, from: SocketAddr, to: SocketAddr, message: RelayMessage, bytes: usize) {
-        let costs = self.charges_processor_time;
+        let charges_time = self.charges_processor_time;
         let Some(node) = self.nodes.get_mut(&to) else { return };
         if node.relay.is_none() {
             if !node.is_powered_off {
@@ -329,7 +330,7 @@
             }
             return;
         }
-        if costs && node.busy_until > self.now {
+        if charges_time && node.busy_until > self.now {
             let after = node.busy_until - self.now;
             self.schedule_after(after, ScheduledEvent::MessageArrives { from, to, message, bytes });
             return;
@@ -340,7 +341,7 @@
         self.handle(to, RelayEvent::Message { from, message });
     }
 
-    /// Gives an event to a relay, or queues it while the process is paused.
+    /// Passes an event to a relay, or queues it while the process is paused.
     pub fn handle(&mut self, at: SocketAddr, event: RelayEvent) {
         let now = self.now;
         let Some(node) = self.nodes.get_mut(&at) else { return };
@@ -366,7 +367,10 @@
 
     fn schedule_timer(&mut self, at: SocketAddr, timer: Option<Duration>) {
         let Some(timer) = timer else { return };
-        self.assert_holds(timer > self.now, &format!("the timer of {at} is due at once, a busy loop"));
+        self.assert_holds(
+            timer > self.now,
+            &format!("the timer of {at} is due immediately, which makes a busy loop"),
+        );
         let Some(node) = self.nodes.get_mut(&at) else { return };
         if node.timer_at != Some(timer) {
             node.timer_at = Some(timer);
@@ -376,8 +380,8 @@
     }
 
     fn send(&mut self, from: SocketAddr, to: SocketAddr, message: RelayMessage) {
-        if let Some(message_observer) = self.message_observer {
-            message_observer(&message);
+        if let Some(observe) = self.message_observer {
+            observe(&message);
         }
         let bytes = node::encoded_bytes(&message);
         if let Some(node) = self.nodes.get_mut(&from) {
@@ -388,16 +392,16 @@
         let is_unreachable = self.nodes.get(&to).is_none_or(|node| node.is_powered_off)
             || self.blocked_links.contains(&(from, to));
         if is_unreachable || self.blocked_links.contains(&(to, from)) && self.rng.bool() {
-            self.schedule_after(USER_TIMEOUT, ScheduledEvent::Disconnected { at: from, peer: to });
+            self.schedule_after(DISCONNECT_TIMEOUT, ScheduledEvent::Disconnected { at: from, peer: to });
             return;
         }
         let mut delay = Duration::from_micros(self.rng.u64(100..2000));
         if self.charges_processor_time {
             delay += self.nodes[&from].busy_until.saturating_sub(self.now);
         }
-        let last = self.last_delivery.entry((from, to)).or_default();
-        *last = (*last).max(self.now + delay);
-        let after = *last - self.now;
+        let last_delivery = self.last_delivery.entry((from, to)).or_default();
+        *last_delivery = (*last_delivery).max(self.now + delay);
+        let after = *last_delivery - self.now;
         self.schedule_after(after, ScheduledEvent::MessageArrives { from, to, message, bytes });
     }
 }
--- a/system/relay/tests/cluster/node.rs
+++ b/system/relay/tests/cluster/node.rs
@@ -1,4 +1,4 @@
-//! One process of the simulation.
+//! A simulated process.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -7,16 +7,16 @@
 use gingerledge_relay::{Relay, RelayEvent, RelaySettings};
 use gingerledge_wire::{Key, RelayMessage, Role};
 
-/// Processor time of one message at a whole core.
+/// Processor time per message on one full core.
 const MESSAGE_COST: Duration = Duration::from_micros(15);
-/// Processor time of each byte of a message at a whole core.
+/// Processor time per message byte on one full core.
 const BYTE_COST: Duration = Duration::from_nanos(10);
-/// The part of a core that a control node has.
+/// Number of cores of a control node.
 const CONTROL_CORES: f64 = 0.25;
-/// The part of a core that any other node has.
+/// Number of cores of any other node.
 const OTHER_CORES: f64 = 0.047;
 
-/// Counts of messages.
+/// Counts of messages and of their encoded bytes.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Traffic {
     pub messages: u64,
@@ -30,14 +30,14 @@
     }
 }
 
-/// One process.
+/// A simulated process.
 pub struct Node {
     pub role: Role,
     pub settings: RelaySettings,
-    /// None while it is down.
+    /// `None` while the process is down.
     pub relay: Option<Relay>,
     pub incarnation: u32,
-    /// When the process started; its own clock counts from there.
+    /// The time at which the process started. The clock of the process starts at zero then.
     pub started_at: Duration,
     pub is_paused: bool,
     pub is_powered_off: bool,
@@ -70,22 +70,22 @@
         }
     }
 
-    /// Whether the process is up and counts as fresh.
+    /// Whether the process is up and its relay is fresh.
     pub fn is_fresh(&self, now: Duration) -> bool {
         self.relay.as_ref().is_some_and(|relay| relay.is_fresh(now - self.started_at))
     }
 
-    /// Whether the process is up and not frozen.
+    /// Whether the process is up and not paused.
     pub fn is_running(&self) -> bool {
         self.relay.is_some() && !self.is_paused
     }
 
-    pub fn start(&mut self, me: SocketAddr, seed: u64, now: Duration) {
+    pub fn start(&mut self, address: SocketAddr, seed: u64, now: Duration) {
         self.stop();
         self.is_powered_off = false;
         self.incarnation += 1;
         self.started_at = now;
-        self.relay = Some(Relay::new(self.settings.clone(), me, self.role == Role::Control, seed));
+        self.relay = Some(Relay::new(self.settings.clone(), address, self.role == Role::Control, seed));
     }
 
     pub fn stop(&mut self) {
@@ -96,7 +96,7 @@
         self.newest_seen.clear();
     }
 
-    /// Spends processor time on a message.
+    /// Charges the processor time of a message.
     pub fn charge(&mut self, now: Duration, bytes: usize) {
         let cores = if self.role == Role::Control { CONTROL_CORES } else { OTHER_CORES };
         let cost = (MESSAGE_COST + BYTE_COST * bytes as u32).div_f64(cores);
@@ -104,7 +104,7 @@
     }
 }
 
-/// How long a message is as the transport encodes it.
+/// The size of a message in bytes, as the transport encodes it.
 pub fn encoded_bytes(message: &RelayMessage) -> usize {
     let bytes = bincode::serde::encode_to_vec(message, bincode::config::standard());
     bytes.map_or(0, |bytes| bytes.len())
--- a/system/relay/tests/configuration.rs
+++ b/system/relay/tests/configuration.rs
@@ -1,4 +1,4 @@
-//! How a configuration goes down the tree: whole to whoever has no part of it, and by its updates to whoever has an earlier one.
+//! Relaying of the configuration: in full to a node without a configuration, and as updates to a node with an earlier version.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
@@ -10,14 +10,14 @@
 use yare::parameterized;
 
 const STEP: Duration = Duration::from_millis(10);
-/// Long enough for a subscription and everything that is sent with it.
+/// Steps per run: enough for a subscription and all updates that follow it.
 const STEPS: usize = 200;
 
 fn address(number: u8) -> SocketAddr {
     SocketAddr::from((Ipv4Addr::new(10, 0, 0, number), 7000))
 }
 
-/// A configuration with so many services, of which one was changed last.
+/// A configuration with this number of services.
 fn document(services: usize) -> ConfigurationDocument {
     let services: Vec<String> =
         (0..services).map(|number| format!(r#"{{"name":"s{number}","healthPath":"/healthz"}}"#)).collect();
@@ -42,8 +42,8 @@
     Updates(Vec<u64>),
 }
 
-/// A root (0), its child (1) and the child's child (2), with a clock, and how configurations went to the last two.
-struct RelayLine {
+/// A chain of three relays: a root (0), its child (1) and the child's child (2). Records how configurations are sent to relays 1 and 2.
+struct RelayChain {
     relays: Vec<Relay>,
     now: Duration,
     ticks: u64,
@@ -51,23 +51,23 @@
     sent: Vec<(usize, Sent)>,
 }
 
-impl RelayLine {
+impl RelayChain {
     fn new(first: &Entry) -> Self {
         let relay = |number: u8| {
             let role = if number == 0 { Role::Control } else { Role::Edge };
             Relay::new(RelaySettings::for_role(role, ""), address(number), number == 0, u64::from(number) + 1)
         };
         let relays = (0..3).map(relay).collect();
-        let mut line =
+        let mut chain =
             Self { relays, now: Duration::from_secs(10), ticks: 0, is_link_blocked: false, sent: Vec::new() };
-        line.handle(0, RelayEvent::EntriesLearned(vec![first.clone()]));
-        line.handle(0, RelayEvent::Tick(FreshnessTick { epoch: 1, number: 1 }));
+        chain.handle(0, RelayEvent::EntriesReceived(vec![first.clone()]));
+        chain.handle(0, RelayEvent::Tick(FreshnessTick { epoch: 1, number: 1 }));
         for number in 1..3 {
-            line.handle(number, RelayEvent::ControlNodesKnown(vec![address(number as u8 - 1)]));
-            line.handle(number, RelayEvent::Started);
+            chain.handle(number, RelayEvent::ControlNodesKnown(vec![address(number as u8 - 1)]));
+            chain.handle(number, RelayEvent::Started);
         }
-        line.run();
-        line
+        chain.run();
+        chain
     }
 
     fn handle(&mut self, number: usize, event: RelayEvent) {
@@ -88,14 +88,14 @@
         let RelayMessage::Update { entries, .. } = message else { return };
         self.sent.extend(entries.iter().filter_map(|entry| match &entry.value {
             Value::Configuration(_) => Some((receiver, Sent::Full(entry.version))),
-            Value::ConfigurationUpdates(series) => {
-                Some((receiver, Sent::Updates(series.iter().map(|applied| applied.sequence).collect())))
+            Value::ConfigurationUpdates(updates) => {
+                Some((receiver, Sent::Updates(updates.iter().map(|update| update.sequence).collect())))
             }
             _ => None,
         }));
     }
 
-    /// Lets time pass until everything has come everywhere.
+    /// Runs the relays long enough for all entries to reach all of them.
     fn run(&mut self) {
         for _ in 0..STEPS {
             self.now += STEP;
@@ -109,11 +109,12 @@
         }
     }
 
-    fn sent(&mut self) -> Vec<(usize, Sent)> {
+    /// Removes and returns the records of what was sent, each with its receiver.
+    fn take_sent(&mut self) -> Vec<(usize, Sent)> {
         std::mem::take(&mut self.sent)
     }
 
-    fn everywhere(&self, expected: &Entry) {
+    fn assert_configuration_everywhere(&self, expected: &Entry) {
         for (number, relay) in self.relays.iter().enumerate() {
             assert_eq!(relay.registry().entry(&Key::Configuration), Some(expected), "relay {number}");
         }
@@ -123,65 +124,69 @@
 #[test]
 fn configuration_updates_are_relayed_as_updates() {
     let mut known = document(500);
-    let mut line = RelayLine::new(&entry(1, &known));
-    assert_eq!(line.sent(), [(1, Sent::Full(1)), (2, Sent::Full(1))]);
+    let mut chain = RelayChain::new(&entry(1, &known));
+    assert_eq!(chain.take_sent(), [(1, Sent::Full(1)), (2, Sent::Full(1))]);
     for base in 1..5 {
         known.apply(update(base)).expect("valid");
-        line.handle(0, RelayEvent::EntriesLearned(vec![entry(base + 1, &known)]));
-        line.run();
-        line.everywhere(&entry(base + 1, &known));
-        assert_eq!(line.sent(), [(1, Sent::Updates(vec![base + 1])), (2, Sent::Updates(vec![base + 1]))]);
+        chain.handle(0, RelayEvent::EntriesReceived(vec![entry(base + 1, &known)]));
+        chain.run();
+        chain.assert_configuration_everywhere(&entry(base + 1, &known));
+        assert_eq!(
+            chain.take_sent(),
+            [(1, Sent::Updates(vec![base + 1])), (2, Sent::Updates(vec![base + 1]))]
+        );
     }
 }
 
 #[test]
 fn a_replaced_configuration_is_sent_in_full() {
-    let mut line = RelayLine::new(&entry(1, &document(3)));
-    line.sent();
-    line.handle(0, RelayEvent::EntriesLearned(vec![entry(7, &document(4))]));
-    line.run();
-    line.everywhere(&entry(7, &document(4)));
-    assert_eq!(line.sent(), [(1, Sent::Full(7)), (2, Sent::Full(7))]);
+    let mut chain = RelayChain::new(&entry(1, &document(3)));
+    chain.take_sent();
+    chain.handle(0, RelayEvent::EntriesReceived(vec![entry(7, &document(4))]));
+    chain.run();
+    chain.assert_configuration_everywhere(&entry(7, &document(4)));
+    assert_eq!(chain.take_sent(), [(1, Sent::Full(7)), (2, Sent::Full(7))]);
 }
 
-/// A child that was separated is sent the updates that it missed, or the full configuration where those are no longer kept.
-#[parameterized(a_few = { 3, false }, more_than_are_kept = { 100, true })]
-fn a_reconnected_node_gets_updates_if_they_are_still_kept_and_else_the_full_configuration(
+/// After a partition, a child is sent the updates that it missed, or the full configuration if those updates are no longer kept.
+#[parameterized(few_updates = { 3, false }, more_updates_than_are_kept = { 100, true })]
+fn a_reconnected_node_gets_updates_while_they_are_kept_and_otherwise_the_full_configuration(
     updates: u64,
-    full: bool,
+    expects_full: bool,
 ) {
     let mut known = document(50);
-    let mut line = RelayLine::new(&entry(1, &known));
-    line.sent();
-    line.is_link_blocked = true;
-    line.run();
+    let mut chain = RelayChain::new(&entry(1, &known));
+    chain.take_sent();
+    chain.is_link_blocked = true;
+    chain.run();
     for base in 1..=updates {
         known.apply(update(base)).expect("valid");
-        line.handle(0, RelayEvent::EntriesLearned(vec![entry(base + 1, &known)]));
+        chain.handle(0, RelayEvent::EntriesReceived(vec![entry(base + 1, &known)]));
     }
-    line.run();
-    line.is_link_blocked = false;
-    line.run();
-    line.everywhere(&entry(updates + 1, &known));
-    let first = line.sent().into_iter().find(|(receiver, _)| *receiver == 1);
-    let expected = if full { Sent::Full(updates + 1) } else { Sent::Updates((2..=updates + 1).collect()) };
+    chain.run();
+    chain.is_link_blocked = false;
+    chain.run();
+    chain.assert_configuration_everywhere(&entry(updates + 1, &known));
+    let first = chain.take_sent().into_iter().find(|(receiver, _)| *receiver == 1);
+    let expected =
+        if expects_full { Sent::Full(updates + 1) } else { Sent::Updates((2..=updates + 1).collect()) };
     assert_eq!(first, Some((1, expected)));
 }
 
-/// Updates that don't lead on from what a node has change nothing there, and it asks for the whole.
+/// A node ignores updates whose base is not its own version, and requests the full configuration.
 #[test]
 fn updates_on_another_base_are_not_applied() {
     let known = document(3);
-    let mut line = RelayLine::new(&entry(5, &known));
+    let mut chain = RelayChain::new(&entry(5, &known));
     let mut other_base = document(4);
     other_base.apply(update(6)).expect("valid");
-    line.sent();
-    // As if the root had learned a change that the others lack.
-    line.handle(0, RelayEvent::EntriesLearned(vec![entry(7, &other_base)]));
-    line.run();
-    line.everywhere(&entry(7, &other_base));
+    chain.take_sent();
+    // The root has received a change that the other relays lack.
+    chain.handle(0, RelayEvent::EntriesReceived(vec![entry(7, &other_base)]));
+    chain.run();
+    chain.assert_configuration_everywhere(&entry(7, &other_base));
     let expected = [(1, Sent::Full(7)), (2, Sent::Full(7))];
-    assert_eq!(line.sent(), expected);
+    assert_eq!(chain.take_sent(), expected);
 }
 
 #[test]
@@ -191,10 +196,10 @@
     let now = Duration::from_secs(10);
     let mut actions = Vec::new();
     relay.handle(now, RelayEvent::ControlNodesKnown(vec![address(0)]), &mut actions);
-    relay.handle(now, RelayEvent::EntriesLearned(vec![entry(5, &document(3))]), &mut actions);
+    relay.handle(now, RelayEvent::EntriesReceived(vec![entry(5, &document(3))]), &mut actions);
     relay.handle(now, RelayEvent::Started, &mut actions);
-    let subscription = subscribed(&actions).expect("a subscription").0;
-    assert_eq!(subscribed(&actions), Some((subscription, 5)));
+    let subscription = last_subscription(&actions).expect("a subscription").0;
+    assert_eq!(last_subscription(&actions), Some((subscription, 5)));
     let value = Value::ConfigurationUpdates(vec![update(6)]);
     let update = RelayMessage::Update {
         subscription,
@@ -210,13 +215,13 @@
     assert_eq!(relay.parent(), None);
     assert!(!relay.is_fresh(now), "the tick covers an update that was not applied");
     let mut later = now;
-    while subscribed(&actions).is_none() {
-        later = relay.next_timer().expect("it looks for a parent").max(later);
+    while last_subscription(&actions).is_none() {
+        later = relay.next_timer().expect("the relay searches for a parent").max(later);
         relay.handle(later, RelayEvent::TimerExpired, &mut actions);
     }
-    assert_eq!(subscribed(&actions).map(|(_, configuration)| configuration), Some(0));
-    // A parent that has nothing newer either is kept.
-    let subscription = subscribed(&actions).expect("a subscription").0;
+    assert_eq!(last_subscription(&actions).map(|(_, configuration)| configuration), Some(0));
+    // A parent without a newer configuration is kept.
+    let subscription = last_subscription(&actions).expect("a subscription").0;
     let tick = FreshnessTick { epoch: 1, number: 2 };
     let update = RelayMessage::Update {
         subscription,
@@ -230,8 +235,8 @@
     assert_eq!(relay.parent(), Some(address(0)));
 }
 
-/// The last subscription among actions, with the configuration that it reports.
-fn subscribed(actions: &[RelayAction]) -> Option<(u64, u64)> {
+/// The last subscription request among the actions: its identifier and the configuration version that it reports.
+fn last_subscription(actions: &[RelayAction]) -> Option<(u64, u64)> {
     actions.iter().rev().find_map(|action| match action {
         RelayAction::Send {
             message: RelayMessage::Subscribe { subscription, configuration, .. }, ..
--- a/system/relay/tests/digest.rs
+++ b/system/relay/tests/digest.rs
@@ -1,5 +1,5 @@
-//! The digest of a copy goes over the wire in each subscription, and is compared with that of a node that may run another release. So
-//! the hashes of each kind of key are pinned as they were first recorded.
+//! The digest of a copy is sent with each subscription and compared with that of a node that may run another release. The tests
+//! therefore pin the recorded hashes of each kind of key.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
@@ -19,12 +19,12 @@
     Entry { key, version, value: Value::Tombstone }
 }
 
-/// The buckets that aren't empty in the digest of a node that holds these entries.
+/// The non-empty buckets, with their hashes, in the digest of a node that has these entries.
 fn digest_of(entries: Vec<Entry>) -> Vec<(usize, u64)> {
     let mut relay = Relay::new(RelaySettings::for_role(Role::Edge, ""), address(1), false, 1);
     let mut actions = Vec::new();
     for event in [
-        RelayEvent::EntriesLearned(entries),
+        RelayEvent::EntriesReceived(entries),
         RelayEvent::ControlNodesKnown(vec![address(2)]),
         RelayEvent::Started,
     ] {
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn the_digest_of_each_kind_of_key_is_as_it_was_first_recorded() {
+fn the_digest_of_each_kind_of_key_matches_the_recorded_one() {
     let document = ConfigurationDocument::from_text(Arc::new(b"{}".to_vec()));
     let configuration = Entry { key: Key::Configuration, version: 9, value: Value::Configuration(document) };
     let recorded = [
--- a/system/relay/tests/faults.rs
+++ b/system/relay/tests/faults.rs
@@ -1,5 +1,5 @@
-//! Faults at random, seed by seed. After every step of every node the simulation checks that no copy goes back, that the fan-out is
-//! bounded and that a fresh node has what the roots had at its tick.
+//! Random faults for a number of seeds. After every event of a node, the simulation checks that its copy has not regressed, that the
+//! number of its children is bounded, and that a fresh node has the entries that the roots had at its tick.
 
 mod cluster;
 
@@ -11,18 +11,18 @@
 use gingerledge_wire::{Entry, Role};
 use yare::parameterized;
 
-const CONTROL: usize = 5;
+const CONTROL_NODES: usize = 5;
 const EDGES: usize = 160;
 const BACKENDS: usize = 40;
 const STORES: usize = 50;
-/// Seeds for each kind of test.
-const SEEDS: u64 = 12;
-/// An entry reaches every node that is in touch within this time.
-const REACH: Duration = Duration::from_secs(2);
+/// Default number of seeds of each test.
+const SEED_COUNT: u64 = 12;
+/// Maximum time in which an entry reaches every connected node.
+const PROPAGATION_LIMIT: Duration = Duration::from_secs(2);
 
-/// A cluster in which all nodes are fresh.
+/// Creates a cluster and runs it until all nodes are fresh.
 fn steady_cluster(seed: u64) -> Cluster {
-    let mut cluster = Cluster::with_nodes(seed, CONTROL, EDGES, BACKENDS, millis(300));
+    let mut cluster = Cluster::with_nodes(seed, CONTROL_NODES, EDGES, BACKENDS, millis(300));
     cluster.freshness_slack = millis(900);
     let formed = cluster.run_until(Duration::from_secs(5), |cluster| {
         cluster.now > Duration::from_secs(2) && cluster.are_all_fresh()
@@ -31,13 +31,16 @@
     cluster
 }
 
-/// Teaches the roots something new.
-fn learn_new_entry(cluster: &mut Cluster, versions: &mut u64) -> Entry {
-    *versions += 1;
+/// Passes an entry or a tombstone with a new version to the roots, and returns it.
+fn receive_new_entry(cluster: &mut Cluster, last_version: &mut u64) -> Entry {
+    *last_version += 1;
     let number = cluster.rng.usize(0..STORES);
-    let entry =
-        if cluster.rng.u8(0..4) == 0 { tombstone(number, *versions) } else { store(number, *versions) };
-    cluster.learn_at_roots(entry.clone());
+    let entry = if cluster.rng.u8(0..4) == 0 {
+        tombstone(number, *last_version)
+    } else {
+        store(number, *last_version)
+    };
+    cluster.receive_at_roots(entry.clone());
     entry
 }
 
@@ -46,7 +49,7 @@
     nodes[cluster.rng.usize(0..nodes.len())]
 }
 
-/// One fault at random.
+/// Injects a random fault at a random node.
 fn inject_fault(cluster: &mut Cluster) {
     let victim = random_node(cluster);
     let pause = millis(cluster.rng.u64(50..3000));
@@ -82,11 +85,12 @@
     }
 }
 
-/// Some faults end at random.
-fn heal_fault(cluster: &mut Cluster) {
+/// Ends some of the faults, chosen at random.
+fn heal_some_faults(cluster: &mut Cluster) {
     cluster.ticks_enabled |= cluster.rng.bool();
-    let kept: Vec<_> = cluster.blocked_links.iter().copied().filter(|_| cluster.rng.u8(0..4) > 0).collect();
-    cluster.blocked_links = kept.into_iter().collect();
+    let remaining: Vec<_> =
+        cluster.blocked_links.iter().copied().filter(|_| cluster.rng.u8(0..4) > 0).collect();
+    cluster.blocked_links = remaining.into_iter().collect();
     for root in cluster.separated_roots.clone() {
         if cluster.rng.bool() {
             cluster.reconnect_root(root);
@@ -106,30 +110,30 @@
 
 #[test]
 fn random_faults_leave_copies_consistent_and_the_tree_recovers() {
-    for seed in seeds(SEEDS) {
+    for seed in seeds(SEED_COUNT) {
         let mut cluster = steady_cluster(seed);
-        let mut versions = 0;
+        let mut last_version = 0;
         for _ in 0..150 {
             if cluster.rng.bool() {
                 inject_fault(&mut cluster);
             }
             if cluster.rng.u8(0..3) == 0 {
-                heal_fault(&mut cluster);
+                heal_some_faults(&mut cluster);
             }
-            learn_new_entry(&mut cluster, &mut versions);
+            receive_new_entry(&mut cluster, &mut last_version);
             let pause = cluster.rng.u64(1..400);
             cluster.run(millis(pause));
         }
         end_all_faults(&mut cluster);
         cluster.assert_holds(cluster.are_all_fresh(), "all nodes are fresh again");
-        for (_, entry) in cluster.learned.clone() {
+        for (_, entry) in cluster.received_at_roots.clone() {
             let nodes_lacking = cluster.nodes_lacking(&entry);
             cluster.assert_holds(nodes_lacking.is_empty(), &format!("{nodes_lacking:?} lack {entry:?}"));
         }
     }
 }
 
-/// How a part of the nodes fails together.
+/// A failure that affects some of the nodes together.
 #[derive(Clone, Copy, Debug)]
 enum Failure {
     Killed,
@@ -154,18 +158,18 @@
 
 #[parameterized(
     killed = { Failure::Killed },
-    is_powered_off = { Failure::PoweredOff },
-    is_paused = { Failure::Paused },
-    isolate = { Failure::Isolated },
-    cut_off_one_way = { Failure::IsolatedOneWay },
+    powered_off = { Failure::PoweredOff },
+    paused = { Failure::Paused },
+    isolated = { Failure::Isolated },
+    isolated_one_way = { Failure::IsolatedOneWay },
 )]
-fn an_entry_learned_during_a_failure_reaches_all_nodes_in_time(failure: Failure) {
-    for seed in seeds(SEEDS) {
+fn an_entry_received_during_a_failure_reaches_all_connected_nodes_in_time(failure: Failure) {
+    for seed in seeds(SEED_COUNT) {
         let mut cluster = steady_cluster(seed);
-        let mut versions = 0;
+        let mut last_version = 0;
         let mut nodes: Vec<SocketAddr> = cluster.nodes.keys().copied().collect();
         cluster.rng.shuffle(&mut nodes);
-        // Two control nodes, and a fifth of the others.
+        // The victims are two control nodes and a fifth of the other nodes.
         let (control, others): (Vec<_>, Vec<_>) =
             nodes.into_iter().partition(|at| cluster.nodes[at].role == Role::Control);
         let victims: Vec<SocketAddr> =
@@ -176,8 +180,8 @@
         }
         let mut due: BTreeMap<Duration, Entry> = BTreeMap::new();
         for _ in 0..80 {
-            let entry = learn_new_entry(&mut cluster, &mut versions);
-            due.insert(cluster.now + REACH, entry);
+            let entry = receive_new_entry(&mut cluster, &mut last_version);
+            due.insert(cluster.now + PROPAGATION_LIMIT, entry);
             cluster.run(millis(50));
             while let Some(first) = due.first_entry().filter(|first| *first.key() <= cluster.now) {
                 let entry = first.remove();
@@ -194,7 +198,7 @@
 
 #[test]
 fn a_pause_of_the_control_chain_leaves_most_parents_unchanged() {
-    for seed in seeds(SEEDS) {
+    for seed in seeds(SEED_COUNT) {
         let mut cluster = steady_cluster(seed);
         cluster.run(Duration::from_secs(2));
         let parents = |cluster: &Cluster| -> Vec<_> {
@@ -203,11 +207,12 @@
         let before = parents(&cluster);
         cluster.ticks_enabled = false;
         cluster.run(Duration::from_secs(4));
-        cluster.assert_holds(!cluster.nodes.values().any(|node| node.is_fresh(cluster.now)), "none is fresh");
+        cluster
+            .assert_holds(!cluster.nodes.values().any(|node| node.is_fresh(cluster.now)), "no node is fresh");
         cluster.ticks_enabled = true;
-        let again = cluster.run_until(millis(500), Cluster::are_all_fresh);
-        cluster.assert_holds(again.is_some(), "all are fresh soon");
-        // Those that happen to ask a root between its first tick and their own parent's may change.
+        let recovered = cluster.run_until(millis(500), Cluster::are_all_fresh);
+        cluster.assert_holds(recovered.is_some(), "all nodes are fresh soon");
+        // A node changes its parent if its request reaches a root after the first new tick and before that tick reaches its parent.
         let after = parents(&cluster);
         let changed = before.iter().zip(&after).filter(|(before, after)| before != after).count();
         cluster.assert_holds(changed <= before.len() / 10, &format!("{changed} nodes changed their parent"));
@@ -215,53 +220,54 @@
 }
 
 #[test]
-fn nodes_separated_from_all_roots_are_stale_until_the_network_partition_heals() {
-    for seed in seeds(SEEDS) {
+fn nodes_partitioned_from_all_roots_are_stale_until_the_partition_heals() {
+    for seed in seeds(SEED_COUNT) {
         let mut cluster = steady_cluster(seed);
         let mut edges = cluster.with_role(Role::Edge);
         cluster.rng.shuffle(&mut edges);
-        let (island, mainland) = edges.split_at(30);
-        for inside in island {
-            for outside in mainland.iter().copied().chain(cluster.with_role(Role::Control)) {
+        let (partitioned, others) = edges.split_at(30);
+        for inside in partitioned {
+            for outside in others.iter().copied().chain(cluster.with_role(Role::Control)) {
                 cluster.block_link(*inside, outside);
             }
         }
         cluster.run(millis(820));
         for _ in 0..200 {
-            let fresh = island.iter().filter(|at| cluster.nodes[*at].is_fresh(cluster.now)).count();
-            cluster.assert_holds(fresh == 0, &format!("{fresh} nodes believe in ticks that go round"));
+            let fresh = partitioned.iter().filter(|at| cluster.nodes[*at].is_fresh(cluster.now)).count();
+            cluster.assert_holds(fresh == 0, &format!("{fresh} partitioned nodes are fresh"));
             cluster.run(millis(20));
         }
         cluster.blocked_links.clear();
         let healed = cluster.run_until(millis(1500), Cluster::are_all_fresh);
-        cluster.assert_holds(healed.is_some(), "the island comes back in time");
+        cluster.assert_holds(healed.is_some(), "all nodes are fresh in time after the partition");
     }
 }
 
 #[test]
 fn control_nodes_that_restart_with_empty_copies_remove_no_entry() {
-    for seed in seeds(SEEDS) {
+    for seed in seeds(SEED_COUNT) {
         let mut cluster = steady_cluster(seed);
         for number in 0..STORES {
-            cluster.learn_at_roots(store(number, 1));
+            cluster.receive_at_roots(store(number, 1));
         }
         cluster.run(Duration::from_secs(2));
         cluster.restart_control_nodes();
         cluster.run(Duration::from_secs(4));
-        cluster.assert_holds(cluster.are_all_fresh(), "all are fresh under the new core");
+        cluster
+            .assert_holds(cluster.are_all_fresh(), "all nodes are fresh under the restarted control nodes");
         for at in cluster.with_role(Role::Edge) {
-            let has_entries = cluster.relay(at).registry().stores().count();
-            cluster.assert_holds(has_entries == STORES, &format!("{at} holds {has_entries} stores"));
+            let store_count = cluster.relay(at).registry().stores().count();
+            cluster.assert_holds(store_count == STORES, &format!("{at} has {store_count} stores"));
         }
     }
 }
 
 #[test]
 fn all_nodes_restarted_together_become_fresh() {
-    for seed in seeds(SEEDS) {
+    for seed in seeds(SEED_COUNT) {
         let mut cluster = steady_cluster(seed);
         for number in 0..STORES {
-            cluster.learn_at_roots(store(number, 1));
+            cluster.receive_at_roots(store(number, 1));
         }
         cluster.run(Duration::from_secs(1));
         for at in cluster.nodes.keys().copied().collect::<Vec<_>>() {
@@ -270,8 +276,8 @@
             cluster.start_after(after, at);
         }
         cluster.run(millis(2300));
-        cluster.assert_holds(cluster.nodes.values().all(|node| node.is_running()), "all run");
-        cluster.assert_holds(cluster.are_all_fresh(), "all are fresh");
+        cluster.assert_holds(cluster.nodes.values().all(|node| node.is_running()), "all nodes run");
+        cluster.assert_holds(cluster.are_all_fresh(), "all nodes are fresh");
         let nodes_lacking = cluster.nodes_lacking(&store(STORES - 1, 1));
         cluster.assert_holds(nodes_lacking.is_empty(), &format!("{nodes_lacking:?} lack an entry"));
     }
