--- a/system/relay/src/candidates.rs
+++ b/system/relay/src/candidates.rs
@@ -103,7 +103,7 @@
         self.failed.retain(|_, until| *until > now);
         let mut locations: BTreeMap<SocketAddr, bool> =
             self.seeds.iter().map(|seed| (*seed, false)).collect();
-        locations.extend(directory.control().map(|location| (location.address, location.in_same_zone)));
+        locations.extend(directory.control_nodes().map(|location| (location.address, location.in_same_zone)));
         let mut order: Vec<NodeLocation> = locations
             .into_iter()
             .map(|(address, in_same_zone)| NodeLocation { address, in_same_zone })
@@ -135,11 +135,11 @@
     mix(hash_address(mix(hash_address(0, child)), parent))
 }
 
-fn hash_address(start: u64, address: SocketAddr) -> u64 {
+fn hash_address(seed: u64, address: SocketAddr) -> u64 {
     let port = address.port().to_le_bytes();
-    let ip = match address.ip() {
-        std::net::IpAddr::V4(ip) => hash_bytes(start, &ip.octets()),
-        std::net::IpAddr::V6(ip) => hash_bytes(start, &ip.octets()),
+    let ip_hash = match address.ip() {
+        std::net::IpAddr::V4(ip) => hash_bytes(seed, &ip.octets()),
+        std::net::IpAddr::V6(ip) => hash_bytes(seed, &ip.octets()),
     };
-    hash_bytes(ip, &port)
+    hash_bytes(ip_hash, &port)
 }
--- a/system/relay/src/digest.rs
+++ b/system/relay/src/digest.rs
@@ -21,16 +21,17 @@
 
 /// The bucket of an entry, and the entry's contribution to the hash of that bucket.
 pub(crate) fn fingerprint(entry: &Entry) -> (usize, u64) {
-    let key = hash_key(&entry.key);
+    let key_hash = hash_key(&entry.key);
     let (version, rank) = entry.rank();
-    let hash = mix(key ^ mix(version.wrapping_mul(2).wrapping_add(u64::from(rank)).wrapping_add(FNV_OFFSET)));
-    (bucket_of_hash(key), hash)
+    let hash =
+        mix(key_hash ^ mix(version.wrapping_mul(2).wrapping_add(u64::from(rank)).wrapping_add(FNV_OFFSET)));
+    (bucket_of_hash(key_hash), hash)
 }
 
-/// The 64-bit FNV-1a hash of bytes, with `start` mixed into its offset basis. Digests are sent to other nodes, so this function
+/// The 64-bit FNV-1a hash of bytes, with `seed` mixed into its offset basis. Digests are sent to other nodes, so this function
 /// must not change (`tests/digest.rs`).
-pub(crate) fn hash_bytes(start: u64, bytes: &[u8]) -> u64 {
-    let mut hasher = FnvHasher::with_key(start ^ FNV_OFFSET);
+pub(crate) fn hash_bytes(seed: u64, bytes: &[u8]) -> u64 {
+    let mut hasher = FnvHasher::with_key(seed ^ FNV_OFFSET);
     hasher.write(bytes);
     hasher.finish()
 }
--- a/system/relay/src/directory.rs
+++ b/system/relay/src/directory.rs
@@ -9,7 +9,7 @@
 #[derive(Debug)]
 pub(crate) struct Directory {
     zone: String,
-    control: BTreeMap<u64, NodeLocation>,
+    control_nodes: BTreeMap<u64, NodeLocation>,
     edges: BTreeMap<u64, NodeLocation>,
 }
 
@@ -25,26 +25,26 @@
 impl Directory {
     /// Creates the empty directory of a node in a zone.
     pub(crate) fn new(zone: String) -> Self {
-        Self { zone, control: BTreeMap::new(), edges: BTreeMap::new() }
+        Self { zone, control_nodes: BTreeMap::new(), edges: BTreeMap::new() }
     }
 
     /// Applies an entry; only entries of nodes have an effect.
     pub(crate) fn update(&mut self, entry: &Entry) {
         let Key::Node(incarnation) = entry.key else { return };
-        self.control.remove(&incarnation);
+        self.control_nodes.remove(&incarnation);
         self.edges.remove(&incarnation);
         let Value::Node(node) = &entry.value else { return };
         let location = NodeLocation { address: node.address, in_same_zone: node.zone == self.zone };
         match node.role {
-            Role::Control => self.control.insert(incarnation, location),
+            Role::Control => self.control_nodes.insert(incarnation, location),
             Role::Edge => self.edges.insert(incarnation, location),
             Role::Backend => None,
         };
     }
 
     /// The locations of all control nodes.
-    pub(crate) fn control(&self) -> impl Iterator<Item = NodeLocation> + '_ {
-        self.control.values().copied()
+    pub(crate) fn control_nodes(&self) -> impl Iterator<Item = NodeLocation> + '_ {
+        self.control_nodes.values().copied()
     }
 
     /// All edges, starting with the first incarnation from `random` on. Incarnations are random, so each edge comes first with about
