--- a/system/control/src/node/disk.rs
+++ b/system/control/src/node/disk.rs
@@ -94,7 +94,7 @@
     let bytes = (disk_mb * MEBIBYTE / RING_DIVISOR).clamp(MIN_RING_BYTES, MAX_RING_BYTES);
     let file_bytes = bytes / RING_FILES;
     let settings =
-        RingSettings { files: RING_FILES as usize, file_bytes, extent_bytes: RingSettings::AT_ONCE };
+        RingSettings { files: RING_FILES as usize, file_bytes, extent_bytes: RingSettings::PREALLOCATE_ALL };
     let disk = FileDisk::open(folder).context(StorageSnafu)?;
     let (ring, recovered) = Ring::open(disk, settings).context(StorageSnafu)?;
     Ok((ring, read(recovered)?))
@@ -253,11 +253,11 @@
     /// Processes an event of the storage thread.
     pub(super) fn handle_event(&mut self, event: WriterEvent) -> Vec<DiskOutput> {
         match event {
-            WriterEvent::Durable { token, wants_snapshot } => {
+            WriterEvent::Durable { token, needs_snapshot } => {
                 let finished = self.finish(token);
                 let durable = finished.chain_token.map(|token| DiskOutput::Durable { token });
                 let mut outputs: Vec<DiskOutput> = durable.into_iter().collect();
-                if wants_snapshot && !finished.was_snapshot && self.pending_snapshot.is_none() {
+                if needs_snapshot && !finished.was_snapshot && self.pending_snapshot.is_none() {
                     outputs.push(DiskOutput::SnapshotNeeded);
                 }
                 outputs
--- a/system/jobs/src/node/disk.rs
+++ b/system/jobs/src/node/disk.rs
@@ -139,8 +139,8 @@
         self.first += 1;
         self.queued_bytes -= done.bytes;
         match event {
-            WriterEvent::Durable { wants_snapshot, .. } => {
-                self.wants_snapshot = wants_snapshot;
+            WriterEvent::Durable { needs_snapshot, .. } => {
+                self.wants_snapshot = needs_snapshot;
                 if done.is_snapshot {
                     self.is_snapshot_queued = false;
                     self.has_failed = false;
--- a/system/jobs/tests/golden_disk.rs
+++ b/system/jobs/tests/golden_disk.rs
@@ -20,7 +20,7 @@
 
 /// A ring much smaller than that of a backend, which has the same form.
 const RING: RingSettings =
-    RingSettings { files: 4, file_bytes: 64 * 1024, extent_bytes: RingSettings::AT_ONCE };
+    RingSettings { files: 4, file_bytes: 64 * 1024, extent_bytes: RingSettings::PREALLOCATE_ALL };
 const ME: u64 = 0x1111_2222_3333_4444;
 const SECOND: u64 = u64::MAX;
 const SEED: u64 = 7;
--- a/system/storage/src/batch.rs
+++ b/system/storage/src/batch.rs
@@ -1,15 +1,15 @@
-//! Writing a batch: records are split into frames and written in large chunks, copied once.
+//! Writing of a batch: its records are split into frames, copied once, and written in large chunks.
 
 use crate::frame::{Batch, FrameHeader, FRAME_BYTES, FRAME_HEADER_BYTES};
 use crate::volume::Volume;
 use crate::{Disk, StorageError};
 
-/// Frames are collected up to this length before they are written.
+/// Buffer length at which collected frames are written, in bytes.
 const WRITE_BYTES: usize = 4 * FRAME_BYTES;
 
 /// Writes all records of a batch, and syncs them.
 ///
-/// The buffer is reused, so that it need not be allocated each time; it grows to [`WRITE_BYTES`] at most.
+/// The caller passes the same buffer each time, to avoid an allocation per batch; it grows to [`WRITE_BYTES`] at most.
 pub(crate) fn write_batch<D: Disk>(
     volume: &mut Volume<D>,
     batch: Batch,
@@ -17,7 +17,7 @@
     buffer: &mut Vec<u8>,
 ) -> Result<(), StorageError> {
     buffer.clear();
-    let mut writer = BatchWriter { volume, batch, buffer, written_to: batch.start, frame_start: 0 };
+    let mut writer = BatchWriter { volume, batch, buffer, written_end: batch.start, frame_start: 0 };
     writer.start_frame();
     for record in records {
         writer.push(&(record.len() as u32).to_le_bytes())?;
@@ -28,14 +28,15 @@
     volume.sync(batch.start, batch.end)
 }
 
+/// Writes the frames of one batch through a buffer.
 struct BatchWriter<'a, D> {
     volume: &'a mut Volume<D>,
     batch: Batch,
-    /// Frames not yet written; the last of them is being filled.
+    /// The frames that are not yet written; the last one is being filled.
     buffer: &'a mut Vec<u8>,
-    /// Position of the start of the buffer.
-    written_to: u64,
-    /// Offset in the buffer at which the frame being filled starts.
+    /// Position in the log at which the buffer starts; everything before it is written.
+    written_end: u64,
+    /// Offset in the buffer of the frame that is being filled.
     frame_start: usize,
 }
 
@@ -67,7 +68,7 @@
         let (header, body) = self.buffer[self.frame_start..].split_at_mut(FRAME_HEADER_BYTES);
         let frame = FrameHeader {
             batch: self.batch,
-            position: self.written_to + self.frame_start as u64,
+            position: self.written_end + self.frame_start as u64,
             body_bytes: body.len() as u32,
             body_crc: crc32fast::hash(body),
         };
@@ -75,8 +76,8 @@
     }
 
     fn flush(&mut self) -> Result<(), StorageError> {
-        self.volume.write(self.written_to, self.buffer)?;
-        self.written_to += self.buffer.len() as u64;
+        self.volume.write(self.written_end, self.buffer)?;
+        self.written_end += self.buffer.len() as u64;
         self.buffer.clear();
         Ok(())
     }
--- a/system/storage/src/error.rs
+++ b/system/storage/src/error.rs
@@ -1,11 +1,11 @@
-//! The errors of the storage, with the file and the offset.
+//! [`StorageError`]: the errors of the ring and its writer.
 
 use std::io;
 use std::sync::Arc;
 
 use snafu::Snafu;
 
-/// Why an operation of the storage failed.
+/// An error of the ring or its writer.
 #[derive(Clone, Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 #[non_exhaustive]
@@ -13,7 +13,7 @@
     /// An operation on the disk failed.
     #[snafu(display("cannot {operation} {file}: {source}"))]
     Io {
-        /// The operation, as a verb.
+        /// The operation, as a verb phrase that precedes the name of the file.
         operation: &'static str,
         /// The file or folder.
         file: String,
@@ -26,39 +26,39 @@
     Corrupt {
         /// The damaged file.
         file: String,
-        /// Offset at which the damaged structure starts.
+        /// Offset of the damaged structure in the file, in bytes.
         offset: u64,
-        /// What is wrong with it.
+        /// Description of the damage.
         reason: &'static str,
     },
-    /// The ring has no free space for these records. Nothing was written.
+    /// The ring has too little free space for the records. Nothing was written.
     #[snafu(display("the ring is full: {needed} bytes are needed, {free} are free"))]
-    Full {
-        /// Bytes that the records would take.
+    OutOfSpace {
+        /// Space that the records need, in bytes.
         needed: u64,
-        /// Bytes that they may take.
+        /// Space that is free for them, in bytes.
         free: u64,
     },
-    /// An earlier write failed, so the end of the log is unknown; the ring accepts appends again after a snapshot.
+    /// An earlier write failed, so the end of the log is unknown. The ring accepts records again after a successful snapshot.
     #[snafu(display("an earlier write failed: a snapshot has to succeed before records are appended"))]
-    Broken,
-    /// The queue of the writer is at its bound.
+    SnapshotRequired,
+    /// The queue of the writer has reached its maximum length or size.
     #[snafu(display("the queue of the writer is full"))]
-    Busy,
+    QueueFull,
     /// The thread of the writer has ended.
     #[snafu(display("the writer has stopped"))]
-    Stopped,
+    WriterStopped,
     /// The thread of the writer could not be started.
     #[snafu(display("cannot start the thread of the writer: {source}"))]
-    Thread {
+    SpawnThread {
         /// The error of the operating system.
         #[snafu(source(from(io::Error, Arc::new)))]
         source: Arc<io::Error>,
     },
-    /// No ring can be made with these settings.
+    /// No ring can be created with these settings.
     #[snafu(display("unusable settings of the ring: {reason}"))]
-    Settings {
-        /// What is wrong with them.
+    InvalidSettings {
+        /// The requirement that the settings violate.
         reason: &'static str,
     },
 }
--- a/system/storage/src/file.rs
+++ b/system/storage/src/file.rs
@@ -1,4 +1,4 @@
-//! [`FileDisk`]: a [`Disk`] in a folder of the file system. The only module that knows files.
+//! [`FileDisk`]: a [`Disk`] in a folder of the file system. No other module accesses the file system.
 
 use std::collections::BTreeMap;
 use std::fs::{self, File, OpenOptions};
@@ -10,7 +10,7 @@
 use crate::error::IoSnafu;
 use crate::{Disk, DiskFile, StorageError};
 
-/// A folder of the file system. Files are opened at their first use and stay open.
+/// A folder of the file system. Files are opened on first use and stay open.
 #[derive(Debug)]
 pub struct FileDisk {
     folder: PathBuf,
@@ -18,11 +18,11 @@
 }
 
 impl FileDisk {
-    /// Opens the folder; creates it if it is missing.
+    /// Opens the folder; creates it, and its missing parents, if it does not exist.
     ///
     /// # Errors
     ///
-    /// [`StorageError::Io`] if it can't be created.
+    /// [`StorageError::Io`] if the folder cannot be created.
     pub fn open(dir: &Path) -> Result<FileDisk, StorageError> {
         let disk = FileDisk { folder: dir.to_owned(), files: BTreeMap::new() };
         if !dir.is_dir() {
@@ -90,7 +90,7 @@
     }
 
     fn sync_file(&mut self, name: &str) -> Result<(), StorageError> {
-        // The length is part of what fdatasync covers: without it the data could not be read back.
+        // fdatasync also covers the length of the file, since the data could not be read back without it.
         self.file(name)?.sync_data().context(IoSnafu { operation: "sync", file: name })
     }
 
--- a/system/storage/src/frame.rs
+++ b/system/storage/src/frame.rs
@@ -1,45 +1,45 @@
-//! The frame: the unit that is written to the log and checked when it is read.
+//! Frames: the units in which the log is written, each with a checksum.
 //!
-//! A batch of records is one stream, each record preceded by its length, cut into frames of [`FRAME_BYTES`]; the
-//! last frame is shorter. Frames start at sectors. A header says where its frame and its batch belong, so that a
-//! frame found anywhere proves by itself when it was written.
+//! A batch is a stream of records, each preceded by its length. The stream is split into frames of [`FRAME_BYTES`]; the
+//! last frame may be shorter. Frames start at sector boundaries. The header of a frame holds the positions of the frame and
+//! of its batch, so that any frame found on the disk identifies the place in the log for which it was written.
 
 use crate::layout::SECTOR_BYTES;
 
-/// Length of a frame that is not the last of its batch, header included.
+/// Length of a frame that is not the last one of its batch, including its header, in bytes.
 pub(crate) const FRAME_BYTES: usize = 64 * 1024;
-/// Length of the header of a frame.
+/// Length of the header of a frame, in bytes.
 pub(crate) const FRAME_HEADER_BYTES: usize = 64;
-/// The most that a frame carries.
+/// Maximum length of the body of a frame, in bytes.
 pub(crate) const FRAME_BODY_BYTES: usize = FRAME_BYTES - FRAME_HEADER_BYTES;
-/// Length of the prefix of a record that says how long the record is.
-pub(crate) const LENGTH_BYTES: usize = 4;
+/// Length of the prefix of a record that holds the length of the record, in bytes.
+pub(crate) const LENGTH_PREFIX_BYTES: usize = 4;
 
 const MAGIC: u32 = u32::from_le_bytes(*b"frm1");
 const KIND_APPEND: u32 = 1;
 const KIND_SNAPSHOT: u32 = 2;
 
-/// What a batch does to the records before it.
+/// The effect of a batch on the records before it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum BatchKind {
-    /// Follows them.
+    /// The batch is appended to the earlier records.
     Append,
-    /// Replaces them.
+    /// The batch replaces all earlier records.
     Snapshot,
 }
 
-/// What all frames of a batch have in common.
+/// The header fields that all frames of a batch share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Batch {
     pub kind: BatchKind,
-    /// Which opening of the ring wrote it. Never falls along the log; distinguishes a batch from the remains of an
-    /// unfinished one at the same position.
+    /// The epoch in which the batch was written; each opening of the ring starts a new one. Epochs never decrease along the
+    /// log. The epoch distinguishes a batch from the remains of an unfinished one at the same position.
     pub epoch: u64,
-    /// Counts the batches of the log. A batch is written only after the one before it was synced.
+    /// Sequence number of the batch in the log. A batch is written only after the previous one was synced.
     pub number: u64,
-    /// Position of its first frame.
+    /// Position of the first frame.
     pub start: u64,
-    /// Position behind its last frame, at a sector: where the next batch starts.
+    /// Position after the last frame, at a sector boundary, where the next batch starts.
     pub end: u64,
 }
 
@@ -73,7 +73,7 @@
         bytes
     }
 
-    /// The header at the start of these bytes; none unless it is intact and consistent.
+    /// Decodes the header at the start of these bytes; `None` unless it is intact and consistent.
     pub(crate) fn decode(bytes: &[u8]) -> Option<Self> {
         let header = bytes.first_chunk::<FRAME_HEADER_BYTES>()?;
         if read_u32(header, 0)? != MAGIC || read_u32(header, 4)? != crc32fast::hash(&header[8..]) {
@@ -108,37 +108,38 @@
             && (self.is_last() || self.body_bytes as usize == FRAME_BODY_BYTES)
     }
 
-    /// Position behind this frame.
+    /// Position after this frame, at a sector boundary.
     pub(crate) fn end(&self) -> u64 {
-        self.position.saturating_add(align(FRAME_HEADER_BYTES as u64 + u64::from(self.body_bytes)))
+        self.position.saturating_add(align_to_sector(FRAME_HEADER_BYTES as u64 + u64::from(self.body_bytes)))
     }
 
+    /// Whether this is the last frame of its batch.
     pub(crate) fn is_last(&self) -> bool {
         self.end() == self.batch.end
     }
 }
 
-/// Bytes of log that a batch of these records takes; none if a record is too long for its prefix.
+/// Length that a batch of these records takes in the log, in bytes; `None` if a record is too long for its length prefix.
 pub(crate) fn batch_bytes(records: &[Vec<u8>]) -> Option<u64> {
-    let mut content = 0;
+    let mut content_bytes = 0;
     for record in records {
         u32::try_from(record.len()).ok()?;
-        content += (LENGTH_BYTES + record.len()) as u64;
+        content_bytes += (LENGTH_PREFIX_BYTES + record.len()) as u64;
     }
-    let body = FRAME_BODY_BYTES as u64;
-    let full_frames = content.saturating_sub(1) / body;
-    let last = FRAME_HEADER_BYTES as u64 + content - full_frames * body;
-    Some(full_frames * FRAME_BYTES as u64 + align(last))
+    let body_bytes = FRAME_BODY_BYTES as u64;
+    let full_frames = content_bytes.saturating_sub(1) / body_bytes;
+    let last_frame_bytes = FRAME_HEADER_BYTES as u64 + content_bytes - full_frames * body_bytes;
+    Some(full_frames * FRAME_BYTES as u64 + align_to_sector(last_frame_bytes))
 }
 
-fn align(bytes: u64) -> u64 {
+fn align_to_sector(bytes: u64) -> u64 {
     bytes.next_multiple_of(SECTOR_BYTES)
 }
 
-fn read_u32(bytes: &[u8], at: usize) -> Option<u32> {
-    Some(u32::from_le_bytes(*bytes.get(at..)?.first_chunk()?))
+fn read_u32(bytes: &[u8], offset: usize) -> Option<u32> {
+    Some(u32::from_le_bytes(*bytes.get(offset..)?.first_chunk()?))
 }
 
-fn read_u64(bytes: &[u8], at: usize) -> Option<u64> {
-    Some(u64::from_le_bytes(*bytes.get(at..)?.first_chunk()?))
+fn read_u64(bytes: &[u8], offset: usize) -> Option<u64> {
+    Some(u64::from_le_bytes(*bytes.get(offset..)?.first_chunk()?))
 }
--- a/system/storage/src/recovery.rs
+++ b/system/storage/src/recovery.rs
@@ -1,4 +1,4 @@
-//! Recovery: reads the log from its start to its end, and distinguishes an unfinished batch from damage.
+//! Recovery: reads the log from start to end, and distinguishes an unfinished batch at the end from damage.
 
 mod assembly;
 mod reader;
@@ -15,27 +15,29 @@
 use assembly::RecordAssembly;
 use reader::Reader;
 
-/// How far behind an unreadable frame another one is looked for: more than the longest frame, so that damage to
-/// one header does not hide what follows.
+/// Length of the search for readable frames after an unreadable one, in bytes. It is greater than the longest frame, so that
+/// a damaged header does not hide the frame after it.
 const SEARCH_BYTES: u64 = 2 * FRAME_BYTES as u64;
 
-/// The log as it was read.
+/// The log as read from the disk.
 pub(crate) struct Log {
     pub snapshot: Vec<Vec<u8>>,
     pub records: Vec<Vec<u8>>,
-    /// Position and number of the first batch that counts.
+    /// Position of the first batch that is part of the log.
     pub start: u64,
-    pub start_batch: u64,
-    /// Where the snapshot ends, if the log starts with one.
+    /// Number of the first batch.
+    pub start_batch_number: u64,
+    /// Position after the snapshot, if the log starts with one.
     pub snapshot_end: Option<u64>,
-    /// Position and number of the batch that is written next.
+    /// Position of the batch that is written next.
     pub head: u64,
-    pub next_batch: u64,
-    /// The last batch, which may have been read before it was synced.
-    pub last: Option<Batch>,
+    /// Number of the batch that is written next.
+    pub next_batch_number: u64,
+    /// The last batch. Its data may have been read from the page cache before it was synced.
+    pub last_batch: Option<Batch>,
 }
 
-/// Reads all complete batches from the start that the superblock names.
+/// Reads all complete batches, from the start position in the superblock.
 pub(crate) fn read_log<D: Disk>(
     volume: &mut Volume<D>,
     reservation: &Reservation,
@@ -55,17 +57,17 @@
 }
 
 impl Log {
-    /// Nothing read yet.
+    /// Creates a log of which nothing has been read yet.
     pub(crate) fn empty(superblock: &Superblock) -> Self {
         Self {
             snapshot: Vec::new(),
             records: Vec::new(),
             start: superblock.start,
-            start_batch: superblock.start_batch,
+            start_batch_number: superblock.start_batch_number,
             snapshot_end: None,
             head: superblock.start,
-            next_batch: superblock.start_batch,
-            last: None,
+            next_batch_number: superblock.start_batch_number,
+            last_batch: None,
         }
     }
 
@@ -76,48 +78,50 @@
                 self.snapshot = records;
                 self.records = Vec::new();
                 self.start = batch.start;
-                self.start_batch = batch.number;
+                self.start_batch_number = batch.number;
                 self.snapshot_end = Some(batch.end);
             }
         }
         self.head = batch.end;
-        self.next_batch = batch.number + 1;
-        self.last = Some(batch);
+        self.next_batch_number = batch.number + 1;
+        self.last_batch = Some(batch);
     }
 
-    /// The epoch of the last batch.
+    /// The epoch of the last batch; 0 without a batch.
     pub(crate) fn epoch(&self) -> u64 {
-        self.last.map_or(0, |batch| batch.epoch)
+        self.last_batch.map_or(0, |batch| batch.epoch)
     }
 }
 
-/// The next batch after the log read so far.
+/// The result of reading the next batch.
 enum BatchRead {
+    /// The batch and its records.
     Complete(Batch, Vec<Vec<u8>>),
-    Unreadable(Unreadable),
+    /// There is no batch that continues the log, or one of its frames is unreadable.
+    Unreadable(UnreadableFrame),
 }
 
-/// A frame that does not continue the log.
-struct Unreadable {
+/// A frame that is not valid or does not continue the log.
+struct UnreadableFrame {
     position: u64,
-    /// The end of its batch, if an earlier frame of the batch holds it.
+    /// The end of the batch, if an earlier frame of the same batch was readable.
     batch_end: Option<u64>,
 }
 
 fn read_batch<D: Disk>(reader: &mut Reader<'_, D>, log: &Log) -> Result<BatchRead, StorageError> {
-    let unreadable = |position, batch_end| Ok(BatchRead::Unreadable(Unreadable { position, batch_end }));
+    let unreadable = |position, batch_end| Ok(BatchRead::Unreadable(UnreadableFrame { position, batch_end }));
     let Some(FrameHeader { batch, .. }) = reader.header(log.head)? else {
         return unreadable(log.head, None);
     };
-    let is_next = batch.start == log.head
-        && batch.number == log.next_batch
+    let continues_log = batch.start == log.head
+        && batch.number == log.next_batch_number
         && batch.epoch >= log.epoch()
         && batch.end - batch.start <= reader.capacity();
-    if !is_next {
+    if !continues_log {
         return unreadable(log.head, None);
     }
     if !reader.is_reserved(batch.end) {
-        return Err(reader.corrupt(log.head, "a part of the space of a batch is missing"));
+        return Err(reader.corrupt(log.head, "a part of the reserved space of a batch is missing"));
     }
     let mut assembly = RecordAssembly::new(batch.end - batch.start);
     let mut position = batch.start;
@@ -126,7 +130,7 @@
             return unreadable(position, Some(batch.end));
         };
         if !assembly.push(body) {
-            return Err(reader.corrupt(position, "the records do not fit their batch"));
+            return Err(reader.corrupt(position, "a record is longer than its batch"));
         }
         position += (FRAME_BYTES as u64).min(batch.end - position);
     }
@@ -136,37 +140,41 @@
     }
 }
 
-/// An unreadable frame is the end of the log, if nothing proves that what stood there had been durable.
+/// Checks that an unreadable frame can be part of an unfinished write, that is, that the log proves no durable batch there.
+///
+/// # Errors
+///
+/// [`StorageError::Corrupt`] if the unreadable batch had been durable.
 fn check_is_unfinished<D: Disk>(
     reader: &mut Reader<'_, D>,
     log: &Log,
     superblock: &Superblock,
-    unreadable: &Unreadable,
+    unreadable: &UnreadableFrame,
 ) -> Result<(), StorageError> {
     if log.head < superblock.synced_to {
         return Err(reader.corrupt(unreadable.position, "a synced batch is unreadable"));
     }
     if later_batch_exists(reader, log, unreadable)? {
-        return Err(reader.corrupt(unreadable.position, "a batch is unreadable, but later ones are there"));
+        return Err(reader.corrupt(unreadable.position, "a batch is unreadable, but later batches exist"));
     }
     Ok(())
 }
 
-/// Whether a batch was written after the unreadable one, which happens only once that one is durable.
+/// Whether a batch was written after the unreadable one, which happens only once the unreadable one was durable.
 ///
-/// Frames of the unreadable batch itself prove nothing: its writes may have been kept in any order. But they hold
-/// its end.
+/// Frames of the unreadable batch itself are no proof, since a power loss may keep any of its writes. But their headers
+/// hold the end of the batch, where the next batch would start.
 fn later_batch_exists<D: Disk>(
     reader: &mut Reader<'_, D>,
     log: &Log,
-    unreadable: &Unreadable,
+    unreadable: &UnreadableFrame,
 ) -> Result<bool, StorageError> {
     let end_of_ring = log.start + reader.capacity();
     let mut batch_ends: BTreeSet<u64> = unreadable.batch_end.into_iter().collect();
     let mut position = unreadable.position;
     while position < end_of_ring.min(unreadable.position + SEARCH_BYTES) {
         if let Some(header) = header_at(reader, log, position)? {
-            if header.batch.number > log.next_batch {
+            if header.batch.number > log.next_batch_number {
                 return Ok(true);
             }
             if header.batch.start == log.head {
@@ -177,7 +185,7 @@
     }
     for end in batch_ends {
         if end < end_of_ring
-            && header_at(reader, log, end)?.is_some_and(|it| it.batch.number > log.next_batch)
+            && header_at(reader, log, end)?.is_some_and(|header| header.batch.number > log.next_batch_number)
         {
             return Ok(true);
         }
@@ -185,12 +193,13 @@
     Ok(false)
 }
 
-/// A header that may belong to this log: remains of earlier epochs and passes do not.
+/// The header at a position, if it may belong to this log. Remains of earlier epochs and earlier passes are ignored.
 fn header_at<D: Disk>(
     reader: &mut Reader<'_, D>,
     log: &Log,
     position: u64,
 ) -> Result<Option<FrameHeader>, StorageError> {
     let header = reader.header(position)?;
-    Ok(header.filter(|header| header.batch.epoch >= log.epoch() && header.batch.number >= log.next_batch))
+    Ok(header
+        .filter(|header| header.batch.epoch >= log.epoch() && header.batch.number >= log.next_batch_number))
 }
--- a/system/storage/src/recovery/reader.rs
+++ b/system/storage/src/recovery/reader.rs
@@ -1,19 +1,21 @@
-//! Reading the log forwards through one buffer.
+//! Sequential, buffered reading of the log.
 
 use crate::frame::{FrameHeader, FRAME_BYTES, FRAME_HEADER_BYTES};
 use crate::reservation::Reservation;
 use crate::volume::Volume;
 use crate::{Disk, StorageError};
 
-/// Length of one read. Several frames, so that many small batches do not cost a read each.
+/// Length of one read from the disk, in bytes. It covers several frames, so that small batches do not need a read each.
 const READ_BYTES: usize = 4 * FRAME_BYTES;
 
-/// Reads the ring from a start on, never more than its capacity.
+/// Reads the log from a start position, at most the capacity of the ring.
 pub(super) struct Reader<'a, D> {
     volume: &'a mut Volume<D>,
     reservation: Reservation,
+    /// Position after the last readable byte.
     end: u64,
     buffer: Vec<u8>,
+    /// Position of the first byte in the buffer.
     buffer_start: u64,
 }
 
@@ -27,7 +29,7 @@
         self.volume.layout.capacity()
     }
 
-    /// Whether a batch that ends at this position can have been written.
+    /// Whether the space up to this position is reserved, so that a batch that ends there can have been written.
     pub(super) fn is_reserved(&self, end: u64) -> bool {
         self.reservation.covers(&self.volume.layout, end)
     }
@@ -36,7 +38,7 @@
         self.volume.corrupt(position, reason)
     }
 
-    /// The bytes at a position; fewer at the end of the ring.
+    /// The bytes at a position; fewer than `length` at the end of the readable space.
     fn bytes(&mut self, position: u64, length: usize) -> Result<&[u8], StorageError> {
         let available = length.min(self.remaining(position));
         if position < self.buffer_start || self.buffered(position) < available {
@@ -46,13 +48,13 @@
         Ok(self.buffer.get(from..from + available).unwrap_or_default())
     }
 
-    /// The header of a frame that belongs at a position; none if there is no valid one.
+    /// The header of the frame at a position; `None` unless a valid header was written for that position.
     pub(super) fn header(&mut self, position: u64) -> Result<Option<FrameHeader>, StorageError> {
         let header = FrameHeader::decode(self.bytes(position, FRAME_HEADER_BYTES)?);
         Ok(header.filter(|header| header.position == position))
     }
 
-    /// The frame at a position, and its body; none unless both are intact.
+    /// The header and the body of the frame at a position; `None` unless both are intact.
     pub(super) fn frame(&mut self, position: u64) -> Result<Option<(FrameHeader, &[u8])>, StorageError> {
         let Some(header) = self.header(position)? else { return Ok(None) };
         let frame = self.bytes(position, FRAME_HEADER_BYTES + header.body_bytes as usize)?;
@@ -61,10 +63,12 @@
         Ok(is_intact.then_some((header, body)))
     }
 
+    /// Number of readable bytes from a position on.
     fn remaining(&self, position: u64) -> usize {
         usize::try_from(self.end.saturating_sub(position)).unwrap_or(usize::MAX)
     }
 
+    /// Number of buffered bytes from a position on.
     fn buffered(&self, position: u64) -> usize {
         let buffer_end = self.buffer_start + self.buffer.len() as u64;
         buffer_end.saturating_sub(position) as usize
--- a/system/storage/src/reservation.rs
+++ b/system/storage/src/reservation.rs
@@ -1,24 +1,25 @@
-//! [`Reservation`]: how far the files of a ring have got their length.
+//! [`Reservation`]: the space that has been reserved in the files of a ring.
 //!
-//! A ring that takes its whole length at its creation makes every copy of its disk as long as a full one. So its files
-//! grow in the order of the log, some space ahead of it, until the log has filled them all once. Space is durable
-//! before a batch is written into it, and behind every durable batch at least a sector is reserved. Recovery relies on both:
-//! a batch or a log that ends behind the reserved space proves that a file has lost a part of its length.
+//! If a ring took its full length when it is created, every copy of its disk would be as long as that of a full ring. The
+//! files therefore grow in the order of the log, some space ahead of it, until the log has filled all of them once. Space is
+//! durable before a batch is written into it, and at least one sector is reserved after every durable batch. Recovery relies
+//! on both: a batch or a log that ends after the reserved space proves that a file has lost a part of its length.
 
 use crate::error::StorageError;
 use crate::layout::{file_name, Layout, FILE_HEADER_BYTES, SECTOR_BYTES};
 use crate::volume::Volume;
 use crate::{Disk, DiskFile};
 
-/// What is reserved behind the end of every batch at least.
+/// Minimum space that is reserved after the end of every batch, in bytes.
 const MIN_AHEAD_BYTES: u64 = SECTOR_BYTES;
 
-/// The space of a ring that may be written.
+/// The reserved space of a ring, to which batches may be written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Reservation {
-    /// Addresses of the log below this one lie in files that are long enough. At the capacity the ring is complete.
+    /// End of the reserved space: all addresses below it lie within the lengths of the files. The ring is complete when it
+    /// reaches the capacity.
     end: u64,
-    /// The length of an extent: space is reserved one to two extents ahead of the log.
+    /// Length of an extent in bytes; space is reserved one to two extents ahead of the log.
     extent_bytes: u64,
 }
 
@@ -38,8 +39,8 @@
         Ok(reservation)
     }
 
-    /// Finds what is reserved from the lengths of the files. All files must be there: their names were durable before the
-    /// first superblock was written.
+    /// Determines the reserved space from the lengths of the files. All files must exist, since their names were durable
+    /// before the first superblock was written.
     pub(crate) fn find(found: &[DiskFile], layout: &Layout, extent_bytes: u64) -> Result<Self, StorageError> {
         let mut end = 0;
         let mut incomplete: Option<StorageError> = None;
@@ -52,7 +53,7 @@
             let Some(reserved) = reserved.filter(|reserved| reserved % SECTOR_BYTES == 0) else {
                 return Err(too_short);
             };
-            // A file grows only once the one before it is complete.
+            // A file grows only after the previous one is complete.
             if let Some(error) = incomplete.take_if(|_| reserved > 0) {
                 return Err(error);
             }
@@ -64,26 +65,30 @@
         Ok(Self { end, extent_bytes })
     }
 
-    /// Repeats the last growth: its length may have been read from the memory of the operating system only.
+    /// Repeats the last growth of a file and syncs it, since the length found may be in the memory of the operating system only.
     pub(crate) fn make_durable<D: Disk>(&self, volume: &mut Volume<D>) -> Result<(), StorageError> {
         let (last, _) = volume.layout.locate(self.end.saturating_sub(1));
         set_length(volume, last, self.end)
     }
 
-    /// Checks that the space behind the last complete batch is there.
-    pub(crate) fn check_head<D: Disk>(&self, volume: &Volume<D>, head: u64) -> Result<(), StorageError> {
+    /// Checks that the minimum space after the last complete batch, which ends at `head`, is still reserved.
+    pub(crate) fn check_space_after<D: Disk>(
+        &self,
+        volume: &Volume<D>,
+        head: u64,
+    ) -> Result<(), StorageError> {
         if self.covers(&volume.layout, head + MIN_AHEAD_BYTES) {
             return Ok(());
         }
-        Err(volume.corrupt(self.end, "the space behind the log is missing"))
+        Err(volume.corrupt(self.end, "the reserved space after the log is missing"))
     }
 
-    /// Whether a batch that ends at this position can have been written.
+    /// Whether the space up to this position is reserved, so that a batch that ends there can have been written.
     pub(crate) fn covers(&self, layout: &Layout, end: u64) -> bool {
         self.is_complete(layout) || end <= self.end
     }
 
-    /// Position behind the last byte that can be read in a log that starts here.
+    /// Position after the last byte that can be read in a log that starts at `start`.
     pub(crate) fn readable_end(&self, layout: &Layout, start: u64) -> u64 {
         let end_of_ring = start + layout.capacity();
         if self.is_complete(layout) {
@@ -92,24 +97,26 @@
         end_of_ring.min(self.end)
     }
 
-    /// Reserves space for a batch that ends at this position, and an extent ahead of it. If the disk refuses, the space
-    /// reserved earlier is used up first.
+    /// Reserves space for a batch that ends at `end`, and one to two extents after it. If the growth fails, the batch may still
+    /// use the space that was reserved earlier; the error is returned only if that space is too small.
     pub(crate) fn grow<D: Disk>(&mut self, volume: &mut Volume<D>, end: u64) -> Result<(), StorageError> {
         if self.is_complete(&volume.layout) {
             return Ok(());
         }
-        let grown = self.grow_to(volume, self.target(&volume.layout, end));
-        match grown {
+        let result = self.grow_to(volume, self.target(&volume.layout, end));
+        match result {
             Err(error) if !self.covers(&volume.layout, end + MIN_AHEAD_BYTES) => Err(error),
             _ => Ok(()),
         }
     }
 
+    /// Whether all files have their full length.
     fn is_complete(&self, layout: &Layout) -> bool {
         self.end >= layout.capacity()
     }
 
-    /// One to two extents ahead of a position, so that it changes once in an extent.
+    /// The end of the space to reserve for a log that ends at `position`: the first multiple of the extent length that is at
+    /// least one extent ahead, so that it changes once per extent.
     fn target(&self, layout: &Layout, position: u64) -> u64 {
         let ahead = position.checked_add(self.extent_bytes);
         let target = ahead.and_then(|ahead| ahead.checked_next_multiple_of(self.extent_bytes));
@@ -130,7 +137,7 @@
     }
 }
 
-/// Gives a file the length that it has when the space up to an address is reserved, durably.
+/// Sets the length that a file has when all addresses below `end` are reserved, and syncs the file.
 fn set_length<D: Disk>(volume: &mut Volume<D>, file: u64, end: u64) -> Result<(), StorageError> {
     volume.disk.create(&file_name(file), volume.layout.file_length(file, end))?;
     volume.disk.sync_file(&file_name(file))
--- a/system/storage/src/ring.rs
+++ b/system/storage/src/ring.rs
@@ -1,13 +1,13 @@
-//! [`Ring`]: the log of records in its files.
+//! [`Ring`]: the log of records in a ring of files.
 //!
-//! The log is a sequence of batches. A batch is written only after the one before it was synced. A snapshot is a
-//! batch that replaces all before it; once it is durable, a superblock that starts with it is written, and
-//! only once that is durable too, the space before it is used again.
+//! The log is a sequence of batches. A batch is written only after the previous one was synced. A snapshot is a batch that
+//! replaces all earlier batches. Once it is durable, a superblock that makes it the start of the log is written. The space
+//! before the snapshot is reused only after that superblock is durable.
 
 use snafu::ensure;
 
 use crate::batch::write_batch;
-use crate::error::{BrokenSnafu, FullSnafu};
+use crate::error::{OutOfSpaceSnafu, SnapshotRequiredSnafu};
 use crate::frame::{batch_bytes, Batch, BatchKind};
 use crate::layout::{file_name, is_ring_file, Layout, RingSettings};
 use crate::recovery::{read_log, Log};
@@ -16,43 +16,45 @@
 use crate::volume::Volume;
 use crate::{Disk, StorageError};
 
-/// The content of the disk.
+/// The content of a ring as recovered from the disk.
 #[derive(Debug, Default)]
 pub struct Recovered {
     /// The records of the last snapshot.
     pub snapshot: Vec<Vec<u8>>,
-    /// All records appended after it, in order.
+    /// All records appended after the last snapshot, in order.
     pub records: Vec<Vec<u8>>,
-    /// The disk held no ring: this is a new member.
-    pub empty: bool,
+    /// Whether the disk held no ring, so that a new one was created.
+    pub is_new: bool,
 }
 
 /// A log of records in a ring of files.
 #[derive(Debug)]
 pub struct Ring<D: Disk> {
     volume: Volume<D>,
-    /// The part of the files that may be written.
+    /// The reserved space, to which batches may be written.
     reservation: Reservation,
-    /// The last superblock known to be durable.
+    /// The last superblock that is known to be durable.
     superblock: Superblock,
-    /// Where the snapshot ends with which the log starts; the start of the log, if there is none.
+    /// Position after the snapshot at the start of the log; the start of the log if there is no snapshot.
     snapshot_end: u64,
-    /// Position and number of the next batch.
+    /// Position of the next batch.
     head: u64,
-    next_batch: u64,
-    /// A write or a sync failed: what stands at the head is unknown.
-    is_broken: bool,
+    /// Number of the next batch.
+    next_batch_number: u64,
+    /// Whether a write is in progress or a write or a sync has failed, so that the content of the disk at the head is unknown.
+    requires_snapshot: bool,
+    /// Buffer for writing batches, kept to avoid an allocation per batch.
     buffer: Vec<u8>,
 }
 
 impl<D: Disk> Ring<D> {
-    /// Opens the ring of a folder, or creates one if there is none. A ring that exists keeps its layout, whatever the
-    /// settings are.
+    /// Opens the ring on a disk, or creates one if there is none. An existing ring keeps its layout, regardless of the
+    /// settings.
     ///
     /// # Errors
     ///
-    /// [`StorageError::Corrupt`] if synced bytes are damaged, [`StorageError::Io`] if the disk fails, and
-    /// [`StorageError::Settings`] if a new ring can't have this layout.
+    /// [`StorageError::Corrupt`] if synced bytes are damaged, [`StorageError::Io`] if an operation on the disk fails, and
+    /// [`StorageError::InvalidSettings`] if a new ring cannot have this layout.
     pub fn open(mut disk: D, settings: RingSettings) -> Result<(Self, Recovered), StorageError> {
         match read_slots(&mut disk)? {
             Slots::Newest(superblock) => Self::recover(disk, superblock, settings.aligned_extent_bytes()),
@@ -74,13 +76,13 @@
             epoch: 0,
             layout,
             start: 0,
-            start_batch: 1,
+            start_batch_number: 1,
             has_snapshot: false,
             synced_to: 0,
         };
         superblock.write(&mut volume)?;
         let ring = Self::start(volume, reservation, superblock, Log::empty(&superblock))?;
-        Ok((ring, Recovered { empty: true, ..Recovered::default() }))
+        Ok((ring, Recovered { is_new: true, ..Recovered::default() }))
     }
 
     fn recover(
@@ -91,36 +93,37 @@
         let reservation = Reservation::find(&disk.list()?, &superblock.layout, extent_bytes)?;
         let mut volume = Volume { disk, layout: superblock.layout };
         let mut log = read_log(&mut volume, &reservation, &superblock)?;
-        reservation.check_head(&volume, log.head)?;
+        reservation.check_space_after(&volume, log.head)?;
         if log.head < volume.layout.capacity() {
             reservation.make_durable(&mut volume)?;
         }
-        // Both may have been read from the memory of the operating system only: after a kill between a write and
-        // its sync, or after a failed sync, which leaves pages that look clean. Written again, they are durable.
+        // The superblock and the last batch may be in the memory of the operating system only: after a kill between a write
+        // and its sync, or after a failed sync, which leaves pages marked as clean. Writing and syncing them again makes them
+        // durable.
         superblock.write(&mut volume)?;
-        if let Some(last) = log.last.filter(|last| last.end > superblock.synced_to) {
-            rewrite(&mut volume, &last)?;
+        if let Some(last_batch) = log.last_batch.filter(|batch| batch.end > superblock.synced_to) {
+            rewrite_batch(&mut volume, &last_batch)?;
         }
         let snapshot = std::mem::take(&mut log.snapshot);
         let records = std::mem::take(&mut log.records);
         let ring = Self::start(volume, reservation, superblock, log)?;
-        Ok((ring, Recovered { snapshot, records, empty: false }))
+        Ok((ring, Recovered { snapshot, records, is_new: false }))
     }
 
-    /// Starts a new epoch, so that the remains of an unfinished batch behind the head are never mistaken for a part
-    /// of what is written there now.
+    /// Starts a new epoch, so that the remains of an unfinished batch after the head are never mistaken for parts of the
+    /// batches that are written there later.
     fn start(
         mut volume: Volume<D>,
         reservation: Reservation,
-        found: Superblock,
+        previous: Superblock,
         log: Log,
     ) -> Result<Self, StorageError> {
         let superblock = Superblock {
-            generation: found.generation + 1,
-            epoch: found.epoch.max(log.epoch()) + 1,
-            layout: found.layout,
+            generation: previous.generation + 1,
+            epoch: previous.epoch.max(log.epoch()) + 1,
+            layout: previous.layout,
             start: log.start,
-            start_batch: log.start_batch,
+            start_batch_number: log.start_batch_number,
             has_snapshot: log.snapshot_end.is_some(),
             synced_to: log.head,
         };
@@ -131,73 +134,79 @@
             superblock,
             snapshot_end: log.snapshot_end.unwrap_or(log.start),
             head: log.head,
-            next_batch: log.next_batch,
-            is_broken: false,
+            next_batch_number: log.next_batch_number,
+            requires_snapshot: false,
             buffer: Vec::new(),
         })
     }
 
-    /// Appends records; they are durable when this returns. One write and one sync, if they fit in one file; another
-    /// sync once in an extent of the ring, while the files still grow.
+    /// Appends records as one batch; they are durable when this returns. A batch of up to four frames within one file takes one
+    /// write and one sync. While the files still grow, each extent takes one more sync.
     ///
     /// # Errors
     ///
-    /// [`StorageError::Full`] if the records don't fit, [`StorageError::Broken`] after a failed write, and
-    /// [`StorageError::Io`] if the disk fails. After an error other than [`StorageError::Full`] the records may or may not be there after a recovery, and the
-    /// ring accepts no more of them until a snapshot has succeeded.
+    /// [`StorageError::OutOfSpace`] if the records do not fit, [`StorageError::SnapshotRequired`] after a failed write, and
+    /// [`StorageError::Io`] if an operation on the disk fails. After [`StorageError::Io`], a recovery may or may not find the
+    /// records, and the ring accepts no more records until a snapshot has succeeded.
     pub fn append(&mut self, records: &[Vec<u8>]) -> Result<(), StorageError> {
-        ensure!(!self.is_broken, BrokenSnafu);
+        ensure!(!self.requires_snapshot, SnapshotRequiredSnafu);
         if records.is_empty() {
             return Ok(());
         }
         let needed = batch_bytes(records).unwrap_or(u64::MAX);
-        let free = self.append_limit().saturating_sub(self.used());
-        ensure!(needed <= free, FullSnafu { needed, free });
+        let free = self.append_limit().saturating_sub(self.used_bytes());
+        ensure!(needed <= free, OutOfSpaceSnafu { needed, free });
         self.write(BatchKind::Append, records, needed)
     }
 
-    /// Whether a snapshot should be taken soon: about half of the ring is used, or the ring waits for one after a
-    /// failed write.
+    /// Whether a snapshot should be taken soon: about half of the ring is used, or the ring accepts no records until a snapshot
+    /// succeeds, after a failed write.
     pub fn needs_snapshot(&self) -> bool {
         let midpoint = (self.snapshot_bytes() + self.append_limit()) / 2;
-        self.is_broken || self.used() >= midpoint.max(self.capacity() / 2)
+        self.requires_snapshot || self.used_bytes() >= midpoint.max(self.capacity() / 2)
     }
 
-    /// Replaces all records before by these. The old ones are valid until the new ones are durable; then their space is
-    /// free. A snapshot may take up to 7/16 of the ring.
+    /// Replaces all earlier records by these. The earlier records stay valid until the new ones are durable; then their space
+    /// is free. A snapshot may take up to 7/16 of the ring.
     ///
     /// # Errors
     ///
-    /// [`StorageError::Full`] if the records don't fit, and [`StorageError::Io`] if the disk fails.
+    /// [`StorageError::OutOfSpace`] if the records do not fit, and [`StorageError::Io`] if an operation on the disk fails.
     pub fn snapshot(&mut self, records: &[Vec<u8>]) -> Result<(), StorageError> {
         let needed = batch_bytes(records).unwrap_or(u64::MAX);
-        let free = (self.capacity() - self.used()).min(self.snapshot_limit());
-        ensure!(needed <= free, FullSnafu { needed, free });
-        if self.is_broken {
+        let free = (self.capacity() - self.used_bytes()).min(self.snapshot_limit());
+        ensure!(needed <= free, OutOfSpaceSnafu { needed, free });
+        if self.requires_snapshot {
             let epoch = self.superblock.epoch + 1;
             self.write_superblock(Superblock { epoch, synced_to: self.head, ..self.superblock })?;
         }
-        let (start, start_batch) = (self.head, self.next_batch);
+        let (start, start_batch_number) = (self.head, self.next_batch_number);
         self.write(BatchKind::Snapshot, records, needed)?;
-        self.is_broken = true;
+        self.requires_snapshot = true;
         let synced_to = self.head;
-        let next = Superblock { start, start_batch, has_snapshot: true, synced_to, ..self.superblock };
-        self.write_superblock(next)?;
+        let superblock =
+            Superblock { start, start_batch_number, has_snapshot: true, synced_to, ..self.superblock };
+        self.write_superblock(superblock)?;
         self.snapshot_end = self.head;
-        self.is_broken = false;
+        self.requires_snapshot = false;
         Ok(())
     }
 
     fn write(&mut self, kind: BatchKind, records: &[Vec<u8>], bytes: u64) -> Result<(), StorageError> {
         let end = self.head + bytes;
-        let batch =
-            Batch { kind, epoch: self.superblock.epoch, number: self.next_batch, start: self.head, end };
-        self.is_broken = true;
+        let batch = Batch {
+            kind,
+            epoch: self.superblock.epoch,
+            number: self.next_batch_number,
+            start: self.head,
+            end,
+        };
+        self.requires_snapshot = true;
         self.reservation.grow(&mut self.volume, end)?;
         write_batch(&mut self.volume, batch, records, &mut self.buffer)?;
-        self.is_broken = false;
+        self.requires_snapshot = false;
         self.head = end;
-        self.next_batch += 1;
+        self.next_batch_number += 1;
         Ok(())
     }
 
@@ -212,7 +221,8 @@
         self.volume.layout.capacity()
     }
 
-    fn used(&self) -> u64 {
+    /// Space between the start of the log and its head, in bytes.
+    fn used_bytes(&self) -> u64 {
         self.head - self.superblock.start
     }
 
@@ -220,18 +230,19 @@
         self.snapshot_end - self.superblock.start
     }
 
-    /// Appends leave space for a snapshot of the length of the last one, and of an eighth of the ring at least.
+    /// Maximum space that appends may use, in bytes. The rest is kept free for a snapshot as long as the last one, and for at
+    /// least an eighth of the ring.
     fn append_limit(&self) -> u64 {
         self.capacity() - self.snapshot_bytes().max(self.capacity() / 8)
     }
 
-    /// Two snapshots have to fit, with space for appends between them.
+    /// Maximum length of a snapshot, in bytes. Two snapshots must fit in the ring, with space for appends between them.
     fn snapshot_limit(&self) -> u64 {
         self.capacity() / 16 * 7
     }
 }
 
-/// Removes the files of a creation that was interrupted before anything could be written to them.
+/// Removes the files of an interrupted creation of a ring, which hold no batch yet.
 fn remove_unfinished<D: Disk>(disk: &mut D) -> Result<(), StorageError> {
     let files = disk.list()?;
     let mut unfinished = files.iter().filter(|file| is_ring_file(&file.name)).peekable();
@@ -244,8 +255,8 @@
     disk.sync_folder()
 }
 
-/// Writes a batch again as it was read, and syncs it.
-fn rewrite<D: Disk>(volume: &mut Volume<D>, batch: &Batch) -> Result<(), StorageError> {
+/// Writes a batch again with its present content, and syncs it.
+fn rewrite_batch<D: Disk>(volume: &mut Volume<D>, batch: &Batch) -> Result<(), StorageError> {
     const CHUNK_BYTES: u64 = 256 * 1024;
     let mut buffer = Vec::new();
     let mut position = batch.start;
--- a/system/storage/src/simulated.rs
+++ b/system/storage/src/simulated.rs
@@ -1,4 +1,4 @@
-//! [`ForgetfulDisk`]: a [`Disk`] in memory that loses what a loss of power may lose. For tests.
+//! [`SimulatedDisk`]: a [`Disk`] in memory for tests, with simulated power losses and I/O errors.
 
 mod state;
 
@@ -12,18 +12,18 @@
 
 use state::{SeededRng, State};
 
-/// A folder in memory. Clones are handles on the same folder: the test keeps one, the ring gets another.
+/// A folder in memory. Clones are handles to the same folder: the test keeps one and passes another to the ring.
 ///
-/// Each file knows what its last sync covered and what was written since. [`ForgetfulDisk::power_loss`] keeps the
-/// former and of the latter some: each write is there, missing or torn; each name that was made or removed since the
-/// last sync of the folder is kept or lost on its own.
+/// Each file records the content covered by its last sync and the writes since. [`SimulatedDisk::power_loss`] keeps the
+/// synced content; each later write is kept, lost or torn, and each file name that was created or removed since the last
+/// sync of the folder is kept or reverted independently.
 #[derive(Clone, Debug, Default)]
-pub struct ForgetfulDisk {
+pub struct SimulatedDisk {
     state: Arc<Mutex<State>>,
 }
 
-impl ForgetfulDisk {
-    /// An empty folder.
+impl SimulatedDisk {
+    /// Creates an empty folder.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
@@ -33,27 +33,28 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The power fails and returns: only what was synced is certain to stay. The seed decides about the rest;
-    /// with every fourth seed, all of it is lost. Also ends the effect of [`ForgetfulDisk::stop_after`].
+    /// Simulates a power loss and a restart: synced content stays, and the seed determines which of the other changes are
+    /// kept. With every fourth seed, all unsynced changes are lost. Also ends the effect of [`SimulatedDisk::fail_after`].
     pub fn power_loss(&self, seed: u64) {
         let mut state = self.state();
         state.lose_power(&mut SeededRng::new(seed), seed % 4 == 0);
-        state.switch_on();
+        state.restore_power();
     }
 
-    /// The process is killed and restarted: the files stay as they were.
+    /// Simulates a kill and a restart of the process: all files keep their content, synced or not. Also ends the effect of
+    /// [`SimulatedDisk::fail_after`].
     pub fn restart(&self) {
-        self.state().switch_on();
+        self.state().restore_power();
     }
 
-    /// After so many more operations that change something, every operation fails until
-    /// [`ForgetfulDisk::power_loss`] or [`ForgetfulDisk::restart`]. If the first one that fails is a write, it stays
-    /// in the memory of the operating system as an unsynced one.
-    pub fn stop_after(&self, operations: u64) {
+    /// Lets this many more modifying operations succeed. After that, every operation fails until
+    /// [`SimulatedDisk::power_loss`] or [`SimulatedDisk::restart`]. If the first operation that fails is a write, it is kept as
+    /// an unsynced write, as in the page cache of an operating system.
+    pub fn fail_after(&self, operations: u64) {
         self.state().operations_left = Some(operations);
     }
 
-    /// Number of operations so far that change something: create, write, sync, remove.
+    /// Number of modifying operations so far: create, write, sync and remove.
     #[must_use]
     pub fn operations(&self) -> u64 {
         self.state().operations
@@ -65,40 +66,40 @@
         self.state().bytes_read
     }
 
-    /// From now on, writes fail and change nothing, or succeed again.
+    /// Makes all writes fail without effect, or succeed again.
     pub fn fail_writes(&self, fail: bool) {
         self.state().fail_writes = fail;
     }
 
-    /// From now on, syncs of files fail, or succeed again. What was written and not synced then stays readable, but
-    /// no later sync covers it, as with an operating system that marks pages as clean after a failed sync.
+    /// Makes all syncs of files fail, or succeed again. After a failed sync, unsynced data stays readable, but no later sync
+    /// covers it, as on an operating system that marks pages as clean after a failed sync.
     pub fn fail_syncs(&self, fail: bool) {
         self.state().fail_syncs = fail;
     }
 
-    /// From now on, the disk has no space left for writes, or has some again.
-    pub fn set_full(&self, full: bool) {
-        self.state().full = full;
+    /// Makes all writes and creations of files fail for lack of space, or succeed again.
+    pub fn set_full(&self, is_full: bool) {
+        self.state().is_full = is_full;
     }
 
-    /// From now on, no file becomes longer, or files may again. Writes within their length succeed.
-    pub fn refuse_growth(&self, refuse: bool) {
-        self.state().refuse_growth = refuse;
+    /// Makes every operation fail that sets a greater length of a file, or lets them succeed again. Writes are not affected.
+    pub fn fail_growth(&self, fail: bool) {
+        self.state().fail_growth = fail;
     }
 
-    /// Damages a byte that had been synced.
+    /// Flips a bit in the synced and in the readable content of a file.
     pub fn flip_bit(&self, name: &str, offset: u64, bit: u8) {
         self.state().flip_bit(name, offset, bit);
     }
 
-    /// All that a file reads as; nothing if there is none.
+    /// The readable content of a file, synced or not; `None` if there is no such file.
     #[must_use]
     pub fn contents(&self, name: &str) -> Option<Vec<u8>> {
         self.state().file(name).ok().map(|file| file.visible.clone())
     }
 }
 
-impl Disk for ForgetfulDisk {
+impl Disk for SimulatedDisk {
     fn list(&mut self) -> Result<Vec<DiskFile>, StorageError> {
         self.state().list().context(IoSnafu { operation: "list", file: "the folder" })
     }
--- a/system/storage/src/simulated/state.rs
+++ b/system/storage/src/simulated/state.rs
@@ -1,4 +1,4 @@
-//! The content of the folder, the durable part of it, and the effect of a loss of power.
+//! The state of a simulated disk: its visible and its durable content, and the effect of a power loss.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
@@ -9,27 +9,28 @@
 
 use super::power_is_off;
 
-/// The folder, its faults and its counters.
+/// The folder, its injected faults and its counters.
 #[derive(Debug, Default)]
 pub(super) struct State {
     files: BTreeMap<u64, MemoryFile>,
     next_file: u64,
-    /// Names as the process sees them, and as they were at the last sync of the folder.
+    /// The identifier of each file by its name, as the process sees it.
     names: BTreeMap<String, u64>,
+    /// The names at the last sync of the folder.
     durable_names: BTreeMap<String, u64>,
-    /// Operations until the power fails, if it is to fail.
+    /// Number of modifying operations until the power fails; `None` if it does not fail.
     pub operations_left: Option<u64>,
-    /// The power has failed.
+    /// Whether the power has failed.
     power_is_off: bool,
     pub operations: u64,
     pub bytes_read: u64,
     pub fail_writes: bool,
     pub fail_syncs: bool,
-    pub full: bool,
-    pub refuse_growth: bool,
+    pub is_full: bool,
+    pub fail_growth: bool,
 }
 
-/// A file: what the process reads, what is durable, and the writes between the two.
+/// A file: the content that the process reads, the durable content, and the changes that are not yet durable.
 #[derive(Debug, Default)]
 pub(super) struct MemoryFile {
     pub visible: Vec<u8>,
@@ -37,10 +38,12 @@
     pending: Vec<Change>,
 }
 
-/// A change that no sync has covered.
+/// A change to a file that no sync has covered.
 #[derive(Debug)]
 enum Change {
+    /// Sets the length of the file.
     Length(usize),
+    /// Writes bytes at an offset.
     Write(usize, Vec<u8>),
 }
 
@@ -55,7 +58,7 @@
 
     pub(super) fn create(&mut self, name: &str, length: u64) -> io::Result<()> {
         self.count_operation()?;
-        if self.full || (self.refuse_growth && self.is_longer(name, length)) {
+        if self.is_full || (self.fail_growth && self.is_longer(name, length)) {
             return Err(io::Error::other("no space is left on the disk"));
         }
         if !self.names.contains_key(name) {
@@ -79,16 +82,16 @@
 
     pub(super) fn write_at(&mut self, name: &str, offset: u64, bytes: &[u8]) -> io::Result<()> {
         self.check_power()?;
-        let power = self.count_operation();
+        let counted = self.count_operation();
         if self.fail_writes {
-            return Err(io::Error::other("the disk refuses writes"));
+            return Err(io::Error::other("simulated write error"));
         }
-        if self.full {
+        if self.is_full {
             return Err(io::Error::other("no space is left on the disk"));
         }
-        // The write in which the power fails may have reached the disk.
+        // A write during which the power fails may still reach the disk, so it is recorded before the error is returned.
         self.file_mut(name)?.change(Change::Write(offset as usize, bytes.to_vec()));
-        power
+        counted
     }
 
     pub(super) fn sync_file(&mut self, name: &str) -> io::Result<()> {
@@ -96,8 +99,8 @@
         let (fail, seed) = (self.fail_syncs, self.operations);
         let file = self.file_mut(name)?;
         if fail {
-            file.abandon(&mut SeededRng::new(seed));
-            return Err(io::Error::other("the disk refuses syncs"));
+            file.fail_sync(&mut SeededRng::new(seed));
+            return Err(io::Error::other("simulated sync error"));
         }
         file.sync();
         Ok(())
@@ -114,10 +117,10 @@
         self.names.remove(name).map(|_| ()).ok_or_else(|| io::ErrorKind::NotFound.into())
     }
 
-    /// Whether a file would become longer by getting this length.
+    /// Whether this length is greater than the current length of a file.
     fn is_longer(&self, name: &str, length: u64) -> bool {
-        let found = self.file(name).map_or(0, |file| file.visible.len() as u64);
-        length > found
+        let current_length = self.file(name).map_or(0, |file| file.visible.len() as u64);
+        length > current_length
     }
 
     pub(super) fn file(&self, name: &str) -> io::Result<&MemoryFile> {
@@ -130,7 +133,7 @@
         self.files.get_mut(id).ok_or_else(|| io::ErrorKind::NotFound.into())
     }
 
-    pub(super) fn switch_on(&mut self) {
+    pub(super) fn restore_power(&mut self) {
         self.operations_left = None;
         self.power_is_off = false;
     }
@@ -142,13 +145,13 @@
         Ok(())
     }
 
-    /// Counts an operation that changes something; an error if the power fails before it ends.
+    /// Counts a modifying operation; an error if the power is off or fails during the operation.
     fn count_operation(&mut self) -> io::Result<()> {
         self.check_power()?;
         self.operations += 1;
         match &mut self.operations_left {
             Some(0) => self.power_is_off = true,
-            Some(left) => *left -= 1,
+            Some(operations) => *operations -= 1,
             None => {}
         }
         self.check_power()
@@ -163,10 +166,11 @@
         }
     }
 
+    /// Applies a power loss; `lose_all` drops all changes that no sync has covered.
     pub(super) fn lose_power(&mut self, rng: &mut SeededRng, lose_all: bool) {
         let mut names = BTreeMap::new();
-        let all: BTreeSet<&String> = self.names.keys().chain(self.durable_names.keys()).collect();
-        for name in all {
+        let all_names: BTreeSet<&String> = self.names.keys().chain(self.durable_names.keys()).collect();
+        for name in all_names {
             let (visible, durable) = (self.names.get(name), self.durable_names.get(name));
             let surviving = if lose_all || rng.below(2) == 0 { durable } else { visible };
             if let Some(id) = surviving {
@@ -192,8 +196,8 @@
         }
     }
 
-    /// A failed sync: some of the changes became durable, and no later sync covers the others.
-    fn abandon(&mut self, rng: &mut SeededRng) {
+    /// Applies a failed sync: some of the changes become durable, and no later sync covers the others.
+    fn fail_sync(&mut self, rng: &mut SeededRng) {
         for change in self.pending.drain(..) {
             change.apply_some(&mut self.durable, rng);
         }
@@ -203,7 +207,7 @@
         if lose_all {
             self.pending.clear();
         }
-        self.abandon(rng);
+        self.fail_sync(rng);
         self.visible.clone_from(&self.durable);
     }
 }
@@ -216,7 +220,8 @@
         }
     }
 
-    /// There, missing, or torn: after some byte, before some sector, or sector by sector.
+    /// Applies the change, drops it, or applies a part of a write: the bytes before an offset, the sectors after one, or random
+    /// sectors.
     fn apply_some(&self, bytes: &mut Vec<u8>, rng: &mut SeededRng) {
         match (self, rng.below(5)) {
             (_, 0) => {}
@@ -241,7 +246,7 @@
     }
 }
 
-/// Writes a part of what was written; the file grows if necessary.
+/// Applies a part of a write to the content of a file; extends the content if necessary.
 fn overwrite(bytes: &mut Vec<u8>, offset: usize, written: &[u8], part: Range<usize>) {
     let (start, end) = (offset + part.start, offset + part.end);
     if bytes.len() < end {
@@ -252,7 +257,7 @@
     }
 }
 
-/// A small generator of random numbers (`SplitMix64`), so that the seed determines everything.
+/// A `SplitMix64` random number generator. The same seed always gives the same faults.
 pub(super) struct SeededRng {
     state: u64,
 }
--- a/system/storage/src/volume.rs
+++ b/system/storage/src/volume.rs
@@ -1,11 +1,11 @@
-//! A [`Disk`] addressed by positions of the log in place of files and offsets.
+//! [`Volume`]: access to a [`Disk`] by log positions instead of files and offsets.
 
 use std::collections::BTreeSet;
 
 use crate::layout::{file_name, Layout};
 use crate::{Disk, StorageError};
 
-/// The files of a ring as one endless address space.
+/// The files of a ring, addressed by log positions.
 #[derive(Debug)]
 pub(crate) struct Volume<D> {
     pub disk: D,
@@ -29,7 +29,7 @@
         Ok(())
     }
 
-    /// Syncs each file in which a part of the range lies.
+    /// Syncs each file that holds a part of the range.
     pub(crate) fn sync(&mut self, start: u64, end: u64) -> Result<(), StorageError> {
         let length = usize::try_from(end.saturating_sub(start)).unwrap_or(usize::MAX);
         let files: BTreeSet<u64> = self.layout.segments(start, length).map(|segment| segment.file).collect();
--- a/system/storage/src/writer.rs
+++ b/system/storage/src/writer.rs
@@ -1,9 +1,9 @@
 //! [`Writer`]: a thread that owns a ring and commits queued batches together (group commit).
 //!
-//! A disk takes about as long to sync one batch as many. While one sync runs, batches are queued; all of them are
-//! then written and synced as one. Events come in the order of the calls, from the thread of the writer.
+//! Syncing many batches takes a disk about as long as syncing one. While a sync runs, further batches are queued; all of
+//! them are then written and synced together. Events are reported in the order of the calls, on the thread of the writer.
 //!
-//! The log has no holes: after a batch has failed, all later ones fail too, until a snapshot succeeds.
+//! The log has no gaps: after a batch has failed, all later ones fail as well, until a snapshot succeeds.
 
 mod queue;
 
@@ -12,7 +12,7 @@
 
 use snafu::ResultExt;
 
-use crate::error::ThreadSnafu;
+use crate::error::SpawnThreadSnafu;
 use crate::{Disk, Ring, StorageError};
 
 use queue::{Queue, Write, WriteKind};
@@ -20,23 +20,24 @@
 /// The outcome of a batch or a snapshot.
 #[derive(Clone, Debug)]
 pub enum WriterEvent {
-    /// It is durable.
+    /// The batch or snapshot is durable.
     Durable {
-        /// The token it was given.
+        /// The token that was passed with the batch or snapshot.
         token: u64,
         /// Whether a snapshot should be taken soon.
-        wants_snapshot: bool,
+        needs_snapshot: bool,
     },
-    /// It may not be on the disk, or not durably. Of batches: every later one fails too, until a snapshot succeeds.
+    /// The batch or snapshot is possibly missing on the disk or not durable. After a failed batch, every later batch fails as
+    /// well, until a snapshot succeeds.
     Failed {
-        /// The token it was given.
+        /// The token that was passed with the batch or snapshot.
         token: u64,
         /// The reason.
         error: StorageError,
     },
 }
 
-/// The handle of the thread. Dropping it waits until all that was accepted has been written.
+/// Handle of the writer thread. Dropping it waits until all accepted batches and snapshots have been processed.
 #[derive(Debug)]
 pub struct Writer {
     queue: Arc<Queue>,
@@ -44,11 +45,11 @@
 }
 
 impl Writer {
-    /// Starts the thread. It calls `on_event` once for each accepted batch and snapshot.
+    /// Starts the writer thread, which calls `on_event` once for each accepted batch or snapshot.
     ///
     /// # Errors
     ///
-    /// [`StorageError::Thread`] if the thread can't be started.
+    /// [`StorageError::SpawnThread`] if the thread cannot be started.
     pub fn start<D: Disk + 'static>(
         ring: Ring<D>,
         on_event: Box<dyn Fn(WriterEvent) + Send>,
@@ -56,23 +57,26 @@
         let queue = Arc::new(Queue::default());
         let committer = Committer { ring, on_event, queue: Arc::clone(&queue), has_failed: false };
         let spawned = thread::Builder::new().name("storage".to_owned()).spawn(move || committer.run());
-        Ok(Writer { queue, thread: Some(spawned.context(ThreadSnafu)?) })
+        Ok(Writer { queue, thread: Some(spawned.context(SpawnThreadSnafu)?) })
     }
 
-    /// Queues records to be appended.
+    /// Queues a batch of records to be appended; `token` identifies it in the event.
     ///
     /// # Errors
     ///
-    /// [`StorageError::Busy`] if too much is queued already, and [`StorageError::Stopped`] if the thread has ended.
+    /// [`StorageError::QueueFull`] if the queue has reached its limits, and [`StorageError::WriterStopped`] if the thread has
+    /// ended.
     pub fn append(&self, token: u64, records: Vec<Vec<u8>>) -> Result<(), StorageError> {
         self.queue.push(Write { token, kind: WriteKind::Append, records })
     }
 
-    /// Queues records that replace all that was queued before.
+    /// Queues a snapshot, which replaces all earlier records, also those that are still queued; `token` identifies it in the
+    /// event.
     ///
     /// # Errors
     ///
-    /// [`StorageError::Busy`] if too much is queued already, and [`StorageError::Stopped`] if the thread has ended.
+    /// [`StorageError::QueueFull`] if the queue has reached its limits, and [`StorageError::WriterStopped`] if the thread has
+    /// ended.
     pub fn snapshot(&self, token: u64, records: Vec<Vec<u8>>) -> Result<(), StorageError> {
         self.queue.push(Write { token, kind: WriteKind::Snapshot, records })
     }
@@ -81,30 +85,30 @@
 impl Drop for Writer {
     fn drop(&mut self) {
         self.queue.close();
-        // The last handle may be dropped by `on_event`, on the thread itself, which cannot wait for its own end.
-        let thread = self.thread.take().filter(|it| it.thread().id() != thread::current().id());
+        // `on_event` may drop the handle on the writer thread, which cannot join itself.
+        let thread = self.thread.take().filter(|handle| handle.thread().id() != thread::current().id());
         if let Some(thread) = thread {
-            // An error says that `on_event` panicked, which the panic hook has reported already.
+            // An error means that `on_event` panicked, which the panic hook has already reported.
             let _ = thread.join();
         }
     }
 }
 
-/// The thread of the writer.
+/// The state of the writer thread.
 struct Committer<D: Disk> {
     ring: Ring<D>,
     on_event: Box<dyn Fn(WriterEvent) + Send>,
     queue: Arc<Queue>,
-    /// A batch was not written, so what follows it would leave a hole.
+    /// Whether a batch has failed since the last successful snapshot, so that a later batch would leave a gap in the log.
     has_failed: bool,
 }
 
 impl<D: Disk> Committer<D> {
     fn run(mut self) {
         while let Some(group) = self.queue.next_group() {
-            let (tokens, records) = join(group.writes);
+            let (tokens, records) = merge_writes(group.writes);
             let result = match group.kind {
-                WriteKind::Append if self.has_failed => Err(StorageError::Broken),
+                WriteKind::Append if self.has_failed => Err(StorageError::SnapshotRequired),
                 WriteKind::Append => self.ring.append(&records),
                 WriteKind::Snapshot => self.ring.snapshot(&records),
             };
@@ -118,10 +122,10 @@
     }
 
     fn report(&self, tokens: &[u64], result: &Result<(), StorageError>) {
-        let wants_snapshot = self.has_failed || self.ring.needs_snapshot();
+        let needs_snapshot = self.has_failed || self.ring.needs_snapshot();
         for &token in tokens {
             (self.on_event)(match result {
-                Ok(()) => WriterEvent::Durable { token, wants_snapshot },
+                Ok(()) => WriterEvent::Durable { token, needs_snapshot },
                 Err(error) => WriterEvent::Failed { token, error: error.clone() },
             });
         }
@@ -129,14 +133,14 @@
 }
 
 impl<D: Disk> Drop for Committer<D> {
-    /// Also runs when `on_event` panics: no caller may wait for a thread that has ended.
+    /// Marks the queue as stopped, also if `on_event` panics: later writes must be rejected, since nothing would process them.
     fn drop(&mut self) {
         self.queue.stop();
     }
 }
 
-/// The tokens of all writes, and all their records in one list.
-fn join(writes: Vec<Write>) -> (Vec<u64>, Vec<Vec<u8>>) {
+/// The tokens of all writes, and their records in one list.
+fn merge_writes(writes: Vec<Write>) -> (Vec<u64>, Vec<Vec<u8>>) {
     let tokens = writes.iter().map(|write| write.token).collect();
     let records = writes.into_iter().flat_map(|write| write.records).collect();
     (tokens, records)
--- a/system/storage/src/writer/queue.rs
+++ b/system/storage/src/writer/queue.rs
@@ -5,25 +5,27 @@
 
 use snafu::ensure;
 
-use crate::error::{BusySnafu, StoppedSnafu};
+use crate::error::{QueueFullSnafu, WriterStoppedSnafu};
 use crate::StorageError;
 
-/// Bound on the writes that wait.
+/// Maximum number of queued writes.
 const MAX_QUEUED_WRITES: usize = 4096;
-/// While this much waits, nothing more is accepted. The last write accepted may exceed it, as a record may be long.
+/// Size of the queued writes from which on no more are accepted, in bytes. The last accepted write may exceed it, since records may
+/// be long.
 const MAX_QUEUED_BYTES: usize = 16 * 1024 * 1024;
-/// A group ends with the write that reaches this length, so that its first writes do not wait for a long write.
+/// Size in bytes with which a group is closed, so that its first writes do not wait for a long disk write.
 const GROUP_BYTES: usize = 1024 * 1024;
-/// What a record costs in memory beside its bytes.
+/// Memory that a record takes in addition to its content, in bytes.
 const RECORD_OVERHEAD_BYTES: usize = size_of::<Vec<u8>>();
 
-/// What is to be done with the records of a write.
+/// The operation that a write requests for its records.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum WriteKind {
     Append,
     Snapshot,
 }
 
+/// A queued batch or snapshot.
 #[derive(Debug)]
 pub(super) struct Write {
     pub token: u64,
@@ -31,12 +33,13 @@
     pub records: Vec<Vec<u8>>,
 }
 
-/// Writes that are written and synced together: batches, or one snapshot.
+/// Writes that are committed together: either batches or a single snapshot.
 pub(super) struct Group {
     pub kind: WriteKind,
     pub writes: Vec<Write>,
 }
 
+/// The queue, shared by the callers and the writer thread.
 #[derive(Debug, Default)]
 pub(super) struct Queue {
     state: Mutex<QueueState>,
@@ -46,26 +49,27 @@
 #[derive(Debug, Default)]
 struct QueueState {
     writes: VecDeque<Write>,
+    /// Size of the queued writes in bytes, with the overhead of their records.
     bytes: usize,
-    /// No more writes come.
+    /// Whether the handle was dropped, so that no more writes are queued.
     is_closed: bool,
-    /// The thread has ended.
+    /// Whether the writer thread has ended.
     is_stopped: bool,
 }
 
 impl Queue {
     pub(super) fn push(&self, write: Write) -> Result<(), StorageError> {
         let mut state = self.lock();
-        ensure!(!state.is_stopped, StoppedSnafu);
+        ensure!(!state.is_stopped, WriterStoppedSnafu);
         let has_capacity = state.writes.len() < MAX_QUEUED_WRITES && state.bytes < MAX_QUEUED_BYTES;
-        ensure!(has_capacity, BusySnafu);
+        ensure!(has_capacity, QueueFullSnafu);
         state.bytes += write.bytes();
         state.writes.push_back(write);
         self.changed.notify_one();
         Ok(())
     }
 
-    /// Waits for writes; none once the queue is closed and empty.
+    /// Waits for writes and removes the next group; `None` once the queue is closed and empty.
     pub(super) fn next_group(&self) -> Option<Group> {
         let mut state = self.lock();
         loop {
--- a/system/storage/tests/common/mod.rs
+++ b/system/storage/tests/common/mod.rs
@@ -1,22 +1,22 @@
-//! What the tests of the ring share: records that can be told apart, and a model of what must be on the disk.
+//! Helpers of the ring's tests: distinguishable records, and a model of the expected content of a ring.
 
-#![allow(dead_code, reason = "each test file uses a part")]
+#![allow(dead_code, reason = "each test file uses only a part of this module")]
 
 use gingerledge_storage::{Disk, Recovered, Ring, RingSettings, StorageError};
 
-/// A ring in which every batch is one frame, and which is soon full.
+/// A small ring, which is soon full, for batches of one frame.
 pub const SMALL: RingSettings =
-    RingSettings { files: 4, file_bytes: 32 * 1024, extent_bytes: RingSettings::AT_ONCE };
-/// A ring with batches of several frames that cross files.
-pub const MIDDLE: RingSettings =
-    RingSettings { files: 3, file_bytes: 192 * 1024, extent_bytes: RingSettings::AT_ONCE };
+    RingSettings { files: 4, file_bytes: 32 * 1024, extent_bytes: RingSettings::PREALLOCATE_ALL };
+/// A ring for batches of several frames that cross files.
+pub const MEDIUM: RingSettings =
+    RingSettings { files: 3, file_bytes: 192 * 1024, extent_bytes: RingSettings::PREALLOCATE_ALL };
 
-/// The small ring, which grows with its log.
+/// The settings of the small ring, with growth in extents.
 pub const GROWING: RingSettings = RingSettings { extent_bytes: 8 * 1024, ..SMALL };
-/// The ring with batches of several frames, which grows by less than a frame.
-pub const GROWING_MIDDLE: RingSettings = RingSettings { extent_bytes: 20_000, ..MIDDLE };
+/// The settings of the ring for batches of several frames, with extents shorter than a frame.
+pub const GROWING_MEDIUM: RingSettings = RingSettings { extent_bytes: 20_000, ..MEDIUM };
 
-/// A record that differs from those of other numbers in its first bytes, and hardly repeats itself.
+/// A record whose first eight bytes are its number; the rest are random bytes.
 pub fn record(number: u64, length: usize) -> Vec<u8> {
     let mut random = fastrand::Rng::with_seed(number);
     let mut bytes = number.to_le_bytes().to_vec();
@@ -27,7 +27,7 @@
     bytes
 }
 
-/// What the ring holds: the snapshot and the records after it.
+/// The expected content of a ring: the snapshot and the records after it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Model {
     pub snapshot: Vec<Vec<u8>>,
@@ -45,7 +45,7 @@
         Self { snapshot: records.to_vec(), records: Vec::new() }
     }
 
-    /// The numbers of the records, short enough to be printed.
+    /// The numbers of the records in the snapshot and after it, for short assertion messages.
     pub fn numbers(&self) -> (Vec<u64>, Vec<u64>) {
         (numbers(&self.snapshot), numbers(&self.records))
     }
@@ -61,17 +61,17 @@
     records.iter().map(|record| record.first_chunk().map_or(0, |bytes| u64::from_le_bytes(*bytes))).collect()
 }
 
-/// Opens a ring that must be there, and gives what it held.
+/// Opens a ring, or creates one; returns it with its recovered content.
 pub fn open<D: Disk>(disk: D, settings: RingSettings) -> (Ring<D>, Model) {
     let (ring, recovered) = Ring::open(disk, settings).unwrap();
     (ring, recovered.into())
 }
 
-/// The place of the damage that opening reports.
-pub fn damage<D: Disk>(disk: D, settings: RingSettings) -> Option<(String, u64)> {
+/// The file and the offset of the damage that opening a ring reports; `None` if the ring can be opened.
+pub fn reported_damage<D: Disk>(disk: D, settings: RingSettings) -> Option<(String, u64)> {
     match Ring::open(disk, settings) {
         Err(StorageError::Corrupt { file, offset, .. }) => Some((file, offset)),
-        Err(error) => panic!("another error than damage: {error}"),
+        Err(error) => panic!("unexpected error: {error}"),
         Ok(_) => None,
     }
 }
--- a/system/storage/tests/damage.rs
+++ b/system/storage/tests/damage.rs
@@ -1,19 +1,20 @@
-//! Damage to synced bytes is told from an unfinished write.
+//! Damage to synced bytes is reported, and is distinguished from an unfinished write.
 
 mod common;
 
-use common::{damage, open, record, Model, MIDDLE, SMALL};
-use gingerledge_storage::{Disk, ForgetfulDisk, Ring};
+use common::{open, record, reported_damage, Model, MEDIUM, SMALL};
+use gingerledge_storage::{Disk, Ring, SimulatedDisk};
 use yare::parameterized;
 
-/// Length of the header of a file, and of a batch with one short record.
+/// Length of the header of a file, in bytes.
 const FILE_HEADER: u64 = 4096;
+/// Length of a sector, and of a batch with one short record, in bytes.
 const SECTOR: u64 = 512;
 
-/// A disk with these batches of one record each; the ring was not closed in any way.
-fn disk_with(records: &[Vec<u8>]) -> ForgetfulDisk {
-    let disk = ForgetfulDisk::new();
-    let (mut ring, _) = open(disk.clone(), MIDDLE);
+/// A disk with a batch for each of these records. The ring is dropped without a further operation.
+fn disk_with(records: &[Vec<u8>]) -> SimulatedDisk {
+    let disk = SimulatedDisk::new();
+    let (mut ring, _) = open(disk.clone(), MEDIUM);
     for record in records {
         ring.append(std::slice::from_ref(record)).unwrap();
     }
@@ -38,26 +39,26 @@
     for bit in 0..8 {
         let disk = disk_with(&[record(1, 100), record(2, 100), record(3, 100)]);
         disk.flip_bit("ring-000", FILE_HEADER + SECTOR + byte, bit);
-        assert_eq!(damage(disk, MIDDLE), Some(("ring-000".to_owned(), FILE_HEADER + SECTOR)));
+        assert_eq!(reported_damage(disk, MEDIUM), Some(("ring-000".to_owned(), FILE_HEADER + SECTOR)));
     }
 }
 
 #[test]
-fn the_last_batch_is_dropped_if_it_may_be_unfinished() {
+fn a_damaged_last_batch_is_dropped_if_it_may_be_unfinished() {
     let disk = disk_with(&[record(1, 100), record(2, 100)]);
     disk.flip_bit("ring-000", FILE_HEADER + SECTOR + 100, 0);
-    assert_eq!(open(disk, MIDDLE).1.numbers().1, [1]);
+    assert_eq!(open(disk, MEDIUM).1.numbers().1, [1]);
 }
 
 #[test]
-fn the_last_batch_is_reported_if_an_opening_had_found_it() {
+fn a_damaged_last_batch_is_reported_if_it_was_found_by_an_earlier_opening() {
     let disk = disk_with(&[record(1, 100), record(2, 100)]);
-    open(disk.clone(), MIDDLE);
+    open(disk.clone(), MEDIUM);
     disk.flip_bit("ring-000", FILE_HEADER + SECTOR + 100, 0);
-    assert_eq!(damage(disk, MIDDLE), Some(("ring-000".to_owned(), FILE_HEADER + SECTOR)));
+    assert_eq!(reported_damage(disk, MEDIUM), Some(("ring-000".to_owned(), FILE_HEADER + SECTOR)));
 }
 
-/// The length of a batch of many frames is known from any of its frames, also if the first is damaged.
+/// Every frame holds the end of its batch, so the batch after a long batch is found also if the first frame is damaged.
 #[parameterized(
     first_header = { 0 },
     first_body = { 1_000 },
@@ -68,61 +69,61 @@
     let disk = disk_with(&[record(1, 150_000), record(2, 100)]);
     disk.flip_bit("ring-000", FILE_HEADER + byte, 3);
     let frame = byte / 65_536 * 65_536;
-    assert_eq!(damage(disk, MIDDLE), Some(("ring-000".to_owned(), FILE_HEADER + frame)));
+    assert_eq!(reported_damage(disk, MEDIUM), Some(("ring-000".to_owned(), FILE_HEADER + frame)));
 }
 
-/// A record may hold anything, also the files of another ring. Frames in it prove nothing about the log.
+/// A record may contain the files of another ring. Frames in a record must not be taken for frames of the log.
 #[test]
 fn a_ring_inside_a_record_is_not_mistaken_for_the_log() {
-    let inner = ForgetfulDisk::new();
+    let inner = SimulatedDisk::new();
     let (mut ring, _) = open(inner.clone(), SMALL);
     for number in 0..20 {
         ring.append(&[record(number, 100)]).unwrap();
     }
-    // The header of the batch and the length of the record take 68 bytes: the inner frames start at sectors too.
+    // The frame header and the length of the record take 68 bytes, so the inner frames start at sector boundaries as well.
     let mut outer = vec![0; SECTOR as usize - 68];
     outer.extend(inner.contents("ring-000").unwrap());
     let disk = disk_with(&[record(1, 100), outer]);
     disk.flip_bit("ring-000", FILE_HEADER + SECTOR + 100, 0);
-    assert_eq!(open(disk, MIDDLE).1.numbers().1, [1]);
+    assert_eq!(open(disk, MEDIUM).1.numbers().1, [1]);
 }
 
 #[test]
 fn a_damaged_snapshot_is_reported() {
-    let disk = ForgetfulDisk::new();
+    let disk = SimulatedDisk::new();
     let (mut ring, _) = open(disk.clone(), SMALL);
     ring.snapshot(&[record(1, 1_000)]).unwrap();
     disk.flip_bit("ring-000", FILE_HEADER + 300, 0);
-    assert_eq!(damage(disk, SMALL), Some(("ring-000".to_owned(), FILE_HEADER)));
+    assert_eq!(reported_damage(disk, SMALL), Some(("ring-000".to_owned(), FILE_HEADER)));
 }
 
-/// Whatever bit is damaged, no record is lost without a report, and none is made up; only the last may be dropped.
+/// No damaged bit loses a record without a report or adds a record, except that the last batch may be dropped.
 #[test]
-fn no_damaged_bit_invents_or_hides_records() {
+fn no_damaged_bit_adds_or_hides_records() {
     let batches = [record(1, 700), record(2, 100), record(3, 900), record(4, 10)];
     let model = Model::default().with_appended(&batches);
-    let shortened = Model::default().with_appended(&batches[..3]);
+    let without_last = Model::default().with_appended(&batches[..3]);
     let mut random = fastrand::Rng::with_seed(7);
     for _ in 0..3_000 {
         let disk = disk_with(&batches);
         let offset = if random.bool() { random.u64(0..100) } else { FILE_HEADER + random.u64(0..4_096) };
         let (file, bit) = (if random.u8(0..4) == 0 { "ring-001" } else { "ring-000" }, random.u8(0..8));
         disk.flip_bit(file, offset, bit);
-        if let Ok((_, recovered)) = Ring::open(disk, MIDDLE) {
-            let held = Model::from(recovered);
-            assert!(held == model || held == shortened, "{file} {offset} {bit}: {:?}", held.numbers());
+        if let Ok((_, recovered)) = Ring::open(disk, MEDIUM) {
+            let found = Model::from(recovered);
+            assert!(found == model || found == without_last, "{file} {offset} {bit}: {:?}", found.numbers());
         }
     }
 }
 
-/// One superblock is enough, whichever: the log behind the older one leads to the same place.
+/// Either superblock suffices: the log after the older one leads to the same content.
 #[parameterized(
     first = { "ring-000" },
     second = { "ring-001" },
 )]
-fn one_damaged_superblock_does_no_harm(file: &str) {
+fn one_damaged_superblock_loses_no_record(file: &str) {
     for batches in 0..4 {
-        let disk = ForgetfulDisk::new();
+        let disk = SimulatedDisk::new();
         let (mut ring, _) = open(disk.clone(), SMALL);
         ring.append(&[record(1, 100)]).unwrap();
         ring.snapshot(&[record(2, 100)]).unwrap();
@@ -132,8 +133,8 @@
             expected = expected.with_appended(&[record(10 + number, 100)]);
         }
         disk.flip_bit(file, 20, 1);
-        let (mut ring, held) = open(disk.clone(), SMALL);
-        assert_eq!(held, expected);
+        let (mut ring, found) = open(disk.clone(), SMALL);
+        assert_eq!(found, expected);
         ring.append(&[record(50, 100)]).unwrap();
         ring.append(&[record(51, 100)]).unwrap();
         expected = expected.with_appended(&[record(50, 100), record(51, 100)]);
@@ -141,17 +142,17 @@
     }
 }
 
-/// The log has an epoch that the superblocks have forgotten.
+/// The log contains a later epoch than the remaining superblock.
 #[test]
-fn a_damaged_superblock_after_many_openings_does_no_harm() {
-    let disk = ForgetfulDisk::new();
+fn a_damaged_superblock_after_many_openings_loses_no_record() {
+    let disk = SimulatedDisk::new();
     let mut expected = Vec::new();
     for number in 1..5 {
         let (mut ring, _) = open(disk.clone(), SMALL);
         ring.append(&[record(number, 100)]).unwrap();
         expected.push(number);
     }
-    // Four openings: the newest superblock, of generation 4, is in the first file.
+    // After four openings, the newest superblock, of generation 4, is in the first file.
     disk.flip_bit("ring-000", 20, 1);
     let (mut ring, _) = open(disk.clone(), SMALL);
     ring.append(&[record(5, 100)]).unwrap();
@@ -161,7 +162,7 @@
 
 #[test]
 fn a_reused_log_is_not_read_from_an_old_superblock() {
-    let disk = ForgetfulDisk::new();
+    let disk = SimulatedDisk::new();
     let (mut ring, _) = open(disk.clone(), SMALL);
     let mut snapshots = 0;
     let mut number = 0;
@@ -176,9 +177,9 @@
     while ring.append(&[record(number, 2_000)]).is_ok() {
         number += 1;
     }
-    // Generations: 0 and 1 at the creation, then one for each snapshot; the newest is 7, in the second file.
+    // The creation writes the generations 0 and 1, and each snapshot one more. The newest is 7, in the second file.
     disk.flip_bit("ring-001", 20, 1);
-    assert!(damage(disk, SMALL).is_some());
+    assert!(reported_damage(disk, SMALL).is_some());
 }
 
 #[test]
@@ -186,31 +187,31 @@
     let disk = disk_with(&[record(1, 100)]);
     disk.flip_bit("ring-000", 20, 1);
     disk.flip_bit("ring-001", 20, 1);
-    assert_eq!(damage(disk, MIDDLE), Some(("ring-000".to_owned(), 0)));
+    assert_eq!(reported_damage(disk, MEDIUM), Some(("ring-000".to_owned(), 0)));
 }
 
 #[parameterized(
     with_a_superblock = { "ring-001" },
-    without = { "ring-002" },
+    without_a_superblock = { "ring-002" },
 )]
 fn a_missing_file_is_reported(file: &str) {
     let mut disk = disk_with(&[record(1, 100)]);
     disk.remove(file).unwrap();
-    assert_eq!(damage(disk, MIDDLE), Some((file.to_owned(), 0)));
+    assert_eq!(reported_damage(disk, MEDIUM), Some((file.to_owned(), 0)));
 }
 
 #[test]
 fn a_truncated_file_is_reported() {
     let mut disk = disk_with(&[record(1, 100)]);
     disk.create("ring-002", 5_000).unwrap();
-    assert_eq!(damage(disk, MIDDLE), Some(("ring-002".to_owned(), 5_000)));
+    assert_eq!(reported_damage(disk, MEDIUM), Some(("ring-002".to_owned(), 5_000)));
 }
 
 #[test]
 fn other_files_in_the_folder_are_unchanged() {
-    let mut disk = ForgetfulDisk::new();
+    let mut disk = SimulatedDisk::new();
     disk.create("identity", 7).unwrap();
     let (_, recovered) = Ring::open(disk.clone(), SMALL).unwrap();
-    assert!(recovered.empty);
+    assert!(recovered.is_new);
     assert_eq!(disk.contents("identity"), Some(vec![0; 7]));
 }
--- a/system/storage/tests/file_disk.rs
+++ b/system/storage/tests/file_disk.rs
@@ -1,14 +1,14 @@
-//! The ring on real files.
+//! The ring on the file system.
 
 mod common;
 
 use std::fs;
 use std::path::PathBuf;
 
-use common::{damage, open, record, Model, SMALL};
+use common::{open, record, reported_damage, Model, SMALL};
 use gingerledge_storage::{Disk, FileDisk, Ring, StorageError};
 
-/// A folder of its own for each test, removed at the end.
+/// The temporary folder of a test, removed when dropped.
 struct Folder {
     path: PathBuf,
 }
@@ -35,8 +35,8 @@
     let folder = Folder::new("order");
     let mut model = Model::default();
     for round in 0..4 {
-        let (mut ring, held) = open(folder.disk(), SMALL);
-        assert_eq!(held, model);
+        let (mut ring, found) = open(folder.disk(), SMALL);
+        assert_eq!(found, model);
         for number in 0..20 {
             let records = [record(round * 100 + number, number as usize * 57), record(number, 9)];
             let snapshot = ring.needs_snapshot();
@@ -52,7 +52,7 @@
     let folder = Folder::new("made");
     let nested = folder.path.join("data").join("ring");
     let (_, recovered) = Ring::open(FileDisk::open(&nested).unwrap(), SMALL).unwrap();
-    assert!(recovered.empty);
+    assert!(recovered.is_new);
     let mut files = FileDisk::open(&nested).unwrap().list().unwrap();
     files.sort_by(|left, right| left.name.cmp(&right.name));
     let names: Vec<_> = files.iter().map(|file| file.name.as_str()).collect();
@@ -67,7 +67,7 @@
     ring.append(&[record(1, 100)]).unwrap();
     ring.append(&[record(2, 100)]).unwrap();
     folder.disk().write_at("ring-000", 4096 + 70, &[0xff; 4]).unwrap();
-    assert_eq!(damage(folder.disk(), SMALL), Some(("ring-000".to_owned(), 4096)));
+    assert_eq!(reported_damage(folder.disk(), SMALL), Some(("ring-000".to_owned(), 4096)));
 }
 
 #[test]
--- a/system/storage/tests/golden_disk.rs
+++ b/system/storage/tests/golden_disk.rs
@@ -1,26 +1,26 @@
-//! A later version reads a ring that an earlier one wrote, and writes it on in the same form.
+//! Compatibility of the disk format: the current code reads rings recorded by earlier versions, and writes rings of the same bytes.
 //!
-//! The recorded rings are written by hand: `GOLDEN_WRITE=1 cargo test -p gingerledge-storage --test golden_disk -- the_code_of_the_day`,
-//! twice, since the rewritten ring comes from a recorded one.
+//! To record the rings again, run `GOLDEN_WRITE=1 cargo test -p gingerledge-storage --test golden_disk -- the_current_code` twice,
+//! since the rewritten ring is made from a recorded one.
 
 use std::path::{Path, PathBuf};
 
 use gingerledge_golden::disk_image::DiskImage;
 use gingerledge_storage::{FileDisk, Ring, RingSettings, StorageError};
 
-/// A small ring, which is written round soon.
+/// A small ring, whose log soon wraps around.
 const SMALL: RingSettings =
-    RingSettings { files: 3, file_bytes: 12 * 1024, extent_bytes: RingSettings::AT_ONCE };
-/// A ring that takes batches of several frames.
+    RingSettings { files: 3, file_bytes: 12 * 1024, extent_bytes: RingSettings::PREALLOCATE_ALL };
+/// A ring for batches of several frames.
 const LARGE: RingSettings =
-    RingSettings { files: 3, file_bytes: 192 * 1024, extent_bytes: RingSettings::AT_ONCE };
-/// Batches that are written to the small ring; their bytes are more than twice the ring's.
+    RingSettings { files: 3, file_bytes: 192 * 1024, extent_bytes: RingSettings::PREALLOCATE_ALL };
+/// Number of batches and snapshots written to the small ring. Their length is more than twice the capacity of the ring.
 const BATCHES: u64 = 41;
-/// After so many of them the process starts again, and with that a new epoch begins.
+/// Number of batches after which the ring is opened again, which starts a new epoch.
 const RESTART_AFTER: u64 = 25;
-/// Every so many batches a snapshot takes the place of what was before.
-const SNAPSHOT_EVERY: u64 = 6;
-/// More than a frame carries, and more than a file of the large ring holds behind the batch before.
+/// Each batch whose number is a multiple of this is a snapshot.
+const SNAPSHOT_INTERVAL: u64 = 6;
+/// Length of a large record in bytes: longer than a frame, and longer than the rest of a file of the large ring after an earlier batch.
 const LARGE_RECORD_BYTES: usize = 150_000;
 
 fn fixture(name: &str) -> PathBuf {
@@ -34,7 +34,7 @@
 fn open(folder: &Path, settings: RingSettings) -> (Ring<FileDisk>, Content) {
     let (ring, recovered) = Ring::open(FileDisk::open(folder).unwrap(), settings).unwrap();
     let content =
-        Content { snapshot: recovered.snapshot, records: recovered.records, empty: recovered.empty };
+        Content { snapshot: recovered.snapshot, records: recovered.records, is_new: recovered.is_new };
     (ring, content)
 }
 
@@ -42,10 +42,10 @@
 struct Content {
     snapshot: Vec<Vec<u8>>,
     records: Vec<Vec<u8>>,
-    empty: bool,
+    is_new: bool,
 }
 
-/// One to three records of a batch; one of them is empty now and then, and some fill more than a sector.
+/// The records of a batch: one to three, and in every fifth batch an empty one and one that is longer than a sector.
 fn batch(number: u64) -> Vec<Vec<u8>> {
     let record = |part: u64| format!("record {part} of batch {number};").into_bytes();
     let mut records: Vec<_> = (0..1 + number % 3).map(record).collect();
@@ -60,20 +60,20 @@
     vec![format!("snapshot at batch {number}").into_bytes().repeat(20), vec![0, 255, 0]]
 }
 
-/// What is in the ring after the last of its batches.
+/// The expected content of the small ring after the last batch.
 fn expected() -> Content {
-    let last_snapshot = BATCHES / SNAPSHOT_EVERY * SNAPSHOT_EVERY;
+    let last_snapshot = BATCHES / SNAPSHOT_INTERVAL * SNAPSHOT_INTERVAL;
     let records = (last_snapshot + 1..=BATCHES).flat_map(batch).collect();
-    Content { snapshot: snapshot(last_snapshot), records, empty: false }
+    Content { snapshot: snapshot(last_snapshot), records, is_new: false }
 }
 
-/// Writes a ring whose log has gone round its end more than once.
+/// Writes a ring whose log has wrapped around more than once.
 fn write_ring(folder: &Path) -> Ring<FileDisk> {
     DiskImage::default().lay_out(folder);
     let (mut ring, content) = open(folder, SMALL);
-    assert!(content.empty);
+    assert!(content.is_new);
     for number in 1..=BATCHES {
-        if number % SNAPSHOT_EVERY == 0 {
+        if number % SNAPSHOT_INTERVAL == 0 {
             ring.snapshot(&snapshot(number)).unwrap();
         } else {
             ring.append(&batch(number)).unwrap();
@@ -86,7 +86,7 @@
     ring
 }
 
-/// Large records have few bytes that are not zero, so that the recorded ring is small.
+/// A large record with few non-zero bytes, so that the recording of the ring is small.
 fn large_record(first: u8) -> Vec<u8> {
     let mut record = vec![0; LARGE_RECORD_BYTES];
     record[0] = first;
@@ -99,21 +99,21 @@
     vec![b"the unfinished write ".repeat(100)]
 }
 
-fn laid_out(recorded: &str, test: &str) -> PathBuf {
+fn lay_out(recorded: &str, test: &str) -> PathBuf {
     let folder = folder(test);
     DiskImage::read(&fixture(recorded)).lay_out(&folder);
     folder
 }
 
 #[test]
-fn the_code_of_the_day_writes_the_recorded_ring() {
+fn the_current_code_writes_the_recorded_ring() {
     let folder = folder("writes");
     drop(write_ring(&folder));
     DiskImage::of_folder(&folder).compare(&fixture("ring.txt"));
 }
 
 #[test]
-fn the_code_of_the_day_writes_the_recorded_ring_with_a_torn_tail() {
+fn the_current_code_writes_the_recorded_ring_with_a_torn_tail() {
     let folder = folder("writes-torn");
     let mut ring = write_ring(&folder);
     let before = DiskImage::of_folder(&folder);
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn the_code_of_the_day_writes_the_recorded_batches_of_several_frames() {
+fn the_current_code_writes_the_recorded_batches_of_several_frames() {
     let folder = folder("writes-large");
     DiskImage::default().lay_out(&folder);
     let (mut ring, _) = open(&folder, LARGE);
@@ -134,14 +134,14 @@
 
 #[test]
 fn a_recorded_ring_is_recovered() {
-    // A ring keeps the shape that it was made with.
-    let (_, content) = open(&laid_out("ring.txt", "recovered"), LARGE);
+    // A ring keeps the layout with which it was created, regardless of the settings.
+    let (_, content) = open(&lay_out("ring.txt", "recovered"), LARGE);
     assert!(content == expected());
 }
 
 #[test]
 fn a_recorded_ring_with_a_torn_tail_is_recovered_without_the_unfinished_batch() {
-    let folder = laid_out("ring_torn.txt", "recovered-torn");
+    let folder = lay_out("ring_torn.txt", "recovered-torn");
     let (mut ring, content) = open(&folder, SMALL);
     assert!(content == expected());
     ring.append(&last_batch()).unwrap();
@@ -154,7 +154,7 @@
 
 #[test]
 fn recorded_batches_of_several_frames_are_recovered() {
-    let (_, content) = open(&laid_out("ring_large.txt", "recovered-large"), LARGE);
+    let (_, content) = open(&lay_out("ring_large.txt", "recovered-large"), LARGE);
     let records = vec![large_record(1), b"small".to_vec(), b"next".to_vec(), large_record(2)];
     assert!(content == Content { records, ..Content::default() });
 }
@@ -176,7 +176,7 @@
 #[test]
 fn a_damaged_byte_of_a_recorded_batch_is_reported() {
     let mut image = DiskImage::read(&fixture("ring.txt"));
-    let text = format!("snapshot at batch {}", BATCHES / SNAPSHOT_EVERY * SNAPSHOT_EVERY).into_bytes();
+    let text = format!("snapshot at batch {}", BATCHES / SNAPSHOT_INTERVAL * SNAPSHOT_INTERVAL).into_bytes();
     let contents = image
         .files
         .values_mut()
@@ -191,8 +191,8 @@
 }
 
 #[test]
-fn the_code_of_the_day_rewrites_the_recorded_ring_as_recorded() {
-    let folder = laid_out("ring.txt", "rewritten");
+fn the_current_code_rewrites_the_recorded_ring_as_recorded() {
+    let folder = lay_out("ring.txt", "rewritten");
     let (mut ring, content) = open(&folder, SMALL);
     ring.snapshot(&[content.snapshot, content.records].concat()).unwrap();
     ring.append(&batch(BATCHES + 1)).unwrap();
--- a/system/storage/tests/ring.rs
+++ b/system/storage/tests/ring.rs
@@ -1,35 +1,35 @@
-//! A ring in ordinary use: what is appended comes back, snapshots replace it, files are reused.
+//! A ring without faults: appended records are recovered, snapshots replace them, and files are reused.
 
 mod common;
 
-use common::{open, record, Model, MIDDLE, SMALL};
-use gingerledge_storage::{ForgetfulDisk, Ring, RingSettings, StorageError};
+use common::{open, record, Model, MEDIUM, SMALL};
+use gingerledge_storage::{Ring, RingSettings, SimulatedDisk, StorageError};
 use yare::parameterized;
 
 #[test]
-fn a_new_disk_is_empty_and_an_opened_one_is_not() {
-    let disk = ForgetfulDisk::new();
+fn a_ring_is_new_only_when_it_is_first_opened() {
+    let disk = SimulatedDisk::new();
     let (_, first) = Ring::open(disk.clone(), SMALL).unwrap();
-    assert!(first.empty);
+    assert!(first.is_new);
     let (_, second) = Ring::open(disk, SMALL).unwrap();
-    assert!(!second.empty && second.records.is_empty() && second.snapshot.is_empty());
+    assert!(!second.is_new && second.records.is_empty() && second.snapshot.is_empty());
 }
 
 #[test]
-fn a_snapshot_replaces_what_was_before() {
-    let disk = ForgetfulDisk::new();
+fn a_snapshot_replaces_all_earlier_records() {
+    let disk = SimulatedDisk::new();
     let (mut ring, _) = open(disk.clone(), SMALL);
     ring.append(&[record(1, 100)]).unwrap();
     let snapshot = [record(2, 200), vec![], record(3, 10)];
     ring.snapshot(&snapshot).unwrap();
     ring.append(&[record(4, 1)]).unwrap();
-    let (_, held) = open(disk, SMALL);
-    assert_eq!(held, Model::with_snapshot(&snapshot).with_appended(&[record(4, 1)]));
+    let (_, found) = open(disk, SMALL);
+    assert_eq!(found, Model::with_snapshot(&snapshot).with_appended(&[record(4, 1)]));
 }
 
 #[test]
 fn an_empty_snapshot_removes_all_records() {
-    let disk = ForgetfulDisk::new();
+    let disk = SimulatedDisk::new();
     let (mut ring, _) = open(disk.clone(), SMALL);
     ring.append(&[record(1, 100)]).unwrap();
     ring.snapshot(&[]).unwrap();
@@ -38,7 +38,7 @@
 
 #[test]
 fn files_are_reused_over_many_passes() {
-    let disk = ForgetfulDisk::new();
+    let disk = SimulatedDisk::new();
     let (mut ring, mut model) = open(disk.clone(), SMALL);
     for number in 0..3000 {
         let next = [record(number, (number as usize * 37) % 2000)];
@@ -49,9 +49,9 @@
             ring.snapshot(&model.snapshot).unwrap();
         }
         if number % 100 == 0 {
-            let (reopened, held) = open(disk.clone(), SMALL);
+            let (reopened, found) = open(disk.clone(), SMALL);
             ring = reopened;
-            assert_eq!(held.numbers(), model.numbers());
+            assert_eq!(found.numbers(), model.numbers());
         }
     }
     assert_eq!(open(disk, SMALL).1, model);
@@ -59,7 +59,7 @@
 
 #[test]
 fn a_full_ring_rejects_records_and_still_accepts_a_snapshot() {
-    let disk = ForgetfulDisk::new();
+    let disk = SimulatedDisk::new();
     let (mut ring, mut model) = open(disk.clone(), SMALL);
     let error = loop {
         let next = [record(model.records.len() as u64, 900)];
@@ -68,10 +68,10 @@
             Err(error) => break error,
         }
     };
-    assert!(matches!(error, StorageError::Full { .. }), "{error}");
+    assert!(matches!(error, StorageError::OutOfSpace { .. }), "{error}");
     assert!(ring.needs_snapshot());
-    let (mut ring, held) = open(disk.clone(), SMALL);
-    assert_eq!(held, model);
+    let (mut ring, found) = open(disk.clone(), SMALL);
+    assert_eq!(found, model);
     ring.snapshot(&[record(7, 10_000)]).unwrap();
     assert!(!ring.needs_snapshot());
     ring.append(&[record(8, 900)]).unwrap();
@@ -80,7 +80,7 @@
 
 #[test]
 fn a_snapshot_that_does_not_fit_changes_nothing() {
-    let disk = ForgetfulDisk::new();
+    let disk = SimulatedDisk::new();
     let (mut ring, mut model) = open(disk.clone(), SMALL);
     let mut number = 0;
     while ring.append(&[record(number, 900)]).is_ok() {
@@ -88,13 +88,13 @@
         number += 1;
     }
     let error = ring.snapshot(&[record(0, 40_000)]).unwrap_err();
-    assert!(matches!(error, StorageError::Full { .. }), "{error}");
+    assert!(matches!(error, StorageError::OutOfSpace { .. }), "{error}");
     assert_eq!(open(disk, SMALL).1, model);
 }
 
 #[test]
 fn the_largest_snapshot_can_always_be_replaced() {
-    let disk = ForgetfulDisk::new();
+    let disk = SimulatedDisk::new();
     let (mut ring, _) = open(disk.clone(), SMALL);
     let mut largest = 100_000;
     while ring.snapshot(&[record(1, largest)]).is_err() {
@@ -113,7 +113,7 @@
 
 #[test]
 fn a_snapshot_is_needed_at_about_half_of_the_ring() {
-    let (mut ring, _) = open(ForgetfulDisk::new(), SMALL);
+    let (mut ring, _) = open(SimulatedDisk::new(), SMALL);
     let mut appended = 0;
     while !ring.needs_snapshot() {
         ring.append(&[record(appended, 1024 - 68)]).unwrap();
@@ -131,20 +131,20 @@
     none = { 0 },
 )]
 fn records_of_any_length_are_recovered(length: usize) {
-    let disk = ForgetfulDisk::new();
-    let (mut ring, _) = open(disk.clone(), MIDDLE);
+    let disk = SimulatedDisk::new();
+    let (mut ring, _) = open(disk.clone(), MEDIUM);
     let records = [record(1, length), record(2, 5), record(3, 300)];
     ring.append(&records).unwrap();
     ring.append(&[record(4, 4)]).unwrap();
     let expected = Model::default().with_appended(&records).with_appended(&[record(4, 4)]);
-    assert_eq!(open(disk, MIDDLE).1, expected);
+    assert_eq!(open(disk, MEDIUM).1, expected);
 }
 
 #[test]
 fn a_record_of_32_mb_crosses_the_files_of_a_128_mb_ring() {
     let settings =
-        RingSettings { files: 16, file_bytes: 8 * 1024 * 1024, extent_bytes: RingSettings::AT_ONCE };
-    let disk = ForgetfulDisk::new();
+        RingSettings { files: 16, file_bytes: 8 * 1024 * 1024, extent_bytes: RingSettings::PREALLOCATE_ALL };
+    let disk = SimulatedDisk::new();
     let (mut ring, _) = open(disk.clone(), settings);
     let records = [record(1, 32 * 1024 * 1024), record(2, 10)];
     ring.append(&records).unwrap();
@@ -154,7 +154,7 @@
 
 #[test]
 fn an_append_is_one_write_and_one_sync() {
-    let disk = ForgetfulDisk::new();
+    let disk = SimulatedDisk::new();
     let (mut ring, _) = open(disk.clone(), SMALL);
     let before = disk.operations();
     ring.append(&[record(1, 100), record(2, 20_000)]).unwrap();
@@ -164,8 +164,8 @@
 #[test]
 fn recovery_reads_little_more_than_what_was_written() {
     let settings =
-        RingSettings { files: 4, file_bytes: 4 * 1024 * 1024, extent_bytes: RingSettings::AT_ONCE };
-    let disk = ForgetfulDisk::new();
+        RingSettings { files: 4, file_bytes: 4 * 1024 * 1024, extent_bytes: RingSettings::PREALLOCATE_ALL };
+    let disk = SimulatedDisk::new();
     let (mut ring, _) = open(disk.clone(), settings);
     ring.append(&[record(1, 100_000)]).unwrap();
     ring.append(&[record(2, 100)]).unwrap();
@@ -177,23 +177,23 @@
 
 #[test]
 fn a_ring_keeps_the_layout_it_was_created_with() {
-    let disk = ForgetfulDisk::new();
+    let disk = SimulatedDisk::new();
     let (mut ring, _) = open(disk.clone(), SMALL);
     ring.append(&[record(1, 100)]).unwrap();
-    let (mut ring, held) = open(disk.clone(), MIDDLE);
-    assert_eq!(held.numbers().1, [1]);
+    let (mut ring, found) = open(disk.clone(), MEDIUM);
+    assert_eq!(found.numbers().1, [1]);
     ring.append(&[record(2, 100)]).unwrap();
     assert_eq!(open(disk, SMALL).1.numbers().1, [1, 2]);
 }
 
 #[parameterized(
-    one_file = { RingSettings { files: 1, file_bytes: 1 << 20, extent_bytes: RingSettings::AT_ONCE } },
-    too_many_files = { RingSettings { files: 1000, file_bytes: 1 << 20, extent_bytes: RingSettings::AT_ONCE } },
-    no_room_in_a_file = { RingSettings { files: 4, file_bytes: 4096, extent_bytes: RingSettings::AT_ONCE } },
-    no_bytes = { RingSettings { files: 4, file_bytes: 0, extent_bytes: RingSettings::AT_ONCE } },
-    huge = { RingSettings { files: 4, file_bytes: u64::MAX, extent_bytes: RingSettings::AT_ONCE } },
+    one_file = { RingSettings { files: 1, file_bytes: 1 << 20, extent_bytes: RingSettings::PREALLOCATE_ALL } },
+    too_many_files = { RingSettings { files: 1000, file_bytes: 1 << 20, extent_bytes: RingSettings::PREALLOCATE_ALL } },
+    files_without_log_space = { RingSettings { files: 4, file_bytes: 4096, extent_bytes: RingSettings::PREALLOCATE_ALL } },
+    empty_files = { RingSettings { files: 4, file_bytes: 0, extent_bytes: RingSettings::PREALLOCATE_ALL } },
+    too_long_files = { RingSettings { files: 4, file_bytes: u64::MAX, extent_bytes: RingSettings::PREALLOCATE_ALL } },
 )]
 fn unusable_settings_are_rejected(settings: RingSettings) {
-    let error = Ring::open(ForgetfulDisk::new(), settings).map(|_| ()).unwrap_err();
-    assert!(matches!(error, StorageError::Settings { .. }), "{error}");
+    let error = Ring::open(SimulatedDisk::new(), settings).map(|_| ()).unwrap_err();
+    assert!(matches!(error, StorageError::InvalidSettings { .. }), "{error}");
 }
