--- a/system/data/src/shared.rs
+++ b/system/data/src/shared.rs
@@ -141,7 +141,7 @@
 
     /// Merges registry entries that come from another source than the relay tree.
     pub fn merge_entries(&self, entries: impl IntoIterator<Item = Entry>) {
-        self.handle_relay_event(RelayEvent::EntriesLearned(entries.into_iter().collect()));
+        self.handle_relay_event(RelayEvent::EntriesReceived(entries.into_iter().collect()));
     }
 
     /// Returns the newest configuration known. It is parsed once for each change.
--- a/system/jobs/src/node/disk.rs
+++ b/system/jobs/src/node/disk.rs
@@ -148,8 +148,8 @@
         self.first_number += 1;
         self.queued_bytes -= completed.bytes;
         match event {
-            WriterEvent::Durable { wants_snapshot, .. } => {
-                self.is_snapshot_requested = wants_snapshot;
+            WriterEvent::Durable { needs_snapshot, .. } => {
+                self.is_snapshot_requested = needs_snapshot;
                 if completed.is_snapshot {
                     self.is_snapshot_queued = false;
                     self.has_failed = false;
--- a/system/jobs/tests/golden_disk.rs
+++ b/system/jobs/tests/golden_disk.rs
@@ -22,7 +22,7 @@
 
 /// Settings of a ring that is much smaller than that of a backend, with the same format.
 const RING: RingSettings =
-    RingSettings { files: 4, file_bytes: 64 * 1024, extent_bytes: RingSettings::AT_ONCE };
+    RingSettings { files: 4, file_bytes: 64 * 1024, extent_bytes: RingSettings::PREALLOCATE_ALL };
 const MEMBER: u64 = 0x1111_2222_3333_4444;
 const OTHER_MEMBER: u64 = u64::MAX;
 const SEED: u64 = 7;
--- a/system/relay/src/directory.rs
+++ b/system/relay/src/directory.rs
@@ -9,45 +9,46 @@
 #[derive(Debug)]
 pub(crate) struct Directory {
     zone: String,
-    control: BTreeMap<u64, NodeLocation>,
+    control_nodes: BTreeMap<u64, NodeLocation>,
     edges: BTreeMap<u64, NodeLocation>,
 }
 
-/// The address of a node, and its zone compared with that of this one.
+/// The address of a node, and whether it is in the zone of this node.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct NodeLocation {
-    /// Where it takes internal messages.
+    /// The address at which the node receives internal messages.
     pub address: SocketAddr,
-    /// Whether it is in the zone of this node.
+    /// Whether the node is in the zone of this node.
     pub in_same_zone: bool,
 }
 
 impl Directory {
-    /// An empty one, of a node in a zone.
+    /// Creates the empty directory of a node in a zone.
     pub(crate) fn new(zone: String) -> Self {
-        Self { zone, control: BTreeMap::new(), edges: BTreeMap::new() }
+        Self { zone, control_nodes: BTreeMap::new(), edges: BTreeMap::new() }
     }
 
-    /// Applies an entry.
+    /// Applies an entry; only entries of nodes have an effect.
     pub(crate) fn update(&mut self, entry: &Entry) {
         let Key::Node(incarnation) = entry.key else { return };
-        self.control.remove(&incarnation);
+        self.control_nodes.remove(&incarnation);
         self.edges.remove(&incarnation);
         let Value::Node(node) = &entry.value else { return };
         let location = NodeLocation { address: node.address, in_same_zone: node.zone == self.zone };
         match node.role {
-            Role::Control => self.control.insert(incarnation, location),
+            Role::Control => self.control_nodes.insert(incarnation, location),
             Role::Edge => self.edges.insert(incarnation, location),
             Role::Backend => None,
         };
     }
 
-    /// All control nodes.
-    pub(crate) fn control(&self) -> impl Iterator<Item = NodeLocation> + '_ {
-        self.control.values().copied()
+    /// The locations of all control nodes.
+    pub(crate) fn control_nodes(&self) -> impl Iterator<Item = NodeLocation> + '_ {
+        self.control_nodes.values().copied()
     }
 
-    /// The edges that follow a random number; incarnations are random, so this picks evenly.
+    /// All edges, starting with the first incarnation from `random` on. Incarnations are random, so each edge comes first with about
+    /// the same probability.
     pub(crate) fn edges_from(&self, random: u64) -> impl Iterator<Item = NodeLocation> + '_ {
         let after = self.edges.range(random..);
         after.chain(self.edges.range(..random)).map(|(_, location)| *location)
