--- a/system/chain/src/agreement/liveness.rs
+++ b/system/chain/src/agreement/liveness.rs
@@ -21,12 +21,12 @@
     peers: BTreeMap<MemberId, Peer>,
     replaced: BTreeSet<MemberId>,
     /// Most members that are kept beside the voters.
-    max_candidates: usize,
+    max_non_voters: usize,
 }
 
 impl Liveness {
-    pub(super) fn new(max_candidates: usize) -> Self {
-        Self { peers: BTreeMap::new(), replaced: BTreeSet::new(), max_candidates }
+    pub(super) fn new(max_non_voters: usize) -> Self {
+        Self { peers: BTreeMap::new(), replaced: BTreeSet::new(), max_non_voters }
     }
 
     /// A voter from which no heartbeat has come counts as heard of at a time.
@@ -51,7 +51,7 @@
             return true;
         }
         let non_voters = self.peers.iter().filter(|(member, _)| !is_voter(member));
-        if non_voters.clone().count() >= self.max_candidates {
+        if non_voters.clone().count() >= self.max_non_voters {
             let Some(oldest) =
                 non_voters.min_by_key(|(_, peer)| peer.last_heard_at).map(|(member, _)| *member)
             else {
@@ -65,7 +65,7 @@
     /// An identity won't come back: its address has announced another one.
     pub(super) fn mark_replaced(&mut self, member: MemberId) {
         self.replaced.insert(member);
-        while self.replaced.len() > self.max_candidates {
+        while self.replaced.len() > self.max_non_voters {
             self.replaced.pop_first();
         }
     }
@@ -132,17 +132,17 @@
     pub(super) fn heartbeat_receivers(
         &self,
         now: Duration,
-        me: MemberId,
+        local_id: MemberId,
         members: Option<&Membership>,
         within: Duration,
     ) -> Vec<MemberId> {
         let mut receivers: BTreeSet<MemberId> =
             members.iter().flat_map(|members| members.voters.iter().copied()).collect();
-        let is_voter = receivers.contains(&me);
+        let is_voter = receivers.contains(&local_id);
         receivers.extend(
             self.peers.keys().copied().filter(|member| !is_voter || self.is_reachable(now, *member, within)),
         );
-        receivers.remove(&me);
+        receivers.remove(&local_id);
         receivers.into_iter().collect()
     }
 }
--- a/system/chain/src/agreement/mod.rs
+++ b/system/chain/src/agreement/mod.rs
@@ -54,7 +54,7 @@
 /// One member's part in the votes.
 #[derive(Clone, Debug)]
 pub(crate) struct Agreement {
-    me: MemberId,
+    local_id: MemberId,
     settings: ControlChainSettings,
     rng: fastrand::Rng,
     members: Option<Membership>,
@@ -71,14 +71,14 @@
 }
 
 impl Agreement {
-    pub(crate) fn new(me: MemberId, settings: ControlChainSettings, seed: u64) -> Self {
+    pub(crate) fn new(local_id: MemberId, settings: ControlChainSettings, seed: u64) -> Self {
         Self {
-            me,
+            local_id,
             rng: fastrand::Rng::with_seed(seed),
             members: None,
             promised: None,
             accepted: None,
-            liveness: Liveness::new(settings.max_candidates),
+            liveness: Liveness::new(settings.max_non_voters),
             proposer: Proposer::default(),
             next_heartbeat_at: Duration::ZERO,
             last_event_at: Duration::ZERO,
@@ -87,8 +87,8 @@
         }
     }
 
-    pub(crate) fn me(&self) -> MemberId {
-        self.me
+    pub(crate) fn local_id(&self) -> MemberId {
+        self.local_id
     }
 
     pub(crate) fn members(&self) -> Option<&Membership> {
@@ -144,14 +144,14 @@
     }
 
     fn expect_voters(&mut self, now: Duration, members: &Membership) {
-        for voter in members.voters.iter().filter(|voter| **voter != self.me) {
+        for voter in members.voters.iter().filter(|voter| **voter != self.local_id) {
             self.liveness.expect_heartbeat(*voter, now.max(self.startup_grace_until));
         }
     }
 
     /// A member exists, and has replaced another identity of its address, if any.
     pub(crate) fn on_member_announced(&mut self, member: MemberId, replaces: Option<MemberId>) {
-        if member != self.me {
+        if member != self.local_id {
             self.liveness.on_announced(member, self.members.as_ref());
         }
         if let Some(replaced) = replaces.filter(|replaced| *replaced != member) {
@@ -273,7 +273,7 @@
         let heartbeat = Heartbeat { epoch: self.epoch(), disk_ready: status.disk_ready, sealed, live_peers };
         for to in self.liveness.heartbeat_receivers(
             now,
-            self.me,
+            self.local_id,
             self.members.as_ref(),
             self.settings.replace_after,
         ) {
--- a/system/chain/src/agreement/proposer.rs
+++ b/system/chain/src/agreement/proposer.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use super::value::{next_members, Addition, Promise};
+use super::value::{next_membership, Addition, Promise};
 use super::{Agreement, AgreementAction, MemberStatus};
 use crate::{AgreementMessage, ControlChainSettings, MemberId, Membership, ProposalNumber};
 
@@ -67,7 +67,7 @@
         out: &mut Vec<AgreementAction>,
     ) {
         let Some(members) = self.members.clone() else { return };
-        let Some(position) = members.chain.iter().position(|member| *member == self.me) else { return };
+        let Some(position) = members.chain.iter().position(|member| *member == self.local_id) else { return };
         if self.proposer.attempt.is_some() || !status.disk_ready {
             return;
         }
@@ -77,17 +77,17 @@
             self.proposer.change_needed_since = None;
             return;
         }
-        let since = *self.proposer.change_needed_since.get_or_insert(now);
-        let before = &members.chain[..position];
-        let rank = before.iter().filter(|member| !self.is_suspect(now, **member)).count() as u32;
-        let due = (since + self.settings.retry_backoff * rank).max(self.proposer.backoff_until);
-        if due <= now && self.has_live_majority(now, &members) {
+        let needed_since = *self.proposer.change_needed_since.get_or_insert(now);
+        let predecessors = &members.chain[..position];
+        let rank = predecessors.iter().filter(|member| !self.is_suspect(now, **member)).count() as u32;
+        let due_at = (needed_since + self.settings.retry_backoff * rank).max(self.proposer.backoff_until);
+        if due_at <= now && self.has_live_majority(now, &members) {
             self.start_attempt(now, None, out);
         }
     }
 
     fn is_suspect(&self, now: Duration, member: MemberId) -> bool {
-        member != self.me && !self.liveness.is_live(now, member, self.settings.suspect_timeout)
+        member != self.local_id && !self.liveness.is_live(now, member, self.settings.suspect_timeout)
     }
 
     fn has_live_majority(&self, now: Duration, members: &Membership) -> bool {
@@ -121,7 +121,7 @@
 
     /// Whether a member and all members of the chain hear each other.
     fn is_well_connected(&self, now: Duration, member: MemberId, members: &Membership) -> bool {
-        let others = members.chain.iter().filter(|other| **other != self.me);
+        let others = members.chain.iter().filter(|other| **other != self.local_id);
         let mut chain = members.chain.iter();
         !self.is_suspect(now, member)
             && self.liveness.epoch_of(member) == members.epoch
@@ -142,17 +142,17 @@
 
     /// Whether a voter was replaced, or no member of the chain has heard of it for [`ControlChainSettings::replace_after`].
     fn is_lost(&self, now: Duration, voter: MemberId, members: &Membership) -> bool {
-        let mut others = members.chain.iter().filter(|other| **other != self.me);
-        let is_unheard = voter != self.me
+        let mut others = members.chain.iter().filter(|other| **other != self.local_id);
+        let is_unreachable = voter != self.local_id
             && !self.liveness.is_reachable(now, voter, self.settings.replace_after)
             && others.all(|other| !self.liveness.reports_live(*other, voter));
-        is_unheard || self.liveness.is_replaced(voter)
+        is_unreachable || self.liveness.is_replaced(voter)
     }
 
     fn start_attempt(&mut self, now: Duration, addition: Option<Addition>, out: &mut Vec<AgreementAction>) {
         let highest_seen =
             self.promised.map_or(0, |proposal| proposal.counter).max(self.proposer.highest_counter);
-        let proposal = ProposalNumber { counter: highest_seen + 1, proposer: self.me.0 };
+        let proposal = ProposalNumber { counter: highest_seen + 1, proposer: self.local_id.0 };
         self.proposer.highest_counter = proposal.counter;
         let phase = Phase::Preparing { promises: BTreeMap::new(), majority_at: None };
         self.proposer.attempt = Some(Attempt { proposal, phase, addition, started_at: now, sent_at: now });
@@ -213,12 +213,13 @@
         if !have_all_promised && *majority_at + self.settings.promise_grace_period > now {
             return;
         }
-        let is_left_out =
-            |member: MemberId| self.is_suspect(now, member) || (member == self.me && !status.disk_ready);
+        let is_left_out = |member: MemberId| {
+            self.is_suspect(now, member) || (member == self.local_id && !status.disk_ready)
+        };
         let accepted = promises.values().filter_map(|promise| promise.accepted.clone());
         let value = match accepted.max_by_key(|(proposal, _)| *proposal) {
             Some((_, value)) => Some(value),
-            None => next_members(members, promises, is_left_out, attempt.addition),
+            None => next_membership(members, promises, is_left_out, attempt.addition),
         };
         let Some(value) = value else { return };
         if let Some(attempt) = self.proposer.attempt.as_mut() {
@@ -253,12 +254,12 @@
         }
     }
 
-    fn broadcast(&self, before: Membership, after: Membership, out: &mut Vec<AgreementAction>) {
-        let mut heartbeat_receivers: BTreeSet<MemberId> = before.voters.into_iter().collect();
-        heartbeat_receivers.extend(after.voters.iter().copied());
-        heartbeat_receivers.remove(&self.me);
-        for to in heartbeat_receivers {
-            let message = AgreementMessage::MembershipDecided { members: after.clone() };
+    fn broadcast(&self, previous: Membership, next: Membership, out: &mut Vec<AgreementAction>) {
+        let mut receivers: BTreeSet<MemberId> = previous.voters.into_iter().collect();
+        receivers.extend(next.voters.iter().copied());
+        receivers.remove(&self.local_id);
+        for to in receivers {
+            let message = AgreementMessage::MembershipDecided { members: next.clone() };
             out.push(AgreementAction::Send { to, message });
         }
     }
@@ -275,7 +276,7 @@
 
     /// Another member is changing the view: lets it finish.
     pub(super) fn defer_to(&mut self, now: Duration, proposer: MemberId) {
-        if proposer != self.me {
+        if proposer != self.local_id {
             self.proposer.backoff_until =
                 self.proposer.backoff_until.max(now + self.settings.attempt_timeout / 2);
         }
@@ -294,9 +295,9 @@
         status: MemberStatus,
         out: &mut Vec<AgreementAction>,
     ) {
-        let span = self.proposer.attempt_timeout(&self.settings);
+        let timeout = self.proposer.attempt_timeout(&self.settings);
         let Some(attempt) = &mut self.proposer.attempt else { return };
-        if attempt.started_at + span <= now {
+        if attempt.started_at + timeout <= now {
             self.abandon_attempt(now);
             return;
         }
--- a/system/chain/src/agreement/value.rs
+++ b/system/chain/src/agreement/value.rs
@@ -24,7 +24,7 @@
 /// is sure to hold everything that was acknowledged.
 ///
 /// Members of the chain keep their order, those that count first, so that each log begins with the next one's.
-pub(super) fn next_members(
+pub(super) fn next_membership(
     present: &Membership,
     promises: &BTreeMap<MemberId, Promise>,
     is_left_out: impl Fn(MemberId) -> bool,
--- a/system/chain/src/agreement/voter.rs
+++ b/system/chain/src/agreement/voter.rs
@@ -16,7 +16,7 @@
             self.request_membership(from, out);
             return false;
         }
-        self.members.as_ref().is_some_and(|members| members.is_voter(self.me) && members.is_voter(from))
+        self.members.as_ref().is_some_and(|members| members.is_voter(self.local_id) && members.is_voter(from))
     }
 
     /// Adopts a proposal number if this member may vote and has promised no higher one; that seals the epoch before.
--- a/system/chain/src/control_chain.rs
+++ b/system/chain/src/control_chain.rs
@@ -30,29 +30,39 @@
 impl ControlChain {
     /// A founder with an empty disk. All founders are given the same founders in the same order.
     #[must_use]
-    pub fn found(me: MemberId, founders: Vec<MemberId>, settings: ControlChainSettings, seed: u64) -> Self {
+    pub fn bootstrap(
+        local_id: MemberId,
+        founders: Vec<MemberId>,
+        settings: ControlChainSettings,
+        seed: u64,
+    ) -> Self {
         let fault_tolerance = settings.fault_tolerance;
         let members = Membership { epoch: 1, voters: founders.clone(), chain: founders, fault_tolerance };
-        let mut chain = Self::recover(me, Vec::new(), settings, seed);
+        let mut chain = Self::recover(local_id, Vec::new(), settings, seed);
         chain.state.founding = Some(members);
         chain
     }
 
     /// A member with an empty disk that joins the group of the members announced to it.
     #[must_use]
-    pub fn join(me: MemberId, settings: ControlChainSettings, seed: u64) -> Self {
-        Self::recover(me, Vec::new(), settings, seed)
+    pub fn join(local_id: MemberId, settings: ControlChainSettings, seed: u64) -> Self {
+        Self::recover(local_id, Vec::new(), settings, seed)
     }
 
     /// Recovers a member from what its disk holds. No record at all is the same as [`ControlChain::join`].
     /// The seed must differ from one start of the process to the next.
     #[must_use]
-    pub fn recover(me: MemberId, records: Vec<LogRecord>, settings: ControlChainSettings, seed: u64) -> Self {
+    pub fn recover(
+        local_id: MemberId,
+        records: Vec<LogRecord>,
+        settings: ControlChainSettings,
+        seed: u64,
+    ) -> Self {
         let bounds =
             ReplicaSettings { min_chain_length: settings.fault_tolerance + 1, ..settings.replica.clone() };
-        let replica = Replica::recover(me, &records, bounds, seed);
+        let replica = Replica::recover(local_id, &records, bounds, seed);
         let disk_timeout = settings.disk_timeout;
-        let mut agreement = Agreement::new(me, settings, seed);
+        let mut agreement = Agreement::new(local_id, settings, seed);
         for record in &records {
             agreement.restore(record);
         }
@@ -81,8 +91,8 @@
 
     /// This member's identity.
     #[must_use]
-    pub fn me(&self) -> MemberId {
-        self.state.agreement.me()
+    pub fn local_id(&self) -> MemberId {
+        self.state.agreement.local_id()
     }
 
     /// The membership in force as far as known here.
--- a/system/chain/src/event_dispatch.rs
+++ b/system/chain/src/event_dispatch.rs
@@ -57,7 +57,7 @@
         self.handle_event(event);
         self.process_outputs();
         while let Some(message) = self.loopback.pop_front() {
-            self.on_agreement_message(self.state.agreement.me(), message);
+            self.on_agreement_message(self.state.agreement.local_id(), message);
             self.process_outputs();
         }
     }
@@ -159,7 +159,7 @@
 
     fn on_agreement_action(&mut self, action: AgreementAction) {
         match action {
-            AgreementAction::Send { to, message } if to == self.state.agreement.me() => {
+            AgreementAction::Send { to, message } if to == self.state.agreement.local_id() => {
                 self.loopback.push_back(message);
             }
             AgreementAction::Send { to, message } => {
@@ -218,7 +218,9 @@
 /// The same action for the host of the control chain; none for those that this module carries out itself.
 fn host_action(action: ReplicaAction) -> Option<ChainAction> {
     Some(match action {
-        ReplicaAction::Apply { index, command, reply } => ChainAction::Apply { index, command, reply },
+        ReplicaAction::Apply { index, command, should_reply } => {
+            ChainAction::Apply { index, command, should_reply }
+        }
         ReplicaAction::TakeSnapshot => ChainAction::TakeSnapshot,
         ReplicaAction::InstallSnapshot { index, bytes } => ChainAction::InstallSnapshot { index, bytes },
         ReplicaAction::ReadReady { token, index } => ChainAction::ReadReady { token, index },
--- a/system/chain/src/interface.rs
+++ b/system/chain/src/interface.rs
@@ -110,7 +110,7 @@
         /// The command.
         command: Vec<u8>,
         /// Whether this member committed it as the tail, so that it responds to the client.
-        reply: bool,
+        should_reply: bool,
     },
     /// Encode the state and give [`Event::SnapshotReady`] with the index of the last [`Action::Apply`] or
     /// [`Action::InstallSnapshot`] that was carried out, now or later. The applied index of the member may be ahead of that while
--- a/system/chain/src/message.rs
+++ b/system/chain/src/message.rs
@@ -16,7 +16,7 @@
         /// Whether the sender counts in this view already.
         in_sync: bool,
         /// Whether the sender is outside the chain.
-        learner: bool,
+        is_learner: bool,
     },
     /// From a predecessor that has restarted: send [`ReplicaMessage::Resume`].
     RequestResume {
@@ -43,7 +43,7 @@
         /// The last entry in the snapshot.
         index: u64,
         /// Length of the whole snapshot.
-        total: u64,
+        total_bytes: u64,
         /// Where this chunk starts.
         offset: u64,
         /// The chunk.
@@ -56,7 +56,7 @@
         /// The last entry in the snapshot.
         index: u64,
         /// Bytes received so far without a gap.
-        received: u64,
+        received_bytes: u64,
     },
     /// From a successor or learner: up to where its log is durable and committed.
     Ack {
--- a/system/chain/src/replica/barrier.rs
+++ b/system/chain/src/replica/barrier.rs
@@ -8,7 +8,7 @@
 use crate::{LogRecord, MemberId, ReplicaMessage};
 
 /// How many numbers are reserved with one record.
-const RESERVED_BLOCK: u64 = 100_000;
+const RESERVATION_SIZE: u64 = 100_000;
 
 /// The numbers that have been used and reserved in the view.
 #[derive(Clone, Debug, Default)]
@@ -46,7 +46,7 @@
 
     /// The highest number that may have been used, with what is being reserved.
     pub(super) fn record(&self, epoch: u64) -> LogRecord {
-        let being_reserved = if self.is_reserving { RESERVED_BLOCK } else { 0 };
+        let being_reserved = if self.is_reserving { RESERVATION_SIZE } else { 0 };
         LogRecord::BarrierReservation { epoch, reserved: self.reserved + being_reserved }
     }
 }
@@ -54,9 +54,9 @@
 impl Replica {
     /// Sends the next barrier, if this is the head and its time has come.
     pub(super) fn send_due_barrier(&mut self, now: Duration, out: &mut Vec<ReplicaAction>) {
-        let due = self.barrier_timer().is_some_and(|at| at <= now);
-        let Some(every) = self.settings.barrier_interval.filter(|_| due) else { return };
-        self.barriers.next_at = now + every;
+        let is_due = self.barrier_timer().is_some_and(|at| at <= now);
+        let Some(interval) = self.settings.barrier_interval.filter(|_| is_due) else { return };
+        self.barriers.next_at = now + interval;
         if self.barriers.last_number >= self.barriers.reserved {
             self.reserve(out);
             return;
@@ -71,7 +71,7 @@
         }
         self.barriers.is_reserving = true;
         let epoch = self.epoch();
-        let reserved = self.barriers.reserved + RESERVED_BLOCK;
+        let reserved = self.barriers.reserved + RESERVATION_SIZE;
         self.persist(
             vec![LogRecord::BarrierReservation { epoch, reserved }],
             PendingRecord::Barriers { epoch, reserved },
--- a/system/chain/src/replica/log.rs
+++ b/system/chain/src/replica/log.rs
@@ -19,7 +19,7 @@
     /// Entries `compacted_index + 1 ..= last_index`.
     entries: VecDeque<Entry>,
     compacted_index: u64,
-    bytes: usize,
+    command_bytes: usize,
     unapplied_bytes: usize,
     durable_index: u64,
     commit_index: u64,
@@ -70,7 +70,7 @@
     }
 
     fn push(&mut self, entry: Entry) {
-        self.bytes += entry.command.len();
+        self.command_bytes += entry.command.len();
         self.unapplied_bytes += entry.command.len();
         self.entries.push_back(entry);
     }
@@ -109,7 +109,7 @@
         let after = after.max(self.commit_index);
         while self.last_index() > after {
             if let Some(entry) = self.entries.pop_back() {
-                self.bytes -= entry.command.len();
+                self.command_bytes -= entry.command.len();
                 self.unapplied_bytes -= entry.command.len();
             }
         }
@@ -119,7 +119,7 @@
     /// Continues from a state that holds all entries up to an index.
     pub(super) fn reset_to(&mut self, index: u64) {
         self.entries.clear();
-        self.bytes = 0;
+        self.command_bytes = 0;
         self.unapplied_bytes = 0;
         self.compacted_index = index;
         self.durable_index = index;
@@ -130,10 +130,11 @@
     /// Drops applied entries beyond the bounds, the oldest first.
     pub(super) fn compact(&mut self, max_entries: usize, max_bytes: usize) {
         while self.applied_index > self.compacted_index + max_entries as u64
-            || (self.applied_index > self.compacted_index && self.bytes - self.unapplied_bytes > max_bytes)
+            || (self.applied_index > self.compacted_index
+                && self.command_bytes - self.unapplied_bytes > max_bytes)
         {
             let Some(entry) = self.entries.pop_front() else { return };
-            self.bytes -= entry.command.len();
+            self.command_bytes -= entry.command.len();
             self.compacted_index += 1;
         }
     }
--- a/system/chain/src/replica/mod.rs
+++ b/system/chain/src/replica/mod.rs
@@ -56,7 +56,7 @@
 /// One replica of a log.
 #[derive(Clone, Debug)]
 pub struct Replica {
-    me: MemberId,
+    local_id: MemberId,
     settings: ReplicaSettings,
     view: Option<View>,
     /// Whether the view's record is on the disk.
@@ -64,7 +64,7 @@
     /// Whether this member counts in the view.
     in_sync: bool,
     /// Whether the record of that is being written.
-    becoming_in_sync: bool,
+    is_in_sync_pending: bool,
     /// The highest sealed epoch.
     sealed_epoch: u64,
     follows_as_learner: bool,
@@ -91,14 +91,14 @@
     /// A replica with an empty disk and no view. The seed must differ from one start of the process to
     /// the next.
     #[must_use]
-    pub fn new(me: MemberId, settings: ReplicaSettings, seed: u64) -> Self {
+    pub fn new(local_id: MemberId, settings: ReplicaSettings, seed: u64) -> Self {
         Self {
-            me,
+            local_id,
             settings,
             view: None,
             is_view_durable: false,
             in_sync: false,
-            becoming_in_sync: false,
+            is_in_sync_pending: false,
             sealed_epoch: 0,
             follows_as_learner: false,
             recovered_index: 0,
@@ -142,8 +142,8 @@
 
     /// This member's identity.
     #[must_use]
-    pub fn me(&self) -> MemberId {
-        self.me
+    pub fn local_id(&self) -> MemberId {
+        self.local_id
     }
 
     /// The newest view known.
@@ -194,7 +194,7 @@
     }
 
     fn is_in_chain(&self) -> bool {
-        self.view.as_ref().is_some_and(|view| view.contains(self.me))
+        self.view.as_ref().is_some_and(|view| view.contains(self.local_id))
     }
 
     /// Whether the view is in force: on the disk, and not sealed.
@@ -203,23 +203,23 @@
     }
 
     fn is_tail(&self) -> bool {
-        self.view.as_ref().is_some_and(|view| view.tail() == Some(self.me))
+        self.view.as_ref().is_some_and(|view| view.tail() == Some(self.local_id))
     }
 
     fn is_head(&self) -> bool {
-        self.view.as_ref().is_some_and(|view| view.head() == Some(self.me))
+        self.view.as_ref().is_some_and(|view| view.head() == Some(self.local_id))
     }
 
     fn predecessor(&self) -> Option<MemberId> {
-        self.view.as_ref()?.predecessor(self.me)
+        self.view.as_ref()?.predecessor(self.local_id)
     }
 
     fn successor(&self) -> Option<MemberId> {
-        self.view.as_ref()?.successor(self.me)
+        self.view.as_ref()?.successor(self.local_id)
     }
 
     /// Whether the chain is long enough to commit.
-    fn commits(&self) -> bool {
+    fn can_commit(&self) -> bool {
         self.view.as_ref().is_some_and(|view| view.chain.len() >= self.settings.min_chain_length)
     }
 
@@ -241,9 +241,9 @@
             return;
         }
         let uncommitted = self.log.last_index() - self.log.commit_index();
-        let too_many = uncommitted >= self.settings.max_uncommitted_entries
+        let is_over_limit = uncommitted >= self.settings.max_uncommitted_entries
             || self.log.unapplied_bytes() + command.len() > self.settings.max_uncommitted_bytes;
-        if !self.is_serving() || too_many {
+        if !self.is_serving() || is_over_limit {
             out.push(ReplicaAction::Busy { command });
             return;
         }
@@ -295,19 +295,19 @@
         out: &mut Vec<ReplicaAction>,
     ) {
         match message {
-            ReplicaMessage::Resume { last_index, in_sync, learner, .. } => {
-                let role = if learner { FollowerRole::Learner } else { FollowerRole::Successor };
+            ReplicaMessage::Resume { last_index, in_sync, is_learner, .. } => {
+                let role = if is_learner { FollowerRole::Learner } else { FollowerRole::Successor };
                 self.on_resume(now, from, Resume { last_index, in_sync, role }, out);
             }
             ReplicaMessage::RequestResume { .. } => self.on_request_resume(now, from, out),
             ReplicaMessage::Append { first_index, commands, commit_index, in_sync_index, .. } => {
                 self.on_append(now, from, Append { first_index, commands, commit_index, in_sync_index }, out);
             }
-            ReplicaMessage::SnapshotChunk { index, total, offset, bytes, .. } => {
-                self.on_chunk(now, from, Chunk { index, total, offset, bytes }, out);
+            ReplicaMessage::SnapshotChunk { index, total_bytes, offset, bytes, .. } => {
+                self.on_chunk(now, from, Chunk { index, total_bytes, offset, bytes }, out);
             }
-            ReplicaMessage::SnapshotChunkAck { index, received, .. } => {
-                self.on_chunk_ack(now, from, index, received);
+            ReplicaMessage::SnapshotChunkAck { index, received_bytes, .. } => {
+                self.on_chunk_ack(now, from, index, received_bytes);
             }
             ReplicaMessage::Ack { durable_index, commit_index, .. } => {
                 self.on_ack(now, from, durable_index, commit_index, out);
@@ -359,7 +359,7 @@
     }
 
     fn commit_as_tail(&mut self) {
-        if self.is_serving() && self.is_tail() && self.commits() {
+        if self.is_serving() && self.is_tail() && self.can_commit() {
             self.log.commit_to(self.log.durable_index());
         }
     }
@@ -370,10 +370,10 @@
     }
 
     fn apply_committed(&mut self, out: &mut Vec<ReplicaAction>) {
-        let responds = self.is_tail() && self.is_serving();
+        let acknowledges = self.is_tail() && self.is_serving();
         while let Some((index, command)) = self.log.apply_next() {
-            let reply = responds && index > self.recovered_index;
-            out.push(ReplicaAction::Apply { index, command, reply });
+            let should_reply = acknowledges && index > self.recovered_index;
+            out.push(ReplicaAction::Apply { index, command, should_reply });
         }
     }
 }
--- a/system/chain/src/replica/progress.rs
+++ b/system/chain/src/replica/progress.rs
@@ -35,7 +35,7 @@
     /// Entries are sent from `next_index` on.
     Replicate,
     /// A snapshot is sent; without an index until the host has encoded one.
-    Snapshot { index: Option<u64>, received: u64, sent: Option<u64> },
+    Snapshot { index: Option<u64>, received_bytes: u64, sent_bytes: Option<u64> },
 }
 
 /// One follower: a member that gets its entries from here.
@@ -93,7 +93,7 @@
 
     /// Serves a snapshot from its beginning; `index` is none until the host has encoded one.
     pub(super) fn become_snapshot(&mut self, index: Option<u64>) {
-        self.state = ProgressState::Snapshot { index, received: 0, sent: None };
+        self.state = ProgressState::Snapshot { index, received_bytes: 0, sent_bytes: None };
     }
 
     /// Whether an acknowledgement is due, so that something has to be sent again without one.
@@ -116,21 +116,21 @@
         chunk_bytes: u64,
         out: &mut Vec<ReplicaAction>,
     ) {
-        let ProgressState::Snapshot { index, received, sent } = &mut self.state else { return };
+        let ProgressState::Snapshot { index, received_bytes, sent_bytes } = &mut self.state else { return };
         if *index != Some(snapshot.index) {
-            (*index, *received, *sent) = (Some(snapshot.index), 0, None);
+            (*index, *received_bytes, *sent_bytes) = (Some(snapshot.index), 0, None);
             self.last_progress_at = now;
         }
-        let total = snapshot.bytes.len() as u64;
-        let window_end = *received + MAX_INFLIGHT_CHUNKS * chunk_bytes;
-        while sent.is_none_or(|sent| sent < total && sent < window_end) {
-            let offset = sent.unwrap_or(0);
-            let end = (offset + chunk_bytes).min(total);
+        let total_bytes = snapshot.bytes.len() as u64;
+        let window_end = *received_bytes + MAX_INFLIGHT_CHUNKS * chunk_bytes;
+        while sent_bytes.is_none_or(|sent_bytes| sent_bytes < total_bytes && sent_bytes < window_end) {
+            let offset = sent_bytes.unwrap_or(0);
+            let end = (offset + chunk_bytes).min(total_bytes);
             let bytes = snapshot.bytes.get(offset as usize..end as usize).unwrap_or_default().to_vec();
             let message =
-                ReplicaMessage::SnapshotChunk { epoch, index: snapshot.index, total, offset, bytes };
+                ReplicaMessage::SnapshotChunk { epoch, index: snapshot.index, total_bytes, offset, bytes };
             out.push(ReplicaAction::Send { to: self.member, message });
-            *sent = Some(end);
+            *sent_bytes = Some(end);
         }
     }
 }
--- a/system/chain/src/replica/reads.rs
+++ b/system/chain/src/replica/reads.rs
@@ -26,7 +26,7 @@
 /// they require are applied here.
 #[derive(Clone, Debug)]
 pub(super) struct Reads {
-    number: u64,
+    last_round: u64,
     queued: Vec<PendingRead>,
     round: Option<ConfirmationRound>,
     confirmed: Vec<(u64, PendingRead)>,
@@ -35,8 +35,8 @@
 impl Reads {
     /// Rounds start at a number that no earlier process has used, so that no late confirmation counts for a new round.
     pub(super) fn new(seed: u64) -> Self {
-        let number = fastrand::Rng::with_seed(seed).u64(..) >> 1;
-        Self { number, queued: Vec::new(), round: None, confirmed: Vec::new() }
+        let last_round = fastrand::Rng::with_seed(seed).u64(..) >> 1;
+        Self { last_round, queued: Vec::new(), round: None, confirmed: Vec::new() }
     }
 
     /// Another view is in force: the reads of the current round go into the next one.
@@ -91,8 +91,8 @@
             return None;
         }
         self.commit_as_tail();
-        let complete = self.log.commit_index() == self.log.last_index();
-        (self.commits() || complete).then(|| self.log.commit_index())
+        let is_complete = self.log.commit_index() == self.log.last_index();
+        (self.can_commit() || is_complete).then(|| self.log.commit_index())
     }
 
     pub(super) fn on_confirm_view(&mut self, from: MemberId, round: u64, out: &mut Vec<ReplicaAction>) {
@@ -143,11 +143,11 @@
             .chain
             .iter()
             .copied()
-            .filter(|member| *member != self.me || !is_own_commit_certain)
+            .filter(|member| *member != self.local_id || !is_own_commit_certain)
             .collect();
-        self.reads.number += 1;
+        self.reads.last_round += 1;
         self.reads.round = Some(ConfirmationRound {
-            number: self.reads.number,
+            number: self.reads.last_round,
             reads: std::mem::take(&mut self.reads.queued),
             unconfirmed,
             required_index: certain.unwrap_or(0),
@@ -159,7 +159,7 @@
     fn send_confirm_view(&mut self, out: &mut Vec<ReplicaAction>) {
         let Some(round) = &self.reads.round else { return };
         let message = ReplicaMessage::ConfirmView { epoch: self.epoch(), round: round.number };
-        for member in round.unconfirmed.iter().filter(|member| **member != self.me) {
+        for member in round.unconfirmed.iter().filter(|member| **member != self.local_id) {
             out.push(ReplicaAction::Send { to: *member, message: message.clone() });
         }
     }
@@ -177,9 +177,9 @@
     }
 
     /// Sends the round again to those that haven't confirmed it; at a tail that wasn't certain, it starts again.
-    pub(super) fn confirm_overdue(&mut self, now: Duration, out: &mut Vec<ReplicaAction>) {
+    pub(super) fn resend_overdue_confirmations(&mut self, now: Duration, out: &mut Vec<ReplicaAction>) {
         let resend = self.settings.resend_interval;
-        let me = self.me;
+        let local_id = self.local_id;
         let Some(round) = self.reads.round.as_mut() else { return };
         if round.sent_at + resend > now {
             return;
@@ -187,14 +187,14 @@
         round.sent_at = now;
         if round.reads.is_empty() {
             self.reads.round = None;
-        } else if round.unconfirmed.contains(&me) {
+        } else if round.unconfirmed.contains(&local_id) {
             self.reads.restart();
         } else {
             self.send_confirm_view(out);
         }
     }
 
-    /// When [`Replica::confirm_overdue`] or a deadline of a read has something to do.
+    /// When [`Replica::resend_overdue_confirmations`] or a deadline of a read has something to do.
     pub(super) fn reads_timer(&self) -> Option<Duration> {
         let resend_at = self.reads.round.as_ref().map(|round| round.sent_at + self.settings.resend_interval);
         let deadline = self.reads.next_deadline();
--- a/system/chain/src/replica/recovery.rs
+++ b/system/chain/src/replica/recovery.rs
@@ -9,8 +9,8 @@
     /// Recovers a replica from the records on its disk, in the order written. Records of the control group's
     /// vote count for the seals that they imply.
     #[must_use]
-    pub fn recover(me: MemberId, records: &[LogRecord], settings: ReplicaSettings, seed: u64) -> Self {
-        let mut replica = Self::new(me, settings, seed);
+    pub fn recover(local_id: MemberId, records: &[LogRecord], settings: ReplicaSettings, seed: u64) -> Self {
+        let mut replica = Self::new(local_id, settings, seed);
         for record in records {
             replica.restore(record);
         }
@@ -64,7 +64,7 @@
         let mut records = vec![LogRecord::Snapshot { index: self.log.applied_index(), bytes: state }];
         if let Some(view) = &self.view {
             // What is being written counts: it is on the disk before these records are.
-            let in_sync = self.in_sync || self.becoming_in_sync;
+            let in_sync = self.in_sync || self.is_in_sync_pending;
             records.push(LogRecord::View { view: view.clone(), in_sync });
             records.push(self.barriers.record(view.epoch));
         }
@@ -76,9 +76,9 @@
     }
 
     pub(super) fn on_timer_expired(&mut self, now: Duration, out: &mut Vec<ReplicaAction>) {
-        self.resume_overdue(now, out);
+        self.resend_overdue_resume(now, out);
         self.resend_overdue(now, out);
-        self.confirm_overdue(now, out);
+        self.resend_overdue_confirmations(now, out);
         self.send_due_barrier(now, out);
     }
 }
--- a/system/chain/src/replica/replication.rs
+++ b/system/chain/src/replica/replication.rs
@@ -132,15 +132,23 @@
         }
     }
 
-    pub(super) fn on_chunk_ack(&mut self, now: Duration, from: MemberId, acked_snapshot: u64, acked: u64) {
+    pub(super) fn on_chunk_ack(
+        &mut self,
+        now: Duration,
+        from: MemberId,
+        snapshot_index: u64,
+        acked_bytes: u64,
+    ) {
         let Some(follower) = self.followers.iter_mut().find(|follower| follower.member == from) else {
             return;
         };
         follower.last_message_at = now;
-        if let ProgressState::Snapshot { index: Some(index), received, sent } = &mut follower.state {
-            if *index == acked_snapshot && acked > *received {
-                *received = acked;
-                *sent = (*sent).max(Some(acked));
+        if let ProgressState::Snapshot { index: Some(index), received_bytes, sent_bytes } =
+            &mut follower.state
+        {
+            if *index == snapshot_index && acked_bytes > *received_bytes {
+                *received_bytes = acked_bytes;
+                *sent_bytes = (*sent_bytes).max(Some(acked_bytes));
                 follower.last_progress_at = now;
             }
         }
@@ -204,7 +212,7 @@
             return false;
         }
         let commands = self.next_batch(follower.next_index, self.sendable_index(follower));
-        let sent = commands.len() as u64;
+        let sent_entries = commands.len() as u64;
         let message = ReplicaMessage::Append {
             epoch: self.epoch(),
             first_index: follower.next_index,
@@ -213,8 +221,8 @@
             in_sync_index: follower.in_sync_index,
         };
         out.push(ReplicaAction::Send { to: member, message });
-        self.followers[position].next_index += sent;
-        sent > 0
+        self.followers[position].next_index += sent_entries;
+        sent_entries > 0
     }
 
     fn next_batch(&self, first_index: u64, last_index: u64) -> Vec<Vec<u8>> {
@@ -276,7 +284,9 @@
         follower.last_progress_at = now;
         match &mut follower.state {
             ProgressState::Probe => self.request_resume(now, out),
-            ProgressState::Snapshot { received, sent, .. } => *sent = (*received > 0).then_some(*received),
+            ProgressState::Snapshot { received_bytes, sent_bytes, .. } => {
+                *sent_bytes = (*received_bytes > 0).then_some(*received_bytes)
+            }
             ProgressState::Replicate => {
                 self.send_batch(member, out);
             }
@@ -295,6 +305,6 @@
 
     /// Whether durable entries wait to be committed, in a chain that commits at all.
     fn has_uncommitted(&self) -> bool {
-        self.commits() && self.log.commit_index() < self.log.durable_index()
+        self.can_commit() && self.log.commit_index() < self.log.durable_index()
     }
 }
--- a/system/chain/src/replica/upstream.rs
+++ b/system/chain/src/replica/upstream.rs
@@ -68,7 +68,7 @@
 /// A chunk of a snapshot.
 pub(super) struct Chunk {
     pub index: u64,
-    pub total: u64,
+    pub total_bytes: u64,
     pub offset: u64,
     pub bytes: Vec<u8>,
 }
@@ -77,7 +77,7 @@
 #[derive(Clone, Debug)]
 struct IncomingSnapshot {
     index: u64,
-    total: u64,
+    total_bytes: u64,
     bytes: Vec<u8>,
 }
 
@@ -89,12 +89,12 @@
         }
         self.upstream.awaits_resume_reply = true;
         self.upstream.last_message_at = now;
-        let learner = !self.is_in_chain();
+        let is_learner = !self.is_in_chain();
         let message = ReplicaMessage::Resume {
             epoch: self.epoch(),
             last_index: self.log.last_index(),
             in_sync: self.is_in_sync(),
-            learner,
+            is_learner,
         };
         out.push(ReplicaAction::Send { to: source, message });
     }
@@ -160,31 +160,35 @@
         self.upstream.last_message_at = now;
         // The source has replied: the snapshot is acknowledged as soon as it is on the disk.
         self.upstream.awaits_resume_reply = false;
-        let Some(received) = self.add_chunk(&chunk) else { return };
-        let message = ReplicaMessage::SnapshotChunkAck { epoch: self.epoch(), index: chunk.index, received };
+        let Some(received_bytes) = self.add_chunk(&chunk) else { return };
+        let message =
+            ReplicaMessage::SnapshotChunkAck { epoch: self.epoch(), index: chunk.index, received_bytes };
         out.push(ReplicaAction::Send { to: from, message });
-        if received == chunk.total {
+        if received_bytes == chunk.total_bytes {
             self.persist_snapshot(out);
         }
     }
 
     /// Adds a chunk, and returns how many bytes there are without a gap; none if the snapshot is too large.
     fn add_chunk(&mut self, chunk: &Chunk) -> Option<u64> {
-        if chunk.total > self.settings.max_snapshot_bytes as u64 {
+        if chunk.total_bytes > self.settings.max_snapshot_bytes as u64 {
             return None;
         }
         let is_same = |incoming_snapshot: &IncomingSnapshot| {
-            incoming_snapshot.index == chunk.index && incoming_snapshot.total == chunk.total
+            incoming_snapshot.index == chunk.index && incoming_snapshot.total_bytes == chunk.total_bytes
         };
         if !self.upstream.incoming_snapshot.as_ref().is_some_and(is_same) {
             if chunk.offset != 0 {
                 return Some(0);
             }
-            self.upstream.incoming_snapshot =
-                Some(IncomingSnapshot { index: chunk.index, total: chunk.total, bytes: Vec::new() });
+            self.upstream.incoming_snapshot = Some(IncomingSnapshot {
+                index: chunk.index,
+                total_bytes: chunk.total_bytes,
+                bytes: Vec::new(),
+            });
         }
         let incoming_snapshot = self.upstream.incoming_snapshot.as_mut()?;
-        let fits = incoming_snapshot.bytes.len() + chunk.bytes.len() <= chunk.total as usize;
+        let fits = incoming_snapshot.bytes.len() + chunk.bytes.len() <= chunk.total_bytes as usize;
         if chunk.offset == incoming_snapshot.bytes.len() as u64 && fits {
             incoming_snapshot.bytes.extend_from_slice(&chunk.bytes);
         }
@@ -223,13 +227,13 @@
     }
 
     /// Asks the source again to send, if it hasn't for too long.
-    pub(super) fn resume_overdue(&mut self, now: Duration, out: &mut Vec<ReplicaAction>) {
+    pub(super) fn resend_overdue_resume(&mut self, now: Duration, out: &mut Vec<ReplicaAction>) {
         if self.upstream_timer().is_some_and(|at| at <= now) {
             self.send_resume(now, out);
         }
     }
 
-    /// When [`Replica::resume_overdue`] has something to do.
+    /// When [`Replica::resend_overdue_resume`] has something to do.
     pub(super) fn upstream_timer(&self) -> Option<Duration> {
         self.upstream.source?;
         if self.upstream.is_installing_snapshot || !self.is_active() {
@@ -238,7 +242,8 @@
         if self.upstream.awaits_resume_reply || (self.is_in_chain() && !self.in_sync) {
             return Some(self.upstream.last_message_at + self.settings.resend_interval);
         }
-        let learner = !self.is_in_chain();
-        learner.then(|| self.upstream.last_message_at + self.settings.resend_interval * LEARNER_IDLE_RESENDS)
+        let is_learner = !self.is_in_chain();
+        is_learner
+            .then(|| self.upstream.last_message_at + self.settings.resend_interval * LEARNER_IDLE_RESENDS)
     }
 }
--- a/system/chain/src/replica/view_installation.rs
+++ b/system/chain/src/replica/view_installation.rs
@@ -32,7 +32,7 @@
         self.view = Some(view);
         self.is_view_durable = false;
         self.in_sync = in_sync;
-        self.becoming_in_sync = false;
+        self.is_in_sync_pending = false;
         self.upstream.reset(None);
         self.followers.clear();
         self.snapshot = None;
@@ -45,17 +45,17 @@
     /// predecessor.
     fn is_in_sync_in(&self, next: &View) -> bool {
         let Some(view) = &self.view else {
-            return next.epoch == 1 && next.contains(self.me) && self.log.last_index() == 0;
+            return next.epoch == 1 && next.contains(self.local_id) && self.log.last_index() == 0;
         };
-        let members_before_me = |view: &View| -> Vec<MemberId> {
-            view.chain.iter().copied().take_while(|member| *member != self.me).collect()
+        let predecessors_in = |view: &View| -> Vec<MemberId> {
+            view.chain.iter().copied().take_while(|member| *member != self.local_id).collect()
         };
-        let stood_before = members_before_me(view);
+        let previous_predecessors = predecessors_in(view);
         self.in_sync
             && next.epoch == view.epoch + 1
-            && view.contains(self.me)
-            && next.contains(self.me)
-            && members_before_me(next).iter().all(|member| stood_before.contains(member))
+            && view.contains(self.local_id)
+            && next.contains(self.local_id)
+            && predecessors_in(next).iter().all(|member| previous_predecessors.contains(member))
     }
 
     /// The record of the view is on the disk: the view is in force.
@@ -76,11 +76,11 @@
 
     fn connect(&mut self, now: Duration, out: &mut Vec<ReplicaAction>) {
         let Some(view) = &self.view else { return };
-        let predecessor = view.predecessor(self.me);
-        let successor = view.successor(self.me);
+        let predecessor = view.predecessor(self.local_id);
+        let successor = view.successor(self.local_id);
         let tail = view.tail();
         let source =
-            if view.contains(self.me) { predecessor } else { tail.filter(|_| self.follows_as_learner) };
+            if view.contains(self.local_id) { predecessor } else { tail.filter(|_| self.follows_as_learner) };
         self.upstream.reset(source);
         self.send_resume(now, out);
         if let Some(successor) = successor {
@@ -126,18 +126,22 @@
     pub(super) fn check_in_sync(&mut self, out: &mut Vec<ReplicaAction>) {
         let has_caught_up =
             self.upstream.in_sync_index().is_some_and(|index| index <= self.log.durable_index());
-        if !has_caught_up || self.in_sync || self.becoming_in_sync || !self.is_active() || !self.is_in_chain()
+        if !has_caught_up
+            || self.in_sync
+            || self.is_in_sync_pending
+            || !self.is_active()
+            || !self.is_in_chain()
         {
             return;
         }
-        self.becoming_in_sync = true;
+        self.is_in_sync_pending = true;
         let epoch = self.epoch();
         self.persist(vec![LogRecord::InSync { epoch }], PendingRecord::InSync { epoch }, out);
     }
 
     pub(super) fn on_in_sync_durable(&mut self, epoch: u64, out: &mut Vec<ReplicaAction>) {
         self.in_sync = true;
-        self.becoming_in_sync = false;
+        self.is_in_sync_pending = false;
         out.push(ReplicaAction::BecameInSync { epoch });
         for follower in &mut self.followers {
             follower.expedite_probe();
--- a/system/chain/src/settings.rs
+++ b/system/chain/src/settings.rs
@@ -86,7 +86,7 @@
     /// A learner that lacks at most this many committed entries is added to the chain.
     pub learner_max_lag: u64,
     /// Most known members that are no voters.
-    pub max_candidates: usize,
+    pub max_non_voters: usize,
     /// Bounds of the replica. `min_chain_length` is taken from `fault_tolerance`.
     pub replica: ReplicaSettings,
 }
@@ -112,7 +112,7 @@
             attempt_timeout: Duration::from_millis(700),
             retry_backoff: Duration::from_millis(150),
             learner_max_lag: 256,
-            max_candidates: 16,
+            max_non_voters: 16,
             replica,
         }
     }
--- a/system/chain/tests/catching_up.rs
+++ b/system/chain/tests/catching_up.rs
@@ -93,7 +93,7 @@
     member.message(ReplicaMessage::SnapshotChunk {
         epoch: EPOCH,
         index: 4,
-        total: 10,
+        total_bytes: 10,
         offset: 0,
         bytes: bytes.clone(),
     });
--- a/system/chain/tests/cluster/actions.rs
+++ b/system/chain/tests/cluster/actions.rs
@@ -20,21 +20,25 @@
 
 impl Cluster {
     pub(super) fn carry_out(&mut self, machine: usize, action: ChainAction) {
-        let me = self.hosts[machine].identity;
+        let member = self.hosts[machine].identity;
         match action {
             ChainAction::Send { to, message } => self.send(machine, to, message),
             ChainAction::Persist { token, records } => self.write(machine, token, records),
-            ChainAction::Apply { index, command, reply } => {
-                self.invariants.on_applied(me, index, &command, reply);
-                if reply {
+            ChainAction::Apply { index, command, should_reply } => {
+                self.invariants.on_applied(member, index, &command, should_reply);
+                if should_reply {
                     self.check_acknowledgement(machine, index, &command);
                 }
-                self.hosts[machine].state_machine.apply(self.seed, me, index, &command);
+                self.hosts[machine].state_machine.apply(self.seed, member, index, &command);
             }
             ChainAction::TakeSnapshot => self.snapshot(machine),
             ChainAction::InstallSnapshot { index, bytes } => {
                 self.hosts[machine].state_machine.install(index, &bytes);
-                self.invariants.on_snapshot_installed(me, index, self.hosts[machine].state_machine.hash());
+                self.invariants.on_snapshot_installed(
+                    member,
+                    index,
+                    self.hosts[machine].state_machine.hash(),
+                );
             }
             ChainAction::ReadReady { token, index } => {
                 assert!(
@@ -51,7 +55,7 @@
             }
             ChainAction::BarrierCommitted { epoch, number, commit_index } => self
                 .invariants
-                .on_barrier_committed((me, self.hosts[machine].incarnation, epoch), number, commit_index),
+                .on_barrier_committed((member, self.hosts[machine].incarnation, epoch), number, commit_index),
             ChainAction::View(MembershipAction::Sealed { epoch }) => {
                 self.hosts[machine].sealed_epoch = self.hosts[machine].sealed_epoch.max(epoch);
             }
--- a/system/chain/tests/cluster/mod.rs
+++ b/system/chain/tests/cluster/mod.rs
@@ -175,12 +175,12 @@
         }
         let seed = self.rng.u64(..);
         let host = &mut self.hosts[machine];
-        let me = host.identity;
+        let member = host.identity;
         let settings = self.settings.clone();
-        let founds = host.disk.records.is_empty() && self.founders.get(machine) == Some(&me);
+        let founds = host.disk.records.is_empty() && self.founders.get(machine) == Some(&member);
         let chain = match founds {
-            true => ControlChain::found(me, self.founders.clone(), settings, seed),
-            false => ControlChain::recover(me, host.disk.records.clone(), settings, seed),
+            true => ControlChain::bootstrap(member, self.founders.clone(), settings, seed),
+            false => ControlChain::recover(member, host.disk.records.clone(), settings, seed),
         };
         host.incarnation += 1;
         host.process = Some(Process::new(chain, self.now));
--- a/system/chain/tests/golden.rs
+++ b/system/chain/tests/golden.rs
@@ -35,10 +35,10 @@
 fn replica_messages() -> Vec<(&'static str, ReplicaMessage)> {
     let commands = vec![vec![1, 2], Vec::new()];
     vec![
-        ("resume", ReplicaMessage::Resume { epoch: 1, last_index: 2, in_sync: true, learner: false }),
+        ("resume", ReplicaMessage::Resume { epoch: 1, last_index: 2, in_sync: true, is_learner: false }),
         (
             "resume of a learner",
-            ReplicaMessage::Resume { epoch: 1, last_index: 2, in_sync: false, learner: true },
+            ReplicaMessage::Resume { epoch: 1, last_index: 2, in_sync: false, is_learner: true },
         ),
         ("ask resume", ReplicaMessage::RequestResume { epoch: 3 }),
         (
@@ -63,9 +63,15 @@
         ),
         (
             "chunk",
-            ReplicaMessage::SnapshotChunk { epoch: 8, index: 9, total: 10, offset: 11, bytes: vec![12, 13] },
+            ReplicaMessage::SnapshotChunk {
+                epoch: 8,
+                index: 9,
+                total_bytes: 10,
+                offset: 11,
+                bytes: vec![12, 13],
+            },
         ),
-        ("chunk ack", ReplicaMessage::SnapshotChunkAck { epoch: 14, index: 15, received: 16 }),
+        ("chunk ack", ReplicaMessage::SnapshotChunkAck { epoch: 14, index: 15, received_bytes: 16 }),
         ("ack", ReplicaMessage::Ack { epoch: 17, durable_index: 18, commit_index: 19 }),
         ("probe", ReplicaMessage::ConfirmView { epoch: 20, round: 21 }),
         ("confirm", ReplicaMessage::ViewConfirmed { epoch: 22, round: 23, commit_index: Some(24) }),
--- a/system/chain/tests/model/node.rs
+++ b/system/chain/tests/model/node.rs
@@ -51,7 +51,7 @@
 
 impl Node {
     pub fn founder(identity: MemberId, founders: &[MemberId], settings: &ControlChainSettings) -> Self {
-        let chain = ControlChain::found(identity, founders.to_vec(), settings.clone(), identity.0);
+        let chain = ControlChain::bootstrap(identity, founders.to_vec(), settings.clone(), identity.0);
         Self {
             identity,
             chain,
@@ -149,8 +149,8 @@
                 }
             }
             ChainAction::Persist { token, records } => self.unsynced.push(Write { token, records }),
-            ChainAction::Apply { index, command, reply } => {
-                observations.on_applied(index, &command, reply);
+            ChainAction::Apply { index, command, should_reply } => {
+                observations.on_applied(index, &command, should_reply);
                 self.state.push((index, command));
             }
             ChainAction::TakeSnapshot => {
--- a/system/chain/tests/partition/cluster.rs
+++ b/system/chain/tests/partition/cluster.rs
@@ -236,32 +236,32 @@
     }
 
     pub fn carry_out(&mut self, machine: usize, action: ReplicaAction) {
-        let me = self.machines[machine].identity;
+        let identity = self.machines[machine].identity;
         match action {
             ReplicaAction::Send { to, message } => self.send(machine, to, message),
             ReplicaAction::Persist { token, records } => {
                 self.machines[machine].disk.unsynced.push(Write::Append { token, records });
                 self.sync(machine);
             }
-            ReplicaAction::Apply { index, command, reply } => {
-                self.invariants.on_applied(me, index, &command, reply);
-                if reply {
+            ReplicaAction::Apply { index, command, should_reply } => {
+                self.invariants.on_applied(identity, index, &command, should_reply);
+                if should_reply {
                     let disks = self.machines.iter().map(|host| &host.disk).chain(&self.lost_disks);
                     let synced = disks.filter(|disk| disk.has_synced(index, &command));
                     self.invariants.on_acknowledged(index, synced.count());
                 }
-                self.machines[machine].state_machine.apply(self.seed, me, index, &command);
+                self.machines[machine].state_machine.apply(self.seed, identity, index, &command);
             }
             ReplicaAction::InstallSnapshot { index, bytes } => {
                 let state_machine = &mut self.machines[machine].state_machine;
                 state_machine.install(index, &bytes);
-                self.invariants.on_snapshot_installed(me, index, state_machine.hash());
+                self.invariants.on_snapshot_installed(identity, index, state_machine.hash());
             }
             ReplicaAction::ReadReady { token, index } => self.invariants.on_read_ready(token, index),
             ReplicaAction::ReadFailed { token } => self.invariants.on_read_failed(token),
             ReplicaAction::BecameInSync { epoch } => {
                 let delay = millis(self.rng.u64(1..400));
-                self.after(delay, SimulationEvent::ReportArrives { member: me, epoch });
+                self.after(delay, SimulationEvent::ReportArrives { member: identity, epoch });
             }
             _ => {}
         }
--- a/system/chain/tests/simulation/invariants.rs
+++ b/system/chain/tests/simulation/invariants.rs
@@ -55,7 +55,7 @@
     }
 
     /// Each number has one command, everywhere and for good, and each command one number.
-    pub fn on_applied(&mut self, member: MemberId, index: u64, command: &[u8], reply: bool) {
+    pub fn on_applied(&mut self, member: MemberId, index: u64, command: &[u8], should_reply: bool) {
         let position = index as usize - 1;
         assert!(position <= self.commands.len(), "seed {}: {member:?} applied {index} with a gap", self.seed);
         if position == self.commands.len() {
@@ -69,7 +69,7 @@
             "seed {}: {member:?} applied another command at {index}",
             self.seed
         );
-        if reply {
+        if should_reply {
             self.acknowledged_index = self.acknowledged_index.max(index);
             self.acknowledgements += 1;
         }
--- a/system/control/src/node/chain_host.rs
+++ b/system/control/src/node/chain_host.rs
@@ -186,7 +186,7 @@
 
     /// Identity of this member.
     pub(super) fn own_member(&self) -> MemberId {
-        self.chain.me()
+        self.chain.local_id()
     }
 
     /// Whether this member is in the chain of the membership in force.
--- a/system/control/src/node/lease.rs
+++ b/system/control/src/node/lease.rs
@@ -42,7 +42,7 @@
         let settings = LeaseSettings::new(lease_time / LEASE_TERM_DIVISOR);
         let mut lease = Lease::new(VoterId(messenger.own_record().member), settings, seed);
         let mut actions = Vec::new();
-        lease.handle(Duration::ZERO, LeaseEvent::Started { founding: is_founding }, &mut actions);
+        lease.handle(Duration::ZERO, LeaseEvent::Started { is_founding }, &mut actions);
         Self { clock, messenger, lease, actions, chain: Vec::new(), is_released: false }
     }
 
--- a/system/control/src/node/routing/chain_actions.rs
+++ b/system/control/src/node/routing/chain_actions.rs
@@ -37,7 +37,9 @@
         match action {
             ChainAction::Send { to, message } => self.send_to_member(to, message),
             ChainAction::Persist { token, records } => self.disk.append_chain(records, token),
-            ChainAction::Apply { index, command, reply } => self.apply(index, &command, reply)?,
+            ChainAction::Apply { index, command, should_reply } => {
+                self.apply(index, &command, should_reply)?
+            }
             ChainAction::TakeSnapshot => self.chain.provide_snapshot()?,
             ChainAction::InstallSnapshot { index, bytes } => self.install_snapshot(index, &bytes)?,
             ChainAction::ReadReady { token, .. } => self.on_read_finished(token, true),
--- a/system/control/src/node/start.rs
+++ b/system/control/src/node/start.rs
@@ -204,7 +204,7 @@
     let chain_settings = ControlChainSettings::new(settings.fault_tolerance.machines);
     if records.is_empty() && !identity.disk.founders.is_empty() {
         let founders = identity.disk.founders.iter().copied().map(MemberId).collect();
-        return ControlChain::found(me, founders, chain_settings, seed);
+        return ControlChain::bootstrap(me, founders, chain_settings, seed);
     }
     ControlChain::recover(me, records, chain_settings, seed)
 }
--- a/system/jobs/src/partition/mod.rs
+++ b/system/jobs/src/partition/mod.rs
@@ -236,7 +236,9 @@
                 let write = self.replica.register_write(token, records);
                 persist(context, write);
             }
-            ReplicaAction::Apply { index, command, reply } => self.apply(context, index, &command, reply),
+            ReplicaAction::Apply { index, command, should_reply } => {
+                self.apply(context, index, &command, should_reply);
+            }
             ReplicaAction::TakeSnapshot => self.take_snapshot(context),
             ReplicaAction::InstallSnapshot { index, bytes } => self.install_snapshot(context, index, &bytes),
             ReplicaAction::ReadReady { token, .. } => self.on_read_confirmed(context, token),
--- a/system/lease/src/candidate.rs
+++ b/system/lease/src/candidate.rs
@@ -10,7 +10,7 @@
 pub(crate) struct Attempt {
     pub number: u64,
     /// Whether the lease was held when the requests were sent.
-    pub renewal: bool,
+    pub is_renewal: bool,
     /// The lease is counted from here: no voter can have granted earlier.
     pub sent_at: Duration,
     pub grants: BTreeSet<VoterId>,
@@ -21,13 +21,15 @@
 impl Attempt {
     /// How long it may take until a majority grants, by the refusals so far. A voter that has not responded may grant now. Voters
     /// that refuse for long, such as one that has just started, are not waited for where the others suffice.
-    pub(crate) fn time_until_majority(&self, majority: usize, voters: usize) -> Duration {
-        let mut waits: Vec<Duration> = self.refusals.values().copied().collect();
-        waits.sort();
-        let not_refused = voters.saturating_sub(waits.len());
+    pub(crate) fn time_until_majority(&self, majority: usize, voter_count: usize) -> Duration {
+        let mut remaining_waits: Vec<Duration> = self.refusals.values().copied().collect();
+        remaining_waits.sort();
+        let not_refused = voter_count.saturating_sub(remaining_waits.len());
         match majority.checked_sub(not_refused + 1) {
             None => Duration::ZERO,
-            Some(position) => waits.get(position).or(waits.last()).copied().unwrap_or_default(),
+            Some(position) => {
+                remaining_waits.get(position).or(remaining_waits.last()).copied().unwrap_or_default()
+            }
         }
     }
 }
@@ -58,7 +60,7 @@
         self.last_attempt += 1;
         self.attempt = Some(Attempt {
             number: self.last_attempt,
-            renewal: self.is_held(now),
+            is_renewal: self.is_held(now),
             sent_at: now,
             grants: BTreeSet::new(),
             refusals: BTreeMap::new(),
--- a/system/lease/src/event.rs
+++ b/system/lease/src/event.rs
@@ -10,7 +10,7 @@
     /// The process has started; given once, first.
     Started {
         /// Whether this is the first start of this process and of all the voters, so that no grants can be outstanding.
-        founding: bool,
+        is_founding: bool,
     },
     /// The voters of an epoch. Older and repeated ones are ignored.
     Voters {
--- a/system/lease/src/lease.rs
+++ b/system/lease/src/lease.rs
@@ -16,7 +16,7 @@
 /// One process's part in the lease.
 #[derive(Clone, Debug)]
 pub struct Lease {
-    me: VoterId,
+    local_id: VoterId,
     settings: LeaseSettings,
     rng: fastrand::Rng,
     epoch: u64,
@@ -33,12 +33,12 @@
 impl Lease {
     /// A process that has just started. The seed must differ from one start to the next.
     #[must_use]
-    pub fn new(me: VoterId, settings: LeaseSettings, seed: u64) -> Self {
+    pub fn new(local_id: VoterId, settings: LeaseSettings, seed: u64) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
         // Responses to attempts of an earlier incarnation must not count for those of this one.
         let candidate = Candidate { last_attempt: rng.u64(..) >> 1, ..Candidate::default() };
         Self {
-            me,
+            local_id,
             settings,
             rng,
             epoch: 0,
@@ -86,7 +86,7 @@
     pub fn handle(&mut self, now: Duration, event: LeaseEvent, out: &mut Vec<LeaseAction>) {
         self.check_expiry(now, out);
         match event {
-            LeaseEvent::Started { founding } => self.on_started(now, founding),
+            LeaseEvent::Started { is_founding } => self.on_started(now, is_founding),
             LeaseEvent::Voters { epoch, voters } => self.on_voters(now, epoch, voters),
             LeaseEvent::Sealed { epoch } => self.voter.seal(epoch),
             LeaseEvent::Candidates { order } => self.on_candidates(now, order, out),
@@ -97,12 +97,12 @@
     }
 
     fn is_candidate(&self) -> bool {
-        self.candidate_order.contains(&self.me)
+        self.candidate_order.contains(&self.local_id)
     }
 
     /// How many staggers this candidate lets pass before it asks. The preferred one has a lead over all the others.
     fn rank(&self) -> u32 {
-        match self.candidate_order.iter().position(|candidate| *candidate == self.me) {
+        match self.candidate_order.iter().position(|candidate| *candidate == self.local_id) {
             None | Some(0) => 0,
             Some(position) => PREFERRED_CANDIDATE_LEAD + position as u32,
         }
@@ -112,9 +112,9 @@
         self.voters.len() / 2 + 1
     }
 
-    fn on_started(&mut self, now: Duration, founding: bool) {
+    fn on_started(&mut self, now: Duration, is_founding: bool) {
         self.is_started = true;
-        self.is_founding = founding;
+        self.is_founding = is_founding;
         self.candidate.next_attempt_at = now + self.settings.candidate_stagger * self.rank();
     }
 
@@ -167,14 +167,14 @@
             return;
         }
         let generation = self.candidate.generation;
-        self.voter.on_release(self.me, generation);
+        self.voter.on_release(self.local_id, generation);
         for to in self.other_voters() {
             out.push(LeaseAction::Send { to, message: LeaseMessage::Release { generation } });
         }
     }
 
     fn other_voters(&self) -> Vec<VoterId> {
-        self.voters.iter().copied().filter(|voter| *voter != self.me).collect()
+        self.voters.iter().copied().filter(|voter| *voter != self.local_id).collect()
     }
 
     fn check_expiry(&mut self, now: Duration, out: &mut Vec<LeaseAction>) {
@@ -200,7 +200,7 @@
     /// Renews the lease, or requests it unless another process is known to hold it.
     fn acquire_or_renew(&mut self, now: Duration, out: &mut Vec<LeaseAction>) {
         if !self.is_held(now) {
-            let free_at = self.voter.granted_to_others_until(self.me);
+            let free_at = self.voter.granted_to_others_until(self.local_id);
             if free_at > now {
                 self.candidate.next_attempt_at = free_at + self.settings.candidate_stagger * self.rank();
                 return;
@@ -226,17 +226,17 @@
         let request = Request {
             epoch: self.epoch,
             generation: self.candidate.generation,
-            renewal: self.is_held(now),
+            is_renewal: self.is_held(now),
             attempt,
         };
-        let Request { epoch, generation, renewal, .. } = request;
-        let message = LeaseMessage::Request { epoch, generation, renewal, attempt };
+        let Request { epoch, generation, is_renewal, .. } = request;
+        let message = LeaseMessage::Request { epoch, generation, is_renewal, attempt };
         for to in self.other_voters() {
             out.push(LeaseAction::Send { to, message: message.clone() });
         }
-        if self.voters.contains(&self.me) {
-            let response = self.voter.on_request(now, self.me, request, &self.settings);
-            self.on_response(now, self.me, response, out);
+        if self.voters.contains(&self.local_id) {
+            let response = self.voter.on_request(now, self.local_id, request, &self.settings);
+            self.on_response(now, self.local_id, response, out);
         }
     }
 
@@ -248,9 +248,9 @@
         out: &mut Vec<LeaseAction>,
     ) {
         match message {
-            LeaseMessage::Request { epoch, generation, renewal, attempt } => {
-                if self.is_started && epoch == self.epoch && self.voters.contains(&self.me) {
-                    let request = Request { epoch, generation, renewal, attempt };
+            LeaseMessage::Request { epoch, generation, is_renewal, attempt } => {
+                if self.is_started && epoch == self.epoch && self.voters.contains(&self.local_id) {
+                    let request = Request { epoch, generation, is_renewal, attempt };
                     let message = self.voter.on_request(now, from, request, &self.settings);
                     out.push(LeaseAction::Send { to: from, message });
                 }
@@ -263,9 +263,9 @@
     /// The holder has released the lease: the next candidate need not wait until its grants expire.
     fn on_holder_released(&mut self, now: Duration, from: VoterId, generation: u64) {
         self.voter.on_release(from, generation);
-        if !self.is_held(now) && self.voter.granted_to_others_until(self.me) <= now {
-            let turn = now + self.settings.candidate_stagger * self.rank();
-            self.candidate.next_attempt_at = self.candidate.next_attempt_at.min(turn.max(now));
+        if !self.is_held(now) && self.voter.granted_to_others_until(self.local_id) <= now {
+            let attempt_at = now + self.settings.candidate_stagger * self.rank();
+            self.candidate.next_attempt_at = self.candidate.next_attempt_at.min(attempt_at.max(now));
         }
     }
 
@@ -304,8 +304,9 @@
             attempt.grants.insert(from);
         }
         if attempt.grants.len() >= majority {
-            let (held_until, renewal) = (attempt.sent_at + self.settings.usable_duration(), attempt.renewal);
-            self.on_majority(now, held_until, renewal, out);
+            let (held_until, is_renewal) =
+                (attempt.sent_at + self.settings.usable_duration(), attempt.is_renewal);
+            self.on_majority(now, held_until, is_renewal, out);
         }
     }
 
@@ -319,10 +320,10 @@
         wait: Duration,
         out: &mut Vec<LeaseAction>,
     ) {
-        let dispensable = self.voters.len() - self.majority().min(self.voters.len());
+        let tolerated_refusals = self.voters.len() - self.majority().min(self.voters.len());
         let Some(attempt) = self.candidate.attempt_mut(attempt) else { return };
         attempt.refusals.insert(from, wait.min(self.settings.outstanding_grant_bound()));
-        let is_majority_impossible = attempt.refusals.len() > dispensable;
+        let is_majority_impossible = attempt.refusals.len() > tolerated_refusals;
         self.candidate.highest_refused = self.candidate.highest_refused.max(highest_generation);
         if is_majority_impossible && !self.candidate.is_held(now) {
             self.abandon_attempt(now, out);
@@ -335,10 +336,10 @@
         &mut self,
         now: Duration,
         held_until: Duration,
-        renewal: bool,
+        is_renewal: bool,
         out: &mut Vec<LeaseAction>,
     ) {
-        if held_until <= now || (renewal && !self.is_held(now)) {
+        if held_until <= now || (is_renewal && !self.is_held(now)) {
             self.step_down(out);
             return;
         }
@@ -357,12 +358,12 @@
 
     /// When a majority may grant, by the refusals of the attempt in progress.
     fn majority_possible_at(&self, now: Duration) -> Duration {
-        let (majority, voters) = (self.majority(), self.voters.len());
+        let (majority, voter_count) = (self.majority(), self.voters.len());
         now + self
             .candidate
             .attempt
             .as_ref()
-            .map_or(Duration::ZERO, |attempt| attempt.time_until_majority(majority, voters))
+            .map_or(Duration::ZERO, |attempt| attempt.time_until_majority(majority, voter_count))
     }
 
     /// There is no majority in time. Without a lease the grants so far are released, so that others need not wait for them.
@@ -374,8 +375,8 @@
         }
         let majority_possible_at = self.majority_possible_at(now);
         self.step_down(out);
-        let turn = self.settings.candidate_stagger * self.rank()
+        let backoff = self.settings.candidate_stagger * self.rank()
             + self.settings.candidate_stagger.mul_f64(self.rng.f64());
-        self.candidate.next_attempt_at = majority_possible_at + turn;
+        self.candidate.next_attempt_at = majority_possible_at + backoff;
     }
 }
--- a/system/lease/src/message.rs
+++ b/system/lease/src/message.rs
@@ -18,7 +18,7 @@
         /// The generation requested.
         generation: u64,
         /// Whether the sender holds this generation and renews it.
-        renewal: bool,
+        is_renewal: bool,
         /// Number of the attempt.
         attempt: u64,
     },
--- a/system/lease/src/voter.rs
+++ b/system/lease/src/voter.rs
@@ -17,7 +17,7 @@
 pub(crate) struct Request {
     pub epoch: u64,
     pub generation: u64,
-    pub renewal: bool,
+    pub is_renewal: bool,
     pub attempt: u64,
 }
 
@@ -43,9 +43,9 @@
         self.sealed_epoch = self.sealed_epoch.max(epoch);
     }
 
-    /// Until when another process than `me` may hold the lease, as far as known here.
-    pub(crate) fn granted_to_others_until(&self, me: VoterId) -> Duration {
-        let grant = self.grant.as_ref().filter(|grant| grant.holder != me);
+    /// Until when another process than `candidate` may hold the lease, as far as known here.
+    pub(crate) fn granted_to_others_until(&self, candidate: VoterId) -> Duration {
+        let grant = self.grant.as_ref().filter(|grant| grant.holder != candidate);
         grant.map_or(Duration::ZERO, |grant| grant.until)
     }
 
@@ -63,9 +63,9 @@
         request: Request,
         settings: &LeaseSettings,
     ) -> LeaseMessage {
-        let Request { epoch, generation, renewal, attempt } = request;
+        let Request { epoch, generation, is_renewal, attempt } = request;
         let wait = self.remaining_wait(now, from);
-        let is_stale = generation <= self.highest_generation && !renewal;
+        let is_stale = generation <= self.highest_generation && !is_renewal;
         if !wait.is_zero() || is_stale || epoch <= self.sealed_epoch {
             return LeaseMessage::Refuse { attempt, highest_generation: self.highest_generation, wait };
         }
--- a/system/lease/tests/cluster/mod.rs
+++ b/system/lease/tests/cluster/mod.rs
@@ -205,7 +205,7 @@
     }
 
     fn start(&mut self, process_index: usize) {
-        let founding = self.processes[process_index].incarnation == 0 && self.epochs.len() == 1;
+        let is_founding = self.processes[process_index].incarnation == 0 && self.epochs.len() == 1;
         let seed = self.rng.u64(..);
         let process = &mut self.processes[process_index];
         process.lease = Lease::new(VoterId(process_index as u64), self.settings.clone(), seed);
@@ -215,7 +215,7 @@
         process.timer = None;
         let epoch = process.epoch.max(1);
         process.epoch = 0;
-        self.event(process_index, LeaseEvent::Started { founding });
+        self.event(process_index, LeaseEvent::Started { is_founding });
         let order = (0..self.processes.len() as u64).map(VoterId).collect();
         self.event(process_index, LeaseEvent::Candidates { order });
         // What it knew of the epochs is on its disk.
--- a/system/lease/tests/model.rs
+++ b/system/lease/tests/model.rs
@@ -73,9 +73,9 @@
         group
     }
 
-    fn join(&mut self, process_index: usize, founding: bool) {
+    fn join(&mut self, process_index: usize, is_founding: bool) {
         let voters: Vec<VoterId> = (0..PROCESSES as usize).map(voter).collect();
-        self.event(process_index, LeaseEvent::Started { founding });
+        self.event(process_index, LeaseEvent::Started { is_founding });
         self.event(process_index, LeaseEvent::Voters { epoch: 1, voters: voters.clone() });
         self.event(process_index, LeaseEvent::Candidates { order: voters });
     }
