--- a/system/chain/src/agreement/liveness.rs
+++ b/system/chain/src/agreement/liveness.rs
@@ -1,13 +1,14 @@
-//! Failure detection: when each member was last heard of, and what it said of itself.
+//! Failure detection: the time of the last heartbeat of each member, and the status that it reported.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
 use crate::{Heartbeat, MemberId, Membership};
 
+/// The last reported status of another member.
 #[derive(Clone, Debug, Default)]
 struct Peer {
-    /// When a heartbeat last came from it; none if it was only announced.
+    /// When the last heartbeat arrived; `None` if the member has only been announced.
     last_heard_at: Option<Duration>,
     epoch: u64,
     disk_ready: bool,
@@ -15,12 +16,13 @@
     live_peers: Vec<MemberId>,
 }
 
-/// What the heartbeats of the other members have shown.
+/// The status of the other members according to their heartbeats.
 #[derive(Clone, Debug)]
 pub(super) struct Liveness {
     peers: BTreeMap<MemberId, Peer>,
+    /// Identities that will not return, because their address has announced another identity.
     replaced: BTreeSet<MemberId>,
-    /// Most members that are kept beside the voters.
+    /// Maximum number of known members that are not voters, and of identities in `replaced`.
     max_non_voters: usize,
 }
 
@@ -29,7 +31,7 @@
         Self { peers: BTreeMap::new(), replaced: BTreeSet::new(), max_non_voters }
     }
 
-    /// A voter from which no heartbeat has come counts as heard of at a time.
+    /// Treats a voter from which no heartbeat has arrived as if its last one had arrived at `last_heard_at`.
     pub(super) fn expect_heartbeat(&mut self, voter: MemberId, last_heard_at: Duration) {
         let peer = self.peers.entry(voter).or_default();
         if peer.last_heard_at.is_none() {
@@ -44,7 +46,8 @@
         }
     }
 
-    /// Whether a member is kept. Voters always are; of the others, the one heard of the longest ago gives up its place.
+    /// Returns whether a member may be tracked. Voters always are. If there are too many other members, the one with the oldest
+    /// heartbeat is removed to make room.
     fn admit(&mut self, member: MemberId, members: Option<&Membership>) -> bool {
         let is_voter = |member: &MemberId| members.is_some_and(|members| members.is_voter(*member));
         if self.peers.contains_key(&member) || is_voter(&member) {
@@ -62,7 +65,7 @@
         true
     }
 
-    /// An identity won't come back: its address has announced another one.
+    /// Records that an identity will not return, because its address has announced another one.
     pub(super) fn mark_replaced(&mut self, member: MemberId) {
         self.replaced.insert(member);
         while self.replaced.len() > self.max_non_voters {
@@ -88,34 +91,34 @@
         peer.live_peers = heartbeat.live_peers;
     }
 
-    /// Counts all that were ever heard of as heard of now: this process was paused.
+    /// Restarts the time-outs of all members from which a heartbeat has ever arrived. Called after a pause of this process.
     pub(super) fn restart_timeouts(&mut self, now: Duration) {
         for peer in self.peers.values_mut().filter(|peer| peer.last_heard_at.is_some()) {
             peer.last_heard_at = peer.last_heard_at.max(Some(now));
         }
     }
 
-    /// Whether a member was heard of within a span and was not replaced.
-    pub(super) fn is_reachable(&self, now: Duration, member: MemberId, within: Duration) -> bool {
+    /// Whether the last heartbeat of a member is not older than `max_age`, and the member has not been replaced.
+    pub(super) fn is_reachable(&self, now: Duration, member: MemberId, max_age: Duration) -> bool {
         let last_heard_at = self.peers.get(&member).and_then(|peer| peer.last_heard_at);
-        !self.replaced.contains(&member) && last_heard_at.is_some_and(|at| at + within > now)
+        !self.replaced.contains(&member) && last_heard_at.is_some_and(|at| at + max_age > now)
     }
 
-    /// Whether a member was heard of within a span, and its disk answers.
-    pub(super) fn is_live(&self, now: Duration, member: MemberId, within: Duration) -> bool {
-        self.is_reachable(now, member, within) && self.peers.get(&member).is_some_and(|peer| peer.disk_ready)
+    /// Whether a member is reachable, and its last heartbeat reported a responsive disk.
+    pub(super) fn is_live(&self, now: Duration, member: MemberId, max_age: Duration) -> bool {
+        self.is_reachable(now, member, max_age) && self.peers.get(&member).is_some_and(|peer| peer.disk_ready)
     }
 
     pub(super) fn is_replaced(&self, member: MemberId) -> bool {
         self.replaced.contains(&member)
     }
 
-    /// Whether a member reports another one as live.
+    /// Whether the last heartbeat of `member` lists `other` as live.
     pub(super) fn reports_live(&self, member: MemberId, other: MemberId) -> bool {
         self.peers.get(&member).is_some_and(|peer| peer.live_peers.contains(&other))
     }
 
-    /// Whether a member reports that it has sealed an epoch.
+    /// Whether the last heartbeat of a member reported that it has sealed an epoch.
     pub(super) fn has_sealed(&self, member: MemberId, epoch: u64) -> bool {
         self.peers.get(&member).is_some_and(|peer| peer.sealed && peer.epoch == epoch)
     }
@@ -124,23 +127,24 @@
         self.peers.get(&member).map_or(0, |peer| peer.epoch)
     }
 
-    pub(super) fn live_peers(&self, now: Duration, within: Duration) -> Vec<MemberId> {
-        self.peers.keys().copied().filter(|member| self.is_reachable(now, *member, within)).collect()
+    pub(super) fn live_peers(&self, now: Duration, max_age: Duration) -> Vec<MemberId> {
+        self.peers.keys().copied().filter(|member| self.is_reachable(now, *member, max_age)).collect()
     }
 
-    /// The receivers of heartbeats: the voters, and others that are reachable; from a member that is no voter, all known members.
+    /// The receivers of heartbeats. A voter sends to all voters and to all reachable members; a member that is not a voter sends
+    /// to all known members.
     pub(super) fn heartbeat_receivers(
         &self,
         now: Duration,
         local_id: MemberId,
         members: Option<&Membership>,
-        within: Duration,
+        max_age: Duration,
     ) -> Vec<MemberId> {
         let mut receivers: BTreeSet<MemberId> =
             members.iter().flat_map(|members| members.voters.iter().copied()).collect();
         let is_voter = receivers.contains(&local_id);
         receivers.extend(
-            self.peers.keys().copied().filter(|member| !is_voter || self.is_reachable(now, *member, within)),
+            self.peers.keys().copied().filter(|member| !is_voter || self.is_reachable(now, *member, max_age)),
         );
         receivers.remove(&local_id);
         receivers.into_iter().collect()
--- a/system/chain/src/agreement/mod.rs
+++ b/system/chain/src/agreement/mod.rs
@@ -1,11 +1,12 @@
-//! The votes on the memberships of the control group.
+//! Agreement on the memberships of the control group.
 //!
-//! Membership `e + 1` is decided once, by single-decree Paxos among the voters of `e` (Lamport, "Paxos Made Simple"). A promise or
-//! an acceptance seals epoch `e` at the voter: its replica takes part in nothing more of it, and what it holds is part of the
-//! promise. The next chain begins with a member that counted in the chain of `e`, so it holds everything that was acknowledged.
+//! Membership `e + 1` is decided exactly once, by single-decree Paxos among the voters of `e` (Lamport, "Paxos Made Simple"). A
+//! promise or an acceptance seals epoch `e` at the voter: its replica stops taking part in that epoch, so that its log no longer
+//! changes, and the promise reports whether the replica was in sync. The head of the next chain is a member that was in sync in
+//! the chain of `e`; therefore it holds everything that was acknowledged.
 //!
-//! [`liveness`] knows who is reachable, [`proposer`] when the chain is to change and how the vote on it stands, [`voter`] what this
-//! member has promised and accepted, and [`value`] which membership follows from the promises.
+//! [`liveness`] tracks which members are reachable, [`proposer`] decides when the chain has to change and runs both phases of the
+//! vote, [`voter`] makes promises and accepts values, and [`value`] derives the next membership from the promises.
 
 mod liveness;
 mod proposer;
@@ -20,21 +21,21 @@
 use liveness::Liveness;
 use proposer::Proposer;
 
-/// The present state of the replica and the disk of this member.
+/// The current status of the replica and the disk of this member.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct MemberStatus {
-    /// Whether the replica counts in the chain of the present epoch.
+    /// Whether the replica is in sync in the chain of the current epoch.
     pub in_sync: bool,
-    /// Whether it counts and has not sealed the epoch.
+    /// Whether the replica is in sync and has not sealed the epoch.
     pub serving: bool,
-    /// Whether the disk answers.
+    /// Whether the disk completes writes in time.
     pub disk_ready: bool,
 }
 
-/// What is durable once a sync ends, with the message that is due then.
+/// The vote that a write makes durable, with the address of the message that may be sent afterwards.
 #[derive(Clone, Debug)]
 pub(crate) enum Vote {
-    /// A membership was learned.
+    /// A decided membership was learned; no message follows.
     Learned,
     /// A proposal number was promised.
     Promised { to: MemberId, epoch: u64, proposal: ProposalNumber },
@@ -42,7 +43,7 @@
     Accepted { to: MemberId, epoch: u64, proposal: ProposalNumber },
 }
 
-/// An output of the agreement.
+/// An action of the agreement, carried out by [`EventDispatch`](crate::event_dispatch::EventDispatch).
 #[derive(Clone, Debug)]
 pub(crate) enum AgreementAction {
     Send { to: MemberId, message: AgreementMessage },
@@ -51,7 +52,7 @@
     Install { members: Membership },
 }
 
-/// One member's part in the votes.
+/// The Paxos state of one member, as a voter and as a proposer.
 #[derive(Clone, Debug)]
 pub(crate) struct Agreement {
     local_id: MemberId,
@@ -66,7 +67,8 @@
     proposer: Proposer,
     next_heartbeat_at: Duration,
     last_event_at: Duration,
-    /// After a start of this process the others are given time to start as well.
+    /// The time-out of a voter from which no heartbeat has arrived starts no earlier than this, because the other processes may
+    /// still be starting as well.
     startup_grace_until: Duration,
 }
 
@@ -99,12 +101,12 @@
         self.members.as_ref().map_or(0, |members| members.epoch)
     }
 
-    /// The present epoch, if it is sealed here.
+    /// The current epoch, if this member has sealed it.
     pub(crate) fn sealed_epoch(&self) -> Option<u64> {
         self.promised.map(|_| self.epoch())
     }
 
-    /// Restores what a record found on the disk holds.
+    /// Restores the state from a record on the disk. Called for all records in the order written.
     pub(crate) fn restore(&mut self, record: &LogRecord) {
         match record {
             LogRecord::Membership { members } if members.epoch > self.epoch() => self.adopt(members.clone()),
@@ -119,7 +121,7 @@
         }
     }
 
-    /// Everything that must stay on the disk.
+    /// The records that must stay on the disk.
     pub(crate) fn checkpoint(&self) -> Vec<LogRecord> {
         let mut records = Vec::new();
         let Some(members) = self.members.clone() else { return records };
@@ -149,7 +151,7 @@
         }
     }
 
-    /// A member exists, and has replaced another identity of its address, if any.
+    /// Handles the announcement of a member, which may replace an earlier identity at the same address.
     pub(crate) fn on_member_announced(&mut self, member: MemberId, replaces: Option<MemberId>) {
         if member != self.local_id {
             self.liveness.on_announced(member, self.members.as_ref());
@@ -159,7 +161,7 @@
         }
     }
 
-    /// Learns a decided membership.
+    /// Adopts a decided membership if it is newer than the current one.
     pub(crate) fn learn_membership(
         &mut self,
         now: Duration,
@@ -185,7 +187,8 @@
         self.proposer.reset();
     }
 
-    /// Takes notice of the time. After a pause of this process, time-outs of the others prove nothing, and start again.
+    /// Detects a pause of this process from the time since the last event. Heartbeats may have arrived unprocessed during the
+    /// pause, so the time-outs of the other members are restarted.
     pub(crate) fn observe_time(&mut self, now: Duration) {
         if now.saturating_sub(self.last_event_at) > self.settings.heartbeat_interval * 2 {
             self.liveness.restart_timeouts(now);
@@ -233,7 +236,7 @@
         }
     }
 
-    /// A member was seen to be in a newer epoch.
+    /// Requests the membership of a member that is in a newer epoch.
     pub(crate) fn on_newer_epoch(&mut self, member: MemberId, epoch: u64, out: &mut Vec<AgreementAction>) {
         if epoch > self.epoch() {
             self.request_membership(member, out);
--- a/system/chain/src/agreement/proposer.rs
+++ b/system/chain/src/agreement/proposer.rs
@@ -1,4 +1,4 @@
-//! The proposer's part: when the chain is to change, and the two phases of the vote on it.
+//! The proposer: decides when the chain has to change, and runs the two phases of the vote.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -7,12 +7,14 @@
 use super::{Agreement, AgreementAction, MemberStatus};
 use crate::{AgreementMessage, ControlChainSettings, MemberId, Membership, ProposalNumber};
 
+/// The phase of an attempt, with the responses so far.
 #[derive(Clone, Debug)]
 enum Phase {
     Preparing { promises: BTreeMap<MemberId, Promise>, majority_at: Option<Duration> },
     Accepting { value: Membership, accepts: BTreeSet<MemberId> },
 }
 
+/// One attempt to have the next membership decided.
 #[derive(Clone, Debug)]
 struct Attempt {
     proposal: ProposalNumber,
@@ -22,20 +24,22 @@
     sent_at: Duration,
 }
 
-/// The current attempt, and when the next one may start.
+/// The current attempt, and the state that determines when the next one may start.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Proposer {
     attempt: Option<Attempt>,
-    /// No attempt starts before this.
+    /// Earliest start of the next attempt.
     backoff_until: Duration,
-    /// Since when something has to change.
+    /// Since when the chain has had to change; `None` if it does not have to.
     change_needed_since: Option<Duration>,
+    /// The highest counter of a proposal number that this member has used or received in a rejection.
     highest_counter: u64,
-    /// Attempts abandoned since the last change of the view.
+    /// Number of attempts abandoned since the last change of the membership.
     failures: u32,
 }
 
-/// How many times the time-out of an attempt is doubled at most: disks may be slow.
+/// Maximum number of times that the time-out of an attempt is doubled after failures. Each phase waits for syncs of the voters'
+/// disks, which may be slow.
 const MAX_TIMEOUT_DOUBLINGS: u32 = 2;
 
 impl Proposer {
@@ -59,7 +63,8 @@
 }
 
 impl Agreement {
-    /// Starts an attempt where the chain has to change and this member is the one to propose it.
+    /// Starts an attempt if the chain has to change and it is this member's turn to propose. The first live member of the chain
+    /// proposes at once; each later one waits longer by `retry_backoff` per live member before it.
     pub(super) fn propose_if_needed(
         &mut self,
         now: Duration,
@@ -95,7 +100,8 @@
         live.count() >= members.majority()
     }
 
-    /// A member outside the chain follows this tail: adds it to the chain once it is near enough and all in the chain hear it.
+    /// Handles the progress of a learner that follows this tail. Proposes to add it to the chain once its lag is small enough and
+    /// it and all members of the chain receive each other's heartbeats.
     pub(crate) fn on_learner_progress(
         &mut self,
         now: Duration,
@@ -119,7 +125,7 @@
         }
     }
 
-    /// Whether a member and all members of the chain hear each other.
+    /// Whether a member and all members of the chain receive each other's heartbeats.
     fn is_well_connected(&self, now: Duration, member: MemberId, members: &Membership) -> bool {
         let others = members.chain.iter().filter(|other| **other != self.local_id);
         let mut chain = members.chain.iter();
@@ -130,6 +136,8 @@
             && chain.all(|other| self.liveness.reports_live(member, *other))
     }
 
+    /// The addition of a member to the chain. A member that is not a voter becomes one: as a further voter while there are fewer
+    /// than `target_voters`, otherwise in place of a lost voter outside the chain. `None` if it can become neither.
     fn addition_for(&self, now: Duration, member: MemberId, members: &Membership) -> Option<Addition> {
         if members.is_voter(member) || members.voters.len() < self.settings.target_voters {
             return Some(Addition { member, replaces: None });
@@ -140,7 +148,8 @@
         replaces.map(|_| Addition { member, replaces })
     }
 
-    /// Whether a voter was replaced, or no member of the chain has heard of it for [`ControlChainSettings::replace_after`].
+    /// Whether a voter has been replaced by another identity, or is unreachable: this member has received no heartbeat of it for
+    /// [`ControlChainSettings::replace_after`], and no other member of the chain reports it as live.
     fn is_lost(&self, now: Duration, voter: MemberId, members: &Membership) -> bool {
         let mut others = members.chain.iter().filter(|other| **other != self.local_id);
         let is_unreachable = voter != self.local_id
@@ -159,7 +168,7 @@
         self.send_phase_messages(out);
     }
 
-    /// Sends the message of the current phase to the voters that haven't replied.
+    /// Sends the message of the current phase to the voters that have not responded.
     fn send_phase_messages(&self, out: &mut Vec<AgreementAction>) {
         let (Some(members), Some(attempt)) = (&self.members, &self.proposer.attempt) else { return };
         let proposal = attempt.proposal;
@@ -177,7 +186,7 @@
         }
     }
 
-    /// Records a voter's promise; returns whether it belongs to the current attempt.
+    /// Records a voter's promise. Returns whether it belongs to the current attempt.
     pub(super) fn record_promise(
         &mut self,
         now: Duration,
@@ -204,7 +213,9 @@
         true
     }
 
-    /// Begins the second phase once all live voters have promised, or a majority has and the grace period for the rest is over.
+    /// Starts the second phase once all live voters have promised, or a majority has promised and the grace period for the others
+    /// has elapsed. A value that a voter has already accepted takes precedence: of several, the one with the highest proposal
+    /// number.
     pub(super) fn try_accept(&mut self, now: Duration, status: MemberStatus, out: &mut Vec<AgreementAction>) {
         let (Some(members), Some(attempt)) = (&self.members, &self.proposer.attempt) else { return };
         let Phase::Preparing { promises, majority_at: Some(majority_at) } = &attempt.phase else { return };
@@ -254,6 +265,7 @@
         }
     }
 
+    /// Sends a decided membership to all voters of the previous and of the decided membership.
     fn broadcast(&self, previous: Membership, next: Membership, out: &mut Vec<AgreementAction>) {
         let mut receivers: BTreeSet<MemberId> = previous.voters.into_iter().collect();
         receivers.extend(next.voters.iter().copied());
@@ -274,7 +286,7 @@
         }
     }
 
-    /// Another member is changing the view: lets it finish.
+    /// Delays the next attempt of this member, so that the attempt of another proposer can complete.
     pub(super) fn defer_to(&mut self, now: Duration, proposer: MemberId) {
         if proposer != self.local_id {
             self.proposer.backoff_until =
--- a/system/chain/src/agreement/value.rs
+++ b/system/chain/src/agreement/value.rs
@@ -1,14 +1,15 @@
-//! The membership that follows from a set of promises.
+//! Computation of the next membership from a set of promises.
 
 use std::collections::BTreeMap;
 
 use crate::{MemberId, Membership, ProposalNumber};
 
-/// What a voter reported with its promise.
+/// The content of a voter's promise.
 #[derive(Clone, Debug)]
 pub(super) struct Promise {
+    /// The value that the voter has accepted, with its proposal number.
     pub accepted: Option<(ProposalNumber, Membership)>,
-    /// Whether it counted in the chain of the present membership.
+    /// Whether the voter was in sync in the chain of the current membership.
     pub in_sync: bool,
 }
 
@@ -16,14 +17,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Addition {
     pub member: MemberId,
-    /// The voter that it replaces, if it isn't a voter itself and there are enough.
+    /// The voter that it replaces, if it is not a voter yet and the target number of voters has been reached.
     pub replaces: Option<MemberId>,
 }
 
-/// The next membership. None unless a member is among the promises that counted in the present chain: only such a one
-/// is sure to hold everything that was acknowledged.
+/// The next membership. `None` unless a member that was in sync in the current chain has promised: only such a member is certain
+/// to hold everything that was acknowledged.
 ///
-/// Members of the chain keep their order, those that count first, so that each log begins with the next one's.
+/// The members that stay in the chain keep their order, with those in sync first. The log of each member therefore begins with
+/// the log of its successor.
 pub(super) fn next_membership(
     present: &Membership,
     promises: &BTreeMap<MemberId, Promise>,
@@ -60,7 +62,8 @@
     }
 }
 
-/// Adds other voters to a chain too short to commit: it loses nothing by waiting until they have caught up.
+/// Extends a chain that is too short to commit with other voters. It cannot commit until they have caught up, but without them it
+/// could not commit either.
 fn extend_to_min_chain(
     chain: &mut Vec<MemberId>,
     present: &Membership,
--- a/system/chain/src/agreement/voter.rs
+++ b/system/chain/src/agreement/voter.rs
@@ -1,4 +1,4 @@
-//! The voter's part: promises and acceptances, each on the disk before it is sent.
+//! The voter: promises proposal numbers and accepts values. Each vote is durable before it is sent.
 
 use std::time::Duration;
 
@@ -6,7 +6,8 @@
 use crate::{AgreementMessage, LogRecord, MemberId, Membership, ProposalNumber};
 
 impl Agreement {
-    /// Whether this member may vote for an epoch now. A proposer in another epoch gets the newer membership, or is asked for it.
+    /// Whether this member may vote on an epoch now. A proposer in an older epoch is sent the newer membership; from a proposer
+    /// in a newer epoch, the membership is requested.
     fn check_may_vote(&self, from: MemberId, epoch: u64, out: &mut Vec<AgreementAction>) -> bool {
         if epoch <= self.epoch() {
             self.send_membership(from, out);
@@ -19,7 +20,8 @@
         self.members.as_ref().is_some_and(|members| members.is_voter(self.local_id) && members.is_voter(from))
     }
 
-    /// Adopts a proposal number if this member may vote and has promised no higher one; that seals the epoch before.
+    /// Adopts a proposal number if this member may vote and has promised no higher one, and seals the preceding epoch. Returns
+    /// whether the number was adopted.
     fn adopt_proposal_number(
         &mut self,
         now: Duration,
@@ -78,7 +80,7 @@
         });
     }
 
-    /// A vote is on the disk: it is sent, if no higher proposal number was promised meanwhile.
+    /// Handles a vote that has become durable. Its message is sent unless a higher proposal number has been promised since.
     pub(crate) fn on_vote_durable(
         &mut self,
         vote: Vote,
--- a/system/chain/src/control_chain.rs
+++ b/system/chain/src/control_chain.rs
@@ -1,16 +1,17 @@
-//! The control plane's replicated state: a replica whose views are decided by a majority of its own voters.
+//! The replicated state of the control plane: a replica whose views are decided by a majority of its own voters.
 //!
-//! The host owns the disk, the network and the time. It must keep three promises:
+//! The host owns the disk, the network and the clock. It must meet three requirements:
 //!
-//! - Records of [`ChainAction::Persist`] are written in the order of the actions, and [`ChainEvent::Durable`] is given
-//!   only when they and all records before them are synced. One event may stand for all the tokens up to its own, so
-//!   the host writes what has queued up with one sync.
-//! - A member's identity is on its disk before it is announced, and a disk that has lost anything gets another.
-//! - [`ChainEvent::TimerExpired`] is given at [`ControlChain::next_timer`] or soon after it.
+//! - It writes the records of [`ChainAction::Persist`] in the order of the actions, and sends [`ChainEvent::Durable`] only when
+//!   they and all records before them are synced. One event covers all tokens up to its own, so that the host can write all
+//!   queued records with one sync.
+//! - It stores the identity of a member on the disk before it announces the member, and gives a disk that has lost any data a new
+//!   identity.
+//! - It sends [`ChainEvent::TimerExpired`] at [`ControlChain::next_timer`] or soon after it.
 //!
-//! Messages may be lost, repeated and out of order. Each member that the host learns of is announced by
-//! [`MembershipEvent::MemberAnnounced`](crate::MembershipEvent::MemberAnnounced); the host can then reach it under its
-//! [`MemberId`].
+//! Messages may be lost, duplicated and reordered. The host announces each member that it learns of by
+//! [`MembershipEvent::MemberAnnounced`](crate::MembershipEvent::MemberAnnounced); from then on it must be able to send messages
+//! to that [`MemberId`].
 
 use std::time::Duration;
 
@@ -28,7 +29,7 @@
 }
 
 impl ControlChain {
-    /// A founder with an empty disk. All founders are given the same founders in the same order.
+    /// Creates a founding member with an empty disk. All founders must be given the same list of founders in the same order.
     #[must_use]
     pub fn bootstrap(
         local_id: MemberId,
@@ -43,14 +44,14 @@
         chain
     }
 
-    /// A member with an empty disk that joins the group of the members announced to it.
+    /// Creates a member with an empty disk, which joins the group of the members that are announced to it.
     #[must_use]
     pub fn join(local_id: MemberId, settings: ControlChainSettings, seed: u64) -> Self {
         Self::recover(local_id, Vec::new(), settings, seed)
     }
 
-    /// Recovers a member from what its disk holds. No record at all is the same as [`ControlChain::join`].
-    /// The seed must differ from one start of the process to the next.
+    /// Recovers a member from the records on its disk. Without records it is the same as [`ControlChain::join`]. The seed must
+    /// differ from one start of the process to the next.
     #[must_use]
     pub fn recover(
         local_id: MemberId,
@@ -82,47 +83,48 @@
         EventDispatch::new(&mut self.state, now, out).run_until_idle(event);
     }
 
-    /// When [`ChainEvent::TimerExpired`] is due next.
+    /// The time at which [`ChainEvent::TimerExpired`] is due next.
     #[must_use]
     pub fn next_timer(&self) -> Option<Duration> {
         let agreement = self.state.agreement.next_timer();
         Some(self.state.replica.next_timer().map_or(agreement, |at| at.min(agreement)))
     }
 
-    /// This member's identity.
+    /// The identity of this member.
     #[must_use]
     pub fn local_id(&self) -> MemberId {
         self.state.agreement.local_id()
     }
 
-    /// The membership in force as far as known here.
+    /// The newest membership known to this member.
     #[must_use]
     pub fn members(&self) -> Option<&Membership> {
         self.state.agreement.members()
     }
 
-    /// The head of the chain as far as known here.
+    /// The head of the chain in the newest membership known to this member.
     #[must_use]
     pub fn head(&self) -> Option<MemberId> {
         self.members()?.chain.first().copied()
     }
 
-    /// Whether this member is in the chain, holds all that is committed, and hasn't sealed the view.
+    /// Whether this member is in the chain, holds all committed entries, and has not sealed the view.
     #[must_use]
     pub fn is_serving(&self) -> bool {
         self.state.replica.is_serving()
     }
 
-    /// The last entry given to the host to apply. It is in the host's state once all actions so far are carried out.
+    /// Index of the last entry handed to the host to apply. The host's state includes it once the host has carried out all
+    /// actions so far.
     #[must_use]
     pub fn applied_index(&self) -> u64 {
         self.state.replica.applied_index()
     }
 
-    /// Everything that must stay on the disk once the state after the last applied entry is encoded as `state`. The
-    /// host writes these records after all that it was to persist before, and may then drop all of that. It must
-    /// have done all the actions so far; [`ControlChain::applied_index`] is the index of the state. None while the state is
-    /// being replaced by another member's; a later call succeeds.
+    /// The records that must stay on the disk once the state after the last applied entry is encoded as `state`. The host writes
+    /// them after all records of earlier actions, which it may then delete. It must have carried out all actions so far;
+    /// [`ControlChain::applied_index`] is the index of the state. `None` while the state is being replaced by the snapshot of
+    /// another member; a later call succeeds.
     #[must_use]
     pub fn checkpoint(&self, state: Vec<u8>) -> Option<Vec<LogRecord>> {
         let mut records = self.state.replica.checkpoint(state)?;
--- a/system/chain/src/event_dispatch.rs
+++ b/system/chain/src/event_dispatch.rs
@@ -1,5 +1,5 @@
-//! Passes one event to the components of a member, the agreement and the replica, and then their outputs to each other and to the
-//! host, until none is left.
+//! Event dispatch within a member: passes an event to its components, the agreement and the replica, and then passes their
+//! outputs to each other and to the host until none is left.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -14,19 +14,19 @@
 /// All state of one member of the control group.
 #[derive(Clone, Debug)]
 pub(crate) struct MemberState {
-    /// The votes on memberships.
+    /// The agreement on memberships.
     pub agreement: Agreement,
     /// The replicated log.
     pub replica: Replica,
-    /// The disk that both write to.
+    /// The writes in flight of both components.
     pub pending_writes: PendingWrites,
-    /// A disk that takes longer than this for a write counts as unresponsive.
+    /// The disk counts as unresponsive if a write takes longer than this.
     pub disk_timeout: Duration,
-    /// The first membership, where this member is a founder and hasn't started yet.
+    /// The first membership, if this member is a founder that has not started yet.
     pub founding: Option<Membership>,
 }
 
-/// One event being processed.
+/// The processing of one event.
 pub(crate) struct EventDispatch<'a> {
     state: &'a mut MemberState,
     now: Duration,
@@ -34,12 +34,12 @@
     out: &'a mut Vec<ChainAction>,
     replica_actions: Vec<ReplicaAction>,
     agreement_actions: Vec<AgreementAction>,
-    /// Messages of the agreement from this member to itself.
+    /// Agreement messages that this member sends to itself.
     loopback: VecDeque<AgreementMessage>,
 }
 
 impl<'a> EventDispatch<'a> {
-    /// Processes nothing yet; actions for the host are appended to `out`.
+    /// Creates a dispatch that appends the actions for the host to `out`.
     pub(crate) fn new(state: &'a mut MemberState, now: Duration, out: &'a mut Vec<ChainAction>) -> Self {
         Self {
             state,
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Handles an event with everything that follows from it.
+    /// Handles an event and all outputs that result from it.
     pub(crate) fn run_until_idle(&mut self, event: ChainEvent) {
         self.state.agreement.observe_time(self.now);
         self.handle_event(event);
@@ -106,7 +106,8 @@
         self.install_recovered_view();
     }
 
-    /// Installs the view of a membership that was on the disk, where a crash came between its record and that of its view.
+    /// Installs the view of a recovered membership if the view is not on the disk, because the process ended between the writes
+    /// of the two records.
     fn install_recovered_view(&mut self) {
         let epoch = self.state.replica.epoch();
         let newer = self.state.agreement.members().filter(|members| members.epoch > epoch);
@@ -145,7 +146,7 @@
         self.state.replica.handle(self.now, event, &mut self.replica_actions);
     }
 
-    /// Carries out what the two components want of each other, and hands the rest to the host, until neither has any output.
+    /// Passes the outputs of the two components to each other and to the host until there are none left.
     fn process_outputs(&mut self) {
         while !self.replica_actions.is_empty() || !self.agreement_actions.is_empty() {
             for action in std::mem::take(&mut self.agreement_actions) {
@@ -209,13 +210,15 @@
             ViewAction::OwnViewStale { member, epoch } => {
                 self.state.agreement.on_newer_epoch(member, epoch, &mut self.agreement_actions);
             }
-            // Only the host of a replica seals by an event; here the vote does, in memory.
+            // This action follows only from `ViewEvent::Seal`, which a control chain does not use: its votes seal the epoch in
+            // memory.
             ViewAction::Sealed { .. } => {}
         }
     }
 }
 
-/// The same action for the host of the control chain; none for those that this module carries out itself.
+/// Converts an action of the replica to one for the host of the control chain. `None` for actions that this module carries out
+/// itself.
 fn host_action(action: ReplicaAction) -> Option<ChainAction> {
     Some(match action {
         ReplicaAction::Apply { index, command, should_reply } => {
--- a/system/chain/src/interface.rs
+++ b/system/chain/src/interface.rs
@@ -1,7 +1,8 @@
-//! The events that a host gives to a member, and the actions that the member asks of its host.
+//! The events that a host sends to a member, and the actions that the host carries out for the member.
 //!
-//! A [`Replica`](crate::Replica) and a [`ControlChain`](crate::ControlChain) are driven alike; they differ in the messages that
-//! they exchange and in who decides their views. So both have the same [`Event`] and [`Action`], with these two as parameters.
+//! A [`Replica`](crate::Replica) and a [`ControlChain`](crate::ControlChain) are driven in the same way; they differ in the
+//! messages that they exchange and in how their views are decided. Both therefore use the generic types [`Event`] and [`Action`],
+//! whose parameters are the type of the messages and the type of the events or actions about views.
 
 use crate::{ChainMessage, LogRecord, MemberId, Membership, ReplicaMessage, View};
 
@@ -14,10 +15,10 @@
 /// An action of a [`ControlChain`](crate::ControlChain).
 pub type ChainAction = Action<ChainMessage, MembershipAction>;
 
-/// An event that the host gives to a member. `M` is a message between members, `V` an event about views.
+/// An event that the host sends to a member. `M` is the type of messages between members, `V` the type of events about views.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event<M, V> {
-    /// The process has started; given once, first.
+    /// The process has started. Sent once, before all other events.
     Started,
     /// A message has arrived.
     Message {
@@ -26,30 +27,31 @@
         /// The message.
         message: M,
     },
-    /// All records up to those of this token are synced.
+    /// The records of all [`Action::Persist`] up to this token are synced.
     Durable {
         /// The token of an [`Action::Persist`].
         token: u64,
     },
-    /// Commit a command. At the head, an [`Action::Apply`] at some member may follow, or nothing; the host recognises its own
-    /// command in it. At another member, [`Action::NotHead`] follows.
+    /// Commit a command. At the head, an [`Action::Apply`] at any member may follow, in which the host recognises its command by
+    /// the content; it may also be lost without an action. [`Action::Busy`] follows if the head rejects it. At another member,
+    /// [`Action::NotHead`] follows.
     Submit {
         /// The command.
         command: Vec<u8>,
     },
-    /// Give [`Action::ReadReady`] once everything committed before now is applied here. Any member serves reads.
+    /// Emit [`Action::ReadReady`] once everything acknowledged before now is applied at this member. Any member serves reads.
     Read {
-        /// Chosen by the host.
+        /// Identifier of the read, chosen by the host.
         token: u64,
     },
     /// The response to [`Action::TakeSnapshot`].
     SnapshotReady {
-        /// The last entry applied to the state.
+        /// Index of the last entry applied to the state.
         index: u64,
-        /// The state.
+        /// The encoded state.
         bytes: Vec<u8>,
     },
-    /// The time of `next_timer` has come.
+    /// The time returned by `next_timer` has been reached.
     TimerExpired,
     /// An event about views.
     View(V),
@@ -58,108 +60,108 @@
 /// An event about the views of a replica, which its host decides.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ViewEvent {
-    /// A view has been decided. Older and repeated ones are ignored.
+    /// A view has been decided. Older and repeated views are ignored.
     Install {
         /// The view.
         view: View,
     },
-    /// Take part in nothing more of this epoch. [`ViewAction::Sealed`] follows.
+    /// Stop taking part in this epoch. [`ViewAction::Sealed`] follows.
     Seal {
         /// The epoch.
         epoch: u64,
     },
-    /// While outside the chain, follow its tail.
+    /// Whenever this member is outside the chain, replicate the committed entries from the tail.
     FollowAsLearner,
 }
 
 /// An event about the memberships of the control group, which its voters decide.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MembershipEvent {
-    /// The host has learned of a member. `replaces` is an identity whose disk is lost: the same address has announced another
-    /// one since. Announcing a member again has no effect.
+    /// The host has learned of a member. Announcing a member again has no effect.
     MemberAnnounced {
         /// The member.
         member: MemberId,
-        /// The identity that its address had before.
+        /// The identity that the address of this member announced before, if any. The disk of that identity is lost.
         replaces: Option<MemberId>,
     },
 }
 
-/// An action that the host carries out for a member. `M` is a message between members, `V` an action about views.
+/// An action that the host carries out for a member. `M` is the type of messages between members, `V` the type of actions about
+/// views.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action<M, V> {
-    /// Send a message, once; drop it if the member can't be reached.
+    /// Send a message once; drop it if the receiver cannot be reached.
     Send {
         /// The receiver.
         to: MemberId,
         /// The message.
         message: M,
     },
-    /// Write records and sync them, then give [`Event::Durable`].
+    /// Write records and sync them, then send [`Event::Durable`].
     Persist {
-        /// Names this action; tokens rise.
+        /// Identifier of this action. Tokens are strictly increasing.
         token: u64,
         /// The records, in order.
         records: Vec<LogRecord>,
     },
-    /// Apply a committed command to the state. Each index comes once in an incarnation of the process, in order, starting after
-    /// that of the last [`Action::InstallSnapshot`].
+    /// Apply a committed command to the state. Within an incarnation of the process, each index occurs once and in order,
+    /// starting after the index of the last [`Action::InstallSnapshot`].
     Apply {
         /// Index of the entry.
         index: u64,
         /// The command.
         command: Vec<u8>,
-        /// Whether this member committed it as the tail, so that it responds to the client.
+        /// Whether this member has committed the command as the tail, so that it has to reply to the client.
         should_reply: bool,
     },
-    /// Encode the state and give [`Event::SnapshotReady`] with the index of the last [`Action::Apply`] or
-    /// [`Action::InstallSnapshot`] that was carried out, now or later. The applied index of the member may be ahead of that while
-    /// actions are still to be carried out.
+    /// Encode the state and send [`Event::SnapshotReady`], at once or later, with the index of the last [`Action::Apply`] or
+    /// [`Action::InstallSnapshot`] carried out at that time. The applied index of the member may be higher, while some actions
+    /// are not carried out yet.
     TakeSnapshot,
-    /// Replace the state. Given after a start from a disk that holds a snapshot, and in catching up.
+    /// Replace the state. Emitted after a start from a disk that holds a snapshot, and while catching up.
     InstallSnapshot {
-        /// The last entry in the state.
+        /// Index of the last entry included in the state.
         index: u64,
-        /// The state.
+        /// The encoded state.
         bytes: Vec<u8>,
     },
-    /// A read may be served from the state here.
+    /// A read may be served from the state of this member.
     ReadReady {
         /// The token of the read.
         token: u64,
-        /// The last entry applied.
+        /// Index of the last entry applied.
         index: u64,
     },
-    /// A read couldn't be confirmed in time.
+    /// A read could not be confirmed in time, or too many reads were in progress.
     ReadFailed {
         /// The token of the read.
         token: u64,
     },
-    /// A command was submitted to a member that isn't the head.
+    /// A command was submitted to a member that is not the head.
     NotHead {
         /// The command.
         command: Vec<u8>,
-        /// The head, where known.
+        /// The head, if known.
         head: Option<MemberId>,
     },
-    /// A command was rejected: too many are in flight, or the view is being changed. It won't be committed.
+    /// A command was rejected, because too many are in flight or the view is being changed. It will not be committed.
     Busy {
         /// The command.
         command: Vec<u8>,
     },
-    /// This member holds everything committed before this epoch, and counts in its chain. Given in each view.
+    /// This member holds everything committed before this epoch, and is in sync in the chain of this epoch. Emitted in each view.
     BecameInSync {
         /// The epoch.
         epoch: u64,
     },
-    /// The tail has confirmed a barrier of the head: what is applied up to `commit_index` was current after the barrier was
-    /// sent. Given at members of the chain only.
+    /// The tail has confirmed a barrier of the head. A state that includes the entries up to `commit_index` includes everything
+    /// that was acknowledged before the barrier was sent. Emitted only at members of the chain.
     BarrierCommitted {
         /// The epoch.
         epoch: u64,
-        /// Number of the barrier; rises within an epoch, also over restarts of the head.
+        /// Number of the barrier. Numbers increase within an epoch, also across restarts of the head.
         number: u64,
-        /// Up to where the tail had committed. It may not be applied here yet.
+        /// The commit index of the tail when it confirmed the barrier. This member may not have applied the entry yet.
         commit_index: u64,
     },
     /// An action about views.
@@ -169,32 +171,32 @@
 /// An action about the views of a replica, for the host that decides them.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ViewAction {
-    /// A view is on the disk and in force here.
+    /// A view is durable and in force at this member.
     Installed {
-        /// Its epoch.
+        /// The epoch of the view.
         epoch: u64,
     },
-    /// The seal is on the disk; what this member holds won't change before the next view.
+    /// The seal is durable. The log of this member will not change before the next view.
     Sealed {
         /// The sealed epoch.
         epoch: u64,
-        /// Whether the member counted in it.
+        /// Whether the member was in sync in the sealed epoch.
         in_sync: bool,
-        /// The last entry.
+        /// Index of the last entry of the log.
         last_index: u64,
     },
-    /// A member outside the chain follows this tail.
+    /// A learner outside the chain replicates from this tail.
     LearnerProgress {
-        /// The member.
+        /// The learner.
         member: MemberId,
-        /// How many committed entries it lacks.
+        /// Number of committed entries that the learner lacks.
         lag: u64,
     },
-    /// A member knows a newer view than this one.
+    /// Another member has a newer view than this one.
     OwnViewStale {
-        /// The member.
+        /// The other member.
         member: MemberId,
-        /// Its epoch.
+        /// The epoch of the other member.
         epoch: u64,
     },
 }
@@ -202,13 +204,13 @@
 /// An action about the memberships of the control group.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MembershipAction {
-    /// A membership is in force here.
+    /// A membership is in force at this member.
     Installed {
         /// The membership.
         members: Membership,
     },
-    /// This member takes part in nothing more of an epoch: the next membership is being voted on. A voter of a lease must grant
-    /// nothing more in this epoch. Given again after a restart.
+    /// This member no longer takes part in an epoch, because the next membership is being voted on. If it is a voter of a lease,
+    /// it must grant nothing more in this epoch. Emitted again after a restart.
     Sealed {
         /// The epoch.
         epoch: u64,
--- a/system/chain/src/lib.rs
+++ b/system/chain/src/lib.rs
@@ -1,8 +1,8 @@
 //! Chain replication under an agreed membership view, sans I/O.
 //!
-//! [`Replica`] is one replica of a log in a view that its host decides (the partitions of batch jobs).
-//! [`ControlChain`] is a replica whose views are decided by a majority of its own voters (the control plane).
-//! Neither owns a socket, file, timer or clock: an [`Event`] goes in with the time, an [`Action`] comes out.
+//! [`Replica`] is one replica of a log whose views are decided by its host; the partitions of batch jobs use it. [`ControlChain`]
+//! is a replica whose views are decided by a majority of its own voters; the control plane uses it. Neither owns a socket, file,
+//! timer or clock: the host passes in an [`Event`] with the current time, and carries out the [`Action`]s that result.
 
 #![warn(unreachable_pub)]
 
--- a/system/chain/src/record.rs
+++ b/system/chain/src/record.rs
@@ -1,60 +1,61 @@
-//! The records on the disk of a member, in the order in which they were written.
+//! The records that a member writes to its disk.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{Membership, ProposalNumber, View};
 
-/// One durable record. The host encodes records in the order given, and feeds them back in that order after a restart.
+/// One durable record. The host stores records in the order in which they are emitted, and passes them to the recovery in that
+/// order after a restart. Their encoding depends on the order of variants and fields.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LogRecord {
     /// A view has been installed.
     View {
         /// The view.
         view: View,
-        /// Whether this member holds everything that was committed before.
+        /// Whether this member is in sync: it holds everything that was committed before this view.
         in_sync: bool,
     },
-    /// A view has been installed in which this member doesn't count, and entries it doesn't know to be committed are dropped.
-    /// Both in one record, so that no loss of power comes between.
+    /// A view has been installed in which this member is not in sync, and the entries that it does not know to be committed have
+    /// been dropped. Both are in one record, so that a power failure cannot separate them.
     Rejoined {
         /// The view.
         view: View,
-        /// The last entry that stays.
+        /// Index of the last entry that is kept.
         last_index: u64,
     },
-    /// This member has caught up in a view, and counts in it from here on.
+    /// This member has caught up in a view, and is in sync from here on.
     InSync {
-        /// The view's epoch.
+        /// The epoch of the view.
         epoch: u64,
     },
-    /// This member takes part in nothing more of this epoch.
+    /// This member no longer takes part in an epoch.
     Sealed {
         /// The sealed epoch.
         epoch: u64,
     },
     /// One entry of the log.
     Entry {
-        /// The epoch in which it was written here.
+        /// The epoch in which this member wrote the entry.
         epoch: u64,
-        /// Its index.
+        /// Index of the entry.
         index: u64,
-        /// Up to where the log was known to be committed when this was written.
+        /// Index of the last entry known to be committed when this record was written.
         commit_index: u64,
         /// The command.
         command: Vec<u8>,
     },
-    /// The state after an entry; it replaces all entries before.
+    /// The state after an entry; it replaces all entries up to that one.
     Snapshot {
-        /// The last entry in the state.
+        /// Index of the last entry included in the state.
         index: u64,
-        /// The state, as the host encoded it.
+        /// The state, as encoded by the host.
         bytes: Vec<u8>,
     },
-    /// The head of an epoch may number barriers up to here; after a restart it continues behind.
+    /// Reserves barrier numbers for the head of an epoch. After a restart the head continues after the last reserved number.
     BarrierReservation {
         /// The epoch.
         epoch: u64,
-        /// The last number that may have been used.
+        /// The highest number that may have been used.
         reserved: u64,
     },
     /// A membership of the control group has been learned.
@@ -62,18 +63,18 @@
         /// The membership.
         members: Membership,
     },
-    /// A proposal number for the next membership has been promised. It also seals the epoch before.
+    /// A proposal number for the next membership has been promised. This also seals the preceding epoch.
     Promise {
         /// The epoch that is to be decided.
         epoch: u64,
         /// The proposal number.
         proposal: ProposalNumber,
     },
-    /// A value for the next membership has been accepted. It also seals the epoch before.
+    /// A value for the next membership has been accepted. This also seals the preceding epoch.
     Accepted {
         /// The proposal number.
         proposal: ProposalNumber,
-        /// The value; its epoch is the one that is to be decided.
+        /// The accepted membership; its epoch is the one that is to be decided.
         members: Membership,
     },
 }
--- a/system/chain/src/replica/barrier.rs
+++ b/system/chain/src/replica/barrier.rs
@@ -1,50 +1,56 @@
-//! Numbered barriers that the head sends through the chain: proof to each member that what it has is fresh.
+//! Numbered barriers that the head sends through the chain. A confirmed barrier proves to each member that the state up to the
+//! commit index of the tail was current after the barrier was sent.
 //!
-//! Numbers rise within an epoch, also when the head restarts: it reserves a block of them on its disk first.
+//! Numbers increase within an epoch, also across restarts of the head: it reserves a block of numbers on its disk before it uses
+//! them.
 
 use std::time::Duration;
 
 use super::{PendingRecord, Replica, ReplicaAction};
 use crate::{LogRecord, MemberId, ReplicaMessage};
 
-/// How many numbers are reserved with one record.
+/// Number of barrier numbers that are reserved with one record.
 const RESERVATION_SIZE: u64 = 100_000;
 
-/// The numbers that have been used and reserved in the view.
+/// The barrier numbers that have been used, reserved and confirmed in the current view.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Barriers {
+    /// When the next barrier is due.
     next_at: Duration,
+    /// The highest number that may have been used.
     last_number: u64,
+    /// The highest number whose reservation is durable.
     reserved: u64,
+    /// Whether the record of a further reservation is being written.
     is_reserving: bool,
-    /// The last number confirmed by the tail.
+    /// The highest number confirmed by the tail.
     confirmed: u64,
 }
 
 impl Barriers {
-    /// Another view: numbers start again.
+    /// Restarts the numbers for another view.
     pub(super) fn reset(&mut self) {
         *self = Self::default();
     }
 
-    /// The next barrier is due now.
+    /// Makes the next barrier due now.
     pub(super) fn start(&mut self, now: Duration) {
         self.next_at = now;
     }
 
-    /// The reservation of this view is on the disk.
+    /// Handles a reservation of the current view that has become durable.
     pub(super) fn on_reservation_durable(&mut self, reserved: u64) {
         self.is_reserving = false;
         self.reserved = self.reserved.max(reserved);
     }
 
-    /// A reservation was found on the disk: all its numbers may have been used.
+    /// Restores a reservation from the disk. All its numbers may have been used.
     pub(super) fn restore(&mut self, reserved: u64) {
         self.last_number = reserved;
         self.reserved = reserved;
     }
 
-    /// The highest number that may have been used, with what is being reserved.
+    /// The record of the current reservation, including the one that is being written.
     pub(super) fn record(&self, epoch: u64) -> LogRecord {
         let being_reserved = if self.is_reserving { RESERVATION_SIZE } else { 0 };
         LogRecord::BarrierReservation { epoch, reserved: self.reserved + being_reserved }
@@ -52,7 +58,7 @@
 }
 
 impl Replica {
-    /// Sends the next barrier, if this is the head and its time has come.
+    /// Sends the next barrier if this member is the head and a barrier is due.
     pub(super) fn send_due_barrier(&mut self, now: Duration, out: &mut Vec<ReplicaAction>) {
         let is_due = self.barrier_timer().is_some_and(|at| at <= now);
         let Some(interval) = self.settings.barrier_interval.filter(|_| is_due) else { return };
@@ -79,7 +85,7 @@
         );
     }
 
-    /// Sends a barrier on to the successor; the tail confirms it.
+    /// Forwards a barrier to the successor, or confirms it at the tail.
     fn forward_barrier(&mut self, number: u64, out: &mut Vec<ReplicaAction>) {
         if !self.is_serving() {
             return;
@@ -102,7 +108,7 @@
             return;
         }
         self.barriers.confirmed = number;
-        // Entries that the confirmation covers are applied before it is given, as far as they are here.
+        // The entries that the confirmation covers are applied before it is emitted, as far as this member holds them.
         self.log.commit_to(commit_index);
         self.apply_committed(out);
         let epoch = self.epoch();
@@ -131,7 +137,7 @@
         }
     }
 
-    /// When [`Replica::send_due_barrier`] has something to do.
+    /// The time at which [`Replica::send_due_barrier`] is due; `None` if this member sends no barriers.
     pub(super) fn barrier_timer(&self) -> Option<Duration> {
         let sends_barriers = self.is_head() && self.is_serving() && self.settings.barrier_interval.is_some();
         sends_barriers.then_some(self.barriers.next_at)
--- a/system/chain/src/replica/log.rs
+++ b/system/chain/src/replica/log.rs
@@ -1,25 +1,28 @@
-//! The entries of one replica that are held in memory, and up to which index they are durable, committed and applied.
+//! The entries of one replica that are held in memory, and the indexes up to which they are durable, committed and applied.
 //!
-//! Always: `applied_index <= commit_index <= durable_index <= last_index`, and every entry after `applied_index` is held.
+//! Invariant: `applied_index <= commit_index <= durable_index <= last_index`, and every entry after `applied_index` is in memory.
 
 use std::collections::VecDeque;
 
 use crate::record::LogRecord;
 
-/// One command with the epoch in which it was written here.
+/// One command with the epoch in which this member wrote it.
 #[derive(Clone, Debug)]
 pub(crate) struct Entry {
     pub epoch: u64,
     pub command: Vec<u8>,
 }
 
-/// The entries and their positions.
+/// The entries in memory, with the indexes of the last durable, committed and applied entry.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Log {
     /// Entries `compacted_index + 1 ..= last_index`.
     entries: VecDeque<Entry>,
+    /// Index of the last entry that is no longer in memory.
     compacted_index: u64,
+    /// Size of the commands in memory, in bytes.
     command_bytes: usize,
+    /// Size of the commands that have not been applied, in bytes.
     unapplied_bytes: usize,
     durable_index: u64,
     commit_index: u64,
@@ -37,27 +40,27 @@
         self.durable_index
     }
 
-    /// Index of the last entry known to be committed and durable here.
+    /// Index of the last entry that is durable at this member and known to be committed.
     pub(super) fn commit_index(&self) -> u64 {
         self.commit_index
     }
 
-    /// Index of the last entry given to the host.
+    /// Index of the last entry handed to the host.
     pub(super) fn applied_index(&self) -> u64 {
         self.applied_index
     }
 
-    /// The index before the oldest entry still held.
+    /// Index of the last entry that is no longer in memory.
     pub(super) fn compacted_index(&self) -> u64 {
         self.compacted_index
     }
 
-    /// Bytes of the commands that aren't applied.
+    /// Size of the commands that have not been applied, in bytes.
     pub(super) fn unapplied_bytes(&self) -> usize {
         self.unapplied_bytes
     }
 
-    /// Adds an entry and gives the record to persist.
+    /// Appends an entry and returns the record to persist.
     pub(super) fn append(&mut self, epoch: u64, command: Vec<u8>) -> LogRecord {
         let record = LogRecord::Entry {
             epoch,
@@ -75,24 +78,24 @@
         self.entries.push_back(entry);
     }
 
-    /// An entry that is still held.
+    /// The entry with an index, if it is in memory.
     pub(super) fn get(&self, index: u64) -> Option<&Entry> {
         let position = index.checked_sub(self.compacted_index + 1)?;
         self.entries.get(usize::try_from(position).ok()?)
     }
 
-    /// The entries up to here are synced. Entries that were truncated since do no harm: no others are appended
-    /// before the record of that truncation is synced as well.
+    /// Marks the entries up to an index as synced. The index may refer to entries that have been truncated since: no new entries
+    /// are appended before the record of the truncation is synced as well, so none is marked by mistake.
     pub(super) fn mark_durable(&mut self, up_to: u64) {
         self.durable_index = self.durable_index.max(up_to.min(self.last_index()));
     }
 
-    /// The entries up to here are committed; what isn't durable here doesn't count yet.
+    /// Marks the entries up to an index as committed, limited to those that are durable at this member.
     pub(super) fn commit_to(&mut self, up_to: u64) {
         self.commit_index = self.commit_index.max(up_to.min(self.durable_index));
     }
 
-    /// The next committed entry that wasn't applied; it counts as applied from now on.
+    /// Returns the next committed entry that has not been applied, and marks it as applied.
     pub(super) fn apply_next(&mut self) -> Option<(u64, Vec<u8>)> {
         if self.applied_index >= self.commit_index {
             return None;
@@ -104,7 +107,7 @@
         Some((index, command))
     }
 
-    /// Drops the entries after an index.
+    /// Drops the entries after an index, except committed ones.
     pub(super) fn truncate(&mut self, after: u64) {
         let after = after.max(self.commit_index);
         while self.last_index() > after {
@@ -116,7 +119,7 @@
         self.durable_index = self.durable_index.min(after);
     }
 
-    /// Continues from a state that holds all entries up to an index.
+    /// Drops all entries and continues after a state that includes all entries up to an index.
     pub(super) fn reset_to(&mut self, index: u64) {
         self.entries.clear();
         self.command_bytes = 0;
@@ -127,7 +130,7 @@
         self.applied_index = index;
     }
 
-    /// Drops applied entries beyond the bounds, the oldest first.
+    /// Drops applied entries, oldest first, while there are more than `max_entries` or their commands take more than `max_bytes`.
     pub(super) fn compact(&mut self, max_entries: usize, max_bytes: usize) {
         while self.applied_index > self.compacted_index + max_entries as u64
             || (self.applied_index > self.compacted_index
@@ -139,7 +142,7 @@
         }
     }
 
-    /// Records of all the entries after an index.
+    /// The records of all entries after an index.
     pub(super) fn records_after(&self, index: u64) -> Vec<LogRecord> {
         (index + 1..=self.last_index())
             .filter_map(|index| {
@@ -150,7 +153,7 @@
             .collect()
     }
 
-    /// Adds an entry found on the disk. An entry out of order is ignored.
+    /// Appends an entry from the disk. An entry out of order is ignored.
     pub(super) fn restore(&mut self, epoch: u64, index: u64, commit_index: u64, command: Vec<u8>) {
         if index != self.last_index() + 1 {
             return;
--- a/system/chain/src/replica/mod.rs
+++ b/system/chain/src/replica/mod.rs
@@ -1,17 +1,19 @@
-//! One replica of a log in a chain (van Renesse and Schneider, "Chain Replication for Supporting High Throughput and Availability",
-//! OSDI 2004).
+//! One replica of a log in a chain (van Renesse and Schneider, "Chain Replication for Supporting High Throughput and
+//! Availability", OSDI 2004).
 //!
-//! The head numbers commands; each member syncs an entry before it passes it on; what the tail has synced is committed. So the
-//! durable log of a member always begins with that of its successor, and every member of a chain holds all that the chain has
-//! committed. The view comes from outside ([`ViewEvent::Install`]): whoever decides views must decide each epoch once, and may keep
-//! a member as the first of the next chain only if it reported [`ReplicaAction::BecameInSync`] in the epoch before.
+//! The head assigns indexes to commands; each member syncs an entry before it forwards the entry; an entry that the tail has
+//! synced is committed. The durable log of a member therefore always begins with that of its successor, and every member of a
+//! chain holds all entries that the chain has committed. Views are decided outside of this module ([`ViewEvent::Install`]).
+//! Whoever decides them must decide each epoch only once, and may make a member the head of the next chain only if it reported
+//! [`ReplicaAction::BecameInSync`] in the preceding epoch.
 //!
-//! A member counts in a view (it is *in sync*) if it counted in the view just before and all that stand before it in the chain
-//! stood before it then; so members that stay keep their order and come first. Any other member drops what it doesn't know to be
-//! committed, and catches up from its predecessor before it counts.
+//! A member is *in sync* in a view from the start if it was in sync in the preceding view and all members that are now before it
+//! in the chain were before it in that view as well. Members that stay must therefore keep their order and come first. Any other
+//! member drops the entries that it does not know to be committed, and is not in sync until it has caught up from its
+//! predecessor.
 //!
-//! What a replica does not know: who decides its views, what its commands mean, and how its state is encoded. The host's duties
-//! towards the disk are those of [`ControlChain`](crate::ControlChain).
+//! A replica does not depend on how its views are decided, on the meaning of its commands or on the encoding of its state. The
+//! requirements on the host are those of [`ControlChain`](crate::ControlChain).
 
 mod barrier;
 mod log;
@@ -36,7 +38,7 @@
 use replication::Resume;
 use upstream::{Append, Chunk, Upstream};
 
-/// What a sync in flight will have made durable.
+/// The content of a write in flight, which takes effect once the write is synced.
 #[derive(Clone, Debug)]
 enum PendingRecord {
     Entries { up_to: u64 },
@@ -47,10 +49,10 @@
     Barriers { epoch: u64, reserved: u64 },
 }
 
-/// Most messages that are queued for a view that isn't in force here yet.
+/// Maximum number of messages that are queued for a view that is not in force at this member yet.
 const MAX_EARLY_MESSAGES: usize = 64;
 
-/// How many times as many entries as usual are retained while a snapshot is being sent.
+/// Factor by which the limits on retained entries are raised while a snapshot is being sent.
 const SNAPSHOT_RETAIN_FACTOR: usize = 4;
 
 /// One replica of a log.
@@ -59,37 +61,38 @@
     local_id: MemberId,
     settings: ReplicaSettings,
     view: Option<View>,
-    /// Whether the view's record is on the disk.
+    /// Whether the record of the view is durable.
     is_view_durable: bool,
-    /// Whether this member counts in the view.
+    /// Whether this member is in sync in the view.
     in_sync: bool,
-    /// Whether the record of that is being written.
+    /// Whether [`LogRecord::InSync`] is being written.
     is_in_sync_pending: bool,
     /// The highest sealed epoch.
     sealed_epoch: u64,
     follows_as_learner: bool,
-    /// Entries up to here were known to be committed before this process started; no client waits for a response.
+    /// Index of the last entry that was known to be committed before this process started, or came with a snapshot. No client
+    /// waits for a reply to entries up to this one.
     recovered_index: u64,
     log: Log,
     last_token: u64,
     pending_records: VecDeque<(u64, PendingRecord)>,
-    /// Where entries come from.
+    /// The member from which this one receives entries.
     upstream: Upstream,
-    /// Where entries go to.
+    /// The members to which this one sends entries.
     followers: Vec<Progress>,
+    /// The snapshot that is being sent to followers.
     snapshot: Option<EncodedSnapshot>,
     is_snapshot_requested: bool,
-    /// The state found on the disk, until it is given to the host.
+    /// The state recovered from the disk, until it is handed to the host.
     recovered_state: Option<Vec<u8>>,
     reads: Reads,
     barriers: Barriers,
-    /// Messages of a view that isn't in force here yet.
+    /// Messages of a view that is not in force at this member yet.
     early_messages: VecDeque<(MemberId, ReplicaMessage)>,
 }
 
 impl Replica {
-    /// A replica with an empty disk and no view. The seed must differ from one start of the process to
-    /// the next.
+    /// Creates a replica with an empty disk and no view. The seed must differ from one start of the process to the next.
     #[must_use]
     pub fn new(local_id: MemberId, settings: ReplicaSettings, seed: u64) -> Self {
         Self {
@@ -133,62 +136,63 @@
         self.advance(now, out);
     }
 
-    /// When [`Event::TimerExpired`] is due next.
+    /// The time at which [`Event::TimerExpired`] is due next; `None` if no timer is running.
     #[must_use]
     pub fn next_timer(&self) -> Option<Duration> {
         let timers = [self.resend_timer(), self.upstream_timer(), self.reads_timer(), self.barrier_timer()];
         timers.into_iter().flatten().min()
     }
 
-    /// This member's identity.
+    /// The identity of this member.
     #[must_use]
     pub fn local_id(&self) -> MemberId {
         self.local_id
     }
 
-    /// The newest view known.
+    /// The newest view known to this member.
     #[must_use]
     pub fn view(&self) -> Option<&View> {
         self.view.as_ref()
     }
 
-    /// The epoch of the newest view known; 0 without one.
+    /// The epoch of the newest view known to this member; 0 without one.
     #[must_use]
     pub fn epoch(&self) -> u64 {
         self.view.as_ref().map_or(0, |view| view.epoch)
     }
 
-    /// Whether this member counts in its view's chain.
+    /// Whether this member is in the chain of its view, and in sync.
     #[must_use]
     pub fn is_in_sync(&self) -> bool {
         self.in_sync && self.is_in_chain()
     }
 
-    /// Whether this member takes part in its view's chain now, with all that is committed.
+    /// Whether this member takes part in the chain of its view: it is in sync, the view is durable, and the epoch is not sealed.
     #[must_use]
     pub fn is_serving(&self) -> bool {
         self.is_active() && self.is_in_sync()
     }
 
-    /// The last entry given to the host.
+    /// Index of the last entry handed to the host.
     #[must_use]
     pub fn applied_index(&self) -> u64 {
         self.log.applied_index()
     }
 
-    /// The last entry known to be committed.
+    /// Index of the last entry known to be committed.
     #[must_use]
     pub fn commit_index(&self) -> u64 {
         self.log.commit_index()
     }
 
-    /// The last entry held, durable or not.
+    /// Index of the last entry, durable or not.
     #[must_use]
     pub fn last_index(&self) -> u64 {
         self.log.last_index()
     }
 
-    /// Takes part in nothing more of this epoch from now on. The caller makes that durable before it sends anything that rests on it.
+    /// Stops taking part in an epoch from now on. The caller must make the seal durable before it sends a message that depends on
+    /// it.
     pub fn seal_in_memory(&mut self, epoch: u64) {
         self.sealed_epoch = self.sealed_epoch.max(epoch);
     }
@@ -197,7 +201,7 @@
         self.view.as_ref().is_some_and(|view| view.contains(self.local_id))
     }
 
-    /// Whether the view is in force: on the disk, and not sealed.
+    /// Whether the view is in force: durable, and its epoch not sealed.
     fn is_active(&self) -> bool {
         self.is_view_durable && self.sealed_epoch < self.epoch()
     }
@@ -342,12 +346,12 @@
             PendingRecord::Barriers { epoch, reserved } if epoch == self.epoch() => {
                 self.barriers.on_reservation_durable(reserved);
             }
-            // A newer view has come meanwhile.
+            // A newer view has been installed since the write was started.
             PendingRecord::View { .. } | PendingRecord::InSync { .. } | PendingRecord::Barriers { .. } => {}
         }
     }
 
-    /// Does what the event has made possible.
+    /// Performs the steps that the event may have made possible.
     fn advance(&mut self, now: Duration, out: &mut Vec<ReplicaAction>) {
         self.commit_as_tail();
         self.apply_committed(out);
--- a/system/chain/src/replica/progress.rs
+++ b/system/chain/src/replica/progress.rs
@@ -1,5 +1,5 @@
-//! The progress of one follower, after raft-rs: which entries it has acknowledged, what is in flight to it, and in which mode it is
-//! served.
+//! The progress of one follower, modelled on raft-rs: which entries it has acknowledged, what is in flight to it, and whether it
+//! is sent entries or a snapshot.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,55 +7,59 @@
 use super::ReplicaAction;
 use crate::{MemberId, ReplicaMessage};
 
-/// Chunks of a snapshot in flight at once.
+/// Maximum number of chunks of a snapshot in flight to one follower.
 const MAX_INFLIGHT_CHUNKS: u64 = 4;
 
-/// A state that the host has encoded, shared by all followers that need it.
+/// A state that the host has encoded, shared by all followers that need a snapshot.
 #[derive(Clone, Debug)]
 pub(super) struct EncodedSnapshot {
-    /// The last entry in the state.
+    /// Index of the last entry included in the state.
     pub index: u64,
     pub bytes: Arc<Vec<u8>>,
 }
 
-/// Why a member gets its entries from here.
+/// The role in which a member receives entries from this one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum FollowerRole {
-    /// It comes next in the chain.
+    /// The follower is the successor in the chain.
     Successor,
-    /// It is outside the chain, and follows the tail.
+    /// The follower is outside the chain, and replicates from the tail.
     Learner,
 }
 
-/// How a follower is served.
+/// The state of the replication to a follower.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum ProgressState {
-    /// The follower hasn't said after which entry to continue.
+    /// The last entry of the follower is not known yet.
     Probe,
-    /// Entries are sent from `next_index` on.
+    /// Entries are sent, from `next_index` on.
     Replicate,
-    /// A snapshot is sent; without an index until the host has encoded one.
+    /// A snapshot is sent. `index` is `None` until the host has encoded one; `sent_bytes` is `None` until the first chunk has
+    /// been sent.
     Snapshot { index: Option<u64>, received_bytes: u64, sent_bytes: Option<u64> },
 }
 
-/// One follower: a member that gets its entries from here.
+/// One follower: a member that receives its entries from this one.
 #[derive(Clone, Debug)]
 pub(super) struct Progress {
     pub member: MemberId,
     pub role: FollowerRole,
     pub state: ProgressState,
+    /// Index of the next entry to send.
     pub next_index: u64,
+    /// Index of the last entry that the follower has acknowledged as durable.
     pub acked_index: u64,
-    /// What must be durable at the follower before it counts in the view.
+    /// Index up to which entries must be durable at the follower before it is in sync in the view; `None` if it already is, and
+    /// for a learner.
     pub in_sync_index: Option<u64>,
-    /// When the follower last moved on, or was last sent something again.
+    /// When the follower last made progress, or a message was last resent to it.
     pub last_progress_at: Duration,
-    /// When the last message came from the follower.
+    /// When the last message from the follower arrived.
     pub last_message_at: Duration,
 }
 
 impl Progress {
-    /// A follower that hasn't said after which entry to continue.
+    /// Creates a follower whose last entry is not known yet.
     pub(super) fn new(member: MemberId, role: FollowerRole, now: Duration) -> Self {
         Self {
             member,
@@ -77,26 +81,26 @@
         matches!(self.state, ProgressState::Snapshot { .. })
     }
 
-    /// Makes the next request to resume due, if the follower still has to be asked.
+    /// Makes the next [`ReplicaMessage::RequestResume`] due at once, if the last entry of the follower is not known yet.
     pub(super) fn expedite_probe(&mut self) {
         if self.state == ProgressState::Probe {
             self.last_progress_at = Duration::ZERO;
         }
     }
 
-    /// Serves entries after one that the follower holds.
+    /// Starts to send the entries after the last one that the follower holds.
     pub(super) fn become_replicate(&mut self, acked_index: u64) {
         self.state = ProgressState::Replicate;
         self.acked_index = acked_index;
         self.next_index = acked_index + 1;
     }
 
-    /// Serves a snapshot from its beginning; `index` is none until the host has encoded one.
+    /// Starts to send a snapshot from its beginning; `index` is `None` until the host has encoded one.
     pub(super) fn become_snapshot(&mut self, index: Option<u64>) {
         self.state = ProgressState::Snapshot { index, received_bytes: 0, sent_bytes: None };
     }
 
-    /// Whether an acknowledgement is due, so that something has to be sent again without one.
+    /// Whether an acknowledgement is expected, so that a message has to be resent if none arrives in time.
     pub(super) fn is_outstanding(&self, has_uncommitted: bool) -> bool {
         match self.state {
             ProgressState::Probe => !self.is_learner(),
@@ -107,7 +111,7 @@
         }
     }
 
-    /// Sends the chunks of a snapshot that fit into the window, if the follower needs one.
+    /// Sends the chunks of a snapshot that fit into the window, if the follower needs a snapshot.
     pub(super) fn send_chunks(
         &mut self,
         now: Duration,
--- a/system/chain/src/replica/reads.rs
+++ b/system/chain/src/replica/reads.rs
@@ -1,45 +1,50 @@
-//! Linearizable reads: once each member of the view's chain has confirmed that the view is still in force, what the tail had
-//! committed is everything that was acknowledged before the read began.
+//! Linearizable reads. Once each member of the chain has confirmed that the view is still in force, the entries that the tail had
+//! committed include everything that was acknowledged before the read began.
 
 use std::time::Duration;
 
 use super::{Replica, ReplicaAction};
 use crate::{MemberId, ReplicaMessage, View};
 
+/// A read that has not been answered yet.
 #[derive(Clone, Debug)]
 struct PendingRead {
     token: u64,
     deadline: Duration,
 }
 
-/// One confirmation of the view by all its members, for all the reads that came before it.
+/// One round of confirmations of the view by all its members, for all reads that were queued before it.
 #[derive(Clone, Debug)]
 struct ConfirmationRound {
     number: u64,
     reads: Vec<PendingRead>,
+    /// The members that have not confirmed the view yet.
     unconfirmed: Vec<MemberId>,
+    /// Index of the last entry that must be applied before the reads are answered.
     required_index: u64,
     sent_at: Duration,
 }
 
-/// The reads in progress: those queued for the next round, those of the current round, and those that wait until the entries that
-/// they require are applied here.
+/// The reads in progress: those queued for the next round, those of the current round, and confirmed ones that wait until the
+/// entries that they require are applied at this member.
 #[derive(Clone, Debug)]
 pub(super) struct Reads {
     last_round: u64,
     queued: Vec<PendingRead>,
     round: Option<ConfirmationRound>,
+    /// Confirmed reads, each with its required index.
     confirmed: Vec<(u64, PendingRead)>,
 }
 
 impl Reads {
-    /// Rounds start at a number that no earlier process has used, so that no late confirmation counts for a new round.
+    /// Creates an empty list. The numbers of rounds start at random, so that a late confirmation for an earlier process does not
+    /// count for a round of this one.
     pub(super) fn new(seed: u64) -> Self {
         let last_round = fastrand::Rng::with_seed(seed).u64(..) >> 1;
         Self { last_round, queued: Vec::new(), round: None, confirmed: Vec::new() }
     }
 
-    /// Another view is in force: the reads of the current round go into the next one.
+    /// Moves the reads of the current round into the next one. Called when another view is in force.
     pub(super) fn restart(&mut self) {
         if let Some(round) = self.round.take() {
             self.queued.extend(round.reads);
@@ -50,6 +55,7 @@
         self.queued.len() + self.confirmed.len() + self.round.as_ref().map_or(0, |round| round.reads.len())
     }
 
+    /// Removes the reads whose deadline has passed, and returns their tokens.
     fn expire(&mut self, now: Duration) -> Vec<u64> {
         let is_expired = |read: &PendingRead| read.deadline <= now;
         let mut expired_reads = drain_where(&mut self.queued, is_expired);
@@ -69,7 +75,7 @@
     }
 }
 
-/// Removes the elements that a test holds for, in order.
+/// Removes the elements that satisfy a predicate, and returns them in order.
 fn drain_where<T>(list: &mut Vec<T>, test: impl Fn(&T) -> bool) -> Vec<T> {
     let (removed, rest) = std::mem::take(list).into_iter().partition(test);
     *list = rest;
@@ -85,7 +91,8 @@
         self.reads.queued.push(PendingRead { token, deadline: now + self.settings.read_timeout });
     }
 
-    /// Up to where everything that was ever acknowledged is committed: known to the tail alone.
+    /// An index that covers every entry that has ever been acknowledged, with all entries up to it committed. Only the tail can
+    /// determine it. If the chain is too short to commit, it can only do so if its whole log is committed.
     pub(super) fn certain_commit_index(&mut self) -> Option<u64> {
         if !self.is_serving() || !self.is_tail() {
             return None;
@@ -114,7 +121,8 @@
         round.unconfirmed.retain(|member| *member != from);
     }
 
-    /// Completes the current round if it is confirmed, starts the next one, and ends the reads that are ready or late.
+    /// Completes the current round if it is confirmed, starts the next one, and completes the reads that are ready or have
+    /// expired.
     pub(super) fn process_reads(&mut self, now: Duration, out: &mut Vec<ReplicaAction>) {
         self.complete_round();
         if self.reads.round.is_none() && !self.reads.queued.is_empty() {
@@ -176,7 +184,8 @@
         }
     }
 
-    /// Sends the round again to those that haven't confirmed it; at a tail that wasn't certain, it starts again.
+    /// Resends the request of the current round to the members that have not confirmed it. If this member is the tail and had no
+    /// certain commit index when the round started, the round starts again.
     pub(super) fn resend_overdue_confirmations(&mut self, now: Duration, out: &mut Vec<ReplicaAction>) {
         let resend = self.settings.resend_interval;
         let local_id = self.local_id;
@@ -194,7 +203,7 @@
         }
     }
 
-    /// When [`Replica::resend_overdue_confirmations`] or a deadline of a read has something to do.
+    /// The time at which [`Replica::resend_overdue_confirmations`] is due or the next read expires.
     pub(super) fn reads_timer(&self) -> Option<Duration> {
         let resend_at = self.reads.round.as_ref().map(|round| round.sent_at + self.settings.resend_interval);
         let deadline = self.reads.next_deadline();
--- a/system/chain/src/replica/recovery.rs
+++ b/system/chain/src/replica/recovery.rs
@@ -1,4 +1,4 @@
-//! The records that a replica keeps on its disk, and its recovery from them.
+//! Checkpoints of a replica, its recovery from the records on its disk, and the handling of its timer.
 
 use std::time::Duration;
 
@@ -6,8 +6,8 @@
 use crate::{LogRecord, MemberId, ReplicaSettings, View};
 
 impl Replica {
-    /// Recovers a replica from the records on its disk, in the order written. Records of the control group's
-    /// vote count for the seals that they imply.
+    /// Recovers a replica from the records on its disk, in the order written. Records of votes of the control group restore the
+    /// seals that they imply.
     #[must_use]
     pub fn recover(local_id: MemberId, records: &[LogRecord], settings: ReplicaSettings, seed: u64) -> Self {
         let mut replica = Self::new(local_id, settings, seed);
@@ -53,9 +53,9 @@
         self.in_sync = in_sync;
     }
 
-    /// Everything that must stay on the disk once the state after [`Replica::applied_index`] is encoded as `state`. The host
-    /// writes it after all that was to be persisted before, and may then drop all of that. None while a snapshot from
-    /// another member is being written; a later call succeeds.
+    /// The records that must stay on the disk once the state after [`Replica::applied_index`] is encoded as `state`. The host
+    /// writes them after all records of earlier actions, which it may then delete. `None` while a snapshot from another member is
+    /// being written; a later call succeeds.
     #[must_use]
     pub fn checkpoint(&self, state: Vec<u8>) -> Option<Vec<LogRecord>> {
         if self.upstream.is_installing_snapshot() {
@@ -63,7 +63,7 @@
         }
         let mut records = vec![LogRecord::Snapshot { index: self.log.applied_index(), bytes: state }];
         if let Some(view) = &self.view {
-            // What is being written counts: it is on the disk before these records are.
+            // A `LogRecord::InSync` that is being written is durable before these records are, so it counts.
             let in_sync = self.in_sync || self.is_in_sync_pending;
             records.push(LogRecord::View { view: view.clone(), in_sync });
             records.push(self.barriers.record(view.epoch));
--- a/system/chain/src/replica/replication.rs
+++ b/system/chain/src/replica/replication.rs
@@ -1,4 +1,5 @@
-//! Sending entries and snapshots to the followers: to the successor in the chain, and from the tail to learners outside it.
+//! Replication to the followers: sends entries and snapshots to the successor in the chain, and from the tail to learners outside
+//! the chain.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,19 +8,20 @@
 use super::{Replica, ReplicaAction};
 use crate::{MemberId, ReplicaMessage, ViewAction};
 
-/// A learner that sent nothing for this many resend intervals gives up its place to another one.
+/// A learner from which no message has arrived for this number of resend intervals may be replaced by another one.
 const LEARNER_EVICTION_RESENDS: u32 = 4;
 
-/// A request of a follower to continue after its last entry.
+/// The request of a follower for the entries after its last one.
 pub(super) struct Resume {
+    /// Index of the follower's last entry.
     pub last_index: u64,
-    /// Whether the follower counts in this view already.
+    /// Whether the follower is already in sync in this view.
     pub in_sync: bool,
     pub role: FollowerRole,
 }
 
 impl Replica {
-    /// Asks the successor after which entry to continue, unless it has said so.
+    /// Requests the index of the successor's last entry, unless it is known.
     pub(super) fn request_resume(&mut self, now: Duration, out: &mut Vec<ReplicaAction>) {
         if !self.is_serving() {
             return;
@@ -52,7 +54,7 @@
             return;
         }
         if is_learner {
-            // A learner holds nothing but committed entries: a tail that has started again may not know of them yet.
+            // A learner holds only committed entries, which a restarted tail may not know to be committed yet.
             self.log.commit_to(last_index);
         }
         let compacted_index = self.log.compacted_index();
@@ -72,7 +74,8 @@
         self.report_learner(from, out);
     }
 
-    /// Adds a learner to the followers, at a tail that commits or would; one that has sent nothing lately gives up its place.
+    /// Adds a learner to the followers if this member is the tail, and returns whether it is among them. If there are too many
+    /// learners, those with the oldest last message are removed first, provided that it is older than the eviction time.
     fn admit_learner(&mut self, now: Duration, member: MemberId) -> bool {
         if !self.is_tail() || self.view.as_ref().is_some_and(|view| view.contains(member)) {
             return false;
@@ -166,7 +169,7 @@
         }
     }
 
-    /// Sends each follower what its window allows.
+    /// Sends each follower the entries and chunks that its window allows.
     pub(super) fn send_to_followers(&mut self, now: Duration, out: &mut Vec<ReplicaAction>) {
         if !self.is_serving() {
             return;
@@ -182,7 +185,7 @@
         self.send_snapshots(now, out);
     }
 
-    /// The last entry that a follower may get: a learner only what is committed.
+    /// Index of the last entry that may be sent to a follower. A learner only receives committed entries.
     fn sendable_index(&self, follower: &Progress) -> u64 {
         match follower.role {
             FollowerRole::Learner => self.log.commit_index(),
@@ -200,7 +203,7 @@
             && follower.next_index <= self.sendable_index(follower)
     }
 
-    /// Sends the next entries, or an empty message if there are none; returns whether there were any.
+    /// Sends the next entries, or an empty message if there are none. Returns whether it sent any entries.
     fn send_batch(&mut self, member: MemberId, out: &mut Vec<ReplicaAction>) -> bool {
         let Some(position) = self.followers.iter().position(|follower| follower.member == member) else {
             return false;
@@ -246,7 +249,7 @@
             return;
         }
         let compacted_index = self.log.compacted_index();
-        // The entries that would have to follow an older snapshot are no longer held.
+        // The entries that would have to follow an older snapshot are no longer in memory.
         self.snapshot = self.snapshot.take().filter(|snapshot| snapshot.index >= compacted_index);
         let Some(snapshot) = self.snapshot.clone() else {
             if !self.is_snapshot_requested {
@@ -262,7 +265,7 @@
         }
     }
 
-    /// Sends again to each follower that owes an acknowledgement for too long.
+    /// Resends to each follower whose acknowledgement is overdue.
     pub(super) fn resend_overdue(&mut self, now: Duration, out: &mut Vec<ReplicaAction>) {
         if !self.is_serving() {
             return;
@@ -285,7 +288,7 @@
         match &mut follower.state {
             ProgressState::Probe => self.request_resume(now, out),
             ProgressState::Snapshot { received_bytes, sent_bytes, .. } => {
-                *sent_bytes = (*received_bytes > 0).then_some(*received_bytes)
+                *sent_bytes = (*received_bytes > 0).then_some(*received_bytes);
             }
             ProgressState::Replicate => {
                 self.send_batch(member, out);
@@ -293,7 +296,7 @@
         }
     }
 
-    /// When [`Replica::resend_overdue`] has something to do.
+    /// The time at which [`Replica::resend_overdue`] is due; `None` if no acknowledgement is expected.
     pub(super) fn resend_timer(&self) -> Option<Duration> {
         if !self.is_serving() {
             return None;
@@ -303,7 +306,7 @@
         outstanding.map(|follower| follower.last_progress_at + self.settings.resend_interval).min()
     }
 
-    /// Whether durable entries wait to be committed, in a chain that commits at all.
+    /// Whether there are durable entries that are not committed, in a chain that is long enough to commit.
     fn has_uncommitted(&self) -> bool {
         self.can_commit() && self.log.commit_index() < self.log.durable_index()
     }
--- a/system/chain/src/replica/upstream.rs
+++ b/system/chain/src/replica/upstream.rs
@@ -1,34 +1,35 @@
-//! Receiving entries and snapshots from the upstream: the predecessor in the chain, or the tail for a learner.
+//! Reception of entries and snapshots from the upstream member: the predecessor in the chain, or the tail for a learner.
 
 use std::time::Duration;
 
 use super::{PendingRecord, Replica, ReplicaAction};
 use crate::{LogRecord, MemberId, ReplicaMessage};
 
-/// A learner that has received nothing for this many resend intervals asks again, so that the tail knows of it.
+/// A learner that has received nothing for this number of resend intervals sends its request again, so that the tail continues to
+/// serve it.
 const LEARNER_IDLE_RESENDS: u32 = 2;
 
-/// Where entries come from in the view, and what is known of them.
+/// The member from which entries are received in the current view, and the state of the reception.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Upstream {
     source: Option<MemberId>,
-    /// Whether a [`ReplicaMessage::Resume`] is still without a reply.
+    /// Whether the last [`ReplicaMessage::Resume`] has not been answered yet.
     awaits_resume_reply: bool,
-    /// When that was last sent, or a message last came from the source.
+    /// When a [`ReplicaMessage::Resume`] was last sent, or a message from the source last arrived.
     last_message_at: Duration,
-    /// Up to where the source knows the log to be committed.
+    /// Index of the last entry that the source knows to be committed.
     commit_index: u64,
-    /// What must be durable here to count in the view.
+    /// Index up to which entries must be durable at this member before it is in sync in the view.
     in_sync_index: Option<u64>,
     incoming_snapshot: Option<IncomingSnapshot>,
-    /// Whether a snapshot is being written.
+    /// Whether a received snapshot is being written to the disk.
     is_installing_snapshot: bool,
-    /// The durable index and the commit index that were acknowledged last.
+    /// The durable index and the commit index of the last acknowledgement.
     last_ack: Option<(u64, u64)>,
 }
 
 impl Upstream {
-    /// Follows another source, or none.
+    /// Switches to another source, or to none.
     pub(super) fn reset(&mut self, source: Option<MemberId>) {
         *self = Self {
             source,
@@ -38,17 +39,18 @@
         };
     }
 
-    /// What must be durable here to count in the view, once the source has said so.
+    /// Index up to which entries must be durable at this member before it is in sync in the view; `None` until the source has
+    /// sent it.
     pub(super) fn in_sync_index(&self) -> Option<u64> {
         self.in_sync_index
     }
 
-    /// Whether a snapshot is being written.
+    /// Whether a received snapshot is being written to the disk.
     pub(super) fn is_installing_snapshot(&self) -> bool {
         self.is_installing_snapshot
     }
 
-    /// Whether nothing has come in this view yet, so that there is nothing to acknowledge.
+    /// Whether nothing has been received in this view yet, so that there is nothing to acknowledge.
     fn has_received_nothing(&self) -> bool {
         self.awaits_resume_reply
             && self.last_ack.is_none()
@@ -57,7 +59,7 @@
     }
 }
 
-/// Entries from the source.
+/// The content of a [`ReplicaMessage::Append`].
 pub(super) struct Append {
     pub first_index: u64,
     pub commands: Vec<Vec<u8>>,
@@ -65,7 +67,7 @@
     pub in_sync_index: Option<u64>,
 }
 
-/// A chunk of a snapshot.
+/// The content of a [`ReplicaMessage::SnapshotChunk`].
 pub(super) struct Chunk {
     pub index: u64,
     pub total_bytes: u64,
@@ -73,7 +75,7 @@
     pub bytes: Vec<u8>,
 }
 
-/// A snapshot of which chunks have arrived.
+/// A snapshot of which some chunks have arrived.
 #[derive(Clone, Debug)]
 struct IncomingSnapshot {
     index: u64,
@@ -150,7 +152,7 @@
         if self.upstream.source != Some(from) || self.upstream.is_installing_snapshot {
             return;
         }
-        // A late `Resume` of this member may have led to it: the acknowledgement stops the transfer.
+        // This member does not need the snapshot; a delayed `Resume` may have caused its transfer. The acknowledgement stops it.
         if chunk.index <= self.log.commit_index() || self.is_in_sync() {
             let (durable_index, commit_index) = (self.log.durable_index(), self.log.commit_index());
             let message = ReplicaMessage::Ack { epoch: self.epoch(), durable_index, commit_index };
@@ -158,7 +160,7 @@
             return;
         }
         self.upstream.last_message_at = now;
-        // The source has replied: the snapshot is acknowledged as soon as it is on the disk.
+        // The chunk answers the `Resume`; the snapshot itself is acknowledged as soon as it is durable.
         self.upstream.awaits_resume_reply = false;
         let Some(received_bytes) = self.add_chunk(&chunk) else { return };
         let message =
@@ -169,7 +171,7 @@
         }
     }
 
-    /// Adds a chunk, and returns how many bytes there are without a gap; none if the snapshot is too large.
+    /// Adds a chunk, and returns the number of bytes received without a gap. `None` if the snapshot is too large.
     fn add_chunk(&mut self, chunk: &Chunk) -> Option<u64> {
         if chunk.total_bytes > self.settings.max_snapshot_bytes as u64 {
             return None;
@@ -214,7 +216,7 @@
         }
     }
 
-    /// Acknowledges to the source what has become durable or committed here.
+    /// Acknowledges to the source the entries that have become durable or committed at this member.
     pub(super) fn acknowledge(&mut self, out: &mut Vec<ReplicaAction>) {
         let Some(source) = self.upstream.source else { return };
         let ack = (self.log.durable_index(), self.log.commit_index());
@@ -226,14 +228,14 @@
         out.push(ReplicaAction::Send { to: source, message });
     }
 
-    /// Asks the source again to send, if it hasn't for too long.
+    /// Resends the request to resume if the source has sent nothing for too long.
     pub(super) fn resend_overdue_resume(&mut self, now: Duration, out: &mut Vec<ReplicaAction>) {
         if self.upstream_timer().is_some_and(|at| at <= now) {
             self.send_resume(now, out);
         }
     }
 
-    /// When [`Replica::resend_overdue_resume`] has something to do.
+    /// The time at which [`Replica::resend_overdue_resume`] is due; `None` if no message from the source is expected.
     pub(super) fn upstream_timer(&self) -> Option<Duration> {
         self.upstream.source?;
         if self.upstream.is_installing_snapshot || !self.is_active() {
--- a/system/chain/src/replica/view_installation.rs
+++ b/system/chain/src/replica/view_installation.rs
@@ -1,4 +1,4 @@
-//! Installing a view: whether this member counts in it, and where its entries then come from and go to.
+//! Installation of a view: determines whether this member is in sync in it, and connects it to its predecessor and successor.
 
 use std::time::Duration;
 
@@ -16,7 +16,7 @@
         }
     }
 
-    /// Installs a newer view: its record is made durable first, then the view is in force.
+    /// Installs a newer view. It is in force once its record is durable.
     pub(super) fn install(&mut self, view: View, out: &mut Vec<ReplicaAction>) {
         if view.epoch <= self.epoch() {
             return;
@@ -40,9 +40,9 @@
         self.persist(vec![record], PendingRecord::View { epoch }, out);
     }
 
-    /// Whether this member holds all that was committed before a view: it counted in the view just before, and all that
-    /// now stand before it in the chain stood before it then. Else its log could end otherwise than that of its
-    /// predecessor.
+    /// Whether this member is in sync in a new view from the start, so that it holds everything committed before it: it was in
+    /// sync in the preceding view, and all members that are now before it in the chain were before it in that view as well.
+    /// Otherwise the end of its log could differ from that of its predecessor.
     fn is_in_sync_in(&self, next: &View) -> bool {
         let Some(view) = &self.view else {
             return next.epoch == 1 && next.contains(self.local_id) && self.log.last_index() == 0;
@@ -58,7 +58,7 @@
             && predecessors_in(next).iter().all(|member| previous_predecessors.contains(member))
     }
 
-    /// The record of the view is on the disk: the view is in force.
+    /// Puts the view in force, after its record has become durable.
     pub(super) fn on_view_durable(&mut self, now: Duration, out: &mut Vec<ReplicaAction>) {
         self.is_view_durable = true;
         self.reads.restart();
@@ -74,6 +74,7 @@
         self.replay_early_messages(now, out);
     }
 
+    /// Sets the member from which entries are received and the one to which they are sent.
     fn connect(&mut self, now: Duration, out: &mut Vec<ReplicaAction>) {
         let Some(view) = &self.view else { return };
         let predecessor = view.predecessor(self.local_id);
@@ -89,7 +90,7 @@
         }
     }
 
-    /// Handles the messages of this view that came before it was in force.
+    /// Handles the messages of this view that arrived before it was in force.
     fn replay_early_messages(&mut self, now: Duration, out: &mut Vec<ReplicaAction>) {
         let epoch = self.epoch();
         for (from, message) in std::mem::take(&mut self.early_messages) {
@@ -122,7 +123,9 @@
         }
     }
 
-    /// Begins to count in the view once all that the predecessor held when it was asked is durable here.
+    /// Writes [`LogRecord::InSync`] once all entries that the predecessor held when it received the
+    /// [`ReplicaMessage::Resume`](crate::ReplicaMessage::Resume) are durable at this member. The member is in sync once that
+    /// record is durable.
     pub(super) fn check_in_sync(&mut self, out: &mut Vec<ReplicaAction>) {
         let has_caught_up =
             self.upstream.in_sync_index().is_some_and(|index| index <= self.log.durable_index());
--- a/system/chain/src/settings.rs
+++ b/system/chain/src/settings.rs
@@ -1,39 +1,40 @@
-//! The bounds and time spans of a replica and of the control group.
+//! The limits and durations of a replica and of the control group.
 
 use std::time::Duration;
 
-/// Bounds of one replica.
+/// Limits and durations of one replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReplicaSettings {
-    /// The shortest chain that commits: one more than the disks that may be lost at once.
+    /// Length of the shortest chain that commits: one more than the number of disks that may be lost at once.
     pub min_chain_length: usize,
-    /// Most entries in one message.
+    /// Maximum number of entries in one message.
     pub batch_entries: usize,
-    /// Most bytes of commands in one message (a single larger command goes alone).
+    /// Maximum size of the commands in one message, in bytes. A single larger command is sent alone.
     pub batch_bytes: usize,
-    /// Most entries in flight to a follower without its acknowledgement.
+    /// Maximum number of entries in flight to a follower without acknowledgement.
     pub max_inflight_entries: u64,
-    /// Most entries the head holds that aren't committed; more are rejected as busy.
+    /// Maximum number of uncommitted entries at the head; further commands are rejected as busy.
     pub max_uncommitted_entries: u64,
-    /// Most bytes of commands the head holds that aren't committed.
+    /// Maximum size of the commands at the head that are not committed and applied, in bytes; further commands are rejected as
+    /// busy.
     pub max_uncommitted_bytes: usize,
-    /// Committed entries kept in memory for members that come back.
+    /// Number of applied entries kept in memory for members that return.
     pub retain_entries: usize,
-    /// Bytes of committed entries kept in memory for members that come back.
+    /// Size of the applied entries kept in memory for members that return, in bytes.
     pub retain_bytes: usize,
-    /// Bytes of a snapshot in one message.
+    /// Size of one chunk of a snapshot, in bytes. Each message holds one chunk.
     pub chunk_bytes: usize,
     /// Largest snapshot accepted from another member, in bytes.
     pub max_snapshot_bytes: usize,
-    /// Sent again when not acknowledged for this long.
+    /// Time after which a message that has not been acknowledged is sent again.
     pub resend_interval: Duration,
-    /// A read that isn't confirmed by then fails.
+    /// Timeout of a read: it fails if it is not confirmed within this time.
     pub read_timeout: Duration,
-    /// Most reads in progress at once; more fail.
+    /// Maximum number of reads in progress; further reads fail.
     pub max_reads: usize,
-    /// Most learners that a tail serves at once.
+    /// Maximum number of learners that a tail serves.
     pub max_learners: usize,
-    /// Time between the numbered barriers that the head sends through the chain; none: it sends none.
+    /// Interval between the numbered barriers that the head sends through the chain; `None` if it sends none.
     pub barrier_interval: Option<Duration>,
 }
 
@@ -59,40 +60,42 @@
     }
 }
 
-/// Bounds and time spans of the control group. `fault_tolerance` is `faultTolerance.machines` of the deployment.
+/// Limits and durations of the control group.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ControlChainSettings {
-    /// How many disks may be lost at once.
+    /// Number of disks that may be lost at once: `faultTolerance.machines` of the deployment.
     pub fault_tolerance: usize,
-    /// How many voters to strive for; at least `2 * fault_tolerance + 1`.
+    /// Target number of voters; at least `2 * fault_tolerance + 1`.
     pub target_voters: usize,
-    /// Time between heartbeats.
+    /// Interval between heartbeats.
     pub heartbeat_interval: Duration,
-    /// A member not heard of for this long is left out of the chain.
+    /// A member from which no heartbeat has arrived for this time is left out of the chain.
     pub suspect_timeout: Duration,
-    /// How much longer than `suspect_timeout` the others have after this process has started.
+    /// Additional time, on top of `suspect_timeout`, that the other members have for their first heartbeat after this process has
+    /// started.
     pub startup_grace_period: Duration,
-    /// A voter not heard of for this long is replaced, where a spare member is available.
+    /// A voter from which no heartbeat has arrived for this time is replaced, if a spare member is available.
     pub replace_after: Duration,
-    /// A member whose disk hasn't completed a write for this long asks to leave the chain.
+    /// A disk that has not completed a write for this time counts as unresponsive, and its member is left out of the chain.
     pub disk_timeout: Duration,
-    /// How long a proposer with a majority of promises waits for those of the other live voters.
+    /// Time that a proposer with a majority of promises waits for the promises of the other live voters.
     pub promise_grace_period: Duration,
-    /// An attempt to change the view is abandoned after this; after failures, after up to four times this.
+    /// Time after which an attempt to change the membership is abandoned. It doubles with each failed attempt, up to four times
+    /// this value.
     pub attempt_timeout: Duration,
-    /// Shortest backoff before the next attempt; it is drawn at random up to three times this. Also the lead of each member
-    /// of the chain over the next one in proposing.
+    /// Minimum backoff before the next attempt; the actual backoff is random, between this and three times this. Also the
+    /// additional delay with which each member of the chain proposes after the live member before it.
     pub retry_backoff: Duration,
-    /// A learner that lacks at most this many committed entries is added to the chain.
+    /// A learner is added to the chain once it lacks at most this number of committed entries.
     pub learner_max_lag: u64,
-    /// Most known members that are no voters.
+    /// Maximum number of known members that are not voters.
     pub max_non_voters: usize,
-    /// Bounds of the replica. `min_chain_length` is taken from `fault_tolerance`.
+    /// Limits and durations of the replica. `min_chain_length` is derived from `fault_tolerance` instead.
     pub replica: ReplicaSettings,
 }
 
 impl ControlChainSettings {
-    /// The usual settings for a fault tolerance.
+    /// The default settings for a fault tolerance.
     #[must_use]
     pub fn new(fault_tolerance: usize) -> Self {
         let replica = ReplicaSettings {
--- a/system/lease/src/candidate.rs
+++ b/system/lease/src/candidate.rs
@@ -1,4 +1,5 @@
-//! The candidate's side of one process: the current attempt at a majority of grants, and how long the lease is held.
+//! The candidate state of one process: the current attempt to get a majority of grants, and the time until which the lease is
+//! held.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -11,16 +12,16 @@
     pub number: u64,
     /// Whether the lease was held when the requests were sent.
     pub is_renewal: bool,
-    /// The lease is counted from here: no voter can have granted earlier.
+    /// When the requests were sent. The duration of the lease is counted from this time, since no voter can have granted earlier.
     pub sent_at: Duration,
     pub grants: BTreeSet<VoterId>,
-    /// For how long each voter that refused will go on to refuse.
+    /// For each voter that refused: how long it will continue to refuse.
     pub refusals: BTreeMap<VoterId, Duration>,
 }
 
 impl Attempt {
-    /// How long it may take until a majority grants, by the refusals so far. A voter that has not responded may grant now. Voters
-    /// that refuse for long, such as one that has just started, are not waited for where the others suffice.
+    /// The time until a majority may grant, according to the refusals so far. A voter that has not responded is assumed to grant
+    /// now. Voters that refuse for a long time, such as one that has just started, do not count if the others form a majority.
     pub(crate) fn time_until_majority(&self, majority: usize, voter_count: usize) -> Duration {
         let mut remaining_waits: Vec<Duration> = self.refusals.values().copied().collect();
         remaining_waits.sort();
@@ -37,16 +38,17 @@
 /// Whether the lease is held, and the attempt in progress.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Candidate {
-    /// The generation held or requested last.
+    /// The generation that was held or requested last.
     pub generation: u64,
-    /// Until when the lease is held.
+    /// When the lease expires; `None` if it is not held.
     pub held_until: Option<Duration>,
+    /// The attempt in progress.
     pub attempt: Option<Attempt>,
-    /// When the next attempt may start.
+    /// Earliest start of the next attempt.
     pub next_attempt_at: Duration,
     /// Number of the last attempt.
     pub last_attempt: u64,
-    /// The highest generation that a voter has named in a refusal.
+    /// The highest generation reported by a voter in a refusal.
     pub highest_refused: u64,
 }
 
@@ -55,7 +57,7 @@
         self.held_until.is_some_and(|held_until| now < held_until)
     }
 
-    /// Starts an attempt, and returns its number.
+    /// Starts an attempt and returns its number.
     pub(crate) fn start_attempt(&mut self, now: Duration) -> u64 {
         self.last_attempt += 1;
         self.attempt = Some(Attempt {
--- a/system/lease/src/lease.rs
+++ b/system/lease/src/lease.rs
@@ -1,4 +1,4 @@
-//! One process's part in the lease: when it asks for the lease, holds it and steps down.
+//! The lease of one process: when it requests, renews and releases it.
 
 use std::time::Duration;
 
@@ -6,36 +6,38 @@
 use crate::voter::{Request, Voter};
 use crate::{LeaseAction, LeaseEvent, LeaseMessage, LeaseSettings, VoterId};
 
-/// A generation begins with the epoch in which it was requested, above this many bits.
+/// Position of the epoch in a generation: the bits from this one on hold the epoch in which the generation was requested.
 const EPOCH_SHIFT: u32 = 32;
 
-/// By how many staggers more than its position says the preferred candidate is ahead of the others, since it may have started a
-/// little later.
+/// Number of additional staggers by which all other candidates are delayed behind the preferred one, since it may have started
+/// slightly later.
 const PREFERRED_CANDIDATE_LEAD: u32 = 2;
 
-/// One process's part in the lease.
+/// The state of one process, as a voter and as a candidate.
 #[derive(Clone, Debug)]
 pub struct Lease {
     local_id: VoterId,
     settings: LeaseSettings,
     rng: fastrand::Rng,
+    /// The epoch of `voters`.
     epoch: u64,
     voters: Vec<VoterId>,
-    /// Who may hold the lease, the preferred one first.
+    /// The processes that may hold the lease, the preferred one first.
     candidate_order: Vec<VoterId>,
     voter: Voter,
     candidate: Candidate,
     is_started: bool,
-    /// Whether no voter can have granted anything before this process started.
+    /// Whether no voter can have granted the lease before this process started.
     is_founding: bool,
 }
 
 impl Lease {
-    /// A process that has just started. The seed must differ from one start to the next.
+    /// Creates the state of a process that has just started. The seed must differ from one start to the next.
     #[must_use]
     pub fn new(local_id: VoterId, settings: LeaseSettings, seed: u64) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
-        // Responses to attempts of an earlier incarnation must not count for those of this one.
+        // Attempts are numbered from a random number on: responses to attempts of an earlier incarnation must not count for this
+        // one.
         let candidate = Candidate { last_attempt: rng.u64(..) >> 1, ..Candidate::default() };
         Self {
             local_id,
@@ -51,25 +53,25 @@
         }
     }
 
-    /// Whether the lease is held now. To be checked right before each action under it.
+    /// Whether the lease is held now. The host must check this immediately before each action that requires the lease.
     #[must_use]
     pub fn is_held(&self, now: Duration) -> bool {
         self.candidate.is_held(now)
     }
 
-    /// Until when the lease is held, if it is.
+    /// The time at which the lease expires, if it is held.
     #[must_use]
     pub fn held_until(&self, now: Duration) -> Option<Duration> {
         self.candidate.held_until.filter(|held_until| now < *held_until)
     }
 
-    /// The generation that is held or was requested last.
+    /// The generation that was held or requested last.
     #[must_use]
     pub fn generation(&self) -> u64 {
         self.candidate.generation
     }
 
-    /// When [`LeaseEvent::TimerExpired`] is due next.
+    /// The time at which [`LeaseEvent::TimerExpired`] is due next; `None` if no timer is running.
     #[must_use]
     pub fn next_timer(&self) -> Option<Duration> {
         if !self.is_started || self.voters.is_empty() {
@@ -100,7 +102,7 @@
         self.candidate_order.contains(&self.local_id)
     }
 
-    /// How many staggers this candidate lets pass before it asks. The preferred one has a lead over all the others.
+    /// Number of staggers for which this candidate waits before it requests the lease: 0 for the preferred one.
     fn rank(&self) -> u32 {
         match self.candidate_order.iter().position(|candidate| *candidate == self.local_id) {
             None | Some(0) => 0,
@@ -118,9 +120,9 @@
         self.candidate.next_attempt_at = now + self.settings.candidate_stagger * self.rank();
     }
 
-    /// Adopts the voters of a newer epoch. Where they differ, or may have differed in between, a majority of the old ones and one
-    /// of the new ones need not meet: then this voter waits until all old grants have expired. It does so after a start as well,
-    /// since it remembers no grants of an earlier incarnation.
+    /// Adopts the voters of a newer epoch. If they differ, or may have differed in an epoch in between, a majority of the old
+    /// voters and a majority of the new ones need not overlap; this voter then waits until all old grants have expired. It also
+    /// waits after a start, because it has no record of the grants of an earlier incarnation.
     fn on_voters(&mut self, now: Duration, epoch: u64, mut voters: Vec<VoterId>) {
         if epoch <= self.epoch {
             return;
@@ -156,7 +158,7 @@
         self.candidate.next_attempt_at = now + self.settings.grant_duration;
     }
 
-    /// Ends the lease or the attempt in progress, and releases the grants.
+    /// Ends the lease or the attempt in progress, and releases the grants at all voters.
     fn step_down(&mut self, out: &mut Vec<LeaseAction>) {
         let was_held = self.candidate.held_until.take().is_some();
         let had_attempt = self.candidate.attempt.take().is_some();
@@ -197,7 +199,7 @@
         }
     }
 
-    /// Renews the lease, or requests it unless another process is known to hold it.
+    /// Renews the lease, or requests it unless this voter has granted it to another process.
     fn acquire_or_renew(&mut self, now: Duration, out: &mut Vec<LeaseAction>) {
         if !self.is_held(now) {
             let free_at = self.voter.granted_to_others_until(self.local_id);
@@ -210,7 +212,7 @@
         self.send_requests(now, out);
     }
 
-    /// Higher than all generations known here, and than all of older epochs: new voters may know of none.
+    /// A generation higher than all that this process knows, and than all of older epochs, since new voters may not know those.
     fn next_generation(&self) -> u64 {
         let known = self
             .candidate
@@ -260,7 +262,7 @@
         }
     }
 
-    /// The holder has released the lease: the next candidate need not wait until its grants expire.
+    /// Handles the release of the lease by its holder: this candidate need not wait until the grants expire.
     fn on_holder_released(&mut self, now: Duration, from: VoterId, generation: u64) {
         self.voter.on_release(from, generation);
         if !self.is_held(now) && self.voter.granted_to_others_until(self.local_id) <= now {
@@ -310,7 +312,7 @@
         }
     }
 
-    /// Abandons an attempt that can't get a majority any more; the next one starts when the voters would grant.
+    /// Records a refusal. Abandons the attempt if it can no longer get a majority; the next one starts when a majority may grant.
     fn on_refusal(
         &mut self,
         now: Duration,
@@ -330,8 +332,8 @@
         }
     }
 
-    /// A majority has granted. A renewal that completes after the lease has expired is released: a higher generation may have been
-    /// held since.
+    /// Handles a majority of grants. A renewal that completes after the lease has expired is released, because a higher
+    /// generation may have been held since.
     fn on_majority(
         &mut self,
         now: Duration,
@@ -350,13 +352,13 @@
             None => LeaseAction::Acquired { generation, held_until },
         };
         self.candidate.held_until = Some(held_until);
-        // A refusal by a minority may have delayed the next attempt.
+        // The attempt in which a minority refused may have moved the next attempt to a later time.
         self.candidate.next_attempt_at =
             self.candidate.next_attempt_at.min(now + self.settings.renewal_interval());
         out.push(action);
     }
 
-    /// When a majority may grant, by the refusals of the attempt in progress.
+    /// The time at which a majority may grant, according to the refusals of the attempt in progress.
     fn majority_possible_at(&self, now: Duration) -> Duration {
         let (majority, voter_count) = (self.majority(), self.voters.len());
         now + self
@@ -366,7 +368,8 @@
             .map_or(Duration::ZERO, |attempt| attempt.time_until_majority(majority, voter_count))
     }
 
-    /// There is no majority in time. Without a lease the grants so far are released, so that others need not wait for them.
+    /// Abandons an attempt that got no majority in time. If the lease is not held, the grants so far are released, so that other
+    /// candidates need not wait until they expire.
     fn abandon_attempt(&mut self, now: Duration, out: &mut Vec<LeaseAction>) {
         if self.is_held(now) {
             self.candidate.attempt = None;
--- a/system/lease/src/lib.rs
+++ b/system/lease/src/lib.rs
@@ -1,16 +1,17 @@
-//! A lease granted by a majority of voters, with the holder stopping before its grants expire (Gray and Cheriton, "Leases", SOSP
-//! 1989), sans I/O.
+//! A lease that is granted by a majority of voters, and whose holder stops before its grants expire (Gray and Cheriton, "Leases",
+//! SOSP 1989), sans I/O.
 //!
-//! Each process runs one [`Lease`]: it grants as a voter, and requests as a candidate. The promise: no two processes hold the lease
-//! at the same time. It rests on these assumptions:
+//! Each process runs one [`Lease`]: as a voter it grants the lease, as a candidate it requests it. The guarantee is that no two
+//! processes hold the lease at the same time. It depends on these assumptions:
 //!
 //! - the clocks of two machines run at rates that differ by less than [`LeaseSettings::max_clock_drift`];
-//! - the voters change by one at a time, and a voter that has sealed an epoch says so ([`LeaseEvent::Sealed`]) before the next epoch
+//! - the voters change by one at a time, and each voter that seals an epoch receives [`LeaseEvent::Sealed`] before the next epoch
 //!   is decided;
-//! - a process checks [`Lease::is_held`] right before each action under the lease. What it sent may arrive later all the same, so
-//!   the receiver compares fencing tokens (Burrows, "The Chubby lock service", OSDI 2006).
+//! - a process checks [`Lease::is_held`] immediately before each action that requires the lease. Messages that it sent may still
+//!   arrive after the lease has expired, so their receivers compare fencing tokens (Burrows, "The Chubby lock service", OSDI
+//!   2006).
 //!
-//! It does not know what the lease is for, and keeps nothing on a disk.
+//! The crate does not depend on the purpose of the lease, and stores nothing on a disk.
 
 #![warn(unreachable_pub)]
 
--- a/system/lease/src/message.rs
+++ b/system/lease/src/message.rs
@@ -1,17 +1,18 @@
-//! The messages between candidates and voters. Their encoded form goes by the order of variants and fields.
+//! The messages between candidates and voters. Their encoding depends on the order of variants and fields.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// A process that grants or requests, by the identity of its disk.
+/// The identity of a process that grants or requests the lease: that of its disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct VoterId(pub u64);
 
-/// One message. Each carries the epoch of the set of voters it belongs to, except those that are safe in any.
+/// A message between a candidate and a voter. Requests and grants carry the epoch of the set of voters that they belong to;
+/// refusals and releases are safe in any epoch.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LeaseMessage {
-    /// Asks for a grant, or for its renewal.
+    /// Requests a grant or its renewal.
     Request {
         /// Epoch of the voters.
         epoch: u64,
@@ -22,7 +23,8 @@
         /// Number of the attempt.
         attempt: u64,
     },
-    /// Granted, for [`LeaseSettings::grant_duration`](crate::LeaseSettings::grant_duration) from now.
+    /// Grants the lease for [`LeaseSettings::grant_duration`](crate::LeaseSettings::grant_duration) from the time at which the
+    /// voter handled the request.
     Grant {
         /// Epoch of the voters.
         epoch: u64,
@@ -31,16 +33,16 @@
         /// The attempt that this responds to.
         attempt: u64,
     },
-    /// Not granted.
+    /// Refuses a request.
     Refuse {
         /// The attempt that this responds to.
         attempt: u64,
-        /// The highest generation that the voter knows of.
+        /// The highest generation that the voter has granted.
         highest_generation: u64,
-        /// For how long it will grant nothing to the candidate.
+        /// How long the voter will continue to refuse the candidate, because other grants may be outstanding.
         wait: Duration,
     },
-    /// The sender won't act under this generation any more.
+    /// The sender has stopped acting under this generation and all lower ones.
     Release {
         /// The generation.
         generation: u64,
--- a/system/lease/src/settings.rs
+++ b/system/lease/src/settings.rs
@@ -1,17 +1,18 @@
-//! The time spans of a lease.
+//! The durations of a lease.
 
 use std::time::Duration;
 
-/// The time spans of a lease. All processes are given the same.
+/// The durations of a lease. All processes must use the same settings.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LeaseSettings {
-    /// For how long a grant lasts at the voter.
+    /// Duration of a grant, by the clock of the voter.
     pub grant_duration: Duration,
-    /// By how much the clocks of two machines may differ in rate, as a fraction of the elapsed time.
+    /// Maximum difference between the rates of the clocks of two machines, as a fraction of the elapsed time.
     pub max_clock_drift: f64,
-    /// How long a candidate waits for a majority of grants.
+    /// Time that a candidate waits for a majority of grants.
     pub attempt_timeout: Duration,
-    /// By how much each candidate waits longer than the one before it. Also the shortest pause between attempts.
+    /// Additional time for which each candidate waits, compared with the one before it. Also the upper bound of the random
+    /// backoff after an abandoned attempt.
     pub candidate_stagger: Duration,
 }
 
@@ -27,20 +28,21 @@
         }
     }
 
-    /// For how long a holder may act, from when it sent its requests: by any clock it stops before the first grant expires.
+    /// Time for which a holder may act, counted from when it sent its requests. By any clock, it stops before the first grant
+    /// expires.
     #[must_use]
     pub fn usable_duration(&self) -> Duration {
         self.grant_duration.mul_f64(1.0 - self.max_clock_drift)
     }
 
-    /// How long a grant that a voter doesn't remember can last, by any clock. A voter that has just started grants nothing before
-    /// that has passed.
+    /// Maximum remaining duration, by any clock, of a grant that a voter has no record of. A voter that has just started grants
+    /// nothing until this time has elapsed.
     #[must_use]
     pub fn outstanding_grant_bound(&self) -> Duration {
         self.grant_duration.mul_f64(1.0 + self.max_clock_drift)
     }
 
-    /// Time between renewals.
+    /// Interval between renewals.
     #[must_use]
     pub fn renewal_interval(&self) -> Duration {
         self.grant_duration / 4
--- a/system/lease/src/voter.rs
+++ b/system/lease/src/voter.rs
@@ -1,15 +1,16 @@
-//! The voter's side of one process. Nothing is kept on a disk: a voter that has just started grants nothing for as long as a grant
-//! of an earlier incarnation could last.
+//! The voter state of one process. Nothing is stored on a disk: a voter that has just started grants nothing for as long as a
+//! grant of an earlier incarnation could last.
 
 use std::time::Duration;
 
 use crate::{LeaseMessage, LeaseSettings, VoterId};
 
+/// The grant of a voter to a holder.
 #[derive(Clone, Debug)]
 struct Grant {
     holder: VoterId,
     generation: u64,
-    until: Duration,
+    expires_at: Duration,
 }
 
 /// The content of a [`LeaseMessage::Request`].
@@ -21,32 +22,32 @@
     pub attempt: u64,
 }
 
-/// What a voter has granted.
+/// The grant of a voter, and the conditions under which it refuses requests.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Voter {
     grant: Option<Grant>,
     highest_generation: u64,
-    /// Grants that this voter doesn't know of may last until then; it grants nothing before.
+    /// Latest expiry of grants that this voter has no record of; it grants nothing before that time.
     unknown_grants_until: Duration,
-    /// The highest epoch in which nothing more is granted.
+    /// The highest sealed epoch. Nothing more is granted in this epoch and earlier ones.
     sealed_epoch: u64,
 }
 
 impl Voter {
-    /// Grants nothing until all grants that this voter may not know of have expired.
+    /// Refuses all requests until all grants that this voter may have no record of have expired.
     pub(crate) fn wait_out_unknown_grants(&mut self, now: Duration, settings: &LeaseSettings) {
         self.unknown_grants_until = self.unknown_grants_until.max(now + settings.outstanding_grant_bound());
     }
 
-    /// Grants nothing more in an epoch and those before.
+    /// Refuses all requests in an epoch and earlier ones from now on.
     pub(crate) fn seal(&mut self, epoch: u64) {
         self.sealed_epoch = self.sealed_epoch.max(epoch);
     }
 
-    /// Until when another process than `candidate` may hold the lease, as far as known here.
+    /// When the grant of this voter to a process other than `candidate` expires; zero if there is none.
     pub(crate) fn granted_to_others_until(&self, candidate: VoterId) -> Duration {
         let grant = self.grant.as_ref().filter(|grant| grant.holder != candidate);
-        grant.map_or(Duration::ZERO, |grant| grant.until)
+        grant.map_or(Duration::ZERO, |grant| grant.expires_at)
     }
 
     /// The highest generation granted.
@@ -54,8 +55,8 @@
         self.highest_generation
     }
 
-    /// Responds to a request of the present epoch. A new generation must be higher than all before; a renewal need not be, since
-    /// its sender counts it only while it still holds the lease, so that no higher generation can have been held.
+    /// Responds to a request of the current epoch. A new generation must be higher than all earlier ones. A renewal need not be,
+    /// since its sender accepts it only while it still holds the lease, so that no higher generation can have been held.
     pub(crate) fn on_request(
         &mut self,
         now: Duration,
@@ -76,17 +77,17 @@
         self.grant = Some(Grant {
             holder: from,
             generation: generation.max(granted_generation),
-            until: now + settings.grant_duration,
+            expires_at: now + settings.grant_duration,
         });
         LeaseMessage::Grant { epoch, generation, attempt }
     }
 
-    /// For how long a candidate is refused.
+    /// How long a candidate will still be refused.
     fn remaining_wait(&self, now: Duration, from: VoterId) -> Duration {
         self.unknown_grants_until.max(self.granted_to_others_until(from)).saturating_sub(now)
     }
 
-    /// The holder has released the lease up to a generation.
+    /// Handles the release of the lease by its holder, for all generations up to `generation`.
     pub(crate) fn on_release(&mut self, from: VoterId, generation: u64) {
         self.grant = self.grant.take().filter(|grant| grant.holder != from || grant.generation > generation);
     }
