--- a/system/chain/tests/catching_up.rs
+++ b/system/chain/tests/catching_up.rs
@@ -1,4 +1,5 @@
-//! A member that is not in sync: it commits nothing, and what is not on its disk does not count.
+//! Tests of a tail that is catching up. A tail that is not in sync must not commit: its log may lack committed entries. Entries
+//! and snapshots must not be applied or acknowledged before they are durable: a power failure could lose them.
 
 use std::time::Duration;
 
@@ -10,7 +11,7 @@
 const NEWCOMER: MemberId = MemberId(2);
 const EPOCH: u64 = 7;
 
-/// A replica, its actions, and a disk that syncs when the test says so.
+/// A replica with the actions that it has emitted and a disk that syncs only when the test calls [`Member::sync`].
 struct Member {
     replica: Replica,
     actions: Vec<ReplicaAction>,
@@ -18,18 +19,18 @@
 }
 
 impl Member {
-    /// The newcomer at the tail of a chain that has committed entries before.
+    /// Creates the tail of a chain that has committed entries in earlier views. The new member has none of them.
     fn newcomer() -> Self {
         let replica = Replica::new(NEWCOMER, ReplicaSettings::default(), 1);
         let mut member = Self { replica, actions: Vec::new(), unsynced: Vec::new() };
-        member.event(ReplicaEvent::Started);
+        member.handle_event(ReplicaEvent::Started);
         let view = View { epoch: EPOCH, chain: vec![HEAD, NEWCOMER] };
-        member.event(ReplicaEvent::View(ViewEvent::Install { view }));
+        member.handle_event(ReplicaEvent::View(ViewEvent::Install { view }));
         member.sync();
         member
     }
 
-    fn event(&mut self, event: ReplicaEvent) {
+    fn handle_event(&mut self, event: ReplicaEvent) {
         let mut out = Vec::new();
         self.replica.handle(Duration::ZERO, event, &mut out);
         for action in out {
@@ -43,15 +44,15 @@
     fn sync(&mut self) {
         while let Some(token) = self.unsynced.pop() {
             self.unsynced.clear();
-            self.event(ReplicaEvent::Durable { token });
+            self.handle_event(ReplicaEvent::Durable { token });
         }
     }
 
     fn message(&mut self, message: ReplicaMessage) {
-        self.event(ReplicaEvent::Message { from: HEAD, message });
+        self.handle_event(ReplicaEvent::Message { from: HEAD, message });
     }
 
-    /// Entries up to `last`, with an in-sync index of 5.
+    /// Delivers the entries `first..=last` from the head, with an in-sync index of 5.
     fn entries(&mut self, first: u64, last: u64) {
         let commands = (first..=last).map(|index| vec![index as u8]).collect();
         self.message(ReplicaMessage::Append {
@@ -80,7 +81,7 @@
     assert!(!member.replica.is_in_sync());
     assert_eq!(member.applied(), [] as [u64; 0]);
     member.entries(4, 5);
-    assert_eq!(member.applied(), [] as [u64; 0], "nothing counts before it is on the disk");
+    assert_eq!(member.applied(), [] as [u64; 0], "entries are applied before they are durable");
     member.sync();
     assert!(member.replica.is_in_sync());
     assert_eq!(member.applied(), [1, 2, 3, 4, 5]);
--- a/system/chain/tests/cluster/actions.rs
+++ b/system/chain/tests/cluster/actions.rs
@@ -1,4 +1,4 @@
-//! The actions of a member, carried out by its host and shown to the invariants.
+//! The actions of a member: its host carries them out and reports them to the invariant checker.
 
 use std::time::Duration;
 
@@ -6,9 +6,9 @@
 
 use super::{millis, Cluster, SimulationEvent};
 
-/// One in so many messages of a vote is followed by a fault at its sender.
-const FAULT_PER_VOTES: u64 = 40;
-/// Whether a message is one of a vote.
+/// On average, one in this number of messages of a vote is followed by a fault at its sender.
+const VOTES_PER_FAULT: u64 = 40;
+/// Whether a message belongs to a vote.
 fn is_vote(message: &ChainMessage) -> bool {
     use gingerledge_chain::AgreementMessage as Vote;
     let ChainMessage::Agreement(vote) = message else { return false };
@@ -31,7 +31,7 @@
                 }
                 self.hosts[machine].state_machine.apply(self.seed, member, index, &command);
             }
-            ChainAction::TakeSnapshot => self.snapshot(machine),
+            ChainAction::TakeSnapshot => self.take_snapshot(machine),
             ChainAction::InstallSnapshot { index, bytes } => {
                 self.hosts[machine].state_machine.install(index, &bytes);
                 self.invariants.on_snapshot_installed(
@@ -43,7 +43,7 @@
             ChainAction::ReadReady { token, index } => {
                 assert!(
                     self.hosts[machine].state_machine.applied_index() >= index,
-                    "seed {}: read at a state not applied",
+                    "seed {}: a read was served from a state older than its index",
                     self.seed
                 );
                 self.invariants.on_read_ready(token, index);
@@ -63,9 +63,10 @@
         }
     }
 
-    /// The tail acknowledges an entry: enough disks must have synced it, and the tail must not have sealed its view.
+    /// Checks an acknowledgement by the tail: enough disks must have synced the entry, and the tail must not have sealed its
+    /// view.
     fn check_acknowledgement(&self, machine: usize, index: u64, command: &[u8]) {
-        // A disk that was lost in the moment between its sync and the tail's has counted.
+        // Disks that have been lost since count as well: one may have synced the entry and been lost before the tail synced it.
         let disks = self.hosts.iter().map(|host| &host.disk).chain(&self.lost_disks);
         let synced = disks.filter(|disk| disk.has_synced(index, command));
         self.invariants.on_acknowledged(index, synced.count());
@@ -82,7 +83,7 @@
     fn send(&mut self, machine: usize, to: MemberId, message: ChainMessage) {
         let from = self.hosts[machine].identity;
         self.invariants.on_sent(from, &message);
-        if is_vote(&message) && self.targeted_faults_enabled && self.rng.u64(0..FAULT_PER_VOTES) == 0 {
+        if is_vote(&message) && self.targeted_faults_enabled && self.rng.u64(0..VOTES_PER_FAULT) == 0 {
             let delay = Duration::from_micros(self.rng.u64(0..3000));
             self.after(delay, SimulationEvent::TargetedFault { machine, wipe_disk: false });
         }
@@ -90,19 +91,19 @@
             self.trace(machine, &format!("to {to:?}: {message:?}"));
         }
         let Some(target) = self.hosts.iter().position(|host| host.identity == to) else { return };
-        if self.blocked_links.contains(&(machine, target)) || self.rng.f64() < self.loss {
+        if self.blocked_links.contains(&(machine, target)) || self.rng.f64() < self.message_loss {
             return;
         }
-        let copies = if self.loss > 0.0 && self.rng.f64() < 0.05 { 2 } else { 1 };
+        let copies = if self.message_loss > 0.0 && self.rng.f64() < 0.05 { 2 } else { 1 };
         for _ in 0..copies {
-            let slow = if self.rng.u8(..) == 0 { self.rng.u64(0..200_000) } else { 0 };
-            let delay = Duration::from_micros(self.rng.u64(500..4000) + slow);
+            let extra_micros = if self.rng.u8(..) == 0 { self.rng.u64(0..200_000) } else { 0 };
+            let delay = Duration::from_micros(self.rng.u64(500..4000) + extra_micros);
             let message = message.clone();
             self.after(delay, SimulationEvent::MessageArrives { machine: target, from, message });
         }
     }
 
-    fn snapshot(&mut self, machine: usize) {
+    fn take_snapshot(&mut self, machine: usize) {
         let delay = if self.rng.bool() { millis(0) } else { millis(self.rng.u64(0..50)) };
         let host = &self.hosts[machine];
         let (incarnation, index) = (host.incarnation, host.state_machine.applied_index());
--- a/system/chain/tests/cluster/faults.rs
+++ b/system/chain/tests/cluster/faults.rs
@@ -1,4 +1,4 @@
-//! Faults, drawn from the seed, within the fault tolerance of the group.
+//! Random faults within the fault tolerance of the group, determined by the seed.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 use super::{Cluster, SimulationEvent};
 
 impl Cluster {
-    /// Begins to inject faults at random times.
+    /// Starts to inject faults at random times.
     pub fn start_faults(&mut self) {
         self.targeted_faults_enabled = true;
         let delay = millis(self.rng.u64(500..3000));
@@ -31,12 +31,12 @@
             12 => self.power_loss_with_wipes(),
             _ => self.toggle_message_loss(),
         }
-        // Often one fault comes soon after another.
+        // Half of the faults follow shortly after the previous one.
         let delay = if self.rng.bool() { self.rng.u64(20..400) } else { self.rng.u64(500..8000) };
         self.after(millis(delay), SimulationEvent::Fault);
     }
 
-    /// A fault at a machine that has just voted.
+    /// Injects a fault at a machine that has just voted.
     pub fn inject_targeted_fault(&mut self, machine: usize, wipe_disk: bool) {
         if !self.faults_enabled {
             return;
@@ -50,13 +50,13 @@
         }
     }
 
-    fn mark_recovering(&mut self, machine: usize, span: Duration) {
-        let until = self.now + span + CATCH_UP;
-        self.hosts[machine].recovering_until = self.hosts[machine].recovering_until.max(until);
+    fn mark_recovering(&mut self, machine: usize, duration: Duration) {
+        let end = self.now + duration + CATCH_UP;
+        self.hosts[machine].recovering_until = self.hosts[machine].recovering_until.max(end);
     }
 
-    /// The process ends and comes back.
-    pub fn kill(&mut self, machine: usize, back_after: Duration) {
+    /// Ends the process, and restarts it after a delay.
+    pub fn kill(&mut self, machine: usize, restart_delay: Duration) {
         let host = &mut self.hosts[machine];
         if host.process.is_none() {
             return;
@@ -64,30 +64,30 @@
         host.stop();
         host.disk.lose_unsynced(&mut self.rng);
         self.trace(machine, "is killed");
-        self.mark_recovering(machine, back_after);
-        self.after(back_after, SimulationEvent::ProcessStarts { machine });
+        self.mark_recovering(machine, restart_delay);
+        self.after(restart_delay, SimulationEvent::ProcessStarts { machine });
     }
 
     fn lose_power(&mut self, machine: usize) {
-        let back = millis(self.rng.u64(300..4000));
-        self.kill(machine, back);
+        let restart_delay = millis(self.rng.u64(300..4000));
+        self.kill(machine, restart_delay);
     }
 
     pub fn freeze(&mut self, machine: usize) {
-        let span = millis(self.rng.u64(50..4000));
-        let until = self.now + span;
+        let duration = millis(self.rng.u64(50..4000));
+        let end = self.now + duration;
         if self.hosts[machine].process.is_some() {
             let frozen = self.hosts[machine].frozen_until.unwrap_or_default();
-            self.hosts[machine].frozen_until = Some(frozen.max(until));
-            self.mark_recovering(machine, span);
-            self.trace(machine, &format!("freezes for {span:?}"));
+            self.hosts[machine].frozen_until = Some(frozen.max(end));
+            self.mark_recovering(machine, duration);
+            self.trace(machine, &format!("freezes for {duration:?}"));
         }
     }
 
     fn isolate(&mut self, machine: usize) {
-        self.trace(machine, "is cut off");
-        let others: Vec<_> = (0..self.hosts.len()).filter(|other| *other != machine).collect();
-        for other in others {
+        self.trace(machine, "is isolated");
+        let other_machines: Vec<_> = (0..self.hosts.len()).filter(|other| *other != machine).collect();
+        for other in other_machines {
             self.blocked_links.insert((machine, other));
             self.blocked_links.insert((other, machine));
         }
@@ -111,11 +111,11 @@
         self.mark_recovering(other, Duration::from_secs(3600));
     }
 
-    /// Links work again, and nothing is lost on them.
+    /// Restores all links and ends the loss of messages and the extra delays of disks.
     pub fn heal(&mut self) {
         self.trace(0, "and all others reach each other");
         self.blocked_links.clear();
-        self.loss = 0.0;
+        self.message_loss = 0.0;
         for host in &mut self.hosts {
             host.disk.extra_delay = Duration::ZERO;
             if host.recovering_until > self.now {
@@ -125,11 +125,11 @@
     }
 
     fn toggle_message_loss(&mut self) {
-        if !self.blocked_links.is_empty() || self.loss > 0.0 || self.rng.bool() {
+        if !self.blocked_links.is_empty() || self.message_loss > 0.0 || self.rng.bool() {
             self.heal();
         } else {
-            self.loss = 0.2 * self.rng.f64();
-            self.trace(0, &format!("and all others lose {} of the messages", self.loss));
+            self.message_loss = 0.2 * self.rng.f64();
+            self.trace(0, &format!("and all others lose {} of the messages", self.message_loss));
             for machine in 0..self.hosts.len() {
                 self.mark_recovering(machine, Duration::from_secs(3600));
             }
@@ -137,35 +137,36 @@
     }
 
     fn stall_disk(&mut self, machine: usize) {
-        let span = millis(self.rng.u64(100..5000));
-        self.trace(machine, &format!("'s disk stalls for {span:?}"));
+        let duration = millis(self.rng.u64(100..5000));
+        self.trace(machine, &format!("'s disk stalls for {duration:?}"));
         let disk = &mut self.hosts[machine].disk;
-        disk.stalled_until = disk.stalled_until.max(self.now + span);
+        disk.stalled_until = disk.stalled_until.max(self.now + duration);
         if self.rng.bool() {
             disk.extra_delay = millis(self.rng.u64(0..150));
             self.mark_recovering(machine, Duration::from_secs(3600));
         }
-        self.mark_recovering(machine, span);
+        self.mark_recovering(machine, duration);
     }
 
     fn recovering_machines(&self, except: usize) -> usize {
-        let mark_recovering =
+        let is_recovering =
             |machine: &usize| *machine != except && self.hosts[*machine].recovering_until > self.now;
-        (0..self.hosts.len()).filter(mark_recovering).count()
+        (0..self.hosts.len()).filter(is_recovering).count()
     }
 
-    /// While more machines are lost than the group tolerates, none of them recovers.
+    /// Postpones the recovery of all machines while more of them are under faults than the group tolerates, since none can
+    /// recover then.
     pub fn extend_recovery(&mut self) {
         if self.recovering_machines(usize::MAX) <= self.shape.fault_tolerance {
             return;
         }
-        let until = self.now + CATCH_UP;
+        let end = self.now + CATCH_UP;
         for host in self.hosts.iter_mut().filter(|host| host.recovering_until > self.now) {
-            host.recovering_until = host.recovering_until.max(until);
+            host.recovering_until = host.recovering_until.max(end);
         }
     }
 
-    /// The disk is lost, if the group tolerates that now.
+    /// Wipes the disk of a machine if the group tolerates that now.
     pub fn wipe_disk(&mut self, machine: usize) {
         if self.recovering_machines(machine) >= self.shape.fault_tolerance
             || self.now < millis(2000) + CATCH_UP
@@ -175,7 +176,7 @@
         self.force_wipe(machine);
     }
 
-    /// The machine comes back under another identity, at the same address or at another.
+    /// Wipes the disk of a machine. It returns under another identity, at the same address or another one.
     pub fn force_wipe(&mut self, machine: usize) {
         let identity = self.new_identity();
         let same_address = self.rng.bool();
@@ -187,21 +188,22 @@
         let host = &mut self.hosts[machine];
         host.replaced = same_address.then_some(host.identity);
         host.identity = identity;
-        let back = millis(self.rng.u64(300..1500));
-        self.mark_recovering(machine, back);
-        self.after(back, SimulationEvent::ProcessStarts { machine });
+        let restart_delay = millis(self.rng.u64(300..1500));
+        self.mark_recovering(machine, restart_delay);
+        self.after(restart_delay, SimulationEvent::ProcessStarts { machine });
     }
 
-    /// All processes end, and come back within a second.
+    /// Ends all processes, and restarts each within a second.
     pub fn restart_all(&mut self) {
         for machine in 0..self.hosts.len() {
-            let back = millis(self.rng.u64(200..1000));
-            self.kill(machine, back);
+            let restart_delay = millis(self.rng.u64(200..1000));
+            self.kill(machine, restart_delay);
         }
         self.align_recovery();
     }
 
-    /// Most of the group was down: it commits again only when enough of it is back.
+    /// Sets the recovery of all machines to the latest of them. After most of the group was down, it commits again only once
+    /// enough machines are back.
     fn align_recovery(&mut self) {
         let last = self.hosts.iter().map(|host| host.recovering_until).max().unwrap_or_default();
         for host in &mut self.hosts {
@@ -209,12 +211,12 @@
         }
     }
 
-    /// All machines lose power, and as many disks are lost as the group tolerates.
+    /// Makes all machines lose power, and wipes as many disks as the group tolerates.
     fn power_loss_with_wipes(&mut self) {
-        let wiped = self.rng.usize(..self.hosts.len());
+        let first_wiped = self.rng.usize(..self.hosts.len());
         let is_tolerable = self.recovering_machines(usize::MAX) == 0 && self.now > millis(2000) + CATCH_UP;
         let count = if is_tolerable { self.shape.fault_tolerance } else { 0 };
-        let wiped: Vec<_> = (0..count).map(|index| (wiped + index) % self.hosts.len()).collect();
+        let wiped: Vec<_> = (0..count).map(|index| (first_wiped + index) % self.hosts.len()).collect();
         for machine in 0..self.hosts.len() {
             match wiped.contains(&machine) {
                 true => self.force_wipe(machine),
--- a/system/chain/tests/cluster/host.rs
+++ b/system/chain/tests/cluster/host.rs
@@ -1,4 +1,4 @@
-//! One machine: its disk, its process, and the state in the memory of the process.
+//! A simulated machine: its disk, its process, and the state in the memory of the process.
 
 use std::time::Duration;
 
@@ -21,16 +21,16 @@
     }
 }
 
-/// One machine.
+/// A simulated machine.
 pub struct Host {
     pub identity: MemberId,
-    /// The identity before the disk was lost, if the machine kept its address.
+    /// The identity before the disk was wiped, if the machine kept its address.
     pub replaced: Option<MemberId>,
     pub incarnation: u64,
     pub process: Option<Process>,
     pub disk: Disk,
     pub frozen_until: Option<Duration>,
-    /// Under a fault, or not yet recovered from it, until then.
+    /// Until this time the machine counts as under a fault or not yet recovered from one.
     pub recovering_until: Duration,
     /// The newest epoch that this member has sealed.
     pub sealed_epoch: u64,
@@ -56,7 +56,7 @@
         self.process.is_some() && self.frozen_until.is_none_or(|until| until <= now)
     }
 
-    /// The process ends; the state in its memory goes with it.
+    /// Ends the process and discards the state in its memory.
     pub fn stop(&mut self) {
         self.process = None;
         self.incarnation += 1;
@@ -74,7 +74,7 @@
     pub fn checkpoint(&mut self, machine: usize) {
         let host = &mut self.hosts[machine];
         let Some(process) = &host.process else { return };
-        // A host that is in the middle of its actions has applied less than the machine gave out.
+        // While the host is carrying out actions, its state may lack entries that the member has already emitted.
         if process.chain.applied_index() != host.state_machine.applied_index() {
             return;
         }
@@ -90,13 +90,13 @@
         if !disk.start_sync() {
             return;
         }
-        let stall_disk = disk.stalled_until.saturating_sub(self.now);
-        let delay = stall_disk + disk.extra_delay + Duration::from_micros(self.rng.u64(2000..6000));
+        let stall = disk.stalled_until.saturating_sub(self.now);
+        let delay = stall + disk.extra_delay + Duration::from_micros(self.rng.u64(2000..6000));
         let incarnation = self.hosts[machine].incarnation;
         self.after(delay, SimulationEvent::DiskSynced { machine, incarnation });
     }
 
-    pub fn synced(&mut self, machine: usize, incarnation: u64) {
+    pub fn on_disk_synced(&mut self, machine: usize, incarnation: u64) {
         let host = &mut self.hosts[machine];
         if host.incarnation != incarnation {
             return;
@@ -107,7 +107,7 @@
             return;
         }
         if let Some(token) = host.disk.complete_sync() {
-            self.event(machine, ChainEvent::Durable { token });
+            self.handle_event(machine, ChainEvent::Durable { token });
         }
         self.sync(machine);
     }
--- a/system/chain/tests/cluster/mod.rs
+++ b/system/chain/tests/cluster/mod.rs
@@ -1,7 +1,7 @@
-//! A simulated control group: processes, disks that forget what a loss of power loses, links that fail, and invariants that are
-//! checked at every step. Everything follows from one seed.
+//! A simulated control group: processes, disks that lose unsynced writes in a power failure, links that fail, and invariants that
+//! are checked at every step. The whole run is determined by one seed.
 
-// Each file of tests uses a part of it.
+// Each test file uses only a part of this module.
 #![allow(dead_code)]
 
 mod actions;
@@ -28,25 +28,25 @@
 pub enum SimulationEvent {
     /// A message reaches a machine.
     MessageArrives { machine: usize, from: MemberId, message: ChainMessage },
-    /// A sync of a disk ends.
+    /// A sync of a disk completes.
     DiskSynced { machine: usize, incarnation: u64 },
-    /// A timer of a process.
+    /// A timer of a process expires.
     Timer { machine: usize, incarnation: u64 },
     /// A host has encoded a snapshot.
     SnapshotEncoded { machine: usize, incarnation: u64, index: u64, bytes: Vec<u8> },
     /// A process starts.
     ProcessStarts { machine: usize },
-    /// A client submits a command or reads, at a random machine.
+    /// A client submits a command or a read at a random machine.
     ClientRequest,
-    /// A random fault, while faults are enabled.
+    /// A random fault is injected, if faults are enabled.
     Fault,
-    /// A fault at a machine that has just voted.
+    /// A fault is injected at a machine that has just voted.
     TargetedFault { machine: usize, wipe_disk: bool },
     /// Hosts announce their members to each other.
     AnnounceMembers,
 }
 
-/// The shape of a group.
+/// The size of a group: its fault tolerance, its founders and its machines including spare ones.
 #[derive(Clone, Copy, Debug)]
 pub struct ClusterShape {
     pub fault_tolerance: usize,
@@ -64,15 +64,16 @@
     pub hosts: Vec<Host>,
     pub lost_disks: Vec<Disk>,
     pub invariants: InvariantChecker,
-    /// Links that are blocked, from machine to machine.
+    /// Blocked links, as pairs of the sending and the receiving machine.
     pub blocked_links: HashSet<(usize, usize)>,
-    /// Share of messages that are lost.
-    pub loss: f64,
-    /// Whether faults still come.
+    /// Fraction of messages that are lost.
+    pub message_loss: f64,
+    /// Whether faults are injected.
     pub faults_enabled: bool,
-    /// Whether machines that vote have faults now and then.
+    /// Whether faults are also injected at machines that have just voted.
     pub targeted_faults_enabled: bool,
-    pub clients_every: Duration,
+    /// Time between client requests; the actual time is random, between a quarter and twice of it.
+    pub client_interval: Duration,
     trace_events: bool,
     trace_messages: bool,
     queue: EventQueue<SimulationEvent>,
@@ -98,10 +99,10 @@
             lost_disks: Vec::new(),
             invariants: InvariantChecker::new(seed, shape.fault_tolerance, shape.founders),
             blocked_links: HashSet::new(),
-            loss: 0.0,
+            message_loss: 0.0,
             faults_enabled: true,
             targeted_faults_enabled: false,
-            clients_every: millis(20),
+            client_interval: millis(20),
             trace_messages: std::env::var_os("CHAIN_TRACE_MESSAGES").is_some(),
             trace_events: std::env::var_os("CHAIN_TRACE").is_some(),
             queue: EventQueue::new(),
@@ -119,11 +120,11 @@
         cluster
     }
 
-    pub fn after(&mut self, delay: Duration, what: SimulationEvent) {
-        self.queue.add(self.now + delay, what);
+    pub fn after(&mut self, delay: Duration, event: SimulationEvent) {
+        self.queue.add(self.now + delay, event);
     }
 
-    /// Runs for a span.
+    /// Runs the simulation for `span`.
     pub fn run(&mut self, span: Duration) {
         let end = self.now + span;
         while let Some((at, event)) = self.queue.pop_until(end) {
@@ -133,11 +134,11 @@
         self.now = end;
     }
 
-    fn process_event(&mut self, what: SimulationEvent) {
+    fn process_event(&mut self, event: SimulationEvent) {
         let frozen = |cluster: &Self, machine: usize| {
             cluster.hosts[machine].frozen_until.filter(|until| *until > cluster.now)
         };
-        let machine = match &what {
+        let machine = match &event {
             SimulationEvent::MessageArrives { machine, .. }
             | SimulationEvent::DiskSynced { machine, .. }
             | SimulationEvent::Timer { machine, .. }
@@ -145,27 +146,27 @@
             _ => None,
         };
         if let Some(until) = machine.and_then(|machine| frozen(self, machine)) {
-            self.after(until - self.now, what);
+            self.after(until - self.now, event);
             return;
         }
-        match what {
+        match event {
             SimulationEvent::MessageArrives { machine, from, message } => {
-                self.event(machine, ChainEvent::Message { from, message });
+                self.handle_event(machine, ChainEvent::Message { from, message });
             }
-            SimulationEvent::DiskSynced { machine, incarnation } => self.synced(machine, incarnation),
-            SimulationEvent::Timer { machine, incarnation } => self.timer(machine, incarnation),
+            SimulationEvent::DiskSynced { machine, incarnation } => self.on_disk_synced(machine, incarnation),
+            SimulationEvent::Timer { machine, incarnation } => self.on_timer(machine, incarnation),
             SimulationEvent::SnapshotEncoded { machine, incarnation, index, bytes } => {
                 if self.hosts[machine].incarnation == incarnation {
-                    self.event(machine, ChainEvent::SnapshotReady { index, bytes });
+                    self.handle_event(machine, ChainEvent::SnapshotReady { index, bytes });
                 }
             }
             SimulationEvent::ProcessStarts { machine } => self.start(machine),
-            SimulationEvent::ClientRequest => self.client(),
+            SimulationEvent::ClientRequest => self.run_client(),
             SimulationEvent::Fault => self.inject_fault(),
             SimulationEvent::TargetedFault { machine, wipe_disk } => {
                 self.inject_targeted_fault(machine, wipe_disk);
             }
-            SimulationEvent::AnnounceMembers => self.announce(),
+            SimulationEvent::AnnounceMembers => self.announce_all(),
         }
     }
 
@@ -177,8 +178,8 @@
         let host = &mut self.hosts[machine];
         let member = host.identity;
         let settings = self.settings.clone();
-        let founds = host.disk.records.is_empty() && self.founders.get(machine) == Some(&member);
-        let chain = match founds {
+        let is_founder = host.disk.records.is_empty() && self.founders.get(machine) == Some(&member);
+        let chain = match is_founder {
             true => ControlChain::bootstrap(member, self.founders.clone(), settings, seed),
             false => ControlChain::recover(member, host.disk.records.clone(), settings, seed),
         };
@@ -187,7 +188,7 @@
         host.disk.discard_unsynced();
         host.sealed_epoch = host.disk.sealed_epoch();
         self.trace(machine, "starts");
-        self.event(machine, ChainEvent::Started);
+        self.handle_event(machine, ChainEvent::Started);
         self.announce_to(machine);
     }
 
@@ -198,11 +199,14 @@
                 continue;
             }
             let (member, replaces) = (self.hosts[other].identity, self.hosts[other].replaced);
-            self.event(machine, ChainEvent::View(MembershipEvent::MemberAnnounced { member, replaces }));
+            self.handle_event(
+                machine,
+                ChainEvent::View(MembershipEvent::MemberAnnounced { member, replaces }),
+            );
         }
     }
 
-    fn announce(&mut self) {
+    fn announce_all(&mut self) {
         for machine in 0..self.hosts.len() {
             if self.hosts[machine].is_running(self.now) {
                 self.announce_to(machine);
@@ -212,19 +216,19 @@
         self.after(millis(500), SimulationEvent::AnnounceMembers);
     }
 
-    fn timer(&mut self, machine: usize, incarnation: u64) {
+    fn on_timer(&mut self, machine: usize, incarnation: u64) {
         let host = &mut self.hosts[machine];
         if host.incarnation != incarnation {
             return;
         }
         if let Some(process) = &mut host.process {
             process.timer = None;
-            self.event(machine, ChainEvent::TimerExpired);
+            self.handle_event(machine, ChainEvent::TimerExpired);
         }
     }
 
-    /// Gives an event to a process and does what it wants.
-    pub fn event(&mut self, machine: usize, event: ChainEvent) {
+    /// Passes an event to a process and carries out its actions.
+    pub fn handle_event(&mut self, machine: usize, event: ChainEvent) {
         let now = self.now;
         let Some(process) = &mut self.hosts[machine].process else { return };
         let mut out = Vec::new();
@@ -250,7 +254,7 @@
         self.after(at - now + Duration::from_micros(100), SimulationEvent::Timer { machine, incarnation });
     }
 
-    fn client(&mut self) {
+    fn run_client(&mut self) {
         let machine = self.rng.usize(..self.hosts.len());
         if self.hosts[machine].is_running(self.now) {
             if self.rng.bool() {
@@ -259,26 +263,26 @@
                 self.read(machine);
             }
         }
-        let every = self.clients_every.as_micros() as u64;
-        let delay = Duration::from_micros(self.rng.u64(every / 4..every * 2));
+        let interval_micros = self.client_interval.as_micros() as u64;
+        let delay = Duration::from_micros(self.rng.u64(interval_micros / 4..interval_micros * 2));
         self.after(delay, SimulationEvent::ClientRequest);
     }
 
-    /// Submits a command at the member that a machine takes for the head.
+    /// Submits a command to the member that is the head according to a machine.
     pub fn submit(&mut self, machine: usize) {
         self.next_command += 1;
         let command = self.next_command.to_le_bytes().to_vec();
         let head = self.hosts[machine].process.as_ref().and_then(|process| process.chain.head());
         let target = self.hosts.iter().position(|host| Some(host.identity) == head);
         if let Some(target) = target.filter(|target| self.hosts[*target].is_running(self.now)) {
-            self.event(target, ChainEvent::Submit { command });
+            self.handle_event(target, ChainEvent::Submit { command });
         }
     }
 
     pub fn read(&mut self, machine: usize) {
         self.next_read += 1;
         self.invariants.on_read_started(self.next_read);
-        self.event(machine, ChainEvent::Read { token: self.next_read });
+        self.handle_event(machine, ChainEvent::Read { token: self.next_read });
     }
 
     pub fn new_identity(&mut self) -> MemberId {
@@ -290,20 +294,20 @@
         self.hosts.iter().position(|host| host.identity == member)
     }
 
-    /// The newest view that any running process knows.
+    /// The newest membership known to any running process.
     pub fn newest_membership(&self) -> Option<&Membership> {
         let processes = self.hosts.iter().filter_map(|host| host.process.as_ref());
         processes.filter_map(|process| process.chain.members()).max_by_key(|members| members.epoch)
     }
 
-    /// Prints what happens, if `CHAIN_TRACE` is set.
-    pub fn trace(&self, machine: usize, what: &str) {
+    /// Prints an event if `CHAIN_TRACE` is set.
+    pub fn trace(&self, machine: usize, event: &str) {
         if self.trace_events {
-            println!("{:?} machine {machine} {:?} {what}", self.now, self.hosts[machine].identity);
+            println!("{:?} machine {machine} {:?} {event}", self.now, self.hosts[machine].identity);
         }
     }
 
-    /// Prints all there is to know, for a run of one seed.
+    /// Prints the complete state, to debug the run of one seed.
     pub fn dump(&self) {
         println!("{:?} blocked {:?}", self.now, self.blocked_links);
         for host in &self.hosts {
--- a/system/chain/tests/control_chain.rs
+++ b/system/chain/tests/control_chain.rs
@@ -1,5 +1,5 @@
-//! Control groups under faults of all kinds: what was acknowledged survives, in one order; reads and barriers are never stale; each
-//! epoch has one membership; and after the faults the chain is complete again in time.
+//! Control groups under random faults of all kinds. Acknowledged entries survive, in one order; reads and barriers are never
+//! stale; each epoch has only one membership; and after the faults the chain is complete again in time.
 
 mod cluster;
 
@@ -12,14 +12,14 @@
 const LARGE: ClusterShape = ClusterShape { fault_tolerance: 2, founders: 5, machines: 5 };
 const GROWING: ClusterShape = ClusterShape { fault_tolerance: 2, founders: 3, machines: 5 };
 
-/// How many seeds each shape is run with; more by `CHAIN_SEEDS`, from `CHAIN_FIRST_SEED` on.
-fn seeds(usual: u64) -> std::ops::Range<u64> {
-    let number = |name: &str| std::env::var(name).ok().and_then(|value| value.parse::<u64>().ok());
-    let first = number("CHAIN_FIRST_SEED").unwrap_or(0);
-    first..first + number("CHAIN_SEEDS").unwrap_or(usual)
+/// The seeds to run. `CHAIN_SEEDS` sets their number (default: `default_count`), `CHAIN_FIRST_SEED` the first one (default: 0).
+fn seeds(default_count: u64) -> std::ops::Range<u64> {
+    let number_from_env = |name: &str| std::env::var(name).ok().and_then(|value| value.parse::<u64>().ok());
+    let first = number_from_env("CHAIN_FIRST_SEED").unwrap_or(0);
+    first..first + number_from_env("CHAIN_SEEDS").unwrap_or(default_count)
 }
 
-/// Injects faults for a while, heals everything, and checks that the chain is complete within the time to catch up.
+/// Injects faults for 30 s, ends them, and checks that the chain becomes complete and commits again within the time to catch up.
 fn survives_faults(seed: u64, shape: ClusterShape) {
     let mut cluster = Cluster::new(seed, shape);
     cluster.run(millis(1500));
@@ -27,27 +27,27 @@
     cluster.run(Duration::from_secs(30));
     cluster.faults_enabled = false;
     cluster.heal();
-    // What is down, frozen or stalled comes back by itself.
+    // Processes that are down, frozen or stalled resume without intervention.
     cluster.run(Duration::from_secs(6));
-    // Voters that were replaced at another address are noticed, and the new members caught up.
+    // Voters whose machine returned under another address are replaced, and the new members catch up.
     cluster.run(Duration::from_secs(9));
-    let acknowledged_index = cluster.invariants.acknowledgements;
-    let members = cluster.newest_membership().cloned().expect("there is a view");
+    let acknowledgements_before = cluster.invariants.acknowledgements;
+    let members = cluster.newest_membership().cloned().expect("a process has a membership");
     let expected = shape.machines.min(2 * shape.fault_tolerance + 1);
     if members.chain.len() != expected {
         cluster.dump();
     }
-    assert_eq!(members.chain.len(), expected, "seed {seed}: not whole again: {members:?}");
+    assert_eq!(members.chain.len(), expected, "seed {seed}: the chain is not complete again: {members:?}");
     cluster.run(Duration::from_secs(1));
-    if cluster.invariants.acknowledgements == acknowledged_index {
+    if cluster.invariants.acknowledgements == acknowledgements_before {
         cluster.dump();
     }
     assert!(
-        cluster.invariants.acknowledgements > acknowledged_index,
-        "seed {seed}: nothing is committed any more"
+        cluster.invariants.acknowledgements > acknowledgements_before,
+        "seed {seed}: no more writes are committed"
     );
     for member in &members.chain {
-        let machine = cluster.machine_of(*member).expect("members of the chain are there");
+        let machine = cluster.machine_of(*member).expect("each member of the chain has a machine");
         let applied = cluster.hosts[machine].state_machine.applied_index();
         assert!(
             applied + 100 > cluster.invariants.acknowledged_index,
@@ -62,8 +62,8 @@
     five = { LARGE, 80 },
     growing = { GROWING, 60 },
 )]
-fn acknowledged_entries_survive_faults_within_the_tolerance(shape: ClusterShape, usual: u64) {
-    for seed in seeds(usual) {
+fn acknowledged_entries_survive_faults_within_the_tolerance(shape: ClusterShape, default_count: u64) {
+    for seed in seeds(default_count) {
         survives_faults(seed, shape);
     }
 }
--- a/system/chain/tests/golden.rs
+++ b/system/chain/tests/golden.rs
@@ -1,5 +1,5 @@
-//! The encoded form of every message and of every durable record of a chain: equal to what was recorded once, byte for byte. A control
-//! node and a backend both write them with the standard configuration of bincode, as frames do.
+//! The encoding of every message and every durable record of a chain must equal the recorded one byte for byte. Control nodes and
+//! backends both write them with the standard configuration of bincode, as frames do.
 
 use gingerledge_chain::{
     AgreementMessage, ChainMessage, Heartbeat, LogRecord, MemberId, Membership, ProposalNumber,
--- a/system/chain/tests/model/group.rs
+++ b/system/chain/tests/model/group.rs
@@ -1,4 +1,5 @@
-//! The whole group: three or more members, the network between them, and every step that the checker may take.
+//! The state of the model: a group of three or more members and the network between them, with all actions that the checker may
+//! take.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::time::Duration;
@@ -7,52 +8,53 @@
     AgreementMessage, ChainEvent, ChainMessage, ControlChainSettings, Heartbeat, MemberId, MembershipEvent,
 };
 
-use super::node::{Loss, Node, Sent};
+use super::node::{DataLoss, Envelope, Node};
 use super::observations::Observations;
 
-/// Time between the heartbeats.
+/// Interval between heartbeats.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(150);
-/// After so many intervals without a heartbeat a member counts as lost.
-const INTERVALS_TO_LOSE: usize = 40;
-/// Within so many intervals without faults a group must commit again.
-const INTERVALS_TO_RECOVER: usize = 120;
+/// Maximum number of intervals without a heartbeat until a member counts as lost.
+const INTERVALS_UNTIL_LOST: usize = 40;
+/// Number of intervals without faults within which a group must commit again.
+const MAX_RECOVERY_INTERVALS: usize = 120;
 
-/// One step of the checker.
+/// An action of the checker.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// A message arrives; with `is_duplicated`, a second copy of it stays in flight.
+    /// A message arrives. With `is_duplicated`, a second copy of it remains in flight.
     Deliver { message: usize, from: MemberId, is_duplicated: bool },
     /// A message is lost.
     Drop { message: usize, from: MemberId },
-    /// All that a member wrote is synced.
+    /// All writes of a member are synced.
     Sync { machine: usize },
-    /// A client submits a command at a member that takes itself for the head.
+    /// A client submits a command at a member that is the head according to its own membership.
     Submit { machine: usize },
     /// A client reads at a member.
     Read { machine: usize },
-    /// No heartbeat of one member reaches another for long; those of the rest do.
-    Miss { machine: usize, missed: usize },
-    /// A process ends and starts again, with some loss.
-    Restart { machine: usize, loss: Loss },
+    /// No heartbeat of `sender` reaches `machine` until it proposes a membership without `sender` or counts it as lost; the
+    /// heartbeats of the others arrive.
+    SuppressHeartbeats { machine: usize, sender: usize },
+    /// A process ends and starts again, with some loss of data.
+    Restart { machine: usize, loss: DataLoss },
 }
 
-/// How often the checker may still take those steps that could be taken without end.
+/// The remaining number of each kind of action that would otherwise make the exploration infinite.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Budget {
-    pub losses: u8,
-    pub repetitions: u8,
+    pub drops: u8,
+    pub duplicates: u8,
     pub writes: u8,
     pub reads: u8,
-    pub misses: u8,
+    pub suppressions: u8,
     pub restarts: u8,
     pub wipes: u8,
 }
 
-/// The group.
+/// A group of members and the network between them.
 #[derive(Clone, Debug)]
 pub struct Group {
     pub nodes: Vec<Node>,
-    pub network: Vec<Sent>,
+    pub network: Vec<Envelope>,
     pub observations: Observations,
     pub budget: Budget,
     settings: ControlChainSettings,
@@ -62,7 +64,7 @@
 }
 
 impl Group {
-    /// Founders that have started and know each other.
+    /// Creates a group of founders that have started and exchanged heartbeats.
     pub fn founded(fault_tolerance: usize) -> Self {
         let mut settings = ControlChainSettings::new(fault_tolerance);
         settings.replica.barrier_interval = None;
@@ -95,7 +97,7 @@
         self.deliver_until(|_| false);
     }
 
-    /// Lets time pass without faults: heartbeats, timers, deliveries.
+    /// Runs a number of heartbeat intervals without faults.
     pub fn run_without_faults(&mut self, intervals: usize) {
         for _ in 0..intervals {
             self.heartbeats_and_timers();
@@ -103,13 +105,13 @@
         }
     }
 
-    /// One interval without faults, which ends as soon as a member proposes a membership; that message has not arrived yet.
+    /// Runs one interval without faults, and stops as soon as a member has sent a proposal of a membership, before it arrives.
     pub fn run_until_proposal(&mut self) {
         self.heartbeats_and_timers();
         self.deliver_until(is_proposal);
     }
 
-    /// One interval in which every member receives the heartbeats of all others.
+    /// Runs one interval in which every member receives the heartbeats of all others and its timer expires.
     fn heartbeats_and_timers(&mut self) {
         for machine in 0..self.nodes.len() {
             self.nodes[machine].now += HEARTBEAT_INTERVAL;
@@ -120,21 +122,21 @@
         }
     }
 
-    /// Delivers only the messages of the agreement.
+    /// Syncs all writes and delivers the messages of the agreement, but no others, until there are none left.
     pub fn deliver_agreement(&mut self) {
         for _ in 0..1_000 {
             if let Some(machine) = self.nodes.iter().position(Node::is_writing) {
                 self.sync(machine);
                 continue;
             }
-            let votes = |sent: &Sent| matches!(sent.message, ChainMessage::Agreement(_));
+            let votes = |envelope: &Envelope| matches!(envelope.message, ChainMessage::Agreement(_));
             let Some(next) = self.network.iter().position(votes) else { return };
-            let sent = self.network.remove(next);
-            self.deliver(sent);
+            let envelope = self.network.remove(next);
+            self.deliver(envelope);
         }
     }
 
-    fn deliver_until(&mut self, stop: impl Fn(&Sent) -> bool) {
+    fn deliver_until(&mut self, stop: impl Fn(&Envelope) -> bool) {
         for _ in 0..10_000 {
             if self.network.iter().any(&stop) {
                 return;
@@ -144,25 +146,28 @@
             } else if self.network.is_empty() {
                 return;
             } else {
-                let sent = self.network.remove(0);
-                self.deliver(sent);
+                let envelope = self.network.remove(0);
+                self.deliver(envelope);
             }
         }
-        panic!("messages are sent without end");
+        panic!("messages are sent indefinitely");
     }
 
     fn sync(&mut self, machine: usize) {
         self.nodes[machine].sync(&mut self.observations, &mut self.network);
     }
 
-    fn deliver(&mut self, sent: Sent) {
-        let to = self.nodes.iter().position(|node| node.identity == sent.to);
+    fn deliver(&mut self, envelope: Envelope) {
+        let to = self.nodes.iter().position(|node| node.identity == envelope.to);
         if let Some(machine) = to {
-            self.handle_event(machine, ChainEvent::Message { from: sent.from, message: sent.message });
+            self.handle_event(
+                machine,
+                ChainEvent::Message { from: envelope.from, message: envelope.message },
+            );
         }
     }
 
-    /// Delivers the heartbeat that another member would send now.
+    /// Delivers the heartbeat that another member would send now, which lists all members as live.
     fn deliver_heartbeat(&mut self, machine: usize, other: usize) {
         if machine == other {
             return;
@@ -181,18 +186,18 @@
         self.handle_event(machine, ChainEvent::Message { from, message });
     }
 
-    /// A client submits a command; returns it.
+    /// Submits a command and returns it.
     pub fn submit(&mut self, machine: usize) -> u8 {
         self.next_command += 1;
         self.handle_event(machine, ChainEvent::Submit { command: vec![self.next_command] });
         self.next_command
     }
 
-    /// Keeps the heartbeats of one member from another, until that proposes a membership without it or counts it as lost.
-    pub fn miss(&mut self, machine: usize, missed: usize) {
-        for _ in 0..INTERVALS_TO_LOSE {
+    /// Withholds the heartbeats of `sender` from `machine` until it proposes a membership without `sender` or counts it as lost.
+    pub fn suppress_heartbeats(&mut self, machine: usize, sender: usize) {
+        for _ in 0..INTERVALS_UNTIL_LOST {
             self.nodes[machine].now += HEARTBEAT_INTERVAL;
-            for other in (0..self.nodes.len()).filter(|other| *other != missed) {
+            for other in (0..self.nodes.len()).filter(|other| *other != sender) {
                 self.deliver_heartbeat(machine, other);
             }
             let before = self.network.len();
@@ -203,10 +208,10 @@
         }
     }
 
-    /// A process ends and starts again; the others learn of a new identity.
-    pub fn restart(&mut self, machine: usize, loss: Loss) {
+    /// Restarts a process. The other members are told of its identity if that is new.
+    pub fn restart(&mut self, machine: usize, loss: DataLoss) {
         let old = self.nodes[machine].identity;
-        if loss == Loss::Disk {
+        if loss == DataLoss::Disk {
             self.next_identity += 1;
         }
         let new_identity = MemberId(self.next_identity);
@@ -227,9 +232,9 @@
         }
     }
 
-    /// Whether all members are in one chain and serve: then the group tolerates the next loss of a disk.
+    /// Whether all members are in the same chain and are serving, so that the group tolerates the loss of another disk.
     fn is_complete(&self) -> bool {
-        let Some(newest) = self.observations.views.values().next_back() else { return false };
+        let Some(newest) = self.observations.memberships.values().next_back() else { return false };
         self.nodes.iter().all(|node| {
             newest.chain.contains(&node.identity)
                 && node.chain.members() == Some(newest)
@@ -238,13 +243,13 @@
     }
 
     pub fn actions(&self, actions: &mut Vec<Action>) {
-        for (message, sent) in self.network.iter().enumerate() {
-            let from = sent.from;
+        for (message, envelope) in self.network.iter().enumerate() {
+            let from = envelope.from;
             actions.push(Action::Deliver { message, from, is_duplicated: false });
-            if self.budget.repetitions > 0 {
+            if self.budget.duplicates > 0 {
                 actions.push(Action::Deliver { message, from, is_duplicated: true });
             }
-            if self.budget.losses > 0 {
+            if self.budget.drops > 0 {
                 actions.push(Action::Drop { message, from });
             }
         }
@@ -264,31 +269,31 @@
         if self.budget.reads > 0 && node.chain.members().is_some() {
             actions.push(Action::Read { machine });
         }
-        if self.budget.misses > 0 {
-            let others = (0..self.nodes.len()).filter(|missed| *missed != machine);
-            actions.extend(others.map(|missed| Action::Miss { machine, missed }));
+        if self.budget.suppressions > 0 {
+            let others = (0..self.nodes.len()).filter(|sender| *sender != machine);
+            actions.extend(others.map(|sender| Action::SuppressHeartbeats { machine, sender }));
         }
         if self.budget.restarts > 0 {
-            actions.push(Action::Restart { machine, loss: Loss::Nothing });
-            actions.push(Action::Restart { machine, loss: Loss::Unsynced });
+            actions.push(Action::Restart { machine, loss: DataLoss::Nothing });
+            actions.push(Action::Restart { machine, loss: DataLoss::Unsynced });
         }
         if self.budget.wipes > 0 && self.is_complete() {
-            actions.push(Action::Restart { machine, loss: Loss::Disk });
+            actions.push(Action::Restart { machine, loss: DataLoss::Disk });
         }
     }
 
     pub fn apply(&mut self, action: Action) {
         match action {
             Action::Deliver { message, is_duplicated, .. } => {
-                let sent = match is_duplicated {
+                let envelope = match is_duplicated {
                     true => self.network[message].clone(),
                     false => self.network.remove(message),
                 };
-                self.budget.repetitions -= u8::from(is_duplicated);
-                self.deliver(sent);
+                self.budget.duplicates -= u8::from(is_duplicated);
+                self.deliver(envelope);
             }
             Action::Drop { message, .. } => {
-                self.budget.losses -= 1;
+                self.budget.drops -= 1;
                 self.network.remove(message);
             }
             Action::Sync { machine } => self.sync(machine),
@@ -302,25 +307,25 @@
                 self.observations.on_read_started(self.next_read);
                 self.handle_event(machine, ChainEvent::Read { token: self.next_read });
             }
-            Action::Miss { machine, missed } => {
-                self.budget.misses -= 1;
-                self.miss(machine, missed);
+            Action::SuppressHeartbeats { machine, sender } => {
+                self.budget.suppressions -= 1;
+                self.suppress_heartbeats(machine, sender);
             }
             Action::Restart { machine, loss } => {
                 match loss {
-                    Loss::Disk => self.budget.wipes -= 1,
-                    Loss::Nothing | Loss::Unsynced => self.budget.restarts -= 1,
+                    DataLoss::Disk => self.budget.wipes -= 1,
+                    DataLoss::Nothing | DataLoss::Unsynced => self.budget.restarts -= 1,
                 }
                 self.restart(machine, loss);
             }
         }
     }
 
-    /// Every head that serves has all that was acknowledged.
+    /// Whether every serving head of the newest membership holds all acknowledged entries.
     pub fn heads_hold_acknowledged_entries(&self) -> bool {
         let heads = self.nodes.iter().filter(|node| {
-            // An older view may still look as if it were in force; only the newest counts.
-            let newest = self.observations.views.keys().next_back();
+            // A member in an older epoch may still count as serving; only the newest epoch is checked.
+            let newest = self.observations.memberships.keys().next_back();
             node.chain.members().map(|members| &members.epoch) == newest
                 && node.chain.head() == Some(node.identity)
                 && node.chain.is_serving()
@@ -330,17 +335,17 @@
             .all(|head| (1..=self.observations.acknowledged_index).all(|index| head.holds(index)))
     }
 
-    /// Acknowledged only once f + 1 disks have synced it.
+    /// Whether every acknowledged entry has been synced by at least f + 1 disks.
     pub fn acknowledged_entries_are_on_enough_disks(&self) -> bool {
         let enough = self.settings.fault_tolerance + 1;
         (1..=self.observations.acknowledged_index)
             .all(|index| self.observations.synced.get(&index).is_some_and(|disks| disks.len() >= enough))
     }
 
-    /// Whether the group commits again once there are no more faults, with all that was acknowledged before.
+    /// Whether the group commits again without further faults, and still holds everything acknowledged before.
     pub fn recovers(mut self) -> bool {
         let before = self.observations.acknowledged_index;
-        for _ in 0..INTERVALS_TO_RECOVER {
+        for _ in 0..MAX_RECOVERY_INTERVALS {
             self.run_without_faults(1);
             let head = self
                 .nodes
@@ -370,8 +375,8 @@
     }
 }
 
-fn is_proposal(sent: &Sent) -> bool {
-    matches!(sent.message, ChainMessage::Agreement(AgreementMessage::Prepare { .. }))
+fn is_proposal(envelope: &Envelope) -> bool {
+    matches!(envelope.message, ChainMessage::Agreement(AgreementMessage::Prepare { .. }))
 }
 
 impl PartialEq for Group {
--- a/system/chain/tests/model/main.rs
+++ b/system/chain/tests/model/main.rs
@@ -1,10 +1,11 @@
-//! Explores the control chain exhaustively, to a depth, from states in which several faults and changes meet.
+//! Exhaustive exploration of the control chain, up to a depth, from states in which several faults and changes coincide.
 //!
-//! What runs is the machine itself ([`gingerledge_chain::ControlChain`]: votes, replica, log and reads), not a copy of its rules. The
-//! checker chooses every order of deliveries, losses, repetitions, ends of syncs, ends of processes, losses of power and of disks,
-//! changes of the view and clients' calls, within the budgets of the scenario.
+//! The model runs the production code ([`gingerledge_chain::ControlChain`]: votes, replica, log and reads), not a separate
+//! specification. The checker explores every order of message deliveries, losses and duplicates, syncs, restarts, power failures,
+//! losses of disks, changes of the membership and client requests, within the budget of the scenario.
 //!
-//! `MODEL_DEPTH` sets the depth (the default suits the test command), `MODEL_SCENARIO` picks one scenario by the beginning of its name:
+//! `MODEL_DEPTH` sets the depth (the default is chosen for regular test runs); `MODEL_SCENARIO` selects the scenarios whose names
+//! start with its value:
 //!
 //! ```sh
 //! MODEL_DEPTH=9 cargo test --release -p gingerledge-chain --test model -- --nocapture
@@ -20,10 +21,10 @@
 use stateright::{Checker, Model, Property};
 
 const DEFAULT_DEPTH: usize = 5;
-/// Of the states seen, one in so many is continued without faults, to check that the group commits again.
+/// On average, one in this number of states is continued without faults, to check that the group commits again.
 const RECOVERY_CHECK_SHARE: u64 = 64;
 
-/// One scenario with the depth to which it is explored.
+/// The exploration of one scenario.
 struct Exploration {
     scenario: &'static Scenario,
 }
@@ -33,7 +34,7 @@
     type Action = Action;
 
     fn init_states(&self) -> Vec<Group> {
-        vec![(self.scenario.begin)()]
+        vec![(self.scenario.initial_state)()]
     }
 
     fn actions(&self, state: &Group, actions: &mut Vec<Action>) {
@@ -48,20 +49,20 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("one membership an epoch, and one command a number", |_, state: &Group| {
+            Property::always("one membership per epoch and one command per index", |_, state: &Group| {
                 state.observations.contradiction.is_none()
             }),
-            Property::always("what was acknowledged is at every head that serves", |_, state: &Group| {
+            Property::always("every serving head holds all acknowledged entries", |_, state: &Group| {
                 state.heads_hold_acknowledged_entries()
             }),
-            Property::always("what was acknowledged was synced by f + 1 disks", |_, state: &Group| {
+            Property::always("acknowledged entries were synced by f + 1 disks", |_, state: &Group| {
                 state.acknowledged_entries_are_on_enough_disks()
             }),
-            Property::always("no read is older than an acknowledgement before it", |_, state: &Group| {
+            Property::always("no read misses an entry acknowledged before it", |_, state: &Group| {
                 !state.observations.has_stale_read
             }),
             Property::always(
-                "without further faults the group commits again, and lost nothing",
+                "without further faults the group commits again and has lost nothing",
                 |_, state: &Group| {
                     state.fingerprint() % RECOVERY_CHECK_SHARE != 0 || state.clone().recovers()
                 },
@@ -76,8 +77,10 @@
 
 fn explore(scenario: &'static Scenario) {
     let model = Exploration { scenario };
-    // With several threads a state may be met first by a longer way, and then be gone on from for fewer steps than the depth allows.
-    let checker = model.checker().threads(1).target_max_depth(depth() + scenario.deeper).spawn_bfs().join();
+    // With several threads, a state may first be reached by a longer path, and then be continued for fewer steps than the depth
+    // allows.
+    let checker =
+        model.checker().threads(1).target_max_depth(depth() + scenario.extra_depth).spawn_bfs().join();
     println!(
         "{}: {} states, {} different, depth {}",
         scenario.name,
@@ -88,9 +91,9 @@
     if let Some((property, path)) = checker.discoveries().into_iter().next() {
         let contradiction = path.last_state().observations.contradiction.clone();
         let actions: Vec<String> = path.into_actions().iter().map(|action| format!("{action:?}")).collect();
-        panic!("{}: not so: {property}; {contradiction:?}; after\n{}", scenario.name, actions.join("\n"));
+        panic!("{}: violated: {property}; {contradiction:?}; after\n{}", scenario.name, actions.join("\n"));
     }
-    assert!(checker.unique_state_count() > 100, "{}: hardly anything was explored", scenario.name);
+    assert!(checker.unique_state_count() > 100, "{}: too few states were explored", scenario.name);
 }
 
 #[test]
@@ -101,10 +104,10 @@
     }
 }
 
-/// Each scenario begins in a state from which the group commits again without faults.
+/// Guards against scenarios whose initial state cannot recover, which would make the check of recovery meaningless.
 #[test]
 fn every_scenario_recovers_without_faults() {
     for scenario in SCENARIOS {
-        assert!((scenario.begin)().recovers(), "{}", scenario.name);
+        assert!((scenario.initial_state)().recovers(), "{}", scenario.name);
     }
 }
--- a/system/chain/tests/model/node.rs
+++ b/system/chain/tests/model/node.rs
@@ -1,4 +1,4 @@
-//! One member's process and its disk, as the checker sees them.
+//! One member of the model: its process, its disk and the state of its host.
 
 use std::time::Duration;
 
@@ -11,31 +11,31 @@
 
 /// A message in flight.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Sent {
+pub struct Envelope {
     pub from: MemberId,
     pub to: MemberId,
     pub message: ChainMessage,
 }
 
-/// Something written and not synced.
+/// A write that is not synced yet.
 #[derive(Clone, Debug)]
 struct Write {
     token: u64,
     records: Vec<LogRecord>,
 }
 
-/// What a fault leaves of a disk.
+/// The data that a member loses in a restart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Loss {
-    /// The process ends; all that it wrote is there.
+pub enum DataLoss {
+    /// The process ends; all its writes are kept.
     Nothing,
-    /// Power is lost, and everything that was not synced.
+    /// Power fails; writes that were not synced are lost.
     Unsynced,
-    /// The disk is gone: what comes back is another member.
+    /// The disk is lost; the process returns as another member.
     Disk,
 }
 
-/// One member.
+/// One member of the group.
 #[derive(Clone, Debug)]
 pub struct Node {
     pub identity: MemberId,
@@ -44,7 +44,7 @@
     pub sealed_epoch: u64,
     disk: Vec<LogRecord>,
     unsynced: Vec<Write>,
-    /// The host's state: the numbers and commands applied.
+    /// The state of the host: the indexes and commands of the applied entries.
     state: Vec<(u64, Vec<u8>)>,
     incarnation: u64,
 }
@@ -64,20 +64,20 @@
         }
     }
 
-    /// Ends the process, and makes it ready to start again.
+    /// Ends the process and recovers it from the disk. It still has to be sent [`ChainEvent::Started`].
     pub fn restart(
         &mut self,
-        loss: Loss,
+        loss: DataLoss,
         new_identity: MemberId,
         settings: &ControlChainSettings,
         observations: &mut Observations,
     ) {
         let unsynced = std::mem::take(&mut self.unsynced);
         match loss {
-            // The storage syncs what it finds before anybody reads it.
-            Loss::Nothing => self.store(unsynced, observations),
-            Loss::Unsynced => {}
-            Loss::Disk => {
+            // The storage syncs the data that it finds before they are read.
+            DataLoss::Nothing => self.store(unsynced, observations),
+            DataLoss::Unsynced => {}
+            DataLoss::Disk => {
                 self.disk.clear();
                 self.identity = new_identity;
             }
@@ -89,12 +89,12 @@
         self.chain = ControlChain::recover(self.identity, self.disk.clone(), settings.clone(), seed);
     }
 
-    /// Whether something is being written.
+    /// Whether there are writes that are not synced yet.
     pub fn is_writing(&self) -> bool {
         !self.unsynced.is_empty()
     }
 
-    /// Whether the disk holds an entry, by itself or in a snapshot.
+    /// Whether the disk holds an entry, synced or not, as a record or in a snapshot.
     pub fn holds(&self, index: u64) -> bool {
         let records = self.disk.iter().chain(self.unsynced.iter().flat_map(|write| &write.records));
         records.into_iter().any(|record| match record {
@@ -104,12 +104,12 @@
         })
     }
 
-    /// Gives an event to the process, and carries out its actions.
+    /// Passes an event to the process and carries out its actions.
     pub fn handle_event(
         &mut self,
         event: ChainEvent,
         observations: &mut Observations,
-        network: &mut Vec<Sent>,
+        network: &mut Vec<Envelope>,
     ) {
         let mut out = Vec::new();
         self.chain.handle(self.now, event, &mut out);
@@ -118,8 +118,8 @@
         }
     }
 
-    /// All that was written is synced.
-    pub fn sync(&mut self, observations: &mut Observations, network: &mut Vec<Sent>) {
+    /// Syncs all writes.
+    pub fn sync(&mut self, observations: &mut Observations, network: &mut Vec<Envelope>) {
         let writes = std::mem::take(&mut self.unsynced);
         let Some(token) = writes.last().map(|write| write.token) else { return };
         self.store(writes, observations);
@@ -139,13 +139,19 @@
         }
     }
 
-    fn carry_out(&mut self, action: ChainAction, observations: &mut Observations, network: &mut Vec<Sent>) {
+    fn carry_out(
+        &mut self,
+        action: ChainAction,
+        observations: &mut Observations,
+        network: &mut Vec<Envelope>,
+    ) {
         match action {
             ChainAction::Send { to, message } => {
-                let sent = Sent { from: self.identity, to, message };
-                // A second copy of a message in flight is a repetition, which the checker chooses itself.
-                if !is_heartbeat(&sent.message) && !network.contains(&sent) {
-                    network.push(sent);
+                let envelope = Envelope { from: self.identity, to, message };
+                // A second copy of a message in flight would be a duplicate, which is an action of the checker. Heartbeats are
+                // delivered by the group.
+                if !is_heartbeat(&envelope.message) && !network.contains(&envelope) {
+                    network.push(envelope);
                 }
             }
             ChainAction::Persist { token, records } => self.unsynced.push(Write { token, records }),
--- a/system/chain/tests/model/observations.rs
+++ b/system/chain/tests/model/observations.rs
@@ -1,31 +1,31 @@
-//! What the members have done so far, for the properties that the checker evaluates.
+//! Observations of the actions of all members, for the properties that the checker evaluates.
 
 use std::collections::BTreeMap;
 
 use gingerledge_chain::{MemberId, Membership};
 
-/// What the members have done so far.
+/// Observations of the actions of all members so far.
 #[derive(Clone, Debug, Default)]
 pub struct Observations {
     /// Memberships by epoch.
-    pub views: BTreeMap<u64, Membership>,
+    pub memberships: BTreeMap<u64, Membership>,
     /// Commands by index, as any member applied them.
     pub applied: BTreeMap<u64, Vec<u8>>,
-    /// The last acknowledged entry.
+    /// Index of the last acknowledged entry.
     pub acknowledged_index: u64,
-    /// Reads in progress, with what was acknowledged before each.
+    /// Reads in progress by token, with the last index acknowledged before each started.
     pub reads: BTreeMap<u64, u64>,
-    /// The disks that have ever synced each entry.
+    /// The members whose disks have ever synced each entry, by index.
     pub synced: BTreeMap<u64, Vec<MemberId>>,
-    /// Two memberships for one epoch, or two commands for one index.
+    /// Description of two memberships for the same epoch, or two commands for the same index, if that has happened.
     pub contradiction: Option<String>,
-    /// A read was answered from a state without something that was acknowledged before.
+    /// Whether a read was answered from a state without an entry that had been acknowledged before the read started.
     pub has_stale_read: bool,
 }
 
 impl Observations {
     pub fn on_membership_installed(&mut self, members: &Membership) {
-        let known = self.views.entry(members.epoch).or_insert_with(|| members.clone());
+        let known = self.memberships.entry(members.epoch).or_insert_with(|| members.clone());
         if known != members {
             self.contradiction = Some(format!("{known:?} and {members:?}"));
         }
@@ -46,8 +46,8 @@
     }
 
     pub fn on_read_ready(&mut self, token: u64, index: u64) {
-        let floor = self.reads.remove(&token).unwrap_or(0);
-        self.has_stale_read |= index < floor;
+        let required_index = self.reads.remove(&token).unwrap_or(0);
+        self.has_stale_read |= index < required_index;
     }
 
     pub fn on_synced(&mut self, member: MemberId, index: u64) {
--- a/system/chain/tests/model/scenarios.rs
+++ b/system/chain/tests/model/scenarios.rs
@@ -1,28 +1,44 @@
-//! The states from which every order of events is explored.
+//! The initial states from which every order of events is explored.
 
 use super::group::{Budget, Group};
-use super::node::Loss;
+use super::node::DataLoss;
 
-/// An initial state, with what the checker may do after it.
+/// An initial state, which includes the budget of the checker.
 pub struct Scenario {
     pub name: &'static str,
-    pub begin: fn() -> Group,
-    /// How many steps deeper than the others it is explored: it branches less.
-    pub deeper: usize,
+    pub initial_state: fn() -> Group,
+    /// Number of steps by which the scenario is explored deeper than others, because it branches less.
+    pub extra_depth: usize,
 }
 
 pub const SCENARIOS: &[Scenario] = &[
     Scenario {
-        name: "write and read under way, the tail is missed",
-        begin: write_and_tail_missed,
-        deeper: 0,
+        name: "write and read under way, no heartbeats from the tail",
+        initial_state: write_and_tail_suppressed,
+        extra_depth: 0,
+    },
+    Scenario {
+        name: "write under way, no heartbeats from the head",
+        initial_state: write_and_head_suppressed,
+        extra_depth: 0,
+    },
+    Scenario { name: "two members propose at once", initial_state: two_proposers, extra_depth: 2 },
+    Scenario { name: "replacement of a lost disk under way", initial_state: replacement, extra_depth: 5 },
+    Scenario {
+        name: "a disk is lost right after a replacement",
+        initial_state: loss_after_replacement,
+        extra_depth: 3,
+    },
+    Scenario {
+        name: "a member is suspected while it catches up",
+        initial_state: catching_up,
+        extra_depth: 5,
+    },
+    Scenario {
+        name: "five members, no heartbeats from the tail",
+        initial_state: five_members,
+        extra_depth: 0,
     },
-    Scenario { name: "write under way, the head is missed", begin: write_and_head_missed, deeper: 0 },
-    Scenario { name: "two members propose at once", begin: two_proposers, deeper: 2 },
-    Scenario { name: "replacement of a lost disk under way", begin: replacement, deeper: 5 },
-    Scenario { name: "a disk is lost right after a replacement", begin: loss_after_replacement, deeper: 3 },
-    Scenario { name: "a member is missed while it fills", begin: filling, deeper: 5 },
-    Scenario { name: "five members, the tail is missed", begin: five_members, deeper: 0 },
 ];
 
 fn with_write(fault_tolerance: usize) -> Group {
@@ -32,66 +48,67 @@
     group
 }
 
-fn write_and_tail_missed() -> Group {
-    write_and_missed(0, 2)
+fn write_and_tail_suppressed() -> Group {
+    write_and_suppressed(0, 2)
 }
 
-fn write_and_head_missed() -> Group {
-    write_and_missed(1, 0)
+fn write_and_head_suppressed() -> Group {
+    write_and_suppressed(1, 0)
 }
 
-/// A write is in flight, and no heartbeat of one member reaches another.
-fn write_and_missed(machine: usize, missed: usize) -> Group {
+/// A write is in flight, and no heartbeat of `sender` reaches `machine`.
+fn write_and_suppressed(machine: usize, sender: usize) -> Group {
     let mut group = with_write(1);
     group.submit(0);
-    group.miss(machine, missed);
-    group.budget = Budget { repetitions: 1, writes: 1, reads: 1, restarts: 1, ..Budget::default() };
+    group.suppress_heartbeats(machine, sender);
+    group.budget = Budget { duplicates: 1, writes: 1, reads: 1, restarts: 1, ..Budget::default() };
     group
 }
 
 fn two_proposers() -> Group {
     let mut group = with_write(1);
     group.submit(0);
-    group.miss(0, 2);
-    group.miss(1, 0);
+    group.suppress_heartbeats(0, 2);
+    group.suppress_heartbeats(1, 0);
     group.budget = Budget { restarts: 1, ..Budget::default() };
     group
 }
 
-/// The tail's disk was lost; its successor has caught up, and the vote on taking it in has just begun.
+/// The disk of the tail was lost. The member that replaces it has caught up, and the vote on adding it to the chain has just
+/// started.
 fn replacement() -> Group {
     let mut group = with_write(1);
-    group.restart(2, Loss::Disk);
-    group.miss(0, 2);
+    group.restart(2, DataLoss::Disk);
+    group.suppress_heartbeats(0, 2);
     group.deliver_all();
     group.run_until_proposal();
     group.budget = Budget { writes: 1, reads: 1, restarts: 1, ..Budget::default() };
     group
 }
 
-/// The replacement is complete; any disk may be the next one.
+/// The replacement is complete, so that any one disk may be lost next.
 fn loss_after_replacement() -> Group {
     let mut group = with_write(1);
-    group.restart(2, Loss::Disk);
+    group.restart(2, DataLoss::Disk);
     group.run_without_faults(40);
     group.submit(0);
-    group.budget = Budget { writes: 1, misses: 1, restarts: 0, wipes: 1, ..Budget::default() };
+    group.budget = Budget { writes: 1, suppressions: 1, restarts: 0, wipes: 1, ..Budget::default() };
     group
 }
 
-/// The new member has been taken in, and waits for its entries.
-fn filling() -> Group {
+/// The new member has been added to the chain, and has not received its entries yet.
+fn catching_up() -> Group {
     let mut group = replacement();
     group.budget = Budget::default();
     group.deliver_agreement();
-    group.budget = Budget { writes: 1, misses: 1, restarts: 1, ..Budget::default() };
+    group.budget = Budget { writes: 1, suppressions: 1, restarts: 1, ..Budget::default() };
     group
 }
 
 fn five_members() -> Group {
     let mut group = with_write(2);
     group.submit(0);
-    group.miss(0, 4);
+    group.suppress_heartbeats(0, 4);
     group.budget = Budget { reads: 1, restarts: 1, ..Budget::default() };
     group
 }
--- a/system/chain/tests/partition/cluster.rs
+++ b/system/chain/tests/partition/cluster.rs
@@ -1,4 +1,5 @@
-//! A simulated partition: replicas on machines with disks, and a decider of their views that is never wrong but late.
+//! A simulated partition: replicas on machines with disks, and a decider that determines their views. Its views are valid, but
+//! may arrive late or not at all.
 
 use std::collections::{BTreeSet, HashSet};
 use std::time::Duration;
@@ -36,7 +37,7 @@
         machine: usize,
         view: View,
     },
-    /// A report reaches the decider.
+    /// A report that a member is in sync reaches the decider.
     ReportArrives {
         member: MemberId,
         epoch: u64,
@@ -46,7 +47,7 @@
     Fault,
 }
 
-/// One machine.
+/// A simulated machine.
 pub struct Machine {
     pub identity: MemberId,
     pub replica: Option<Replica>,
@@ -56,7 +57,7 @@
     pub state_machine: StateMachine,
     pub timer: Option<Duration>,
     pub frozen_until: Duration,
-    /// Under a fault, or not yet recovered from it, until then.
+    /// Until this time the machine counts as under a fault or not yet recovered from one.
     pub recovering_until: Duration,
 }
 
@@ -71,22 +72,23 @@
     pub invariants: InvariantChecker,
     pub blocked_links: HashSet<(usize, usize)>,
     queue: EventQueue<SimulationEvent>,
-    /// The decider's state: the view, and who counts in it.
+    /// The current view according to the decider.
     pub view: View,
+    /// The members that have reported to the decider that they are in sync in the current view.
     pub in_sync: BTreeSet<MemberId>,
     pub faults_enabled: bool,
-    pub commands: u64,
-    pub reads: u64,
-    pub identities: u64,
+    pub last_command: u64,
+    pub last_read: u64,
+    pub last_identity: u64,
 }
 
-/// The length of a chain.
-pub const CHAIN: usize = 2;
+/// Length of a complete chain.
+pub const CHAIN_LENGTH: usize = 2;
 
 impl Partition {
     pub fn new(seed: u64, machines: usize) -> Self {
         let settings =
-            small_bounds(ReplicaSettings { min_chain_length: CHAIN, ..ReplicaSettings::default() });
+            small_bounds(ReplicaSettings { min_chain_length: CHAIN_LENGTH, ..ReplicaSettings::default() });
         let machine = |index: usize| Machine {
             identity: MemberId(index as u64 + 1),
             replica: None,
@@ -98,7 +100,7 @@
             frozen_until: Duration::ZERO,
             recovering_until: Duration::ZERO,
         };
-        let view = View { epoch: 1, chain: (1..=CHAIN as u64).map(MemberId).collect() };
+        let view = View { epoch: 1, chain: (1..=CHAIN_LENGTH as u64).map(MemberId).collect() };
         let mut partition = Self {
             seed,
             rng: fastrand::Rng::with_seed(seed),
@@ -106,15 +108,15 @@
             settings,
             machines: (0..machines).map(machine).collect(),
             lost_disks: Vec::new(),
-            invariants: InvariantChecker::new(seed, CHAIN - 1, 0),
+            invariants: InvariantChecker::new(seed, CHAIN_LENGTH - 1, 0),
             blocked_links: HashSet::new(),
             queue: EventQueue::new(),
             view,
             in_sync: BTreeSet::new(),
             faults_enabled: true,
-            commands: 0,
-            reads: 0,
-            identities: 100,
+            last_command: 0,
+            last_read: 0,
+            last_identity: 100,
         };
         for machine in 0..machines {
             partition.after(millis(10 * machine as u64), SimulationEvent::ProcessStarts { machine });
@@ -125,8 +127,8 @@
         partition
     }
 
-    pub fn after(&mut self, delay: Duration, what: SimulationEvent) {
-        self.queue.add(self.now + delay, what);
+    pub fn after(&mut self, delay: Duration, event: SimulationEvent) {
+        self.queue.add(self.now + delay, event);
     }
 
     pub fn run(&mut self, span: Duration) {
@@ -138,8 +140,8 @@
         self.now = end;
     }
 
-    pub fn process_event(&mut self, what: SimulationEvent) {
-        let machine = match &what {
+    pub fn process_event(&mut self, event: SimulationEvent) {
+        let machine = match &event {
             SimulationEvent::MessageArrives { machine, .. }
             | SimulationEvent::DiskSynced { machine, .. }
             | SimulationEvent::Timer { machine, .. }
@@ -149,18 +151,18 @@
         if let Some(until) =
             machine.map(|machine| self.machines[machine].frozen_until).filter(|until| *until > self.now)
         {
-            self.after(until - self.now, what);
+            self.after(until - self.now, event);
             return;
         }
-        match what {
+        match event {
             SimulationEvent::MessageArrives { machine, from, message } => {
-                self.event(machine, ReplicaEvent::Message { from, message });
+                self.handle_event(machine, ReplicaEvent::Message { from, message });
             }
             SimulationEvent::DiskSynced { machine, incarnation }
                 if self.machines[machine].incarnation == incarnation =>
             {
                 if let Some(token) = self.machines[machine].disk.complete_sync() {
-                    self.event(machine, ReplicaEvent::Durable { token });
+                    self.handle_event(machine, ReplicaEvent::Durable { token });
                 }
                 self.sync(machine);
             }
@@ -168,17 +170,17 @@
                 if self.machines[machine].incarnation == incarnation =>
             {
                 self.machines[machine].timer = None;
-                self.event(machine, ReplicaEvent::TimerExpired);
+                self.handle_event(machine, ReplicaEvent::TimerExpired);
             }
             SimulationEvent::ViewArrives { machine, view } => {
-                self.event(machine, ReplicaEvent::View(ViewEvent::Install { view }));
+                self.handle_event(machine, ReplicaEvent::View(ViewEvent::Install { view }));
             }
             SimulationEvent::ReportArrives { member, epoch } if epoch == self.view.epoch => {
                 self.in_sync.insert(member);
             }
             SimulationEvent::ProcessStarts { machine } => self.start(machine),
-            SimulationEvent::ClientRequest => self.client(),
-            SimulationEvent::DecideView => self.decide(),
+            SimulationEvent::ClientRequest => self.run_client(),
+            SimulationEvent::DecideView => self.decide_view(),
             SimulationEvent::Fault => self.inject_fault(),
             _ => {}
         }
@@ -197,11 +199,11 @@
         host.incarnation += 1;
         host.timer = None;
         host.disk.discard_unsynced();
-        self.event(machine, ReplicaEvent::Started);
-        self.event(machine, ReplicaEvent::View(ViewEvent::FollowAsLearner));
+        self.handle_event(machine, ReplicaEvent::Started);
+        self.handle_event(machine, ReplicaEvent::View(ViewEvent::FollowAsLearner));
     }
 
-    pub fn event(&mut self, machine: usize, event: ReplicaEvent) {
+    pub fn handle_event(&mut self, machine: usize, event: ReplicaEvent) {
         let now = self.now;
         let host = &mut self.machines[machine];
         let Some(replica) = &mut host.replica else { return };
@@ -214,7 +216,7 @@
         if snapshot {
             let host = &self.machines[machine];
             let (index, bytes) = (host.state_machine.applied_index(), host.state_machine.encode());
-            self.event(machine, ReplicaEvent::SnapshotReady { index, bytes });
+            self.handle_event(machine, ReplicaEvent::SnapshotReady { index, bytes });
         }
         if self.rng.u8(..) == 0 {
             self.checkpoint(machine);
@@ -294,8 +296,8 @@
             return;
         }
         let from = self.machines[machine].identity;
-        let late = if self.rng.u8(..) == 0 { self.rng.u64(0..200_000) } else { 0 };
-        let delay = Duration::from_micros(self.rng.u64(500..4000) + late);
+        let extra_micros = if self.rng.u8(..) == 0 { self.rng.u64(0..200_000) } else { 0 };
+        let delay = Duration::from_micros(self.rng.u64(500..4000) + extra_micros);
         self.after(delay, SimulationEvent::MessageArrives { machine: target, from, message });
     }
 
@@ -303,16 +305,16 @@
         self.machines.iter().position(|host| host.identity == member)
     }
 
-    pub fn client(&mut self) {
+    pub fn run_client(&mut self) {
         let machine = self.rng.usize(..self.machines.len());
         if self.rng.bool() {
-            self.commands += 1;
-            let command = self.commands.to_le_bytes().to_vec();
-            self.event(machine, ReplicaEvent::Submit { command });
+            self.last_command += 1;
+            let command = self.last_command.to_le_bytes().to_vec();
+            self.handle_event(machine, ReplicaEvent::Submit { command });
         } else if self.machines[machine].replica.is_some() {
-            self.reads += 1;
-            self.invariants.on_read_started(self.reads);
-            self.event(machine, ReplicaEvent::Read { token: self.reads });
+            self.last_read += 1;
+            self.invariants.on_read_started(self.last_read);
+            self.handle_event(machine, ReplicaEvent::Read { token: self.last_read });
         }
         let delay = millis(self.rng.u64(2..20));
         self.after(delay, SimulationEvent::ClientRequest);
--- a/system/chain/tests/partition/faults.rs
+++ b/system/chain/tests/partition/faults.rs
@@ -1,16 +1,16 @@
-//! The faults of the machines, and whether the decider of views sees them.
+//! The faults of the machines, and the decider that determines the views according to the members that appear alive.
 
 use std::time::Duration;
 
 use gingerledge_chain::{MemberId, View};
 
-use crate::cluster::{Partition, SimulationEvent, CHAIN};
+use crate::cluster::{Partition, SimulationEvent, CHAIN_LENGTH};
 use crate::simulation::state_machine::StateMachine;
 use crate::simulation::{millis, CATCH_UP};
 
 impl Partition {
-    /// Whether the decider takes a member for alive; it may be wrong.
-    pub fn seems_alive(&mut self, member: MemberId) -> bool {
+    /// Whether a member appears alive to the decider. While faults are enabled, a live member may also appear dead.
+    pub fn appears_alive(&mut self, member: MemberId) -> bool {
         let now = self.now;
         let Some(machine) = self.machine_of(member) else { return false };
         let host = &self.machines[machine];
@@ -18,19 +18,19 @@
         alive && (!self.faults_enabled || self.rng.u8(0..50) > 0)
     }
 
-    /// Changes the chain where that is needed and possible, and sends the present view to all machines.
-    pub fn decide(&mut self) {
+    /// Changes the chain if that is necessary and possible, and sends the current view to most machines, some of them late.
+    pub fn decide_view(&mut self) {
         let members = self.view.chain.clone();
-        let alive: Vec<_> = members.iter().copied().filter(|member| self.seems_alive(*member)).collect();
+        let alive: Vec<_> = members.iter().copied().filter(|member| self.appears_alive(*member)).collect();
         let staying: Vec<_> = alive.iter().copied().filter(|member| self.in_sync.contains(member)).collect();
-        let changes = alive.len() < members.len() || members.len() < CHAIN;
-        if changes && !staying.is_empty() {
+        let must_change = alive.len() < members.len() || members.len() < CHAIN_LENGTH;
+        if must_change && !staying.is_empty() {
             let mut chain = staying;
             let mut others: Vec<_> =
                 (0..self.machines.len()).map(|machine| self.machines[machine].identity).collect();
             self.rng.shuffle(&mut others);
             for other in others {
-                if chain.len() < CHAIN && !chain.contains(&other) && self.seems_alive(other) {
+                if chain.len() < CHAIN_LENGTH && !chain.contains(&other) && self.appears_alive(other) {
                     chain.push(other);
                 }
             }
@@ -39,8 +39,8 @@
         }
         for machine in 0..self.machines.len() {
             if self.rng.u8(0..4) > 0 {
-                let slow = if self.rng.u8(0..8) == 0 { self.rng.u64(0..2000) } else { 0 };
-                let delay = millis(self.rng.u64(1..100) + slow);
+                let extra_millis = if self.rng.u8(0..8) == 0 { self.rng.u64(0..2000) } else { 0 };
+                let delay = millis(self.rng.u64(1..100) + extra_millis);
                 let view = self.view.clone();
                 self.after(delay, SimulationEvent::ViewArrives { machine, view });
             }
@@ -48,7 +48,7 @@
         self.after(millis(300), SimulationEvent::DecideView);
     }
 
-    pub fn kill(&mut self, machine: usize, back: Duration) {
+    pub fn kill(&mut self, machine: usize, restart_delay: Duration) {
         let host = &mut self.machines[machine];
         if host.replica.take().is_none() {
             return;
@@ -57,8 +57,8 @@
         host.state_machine = StateMachine::default();
         host.frozen_until = Duration::ZERO;
         host.disk.lose_unsynced(&mut self.rng);
-        self.mark_recovering(machine, back);
-        self.after(back, SimulationEvent::ProcessStarts { machine });
+        self.mark_recovering(machine, restart_delay);
+        self.after(restart_delay, SimulationEvent::ProcessStarts { machine });
     }
 
     pub fn mark_recovering(&mut self, machine: usize, span: Duration) {
@@ -91,7 +91,7 @@
         self.after(delay, SimulationEvent::Fault);
     }
 
-    /// Prints all there is to know, for a run of one seed.
+    /// Prints the complete state, to debug the run of one seed.
     pub fn dump(&self) {
         println!("{:?}: {:?} with {:?}", self.now, self.view, self.in_sync);
         for host in &self.machines {
@@ -107,9 +107,9 @@
         }
     }
 
-    /// A disk is lost, where all other machines are alive and the chain is complete.
+    /// Wipes the disk of a machine, if no machine is under a fault or recovering and the chain is complete.
     pub fn wipe_disk(&mut self, machine: usize) {
-        let is_complete = self.view.chain.len() == CHAIN && self.in_sync.len() == CHAIN;
+        let is_complete = self.view.chain.len() == CHAIN_LENGTH && self.in_sync.len() == CHAIN_LENGTH;
         if !is_complete
             || self.machines.iter().any(|host| host.recovering_until > self.now)
             || self.now < CATCH_UP
@@ -117,8 +117,8 @@
             return;
         }
         self.kill(machine, millis(500));
-        self.identities += 1;
-        self.machines[machine].identity = MemberId(self.identities);
+        self.last_identity += 1;
+        self.machines[machine].identity = MemberId(self.last_identity);
         let disk = std::mem::take(&mut self.machines[machine].disk);
         self.lost_disks.push(disk);
     }
--- a/system/chain/tests/partition/main.rs
+++ b/system/chain/tests/partition/main.rs
@@ -1,6 +1,5 @@
-//! Replicas whose views are decided elsewhere, as the partitions of batch jobs use them. The decider of
-//! views follows the contract of [`Replica`], and keeps only members that counted in the present view; but its views arrive late or
-//! are lost.
+//! Replicas whose views are decided by the host, as in the partitions of batch jobs. The decider of views follows the contract of
+//! [`Replica`] and keeps only members that were in sync in the current view, but its views arrive late or are lost.
 
 mod cluster;
 mod faults;
--- a/system/chain/tests/simulation/event_queue.rs
+++ b/system/chain/tests/simulation/event_queue.rs
@@ -1,10 +1,10 @@
-//! Events in the order of their times; those of one time in the order in which they were added.
+//! A queue of events ordered by time. Events of the same time are ordered as they were added.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 use std::time::Duration;
 
-/// The events that lie ahead.
+/// The queue of future events.
 pub struct EventQueue<E> {
     order: BinaryHeap<Reverse<(Duration, u64)>>,
     events: BTreeMap<u64, E>,
--- a/system/chain/tests/simulation/invariants.rs
+++ b/system/chain/tests/simulation/invariants.rs
@@ -1,4 +1,5 @@
-//! The invariants, checked at every step from outside of the members, by the actions that their hosts carry out.
+//! The invariants. They are checked at every step from the actions that the hosts carry out, independently of the state of the
+//! members.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -6,29 +7,30 @@
 
 use super::state_machine::hash_command;
 
-/// Knows what was acknowledged, and fails the test where an invariant is broken.
+/// Records what was acknowledged, and fails the test if an invariant is violated.
 pub struct InvariantChecker {
     seed: u64,
     fault_tolerance: usize,
     founders: usize,
-    /// The command of each number, as first applied anywhere.
+    /// The command of each index from 1 on, as first applied by any member.
     commands: Vec<Vec<u8>>,
-    /// The state after each number.
+    /// Hash of the state after each index, starting with index 0.
     hashes: Vec<u64>,
     index_of: HashMap<Vec<u8>, u64>,
-    /// The highest number acknowledged.
+    /// The highest acknowledged index.
     pub acknowledged_index: u64,
     pub acknowledgements: u64,
+    /// Reads in progress by token, with the last index acknowledged before each started.
     reads: HashMap<u64, u64>,
     pub reads_served: u64,
     pub reads_failed: u64,
     pub confirmed_barriers: u64,
-    views: BTreeMap<u64, Membership>,
-    /// What was acknowledged when the head sent a barrier.
+    memberships: BTreeMap<u64, Membership>,
+    /// The last acknowledged index when the head sent a barrier, by epoch and number of the barrier.
     barriers: HashMap<(u64, u64), u64>,
-    /// The last barrier that the head of an epoch sent.
+    /// The last barrier that the head of each epoch has sent.
     last_barriers: HashMap<u64, u64>,
-    /// The last tick of each member, life and epoch.
+    /// The last confirmed barrier of each member, incarnation and epoch.
     last_confirmed: HashMap<(MemberId, u64, u64), u64>,
 }
 
@@ -47,14 +49,14 @@
             reads_served: 0,
             reads_failed: 0,
             confirmed_barriers: 0,
-            views: BTreeMap::new(),
+            memberships: BTreeMap::new(),
             barriers: HashMap::new(),
             last_barriers: HashMap::new(),
             last_confirmed: HashMap::new(),
         }
     }
 
-    /// Each number has one command, everywhere and for good, and each command one number.
+    /// Checks that each index permanently has the same command at all members, and each command only one index.
     pub fn on_applied(&mut self, member: MemberId, index: u64, command: &[u8], should_reply: bool) {
         let position = index as usize - 1;
         assert!(position <= self.commands.len(), "seed {}: {member:?} applied {index} with a gap", self.seed);
@@ -66,7 +68,7 @@
         }
         assert_eq!(
             self.commands[position], command,
-            "seed {}: {member:?} applied another command at {index}",
+            "seed {}: {member:?} applied a different command at {index}",
             self.seed
         );
         if should_reply {
@@ -75,7 +77,7 @@
         }
     }
 
-    /// What is acknowledged has been synced by one more disk than may be lost.
+    /// Checks that an acknowledged entry has been synced by at least one disk more than may be lost.
     pub fn on_acknowledged(&self, index: u64, disks: usize) {
         let needed = self.fault_tolerance + 1;
         assert!(
@@ -87,7 +89,12 @@
 
     pub fn on_snapshot_installed(&self, member: MemberId, index: u64, hash: u64) {
         let expected = self.hashes.get(index as usize).copied();
-        assert_eq!(expected, Some(hash), "seed {}: {member:?} took another state at {index}", self.seed);
+        assert_eq!(
+            expected,
+            Some(hash),
+            "seed {}: {member:?} installed a different state at {index}",
+            self.seed
+        );
     }
 
     pub fn on_read_started(&mut self, token: u64) {
@@ -95,51 +102,64 @@
     }
 
     pub fn on_read_ready(&mut self, token: u64, index: u64) {
-        let floor = self.reads.remove(&token).expect("each read ends once");
-        assert!(index >= floor, "seed {}: a read at {index} after {floor} was acknowledged", self.seed);
+        let required_index = self.reads.remove(&token).expect("each read completes once");
+        assert!(
+            index >= required_index,
+            "seed {}: a read at {index} after {required_index} was acknowledged",
+            self.seed
+        );
         self.reads_served += 1;
     }
 
     pub fn on_read_failed(&mut self, token: u64) {
-        self.reads.remove(&token).expect("each read ends once");
+        self.reads.remove(&token).expect("each read completes once");
         self.reads_failed += 1;
     }
 
-    /// One membership for each epoch, and voters that change one at a time and don't become fewer.
+    /// Checks that each epoch has only one membership, and that voters change one at a time and do not become fewer.
     pub fn on_membership_installed(&mut self, members: Membership) {
         let seed = self.seed;
-        let known = self.views.entry(members.epoch).or_insert_with(|| members.clone());
+        let known = self.memberships.entry(members.epoch).or_insert_with(|| members.clone());
         assert_eq!(*known, members, "seed {seed}: two memberships for one epoch");
         assert!(members.chain.iter().all(|member| members.is_voter(*member)), "seed {seed}: {members:?}");
         assert!(members.voters.len() >= self.founders, "seed {seed}: {members:?}");
-        if let Some(before) = self.views.get(&(members.epoch - 1)) {
+        if let Some(before) = self.memberships.get(&(members.epoch - 1)) {
             let new = members.voters.iter().filter(|voter| !before.is_voter(**voter)).count();
             assert!(new <= 1, "seed {seed}: more than one voter changed from {before:?} to {members:?}");
             assert!(members.voters.len() >= before.voters.len(), "seed {seed}: voters became fewer");
         }
     }
 
-    /// The head sends each barrier once, also over restarts; what was acknowledged by then must be in its confirmation.
+    /// Checks that the head sends each barrier only once, also across restarts, and records what was acknowledged at that time:
+    /// the confirmation of the barrier must cover it.
     pub fn on_sent(&mut self, from: MemberId, message: &ChainMessage) {
         let ChainMessage::Replica(ReplicaMessage::Barrier { epoch, number }) = message else { return };
         self.barriers.entry((*epoch, *number)).or_insert(self.acknowledged_index);
-        if self.views.get(epoch).is_some_and(|members| members.chain.first() == Some(&from)) {
+        if self.memberships.get(epoch).is_some_and(|members| members.chain.first() == Some(&from)) {
             let last = self.last_barriers.insert(*epoch, *number);
-            assert!(last < Some(*number), "seed {}: barrier {number} of {epoch} sent again", self.seed);
+            assert!(
+                last < Some(*number),
+                "seed {}: barrier {number} of epoch {epoch} was sent again",
+                self.seed
+            );
         }
     }
 
-    /// A tick confirms what was acknowledged before it was sent, and `confirmed_barriers` rise in a member's life and an epoch.
+    /// Checks that the confirmation of a barrier covers what was acknowledged before the barrier was sent, and that the numbers
+    /// of confirmed barriers increase within an incarnation of a member and an epoch.
     pub fn on_barrier_committed(&mut self, at: (MemberId, u64, u64), number: u64, commit_index: u64) {
         let (member, _, epoch) = at;
         let seed = self.seed;
-        let floor = self.barriers.get(&(epoch, number)).copied().unwrap_or(0);
+        let required_index = self.barriers.get(&(epoch, number)).copied().unwrap_or(0);
         assert!(
-            commit_index >= floor,
-            "seed {seed}: tick {number} of {epoch} confirms {commit_index}, not {floor}"
+            commit_index >= required_index,
+            "seed {seed}: barrier {number} of epoch {epoch} confirms {commit_index}, expected at least {required_index}"
         );
         let last = self.last_confirmed.insert(at, number);
-        assert!(last < Some(number), "seed {seed}: tick {number} of {epoch} came twice at {member:?}");
+        assert!(
+            last < Some(number),
+            "seed {seed}: barrier {number} of epoch {epoch} was confirmed out of order at {member:?}"
+        );
         self.confirmed_barriers += 1;
     }
 }
--- a/system/chain/tests/simulation/mod.rs
+++ b/system/chain/tests/simulation/mod.rs
@@ -1,7 +1,7 @@
-//! What the simulations of a control group and of a partition share: the queue of events, disks, the state that commands build, the
-//! invariants, and the bounds of replicas that make batches, windows and snapshots small.
+//! Shared parts of the simulations of a control group and of a partition: the event queue, disks, the replicated state machine,
+//! the invariants, and replica settings with small batches, windows and snapshots.
 
-// Each simulation uses a part of it.
+// Each simulation uses only a part of this module.
 #![allow(dead_code)]
 
 pub mod disk;
@@ -13,14 +13,14 @@
 
 use gingerledge_chain::ReplicaSettings;
 
-/// How long after a fault a machine still counts as lost.
+/// Time after the end of a fault for which a machine still counts as not recovered.
 pub const CATCH_UP: Duration = Duration::from_secs(5);
 
 pub fn millis(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
 
-/// Bounds so small that batches, windows and snapshots are often full.
+/// Replica settings with limits so small that batches, windows and chunks are often full.
 pub fn small_bounds(settings: ReplicaSettings) -> ReplicaSettings {
     ReplicaSettings {
         batch_entries: 4,
--- a/system/chain/tests/simulation/state_machine.rs
+++ b/system/chain/tests/simulation/state_machine.rs
@@ -1,4 +1,4 @@
-//! The state that a host builds from the commands: a hash of all of them, in order.
+//! The replicated state machine of a simulated host: its state is a hash of all commands in order.
 
 use gingerledge_chain::MemberId;
 
@@ -37,7 +37,7 @@
         self.hash = u64::from_le_bytes(hash);
     }
 
-    /// The state, with padding that makes it take several messages.
+    /// Encodes the state, with padding so that it takes several messages.
     pub fn encode(&self) -> Vec<u8> {
         let mut bytes = self.hash.to_le_bytes().to_vec();
         bytes.resize(8 + (self.applied_index % 150) as usize, 7);
--- a/system/lease/tests/cluster/clock.rs
+++ b/system/lease/tests/cluster/clock.rs
@@ -1,17 +1,17 @@
-//! The clock of a process: it starts with the process, and its rate differs from that of true time.
+//! The clock of a process. It starts at zero with the process, and its rate differs from that of true time.
 
 use std::time::Duration;
 
-/// A clock.
+/// The clock of a process.
 #[derive(Clone, Debug)]
 pub struct ProcessClock {
     pub started_at: Duration,
-    /// How fast it runs, as a multiple of true time.
+    /// The rate of the clock, as a multiple of true time.
     pub rate: f64,
 }
 
 impl ProcessClock {
-    /// What the clock shows at a true time.
+    /// The reading of the clock at a true time.
     pub fn read(&self, now: Duration) -> Duration {
         (now - self.started_at).mul_f64(self.rate)
     }
--- a/system/lease/tests/cluster/mod.rs
+++ b/system/lease/tests/cluster/mod.rs
@@ -1,7 +1,7 @@
-//! Simulated processes with a lease: clocks of different rates, links that fail, pauses, restarts, and voters that change. A check
-//! after every event counts the holders of the lease. Everything follows from one seed.
+//! Simulated processes with a lease: clocks of different rates, links that fail, pauses, restarts, and voters that change. After
+//! every event a check counts the holders of the lease. The whole run is determined by one seed.
 
-// Each file of tests uses a part of it.
+// Each test file uses only a part of this module.
 #![allow(dead_code)]
 
 mod clock;
@@ -13,7 +13,7 @@
 pub use clock::ProcessClock;
 use gingerledge_lease::{Lease, LeaseAction, LeaseEvent, LeaseMessage, LeaseSettings, VoterId};
 
-/// How long a grant lasts in all tests.
+/// Duration of a grant in all tests.
 pub const GRANT_DURATION: Duration = Duration::from_millis(1000);
 
 /// The settings of all tests.
@@ -35,17 +35,17 @@
     clock: ProcessClock,
     pub paused_until: Duration,
     incarnation: u64,
-    pub running: bool,
+    pub is_running: bool,
     timer: Option<Duration>,
-    /// The newest epoch that it knows.
+    /// The newest epoch that the process has learned.
     epoch: u64,
-    /// The newest epoch that it has sealed; on its disk.
-    sealed: u64,
+    /// The newest epoch that the process has sealed. It is stored on the disk, so that restarts keep it.
+    sealed_epoch: u64,
 }
 
 impl Process {
     pub fn holds(&self, now: Duration) -> bool {
-        self.running && self.lease.is_held(self.clock.read(now))
+        self.is_running && self.lease.is_held(self.clock.read(now))
     }
 }
 
@@ -80,12 +80,12 @@
     pub blocked_links: HashSet<(usize, usize)>,
     queue: BinaryHeap<Reverse<(Duration, u64)>>,
     events: BTreeMap<u64, SimulationEvent>,
-    events_added: u64,
+    last_event_id: u64,
     epochs: Vec<Vec<VoterId>>,
     pub acquisitions: u64,
     pub holders: Vec<(Duration, usize)>,
     highest_generation: u64,
-    /// Whether generations must rise: not once voters have restarted.
+    /// Whether generations must increase, which is no longer guaranteed once voters have restarted.
     generations_must_rise: bool,
 }
 
@@ -103,10 +103,10 @@
                 clock: ProcessClock { started_at: Duration::ZERO, rate: 1.0 + 0.009 * (rng.f64() - 0.5) },
                 paused_until: Duration::ZERO,
                 incarnation: 0,
-                running: false,
+                is_running: false,
                 timer: None,
                 epoch: 0,
-                sealed: 0,
+                sealed_epoch: 0,
             })
             .collect();
         let generations_must_rise = faults.is_none_or(|faults| !faults.restarts);
@@ -120,7 +120,7 @@
             blocked_links: HashSet::new(),
             queue: BinaryHeap::new(),
             events: BTreeMap::new(),
-            events_added: 0,
+            last_event_id: 0,
             epochs: vec![(0..voters as u64).map(VoterId).collect()],
             acquisitions: 0,
             holders: Vec::new(),
@@ -137,28 +137,28 @@
         cluster
     }
 
-    fn after(&mut self, delay: Duration, events: SimulationEvent) {
-        self.events_added += 1;
-        self.events.insert(self.events_added, events);
-        self.queue.push(Reverse((self.now + delay, self.events_added)));
+    fn after(&mut self, delay: Duration, event: SimulationEvent) {
+        self.last_event_id += 1;
+        self.events.insert(self.last_event_id, event);
+        self.queue.push(Reverse((self.now + delay, self.last_event_id)));
     }
 
     pub fn run(&mut self, span: Duration) {
         let end = self.now + span;
-        while let Some(Reverse((at, events_added))) =
+        while let Some(Reverse((at, event_id))) =
             self.queue.peek().copied().filter(|Reverse((at, _))| *at <= end)
         {
             self.queue.pop();
             self.now = at;
-            if let Some(events) = self.events.remove(&events_added) {
-                self.process_event(events);
+            if let Some(event) = self.events.remove(&event_id) {
+                self.process_event(event);
             }
             self.check_holders();
         }
         self.now = end;
     }
 
-    /// At most one process holds the lease.
+    /// Checks that at most one process holds the lease, and records each new holder.
     fn check_holders(&mut self) {
         let now = self.now;
         let holders: Vec<_> = (0..self.processes.len())
@@ -176,8 +176,8 @@
         (0..self.processes.len()).find(|process_index| self.processes[*process_index].holds(self.now))
     }
 
-    fn process_event(&mut self, events: SimulationEvent) {
-        let process_index = match &events {
+    fn process_event(&mut self, event: SimulationEvent) {
+        let process_index = match &event {
             SimulationEvent::MessageArrives { process_index, .. }
             | SimulationEvent::Timer { process_index, .. }
             | SimulationEvent::EpochLearned { process_index, .. } => *process_index,
@@ -186,18 +186,18 @@
         };
         let paused_until = self.processes[process_index].paused_until;
         if paused_until > self.now {
-            self.after(paused_until - self.now, events);
+            self.after(paused_until - self.now, event);
             return;
         }
-        match events {
+        match event {
             SimulationEvent::MessageArrives { process_index, from, message } => {
-                self.event(process_index, LeaseEvent::Message { from, message });
+                self.handle_event(process_index, LeaseEvent::Message { from, message });
             }
             SimulationEvent::Timer { process_index, incarnation }
                 if self.processes[process_index].incarnation == incarnation =>
             {
                 self.processes[process_index].timer = None;
-                self.event(process_index, LeaseEvent::TimerExpired);
+                self.handle_event(process_index, LeaseEvent::TimerExpired);
             }
             SimulationEvent::EpochLearned { process_index, epoch } => self.learn_epoch(process_index, epoch),
             _ => {}
@@ -211,30 +211,30 @@
         process.lease = Lease::new(VoterId(process_index as u64), self.settings.clone(), seed);
         process.clock.started_at = self.now;
         process.incarnation += 1;
-        process.running = true;
+        process.is_running = true;
         process.timer = None;
         let epoch = process.epoch.max(1);
         process.epoch = 0;
-        self.event(process_index, LeaseEvent::Started { is_founding });
+        self.handle_event(process_index, LeaseEvent::Started { is_founding });
         let order = (0..self.processes.len() as u64).map(VoterId).collect();
-        self.event(process_index, LeaseEvent::Candidates { order });
-        // What it knew of the epochs is on its disk.
+        self.handle_event(process_index, LeaseEvent::Candidates { order });
+        // The epoch that the process had learned is on its disk.
         self.learn_epoch(process_index, epoch);
-        let sealed = self.processes[process_index].sealed;
-        self.event(process_index, LeaseEvent::Sealed { epoch: sealed });
+        let sealed_epoch = self.processes[process_index].sealed_epoch;
+        self.handle_event(process_index, LeaseEvent::Sealed { epoch: sealed_epoch });
     }
 
     fn learn_epoch(&mut self, process_index: usize, epoch: u64) {
-        if !self.processes[process_index].running || self.processes[process_index].epoch >= epoch {
+        if !self.processes[process_index].is_running || self.processes[process_index].epoch >= epoch {
             return;
         }
         self.processes[process_index].epoch = epoch;
         let voters = self.epochs[epoch as usize - 1].clone();
-        self.event(process_index, LeaseEvent::Voters { epoch, voters });
+        self.handle_event(process_index, LeaseEvent::Voters { epoch, voters });
     }
 
-    pub fn event(&mut self, process_index: usize, event: LeaseEvent) {
-        if !self.processes[process_index].running {
+    pub fn handle_event(&mut self, process_index: usize, event: LeaseEvent) {
+        if !self.processes[process_index].is_running {
             return;
         }
         let mut out = Vec::new();
@@ -277,8 +277,9 @@
         if self.blocked_links.contains(&(process_index, target)) || target >= self.processes.len() {
             return;
         }
-        let late = if self.faults.is_some() && self.rng.u8(..) < 4 { self.rng.u64(0..2_000_000) } else { 0 };
-        let delay = Duration::from_micros(self.rng.u64(500..3000) + late);
+        let extra_micros =
+            if self.faults.is_some() && self.rng.u8(..) < 4 { self.rng.u64(0..2_000_000) } else { 0 };
+        let delay = Duration::from_micros(self.rng.u64(500..3000) + extra_micros);
         self.after(
             delay,
             SimulationEvent::MessageArrives {
@@ -316,45 +317,46 @@
     }
 
     pub fn restart(&mut self, process_index: usize) {
-        if !self.processes[process_index].running {
+        if !self.processes[process_index].is_running {
             return;
         }
-        self.processes[process_index].running = false;
+        self.processes[process_index].is_running = false;
         self.generations_must_rise = false;
         self.processes[process_index].incarnation += 1;
         let delay = millis(self.rng.u64(0..1500));
         self.after(delay, SimulationEvent::ProcessStarts { process_index });
     }
 
-    /// Decides the next epoch as the chain does: a majority seals the present one, all learn of the next one later.
+    /// Decides the next epoch as the chain does: a majority of the voters seals the current epoch, and all processes learn of the
+    /// next one later.
     fn change_voters(&mut self) {
         let epoch = self.epochs.len() as u64;
         let voters = self.epochs.last().cloned().unwrap_or_default();
         let majority = voters.len() / 2 + 1;
-        let mut able: Vec<_> = voters.iter().map(|voter| voter.0 as usize).collect();
-        able.retain(|process_index| {
+        let mut available: Vec<_> = voters.iter().map(|voter| voter.0 as usize).collect();
+        available.retain(|process_index| {
             let process = &self.processes[*process_index];
-            process.running && process.epoch == epoch && process.paused_until <= self.now
+            process.is_running && process.epoch == epoch && process.paused_until <= self.now
         });
-        if able.len() < majority {
+        if available.len() < majority {
             return;
         }
-        self.rng.shuffle(&mut able);
-        for process_index in able.into_iter().take(majority) {
-            self.processes[process_index].sealed = epoch;
-            self.event(process_index, LeaseEvent::Sealed { epoch });
+        self.rng.shuffle(&mut available);
+        for process_index in available.into_iter().take(majority) {
+            self.processes[process_index].sealed_epoch = epoch;
+            self.handle_event(process_index, LeaseEvent::Sealed { epoch });
         }
         let mut next = voters.clone();
-        let outside: Vec<_> =
+        let non_voters: Vec<_> =
             (0..self.processes.len() as u64).map(VoterId).filter(|voter| !voters.contains(voter)).collect();
-        if !outside.is_empty() && self.rng.bool() {
+        if !non_voters.is_empty() && self.rng.bool() {
             let index = self.rng.usize(..next.len());
-            next[index] = outside[self.rng.usize(..outside.len())];
+            next[index] = non_voters[self.rng.usize(..non_voters.len())];
         }
         self.epochs.push(next);
         for process_index in 0..self.processes.len() {
-            let slow = if self.rng.u8(0..4) == 0 { self.rng.u64(0..5000) } else { 0 };
-            let delay = millis(self.rng.u64(0..20) + slow);
+            let extra_millis = if self.rng.u8(0..4) == 0 { self.rng.u64(0..5000) } else { 0 };
+            let delay = millis(self.rng.u64(0..20) + extra_millis);
             self.after(delay, SimulationEvent::EpochLearned { process_index, epoch: epoch + 1 });
         }
     }
--- a/system/lease/tests/exclusion.rs
+++ b/system/lease/tests/exclusion.rs
@@ -1,4 +1,5 @@
-//! The lease under faults of all kinds: one holder at a time, and always one soon after the faults have ended.
+//! The lease under random faults of all kinds: at most one process holds it at any time, and one acquires it soon after the
+//! faults have ended.
 
 mod cluster;
 
@@ -11,10 +12,11 @@
 const NO_RESTARTS: Faults = Faults { restarts: false, ..ALL };
 const FIXED_VOTERS: Faults = Faults { voter_changes: false, ..ALL };
 
-fn seeds(usual: u64) -> std::ops::Range<u64> {
-    let events_added = |name: &str| std::env::var(name).ok().and_then(|value| value.parse::<u64>().ok());
-    let first = events_added("LEASE_FIRST_SEED").unwrap_or(0);
-    first..first + events_added("LEASE_SEEDS").unwrap_or(usual)
+/// The seeds to run. `LEASE_SEEDS` sets their number (default: `default_count`), `LEASE_FIRST_SEED` the first one (default: 0).
+fn seeds(default_count: u64) -> std::ops::Range<u64> {
+    let number_from_env = |name: &str| std::env::var(name).ok().and_then(|value| value.parse::<u64>().ok());
+    let first = number_from_env("LEASE_FIRST_SEED").unwrap_or(0);
+    first..first + number_from_env("LEASE_SEEDS").unwrap_or(default_count)
 }
 
 #[yare::parameterized(
@@ -55,7 +57,7 @@
     for seed in seeds(200) {
         let mut cluster = Cluster::new(seed, 3, 3, None);
         cluster.run(Duration::from_secs(5));
-        let first = cluster.holder().expect("someone holds the lease");
+        let first = cluster.holder().expect("a process holds the lease");
         cluster.processes[first].paused_until = Duration::from_secs(3600);
         cluster.run(cluster.settings.grant_duration * 2);
         let second = cluster.holder();
@@ -63,39 +65,43 @@
     }
 }
 
-/// It need not wait until its old grants expire, nor for its own vote after the start, since the others suffice.
+/// Guards against a restarted holder that waits until its old grants expire, or until it may vote again itself: the other voters
+/// form a majority and may renew their grants to it.
 #[test]
 fn a_restarted_holder_acquires_the_lease_again_before_its_old_grants_end() {
-    let (mut soon, mut again) = (0, 0);
+    let (mut quick_restarts, mut reacquired) = (0, 0);
     for seed in seeds(200) {
         let mut cluster = Cluster::new(seed, 5, 5, None);
         cluster.run(Duration::from_secs(5));
-        let first = cluster.holder().expect("someone holds the lease");
+        let first = cluster.holder().expect("a process holds the lease");
         cluster.restart(first);
         let down_since = cluster.now;
-        while !cluster.processes[first].running {
+        while !cluster.processes[first].is_running {
             cluster.run(millis(10));
         }
-        // Where it is down for longer, another candidate is first.
+        // If it is down for longer, another candidate acquires the lease first.
         if cluster.now - down_since < cluster.settings.grant_duration / 6 {
-            soon += 1;
+            quick_restarts += 1;
             cluster.run(cluster.settings.grant_duration / 3);
-            again += u64::from(cluster.holder() == Some(first));
+            reacquired += u64::from(cluster.holder() == Some(first));
         }
     }
-    // A renewal that was due when it stopped leaves less of the grants.
-    assert!(soon > 10 && again * 10 >= soon * 9, "{again} of {soon}");
+    // Not all restarts succeed: if a renewal was due when the holder stopped, its grants expire earlier.
+    assert!(
+        quick_restarts > 10 && reacquired * 10 >= quick_restarts * 9,
+        "reacquired after {reacquired} of {quick_restarts} restarts"
+    );
 }
 
 #[test]
 fn a_released_lease_is_acquired_by_another_before_its_grants_end() {
-    let mut late = 0;
+    let mut late_count = 0;
     let seeds = seeds(200);
     for seed in seeds.clone() {
         let mut cluster = Cluster::new(seed, 3, 3, None);
         cluster.run(Duration::from_secs(5));
-        let first = cluster.holder().expect("someone holds the lease");
-        cluster.event(first, LeaseEvent::Release);
+        let first = cluster.holder().expect("a process holds the lease");
+        cluster.handle_event(first, LeaseEvent::Release);
         assert_eq!(cluster.holder(), None);
         cluster.run(cluster.settings.grant_duration / 2);
         assert_ne!(
@@ -103,22 +109,25 @@
             Some(first),
             "seed {seed}: the process that released the lease acquired it again"
         );
-        late += u64::from(cluster.holder().is_none());
-        // Renewals that come after the release at both others may delay the lease for the duration of a grant.
+        late_count += u64::from(cluster.holder().is_none());
+        // Renewals that arrive after the release at both other voters may delay the lease for the duration of a grant.
         cluster.run(cluster.settings.grant_duration);
         assert!(cluster.holder().is_some(), "seed {seed}: no holder after {first}");
     }
-    assert!(late * 100 <= seeds.end - seeds.start, "{late} were late");
+    assert!(
+        late_count * 100 <= seeds.end - seeds.start,
+        "{late_count} releases were followed by a late acquisition"
+    );
 }
 
 #[test]
 fn a_holder_that_is_no_longer_a_candidate_releases_the_lease() {
     let mut cluster = Cluster::new(1, 3, 3, None);
     cluster.run(Duration::from_secs(5));
-    let first = cluster.holder().expect("someone holds the lease");
+    let first = cluster.holder().expect("a process holds the lease");
     let order: Vec<_> = (0..3).map(VoterId).filter(|voter| voter.0 as usize != first).collect();
     for process_index in 0..3 {
-        cluster.event(process_index, LeaseEvent::Candidates { order: order.clone() });
+        cluster.handle_event(process_index, LeaseEvent::Candidates { order: order.clone() });
     }
     assert_eq!(cluster.holder(), None);
     cluster.run(millis(500));
--- a/system/lease/tests/golden.rs
+++ b/system/lease/tests/golden.rs
@@ -1,4 +1,4 @@
-//! The encoded form of every message about the lease: equal to what was recorded once, byte for byte.
+//! The encoding of every message of the lease must equal the recorded one byte for byte.
 
 use std::time::Duration;
 
--- a/system/lease/tests/model.rs
+++ b/system/lease/tests/model.rs
@@ -1,7 +1,9 @@
-//! Explores the lease exhaustively, to a depth, from states in which a process holds it, requests it, or has just lost it: every order of
-//! deliveries, repetitions, restarts, releases and passing time. What runs is the machine itself ([`Lease`]).
+//! Exhaustive exploration of the lease, up to a depth, from states in which a process holds it, requests it, or has just lost it.
+//! The checker explores every order of message deliveries and duplicates, restarts, releases and time steps. The model runs the
+//! production code ([`Lease`]).
 //!
-//! Clocks differ in rate by what the settings allow: the first process's runs slow, the last one's fast. `LEASE_DEPTH` sets the depth:
+//! The rates of the clocks differ by almost as much as the settings allow: the clock of the first process is slow, that of the
+//! last one fast. `LEASE_DEPTH` sets the depth:
 //!
 //! ```sh
 //! LEASE_DEPTH=8 cargo test --release -p gingerledge-lease --test model -- --nocapture
@@ -16,13 +18,14 @@
 use gingerledge_lease::{Lease, LeaseAction, LeaseEvent, LeaseMessage, VoterId};
 use stateright::{Checker, Model, Property};
 
-/// Time passes in steps of this: an attempt stays open over one of them, and not over two.
+/// Length of a time step of the checker. An attempt stays in progress over one step, but not over two.
 const TIME_STEP: Duration = Duration::from_millis(120);
-/// Time passes in steps of this before the exploration.
+/// Length of a time step before the exploration starts.
 const SMALL_TIME_STEP: Duration = Duration::from_millis(10);
 const PROCESSES: u64 = 3;
 const DEFAULT_DEPTH: usize = 6;
-/// By how much the slowest clock stays behind true time, and the fastest runs ahead, as a part of it: half of what is allowed.
+/// The rates of the clocks, as multiples of true time. The slowest is behind true time, and the fastest ahead of it, by almost
+/// half of the drift allowed between two clocks.
 const RATES: [f64; 3] = [0.9955, 1.0, 1.0045];
 
 #[derive(Clone, Debug)]
@@ -32,7 +35,7 @@
     incarnation: u64,
 }
 
-/// One step of the checker.
+/// An action of the checker.
 #[derive(Clone, Debug, PartialEq)]
 enum Step {
     Deliver { message: usize, is_duplicated: bool },
@@ -49,7 +52,7 @@
     network: Vec<(u64, u64, LeaseMessage)>,
     restarts: u8,
     releases: u8,
-    repetitions: u8,
+    duplicates: u8,
 }
 
 fn voter(process_index: usize) -> VoterId {
@@ -57,7 +60,7 @@
 }
 
 impl Group {
-    /// Founders: nobody can have granted anything before.
+    /// Creates a group of founders, which have no outstanding grants.
     fn founded() -> Self {
         let processes = (0..PROCESSES as usize).map(|process_index| Process {
             lease: Lease::new(voter(process_index), settings(), process_index as u64 + 1),
@@ -66,26 +69,27 @@
         });
         let processes = processes.collect();
         let (network, now) = (Vec::new(), Duration::from_secs(5));
-        let mut group = Self { now, processes, network, restarts: 0, releases: 0, repetitions: 0 };
+        let mut group = Self { now, processes, network, restarts: 0, releases: 0, duplicates: 0 };
         for process_index in 0..PROCESSES as usize {
             group.join(process_index, true);
         }
         group
     }
 
+    /// Starts a process and sends it the voters and the candidates.
     fn join(&mut self, process_index: usize, is_founding: bool) {
         let voters: Vec<VoterId> = (0..PROCESSES as usize).map(voter).collect();
-        self.event(process_index, LeaseEvent::Started { is_founding });
-        self.event(process_index, LeaseEvent::Voters { epoch: 1, voters: voters.clone() });
-        self.event(process_index, LeaseEvent::Candidates { order: voters });
+        self.handle_event(process_index, LeaseEvent::Started { is_founding });
+        self.handle_event(process_index, LeaseEvent::Voters { epoch: 1, voters: voters.clone() });
+        self.handle_event(process_index, LeaseEvent::Candidates { order: voters });
     }
 
-    /// What a process's clock shows.
+    /// The time on the clock of a process.
     fn clock(&self, process_index: usize) -> Duration {
         self.processes[process_index].clock.read(self.now)
     }
 
-    fn event(&mut self, process_index: usize, event: LeaseEvent) {
+    fn handle_event(&mut self, process_index: usize, event: LeaseEvent) {
         let now = self.clock(process_index);
         let mut out = Vec::new();
         self.processes[process_index].lease.handle(now, event, &mut out);
@@ -104,7 +108,7 @@
             true => self.network[message].clone(),
             false => self.network.remove(message),
         };
-        self.event(to as usize - 1, LeaseEvent::Message { from: VoterId(from), message: content });
+        self.handle_event(to as usize - 1, LeaseEvent::Message { from: VoterId(from), message: content });
     }
 
     fn pass_time(&mut self, step: Duration) {
@@ -115,12 +119,12 @@
                 .next_timer()
                 .is_some_and(|at| at <= self.clock(process_index))
             {
-                self.event(process_index, LeaseEvent::TimerExpired);
+                self.handle_event(process_index, LeaseEvent::TimerExpired);
             }
         }
     }
 
-    /// Time without faults, until somebody holds the lease.
+    /// Runs without faults until a process holds the lease.
     fn run_until_held(mut self) -> Self {
         for _ in 0..1_000 {
             if self.holders() == 1 {
@@ -142,7 +146,7 @@
         self.join(process_index, false);
     }
 
-    /// For how long the holder may still act.
+    /// Remaining time for which the holder may act, by its clock.
     fn time_left(&self) -> Duration {
         let left = (0..self.processes.len()).filter_map(|process_index| {
             let now = self.clock(process_index);
@@ -170,7 +174,7 @@
     }
 }
 
-/// The beginnings from which every order is explored.
+/// The exploration from all initial states.
 struct Exploration {
     initial_states: Vec<Group>,
 }
@@ -186,7 +190,7 @@
     fn actions(&self, state: &Group, actions: &mut Vec<Step>) {
         for message in 0..state.network.len() {
             actions.push(Step::Deliver { message, is_duplicated: false });
-            if state.repetitions > 0 {
+            if state.duplicates > 0 {
                 actions.push(Step::Deliver { message, is_duplicated: true });
             }
         }
@@ -205,7 +209,7 @@
         let mut next = state.clone();
         match step {
             Step::Deliver { message, is_duplicated } => {
-                next.repetitions -= u8::from(is_duplicated);
+                next.duplicates -= u8::from(is_duplicated);
                 next.deliver(message, is_duplicated);
             }
             Step::PassTime => next.pass_time(TIME_STEP),
@@ -215,7 +219,7 @@
             }
             Step::Release { process_index } => {
                 next.releases -= 1;
-                next.event(process_index, LeaseEvent::Release);
+                next.handle_event(process_index, LeaseEvent::Release);
             }
         }
         Some(next)
@@ -228,12 +232,13 @@
 
 fn initial_states() -> Vec<Group> {
     let held = Group::founded().run_until_held();
-    // The holder's renewal has just been sent, and nothing of it has arrived.
+    // The holder has just sent the requests of its renewal, and none of them has arrived.
     let mut renewing = held.clone();
     while renewing.network.is_empty() {
         renewing.pass_time(SMALL_TIME_STEP);
     }
-    // Nothing has arrived for so long that the lease has two steps left, or has just run out and the others request it.
+    // No message has arrived for so long that the lease lasts for two more steps at most, or has just expired and the others
+    // request it.
     let mut nearly_expired = held.clone();
     while nearly_expired.time_left() > TIME_STEP * 2 {
         nearly_expired.pass_time(SMALL_TIME_STEP);
@@ -244,7 +249,7 @@
         expired.network.clear();
         expired.pass_time(SMALL_TIME_STEP);
     }
-    let budget = |group: Group| Group { restarts: 2, releases: 1, repetitions: 1, ..group };
+    let budget = |group: Group| Group { restarts: 2, releases: 1, duplicates: 1, ..group };
     [held, renewing, nearly_expired, expired].map(budget).into()
 }
 
@@ -252,7 +257,8 @@
 fn at_most_one_process_holds_the_lease_in_every_order_of_events() {
     let depth = std::env::var("LEASE_DEPTH").ok().and_then(|text| text.parse().ok()).unwrap_or(DEFAULT_DEPTH);
     let model = Exploration { initial_states: initial_states() };
-    // With several threads a state may be met first by a longer way, and then be gone on from for fewer steps than the depth allows.
+    // With several threads, a state may first be reached by a longer path, and then be continued for fewer steps than the depth
+    // allows.
     let checker = model.checker().threads(1).target_max_depth(depth).spawn_bfs().join();
     println!(
         "{} states, {} different, depth {}",
@@ -262,7 +268,7 @@
     );
     if let Some((property, path)) = checker.discoveries().into_iter().next() {
         let steps: Vec<String> = path.into_actions().iter().map(|step| format!("{step:?}")).collect();
-        panic!("not so: {property}; after\n{}", steps.join("\n"));
+        panic!("violated: {property}; after\n{}", steps.join("\n"));
     }
-    assert!(checker.unique_state_count() > 1_000, "hardly anything was explored");
+    assert!(checker.unique_state_count() > 1_000, "too few states were explored");
 }
