--- a/system/chain/src/agreement/liveness.rs
+++ b/system/chain/src/agreement/liveness.rs
@@ -40,16 +40,16 @@
         }
     }
 
-    pub(super) fn on_announced(&mut self, member: MemberId, members: Option<&Membership>) {
-        if self.admit(member, members) {
+    pub(super) fn on_announced(&mut self, member: MemberId, membership: Option<&Membership>) {
+        if self.admit(member, membership) {
             self.peers.entry(member).or_default();
         }
     }
 
     /// Returns whether a member may be tracked. Voters always are. If there are too many other members, the one with the oldest
     /// heartbeat is removed to make room.
-    fn admit(&mut self, member: MemberId, members: Option<&Membership>) -> bool {
-        let is_voter = |member: &MemberId| members.is_some_and(|members| members.is_voter(*member));
+    fn admit(&mut self, member: MemberId, membership: Option<&Membership>) -> bool {
+        let is_voter = |member: &MemberId| membership.is_some_and(|membership| membership.is_voter(*member));
         if self.peers.contains_key(&member) || is_voter(&member) {
             return true;
         }
@@ -78,9 +78,9 @@
         now: Duration,
         from: MemberId,
         heartbeat: Heartbeat,
-        members: Option<&Membership>,
+        membership: Option<&Membership>,
     ) {
-        if !self.admit(from, members) {
+        if !self.admit(from, membership) {
             return;
         }
         let peer = self.peers.entry(from).or_default();
@@ -137,11 +137,11 @@
         &self,
         now: Duration,
         local_id: MemberId,
-        members: Option<&Membership>,
+        membership: Option<&Membership>,
         max_age: Duration,
     ) -> Vec<MemberId> {
         let mut receivers: BTreeSet<MemberId> =
-            members.iter().flat_map(|members| members.voters.iter().copied()).collect();
+            membership.iter().flat_map(|membership| membership.voters.iter().copied()).collect();
         let is_voter = receivers.contains(&local_id);
         receivers.extend(
             self.peers.keys().copied().filter(|member| !is_voter || self.is_reachable(now, *member, max_age)),
--- a/system/chain/src/agreement/mod.rs
+++ b/system/chain/src/agreement/mod.rs
@@ -49,7 +49,7 @@
     Send { to: MemberId, message: AgreementMessage },
     Persist { record: LogRecord, vote: Vote },
     Seal { epoch: u64 },
-    Install { members: Membership },
+    Install { membership: Membership },
 }
 
 /// The Paxos state of one member, as a voter and as a proposer.
@@ -58,7 +58,7 @@
     local_id: MemberId,
     settings: ControlChainSettings,
     rng: fastrand::Rng,
-    members: Option<Membership>,
+    membership: Option<Membership>,
     /// The highest proposal number promised for the next epoch.
     promised: Option<ProposalNumber>,
     /// The value accepted for the next epoch.
@@ -77,7 +77,7 @@
         Self {
             local_id,
             rng: fastrand::Rng::with_seed(seed),
-            members: None,
+            membership: None,
             promised: None,
             accepted: None,
             liveness: Liveness::new(settings.max_non_voters),
@@ -93,12 +93,12 @@
         self.local_id
     }
 
-    pub(crate) fn members(&self) -> Option<&Membership> {
-        self.members.as_ref()
+    pub(crate) fn membership(&self) -> Option<&Membership> {
+        self.membership.as_ref()
     }
 
     pub(crate) fn epoch(&self) -> u64 {
-        self.members.as_ref().map_or(0, |members| members.epoch)
+        self.membership.as_ref().map_or(0, |membership| membership.epoch)
     }
 
     /// The current epoch, if this member has sealed it.
@@ -109,13 +109,15 @@
     /// Restores the state from a record on the disk. Called for all records in the order written.
     pub(crate) fn restore(&mut self, record: &LogRecord) {
         match record {
-            LogRecord::Membership { members } if members.epoch > self.epoch() => self.adopt(members.clone()),
+            LogRecord::Membership { membership } if membership.epoch > self.epoch() => {
+                self.adopt(membership.clone());
+            }
             LogRecord::Promise { epoch, proposal } if *epoch == self.epoch() + 1 => {
                 self.promised = self.promised.max(Some(*proposal));
             }
-            LogRecord::Accepted { proposal, members } if members.epoch == self.epoch() + 1 => {
+            LogRecord::Accepted { proposal, membership } if membership.epoch == self.epoch() + 1 => {
                 self.promised = self.promised.max(Some(*proposal));
-                self.accepted = Some((*proposal, members.clone()));
+                self.accepted = Some((*proposal, membership.clone()));
             }
             _ => {}
         }
@@ -124,11 +126,11 @@
     /// The records that must stay on the disk.
     pub(crate) fn checkpoint(&self) -> Vec<LogRecord> {
         let mut records = Vec::new();
-        let Some(members) = self.members.clone() else { return records };
-        let epoch = members.epoch + 1;
-        records.push(LogRecord::Membership { members });
-        if let Some((proposal, members)) = self.accepted.clone() {
-            records.push(LogRecord::Accepted { proposal, members });
+        let Some(membership) = self.membership.clone() else { return records };
+        let epoch = membership.epoch + 1;
+        records.push(LogRecord::Membership { membership });
+        if let Some((proposal, membership)) = self.accepted.clone() {
+            records.push(LogRecord::Accepted { proposal, membership });
         }
         if let Some(proposal) = self.promised {
             records.push(LogRecord::Promise { epoch, proposal });
@@ -140,13 +142,13 @@
         self.next_heartbeat_at = now;
         self.last_event_at = now;
         self.startup_grace_until = now + self.settings.startup_grace_period;
-        if let Some(members) = self.members.clone() {
-            self.expect_voters(now, &members);
+        if let Some(membership) = self.membership.clone() {
+            self.expect_voters(now, &membership);
         }
     }
 
-    fn expect_voters(&mut self, now: Duration, members: &Membership) {
-        for voter in members.voters.iter().filter(|voter| **voter != self.local_id) {
+    fn expect_voters(&mut self, now: Duration, membership: &Membership) {
+        for voter in membership.voters.iter().filter(|voter| **voter != self.local_id) {
             self.liveness.expect_heartbeat(*voter, now.max(self.startup_grace_until));
         }
     }
@@ -154,7 +156,7 @@
     /// Handles the announcement of a member, which may replace an earlier identity at the same address.
     pub(crate) fn on_member_announced(&mut self, member: MemberId, replaces: Option<MemberId>) {
         if member != self.local_id {
-            self.liveness.on_announced(member, self.members.as_ref());
+            self.liveness.on_announced(member, self.membership.as_ref());
         }
         if let Some(replaced) = replaces.filter(|replaced| *replaced != member) {
             self.liveness.mark_replaced(replaced);
@@ -165,23 +167,23 @@
     pub(crate) fn learn_membership(
         &mut self,
         now: Duration,
-        members: Membership,
+        membership: Membership,
         out: &mut Vec<AgreementAction>,
     ) {
-        if members.epoch <= self.epoch() {
+        if membership.epoch <= self.epoch() {
             return;
         }
-        self.expect_voters(now, &members);
+        self.expect_voters(now, &membership);
         out.push(AgreementAction::Persist {
-            record: LogRecord::Membership { members: members.clone() },
+            record: LogRecord::Membership { membership: membership.clone() },
             vote: Vote::Learned,
         });
-        self.adopt(members.clone());
-        out.push(AgreementAction::Install { members });
+        self.adopt(membership.clone());
+        out.push(AgreementAction::Install { membership });
     }
 
-    fn adopt(&mut self, members: Membership) {
-        self.members = Some(members);
+    fn adopt(&mut self, membership: Membership) {
+        self.membership = Some(membership);
         self.promised = None;
         self.accepted = None;
         self.proposer.reset();
@@ -207,7 +209,7 @@
         match message {
             AgreementMessage::Heartbeat(heartbeat) => {
                 let (sender_epoch, own_epoch) = (heartbeat.epoch, self.epoch());
-                self.liveness.on_heartbeat(now, from, heartbeat, self.members.as_ref());
+                self.liveness.on_heartbeat(now, from, heartbeat, self.membership.as_ref());
                 if sender_epoch > own_epoch {
                     self.request_membership(from, out);
                 } else if sender_epoch < own_epoch {
@@ -218,10 +220,10 @@
                 self.send_membership(from, out);
             }
             AgreementMessage::RequestMembership { .. } => {}
-            AgreementMessage::MembershipDecided { members } => self.learn_membership(now, members, out),
+            AgreementMessage::MembershipDecided { membership } => self.learn_membership(now, membership, out),
             AgreementMessage::Prepare { epoch, proposal } => self.on_prepare(now, from, epoch, proposal, out),
-            AgreementMessage::Accept { proposal, members } => {
-                self.on_accept(now, from, proposal, members, out);
+            AgreementMessage::Accept { proposal, membership } => {
+                self.on_accept(now, from, proposal, membership, out);
             }
             AgreementMessage::Promise { epoch, proposal, accepted, in_sync } => {
                 let promise = value::Promise { accepted, in_sync };
@@ -251,8 +253,11 @@
     }
 
     fn send_membership(&self, to: MemberId, out: &mut Vec<AgreementAction>) {
-        if let Some(members) = self.members.clone() {
-            out.push(AgreementAction::Send { to, message: AgreementMessage::MembershipDecided { members } });
+        if let Some(membership) = self.membership.clone() {
+            out.push(AgreementAction::Send {
+                to,
+                message: AgreementMessage::MembershipDecided { membership },
+            });
         }
     }
 
@@ -277,7 +282,7 @@
         for to in self.liveness.heartbeat_receivers(
             now,
             self.local_id,
-            self.members.as_ref(),
+            self.membership.as_ref(),
             self.settings.replace_after,
         ) {
             let message = AgreementMessage::Heartbeat(heartbeat.clone());
--- a/system/chain/src/agreement/proposer.rs
+++ b/system/chain/src/agreement/proposer.rs
@@ -71,22 +71,24 @@
         status: MemberStatus,
         out: &mut Vec<AgreementAction>,
     ) {
-        let Some(members) = self.members.clone() else { return };
-        let Some(position) = members.chain.iter().position(|member| *member == self.local_id) else { return };
+        let Some(membership) = self.membership.clone() else { return };
+        let Some(position) = membership.chain.iter().position(|member| *member == self.local_id) else {
+            return;
+        };
         if self.proposer.attempt.is_some() || !status.disk_ready {
             return;
         }
-        let has_suspect = members.chain.iter().any(|member| self.is_suspect(now, *member));
-        let sealed = members.voters.iter().any(|voter| self.liveness.has_sealed(*voter, members.epoch));
+        let has_suspect = membership.chain.iter().any(|member| self.is_suspect(now, *member));
+        let sealed = membership.voters.iter().any(|voter| self.liveness.has_sealed(*voter, membership.epoch));
         if !has_suspect && !sealed && self.promised.is_none() {
             self.proposer.change_needed_since = None;
             return;
         }
         let needed_since = *self.proposer.change_needed_since.get_or_insert(now);
-        let predecessors = &members.chain[..position];
+        let predecessors = &membership.chain[..position];
         let rank = predecessors.iter().filter(|member| !self.is_suspect(now, **member)).count() as u32;
         let due_at = (needed_since + self.settings.retry_backoff * rank).max(self.proposer.backoff_until);
-        if due_at <= now && self.has_live_majority(now, &members) {
+        if due_at <= now && self.has_live_majority(now, &membership) {
             self.start_attempt(now, None, out);
         }
     }
@@ -95,9 +97,9 @@
         member != self.local_id && !self.liveness.is_live(now, member, self.settings.suspect_timeout)
     }
 
-    fn has_live_majority(&self, now: Duration, members: &Membership) -> bool {
-        let live = members.voters.iter().filter(|voter| !self.is_suspect(now, **voter));
-        live.count() >= members.majority()
+    fn has_live_majority(&self, now: Duration, membership: &Membership) -> bool {
+        let live = membership.voters.iter().filter(|voter| !self.is_suspect(now, **voter));
+        live.count() >= membership.majority()
     }
 
     /// Handles the progress of a learner that follows this tail. Proposes to add it to the chain once its lag is small enough and
@@ -110,27 +112,27 @@
         status: MemberStatus,
         out: &mut Vec<AgreementAction>,
     ) {
-        let Some(members) = self.members.clone() else { return };
+        let Some(membership) = self.membership.clone() else { return };
         let is_idle = self.proposer.attempt.is_none() && self.promised.is_none();
         let may_propose =
             is_idle && status.serving && status.disk_ready && self.proposer.backoff_until <= now;
-        let is_near = lag <= self.settings.learner_max_lag && !members.chain.contains(&member);
-        if !may_propose || !is_near || !self.is_well_connected(now, member, &members) {
+        let is_within_max_lag = lag <= self.settings.learner_max_lag && !membership.chain.contains(&member);
+        if !may_propose || !is_within_max_lag || !self.is_well_connected(now, member, &membership) {
             return;
         }
-        if let Some(addition) = self.addition_for(now, member, &members) {
-            if self.has_live_majority(now, &members) {
+        if let Some(addition) = self.addition_for(now, member, &membership) {
+            if self.has_live_majority(now, &membership) {
                 self.start_attempt(now, Some(addition), out);
             }
         }
     }
 
     /// Whether a member and all members of the chain receive each other's heartbeats.
-    fn is_well_connected(&self, now: Duration, member: MemberId, members: &Membership) -> bool {
-        let others = members.chain.iter().filter(|other| **other != self.local_id);
-        let mut chain = members.chain.iter();
+    fn is_well_connected(&self, now: Duration, member: MemberId, membership: &Membership) -> bool {
+        let others = membership.chain.iter().filter(|other| **other != self.local_id);
+        let mut chain = membership.chain.iter();
         !self.is_suspect(now, member)
-            && self.liveness.epoch_of(member) == members.epoch
+            && self.liveness.epoch_of(member) == membership.epoch
             && others.clone().all(|other| !self.is_suspect(now, *other))
             && others.clone().all(|other| self.liveness.reports_live(*other, member))
             && chain.all(|other| self.liveness.reports_live(member, *other))
@@ -138,20 +140,20 @@
 
     /// The addition of a member to the chain. A member that is not a voter becomes one: as a further voter while there are fewer
     /// than `target_voters`, otherwise in place of a lost voter outside the chain. `None` if it can become neither.
-    fn addition_for(&self, now: Duration, member: MemberId, members: &Membership) -> Option<Addition> {
-        if members.is_voter(member) || members.voters.len() < self.settings.target_voters {
+    fn addition_for(&self, now: Duration, member: MemberId, membership: &Membership) -> Option<Addition> {
+        if membership.is_voter(member) || membership.voters.len() < self.settings.target_voters {
             return Some(Addition { member, replaces: None });
         }
         let is_replaceable =
-            |voter: &&MemberId| !members.chain.contains(voter) && self.is_lost(now, **voter, members);
-        let replaces = members.voters.iter().find(is_replaceable).copied();
+            |voter: &&MemberId| !membership.chain.contains(voter) && self.is_lost(now, **voter, membership);
+        let replaces = membership.voters.iter().find(is_replaceable).copied();
         replaces.map(|_| Addition { member, replaces })
     }
 
     /// Whether a voter has been replaced by another identity, or is unreachable: this member has received no heartbeat of it for
     /// [`ControlChainSettings::replace_after`], and no other member of the chain reports it as live.
-    fn is_lost(&self, now: Duration, voter: MemberId, members: &Membership) -> bool {
-        let mut others = members.chain.iter().filter(|other| **other != self.local_id);
+    fn is_lost(&self, now: Duration, voter: MemberId, membership: &Membership) -> bool {
+        let mut others = membership.chain.iter().filter(|other| **other != self.local_id);
         let is_unreachable = voter != self.local_id
             && !self.liveness.is_reachable(now, voter, self.settings.replace_after)
             && others.all(|other| !self.liveness.reports_live(*other, voter));
@@ -170,15 +172,15 @@
 
     /// Sends the message of the current phase to the voters that have not responded.
     fn send_phase_messages(&self, out: &mut Vec<AgreementAction>) {
-        let (Some(members), Some(attempt)) = (&self.members, &self.proposer.attempt) else { return };
+        let (Some(membership), Some(attempt)) = (&self.membership, &self.proposer.attempt) else { return };
         let proposal = attempt.proposal;
-        for voter in &members.voters {
+        for voter in &membership.voters {
             let message = match &attempt.phase {
                 Phase::Preparing { promises, .. } if !promises.contains_key(voter) => {
-                    AgreementMessage::Prepare { epoch: members.epoch + 1, proposal }
+                    AgreementMessage::Prepare { epoch: membership.epoch + 1, proposal }
                 }
                 Phase::Accepting { value, accepts } if !accepts.contains(voter) => {
-                    AgreementMessage::Accept { proposal, members: value.clone() }
+                    AgreementMessage::Accept { proposal, membership: value.clone() }
                 }
                 _ => continue,
             };
@@ -195,9 +197,9 @@
         proposal: ProposalNumber,
         promise: Promise,
     ) -> bool {
-        let Some(members) = &self.members else { return false };
-        let (is_voter, majority) = (members.is_voter(from), members.majority());
-        if epoch != members.epoch + 1 || !is_voter {
+        let Some(membership) = &self.membership else { return false };
+        let (is_voter, majority) = (membership.is_voter(from), membership.majority());
+        if epoch != membership.epoch + 1 || !is_voter {
             return false;
         }
         let Some(attempt) = self.proposer.attempt.as_mut().filter(|attempt| attempt.proposal == proposal)
@@ -217,20 +219,22 @@
     /// has elapsed. A value that a voter has already accepted takes precedence: of several, the one with the highest proposal
     /// number.
     pub(super) fn try_accept(&mut self, now: Duration, status: MemberStatus, out: &mut Vec<AgreementAction>) {
-        let (Some(members), Some(attempt)) = (&self.members, &self.proposer.attempt) else { return };
+        let (Some(membership), Some(attempt)) = (&self.membership, &self.proposer.attempt) else { return };
         let Phase::Preparing { promises, majority_at: Some(majority_at) } = &attempt.phase else { return };
-        let have_all_promised =
-            members.voters.iter().all(|voter| promises.contains_key(voter) || self.is_suspect(now, *voter));
+        let have_all_promised = membership
+            .voters
+            .iter()
+            .all(|voter| promises.contains_key(voter) || self.is_suspect(now, *voter));
         if !have_all_promised && *majority_at + self.settings.promise_grace_period > now {
             return;
         }
-        let is_left_out = |member: MemberId| {
+        let is_excluded = |member: MemberId| {
             self.is_suspect(now, member) || (member == self.local_id && !status.disk_ready)
         };
         let accepted = promises.values().filter_map(|promise| promise.accepted.clone());
         let value = match accepted.max_by_key(|(proposal, _)| *proposal) {
             Some((_, value)) => Some(value),
-            None => next_membership(members, promises, is_left_out, attempt.addition),
+            None => next_membership(membership, promises, is_excluded, attempt.addition),
         };
         let Some(value) = value else { return };
         if let Some(attempt) = self.proposer.attempt.as_mut() {
@@ -248,8 +252,8 @@
         proposal: ProposalNumber,
         out: &mut Vec<AgreementAction>,
     ) {
-        let Some(members) = self.members.clone() else { return };
-        if epoch != members.epoch + 1 || !members.is_voter(from) {
+        let Some(membership) = self.membership.clone() else { return };
+        if epoch != membership.epoch + 1 || !membership.is_voter(from) {
             return;
         }
         let Some(attempt) = self.proposer.attempt.as_mut().filter(|attempt| attempt.proposal == proposal)
@@ -258,10 +262,10 @@
         };
         let Phase::Accepting { value, accepts } = &mut attempt.phase else { return };
         accepts.insert(from);
-        if accepts.len() >= members.majority() {
+        if accepts.len() >= membership.majority() {
             let value = value.clone();
             self.learn_membership(now, value.clone(), out);
-            self.broadcast(members, value, out);
+            self.broadcast(membership, value, out);
         }
     }
 
@@ -271,7 +275,7 @@
         receivers.extend(next.voters.iter().copied());
         receivers.remove(&self.local_id);
         for to in receivers {
-            let message = AgreementMessage::MembershipDecided { members: next.clone() };
+            let message = AgreementMessage::MembershipDecided { membership: next.clone() };
             out.push(AgreementAction::Send { to, message });
         }
     }
--- a/system/chain/src/agreement/value.rs
+++ b/system/chain/src/agreement/value.rs
@@ -29,11 +29,11 @@
 pub(super) fn next_membership(
     present: &Membership,
     promises: &BTreeMap<MemberId, Promise>,
-    is_left_out: impl Fn(MemberId) -> bool,
+    is_excluded: impl Fn(MemberId) -> bool,
     addition: Option<Addition>,
 ) -> Option<Membership> {
     let is_in_sync = |member: &MemberId| promises.get(member).is_some_and(|promise| promise.in_sync);
-    let can_stay = |member: &MemberId| promises.contains_key(member) && !is_left_out(*member);
+    let can_stay = |member: &MemberId| promises.contains_key(member) && !is_excluded(*member);
     let staying = || present.chain.iter().copied().filter(can_stay);
     let mut chain: Vec<MemberId> = staying().filter(is_in_sync).collect();
     if chain.is_empty() {
--- a/system/chain/src/agreement/voter.rs
+++ b/system/chain/src/agreement/voter.rs
@@ -17,7 +17,9 @@
             self.request_membership(from, out);
             return false;
         }
-        self.members.as_ref().is_some_and(|members| members.is_voter(self.local_id) && members.is_voter(from))
+        self.membership
+            .as_ref()
+            .is_some_and(|membership| membership.is_voter(self.local_id) && membership.is_voter(from))
     }
 
     /// Adopts a proposal number if this member may vote and has promised no higher one, and seals the preceding epoch. Returns
@@ -66,16 +68,16 @@
         now: Duration,
         from: MemberId,
         proposal: ProposalNumber,
-        members: Membership,
+        membership: Membership,
         out: &mut Vec<AgreementAction>,
     ) {
-        let epoch = members.epoch;
+        let epoch = membership.epoch;
         if !self.adopt_proposal_number(now, from, epoch, proposal, out) {
             return;
         }
-        self.accepted = Some((proposal, members.clone()));
+        self.accepted = Some((proposal, membership.clone()));
         out.push(AgreementAction::Persist {
-            record: LogRecord::Accepted { proposal, members },
+            record: LogRecord::Accepted { proposal, membership },
             vote: Vote::Accepted { to: from, epoch, proposal },
         });
     }
--- a/system/chain/src/control_chain.rs
+++ b/system/chain/src/control_chain.rs
@@ -38,9 +38,9 @@
         seed: u64,
     ) -> Self {
         let fault_tolerance = settings.fault_tolerance;
-        let members = Membership { epoch: 1, voters: founders.clone(), chain: founders, fault_tolerance };
+        let membership = Membership { epoch: 1, voters: founders.clone(), chain: founders, fault_tolerance };
         let mut chain = Self::recover(local_id, Vec::new(), settings, seed);
-        chain.state.founding = Some(members);
+        chain.state.founding = Some(membership);
         chain
     }
 
@@ -59,9 +59,9 @@
         settings: ControlChainSettings,
         seed: u64,
     ) -> Self {
-        let bounds =
+        let replica_settings =
             ReplicaSettings { min_chain_length: settings.fault_tolerance + 1, ..settings.replica.clone() };
-        let replica = Replica::recover(local_id, &records, bounds, seed);
+        let replica = Replica::recover(local_id, &records, replica_settings, seed);
         let disk_timeout = settings.disk_timeout;
         let mut agreement = Agreement::new(local_id, settings, seed);
         for record in &records {
@@ -98,14 +98,14 @@
 
     /// The newest membership known to this member.
     #[must_use]
-    pub fn members(&self) -> Option<&Membership> {
-        self.state.agreement.members()
+    pub fn membership(&self) -> Option<&Membership> {
+        self.state.agreement.membership()
     }
 
     /// The head of the chain in the newest membership known to this member.
     #[must_use]
     pub fn head(&self) -> Option<MemberId> {
-        self.members()?.chain.first().copied()
+        self.membership()?.chain.first().copied()
     }
 
     /// Whether this member is in the chain, holds all committed entries, and has not sealed the view.
--- a/system/chain/src/event_dispatch.rs
+++ b/system/chain/src/event_dispatch.rs
@@ -95,8 +95,8 @@
 
     fn on_started(&mut self) {
         self.state.agreement.on_started(self.now);
-        if let Some(members) = self.state.founding.take() {
-            self.state.agreement.learn_membership(self.now, members, &mut self.agreement_actions);
+        if let Some(membership) = self.state.founding.take() {
+            self.state.agreement.learn_membership(self.now, membership, &mut self.agreement_actions);
         }
         self.replica_event(ReplicaEvent::Started);
         if let Some(epoch) = self.state.agreement.sealed_epoch() {
@@ -110,7 +110,7 @@
     /// of the two records.
     fn install_recovered_view(&mut self) {
         let epoch = self.state.replica.epoch();
-        let newer = self.state.agreement.members().filter(|members| members.epoch > epoch);
+        let newer = self.state.agreement.membership().filter(|membership| membership.epoch > epoch);
         if let Some(view) = newer.map(Membership::view) {
             if self.agreement_actions.is_empty() {
                 self.replica_event(ReplicaEvent::View(ViewEvent::Install { view }));
@@ -173,8 +173,8 @@
                 self.state.replica.seal_in_memory(epoch);
                 self.out.push(ChainAction::View(MembershipAction::Sealed { epoch }));
             }
-            AgreementAction::Install { members } => {
-                self.replica_event(ReplicaEvent::View(ViewEvent::Install { view: members.view() }));
+            AgreementAction::Install { membership } => {
+                self.replica_event(ReplicaEvent::View(ViewEvent::Install { view: membership.view() }));
             }
         }
     }
@@ -198,8 +198,8 @@
     fn on_view_action(&mut self, action: ViewAction) {
         match action {
             ViewAction::Installed { .. } => {
-                if let Some(members) = self.state.agreement.members().cloned() {
-                    self.out.push(ChainAction::View(MembershipAction::Installed { members }));
+                if let Some(membership) = self.state.agreement.membership().cloned() {
+                    self.out.push(ChainAction::View(MembershipAction::Installed { membership }));
                 }
             }
             ViewAction::LearnerProgress { member, lag } => {
--- a/system/chain/src/interface.rs
+++ b/system/chain/src/interface.rs
@@ -36,7 +36,7 @@
     /// the content; it may also be lost without an action. [`Action::Busy`] follows if the head rejects it. At another member,
     /// [`Action::NotHead`] follows.
     Submit {
-        /// The command.
+        /// The command to commit.
         command: Vec<u8>,
     },
     /// Emit [`Action::ReadReady`] once everything acknowledged before now is applied at this member. Any member serves reads.
@@ -62,12 +62,12 @@
 pub enum ViewEvent {
     /// A view has been decided. Older and repeated views are ignored.
     Install {
-        /// The view.
+        /// The decided view.
         view: View,
     },
     /// Stop taking part in this epoch. [`ViewAction::Sealed`] follows.
     Seal {
-        /// The epoch.
+        /// The epoch to seal.
         epoch: u64,
     },
     /// Whenever this member is outside the chain, replicate the committed entries from the tail.
@@ -79,7 +79,7 @@
 pub enum MembershipEvent {
     /// The host has learned of a member. Announcing a member again has no effect.
     MemberAnnounced {
-        /// The member.
+        /// The announced member.
         member: MemberId,
         /// The identity that the address of this member announced before, if any. The disk of that identity is lost.
         replaces: Option<MemberId>,
@@ -109,7 +109,7 @@
     Apply {
         /// Index of the entry.
         index: u64,
-        /// The command.
+        /// The committed command.
         command: Vec<u8>,
         /// Whether this member has committed the command as the tail, so that it has to reply to the client.
         should_reply: bool,
@@ -139,25 +139,25 @@
     },
     /// A command was submitted to a member that is not the head.
     NotHead {
-        /// The command.
+        /// The rejected command.
         command: Vec<u8>,
         /// The head, if known.
         head: Option<MemberId>,
     },
     /// A command was rejected, because too many are in flight or the view is being changed. It will not be committed.
     Busy {
-        /// The command.
+        /// The rejected command.
         command: Vec<u8>,
     },
     /// This member holds everything committed before this epoch, and is in sync in the chain of this epoch. Emitted in each view.
     BecameInSync {
-        /// The epoch.
+        /// The epoch in which the member is in sync.
         epoch: u64,
     },
     /// The tail has confirmed a barrier of the head. A state that includes the entries up to `commit_index` includes everything
     /// that was acknowledged before the barrier was sent. Emitted only at members of the chain.
     BarrierCommitted {
-        /// The epoch.
+        /// The epoch in which the barrier was sent.
         epoch: u64,
         /// Number of the barrier. Numbers increase within an epoch, also across restarts of the head.
         number: u64,
@@ -206,13 +206,13 @@
 pub enum MembershipAction {
     /// A membership is in force at this member.
     Installed {
-        /// The membership.
-        members: Membership,
+        /// The membership in force.
+        membership: Membership,
     },
     /// This member no longer takes part in an epoch, because the next membership is being voted on. If it is a voter of a lease,
     /// it must grant nothing more in this epoch. Emitted again after a restart.
     Sealed {
-        /// The epoch.
+        /// The sealed epoch.
         epoch: u64,
     },
 }
--- a/system/chain/src/message.rs
+++ b/system/chain/src/message.rs
@@ -141,8 +141,8 @@
     },
     /// Announces a decided membership.
     MembershipDecided {
-        /// The membership.
-        members: Membership,
+        /// The decided membership.
+        membership: Membership,
     },
     /// Phase 1: requests a promise to accept no lower proposal number. The promise also seals the preceding epoch.
     Prepare {
@@ -167,7 +167,7 @@
         /// The proposal number.
         proposal: ProposalNumber,
         /// The proposed membership.
-        members: Membership,
+        membership: Membership,
     },
     /// Phase 2: the value has been accepted, durably.
     Accepted {
--- a/system/chain/src/record.rs
+++ b/system/chain/src/record.rs
@@ -10,7 +10,7 @@
 pub enum LogRecord {
     /// A view has been installed.
     View {
-        /// The view.
+        /// The installed view.
         view: View,
         /// Whether this member is in sync: it holds everything that was committed before this view.
         in_sync: bool,
@@ -18,7 +18,7 @@
     /// A view has been installed in which this member is not in sync, and the entries that it does not know to be committed have
     /// been dropped. Both are in one record, so that a power failure cannot separate them.
     Rejoined {
-        /// The view.
+        /// The installed view.
         view: View,
         /// Index of the last entry that is kept.
         last_index: u64,
@@ -41,7 +41,7 @@
         index: u64,
         /// Index of the last entry known to be committed when this record was written.
         commit_index: u64,
-        /// The command.
+        /// The command of the entry.
         command: Vec<u8>,
     },
     /// The state after an entry; it replaces all entries up to that one.
@@ -53,15 +53,15 @@
     },
     /// Reserves barrier numbers for the head of an epoch. After a restart the head continues after the last reserved number.
     BarrierReservation {
-        /// The epoch.
+        /// The epoch of the head.
         epoch: u64,
         /// The highest number that may have been used.
         reserved: u64,
     },
     /// A membership of the control group has been learned.
     Membership {
-        /// The membership.
-        members: Membership,
+        /// The learned membership.
+        membership: Membership,
     },
     /// A proposal number for the next membership has been promised. This also seals the preceding epoch.
     Promise {
@@ -75,6 +75,6 @@
         /// The proposal number.
         proposal: ProposalNumber,
         /// The accepted membership; its epoch is the one that is to be decided.
-        members: Membership,
+        membership: Membership,
     },
 }
--- a/system/chain/src/replica/recovery.rs
+++ b/system/chain/src/replica/recovery.rs
@@ -38,7 +38,7 @@
                 self.barriers.restore(*reserved);
             }
             LogRecord::Promise { epoch, .. } => self.seal_in_memory(epoch.saturating_sub(1)),
-            LogRecord::Accepted { members, .. } => self.seal_in_memory(members.epoch.saturating_sub(1)),
+            LogRecord::Accepted { membership, .. } => self.seal_in_memory(membership.epoch.saturating_sub(1)),
             LogRecord::InSync { .. }
             | LogRecord::BarrierReservation { .. }
             | LogRecord::Membership { .. } => {}
--- a/system/chain/tests/cluster/actions.rs
+++ b/system/chain/tests/cluster/actions.rs
@@ -49,9 +49,9 @@
                 self.invariants.on_read_ready(token, index);
             }
             ChainAction::ReadFailed { token } => self.invariants.on_read_failed(token),
-            ChainAction::View(MembershipAction::Installed { members }) => {
-                self.trace(machine, &format!("installs {members:?}"));
-                self.invariants.on_membership_installed(members);
+            ChainAction::View(MembershipAction::Installed { membership }) => {
+                self.trace(machine, &format!("installs {membership:?}"));
+                self.invariants.on_membership_installed(membership);
             }
             ChainAction::BarrierCommitted { epoch, number, commit_index } => self
                 .invariants
@@ -71,8 +71,11 @@
         let synced = disks.filter(|disk| disk.has_synced(index, command));
         self.invariants.on_acknowledged(index, synced.count());
         let host = &self.hosts[machine];
-        let epoch =
-            host.process.as_ref().and_then(|process| process.chain.members()).map(|members| members.epoch);
+        let epoch = host
+            .process
+            .as_ref()
+            .and_then(|process| process.chain.membership())
+            .map(|membership| membership.epoch);
         assert!(
             epoch > Some(host.sealed_epoch),
             "seed {}: {index} acknowledged in a sealed view {epoch:?}",
--- a/system/chain/tests/cluster/mod.rs
+++ b/system/chain/tests/cluster/mod.rs
@@ -297,7 +297,7 @@
     /// The newest membership known to any running process.
     pub fn newest_membership(&self) -> Option<&Membership> {
         let processes = self.hosts.iter().filter_map(|host| host.process.as_ref());
-        processes.filter_map(|process| process.chain.members()).max_by_key(|members| members.epoch)
+        processes.filter_map(|process| process.chain.membership()).max_by_key(|membership| membership.epoch)
     }
 
     /// Prints an event if `CHAIN_TRACE` is set.
--- a/system/chain/tests/control_chain.rs
+++ b/system/chain/tests/control_chain.rs
@@ -32,12 +32,16 @@
     // Voters whose machine returned under another address are replaced, and the new members catch up.
     cluster.run(Duration::from_secs(9));
     let acknowledgements_before = cluster.invariants.acknowledgements;
-    let members = cluster.newest_membership().cloned().expect("a process has a membership");
+    let membership = cluster.newest_membership().cloned().expect("a process has a membership");
     let expected = shape.machines.min(2 * shape.fault_tolerance + 1);
-    if members.chain.len() != expected {
+    if membership.chain.len() != expected {
         cluster.dump();
     }
-    assert_eq!(members.chain.len(), expected, "seed {seed}: the chain is not complete again: {members:?}");
+    assert_eq!(
+        membership.chain.len(),
+        expected,
+        "seed {seed}: the chain is not complete again: {membership:?}"
+    );
     cluster.run(Duration::from_secs(1));
     if cluster.invariants.acknowledgements == acknowledgements_before {
         cluster.dump();
@@ -46,7 +50,7 @@
         cluster.invariants.acknowledgements > acknowledgements_before,
         "seed {seed}: no more writes are committed"
     );
-    for member in &members.chain {
+    for member in &membership.chain {
         let machine = cluster.machine_of(*member).expect("each member of the chain has a machine");
         let applied = cluster.hosts[machine].state_machine.applied_index();
         assert!(
--- a/system/chain/tests/control_chain_crossings.rs
+++ b/system/chain/tests/control_chain_crossings.rs
@@ -24,7 +24,7 @@
 }
 
 fn chain_of(cluster: &Cluster) -> Vec<MemberId> {
-    cluster.newest_membership().map(|members| members.chain.clone()).unwrap_or_default()
+    cluster.newest_membership().map(|membership| membership.chain.clone()).unwrap_or_default()
 }
 
 /// Whether all machines are running, in the chain and in sync.
--- a/system/chain/tests/control_chain_faults.rs
+++ b/system/chain/tests/control_chain_faults.rs
@@ -14,13 +14,13 @@
 fn steady_cluster(seed: u64, shape: ClusterShape) -> Cluster {
     let mut cluster = Cluster::new(seed, shape);
     cluster.run(Duration::from_secs(3));
-    assert_eq!(cluster.newest_membership().map(|members| members.epoch), Some(1), "seed {seed}");
+    assert_eq!(cluster.newest_membership().map(|membership| membership.epoch), Some(1), "seed {seed}");
     assert!(cluster.invariants.acknowledgements > 0, "seed {seed}");
     cluster
 }
 
 fn chain_of(cluster: &Cluster) -> Vec<MemberId> {
-    cluster.newest_membership().map(|members| members.chain.clone()).unwrap_or_default()
+    cluster.newest_membership().map(|membership| membership.chain.clone()).unwrap_or_default()
 }
 
 #[test]
@@ -28,7 +28,7 @@
     for seed in SEEDS {
         let mut cluster = steady_cluster(seed, THREE);
         cluster.run(Duration::from_secs(20));
-        assert_eq!(cluster.newest_membership().map(|members| members.epoch), Some(1), "seed {seed}");
+        assert_eq!(cluster.newest_membership().map(|membership| membership.epoch), Some(1), "seed {seed}");
         assert_eq!(cluster.invariants.reads_failed, 0, "seed {seed}");
         assert!(
             cluster.invariants.confirmed_barriers > 3 * 4 * 15,
@@ -54,7 +54,7 @@
             "seed {seed}: nothing is committed"
         );
         cluster.run(Duration::from_secs(3));
-        assert_eq!(cluster.newest_membership().map(|members| members.epoch), Some(1), "seed {seed}");
+        assert_eq!(cluster.newest_membership().map(|membership| membership.epoch), Some(1), "seed {seed}");
     }
 }
 
@@ -140,14 +140,17 @@
         let old_identity = cluster.hosts[machine].identity;
         cluster.force_wipe(machine);
         cluster.run(Duration::from_secs(5));
-        let members = cluster.newest_membership().cloned().expect("a process has a membership");
+        let membership = cluster.newest_membership().cloned().expect("a process has a membership");
         let new_identity = cluster.hosts[machine].identity;
-        assert!(members.chain.contains(&new_identity), "seed {seed}: {new_identity:?} is not in {members:?}");
         assert!(
-            !members.voters.contains(&old_identity),
-            "seed {seed}: {old_identity:?} still votes in {members:?}"
+            membership.chain.contains(&new_identity),
+            "seed {seed}: {new_identity:?} is not in {membership:?}"
         );
-        assert_eq!(members.voters.len(), 3, "seed {seed}");
+        assert!(
+            !membership.voters.contains(&old_identity),
+            "seed {seed}: {old_identity:?} still votes in {membership:?}"
+        );
+        assert_eq!(membership.voters.len(), 3, "seed {seed}");
     }
 }
 
@@ -168,8 +171,11 @@
         );
         cluster.kill(1, Duration::from_secs(3600));
         cluster.run(Duration::from_secs(5));
-        let members = cluster.newest_membership().cloned().expect("a process has a membership");
-        assert!(members.is_voter(spare) && members.chain.contains(&spare), "seed {seed}: {members:?}");
+        let membership = cluster.newest_membership().cloned().expect("a process has a membership");
+        assert!(
+            membership.is_voter(spare) && membership.chain.contains(&spare),
+            "seed {seed}: {membership:?}"
+        );
     }
 }
 
@@ -179,8 +185,8 @@
     for seed in SEEDS {
         let mut cluster = Cluster::new(seed, shape);
         cluster.run(Duration::from_secs(4));
-        let members = cluster.newest_membership().cloned().expect("a process has a membership");
-        assert_eq!((members.voters.len(), members.chain.len()), (5, 5), "seed {seed}: {members:?}");
+        let membership = cluster.newest_membership().cloned().expect("a process has a membership");
+        assert_eq!((membership.voters.len(), membership.chain.len()), (5, 5), "seed {seed}: {membership:?}");
     }
 }
 
--- a/system/chain/tests/golden.rs
+++ b/system/chain/tests/golden.rs
@@ -11,7 +11,7 @@
     ProposalNumber { counter: 21, proposer: 70_000 }
 }
 
-fn members() -> Membership {
+fn membership() -> Membership {
     Membership {
         epoch: 31,
         voters: vec![MemberId(1), MemberId(300), MemberId(u64::MAX)],
@@ -20,7 +20,7 @@
     }
 }
 
-fn bare_members() -> Membership {
+fn bare_membership() -> Membership {
     Membership { epoch: 0, voters: Vec::new(), chain: Vec::new(), fault_tolerance: 0 }
 }
 
@@ -83,18 +83,18 @@
 }
 
 fn agreement_messages() -> Vec<(&'static str, AgreementMessage)> {
-    let accepted = Some((proposal(), members()));
+    let accepted = Some((proposal(), membership()));
     vec![
         ("heartbeat", AgreementMessage::Heartbeat(heartbeat())),
         ("ask view", AgreementMessage::RequestMembership { epoch: 2 }),
-        ("view is", AgreementMessage::MembershipDecided { members: members() }),
+        ("view is", AgreementMessage::MembershipDecided { membership: membership() }),
         ("prepare", AgreementMessage::Prepare { epoch: 3, proposal: proposal() }),
         ("promise", AgreementMessage::Promise { epoch: 4, proposal: proposal(), accepted, in_sync: true }),
         (
             "promise bare",
             AgreementMessage::Promise { epoch: 4, proposal: proposal(), accepted: None, in_sync: false },
         ),
-        ("accept", AgreementMessage::Accept { proposal: proposal(), members: members() }),
+        ("accept", AgreementMessage::Accept { proposal: proposal(), membership: membership() }),
         ("accepted", AgreementMessage::Accepted { epoch: 5, proposal: proposal() }),
         ("rejected", AgreementMessage::Rejected { epoch: 6, promised: proposal() }),
     ]
@@ -109,9 +109,9 @@
         ("entry", LogRecord::Entry { epoch: 4, index: 5, commit_index: 6, command: vec![7, 8] }),
         ("snapshot", LogRecord::Snapshot { index: 9, bytes: vec![10, 11] }),
         ("barriers", LogRecord::BarrierReservation { epoch: 12, reserved: 13 }),
-        ("members", LogRecord::Membership { members: members() }),
+        ("members", LogRecord::Membership { membership: membership() }),
         ("promise", LogRecord::Promise { epoch: 14, proposal: proposal() }),
-        ("accepted", LogRecord::Accepted { proposal: proposal(), members: members() }),
+        ("accepted", LogRecord::Accepted { proposal: proposal(), membership: membership() }),
     ]
 }
 
@@ -120,8 +120,8 @@
     let mut golden = EncodedValues::new(env!("CARGO_MANIFEST_DIR"), "members.txt");
     golden.add_equal("member", &MemberId(77_000));
     golden.add_equal("ballot", &proposal());
-    golden.add_equal("members", &members());
-    golden.add_equal("members bare", &bare_members());
+    golden.add_equal("members", &membership());
+    golden.add_equal("members bare", &bare_membership());
     golden.add_equal("view", &view());
     golden.add_equal("heartbeat", &heartbeat());
     golden.check();
--- a/system/chain/tests/model/group.rs
+++ b/system/chain/tests/model/group.rs
@@ -173,7 +173,7 @@
             return;
         }
         let from = &self.nodes[other];
-        let epoch = from.chain.members().map_or(0, |members| members.epoch);
+        let epoch = from.chain.membership().map_or(0, |membership| membership.epoch);
         let live_peers = self.nodes.iter().map(|node| node.identity).collect();
         let heartbeat = Heartbeat {
             epoch,
@@ -200,9 +200,9 @@
             for other in (0..self.nodes.len()).filter(|other| *other != sender) {
                 self.deliver_heartbeat(machine, other);
             }
-            let before = self.network.len();
+            let sent_before = self.network.len();
             self.handle_event(machine, ChainEvent::TimerExpired);
-            if self.network[before..].iter().any(is_proposal) {
+            if self.network[sent_before..].iter().any(is_proposal) {
                 return;
             }
         }
@@ -237,7 +237,7 @@
         let Some(newest) = self.observations.memberships.values().next_back() else { return false };
         self.nodes.iter().all(|node| {
             newest.chain.contains(&node.identity)
-                && node.chain.members() == Some(newest)
+                && node.chain.membership() == Some(newest)
                 && node.chain.is_serving()
         })
     }
@@ -266,7 +266,7 @@
         if self.budget.writes > 0 && node.chain.head() == Some(node.identity) {
             actions.push(Action::Submit { machine });
         }
-        if self.budget.reads > 0 && node.chain.members().is_some() {
+        if self.budget.reads > 0 && node.chain.membership().is_some() {
             actions.push(Action::Read { machine });
         }
         if self.budget.suppressions > 0 {
@@ -326,7 +326,7 @@
         let heads = self.nodes.iter().filter(|node| {
             // A member in an older epoch may still count as serving; only the newest epoch is checked.
             let newest = self.observations.memberships.keys().next_back();
-            node.chain.members().map(|members| &members.epoch) == newest
+            node.chain.membership().map(|membership| &membership.epoch) == newest
                 && node.chain.head() == Some(node.identity)
                 && node.chain.is_serving()
         });
@@ -344,7 +344,7 @@
 
     /// Whether the group commits again without further faults, and still holds everything acknowledged before.
     pub fn recovers(mut self) -> bool {
-        let before = self.observations.acknowledged_index;
+        let acknowledged_before = self.observations.acknowledged_index;
         for _ in 0..MAX_RECOVERY_INTERVALS {
             self.run_without_faults(1);
             let head = self
@@ -354,7 +354,7 @@
             let Some(head) = head else { continue };
             self.submit(head);
             self.deliver_all();
-            if self.observations.acknowledged_index > before {
+            if self.observations.acknowledged_index > acknowledged_before {
                 return self.observations.contradiction.is_none() && self.heads_hold_acknowledged_entries();
             }
         }
--- a/system/chain/tests/model/node.rs
+++ b/system/chain/tests/model/node.rs
@@ -166,8 +166,8 @@
             }
             ChainAction::InstallSnapshot { bytes, .. } => self.state = decode(&bytes),
             ChainAction::ReadReady { token, index } => observations.on_read_ready(token, index),
-            ChainAction::View(MembershipAction::Installed { members }) => {
-                observations.on_membership_installed(&members);
+            ChainAction::View(MembershipAction::Installed { membership }) => {
+                observations.on_membership_installed(&membership);
             }
             ChainAction::View(MembershipAction::Sealed { epoch }) => {
                 self.sealed_epoch = self.sealed_epoch.max(epoch);
--- a/system/chain/tests/model/observations.rs
+++ b/system/chain/tests/model/observations.rs
@@ -24,10 +24,10 @@
 }
 
 impl Observations {
-    pub fn on_membership_installed(&mut self, members: &Membership) {
-        let known = self.memberships.entry(members.epoch).or_insert_with(|| members.clone());
-        if known != members {
-            self.contradiction = Some(format!("{known:?} and {members:?}"));
+    pub fn on_membership_installed(&mut self, membership: &Membership) {
+        let known = self.memberships.entry(membership.epoch).or_insert_with(|| membership.clone());
+        if known != membership {
+            self.contradiction = Some(format!("{known:?} and {membership:?}"));
         }
     }
 
--- a/system/chain/tests/simulation/disk.rs
+++ b/system/chain/tests/simulation/disk.rs
@@ -69,7 +69,7 @@
     pub fn sealed_epoch(&self) -> u64 {
         let sealed = self.records.iter().map(|record| match record {
             LogRecord::Promise { epoch, .. } => epoch - 1,
-            LogRecord::Accepted { members, .. } => members.epoch - 1,
+            LogRecord::Accepted { membership, .. } => membership.epoch - 1,
             _ => 0,
         });
         sealed.max().unwrap_or(0)
--- a/system/chain/tests/simulation/invariants.rs
+++ b/system/chain/tests/simulation/invariants.rs
@@ -117,16 +117,19 @@
     }
 
     /// Checks that each epoch has only one membership, and that voters change one at a time and do not become fewer.
-    pub fn on_membership_installed(&mut self, members: Membership) {
+    pub fn on_membership_installed(&mut self, membership: Membership) {
         let seed = self.seed;
-        let known = self.memberships.entry(members.epoch).or_insert_with(|| members.clone());
-        assert_eq!(*known, members, "seed {seed}: two memberships for one epoch");
-        assert!(members.chain.iter().all(|member| members.is_voter(*member)), "seed {seed}: {members:?}");
-        assert!(members.voters.len() >= self.founders, "seed {seed}: {members:?}");
-        if let Some(before) = self.memberships.get(&(members.epoch - 1)) {
-            let new = members.voters.iter().filter(|voter| !before.is_voter(**voter)).count();
-            assert!(new <= 1, "seed {seed}: more than one voter changed from {before:?} to {members:?}");
-            assert!(members.voters.len() >= before.voters.len(), "seed {seed}: voters became fewer");
+        let known = self.memberships.entry(membership.epoch).or_insert_with(|| membership.clone());
+        assert_eq!(*known, membership, "seed {seed}: two memberships for one epoch");
+        assert!(
+            membership.chain.iter().all(|member| membership.is_voter(*member)),
+            "seed {seed}: {membership:?}"
+        );
+        assert!(membership.voters.len() >= self.founders, "seed {seed}: {membership:?}");
+        if let Some(before) = self.memberships.get(&(membership.epoch - 1)) {
+            let new = membership.voters.iter().filter(|voter| !before.is_voter(**voter)).count();
+            assert!(new <= 1, "seed {seed}: more than one voter changed from {before:?} to {membership:?}");
+            assert!(membership.voters.len() >= before.voters.len(), "seed {seed}: voters became fewer");
         }
     }
 
@@ -135,7 +138,7 @@
     pub fn on_sent(&mut self, from: MemberId, message: &ChainMessage) {
         let ChainMessage::Replica(ReplicaMessage::Barrier { epoch, number }) = message else { return };
         self.barriers.entry((*epoch, *number)).or_insert(self.acknowledged_index);
-        if self.memberships.get(epoch).is_some_and(|members| members.chain.first() == Some(&from)) {
+        if self.memberships.get(epoch).is_some_and(|membership| membership.chain.first() == Some(&from)) {
             let last = self.last_barriers.insert(*epoch, *number);
             assert!(
                 last < Some(*number),
--- a/system/control/src/node/chain_host.rs
+++ b/system/control/src/node/chain_host.rs
@@ -166,7 +166,7 @@
 
     /// The newest membership in force that this node knows.
     pub(super) fn membership(&self) -> Option<&Membership> {
-        self.chain.members()
+        self.chain.membership()
     }
 
     /// The member at the head of the chain, if one is known.
--- a/system/control/src/node/routing/chain_actions.rs
+++ b/system/control/src/node/routing/chain_actions.rs
@@ -38,7 +38,7 @@
             ChainAction::Send { to, message } => self.send_to_member(to, message),
             ChainAction::Persist { token, records } => self.disk.append_chain(records, token),
             ChainAction::Apply { index, command, should_reply } => {
-                self.apply(index, &command, should_reply)?
+                self.apply(index, &command, should_reply)?;
             }
             ChainAction::TakeSnapshot => self.chain.provide_snapshot()?,
             ChainAction::InstallSnapshot { index, bytes } => self.install_snapshot(index, &bytes)?,
@@ -47,10 +47,10 @@
             ChainAction::NotHead { command, .. } | ChainAction::Busy { command } => {
                 self.commands.on_rejected(&command);
             }
-            ChainAction::View(MembershipAction::Installed { members }) => {
-                log::info!(epoch = members.epoch, chain:? = hex_members(&members.chain); "view installed");
+            ChainAction::View(MembershipAction::Installed { membership }) => {
+                log::info!(epoch = membership.epoch, chain:? = hex_members(&membership.chain); "view installed");
                 self.commands.on_view_installed();
-                self.on_view_installed(&members);
+                self.on_view_installed(&membership);
             }
             ChainAction::View(MembershipAction::Sealed { epoch }) => {
                 self.lease.on_view_sealed(epoch, self.peers.directory(), &mut self.coordinator);
--- a/system/control/tests/golden_disk.rs
+++ b/system/control/tests/golden_disk.rs
@@ -136,16 +136,16 @@
         LogRecord::Snapshot { index: SNAPSHOT_ENTRY, bytes: state_after(SNAPSHOT_ENTRY).snapshot().unwrap() },
         LogRecord::View { view: view(1, &founders()), in_sync: true },
         LogRecord::BarrierReservation { epoch: 1, reserved: 1024 },
-        LogRecord::Membership { members: members(1, &founders()) },
+        LogRecord::Membership { membership: members(1, &founders()) },
         entry(1, 10, 9),
         entry(1, 11, 10),
         LogRecord::Sealed { epoch: 1 },
         LogRecord::Promise { epoch: 2, proposal: ProposalNumber { counter: 1, proposer: SECOND } },
         LogRecord::Accepted {
             proposal: ProposalNumber { counter: 1, proposer: SECOND },
-            members: members(2, &[SECOND, ME]),
+            membership: members(2, &[SECOND, ME]),
         },
-        LogRecord::Membership { members: members(2, &[SECOND, ME]) },
+        LogRecord::Membership { membership: members(2, &[SECOND, ME]) },
         LogRecord::Rejoined { view: view(2, &[SECOND, ME]), last_index: 10 },
         LogRecord::InSync { epoch: 2 },
         entry(2, 11, 10),
@@ -155,7 +155,7 @@
         LogRecord::Promise { epoch: 3, proposal: ProposalNumber { counter: 4, proposer: THIRD } },
         LogRecord::Accepted {
             proposal: ProposalNumber { counter: 4, proposer: THIRD },
-            members: members(3, &[ME, THIRD]),
+            membership: members(3, &[ME, THIRD]),
         },
         LogRecord::Promise { epoch: 3, proposal: ProposalNumber { counter: 5, proposer: SECOND } },
     ]
@@ -187,7 +187,7 @@
     ring.append(&encoded(std::slice::from_ref(&identity))).unwrap();
     ring.append(&encoded(&[DiskRecord::Peers(peers()[..1].to_vec())])).unwrap();
     let first_life = [
-        LogRecord::Membership { members: members(1, &founders()) },
+        LogRecord::Membership { membership: members(1, &founders()) },
         LogRecord::View { view: view(1, &founders()), in_sync: true },
     ];
     ring.append(&encoded(&first_life.map(DiskRecord::Chain))).unwrap();
@@ -284,7 +284,7 @@
     const LAST_COMMITTED: u64 = 12;
     let (_, contents) = open(&laid_out("control.txt", "chain"));
     let (chain, state) = start_chain(contents.chain);
-    assert!(chain.members() == Some(&members(2, &[SECOND, ME])), "the membership");
+    assert!(chain.membership() == Some(&members(2, &[SECOND, ME])), "the membership");
     assert_eq!(chain.applied_index(), LAST_COMMITTED);
     assert!(state == state_after(LAST_COMMITTED), "the state");
     assert_eq!(state.fencing_token(), 2);
@@ -301,10 +301,10 @@
         LogRecord::BarrierReservation { epoch: 2, reserved: 4096 },
         LogRecord::Sealed { epoch: 2 },
         entry(2, 13, LAST_COMMITTED),
-        LogRecord::Membership { members: members(2, &[SECOND, ME]) },
+        LogRecord::Membership { membership: members(2, &[SECOND, ME]) },
         LogRecord::Accepted {
             proposal: ProposalNumber { counter: 4, proposer: THIRD },
-            members: members(3, &[ME, THIRD]),
+            membership: members(3, &[ME, THIRD]),
         },
         LogRecord::Promise { epoch: 3, proposal: ProposalNumber { counter: 5, proposer: SECOND } },
     ];
--- a/system/jobs/tests/golden.rs
+++ b/system/jobs/tests/golden.rs
@@ -121,9 +121,9 @@
         ("entry", LogRecord::Entry { epoch: 12, index: 13, commit_index: 14, command: vec![15] }),
         ("snapshot", LogRecord::Snapshot { index: 16, bytes: vec![17] }),
         ("barriers", LogRecord::BarrierReservation { epoch: 18, reserved: 19 }),
-        ("members", LogRecord::Membership { members: members() }),
+        ("members", LogRecord::Membership { membership: members() }),
         ("promise", LogRecord::Promise { epoch: 20, proposal }),
-        ("accepted", LogRecord::Accepted { proposal, members: members() }),
+        ("accepted", LogRecord::Accepted { proposal, membership: members() }),
     ]
 }
 
--- a/system/lease/src/event.rs
+++ b/system/lease/src/event.rs
@@ -14,14 +14,14 @@
     },
     /// The voters of an epoch. Events of older or repeated epochs are ignored.
     Voters {
-        /// The epoch.
+        /// The epoch of the voters.
         epoch: u64,
-        /// The voters.
+        /// The voters of the epoch.
         voters: Vec<VoterId>,
     },
     /// This process has sealed an epoch: as a voter, it grants nothing more in it.
     Sealed {
-        /// The epoch.
+        /// The sealed epoch.
         epoch: u64,
     },
     /// The processes that may hold the lease, the preferred one first. A process that is not on the list does not request the
@@ -62,14 +62,14 @@
     },
     /// The lease has been renewed.
     Renewed {
-        /// The generation.
+        /// The generation of the lease.
         generation: u64,
         /// When the lease expires if it is not renewed again.
         held_until: Duration,
     },
     /// The lease is no longer held.
     Lost {
-        /// The generation.
+        /// The generation of the lost lease.
         generation: u64,
     },
 }
--- a/system/lease/src/message.rs
+++ b/system/lease/src/message.rs
@@ -44,7 +44,7 @@
     },
     /// The sender has stopped acting under this generation and all lower ones.
     Release {
-        /// The generation.
+        /// The released generation.
         generation: u64,
     },
 }
