--- a/system/chain/tests/cluster/mod.rs
+++ b/system/chain/tests/cluster/mod.rs
@@ -124,9 +124,9 @@
         self.queue.add(self.now + delay, event);
     }
 
-    /// Runs the simulation for `span`.
-    pub fn run(&mut self, span: Duration) {
-        let end = self.now + span;
+    /// Runs the simulation for `duration`.
+    pub fn run(&mut self, duration: Duration) {
+        let end = self.now + duration;
         while let Some((at, event)) = self.queue.pop_until(end) {
             self.now = at;
             self.process_event(event);
--- a/system/chain/tests/model/group.rs
+++ b/system/chain/tests/model/group.rs
@@ -210,19 +210,19 @@
 
     /// Restarts a process. The other members are told of its identity if that is new.
     pub fn restart(&mut self, machine: usize, loss: DataLoss) {
-        let old = self.nodes[machine].identity;
+        let old_identity = self.nodes[machine].identity;
         if loss == DataLoss::Disk {
             self.next_identity += 1;
         }
         let new_identity = MemberId(self.next_identity);
         self.nodes[machine].restart(loss, new_identity, &self.settings, &mut self.observations);
         self.handle_event(machine, ChainEvent::Started);
-        let new = self.nodes[machine].identity;
-        let replaces = (new != old).then_some(old);
+        let current_identity = self.nodes[machine].identity;
+        let replaces = (current_identity != old_identity).then_some(old_identity);
         for other in (0..self.nodes.len()).filter(|other| *other != machine) {
             self.handle_event(
                 other,
-                ChainEvent::View(MembershipEvent::MemberAnnounced { member: new, replaces }),
+                ChainEvent::View(MembershipEvent::MemberAnnounced { member: current_identity, replaces }),
             );
             let member = self.nodes[other].identity;
             self.handle_event(
--- a/system/chain/tests/model/observations.rs
+++ b/system/chain/tests/model/observations.rs
@@ -25,16 +25,16 @@
 
 impl Observations {
     pub fn on_membership_installed(&mut self, membership: &Membership) {
-        let known = self.memberships.entry(membership.epoch).or_insert_with(|| membership.clone());
-        if known != membership {
-            self.contradiction = Some(format!("{known:?} and {membership:?}"));
+        let first_seen = self.memberships.entry(membership.epoch).or_insert_with(|| membership.clone());
+        if first_seen != membership {
+            self.contradiction = Some(format!("{first_seen:?} and {membership:?}"));
         }
     }
 
     pub fn on_applied(&mut self, index: u64, command: &[u8], acknowledges: bool) {
-        let known = self.applied.entry(index).or_insert_with(|| command.to_vec());
-        if known != command {
-            self.contradiction = Some(format!("{known:?} and {command:?} are both at index {index}"));
+        let first_seen = self.applied.entry(index).or_insert_with(|| command.to_vec());
+        if first_seen != command {
+            self.contradiction = Some(format!("{first_seen:?} and {command:?} are both at index {index}"));
         }
         if acknowledges {
             self.acknowledged_index = self.acknowledged_index.max(index);
--- a/system/chain/tests/partition/cluster.rs
+++ b/system/chain/tests/partition/cluster.rs
@@ -131,8 +131,8 @@
         self.queue.add(self.now + delay, event);
     }
 
-    pub fn run(&mut self, span: Duration) {
-        let end = self.now + span;
+    pub fn run(&mut self, duration: Duration) {
+        let end = self.now + duration;
         while let Some((at, event)) = self.queue.pop_until(end) {
             self.now = at;
             self.process_event(event);
--- a/system/chain/tests/partition/faults.rs
+++ b/system/chain/tests/partition/faults.rs
@@ -61,9 +61,9 @@
         self.after(restart_delay, SimulationEvent::ProcessStarts { machine });
     }
 
-    pub fn mark_recovering(&mut self, machine: usize, span: Duration) {
+    pub fn mark_recovering(&mut self, machine: usize, duration: Duration) {
         self.machines[machine].recovering_until =
-            self.machines[machine].recovering_until.max(self.now + span + CATCH_UP);
+            self.machines[machine].recovering_until.max(self.now + duration + CATCH_UP);
     }
 
     pub fn inject_fault(&mut self) {
@@ -71,13 +71,13 @@
             return;
         }
         let machine = self.rng.usize(..self.machines.len());
-        let span = millis(self.rng.u64(50..3000));
+        let duration = millis(self.rng.u64(50..3000));
         match self.rng.u8(0..8) {
-            0 | 1 => self.kill(machine, span),
+            0 | 1 => self.kill(machine, duration),
             2 => (0..self.machines.len()).for_each(|machine| self.kill(machine, millis(300))),
             3 => {
-                self.machines[machine].frozen_until = self.now + span;
-                self.mark_recovering(machine, span);
+                self.machines[machine].frozen_until = self.now + duration;
+                self.mark_recovering(machine, duration);
             }
             4 => {
                 let other = self.rng.usize(..self.machines.len());
--- a/system/chain/tests/simulation/disk.rs
+++ b/system/chain/tests/simulation/disk.rs
@@ -101,8 +101,8 @@
     /// Completes the sync in progress, and returns the last token that it covers.
     pub fn complete_sync(&mut self) -> Option<u64> {
         let count = std::mem::take(&mut self.syncing_writes);
-        let done: Vec<_> = self.unsynced.drain(..count).collect();
-        done.into_iter().fold(None, |last, write| self.apply(write).or(last))
+        let synced_writes: Vec<_> = self.unsynced.drain(..count).collect();
+        synced_writes.into_iter().fold(None, |last, write| self.apply(write).or(last))
     }
 
     pub fn discard_unsynced(&mut self) {
--- a/system/chain/tests/simulation/invariants.rs
+++ b/system/chain/tests/simulation/invariants.rs
@@ -119,17 +119,20 @@
     /// Checks that each epoch has only one membership, and that voters change one at a time and do not become fewer.
     pub fn on_membership_installed(&mut self, membership: Membership) {
         let seed = self.seed;
-        let known = self.memberships.entry(membership.epoch).or_insert_with(|| membership.clone());
-        assert_eq!(*known, membership, "seed {seed}: two memberships for one epoch");
+        let first_installed = self.memberships.entry(membership.epoch).or_insert_with(|| membership.clone());
+        assert_eq!(*first_installed, membership, "seed {seed}: two memberships for one epoch");
         assert!(
             membership.chain.iter().all(|member| membership.is_voter(*member)),
             "seed {seed}: {membership:?}"
         );
         assert!(membership.voters.len() >= self.founders, "seed {seed}: {membership:?}");
-        if let Some(before) = self.memberships.get(&(membership.epoch - 1)) {
-            let new = membership.voters.iter().filter(|voter| !before.is_voter(**voter)).count();
-            assert!(new <= 1, "seed {seed}: more than one voter changed from {before:?} to {membership:?}");
-            assert!(membership.voters.len() >= before.voters.len(), "seed {seed}: voters became fewer");
+        if let Some(previous) = self.memberships.get(&(membership.epoch - 1)) {
+            let added_voters = membership.voters.iter().filter(|voter| !previous.is_voter(**voter)).count();
+            assert!(
+                added_voters <= 1,
+                "seed {seed}: more than one voter changed from {previous:?} to {membership:?}"
+            );
+            assert!(membership.voters.len() >= previous.voters.len(), "seed {seed}: voters became fewer");
         }
     }
 
--- a/system/lease/src/lease.rs
+++ b/system/lease/src/lease.rs
@@ -214,12 +214,12 @@
 
     /// A generation higher than all that this process knows, and than all of older epochs, since new voters may not know those.
     fn next_generation(&self) -> u64 {
-        let known = self
+        let highest_known = self
             .candidate
             .generation
             .max(self.voter.highest_generation())
             .max(self.candidate.highest_refused);
-        known.max(self.epoch << EPOCH_SHIFT) + 1
+        highest_known.max(self.epoch << EPOCH_SHIFT) + 1
     }
 
     fn send_requests(&mut self, now: Duration, out: &mut Vec<LeaseAction>) {
--- a/system/lease/tests/cluster/mod.rs
+++ b/system/lease/tests/cluster/mod.rs
@@ -143,8 +143,8 @@
         self.queue.push(Reverse((self.now + delay, self.last_event_id)));
     }
 
-    pub fn run(&mut self, span: Duration) {
-        let end = self.now + span;
+    pub fn run(&mut self, duration: Duration) {
+        let end = self.now + duration;
         while let Some(Reverse((at, event_id))) =
             self.queue.peek().copied().filter(|Reverse((at, _))| *at <= end)
         {
