--- a/system/chain/tests/catching_up.rs
+++ b/system/chain/tests/catching_up.rs
@@ -8,7 +8,7 @@
 };
 
 const HEAD: MemberId = MemberId(1);
-const NEWCOMER: MemberId = MemberId(2);
+const NEW_TAIL: MemberId = MemberId(2);
 const EPOCH: u64 = 7;
 
 /// A replica with the actions that it has emitted and a disk that syncs only when the test calls [`Member::sync`].
@@ -20,11 +20,11 @@
 
 impl Member {
     /// Creates the tail of a chain that has committed entries in earlier views. The new member has none of them.
-    fn newcomer() -> Self {
-        let replica = Replica::new(NEWCOMER, ReplicaSettings::default(), 1);
+    fn new_tail() -> Self {
+        let replica = Replica::new(NEW_TAIL, ReplicaSettings::default(), 1);
         let mut member = Self { replica, actions: Vec::new(), unsynced: Vec::new() };
         member.handle_event(ReplicaEvent::Started);
-        let view = View { epoch: EPOCH, chain: vec![HEAD, NEWCOMER] };
+        let view = View { epoch: EPOCH, chain: vec![HEAD, NEW_TAIL] };
         member.handle_event(ReplicaEvent::View(ViewEvent::Install { view }));
         member.sync();
         member
@@ -48,14 +48,14 @@
         }
     }
 
-    fn message(&mut self, message: ReplicaMessage) {
+    fn receive(&mut self, message: ReplicaMessage) {
         self.handle_event(ReplicaEvent::Message { from: HEAD, message });
     }
 
     /// Delivers the entries `first..=last` from the head, with an in-sync index of 5.
-    fn entries(&mut self, first: u64, last: u64) {
+    fn receive_entries(&mut self, first: u64, last: u64) {
         let commands = (first..=last).map(|index| vec![index as u8]).collect();
-        self.message(ReplicaMessage::Append {
+        self.receive(ReplicaMessage::Append {
             epoch: EPOCH,
             first_index: first,
             commands,
@@ -75,12 +75,12 @@
 
 #[test]
 fn a_tail_that_is_not_in_sync_commits_nothing() {
-    let mut member = Member::newcomer();
-    member.entries(1, 3);
+    let mut member = Member::new_tail();
+    member.receive_entries(1, 3);
     member.sync();
     assert!(!member.replica.is_in_sync());
     assert_eq!(member.applied(), [] as [u64; 0]);
-    member.entries(4, 5);
+    member.receive_entries(4, 5);
     assert_eq!(member.applied(), [] as [u64; 0], "entries are applied before they are durable");
     member.sync();
     assert!(member.replica.is_in_sync());
@@ -89,16 +89,16 @@
 
 #[test]
 fn a_snapshot_counts_only_once_it_is_durable() {
-    let mut member = Member::newcomer();
+    let mut member = Member::new_tail();
     let bytes = vec![9; 10];
-    member.message(ReplicaMessage::SnapshotChunk {
+    member.receive(ReplicaMessage::SnapshotChunk {
         epoch: EPOCH,
         index: 4,
         total_bytes: 10,
         offset: 0,
         bytes: bytes.clone(),
     });
-    let counts = |member: &Member| {
+    let acknowledged_and_installed = |member: &Member| {
         let acknowledged = |action: &ReplicaAction| {
             matches!(
                 action,
@@ -108,10 +108,10 @@
         let installed = ReplicaAction::InstallSnapshot { index: 4, bytes: bytes.clone() };
         (member.actions.iter().any(acknowledged), member.actions.contains(&installed))
     };
-    assert_eq!(counts(&member), (false, false));
+    assert_eq!(acknowledged_and_installed(&member), (false, false));
     member.sync();
-    assert_eq!(counts(&member), (true, true));
-    member.entries(5, 5);
+    assert_eq!(acknowledged_and_installed(&member), (true, true));
+    member.receive_entries(5, 5);
     member.sync();
     assert_eq!(member.applied(), [5]);
 }
--- a/system/chain/tests/cluster/actions.rs
+++ b/system/chain/tests/cluster/actions.rs
@@ -8,6 +8,7 @@
 
 /// On average, one in this number of messages of a vote is followed by a fault at its sender.
 const VOTES_PER_FAULT: u64 = 40;
+
 /// Whether a message belongs to a vote.
 fn is_vote(message: &ChainMessage) -> bool {
     use gingerledge_chain::AgreementMessage as Vote;
