--- a/system/chain/src/agreement/mod.rs
+++ b/system/chain/src/agreement/mod.rs
@@ -1,11 +1,12 @@
-//! The votes on the memberships of the control group.
+//! Agreement on the memberships of the control group.
 //!
-//! Membership `e + 1` is decided once, by single-decree Paxos among the voters of `e` (Lamport, "Paxos Made Simple"). A promise or
-//! an acceptance seals epoch `e` at the voter: its replica takes part in nothing more of it, and what it holds is part of the
-//! promise. The next chain begins with a member that counted in the chain of `e`, so it holds everything that was acknowledged.
+//! Membership `e + 1` is decided exactly once, by single-decree Paxos among the voters of `e` (Lamport, "Paxos Made Simple"). A
+//! promise or an acceptance seals epoch `e` at the voter: its replica stops taking part in that epoch, so that its log no longer
+//! changes, and the promise reports whether the replica was in sync. The head of the next chain is a member that was in sync in
+//! the chain of `e`; therefore it holds everything that was acknowledged.
 //!
-//! [`liveness`] knows who is reachable, [`proposer`] when the chain is to change and how the vote on it stands, [`voter`] what this
-//! member has promised and accepted, and [`value`] which membership follows from the promises.
+//! [`liveness`] tracks which members are reachable, [`proposer`] decides when the chain has to change and runs both phases of the
+//! vote, [`voter`] makes promises and accepts values, and [`value`] derives the next membership from the promises.
 
 mod liveness;
 mod proposer;
@@ -20,21 +21,21 @@
 use liveness::Liveness;
 use proposer::Proposer;
 
-/// The present state of the replica and the disk of this member.
+/// The current status of the replica and the disk of this member.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct MemberStatus {
-    /// Whether the replica counts in the chain of the present epoch.
+    /// Whether the replica is in sync in the chain of the current epoch.
     pub in_sync: bool,
-    /// Whether it counts and has not sealed the epoch.
+    /// Whether the replica is in sync and has not sealed the epoch.
     pub serving: bool,
-    /// Whether the disk answers.
+    /// Whether the disk completes writes in time.
     pub disk_ready: bool,
 }
 
-/// What is durable once a sync ends, with the message that is due then.
+/// The vote that a write makes durable, with the address of the message that may be sent afterwards.
 #[derive(Clone, Debug)]
 pub(crate) enum Vote {
-    /// A membership was learned.
+    /// A decided membership was learned; no message follows.
     Learned,
     /// A proposal number was promised.
     Promised { to: MemberId, epoch: u64, proposal: ProposalNumber },
@@ -42,22 +43,22 @@
     Accepted { to: MemberId, epoch: u64, proposal: ProposalNumber },
 }
 
-/// An output of the agreement.
+/// An action of the agreement, carried out by [`EventDispatch`](crate::event_dispatch::EventDispatch).
 #[derive(Clone, Debug)]
 pub(crate) enum AgreementAction {
     Send { to: MemberId, message: AgreementMessage },
     Persist { record: LogRecord, vote: Vote },
     Seal { epoch: u64 },
-    Install { members: Membership },
+    Install { membership: Membership },
 }
 
-/// One member's part in the votes.
+/// The Paxos state of one member, as a voter and as a proposer.
 #[derive(Clone, Debug)]
 pub(crate) struct Agreement {
-    me: MemberId,
+    local_id: MemberId,
     settings: ControlChainSettings,
     rng: fastrand::Rng,
-    members: Option<Membership>,
+    membership: Option<Membership>,
     /// The highest proposal number promised for the next epoch.
     promised: Option<ProposalNumber>,
     /// The value accepted for the next epoch.
@@ -66,19 +67,20 @@
     proposer: Proposer,
     next_heartbeat_at: Duration,
     last_event_at: Duration,
-    /// After a start of this process the others are given time to start as well.
+    /// The time-out of a voter from which no heartbeat has arrived starts no earlier than this, because the other processes may
+    /// still be starting as well.
     startup_grace_until: Duration,
 }
 
 impl Agreement {
-    pub(crate) fn new(me: MemberId, settings: ControlChainSettings, seed: u64) -> Self {
+    pub(crate) fn new(local_id: MemberId, settings: ControlChainSettings, seed: u64) -> Self {
         Self {
-            me,
+            local_id,
             rng: fastrand::Rng::with_seed(seed),
-            members: None,
+            membership: None,
             promised: None,
             accepted: None,
-            liveness: Liveness::new(settings.max_candidates),
+            liveness: Liveness::new(settings.max_non_voters),
             proposer: Proposer::default(),
             next_heartbeat_at: Duration::ZERO,
             last_event_at: Duration::ZERO,
@@ -87,46 +89,48 @@
         }
     }
 
-    pub(crate) fn me(&self) -> MemberId {
-        self.me
+    pub(crate) fn local_id(&self) -> MemberId {
+        self.local_id
     }
 
-    pub(crate) fn members(&self) -> Option<&Membership> {
-        self.members.as_ref()
+    pub(crate) fn membership(&self) -> Option<&Membership> {
+        self.membership.as_ref()
     }
 
     pub(crate) fn epoch(&self) -> u64 {
-        self.members.as_ref().map_or(0, |members| members.epoch)
+        self.membership.as_ref().map_or(0, |membership| membership.epoch)
     }
 
-    /// The present epoch, if it is sealed here.
+    /// The current epoch, if this member has sealed it.
     pub(crate) fn sealed_epoch(&self) -> Option<u64> {
         self.promised.map(|_| self.epoch())
     }
 
-    /// Restores what a record found on the disk holds.
+    /// Restores the state from a record on the disk. Called for all records in the order written.
     pub(crate) fn restore(&mut self, record: &LogRecord) {
         match record {
-            LogRecord::Membership { members } if members.epoch > self.epoch() => self.adopt(members.clone()),
+            LogRecord::Membership { membership } if membership.epoch > self.epoch() => {
+                self.adopt(membership.clone());
+            }
             LogRecord::Promise { epoch, proposal } if *epoch == self.epoch() + 1 => {
                 self.promised = self.promised.max(Some(*proposal));
             }
-            LogRecord::Accepted { proposal, members } if members.epoch == self.epoch() + 1 => {
+            LogRecord::Accepted { proposal, membership } if membership.epoch == self.epoch() + 1 => {
                 self.promised = self.promised.max(Some(*proposal));
-                self.accepted = Some((*proposal, members.clone()));
+                self.accepted = Some((*proposal, membership.clone()));
             }
             _ => {}
         }
     }
 
-    /// Everything that must stay on the disk.
+    /// The records that must stay on the disk.
     pub(crate) fn checkpoint(&self) -> Vec<LogRecord> {
         let mut records = Vec::new();
-        let Some(members) = self.members.clone() else { return records };
-        let epoch = members.epoch + 1;
-        records.push(LogRecord::Membership { members });
-        if let Some((proposal, members)) = self.accepted.clone() {
-            records.push(LogRecord::Accepted { proposal, members });
+        let Some(membership) = self.membership.clone() else { return records };
+        let epoch = membership.epoch + 1;
+        records.push(LogRecord::Membership { membership });
+        if let Some((proposal, membership)) = self.accepted.clone() {
+            records.push(LogRecord::Accepted { proposal, membership });
         }
         if let Some(proposal) = self.promised {
             records.push(LogRecord::Promise { epoch, proposal });
@@ -138,54 +142,55 @@
         self.next_heartbeat_at = now;
         self.last_event_at = now;
         self.startup_grace_until = now + self.settings.startup_grace_period;
-        if let Some(members) = self.members.clone() {
-            self.expect_voters(now, &members);
+        if let Some(membership) = self.membership.clone() {
+            self.expect_voters(now, &membership);
         }
     }
 
-    fn expect_voters(&mut self, now: Duration, members: &Membership) {
-        for voter in members.voters.iter().filter(|voter| **voter != self.me) {
+    fn expect_voters(&mut self, now: Duration, membership: &Membership) {
+        for voter in membership.voters.iter().filter(|voter| **voter != self.local_id) {
             self.liveness.expect_heartbeat(*voter, now.max(self.startup_grace_until));
         }
     }
 
-    /// A member exists, and has replaced another identity of its address, if any.
+    /// Handles the announcement of a member, which may replace an earlier identity at the same address.
     pub(crate) fn on_member_announced(&mut self, member: MemberId, replaces: Option<MemberId>) {
-        if member != self.me {
-            self.liveness.on_announced(member, self.members.as_ref());
+        if member != self.local_id {
+            self.liveness.on_announced(member, self.membership.as_ref());
         }
         if let Some(replaced) = replaces.filter(|replaced| *replaced != member) {
             self.liveness.mark_replaced(replaced);
         }
     }
 
-    /// Learns a decided membership.
+    /// Adopts a decided membership if it is newer than the current one.
     pub(crate) fn learn_membership(
         &mut self,
         now: Duration,
-        members: Membership,
+        membership: Membership,
         out: &mut Vec<AgreementAction>,
     ) {
-        if members.epoch <= self.epoch() {
+        if membership.epoch <= self.epoch() {
             return;
         }
-        self.expect_voters(now, &members);
+        self.expect_voters(now, &membership);
         out.push(AgreementAction::Persist {
-            record: LogRecord::Membership { members: members.clone() },
+            record: LogRecord::Membership { membership: membership.clone() },
             vote: Vote::Learned,
         });
-        self.adopt(members.clone());
-        out.push(AgreementAction::Install { members });
+        self.adopt(membership.clone());
+        out.push(AgreementAction::Install { membership });
     }
 
-    fn adopt(&mut self, members: Membership) {
-        self.members = Some(members);
+    fn adopt(&mut self, membership: Membership) {
+        self.membership = Some(membership);
         self.promised = None;
         self.accepted = None;
         self.proposer.reset();
     }
 
-    /// Takes notice of the time. After a pause of this process, time-outs of the others prove nothing, and start again.
+    /// Detects a pause of this process from the time since the last event. Heartbeats may have arrived unprocessed during the
+    /// pause, so the time-outs of the other members are restarted.
     pub(crate) fn observe_time(&mut self, now: Duration) {
         if now.saturating_sub(self.last_event_at) > self.settings.heartbeat_interval * 2 {
             self.liveness.restart_timeouts(now);
@@ -204,7 +209,7 @@
         match message {
             AgreementMessage::Heartbeat(heartbeat) => {
                 let (sender_epoch, own_epoch) = (heartbeat.epoch, self.epoch());
-                self.liveness.on_heartbeat(now, from, heartbeat, self.members.as_ref());
+                self.liveness.on_heartbeat(now, from, heartbeat, self.membership.as_ref());
                 if sender_epoch > own_epoch {
                     self.request_membership(from, out);
                 } else if sender_epoch < own_epoch {
@@ -215,10 +220,10 @@
                 self.send_membership(from, out);
             }
             AgreementMessage::RequestMembership { .. } => {}
-            AgreementMessage::MembershipDecided { members } => self.learn_membership(now, members, out),
+            AgreementMessage::MembershipDecided { membership } => self.learn_membership(now, membership, out),
             AgreementMessage::Prepare { epoch, proposal } => self.on_prepare(now, from, epoch, proposal, out),
-            AgreementMessage::Accept { proposal, members } => {
-                self.on_accept(now, from, proposal, members, out);
+            AgreementMessage::Accept { proposal, membership } => {
+                self.on_accept(now, from, proposal, membership, out);
             }
             AgreementMessage::Promise { epoch, proposal, accepted, in_sync } => {
                 let promise = value::Promise { accepted, in_sync };
@@ -233,7 +238,7 @@
         }
     }
 
-    /// A member was seen to be in a newer epoch.
+    /// Requests the membership of a member that is in a newer epoch.
     pub(crate) fn on_newer_epoch(&mut self, member: MemberId, epoch: u64, out: &mut Vec<AgreementAction>) {
         if epoch > self.epoch() {
             self.request_membership(member, out);
@@ -248,8 +253,11 @@
     }
 
     fn send_membership(&self, to: MemberId, out: &mut Vec<AgreementAction>) {
-        if let Some(members) = self.members.clone() {
-            out.push(AgreementAction::Send { to, message: AgreementMessage::MembershipDecided { members } });
+        if let Some(membership) = self.membership.clone() {
+            out.push(AgreementAction::Send {
+                to,
+                message: AgreementMessage::MembershipDecided { membership },
+            });
         }
     }
 
@@ -273,8 +281,8 @@
         let heartbeat = Heartbeat { epoch: self.epoch(), disk_ready: status.disk_ready, sealed, live_peers };
         for to in self.liveness.heartbeat_receivers(
             now,
-            self.me,
-            self.members.as_ref(),
+            self.local_id,
+            self.membership.as_ref(),
             self.settings.replace_after,
         ) {
             let message = AgreementMessage::Heartbeat(heartbeat.clone());
--- a/system/chain/src/agreement/voter.rs
+++ b/system/chain/src/agreement/voter.rs
@@ -1,4 +1,4 @@
-//! The voter's part: promises and acceptances, each on the disk before it is sent.
+//! The voter: promises proposal numbers and accepts values. Each vote is durable before it is sent.
 
 use std::time::Duration;
 
@@ -6,7 +6,8 @@
 use crate::{AgreementMessage, LogRecord, MemberId, Membership, ProposalNumber};
 
 impl Agreement {
-    /// Whether this member may vote for an epoch now. A proposer in another epoch gets the newer membership, or is asked for it.
+    /// Whether this member may vote on an epoch now. A proposer in an older epoch is sent the newer membership; from a proposer
+    /// in a newer epoch, the membership is requested.
     fn check_may_vote(&self, from: MemberId, epoch: u64, out: &mut Vec<AgreementAction>) -> bool {
         if epoch <= self.epoch() {
             self.send_membership(from, out);
@@ -16,10 +17,13 @@
             self.request_membership(from, out);
             return false;
         }
-        self.members.as_ref().is_some_and(|members| members.is_voter(self.me) && members.is_voter(from))
+        self.membership
+            .as_ref()
+            .is_some_and(|membership| membership.is_voter(self.local_id) && membership.is_voter(from))
     }
 
-    /// Adopts a proposal number if this member may vote and has promised no higher one; that seals the epoch before.
+    /// Adopts a proposal number if this member may vote and has promised no higher one, and seals the preceding epoch. Returns
+    /// whether the number was adopted.
     fn adopt_proposal_number(
         &mut self,
         now: Duration,
@@ -64,21 +68,21 @@
         now: Duration,
         from: MemberId,
         proposal: ProposalNumber,
-        members: Membership,
+        membership: Membership,
         out: &mut Vec<AgreementAction>,
     ) {
-        let epoch = members.epoch;
+        let epoch = membership.epoch;
         if !self.adopt_proposal_number(now, from, epoch, proposal, out) {
             return;
         }
-        self.accepted = Some((proposal, members.clone()));
+        self.accepted = Some((proposal, membership.clone()));
         out.push(AgreementAction::Persist {
-            record: LogRecord::Accepted { proposal, members },
+            record: LogRecord::Accepted { proposal, membership },
             vote: Vote::Accepted { to: from, epoch, proposal },
         });
     }
 
-    /// A vote is on the disk: it is sent, if no higher proposal number was promised meanwhile.
+    /// Handles a vote that has become durable. Its message is sent unless a higher proposal number has been promised since.
     pub(crate) fn on_vote_durable(
         &mut self,
         vote: Vote,
--- a/system/chain/src/replica/replication.rs
+++ b/system/chain/src/replica/replication.rs
@@ -1,4 +1,5 @@
-//! Sending entries and snapshots to the followers: to the successor in the chain, and from the tail to learners outside it.
+//! Replication to the followers: sends entries and snapshots to the successor in the chain, and from the tail to learners outside
+//! the chain.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,19 +8,20 @@
 use super::{Replica, ReplicaAction};
 use crate::{MemberId, ReplicaMessage, ViewAction};
 
-/// A learner that sent nothing for this many resend intervals gives up its place to another one.
+/// A learner from which no message has arrived for this number of resend intervals may be replaced by another one.
 const LEARNER_EVICTION_RESENDS: u32 = 4;
 
-/// A request of a follower to continue after its last entry.
+/// The request of a follower for the entries after its last one.
 pub(super) struct Resume {
+    /// Index of the follower's last entry.
     pub last_index: u64,
-    /// Whether the follower counts in this view already.
+    /// Whether the follower is already in sync in this view.
     pub in_sync: bool,
     pub role: FollowerRole,
 }
 
 impl Replica {
-    /// Asks the successor after which entry to continue, unless it has said so.
+    /// Requests the index of the successor's last entry, unless it is known.
     pub(super) fn request_resume(&mut self, now: Duration, out: &mut Vec<ReplicaAction>) {
         if !self.is_serving() {
             return;
@@ -52,7 +54,7 @@
             return;
         }
         if is_learner {
-            // A learner holds nothing but committed entries: a tail that has started again may not know of them yet.
+            // A learner holds only committed entries, which a restarted tail may not know to be committed yet.
             self.log.commit_to(last_index);
         }
         let compacted_index = self.log.compacted_index();
@@ -72,7 +74,8 @@
         self.report_learner(from, out);
     }
 
-    /// Adds a learner to the followers, at a tail that commits or would; one that has sent nothing lately gives up its place.
+    /// Adds a learner to the followers if this member is the tail, and returns whether it is among them. If there are too many
+    /// learners, those with the oldest last message are removed first, provided that it is older than the eviction time.
     fn admit_learner(&mut self, now: Duration, member: MemberId) -> bool {
         if !self.is_tail() || self.view.as_ref().is_some_and(|view| view.contains(member)) {
             return false;
@@ -132,15 +135,23 @@
         }
     }
 
-    pub(super) fn on_chunk_ack(&mut self, now: Duration, from: MemberId, acked_snapshot: u64, acked: u64) {
+    pub(super) fn on_chunk_ack(
+        &mut self,
+        now: Duration,
+        from: MemberId,
+        snapshot_index: u64,
+        acked_bytes: u64,
+    ) {
         let Some(follower) = self.followers.iter_mut().find(|follower| follower.member == from) else {
             return;
         };
         follower.last_message_at = now;
-        if let ProgressState::Snapshot { index: Some(index), received, sent } = &mut follower.state {
-            if *index == acked_snapshot && acked > *received {
-                *received = acked;
-                *sent = (*sent).max(Some(acked));
+        if let ProgressState::Snapshot { index: Some(index), received_bytes, sent_bytes } =
+            &mut follower.state
+        {
+            if *index == snapshot_index && acked_bytes > *received_bytes {
+                *received_bytes = acked_bytes;
+                *sent_bytes = (*sent_bytes).max(Some(acked_bytes));
                 follower.last_progress_at = now;
             }
         }
@@ -158,7 +169,7 @@
         }
     }
 
-    /// Sends each follower what its window allows.
+    /// Sends each follower the entries and chunks that its window allows.
     pub(super) fn send_to_followers(&mut self, now: Duration, out: &mut Vec<ReplicaAction>) {
         if !self.is_serving() {
             return;
@@ -174,7 +185,7 @@
         self.send_snapshots(now, out);
     }
 
-    /// The last entry that a follower may get: a learner only what is committed.
+    /// Index of the last entry that may be sent to a follower. A learner only receives committed entries.
     fn sendable_index(&self, follower: &Progress) -> u64 {
         match follower.role {
             FollowerRole::Learner => self.log.commit_index(),
@@ -192,7 +203,7 @@
             && follower.next_index <= self.sendable_index(follower)
     }
 
-    /// Sends the next entries, or an empty message if there are none; returns whether there were any.
+    /// Sends the next entries, or an empty message if there are none. Returns whether it sent any entries.
     fn send_batch(&mut self, member: MemberId, out: &mut Vec<ReplicaAction>) -> bool {
         let Some(position) = self.followers.iter().position(|follower| follower.member == member) else {
             return false;
@@ -204,7 +215,7 @@
             return false;
         }
         let commands = self.next_batch(follower.next_index, self.sendable_index(follower));
-        let sent = commands.len() as u64;
+        let sent_entries = commands.len() as u64;
         let message = ReplicaMessage::Append {
             epoch: self.epoch(),
             first_index: follower.next_index,
@@ -213,8 +224,8 @@
             in_sync_index: follower.in_sync_index,
         };
         out.push(ReplicaAction::Send { to: member, message });
-        self.followers[position].next_index += sent;
-        sent > 0
+        self.followers[position].next_index += sent_entries;
+        sent_entries > 0
     }
 
     fn next_batch(&self, first_index: u64, last_index: u64) -> Vec<Vec<u8>> {
@@ -238,7 +249,7 @@
             return;
         }
         let compacted_index = self.log.compacted_index();
-        // The entries that would have to follow an older snapshot are no longer held.
+        // The entries that would have to follow an older snapshot are no longer in memory.
         self.snapshot = self.snapshot.take().filter(|snapshot| snapshot.index >= compacted_index);
         let Some(snapshot) = self.snapshot.clone() else {
             if !self.is_snapshot_requested {
@@ -254,7 +265,7 @@
         }
     }
 
-    /// Sends again to each follower that owes an acknowledgement for too long.
+    /// Resends to each follower whose acknowledgement is overdue.
     pub(super) fn resend_overdue(&mut self, now: Duration, out: &mut Vec<ReplicaAction>) {
         if !self.is_serving() {
             return;
@@ -276,14 +287,16 @@
         follower.last_progress_at = now;
         match &mut follower.state {
             ProgressState::Probe => self.request_resume(now, out),
-            ProgressState::Snapshot { received, sent, .. } => *sent = (*received > 0).then_some(*received),
+            ProgressState::Snapshot { received_bytes, sent_bytes, .. } => {
+                *sent_bytes = (*received_bytes > 0).then_some(*received_bytes);
+            }
             ProgressState::Replicate => {
                 self.send_batch(member, out);
             }
         }
     }
 
-    /// When [`Replica::resend_overdue`] has something to do.
+    /// The time at which [`Replica::resend_overdue`] is due; `None` if no acknowledgement is expected.
     pub(super) fn resend_timer(&self) -> Option<Duration> {
         if !self.is_serving() {
             return None;
@@ -293,8 +306,8 @@
         outstanding.map(|follower| follower.last_progress_at + self.settings.resend_interval).min()
     }
 
-    /// Whether durable entries wait to be committed, in a chain that commits at all.
+    /// Whether there are durable entries that are not committed, in a chain that is long enough to commit.
     fn has_uncommitted(&self) -> bool {
-        self.commits() && self.log.commit_index() < self.log.durable_index()
+        self.can_commit() && self.log.commit_index() < self.log.durable_index()
     }
 }
--- a/system/chain/src/replica/view_installation.rs
+++ b/system/chain/src/replica/view_installation.rs
@@ -1,4 +1,4 @@
-//! Installing a view: whether this member counts in it, and where its entries then come from and go to.
+//! Installation of a view: determines whether this member is in sync in it, and connects it to its predecessor and successor.
 
 use std::time::Duration;
 
@@ -16,7 +16,7 @@
         }
     }
 
-    /// Installs a newer view: its record is made durable first, then the view is in force.
+    /// Installs a newer view. It is in force once its record is durable.
     pub(super) fn install(&mut self, view: View, out: &mut Vec<ReplicaAction>) {
         if view.epoch <= self.epoch() {
             return;
@@ -32,7 +32,7 @@
         self.view = Some(view);
         self.is_view_durable = false;
         self.in_sync = in_sync;
-        self.becoming_in_sync = false;
+        self.is_in_sync_pending = false;
         self.upstream.reset(None);
         self.followers.clear();
         self.snapshot = None;
@@ -40,25 +40,25 @@
         self.persist(vec![record], PendingRecord::View { epoch }, out);
     }
 
-    /// Whether this member holds all that was committed before a view: it counted in the view just before, and all that
-    /// now stand before it in the chain stood before it then. Else its log could end otherwise than that of its
-    /// predecessor.
+    /// Whether this member is in sync in a new view from the start, so that it holds everything committed before it: it was in
+    /// sync in the preceding view, and all members that are now before it in the chain were before it in that view as well.
+    /// Otherwise the end of its log could differ from that of its predecessor.
     fn is_in_sync_in(&self, next: &View) -> bool {
         let Some(view) = &self.view else {
-            return next.epoch == 1 && next.contains(self.me) && self.log.last_index() == 0;
+            return next.epoch == 1 && next.contains(self.local_id) && self.log.last_index() == 0;
         };
-        let members_before_me = |view: &View| -> Vec<MemberId> {
-            view.chain.iter().copied().take_while(|member| *member != self.me).collect()
+        let predecessors_in = |view: &View| -> Vec<MemberId> {
+            view.chain.iter().copied().take_while(|member| *member != self.local_id).collect()
         };
-        let stood_before = members_before_me(view);
+        let previous_predecessors = predecessors_in(view);
         self.in_sync
             && next.epoch == view.epoch + 1
-            && view.contains(self.me)
-            && next.contains(self.me)
-            && members_before_me(next).iter().all(|member| stood_before.contains(member))
+            && view.contains(self.local_id)
+            && next.contains(self.local_id)
+            && predecessors_in(next).iter().all(|member| previous_predecessors.contains(member))
     }
 
-    /// The record of the view is on the disk: the view is in force.
+    /// Puts the view in force, after its record has become durable.
     pub(super) fn on_view_durable(&mut self, now: Duration, out: &mut Vec<ReplicaAction>) {
         self.is_view_durable = true;
         self.reads.restart();
@@ -74,13 +74,14 @@
         self.replay_early_messages(now, out);
     }
 
+    /// Sets the member from which entries are received and the one to which they are sent.
     fn connect(&mut self, now: Duration, out: &mut Vec<ReplicaAction>) {
         let Some(view) = &self.view else { return };
-        let predecessor = view.predecessor(self.me);
-        let successor = view.successor(self.me);
+        let predecessor = view.predecessor(self.local_id);
+        let successor = view.successor(self.local_id);
         let tail = view.tail();
         let source =
-            if view.contains(self.me) { predecessor } else { tail.filter(|_| self.follows_as_learner) };
+            if view.contains(self.local_id) { predecessor } else { tail.filter(|_| self.follows_as_learner) };
         self.upstream.reset(source);
         self.send_resume(now, out);
         if let Some(successor) = successor {
@@ -89,7 +90,7 @@
         }
     }
 
-    /// Handles the messages of this view that came before it was in force.
+    /// Handles the messages of this view that arrived before it was in force.
     fn replay_early_messages(&mut self, now: Duration, out: &mut Vec<ReplicaAction>) {
         let epoch = self.epoch();
         for (from, message) in std::mem::take(&mut self.early_messages) {
@@ -122,22 +123,28 @@
         }
     }
 
-    /// Begins to count in the view once all that the predecessor held when it was asked is durable here.
+    /// Writes [`LogRecord::InSync`] once all entries that the predecessor held when it received the
+    /// [`ReplicaMessage::Resume`](crate::ReplicaMessage::Resume) are durable at this member. The member is in sync once that
+    /// record is durable.
     pub(super) fn check_in_sync(&mut self, out: &mut Vec<ReplicaAction>) {
         let has_caught_up =
             self.upstream.in_sync_index().is_some_and(|index| index <= self.log.durable_index());
-        if !has_caught_up || self.in_sync || self.becoming_in_sync || !self.is_active() || !self.is_in_chain()
+        if !has_caught_up
+            || self.in_sync
+            || self.is_in_sync_pending
+            || !self.is_active()
+            || !self.is_in_chain()
         {
             return;
         }
-        self.becoming_in_sync = true;
+        self.is_in_sync_pending = true;
         let epoch = self.epoch();
         self.persist(vec![LogRecord::InSync { epoch }], PendingRecord::InSync { epoch }, out);
     }
 
     pub(super) fn on_in_sync_durable(&mut self, epoch: u64, out: &mut Vec<ReplicaAction>) {
         self.in_sync = true;
-        self.becoming_in_sync = false;
+        self.is_in_sync_pending = false;
         out.push(ReplicaAction::BecameInSync { epoch });
         for follower in &mut self.followers {
             follower.expedite_probe();
--- a/system/control/src/node/chain_host.rs
+++ b/system/control/src/node/chain_host.rs
@@ -166,7 +166,7 @@
 
     /// The newest membership in force that this node knows.
     pub(super) fn membership(&self) -> Option<&Membership> {
-        self.chain.members()
+        self.chain.membership()
     }
 
     /// The member at the head of the chain, if one is known.
@@ -186,7 +186,7 @@
 
     /// Identity of this member.
     pub(super) fn own_member(&self) -> MemberId {
-        self.chain.me()
+        self.chain.local_id()
     }
 
     /// Whether this member is in the chain of the membership in force.
--- a/system/lease/src/lease.rs
+++ b/system/lease/src/lease.rs
@@ -1,4 +1,4 @@
-//! One process's part in the lease: when it asks for the lease, holds it and steps down.
+//! The lease of one process: when it requests, renews and releases it.
 
 use std::time::Duration;
 
@@ -6,39 +6,41 @@
 use crate::voter::{Request, Voter};
 use crate::{LeaseAction, LeaseEvent, LeaseMessage, LeaseSettings, VoterId};
 
-/// A generation begins with the epoch in which it was requested, above this many bits.
+/// Position of the epoch in a generation: the bits from this one on hold the epoch in which the generation was requested.
 const EPOCH_SHIFT: u32 = 32;
 
-/// By how many staggers more than its position says the preferred candidate is ahead of the others, since it may have started a
-/// little later.
+/// Number of additional staggers by which all other candidates are delayed behind the preferred one, since it may have started
+/// slightly later.
 const PREFERRED_CANDIDATE_LEAD: u32 = 2;
 
-/// One process's part in the lease.
+/// The state of one process, as a voter and as a candidate.
 #[derive(Clone, Debug)]
 pub struct Lease {
-    me: VoterId,
+    local_id: VoterId,
     settings: LeaseSettings,
     rng: fastrand::Rng,
+    /// The epoch of `voters`.
     epoch: u64,
     voters: Vec<VoterId>,
-    /// Who may hold the lease, the preferred one first.
+    /// The processes that may hold the lease, the preferred one first.
     candidate_order: Vec<VoterId>,
     voter: Voter,
     candidate: Candidate,
     is_started: bool,
-    /// Whether no voter can have granted anything before this process started.
+    /// Whether no voter can have granted the lease before this process started.
     is_founding: bool,
 }
 
 impl Lease {
-    /// A process that has just started. The seed must differ from one start to the next.
+    /// Creates the state of a process that has just started. The seed must differ from one start to the next.
     #[must_use]
-    pub fn new(me: VoterId, settings: LeaseSettings, seed: u64) -> Self {
+    pub fn new(local_id: VoterId, settings: LeaseSettings, seed: u64) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
-        // Responses to attempts of an earlier incarnation must not count for those of this one.
+        // Attempts are numbered from a random number on: responses to attempts of an earlier incarnation must not count for this
+        // one.
         let candidate = Candidate { last_attempt: rng.u64(..) >> 1, ..Candidate::default() };
         Self {
-            me,
+            local_id,
             settings,
             rng,
             epoch: 0,
@@ -51,25 +53,25 @@
         }
     }
 
-    /// Whether the lease is held now. To be checked right before each action under it.
+    /// Whether the lease is held now. The host must check this immediately before each action that requires the lease.
     #[must_use]
     pub fn is_held(&self, now: Duration) -> bool {
         self.candidate.is_held(now)
     }
 
-    /// Until when the lease is held, if it is.
+    /// The time at which the lease expires, if it is held.
     #[must_use]
     pub fn held_until(&self, now: Duration) -> Option<Duration> {
         self.candidate.held_until.filter(|held_until| now < *held_until)
     }
 
-    /// The generation that is held or was requested last.
+    /// The generation that was held or requested last.
     #[must_use]
     pub fn generation(&self) -> u64 {
         self.candidate.generation
     }
 
-    /// When [`LeaseEvent::TimerExpired`] is due next.
+    /// The time at which [`LeaseEvent::TimerExpired`] is due next; `None` if no timer is running.
     #[must_use]
     pub fn next_timer(&self) -> Option<Duration> {
         if !self.is_started || self.voters.is_empty() {
@@ -86,7 +88,7 @@
     pub fn handle(&mut self, now: Duration, event: LeaseEvent, out: &mut Vec<LeaseAction>) {
         self.check_expiry(now, out);
         match event {
-            LeaseEvent::Started { founding } => self.on_started(now, founding),
+            LeaseEvent::Started { is_founding } => self.on_started(now, is_founding),
             LeaseEvent::Voters { epoch, voters } => self.on_voters(now, epoch, voters),
             LeaseEvent::Sealed { epoch } => self.voter.seal(epoch),
             LeaseEvent::Candidates { order } => self.on_candidates(now, order, out),
@@ -97,12 +99,12 @@
     }
 
     fn is_candidate(&self) -> bool {
-        self.candidate_order.contains(&self.me)
+        self.candidate_order.contains(&self.local_id)
     }
 
-    /// How many staggers this candidate lets pass before it asks. The preferred one has a lead over all the others.
+    /// Number of staggers for which this candidate waits before it requests the lease: 0 for the preferred one.
     fn rank(&self) -> u32 {
-        match self.candidate_order.iter().position(|candidate| *candidate == self.me) {
+        match self.candidate_order.iter().position(|candidate| *candidate == self.local_id) {
             None | Some(0) => 0,
             Some(position) => PREFERRED_CANDIDATE_LEAD + position as u32,
         }
@@ -112,15 +114,15 @@
         self.voters.len() / 2 + 1
     }
 
-    fn on_started(&mut self, now: Duration, founding: bool) {
+    fn on_started(&mut self, now: Duration, is_founding: bool) {
         self.is_started = true;
-        self.is_founding = founding;
+        self.is_founding = is_founding;
         self.candidate.next_attempt_at = now + self.settings.candidate_stagger * self.rank();
     }
 
-    /// Adopts the voters of a newer epoch. Where they differ, or may have differed in between, a majority of the old ones and one
-    /// of the new ones need not meet: then this voter waits until all old grants have expired. It does so after a start as well,
-    /// since it remembers no grants of an earlier incarnation.
+    /// Adopts the voters of a newer epoch. If they differ, or may have differed in an epoch in between, a majority of the old
+    /// voters and a majority of the new ones need not overlap; this voter then waits until all old grants have expired. It also
+    /// waits after a start, because it has no record of the grants of an earlier incarnation.
     fn on_voters(&mut self, now: Duration, epoch: u64, mut voters: Vec<VoterId>) {
         if epoch <= self.epoch {
             return;
@@ -156,7 +158,7 @@
         self.candidate.next_attempt_at = now + self.settings.grant_duration;
     }
 
-    /// Ends the lease or the attempt in progress, and releases the grants.
+    /// Ends the lease or the attempt in progress, and releases the grants at all voters.
     fn step_down(&mut self, out: &mut Vec<LeaseAction>) {
         let was_held = self.candidate.held_until.take().is_some();
         let had_attempt = self.candidate.attempt.take().is_some();
@@ -167,14 +169,14 @@
             return;
         }
         let generation = self.candidate.generation;
-        self.voter.on_release(self.me, generation);
+        self.voter.on_release(self.local_id, generation);
         for to in self.other_voters() {
             out.push(LeaseAction::Send { to, message: LeaseMessage::Release { generation } });
         }
     }
 
     fn other_voters(&self) -> Vec<VoterId> {
-        self.voters.iter().copied().filter(|voter| *voter != self.me).collect()
+        self.voters.iter().copied().filter(|voter| *voter != self.local_id).collect()
     }
 
     fn check_expiry(&mut self, now: Duration, out: &mut Vec<LeaseAction>) {
@@ -197,10 +199,10 @@
         }
     }
 
-    /// Renews the lease, or requests it unless another process is known to hold it.
+    /// Renews the lease, or requests it unless this voter has granted it to another process.
     fn acquire_or_renew(&mut self, now: Duration, out: &mut Vec<LeaseAction>) {
         if !self.is_held(now) {
-            let free_at = self.voter.granted_to_others_until(self.me);
+            let free_at = self.voter.granted_to_others_until(self.local_id);
             if free_at > now {
                 self.candidate.next_attempt_at = free_at + self.settings.candidate_stagger * self.rank();
                 return;
@@ -210,14 +212,14 @@
         self.send_requests(now, out);
     }
 
-    /// Higher than all generations known here, and than all of older epochs: new voters may know of none.
+    /// A generation higher than all that this process knows, and than all of older epochs, since new voters may not know those.
     fn next_generation(&self) -> u64 {
-        let known = self
+        let highest_known = self
             .candidate
             .generation
             .max(self.voter.highest_generation())
             .max(self.candidate.highest_refused);
-        known.max(self.epoch << EPOCH_SHIFT) + 1
+        highest_known.max(self.epoch << EPOCH_SHIFT) + 1
     }
 
     fn send_requests(&mut self, now: Duration, out: &mut Vec<LeaseAction>) {
@@ -226,17 +228,17 @@
         let request = Request {
             epoch: self.epoch,
             generation: self.candidate.generation,
-            renewal: self.is_held(now),
+            is_renewal: self.is_held(now),
             attempt,
         };
-        let Request { epoch, generation, renewal, .. } = request;
-        let message = LeaseMessage::Request { epoch, generation, renewal, attempt };
+        let Request { epoch, generation, is_renewal, .. } = request;
+        let message = LeaseMessage::Request { epoch, generation, is_renewal, attempt };
         for to in self.other_voters() {
             out.push(LeaseAction::Send { to, message: message.clone() });
         }
-        if self.voters.contains(&self.me) {
-            let response = self.voter.on_request(now, self.me, request, &self.settings);
-            self.on_response(now, self.me, response, out);
+        if self.voters.contains(&self.local_id) {
+            let response = self.voter.on_request(now, self.local_id, request, &self.settings);
+            self.on_response(now, self.local_id, response, out);
         }
     }
 
@@ -248,9 +250,9 @@
         out: &mut Vec<LeaseAction>,
     ) {
         match message {
-            LeaseMessage::Request { epoch, generation, renewal, attempt } => {
-                if self.is_started && epoch == self.epoch && self.voters.contains(&self.me) {
-                    let request = Request { epoch, generation, renewal, attempt };
+            LeaseMessage::Request { epoch, generation, is_renewal, attempt } => {
+                if self.is_started && epoch == self.epoch && self.voters.contains(&self.local_id) {
+                    let request = Request { epoch, generation, is_renewal, attempt };
                     let message = self.voter.on_request(now, from, request, &self.settings);
                     out.push(LeaseAction::Send { to: from, message });
                 }
@@ -260,12 +262,12 @@
         }
     }
 
-    /// The holder has released the lease: the next candidate need not wait until its grants expire.
+    /// Handles the release of the lease by its holder: this candidate need not wait until the grants expire.
     fn on_holder_released(&mut self, now: Duration, from: VoterId, generation: u64) {
         self.voter.on_release(from, generation);
-        if !self.is_held(now) && self.voter.granted_to_others_until(self.me) <= now {
-            let turn = now + self.settings.candidate_stagger * self.rank();
-            self.candidate.next_attempt_at = self.candidate.next_attempt_at.min(turn.max(now));
+        if !self.is_held(now) && self.voter.granted_to_others_until(self.local_id) <= now {
+            let attempt_at = now + self.settings.candidate_stagger * self.rank();
+            self.candidate.next_attempt_at = self.candidate.next_attempt_at.min(attempt_at.max(now));
         }
     }
 
@@ -304,12 +306,13 @@
             attempt.grants.insert(from);
         }
         if attempt.grants.len() >= majority {
-            let (held_until, renewal) = (attempt.sent_at + self.settings.usable_duration(), attempt.renewal);
-            self.on_majority(now, held_until, renewal, out);
+            let (held_until, is_renewal) =
+                (attempt.sent_at + self.settings.usable_duration(), attempt.is_renewal);
+            self.on_majority(now, held_until, is_renewal, out);
         }
     }
 
-    /// Abandons an attempt that can't get a majority any more; the next one starts when the voters would grant.
+    /// Records a refusal. Abandons the attempt if it can no longer get a majority; the next one starts when a majority may grant.
     fn on_refusal(
         &mut self,
         now: Duration,
@@ -319,26 +322,26 @@
         wait: Duration,
         out: &mut Vec<LeaseAction>,
     ) {
-        let dispensable = self.voters.len() - self.majority().min(self.voters.len());
+        let tolerated_refusals = self.voters.len() - self.majority().min(self.voters.len());
         let Some(attempt) = self.candidate.attempt_mut(attempt) else { return };
         attempt.refusals.insert(from, wait.min(self.settings.outstanding_grant_bound()));
-        let is_majority_impossible = attempt.refusals.len() > dispensable;
+        let is_majority_impossible = attempt.refusals.len() > tolerated_refusals;
         self.candidate.highest_refused = self.candidate.highest_refused.max(highest_generation);
         if is_majority_impossible && !self.candidate.is_held(now) {
             self.abandon_attempt(now, out);
         }
     }
 
-    /// A majority has granted. A renewal that completes after the lease has expired is released: a higher generation may have been
-    /// held since.
+    /// Handles a majority of grants. A renewal that completes after the lease has expired is released, because a higher
+    /// generation may have been held since.
     fn on_majority(
         &mut self,
         now: Duration,
         held_until: Duration,
-        renewal: bool,
+        is_renewal: bool,
         out: &mut Vec<LeaseAction>,
     ) {
-        if held_until <= now || (renewal && !self.is_held(now)) {
+        if held_until <= now || (is_renewal && !self.is_held(now)) {
             self.step_down(out);
             return;
         }
@@ -349,23 +352,24 @@
             None => LeaseAction::Acquired { generation, held_until },
         };
         self.candidate.held_until = Some(held_until);
-        // A refusal by a minority may have delayed the next attempt.
+        // The attempt in which a minority refused may have moved the next attempt to a later time.
         self.candidate.next_attempt_at =
             self.candidate.next_attempt_at.min(now + self.settings.renewal_interval());
         out.push(action);
     }
 
-    /// When a majority may grant, by the refusals of the attempt in progress.
+    /// The time at which a majority may grant, according to the refusals of the attempt in progress.
     fn majority_possible_at(&self, now: Duration) -> Duration {
-        let (majority, voters) = (self.majority(), self.voters.len());
+        let (majority, voter_count) = (self.majority(), self.voters.len());
         now + self
             .candidate
             .attempt
             .as_ref()
-            .map_or(Duration::ZERO, |attempt| attempt.time_until_majority(majority, voters))
+            .map_or(Duration::ZERO, |attempt| attempt.time_until_majority(majority, voter_count))
     }
 
-    /// There is no majority in time. Without a lease the grants so far are released, so that others need not wait for them.
+    /// Abandons an attempt that got no majority in time. If the lease is not held, the grants so far are released, so that other
+    /// candidates need not wait until they expire.
     fn abandon_attempt(&mut self, now: Duration, out: &mut Vec<LeaseAction>) {
         if self.is_held(now) {
             self.candidate.attempt = None;
@@ -374,8 +378,8 @@
         }
         let majority_possible_at = self.majority_possible_at(now);
         self.step_down(out);
-        let turn = self.settings.candidate_stagger * self.rank()
+        let backoff = self.settings.candidate_stagger * self.rank()
             + self.settings.candidate_stagger.mul_f64(self.rng.f64());
-        self.candidate.next_attempt_at = majority_possible_at + turn;
+        self.candidate.next_attempt_at = majority_possible_at + backoff;
     }
 }
