--- a/broker/crates/fleet/src/lib.rs
+++ b/broker/crates/fleet/src/lib.rs
@@ -1,26 +1,29 @@
-//! The fleet's sense of itself: who of the brokers lives. Sans I/O: datagrams and the time go in, datagrams and changes of mind
-//! come out, and equal calls give equal answers. The protocol is SWIM with suspicion and incarnations, of the crate `foca`; what this
-//! package adds is what the fleet's promises need and the protocol alone does not give:
+//! Membership of the brokers of a fleet: decides which of them are alive. Sans I/O: received datagrams and the time are inputs,
+//! datagrams to send and membership changes are outputs, and equal inputs give equal outputs. The protocol is SWIM with
+//! suspicion and incarnations, implemented by the crate `foca`. This package adds guarantees that the protocol alone does not
+//! give:
 //!
-//! - a datagram is never longer than [`DATAGRAM_MOST`], and a broker sends no more than [`Settings::sent_per_s`] a second on the mean,
-//!   and twice that in any one second, whatever the size of the fleet and whatever happens in it; what would be more is not sent;
-//! - a broker that stood still (its process stopped, its machine asleep) does not take its own silence for that of others;
-//! - one that is badly off (its own probes fail) waits longer before it suspects others, up to eight times;
-//! - a name that comes back is taken in again within a few exchanges, though its clock has gone back;
-//! - parts of the fleet that were cut off from each other find each other again, at a bounded rate;
-//! - a datagram says only what its sender may say of itself: one that bears another's number changes nothing.
+//! - A datagram is never longer than [`MAX_DATAGRAM_BYTES`]. A broker sends at most [`Settings::sent_per_s`] datagrams per
+//!   second on average, and at most twice that in any one second, regardless of the size of the fleet and of the number of
+//!   changes. Datagrams beyond that limit are dropped.
+//! - A broker whose process was suspended does not count the time of its suspension against other members.
+//! - A broker whose own probes fail waits longer before it suspects others or declares them down, up to eight times as long.
+//! - A broker that restarts is accepted again within a few exchanges, even if its clock was set back.
+//! - Partitions of the fleet rediscover each other once they can communicate again, at a bounded rate.
+//! - A datagram from one broker's address that carries another broker's number as its sender changes nothing.
 //!
-//! Datagrams are not signed: who can send from another broker's address, or lies about third ones, is believed until they refute it.
+//! Datagrams are not signed. A forged datagram from another broker's address, or false information about third parties, is
+//! believed until the affected brokers refute it.
 //!
-//! It does not know sockets, addresses, stores or queries.
+//! This package has no knowledge of sockets, addresses, stores or queries.
 
 mod members;
 mod wire;
 
-pub use members::{Change, Counts, Fault, Member, Members, Settings, State};
-pub use wire::DATAGRAM_MOST;
+pub use members::{Change, Counts, DatagramError, Member, Membership, Settings, State};
+pub use wire::MAX_DATAGRAM_BYTES;
 
-/// Milliseconds on the host's clock, which has to run on evenly; its zero is of no matter.
+/// Milliseconds on the host's clock. The clock has to advance steadily; its origin is arbitrary.
 pub type Millis = f64;
-/// A broker's place in the list of all.
-pub type Number = u16;
+/// Index of a broker in the configured list of all brokers.
+pub type BrokerNumber = u16;
--- a/broker/crates/fleet/src/members.rs
+++ b/broker/crates/fleet/src/members.rs
@@ -1,5 +1,6 @@
-//! Who lives. The protocol's own machine decides on each member; this one owns the time it lives in, its timers, the bound on
-//! what is sent, this broker's health and its name. See the crate's opening for what is promised.
+//! The membership state machine of one broker. The protocol implementation of `foca` decides on the state of each member; this
+//! module supplies its clock and timers, limits the rate of sending, tracks this broker's health, and renews its identity. The
+//! crate documentation lists the guarantees.
 
 use std::cell::Cell;
 use std::collections::{BTreeMap, VecDeque};
@@ -7,74 +8,84 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use foca::{Codec, Config, Foca, NoCustomBroadcast, Notification, PeriodicParams, Runtime, Timer as Alarm};
+use foca::{
+    Codec, Config, Foca, NoCustomBroadcast, Notification, PeriodicParams, Runtime, Timer as ProtocolTimer,
+};
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use thiserror::Error;
 
-use crate::wire::{Name, Unreadable, Wire, DATAGRAM_MOST, START_END};
-use crate::{Millis, Number};
-
-/// How many others are asked to probe on one's behalf.
-const INDIRECT: usize = 3;
-/// A word is passed on so many times for each tenfold of the fleet.
-const PASSED_ON: f64 = 8.0;
-/// A suspect has so many probe periods to refute, for each tenfold of the fleet, and no less than once.
-const SUSPECT_PERIODS: f64 = 5.0;
-/// While there are words to pass on, so many gossips in a probe period, to so many members each.
-const GOSSIPS: f64 = 4.0;
-const GOSSIP_TO: usize = 2;
-/// So many suspects are asked themselves in a probe period.
-const ASKED_AT_ONCE: usize = 3;
-/// What is gone is remembered for so many times a suspect's time: words on it are then no longer passed on.
-const GONE_TIMES: f64 = 10.0;
-/// The worst health: everything takes one more than so many times as long.
-const HEALTH_WORST: u32 = 7;
-/// A name renewed again within so many probe periods goes twice as far ahead.
-const RENEWED_PERIODS: f64 = 10.0;
-
-/// What membership goes by.
+use crate::wire::{BrokerIdentity, CodecError, DatagramCodec, MAX_DATAGRAM_BYTES, START_LIMIT};
+use crate::{BrokerNumber, Millis};
+
+/// Number of members that are requested to probe a member indirectly after a direct probe failed.
+const INDIRECT_PROBES: usize = 3;
+/// Number of times that an update is sent on, per power of ten of the fleet's size.
+const TRANSMISSIONS_PER_DECADE: f64 = 8.0;
+/// Time that a suspect has for refuting the suspicion, in probe periods per power of ten of the fleet's size. Fleets of fewer
+/// than ten brokers count as ten.
+const SUSPICION_PERIODS_PER_DECADE: f64 = 5.0;
+/// Number of gossip rounds per probe period while there are updates to send on.
+const GOSSIPS_PER_PERIOD: f64 = 4.0;
+/// Number of members that each gossip round goes to.
+const GOSSIP_FANOUT: usize = 2;
+/// Maximum number of suspects that are contacted directly per probe period.
+const MAX_SUSPECTS_CONTACTED: usize = 3;
+/// Time for which a member that is down is remembered, as a multiple of the suspicion time-out. Updates about it are not sent
+/// on after that time.
+const DOWN_RETENTION_FACTOR: f64 = 10.0;
+/// Maximum health score. Timers run for `1 + score` times their normal duration.
+const MAX_HEALTH_SCORE: u32 = 7;
+/// Window for repeated renewals of this broker's identity, in probe periods: a renewal within the window after the last one
+/// advances the start time by twice as much.
+const RENEWAL_WINDOW_PERIODS: f64 = 10.0;
+
+/// Settings of the membership protocol.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
-    /// How many brokers there may be; their numbers are below this.
-    pub members: Number,
-    /// This broker's number.
-    pub own: Number,
-    /// One other is probed in each such period.
+    /// Number of configured brokers, running or not. Broker numbers are less than this.
+    pub members: BrokerNumber,
+    /// Number of this broker.
+    pub own: BrokerNumber,
+    /// Probe period, in milliseconds: one other member is probed in each.
     pub probe_ms: Millis,
-    /// An answer that takes longer is asked for through others. Less than half of `probe_ms`.
+    /// Time-out for the answer to a direct probe, in milliseconds, after which other members are requested to probe as well.
+    /// Must be less than half of `probe_ms`.
     pub answer_ms: Millis,
-    /// How many datagrams a second are sent at the most; so many at once.
+    /// Maximum number of datagrams sent per second on average; also the maximum burst.
     pub sent_per_s: f64,
 }
 
 impl Settings {
-    fn tenfolds(&self) -> f64 {
+    fn log10_members(&self) -> f64 {
         f64::from(self.members.max(2)).log10().max(1.0)
     }
 
-    /// How long a suspect may take to refute, where this broker is well.
-    pub fn suspect_ms(&self) -> Millis {
-        SUSPECT_PERIODS * self.tenfolds() * self.probe_ms
+    /// Time that a suspect has for refuting the suspicion while this broker is healthy, in milliseconds.
+    pub fn suspicion_timeout_ms(&self) -> Millis {
+        SUSPICION_PERIODS_PER_DECADE * self.log10_members() * self.probe_ms
     }
 
     fn config(&self) -> Config {
-        let some = |n: usize| NonZeroUsize::new(n).unwrap_or(NonZeroUsize::MIN);
-        let span = |ms: Millis| Duration::from_secs_f64(ms.max(1.0) / 1000.0);
-        let passed_on = (PASSED_ON * self.tenfolds()).ceil().min(255.0) as u8;
-        let gossip =
-            PeriodicParams { frequency: span(self.probe_ms / GOSSIPS), num_members: some(GOSSIP_TO) };
+        let non_zero = |n: usize| NonZeroUsize::new(n).unwrap_or(NonZeroUsize::MIN);
+        let duration = |ms: Millis| Duration::from_secs_f64(ms.max(1.0) / 1000.0);
+        let transmissions = (TRANSMISSIONS_PER_DECADE * self.log10_members()).ceil().min(255.0) as u8;
+        let gossip = PeriodicParams {
+            frequency: duration(self.probe_ms / GOSSIPS_PER_PERIOD),
+            num_members: non_zero(GOSSIP_FANOUT),
+        };
         Config {
-            probe_period: span(self.probe_ms),
-            probe_rtt: span(self.answer_ms),
-            num_indirect_probes: some(INDIRECT),
-            max_transmissions: NonZeroU8::new(passed_on).unwrap_or(NonZeroU8::MIN),
-            suspect_to_down_after: span(self.suspect_ms()),
-            remove_down_after: Some(span(GONE_TIMES * self.suspect_ms())),
-            max_packet_size: some(DATAGRAM_MOST),
-            // Who is taken for gone and is not has to hear of it, or it would stay away.
+            probe_period: duration(self.probe_ms),
+            probe_rtt: duration(self.answer_ms),
+            num_indirect_probes: non_zero(INDIRECT_PROBES),
+            max_transmissions: NonZeroU8::new(transmissions).unwrap_or(NonZeroU8::MIN),
+            suspect_to_down_after: duration(self.suspicion_timeout_ms()),
+            remove_down_after: Some(duration(DOWN_RETENTION_FACTOR * self.suspicion_timeout_ms())),
+            max_packet_size: non_zero(MAX_DATAGRAM_BYTES),
+            // A member that is alive but was declared down has to be notified of that, or it would never rejoin.
             notify_down_members: true,
-            // Strangers are greeted by this package, one at a time, whether they were known before or not.
+            // `Membership` itself announces this broker to members that are not known to be alive, one at a time, whether they were
+            // known before or not.
             periodic_announce: None,
             periodic_announce_to_down_members: None,
             periodic_gossip: Some(gossip),
@@ -82,427 +93,453 @@
     }
 }
 
-/// A change of mind.
+/// A change in this broker's view of the membership.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// This one lives.
-    Joined(Number),
-    /// This one is gone.
-    Left(Number),
-    /// This one has started anew, or was taken for gone and was not.
-    Renewed(Number),
-    /// Nobody else lives, as far as can be seen.
-    Alone,
-    /// The others took this broker for gone; it comes back.
-    Returned,
-    /// This process stood still for so many milliseconds.
+    /// This member is alive.
+    Joined(BrokerNumber),
+    /// This member left or was declared down.
+    Left(BrokerNumber),
+    /// This member restarted, or was declared down by mistake and renewed its identity.
+    Renewed(BrokerNumber),
+    /// No other member is known to be alive.
+    Isolated,
+    /// Other members declared this broker down; it rejoins with a renewed identity.
+    Rejoined,
+    /// This process was suspended for this many milliseconds.
     Paused(u64),
 }
 
-/// How a member does.
+/// State of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
-    /// It answers, or has not been missed yet.
+    /// The member answers, or no probe of it has failed yet.
     Alive,
-    /// It has been missed.
+    /// A probe of the member failed.
     Suspect,
-    /// It has not refuted that in time, or has said that it leaves.
-    Gone,
-    /// Nothing is known of it.
+    /// The member did not refute the suspicion in time, or announced that it leaves.
+    Down,
+    /// Nothing is known about the member.
     Unknown,
 }
 
 /// A member as this broker sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// Its number.
-    pub number: Number,
-    /// How it does.
+    /// Number of the member.
+    pub number: BrokerNumber,
+    /// State of the member.
     pub state: State,
-    /// When it started, in Unix time by its own clock, or later.
+    /// Start time of the member in Unix milliseconds by its own clock, or a later value if it renewed its identity since; 0 if
+    /// the state is `Unknown`.
     pub start: u64,
-    /// How often it has refuted since.
+    /// Number of suspicions that the member has refuted since `start`.
     pub incarnation: u16,
 }
 
-/// What was sent and taken in.
+/// Counters of sent and received datagrams.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Datagrams sent, and their bytes.
+    /// Number of datagrams sent.
     pub sent: u64,
-    /// See `sent`.
-    pub bytes: u64,
-    /// Datagrams not sent, since the bound was reached.
-    pub held_back: u64,
-    /// Datagrams taken in.
-    pub heard: u64,
-    /// Datagrams that changed nothing because they could not be read, or were not their sender's.
-    pub unread: u64,
+    /// Total size of the datagrams sent, in bytes.
+    pub sent_bytes: u64,
+    /// Number of datagrams dropped because of the limit on the rate of sending.
+    pub throttled: u64,
+    /// Number of datagrams received and processed.
+    pub received: u64,
+    /// Number of datagrams received and rejected, because they could not be decoded or carried a wrong sender.
+    pub rejected: u64,
 }
 
-/// Why a datagram changed nothing.
+/// Reason why a received datagram was rejected.
 #[derive(Debug, Error, PartialEq, Eq)]
-pub enum Fault {
-    /// It is longer than any may be.
-    #[error("{0} bytes, and at most {DATAGRAM_MOST} are read")]
-    Long(usize),
-    /// Its head can't be read.
+pub enum DatagramError {
+    /// The datagram is longer than [`MAX_DATAGRAM_BYTES`]; holds its size in bytes.
+    #[error("{0} bytes, and at most {DATAGRAM_MOST} are read", DATAGRAM_MOST = MAX_DATAGRAM_BYTES)]
+    TooLong(usize),
+    /// The header can't be decoded.
     #[error("head: {0}")]
-    Head(#[from] Unreadable),
-    /// It comes from one broker and says that it is from another.
-    #[error("from broker {from}, and says that it is from {said}")]
-    Impostor {
-        /// Whose address it came from.
-        from: Number,
-        /// Who it says it is from.
-        said: Number,
+    Header(#[from] CodecError),
+    /// The datagram came from one broker's address and carries the number of another broker as its sender.
+    #[error("from broker {from}, and says that it is from {said}", said = .claimed)]
+    SenderMismatch {
+        /// Number of the broker that the datagram's source address belongs to.
+        from: BrokerNumber,
+        /// Sender's number in the datagram's header.
+        claimed: BrokerNumber,
     },
-    /// What follows its head can't be read, or makes no sense.
+    /// The rest of the datagram can't be decoded or contradicts the protocol; holds the error of `foca` as text.
     #[error("{0}")]
-    Rest(String),
+    Body(String),
 }
 
-/// What the protocol's machine wants done.
+/// Outputs of a call of the protocol implementation, to be carried out by [`Membership::apply_effects`].
 #[derive(Default)]
 struct Effects {
-    sends: Vec<(Name, Vec<u8>)>,
-    timers: Vec<(Duration, Alarm<Name>)>,
+    sends: Vec<(BrokerIdentity, Vec<u8>)>,
+    timers: Vec<(Duration, ProtocolTimer<BrokerIdentity>)>,
     changes: Vec<Change>,
     defunct: bool,
 }
 
-impl Runtime<Name> for &mut Effects {
-    fn notify(&mut self, notification: Notification<'_, Name>) {
+impl Runtime<BrokerIdentity> for &mut Effects {
+    fn notify(&mut self, notification: Notification<'_, BrokerIdentity>) {
         match notification {
-            Notification::MemberUp(name) => self.changes.push(Change::Joined(name.number)),
-            Notification::MemberDown(name) => self.changes.push(Change::Left(name.number)),
-            Notification::Rename(_, name) => self.changes.push(Change::Renewed(name.number)),
-            Notification::Idle => self.changes.push(Change::Alone),
+            Notification::MemberUp(identity) => self.changes.push(Change::Joined(identity.number)),
+            Notification::MemberDown(identity) => self.changes.push(Change::Left(identity.number)),
+            Notification::Rename(_, identity) => self.changes.push(Change::Renewed(identity.number)),
+            Notification::Idle => self.changes.push(Change::Isolated),
             Notification::Defunct => self.defunct = true,
             Notification::Active | Notification::Rejoin(_) => {}
         }
     }
 
-    fn send_to(&mut self, to: Name, data: &[u8]) {
+    fn send_to(&mut self, to: BrokerIdentity, data: &[u8]) {
         self.sends.push((to, data.to_vec()));
     }
 
-    fn submit_after(&mut self, event: Alarm<Name>, after: Duration) {
+    fn submit_after(&mut self, event: ProtocolTimer<BrokerIdentity>, after: Duration) {
         self.timers.push((after, event));
     }
 }
 
-type Machine = Foca<Name, Wire, SmallRng, NoCustomBroadcast>;
+type Protocol = Foca<BrokerIdentity, DatagramCodec, SmallRng, NoCustomBroadcast>;
 
-/// When a timer is due on this broker's own time, in microseconds; its place among those of one moment; and its number.
-type Due = (u64, u8, u64);
+/// Key of a timer: due time on the `active_time` clock in microseconds, rank among timers that are due at the same time, and
+/// sequence number.
+type TimerKey = (u64, u8, u64);
 
-/// One broker's view of who lives.
-pub struct Members {
-    set: Settings,
-    machine: Machine,
+/// One broker's view of which members of the fleet are alive.
+pub struct Membership {
+    settings: Settings,
+    protocol: Protocol,
     rng: SmallRng,
-    reader: Wire,
-    /// The timers, and when each was set.
-    timers: BTreeMap<Due, (Alarm<Name>, Millis)>,
-    numbered: u64,
-    /// By number, when a broker was last heard.
-    heard: Vec<Millis>,
-    /// The host's time when this was last called, and how much of it this process was awake.
-    last: Millis,
-    awake: Millis,
-    /// When a stranger is greeted next, on that time.
-    greet_at: Millis,
-    health: u32,
-    /// Datagrams that may be sent, and when that was last counted, by the host's time.
+    decoder: DatagramCodec,
+    /// Pending timers, with the time on the `active_time` clock at which each was set.
+    timers: BTreeMap<TimerKey, (ProtocolTimer<BrokerIdentity>, Millis)>,
+    timer_sequence: u64,
+    /// Time on the `active_time` clock at which a datagram was last received from each broker, by broker number.
+    last_received: Vec<Millis>,
+    /// Host time of the latest call.
+    last_call: Millis,
+    /// Time that has passed since creation, without suspensions of this process.
+    active_time: Millis,
+    /// Time on the `active_time` clock at which this broker next announces itself to a member not known to be alive.
+    next_announce: Millis,
+    /// 0 if this broker is healthy, up to `MAX_HEALTH_SCORE`.
+    health_score: u32,
+    /// Token bucket that limits the rate of sending: number of datagrams that may be sent now.
     tokens: f64,
-    counted: Millis,
-    /// When this broker's name was last renewed, and by how much.
-    renewed: Option<(Millis, u64)>,
-    left: bool,
-    outgoing: VecDeque<(Number, Vec<u8>)>,
+    /// Host time at which `tokens` was last refilled.
+    tokens_refilled: Millis,
+    /// Time on the `active_time` clock of the last renewal of this broker's identity, and the number of milliseconds by which it
+    /// advanced the start time.
+    last_renewal: Option<(Millis, u64)>,
+    has_left: bool,
+    outgoing: VecDeque<(BrokerNumber, Vec<u8>)>,
     changes: Vec<Change>,
     counts: Counts,
 }
 
-impl Members {
-    /// A broker that knows nobody yet and has started at this Unix time, in milliseconds.
-    pub fn new(set: Settings, start: u64, seed: u64, now: Millis) -> Self {
-        let set = Settings { members: set.members.max(set.own.saturating_add(1)), ..set };
-        let told = Rc::new(Cell::new(0));
-        let wire = || Wire { members: set.members, own: set.own, told: told.clone() };
-        let name = Name { number: set.own, start: start.min(START_END - 1) };
+impl Membership {
+    /// Creates the membership of a broker that knows no other members yet and started at the Unix time `start`, in milliseconds.
+    pub fn new(settings: Settings, start: u64, seed: u64, now: Millis) -> Self {
+        let settings = Settings { members: settings.members.max(settings.own.saturating_add(1)), ..settings };
+        let latest_own_start = Rc::new(Cell::new(0));
+        let wire = || DatagramCodec {
+            members: settings.members,
+            own: settings.own,
+            latest_own_start: latest_own_start.clone(),
+        };
+        let identity = BrokerIdentity { number: settings.own, start: start.min(START_LIMIT - 1) };
         Self {
-            machine: Foca::new(name, set.config(), SmallRng::seed_from_u64(seed), wire()),
+            protocol: Foca::new(identity, settings.config(), SmallRng::seed_from_u64(seed), wire()),
             rng: SmallRng::seed_from_u64(!seed),
-            reader: wire(),
+            decoder: wire(),
             timers: BTreeMap::new(),
-            numbered: 0,
-            heard: vec![f64::NEG_INFINITY; usize::from(set.members)],
-            last: now,
-            awake: 0.0,
-            greet_at: 0.0,
-            health: 0,
-            tokens: set.sent_per_s.max(1.0),
-            counted: now,
-            renewed: None,
-            left: false,
+            timer_sequence: 0,
+            last_received: vec![f64::NEG_INFINITY; usize::from(settings.members)],
+            last_call: now,
+            active_time: 0.0,
+            next_announce: 0.0,
+            health_score: 0,
+            tokens: settings.sent_per_s.max(1.0),
+            tokens_refilled: now,
+            last_renewal: None,
+            has_left: false,
             outgoing: VecDeque::new(),
             changes: Vec::new(),
             counts: Counts::default(),
-            set,
+            settings,
         }
     }
 
-    /// Takes in what came from a broker's address.
-    pub fn hear(&mut self, from: Number, bytes: &[u8], now: Millis) -> Result<(), Fault> {
-        self.pass(now);
-        let heard = self.take(from, bytes);
-        match heard {
-            Ok(()) => self.counts.heard += 1,
-            Err(_) => self.counts.unread += 1,
+    /// Processes a datagram received from the address of broker `from`.
+    pub fn receive(&mut self, from: BrokerNumber, bytes: &[u8], now: Millis) -> Result<(), DatagramError> {
+        self.advance_clocks(now);
+        let result = self.process(from, bytes);
+        match result {
+            Ok(()) => self.counts.received += 1,
+            Err(_) => self.counts.rejected += 1,
         }
-        heard
+        result
     }
 
-    fn take(&mut self, from: Number, bytes: &[u8]) -> Result<(), Fault> {
-        if bytes.len() > DATAGRAM_MOST {
-            return Err(Fault::Long(bytes.len()));
+    fn process(&mut self, from: BrokerNumber, bytes: &[u8]) -> Result<(), DatagramError> {
+        if bytes.len() > MAX_DATAGRAM_BYTES {
+            return Err(DatagramError::TooLong(bytes.len()));
         }
-        let said = self.reader.decode_header(bytes)?.src.number;
-        if said != from {
-            return Err(Fault::Impostor { from, said });
+        let claimed = self.decoder.decode_header(bytes)?.src.number;
+        if claimed != from {
+            return Err(DatagramError::SenderMismatch { from, claimed });
         }
-        if self.left {
+        if self.has_left {
             return Ok(());
         }
-        let taken = self.play(|machine, effects| machine.handle_data(bytes, effects));
-        if let Some(heard) = self.heard.get_mut(usize::from(from)).filter(|_| taken.is_ok()) {
-            *heard = self.awake;
+        let handled = self.call_protocol(|protocol, effects| protocol.handle_data(bytes, effects));
+        if let Some(received_at) = self.last_received.get_mut(usize::from(from)).filter(|_| handled.is_ok()) {
+            *received_at = self.active_time;
         }
-        taken.map_err(|fault| Fault::Rest(fault.to_string()))
+        handled.map_err(|fault| DatagramError::Body(fault.to_string()))
     }
 
-    /// Does what is due.
-    pub fn turn(&mut self, now: Millis) {
-        self.pass(now);
-        while let Some(first) = self.timers.first_entry().filter(|first| first.key().0 <= micros(self.awake))
+    /// Handles the timers that are due. Also announces this broker to a member not known to be alive, and contacts suspects, once
+    /// per probe period.
+    pub fn handle_timers(&mut self, now: Millis) {
+        self.advance_clocks(now);
+        while let Some(first) =
+            self.timers.first_entry().filter(|first| first.key().0 <= to_micros(self.active_time))
         {
-            let (timer, set) = first.remove();
-            // Guards against taking for gone who answers: its refutation may be of an incarnation that others know already,
-            // so that nobody passes the suspicion on to it. It stays a suspect here until it is probed again.
-            if matches!(timer, Alarm::ChangeSuspectToDown { member_id, .. } if self.heard_since(member_id, set))
+            let (timer, set_at) = first.remove();
+            // Guards against declaring down a member that answers: its refutation may carry an incarnation that others know already,
+            // so that nobody forwards the suspicion to it. The member remains a suspect here until it is probed again.
+            if matches!(timer, ProtocolTimer::ChangeSuspectToDown { member_id, .. } if self.received_since(member_id, set_at))
             {
                 continue;
             }
-            let probed = matches!(timer, Alarm::ProbeRandomMember(_));
+            let is_probe = matches!(timer, ProtocolTimer::ProbeRandomMember(_));
             let mut effects = Effects::default();
-            // An error is of a timer that came twice or too late, and the machine has put itself right.
-            let _ = self.machine.handle_timer(timer, &mut effects);
-            if probed {
-                // The last probe failed, by way of others too: perhaps it is this broker that hears nothing.
-                let failed =
-                    |(_, timer): &(_, Alarm<Name>)| matches!(timer, Alarm::ChangeSuspectToDown { .. });
-                self.health = match effects.timers.iter().any(failed) {
-                    false => self.health.saturating_sub(1),
-                    true => (self.health + 1).min(HEALTH_WORST),
+            // An error means that the timer was obsolete, or ran twice or too late; `foca` has restored its own state by then.
+            let _ = self.protocol.handle_timer(timer, &mut effects);
+            if is_probe {
+                // The previous probe failed, directly and indirectly: this broker itself may be unable to receive datagrams.
+                let failed = |(_, timer): &(_, ProtocolTimer<BrokerIdentity>)| {
+                    matches!(timer, ProtocolTimer::ChangeSuspectToDown { .. })
+                };
+                self.health_score = match effects.timers.iter().any(failed) {
+                    false => self.health_score.saturating_sub(1),
+                    true => (self.health_score + 1).min(MAX_HEALTH_SCORE),
                 };
             }
-            self.settle(effects);
+            self.apply_effects(effects);
         }
-        if self.awake >= self.greet_at {
-            self.greet_at = self.awake + self.set.probe_ms;
-            if !self.left {
-                self.greet();
-                self.ask_suspects();
+        if self.active_time >= self.next_announce {
+            self.next_announce = self.active_time + self.settings.probe_ms;
+            if !self.has_left {
+                self.announce_to_unknown();
+                self.contact_suspects();
             }
         }
     }
 
-    /// When [`Members::turn`] is due, though nothing is heard.
-    pub fn due(&self) -> Millis {
-        // No later than that, so that a pause of this process shows.
-        let latest = self.set.probe_ms / 2.0;
+    /// Host time at which [`Membership::handle_timers`] has to be called next if no datagram arrives.
+    pub fn next_due(&self) -> Millis {
+        // At least twice per probe period, so that a suspension of this process is detected.
+        let latest = self.settings.probe_ms / 2.0;
         let timer = self.timers.first_key_value().map(|(due, _)| due.0 as f64 / 1000.0);
-        let next = timer.into_iter().chain([self.greet_at]).fold(self.awake + latest, f64::min);
-        self.last + (next - self.awake).max(0.0)
+        let next = timer.into_iter().chain([self.next_announce]).fold(self.active_time + latest, f64::min);
+        self.last_call + (next - self.active_time).max(0.0)
     }
 
-    /// Says good-bye: the others need not miss this broker first.
+    /// Announces that this broker leaves, so that the others need not detect its absence by probes.
     pub fn leave(&mut self, now: Millis) {
-        self.pass(now);
-        self.left = true;
-        let _ = self.play(|machine, effects| machine.leave_cluster(effects));
+        self.advance_clocks(now);
+        self.has_left = true;
+        let _ = self.call_protocol(|protocol, effects| protocol.leave_cluster(effects));
     }
 
-    /// What is to be sent, and to whom.
-    pub fn outgoing(&mut self) -> impl Iterator<Item = (Number, Vec<u8>)> + '_ {
+    /// Removes and returns the datagrams to send, with the number of the broker that each goes to.
+    pub fn take_outgoing(&mut self) -> impl Iterator<Item = (BrokerNumber, Vec<u8>)> + '_ {
         self.outgoing.drain(..)
     }
 
-    /// What has changed since this was last asked.
-    pub fn changes(&mut self) -> Vec<Change> {
+    /// Removes and returns the changes since the last call.
+    pub fn take_changes(&mut self) -> Vec<Change> {
         std::mem::take(&mut self.changes)
     }
 
-    /// Who lives, this broker among them, in the order of their numbers.
-    pub fn living(&self) -> Vec<Number> {
-        let others = self.machine.iter_members().map(|member| member.id().number);
-        let mut living: Vec<Number> =
-            others.filter(|number| *number != self.set.own).chain([self.set.own]).collect();
-        living.sort_unstable();
-        living
+    /// Numbers of the members that are alive, including this broker, in ascending order.
+    pub fn alive(&self) -> Vec<BrokerNumber> {
+        let others = self.protocol.iter_members().map(|member| member.id().number);
+        let mut alive: Vec<BrokerNumber> =
+            others.filter(|number| *number != self.settings.own).chain([self.settings.own]).collect();
+        alive.sort_unstable();
+        alive
     }
 
-    /// All members, in the order of their numbers.
-    pub fn all(&self) -> Vec<Member> {
+    /// All configured members, in ascending order of their numbers.
+    pub fn all_members(&self) -> Vec<Member> {
         let unknown = |number| Member { number, state: State::Unknown, start: 0, incarnation: 0 };
-        let mut all: Vec<Member> = (0..self.set.members).map(unknown).collect();
-        for member in self.machine.iter_membership_state() {
+        let mut all: Vec<Member> = (0..self.settings.members).map(unknown).collect();
+        for member in self.protocol.iter_membership_state() {
             let state = match member.state() {
                 foca::State::Alive => State::Alive,
                 foca::State::Suspect => State::Suspect,
-                foca::State::Down => State::Gone,
+                foca::State::Down => State::Down,
             };
             let number = member.id().number;
-            if let Some(seen) = all.get_mut(usize::from(number)) {
-                *seen = Member { number, state, start: member.id().start, incarnation: member.incarnation() };
+            if let Some(entry) = all.get_mut(usize::from(number)) {
+                *entry =
+                    Member { number, state, start: member.id().start, incarnation: member.incarnation() };
             }
         }
-        if let Some(own) = all.get_mut(usize::from(self.set.own)) {
+        if let Some(own) = all.get_mut(usize::from(self.settings.own)) {
             own.state = State::Alive;
-            own.start = self.machine.identity().start;
+            own.start = self.protocol.identity().start;
         }
         all
     }
 
-    /// What was sent and taken in.
+    /// Returns the counters of sent and received datagrams.
     pub fn counts(&self) -> Counts {
         self.counts
     }
 
-    /// How badly off this broker is, from 0 to 7: everything takes so many times longer, and once more.
-    pub fn health(&self) -> u32 {
-        self.health
+    /// Health score of this broker, from 0 (healthy) to 7: probe and suspicion timers run for `1 + score` times their normal
+    /// duration.
+    pub fn health_score(&self) -> u32 {
+        self.health_score
     }
 
-    /// How many entries its tables hold.
-    pub fn sizes(&self) -> usize {
-        self.timers.len() + self.outgoing.len() + self.changes.len() + self.machine.updates_backlog()
+    /// Total number of entries in the timer, datagram, change and update queues.
+    pub fn entry_count(&self) -> usize {
+        self.timers.len() + self.outgoing.len() + self.changes.len() + self.protocol.updates_backlog()
     }
 
-    /// Time passes. What goes beyond a probe period at once is a pause of this process, since the host comes at
-    /// least twice in one: nobody could be heard meanwhile, and nobody is missed for it.
-    fn pass(&mut self, now: Millis) {
-        let step = (now - self.last).max(0.0);
-        self.last = self.last.max(now);
-        self.awake += step.min(self.set.probe_ms);
-        if step > self.set.probe_ms {
-            self.changes.push(Change::Paused((step - self.set.probe_ms) as u64));
+    /// Advances the clocks. The part of a step beyond one probe period counts as a suspension of this process, since the host
+    /// calls at least twice per period: no datagram could be received meanwhile, so that no member must be suspected for it.
+    fn advance_clocks(&mut self, now: Millis) {
+        let step = (now - self.last_call).max(0.0);
+        self.last_call = self.last_call.max(now);
+        self.active_time += step.min(self.settings.probe_ms);
+        if step > self.settings.probe_ms {
+            self.changes.push(Change::Paused((step - self.settings.probe_ms) as u64));
         }
     }
 
-    /// Says hello to one that is not known to live: so a broker finds the others, those that come back are found, and parts of
-    /// the fleet that were cut off from each other meet again.
-    fn greet(&mut self) {
-        let living = self.living();
-        let strangers = usize::from(self.set.members).saturating_sub(living.len());
-        if strangers == 0 {
+    /// Announces this broker to a random member that is not known to be alive. This is how a broker discovers the others, how
+    /// restarted brokers are found, and how partitions of the fleet rediscover each other.
+    fn announce_to_unknown(&mut self) {
+        let alive = self.alive();
+        let unknown_count = usize::from(self.settings.members).saturating_sub(alive.len());
+        if unknown_count == 0 {
             return;
         }
-        let chosen = self.rng.random_range(0..strangers);
-        let unknown = |number: &Number| living.binary_search(number).is_err();
-        let Some(number) = (0..self.set.members).filter(unknown).nth(chosen) else { return };
-        let _ = self.play(|machine, effects| machine.announce(Name { number, start: 0 }, effects));
+        let chosen = self.rng.random_range(0..unknown_count);
+        let is_unknown = |number: &BrokerNumber| alive.binary_search(number).is_err();
+        let Some(number) = (0..self.settings.members).filter(is_unknown).nth(chosen) else { return };
+        let _ = self.call_protocol(|protocol, effects| {
+            protocol.announce(BrokerIdentity { number, start: 0 }, effects)
+        });
     }
 
-    fn heard_since(&self, name: Name, since: Millis) -> bool {
-        self.heard.get(usize::from(name.number)).is_some_and(|heard| *heard > since)
+    fn received_since(&self, identity: BrokerIdentity, since: Millis) -> bool {
+        self.last_received.get(usize::from(identity.number)).is_some_and(|received_at| *received_at > since)
     }
 
-    /// Asks those that this broker is about to take for gone whether they are, so that it does not hang on others' words alone.
-    fn ask_suspects(&mut self) {
-        let pending = self.timers.values().filter_map(|(timer, set)| match timer {
-            Alarm::ChangeSuspectToDown { member_id, .. } if !self.heard_since(*member_id, *set) => {
+    /// Contacts the members that this broker is about to declare down, so that the decision does not depend on others' updates
+    /// alone.
+    fn contact_suspects(&mut self) {
+        let pending = self.timers.values().filter_map(|(timer, set_at)| match timer {
+            ProtocolTimer::ChangeSuspectToDown { member_id, .. }
+                if !self.received_since(*member_id, *set_at) =>
+            {
                 Some(*member_id)
             }
             _ => None,
         });
-        let asked: Vec<Name> = pending.take(ASKED_AT_ONCE).collect();
-        for name in asked {
-            let _ = self.play(|machine, effects| machine.announce(name, effects));
+        let contacted: Vec<BrokerIdentity> = pending.take(MAX_SUSPECTS_CONTACTED).collect();
+        for identity in contacted {
+            let _ = self.call_protocol(|protocol, effects| protocol.announce(identity, effects));
         }
     }
 
-    /// Calls the machine, and does what it wants.
-    fn play<T>(&mut self, call: impl FnOnce(&mut Machine, &mut Effects) -> T) -> T {
+    /// Calls the protocol implementation and applies the effects of the call.
+    fn call_protocol<T>(&mut self, call: impl FnOnce(&mut Protocol, &mut Effects) -> T) -> T {
         let mut effects = Effects::default();
-        let done = call(&mut self.machine, &mut effects);
-        self.settle(effects);
-        done
+        let result = call(&mut self.protocol, &mut effects);
+        self.apply_effects(effects);
+        result
     }
 
-    /// Does what the machine wants: timers as long as this broker's health makes them, datagrams within the bound.
-    fn settle(&mut self, effects: Effects) {
-        let longer = f64::from(1 + self.health);
+    /// Applies effects: sets timers, extended by this broker's health score, and queues datagrams within the limit on the rate of
+    /// sending.
+    fn apply_effects(&mut self, effects: Effects) {
+        let health_factor = f64::from(1 + self.health_score);
         for (after, timer) in effects.timers {
-            // Probes among those of one moment go before what depends on them.
-            let place = match timer {
-                Alarm::SendIndirectProbe { .. } => 0,
-                Alarm::ProbeRandomMember(_) => 1,
+            // Of timers due at the same time, those of probes run before the timers that depend on their results.
+            let rank = match timer {
+                ProtocolTimer::SendIndirectProbe { .. } => 0,
+                ProtocolTimer::ProbeRandomMember(_) => 1,
                 _ => 2,
             };
             let scale = match timer {
-                Alarm::SendIndirectProbe { .. }
-                | Alarm::ProbeRandomMember(_)
-                | Alarm::ChangeSuspectToDown { .. } => longer,
+                ProtocolTimer::SendIndirectProbe { .. }
+                | ProtocolTimer::ProbeRandomMember(_)
+                | ProtocolTimer::ChangeSuspectToDown { .. } => health_factor,
                 _ => 1.0,
             };
-            self.numbered += 1;
-            let due = micros(self.awake + after.as_secs_f64() * 1000.0 * scale);
-            self.timers.insert((due, place, self.numbered), (timer, self.awake));
+            self.timer_sequence += 1;
+            let due = to_micros(self.active_time + after.as_secs_f64() * 1000.0 * scale);
+            self.timers.insert((due, rank, self.timer_sequence), (timer, self.active_time));
         }
         self.changes.extend(effects.changes.into_iter().filter(|change| {
-            // An earlier start of this broker's own name is nobody else.
-            !matches!(change, Change::Joined(n) | Change::Left(n) | Change::Renewed(n) if *n == self.set.own)
+            // An earlier identity of this broker is not another member.
+            !matches!(change, Change::Joined(n) | Change::Left(n) | Change::Renewed(n) if *n == self.settings.own)
         }));
-        let gained = (self.last - self.counted).max(0.0) / 1000.0 * self.set.sent_per_s;
-        (self.tokens, self.counted) = ((self.tokens + gained).min(self.set.sent_per_s.max(1.0)), self.last);
+        let gained = (self.last_call - self.tokens_refilled).max(0.0) / 1000.0 * self.settings.sent_per_s;
+        (self.tokens, self.tokens_refilled) =
+            ((self.tokens + gained).min(self.settings.sent_per_s.max(1.0)), self.last_call);
         for (to, bytes) in effects.sends {
             if self.tokens < 1.0 {
-                self.counts.held_back += 1;
+                self.counts.throttled += 1;
                 continue;
             }
             self.tokens -= 1.0;
             self.counts.sent += 1;
-            self.counts.bytes += bytes.len() as u64;
+            self.counts.sent_bytes += bytes.len() as u64;
             self.outgoing.push_back((to.number, bytes));
         }
-        if effects.defunct && !self.left {
-            self.renew();
+        if effects.defunct && !self.has_left {
+            self.renew_identity();
         }
     }
 
-    /// The others take this start of the broker for gone, or know a later one: it takes a later name. By how much later theirs is
-    /// is not told, so that each renewal soon after another goes twice as far: a clock an hour back is made up for in 22.
-    fn renew(&mut self) {
-        let own = *self.machine.identity();
-        let again = RENEWED_PERIODS * self.set.probe_ms;
-        let by = match self.renewed {
-            Some((at, by)) if self.awake - at < again => by.saturating_mul(2),
+    /// Renews this broker's identity with a later start time, because other members declared the present one down or know a later
+    /// one. How much later theirs is is unknown, so that each renewal soon after another doubles the step: 22 renewals make up for
+    /// a clock that was set back by an hour.
+    fn renew_identity(&mut self) {
+        let own = *self.protocol.identity();
+        let window = RENEWAL_WINDOW_PERIODS * self.settings.probe_ms;
+        let step_ms = match self.last_renewal {
+            Some((at, last_step_ms)) if self.active_time - at < window => last_step_ms.saturating_mul(2),
             _ => 1,
         };
-        self.renewed = Some((self.awake, by));
-        let start = own.start.saturating_add(by).max(self.reader.told.get().saturating_add(1));
-        // Out of names: it stays away until its process starts anew.
-        if start >= START_END {
+        self.last_renewal = Some((self.active_time, step_ms));
+        let start =
+            own.start.saturating_add(step_ms).max(self.decoder.latest_own_start.get().saturating_add(1));
+        // No later start time can be encoded: this broker stays out until its process restarts.
+        if start >= START_LIMIT {
             return;
         }
-        self.changes.push(Change::Returned);
-        let _ = self.play(|machine, effects| machine.change_identity(Name { start, ..own }, effects));
+        self.changes.push(Change::Rejoined);
+        let _ = self.call_protocol(|protocol, effects| {
+            protocol.change_identity(BrokerIdentity { start, ..own }, effects)
+        });
     }
 }
 
-fn micros(ms: Millis) -> u64 {
+fn to_micros(ms: Millis) -> u64 {
     (ms * 1000.0) as u64
 }
--- a/broker/crates/fleet/tests/golden.rs
+++ b/broker/crates/fleet/tests/golden.rs
@@ -1,17 +1,17 @@
-//! Datagrams, against bytes that an earlier version of this package sent.
+//! Golden test: compares encoded datagrams with recorded bytes that an earlier version of this package sent.
 //!
-//! The code that writes and reads them is private: three brokers are driven in virtual time with fixed seeds, and the first
-//! datagrams of each kind are compared with the file. `GOLDEN_WRITE=1` writes it anew.
+//! The codec is private. The test runs six brokers in virtual time with fixed seeds and compares the first datagrams of each
+//! kind with the recorded file. `GOLDEN_WRITE=1` rewrites the file.
 
 #![allow(clippy::unwrap_used)]
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
 
-use gingerledge_fleet::{Members, Number, Settings, State, DATAGRAM_MOST};
+use gingerledge_fleet::{BrokerNumber, Membership, Settings, State, MAX_DATAGRAM_BYTES};
 use gingerledge_golden::{compare, read, Sample};
 
-const BROKERS: Number = 6;
+const BROKERS: BrokerNumber = 6;
 const KINDS: [&str; 11] = [
     "ping",
     "ack",
@@ -25,45 +25,47 @@
     "broadcast",
     "turn undead",
 ];
-/// Where a datagram says which message it is.
-const KIND_AT: usize = 19;
+/// Offset of the message tag in a datagram.
+const TAG_OFFSET: usize = 19;
 
 fn path() -> PathBuf {
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/golden/datagrams.txt")
 }
 
-fn broker(own: Number) -> Members {
-    let set = Settings { members: BROKERS, own, probe_ms: 1000.0, answer_ms: 300.0, sent_per_s: 20.0 };
-    Members::new(set, 1_700_000_000_000 + u64::from(own), u64::from(own) + 1, 0.0)
+fn broker(number: BrokerNumber) -> Membership {
+    let settings =
+        Settings { members: BROKERS, own: number, probe_ms: 1000.0, answer_ms: 300.0, sent_per_s: 20.0 };
+    Membership::new(settings, 1_700_000_000_000 + u64::from(number), u64::from(number) + 1, 0.0)
 }
 
-/// Which datagrams get through at a time: broker 0 and broker 1 can't hear each other for a while, then broker 1 hears nobody.
-fn passes(at: u64, from: Number, to: Number) -> bool {
-    match at {
+/// Whether the network delivers a datagram at a time in milliseconds: brokers 0 and 1 can't reach each other at first, then
+/// broker 1 is isolated.
+fn is_delivered(now_ms: u64, from: BrokerNumber, to: BrokerNumber) -> bool {
+    match now_ms {
         10_000..40_000 => !matches!((from, to), (0, 1) | (1, 0)),
         40_000..90_000 => from != 1 && to != 1,
         _ => true,
     }
 }
 
-/// All datagrams of two minutes and a bit, with their senders; broker 2 leaves in the end.
-fn sent() -> Vec<(Number, Vec<u8>)> {
-    let mut brokers: Vec<Members> = (0..BROKERS).map(broker).collect();
+/// Returns all datagrams of 130 seconds with their senders. Broker 2 leaves after 120 seconds.
+fn record_datagrams() -> Vec<(BrokerNumber, Vec<u8>)> {
+    let mut brokers: Vec<Membership> = (0..BROKERS).map(broker).collect();
     let mut sent = Vec::new();
-    for at in (0..130_000_u64).step_by(5) {
-        let now = at as f64;
-        if at == 120_000 {
+    for now_ms in (0..130_000_u64).step_by(5) {
+        let now = now_ms as f64;
+        if now_ms == 120_000 {
             brokers[2].leave(now);
         }
         for from in 0..BROKERS {
             let sender = &mut brokers[usize::from(from)];
-            if sender.due() <= now {
-                sender.turn(now);
+            if sender.next_due() <= now {
+                sender.handle_timers(now);
             }
-            let outgoing: Vec<_> = sender.outgoing().collect();
+            let outgoing: Vec<_> = sender.take_outgoing().collect();
             for (to, bytes) in outgoing {
-                if passes(at, from, to) {
-                    brokers[usize::from(to)].hear(from, &bytes, now).unwrap();
+                if is_delivered(now_ms, from, to) {
+                    brokers[usize::from(to)].receive(from, &bytes, now).unwrap();
                 }
                 sent.push((from, bytes));
             }
@@ -73,12 +75,12 @@
 }
 
 #[test]
-fn datagrams_are_what_they_were() {
+fn encoded_datagrams_match_the_recorded_bytes() {
     let mut counts: BTreeMap<&str, usize> = BTreeMap::new();
     let mut samples = Vec::new();
-    for (from, bytes) in sent() {
-        assert!(bytes.len() <= DATAGRAM_MOST);
-        let kind = KINDS[usize::from(bytes[KIND_AT])];
+    for (from, bytes) in record_datagrams() {
+        assert!(bytes.len() <= MAX_DATAGRAM_BYTES);
+        let kind = KINDS[usize::from(bytes[TAG_OFFSET])];
         let count = counts.entry(kind).or_default();
         *count += 1;
         if *count <= 8 {
@@ -86,46 +88,46 @@
         }
     }
     compare(&path(), &samples);
-    let found: Vec<&str> = counts.into_keys().collect();
-    // Feeds answer greetings; nothing of this package sends broadcasts.
+    let sent_kinds: Vec<&str> = counts.into_keys().collect();
+    // Feeds are answers to announcements; this package sends no broadcasts.
     for kind in KINDS.iter().filter(|kind| **kind != "broadcast") {
-        assert!(found.contains(kind), "no {kind} was sent: {found:?}");
+        assert!(sent_kinds.contains(kind), "no {kind} was sent: {sent_kinds:?}");
     }
 }
 
 #[test]
-fn recorded_datagrams_are_read() {
+fn recorded_datagrams_are_decoded() {
     for (name, bytes) in read(&path()) {
         let from = u16::from_be_bytes([bytes[1], bytes[2]]);
         let to = u16::from_be_bytes([bytes[11], bytes[12]]);
-        let mut hearer = broker(to);
-        hearer.hear(from, &bytes, 1.0).unwrap_or_else(|fault| panic!("{name}: {fault}"));
-        assert_eq!(hearer.counts().heard, 1, "{name}");
-        assert!(hearer.hear(from, &bytes[..bytes.len() - 1], 2.0).is_err(), "{name}, cut off");
+        let mut receiver = broker(to);
+        receiver.receive(from, &bytes, 1.0).unwrap_or_else(|fault| panic!("{name}: {fault}"));
+        assert_eq!(receiver.counts().received, 1, "{name}");
+        assert!(receiver.receive(from, &bytes[..bytes.len() - 1], 2.0).is_err(), "{name}, truncated");
     }
 }
 
-/// A datagram put together by hand from the layout that the package states.
+/// Decodes a datagram that is assembled by hand from the documented layout.
 #[test]
-fn each_field_is_read_from_its_place() {
-    let start = |own: u64| (1_700_000_000_000 + own).to_be_bytes()[2..].to_vec();
+fn each_field_is_decoded_from_its_documented_offset() {
+    let start = |number: u64| (1_700_000_000_000 + number).to_be_bytes()[2..].to_vec();
     let member = |number: u8, incarnation: u16, state: u8| {
         [&[0, number][..], &start(u64::from(number)), &incarnation.to_be_bytes(), &[state]].concat()
     };
-    // Gossip of broker 1, of incarnation 0x0102, to broker 0.
+    // Gossip from broker 1 with incarnation 0x0102 to broker 0.
     let head = [&[1, 0, 1][..], &start(1), &[1, 2, 0, 0], &start(0), &[8, 0, 3]].concat();
     let bytes = [head, member(2, 0x0304, 0), member(3, 0x0506, 1), member(4, 0x0708, 2)].concat();
-    let mut hearer = broker(0);
-    hearer.hear(1, &bytes, 1.0).unwrap();
-    let all = hearer.all();
-    let of = |number: Number| *all.iter().find(|member| member.number == number).unwrap();
+    let mut receiver = broker(0);
+    receiver.receive(1, &bytes, 1.0).unwrap();
+    let all = receiver.all_members();
+    let find = |number: BrokerNumber| *all.iter().find(|member| member.number == number).unwrap();
     for (number, state, incarnation) in
         [(1, State::Alive, 0x0102), (2, State::Alive, 0x0304), (3, State::Suspect, 0x0506)]
     {
-        let member = of(number);
+        let member = find(number);
         assert!(member.state == state, "broker {number}");
         assert_eq!(member.incarnation, incarnation, "broker {number}");
         assert_eq!(member.start, 1_700_000_000_000 + u64::from(number), "broker {number}");
     }
-    assert!(!hearer.living().contains(&4));
+    assert!(!receiver.alive().contains(&4));
 }
--- a/broker/src/config/fleet.rs
+++ b/broker/src/config/fleet.rs
@@ -3,7 +3,7 @@
 use std::collections::HashSet;
 use std::net::SocketAddr;
 
-use gingerledge_fleet::{Number, Settings};
+use gingerledge_fleet::{BrokerNumber, Settings};
 use serde::Deserialize;
 use serde_json::Value;
 
@@ -78,8 +78,13 @@
             let fault = format!("expected this broker's place among {} peers, found `{index}`", peers.len());
             Error::new("settings.index", fault)
         })?;
-        let settings =
-            Settings { members: peers.len() as Number, own: own as Number, probe_ms, answer_ms, sent_per_s };
+        let settings = Settings {
+            members: peers.len() as BrokerNumber,
+            own: own as BrokerNumber,
+            probe_ms,
+            answer_ms,
+            sent_per_s,
+        };
         Ok(Self { listen, peers, settings })
     }
 }
--- a/broker/src/fleet.rs
+++ b/broker/src/fleet.rs
@@ -10,7 +10,7 @@
 use async_io::{Async, Timer};
 use futures_core::future::LocalBoxFuture;
 use futures_lite::future::or;
-use gingerledge_fleet::{Change, Members, Number, State, DATAGRAM_MOST};
+use gingerledge_fleet::{BrokerNumber, Change, Membership, State, MAX_DATAGRAM_BYTES};
 use serde_json::{json, Value};
 
 use crate::clock::Clock;
@@ -27,8 +27,8 @@
 pub struct Fleet {
     socket: Async<UdpSocket>,
     peers: Vec<SocketAddr>,
-    numbers: HashMap<SocketAddr, Number>,
-    members: RefCell<Members>,
+    numbers: HashMap<SocketAddr, BrokerNumber>,
+    members: RefCell<Membership>,
     clock: Clock,
     counters: Rc<Counters>,
 }
@@ -44,7 +44,7 @@
         let this = Rc::new(Self {
             socket,
             numbers: others.map(|(number, peer)| (*peer, number)).collect(),
-            members: RefCell::new(Members::new(set.settings, now.max(0.0) as u64, seed, now)),
+            members: RefCell::new(Membership::new(set.settings, now.max(0.0) as u64, seed, now)),
             peers: set.peers,
             clock: host.clock,
             counters: host.counters.clone(),
@@ -55,9 +55,9 @@
     }
 
     async fn run(self: Rc<Self>) {
-        let mut datagram = [0; DATAGRAM_MOST + 1];
+        let mut datagram = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
-            let due = self.members.borrow().due();
+            let due = self.members.borrow().next_due();
             let received = async { Some(self.socket.recv_from(&mut datagram).await) };
             let late = async {
                 Timer::after(self.clock.until(due)).await;
@@ -71,7 +71,7 @@
                     Timer::after(RETRY_DELAY).await;
                 }
             }
-            self.members.borrow_mut().turn(self.clock.now());
+            self.members.borrow_mut().handle_timers(self.clock.now());
             self.flush().await;
             // Nothing above need wait: the rest of the broker has its turn all the same.
             futures_lite::future::yield_now().await;
@@ -81,7 +81,7 @@
     fn on_datagram(&self, from: SocketAddr, bytes: &[u8]) {
         // Datagrams from unknown addresses are ignored.
         let Some(number) = self.numbers.get(&from).filter(|_| !faults::point("fleet.hear")) else { return };
-        if let Err(fault) = self.members.borrow_mut().hear(*number, bytes, self.clock.now()) {
+        if let Err(fault) = self.members.borrow_mut().receive(*number, bytes, self.clock.now()) {
             log::debug!(member = number, fault:%; "fleet datagram ignored");
         }
     }
@@ -90,13 +90,13 @@
     async fn flush(&self) {
         let (outgoing, changes, living) = {
             let mut members = self.members.borrow_mut();
-            let outgoing: Vec<_> = members.outgoing().collect();
-            let changes = members.changes();
-            let living = if changes.is_empty() { 0 } else { members.living().len() };
+            let outgoing: Vec<_> = members.take_outgoing().collect();
+            let changes = members.take_changes();
+            let living = if changes.is_empty() { 0 } else { members.alive().len() };
             let counts = members.counts();
             self.counters.peers_told.set(counts.sent);
-            self.counters.peers_heard.set(counts.heard + counts.unread);
-            self.counters.peers_unread.set(counts.unread);
+            self.counters.peers_heard.set(counts.received + counts.rejected);
+            self.counters.peers_unread.set(counts.rejected);
             (outgoing, changes, living)
         };
         for change in changes {
@@ -104,8 +104,8 @@
                 Change::Joined(member) => log::info!(member, living; "fleet member joined"),
                 Change::Left(member) => log::info!(member, living; "fleet member left or failed"),
                 Change::Renewed(member) => log::info!(member, living; "fleet member restarted"),
-                Change::Alone => log::warn!("no other fleet member is reachable"),
-                Change::Returned => log::info!("other fleet members declared this broker failed; rejoining"),
+                Change::Isolated => log::warn!("no other fleet member is reachable"),
+                Change::Rejoined => log::info!("other fleet members declared this broker failed; rejoining"),
                 Change::Paused(ms) => log::warn!(ms; "process was paused"),
             }
         }
@@ -127,16 +127,16 @@
             let state = match member.state {
                 State::Alive => "alive",
                 State::Suspect => "suspect",
-                State::Gone => "gone",
+                State::Down => "gone",
                 State::Unknown => "unknown",
             };
             json!({ "member": member.number, "state": state, "started_ms": member.start,
                 "refuted": member.incarnation, "address": self.peers.get(usize::from(member.number)) })
         };
         let counts = members.counts();
-        json!({ "living": members.living(), "members": members.all().iter().map(member).collect::<Vec<_>>(),
-            "health": members.health(), "sent": counts.sent, "bytes": counts.bytes,
-            "held_back": counts.held_back, "heard": counts.heard, "unread": counts.unread })
+        json!({ "living": members.alive(), "members": members.all_members().iter().map(member).collect::<Vec<_>>(),
+            "health": members.health_score(), "sent": counts.sent, "bytes": counts.sent_bytes,
+            "held_back": counts.throttled, "heard": counts.received, "unread": counts.rejected })
     }
 }
 
