--- a/broker/crates/blocks/src/validate/draft.rs
+++ b/broker/crates/blocks/src/validate/draft.rs
@@ -23,7 +23,7 @@
 impl Standing {
     /// Whether it counts as a holder.
     pub fn sound(self) -> bool {
-        self.state().sound()
+        self.state().is_sound()
     }
 
     /// As the calculus of cover has it. A map is for when all are warm.
--- a/broker/crates/blocks/src/validate/map.rs
+++ b/broker/crates/blocks/src/validate/map.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use gingerledge_coverage::{Bounds, Cover, Coverage, Held, Keys, Region, Store, Zone};
+use gingerledge_coverage::{BlockAssignment, Bounds, Cover, Coverage, KeyRange, Region, Store, Zone};
 use rustc_hash::{FxHashMap, FxHashSet};
 
 use super::draft::{Draft, Row, Site, Standing};
@@ -168,11 +168,11 @@
     holders.sort_unstable();
     holders.dedup();
     // One block at a time, over keys of its own: rows may overlap, be reversed, or have a number twice.
-    let held = Held { block: Default::default(), keys: Keys::new(0, 1), holders, load: 0.0 };
-    if cover.set_held(held).is_err() {
+    let held = BlockAssignment { block: Default::default(), keys: KeyRange::new(0, 1), holders, load: 0.0 };
+    if cover.set_block(held).is_err() {
         return;
     }
-    let Some(Cover { sound, zones, .. }) = cover.at(0) else { return };
+    let Some(Cover { sound, zones, .. }) = cover.cover_at(0) else { return };
     if sound < draft.least.holders {
         found.push(at(row, Fault::Holders { sound, least: draft.least.holders }));
     }
--- a/broker/crates/coverage/benches/scale.rs
+++ b/broker/crates/coverage/benches/scale.rs
@@ -1,5 +1,5 @@
-//! The whole built, a change, and questions, at 100,000 blocks on 1,000 stores. `cargo bench -p gingerledge-coverage`.
-//! First the memory that the whole takes is told, by what the process holds before and after.
+//! Benchmarks of building the table, changing it and querying it, with 100,000 blocks on 1,000 stores. Run with
+//! `cargo bench -p gingerledge-coverage`. Prints the memory use of the table first, measured as growth of the resident set size.
 
 #![allow(clippy::expect_used)]
 
@@ -15,7 +15,7 @@
 
 fn main() {
     let before = resident_kib();
-    let table = whole();
+    let table = full_table();
     println!("memory of {BLOCKS} blocks on {STORES} stores: {} KiB", resident_kib() - before);
     drop(table);
     divan::main();
@@ -38,56 +38,56 @@
     }
 }
 
-fn held(n: u32) -> Held {
+fn block(n: u32) -> BlockAssignment {
     // Three holders in three zones, spread over the stores.
     let first = n.wrapping_mul(2_654_435_761) % STORES;
     let holders = (0..3).map(|k| Store((first + k * 101) % STORES)).collect();
-    let keys = Keys::new(u64::from(n) * 1000, u64::from(n) * 1000 + 1000);
-    Held { block: Block(n), keys, holders, load: 3.0 + f64::from(n % 5) }
+    let keys = KeyRange::new(u64::from(n) * 1000, u64::from(n) * 1000 + 1000);
+    BlockAssignment { block: Block(n), keys, holders, load: 3.0 + f64::from(n % 5) }
 }
 
 fn sites() -> Vec<Site> {
     (0..STORES).map(|n| site(n, State::Listed)).collect()
 }
 
-fn all(sites: &[Site], blocks: &[Held]) -> Coverage {
+fn build(sites: &[Site], blocks: &[BlockAssignment]) -> Coverage {
     let mut table = Coverage::new(Bounds::default());
     for site in sites {
-        table.set_site(*site).expect("room");
+        table.set_site(*site).expect("within the bounds");
     }
-    for held in blocks {
-        table.set_held(held.clone()).expect("room");
+    for assignment in blocks {
+        table.set_block(assignment.clone()).expect("within the bounds");
     }
     table
 }
 
-fn whole() -> Coverage {
-    all(&sites(), &(0..BLOCKS).map(held).collect::<Vec<_>>())
+fn full_table() -> Coverage {
+    build(&sites(), &(0..BLOCKS).map(block).collect::<Vec<_>>())
 }
 
-const LEAST: Least = Least { holders: 2, zones: 2, headroom: 0.1 };
+const REQUIREMENTS: Requirements = Requirements { holders: 2, zones: 2, headroom: 0.1 };
 
 #[divan::bench(sample_count = 20)]
-fn build_the_whole(bencher: Bencher) {
-    let (sites, blocks) = (sites(), (0..BLOCKS).map(held).collect::<Vec<_>>());
-    bencher.bench_local(|| all(&sites, &blocks));
+fn build_table(bencher: Bencher) {
+    let (sites, blocks) = (sites(), (0..BLOCKS).map(block).collect::<Vec<_>>());
+    bencher.bench_local(|| build(&sites, &blocks));
 }
 
 #[divan::bench]
 fn move_one_block(bencher: Bencher) {
-    let (mut table, mut n) = (whole(), 0);
+    let (mut table, mut n) = (full_table(), 0);
     bencher.bench_local(|| {
         n += 1;
-        let mut held = held(n * 7919 % BLOCKS);
-        held.holders[0] = Store((held.holders[0].0 + n) % STORES);
-        held.holders.dedup();
-        table.set_held(held)
+        let mut assignment = block(n * 7919 % BLOCKS);
+        assignment.holders[0] = Store((assignment.holders[0].0 + n) % STORES);
+        assignment.holders.dedup();
+        table.set_block(assignment)
     });
 }
 
 #[divan::bench]
-fn a_store_goes_or_comes_back(bencher: Bencher) {
-    let (mut table, mut n) = (whole(), 0);
+fn change_state_of_one_store(bencher: Bencher) {
+    let (mut table, mut n) = (full_table(), 0);
     bencher.bench_local(|| {
         n += 1;
         table.set_site(site(n / 2 * 37 % STORES, if n % 2 == 0 { State::Gone } else { State::Listed }))
@@ -95,8 +95,8 @@
 }
 
 #[divan::bench]
-fn a_zone_s_share(bencher: Bencher) {
-    let (mut table, mut n) = (whole(), 0);
+fn set_share_of_one_zone(bencher: Bencher) {
+    let (mut table, mut n) = (full_table(), 0);
     bencher.bench_local(|| {
         n += 1;
         table.set_share(Zone(0), f64::from(n % 10) / 10.0);
@@ -104,46 +104,46 @@
 }
 
 #[divan::bench]
-fn the_ten_weakest_of_all_alike(bencher: Bencher) {
-    let table = whole();
+fn ten_weakest_of_uniform_blocks(bencher: Bencher) {
+    let table = full_table();
     bencher.bench_local(|| black_box(table.weakest(10)));
 }
 
 #[divan::bench]
-fn the_ten_weakest_with_a_store_gone(bencher: Bencher) {
-    let mut table = whole();
-    table.set_site(site(5, State::Gone)).expect("room");
+fn ten_weakest_with_one_store_gone(bencher: Bencher) {
+    let mut table = full_table();
+    table.set_site(site(5, State::Gone)).expect("within the bounds");
     bencher.bench_local(|| black_box(table.weakest(10)));
 }
 
 #[divan::bench]
-fn check_of_a_zone_led_away(bencher: Bencher) {
-    let table = whole();
+fn check_share_0_for_one_zone(bencher: Bencher) {
+    let table = full_table();
     let proposal = Proposal { shares: [(Zone(0), 0.0)].into(), ..Proposal::default() };
-    bencher.bench_local(|| black_box(table.check(&proposal, &LEAST)));
+    bencher.bench_local(|| black_box(table.check(&proposal, &REQUIREMENTS)));
 }
 
 #[divan::bench]
-fn check_of_a_window_of_50_stores(bencher: Bencher) {
-    let table = whole();
+fn check_exclusion_of_50_stores(bencher: Bencher) {
+    let table = full_table();
     let away: BTreeSet<Store> = (0..50).map(|n| Store(n * ZONES)).collect();
-    let proposal = Proposal { away, ..Proposal::default() };
-    bencher.bench_local(|| black_box(table.check(&proposal, &LEAST)));
+    let proposal = Proposal { excluded_stores: away, ..Proposal::default() };
+    bencher.bench_local(|| black_box(table.check(&proposal, &REQUIREMENTS)));
 }
 
 #[divan::bench]
-fn check_of_a_block_held_otherwise(bencher: Bencher) {
-    let table = whole();
-    let mut one = held(4711);
-    one.holders[0] = Store((one.holders[0].0 + 6) % STORES);
-    let proposal = Proposal { held: vec![one], ..Proposal::default() };
-    bencher.bench_local(|| black_box(table.check(&proposal, &LEAST)));
+fn check_change_of_one_block(bencher: Bencher) {
+    let table = full_table();
+    let mut assignment = block(4711);
+    assignment.holders[0] = Store((assignment.holders[0].0 + 6) % STORES);
+    let proposal = Proposal { changed_blocks: vec![assignment], ..Proposal::default() };
+    bencher.bench_local(|| black_box(table.check(&proposal, &REQUIREMENTS)));
 }
 
 #[divan::bench]
-fn check_of_a_plan_refused(bencher: Bencher) {
-    let table = whole();
+fn check_refused_exclusion_of_half_the_stores(bencher: Bencher) {
+    let table = full_table();
     let away: BTreeSet<Store> = (0..STORES / 2).map(Store).collect();
-    let proposal = Proposal { away, ..Proposal::default() };
-    bencher.bench_local(|| black_box(table.check(&proposal, &LEAST)));
+    let proposal = Proposal { excluded_stores: away, ..Proposal::default() };
+    bencher.bench_local(|| black_box(table.check(&proposal, &REQUIREMENTS)));
 }
--- a/broker/crates/coverage/src/check.rs
+++ b/broker/crates/coverage/src/check.rs
@@ -1,342 +1,364 @@
-//! What a proposal would leave short. It looks at the blocks that the proposal touches, at those that are short already, which
-//! the classes give, and at sums; at every range only where blocks change or overlap. It promises the smallest counterexample:
-//! fewest keys, then the first key, then gap, overlap, holders, zones, capacity, then the block's number, then the zone's.
+//! Evaluation of proposals. It examines the blocks that the proposal affects, the blocks that are short already, which the cover
+//! classes identify, and the sums; it examines every range only where blocks change or overlap. The result is the smallest
+//! counterexample: the one with the fewest keys, then the lowest first key, then by kind (gap, overlap, holders, zones, capacity),
+//! then the lowest number of the block, then of the zone.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::coverage::{class, BlockEntry, Coverage, Ranked};
-use crate::load::{self, add, fall, sum, units, On, Onto, Part, Tally, ONE};
-use crate::slots::Marks;
-use crate::sweep::{sweep, Faults};
+use crate::coverage::{cover_class, BlockEntry, Coverage, RankKey};
+use crate::load::{
+    self, add, distribute, sum, units, SingleZoneLoad, SoundHolder, ZoneSumUpdate, ZoneSums, ONE,
+};
+use crate::slots::SlotSet;
+use crate::sweep::{sweep, RangeFaults};
 use crate::types::{
-    Block, Counterexample, Held, Keys, Least, Lost, Proposal, Room, Short, State, Store, Zone,
+    Block, BlockAssignment, Counterexample, HolderStatus, KeyRange, Proposal, Requirements, Shortage, State,
+    Store, Zone, ZoneLoad,
 };
 
-/// A block after the proposal; its holders as slots of the stores that the table knows, by number.
-struct Piece<'a> {
+/// A block after the proposal. The holders are slots of known stores, ordered by number.
+struct BlockView<'a> {
     block: Block,
-    keys: Keys,
+    keys: KeyRange,
     load: u64,
     holders: &'a [u32],
 }
 
-impl Piece<'_> {
-    fn rank(&self) -> Ranked {
+impl BlockView<'_> {
+    fn rank(&self) -> RankKey {
         (self.keys.count(), self.keys.first, self.block)
     }
 }
 
-/// A block that the proposal sets.
-struct Draft {
-    keys: Keys,
+/// A block that the proposal adds or changes.
+struct ChangedBlock {
+    keys: KeyRange,
     load: u64,
     holders: Vec<u32>,
-    named: BTreeSet<Store>,
+    holder_stores: BTreeSet<Store>,
 }
 
-/// A range that is short; the smallest one is told.
-struct Found {
+/// A range that is short; the one of the lowest rank is reported.
+struct Finding {
     rank: (u64, u64, u8, Block),
-    keys: Keys,
+    keys: KeyRange,
     block: Option<Block>,
-    short: Short,
+    shortage: Shortage,
 }
 
-impl Found {
-    fn new(keys: Keys, block: Option<Block>, short: Short) -> Self {
-        let kind = match short {
-            Short::Gap => 0,
-            Short::Overlap { .. } => 1,
-            Short::Holders { .. } => 2,
-            Short::Zones { .. } => 3,
-            Short::Capacity { .. } => 4,
+impl Finding {
+    fn new(keys: KeyRange, block: Option<Block>, shortage: Shortage) -> Self {
+        let kind = match shortage {
+            Shortage::Gap => 0,
+            Shortage::Overlap { .. } => 1,
+            Shortage::Holders { .. } => 2,
+            Shortage::Zones { .. } => 3,
+            Shortage::Capacity { .. } => 4,
         };
-        Self { rank: (keys.count(), keys.first, kind, block.unwrap_or_default()), keys, block, short }
+        Self { rank: (keys.count(), keys.first, kind, block.unwrap_or_default()), keys, block, shortage }
     }
 
-    fn of(piece: &Piece, short: Short) -> Self {
-        Self::new(piece.keys, Some(piece.block), short)
+    fn for_block(block: &BlockView, shortage: Shortage) -> Self {
+        Self::new(block.keys, Some(block.block), shortage)
     }
 }
 
-/// The table as it would be.
-struct After<'a> {
+/// The table with a proposal applied to it.
+struct Projection<'a> {
     table: &'a Coverage,
-    least: Least,
-    away: Marks,
-    /// By zones' slots.
+    requirements: Requirements,
+    excluded: SlotSet,
+    /// Shares in millionths, by zone slot.
     shares: Vec<u64>,
-    drafts: BTreeMap<Block, Draft>,
-    /// Slots of blocks that are no more, or set by the proposal.
+    changed_blocks: BTreeMap<Block, ChangedBlock>,
+    /// Slots of blocks that the proposal removes or changes.
     replaced: Vec<u32>,
-    /// Slots of blocks that lose a holder.
-    robbed: Vec<u32>,
-    /// Both of these.
-    touched: Marks,
-    /// What is other than in the table's tally.
-    delta: Tally,
-    /// The smallest of the touched blocks that is short of holders or zones.
-    short: Option<Found>,
+    /// Slots of other blocks, of which the proposal excludes a holder.
+    weakened: Vec<u32>,
+    /// Slots in `replaced` or `weakened`.
+    affected: SlotSet,
+    /// Differences from the table's zone sums.
+    delta: ZoneSums,
+    /// The smallest affected block that is short of holders or zones.
+    smallest_shortage: Option<Finding>,
 }
 
 impl Coverage {
-    /// Whether each key has the least after the proposal; the smallest range that has not, if not. Every range counts, also
-    /// one that was short before. An empty proposal asks of the state as it is.
-    pub fn check(&self, proposal: &Proposal, least: &Least) -> Result<(), Counterexample> {
-        let mut after = After::new(self, proposal, least);
-        let mut found = after.faults();
-        found.extend(after.short.take());
-        found.extend(after.short_before());
-        found.extend(after.over_room());
+    /// Checks whether every key meets the requirements after the proposal; otherwise returns the smallest range that does not. Every
+    /// range counts, including those that are short already. An empty proposal checks the present state.
+    pub fn check(&self, proposal: &Proposal, requirements: &Requirements) -> Result<(), Counterexample> {
+        let mut projection = Projection::new(self, proposal, requirements);
+        let mut found = projection.faults();
+        found.extend(projection.smallest_shortage.take());
+        found.extend(projection.existing_shortages());
+        found.extend(projection.overloaded_zones());
         match found.into_iter().min_by_key(|found| found.rank) {
             None => Ok(()),
-            Some(found) => Err(after.counterexample(found)),
+            Some(found) => Err(projection.counterexample(found)),
         }
     }
 
-    /// Load against room, zone by zone, after the proposal; of every zone that has a store, sound or not.
-    pub fn carries(&self, proposal: &Proposal, least: &Least) -> BTreeMap<Zone, Room> {
-        let rooms = After::new(self, proposal, least).rooms().into_iter();
-        let told = |sums: Sums| Room {
+    /// Load and maximum load of each zone that has a store, sound or not, after the proposal.
+    pub fn zone_loads(&self, proposal: &Proposal, requirements: &Requirements) -> BTreeMap<Zone, ZoneLoad> {
+        let sums_by_zone = Projection::new(self, proposal, requirements).zone_sums().into_iter();
+        let zone_load = |sums: Sums| ZoneLoad {
             load: units(sums.load),
-            room: units(sums.room),
+            max_load: units(sums.max_load),
             capacity: units(sums.capacity),
         };
-        rooms.map(|(zone, sums)| (zone, told(sums))).collect()
+        sums_by_zone.map(|(zone, sums)| (zone, zone_load(sums))).collect()
     }
 }
 
-/// A zone's load and room, in millionths.
+/// Load, maximum load and capacity of a zone, in millionths.
 struct Sums {
     load: i128,
-    room: i128,
+    max_load: i128,
     capacity: i128,
 }
 
-impl Draft {
-    fn new(table: &Coverage, held: &Held) -> Self {
-        let named: BTreeSet<Store> = held.holders.iter().copied().collect();
-        let holders = named.iter().filter_map(|store| table.stores.slot(*store)).collect();
-        Self { keys: held.keys, load: load::amount(held.load), holders, named }
+impl ChangedBlock {
+    fn new(table: &Coverage, assignment: &BlockAssignment) -> Self {
+        let holder_stores: BTreeSet<Store> = assignment.holders.iter().copied().collect();
+        let holders = holder_stores.iter().filter_map(|store| table.stores.slot(*store)).collect();
+        Self { keys: assignment.keys, load: load::amount(assignment.load), holders, holder_stores }
     }
 }
 
-impl<'a> After<'a> {
-    fn new(table: &'a Coverage, proposal: &Proposal, least: &Least) -> Self {
-        let drafts = proposal.held.iter().map(|held| (held.block, Draft::new(table, held)));
-        let mut after = Self {
+impl<'a> Projection<'a> {
+    fn new(table: &'a Coverage, proposal: &Proposal, requirements: &Requirements) -> Self {
+        let changed_blocks = proposal
+            .changed_blocks
+            .iter()
+            .map(|assignment| (assignment.block, ChangedBlock::new(table, assignment)));
+        let mut projection = Self {
             table,
-            least: *least,
-            away: Marks::default(),
+            requirements: *requirements,
+            excluded: SlotSet::default(),
             shares: table.shares_by_slot(),
-            drafts: drafts.collect(),
+            changed_blocks: changed_blocks.collect(),
             replaced: Vec::new(),
-            robbed: Vec::new(),
-            touched: Marks::default(),
-            delta: Tally::default(),
-            short: None,
+            weakened: Vec::new(),
+            affected: SlotSet::default(),
+            delta: ZoneSums::default(),
+            smallest_shortage: None,
         };
         for (zone, share) in &proposal.shares {
             if let Some(slot) = table.zones.slot(*zone) {
-                after.shares[slot as usize] = load::share(*share, ONE);
+                projection.shares[slot as usize] = load::share(*share, ONE);
             }
         }
-        let replaced = proposal.gone.iter().chain(after.drafts.keys());
+        let replaced = proposal.removed_blocks.iter().chain(projection.changed_blocks.keys());
         let replaced = replaced.filter_map(|block| table.blocks.slot(*block));
-        after.replaced.extend(replaced.filter(|slot| after.touched.mark(*slot)));
-        after.rob(proposal);
-        after.weigh();
-        after
+        projection.replaced.extend(replaced.filter(|slot| projection.affected.insert(*slot)));
+        projection.exclude_stores(proposal);
+        projection.compute_delta();
+        projection
     }
 
-    /// Finds the blocks at stores that go, and takes off what those can do.
-    fn rob(&mut self, proposal: &Proposal) {
-        for slot in proposal.away.iter().filter_map(|store| self.table.stores.slot(*store)) {
-            self.away.mark(slot);
-            let Some(store) = self.table.stores.at(slot) else { continue };
-            if store.site.is_some_and(|site| site.state.sound()) {
+    /// Marks the excluded stores, collects the blocks of the sound ones among them, and subtracts their capacity.
+    fn exclude_stores(&mut self, proposal: &Proposal) {
+        for slot in proposal.excluded_stores.iter().filter_map(|store| self.table.stores.slot(*store)) {
+            self.excluded.insert(slot);
+            let Some(store) = self.table.stores.by_slot(slot) else { continue };
+            if store.site.is_some_and(|site| site.state.is_sound()) {
                 add(&mut self.delta.capacity, store.zone, -i128::from(store.capacity));
-                let touched = &mut self.touched;
-                self.robbed.extend(store.blocks.iter().filter(|block| touched.mark(**block)));
+                let affected = &mut self.affected;
+                self.weakened.extend(store.blocks.iter().filter(|block| affected.insert(**block)));
             }
         }
     }
 
-    /// Takes the touched blocks' load off where it falls, lets it fall where it would, and finds which are short.
-    fn weigh(&mut self) {
-        let (mut delta, mut short, mut parts) = (Tally::default(), None::<Found>, Vec::new());
+    /// Computes the difference in zone sums for the affected blocks, and finds the smallest of them that is short.
+    fn compute_delta(&mut self) {
+        let (mut delta, mut smallest, mut sound_holders) = (ZoneSums::default(), None::<Finding>, Vec::new());
         std::mem::swap(&mut delta, &mut self.delta);
-        let before = self.replaced.iter().chain(&self.robbed).filter_map(|slot| self.table.blocks.at(*slot));
+        let before =
+            self.replaced.iter().chain(&self.weakened).filter_map(|slot| self.table.blocks.by_slot(*slot));
         for entry in before {
-            self.table.sound(&entry.holders, &Marks::default(), &mut parts);
-            fall(entry.load, &parts, &mut Onto { tally: &mut delta, sign: -1 });
+            self.table.collect_sound(&entry.holders, &SlotSet::default(), &mut sound_holders);
+            distribute(entry.load, &sound_holders, &mut ZoneSumUpdate { sums: &mut delta, sign: -1 });
         }
-        for piece in self.touched() {
-            self.table.sound(piece.holders, &self.away, &mut parts);
-            fall(piece.load, &parts, &mut Onto { tally: &mut delta, sign: 1 });
-            let found = self.short(&piece, &parts);
-            short = short.into_iter().chain(found).min_by_key(|found| found.rank);
+        for block in self.affected() {
+            self.table.collect_sound(block.holders, &self.excluded, &mut sound_holders);
+            distribute(block.load, &sound_holders, &mut ZoneSumUpdate { sums: &mut delta, sign: 1 });
+            let found = self.shortage(&block, &sound_holders);
+            smallest = smallest.into_iter().chain(found).min_by_key(|found| found.rank);
         }
-        (self.delta, self.short) = (delta, short);
+        (self.delta, self.smallest_shortage) = (delta, smallest);
     }
 
-    fn piece(entry: &BlockEntry) -> Piece<'_> {
-        Piece { block: entry.block, keys: entry.keys, load: entry.load, holders: &entry.holders }
+    fn view(entry: &BlockEntry) -> BlockView<'_> {
+        BlockView { block: entry.block, keys: entry.keys, load: entry.load, holders: &entry.holders }
     }
 
-    /// Every block that is other than before.
-    fn touched(&self) -> impl Iterator<Item = Piece<'_>> + use<'_, 'a> {
-        let robbed = self.robbed.iter().filter_map(|slot| self.table.blocks.at(*slot)).map(Self::piece);
-        let drafts = self.drafts.iter().filter(|(_, draft)| draft.keys.count() > 0);
-        robbed.chain(drafts.map(|(block, draft)| Piece {
+    /// All blocks that are affected and not removed, as they are after the proposal.
+    fn affected(&self) -> impl Iterator<Item = BlockView<'_>> + use<'_, 'a> {
+        let weakened =
+            self.weakened.iter().filter_map(|slot| self.table.blocks.by_slot(*slot)).map(Self::view);
+        let changed_blocks = self.changed_blocks.iter().filter(|(_, changed)| changed.keys.count() > 0);
+        weakened.chain(changed_blocks.map(|(block, changed)| BlockView {
             block: *block,
-            keys: draft.keys,
-            load: draft.load,
-            holders: &draft.holders,
+            keys: changed.keys,
+            load: changed.load,
+            holders: &changed.holders,
         }))
     }
 
-    /// Every block of a class that is as it was, the smallest first.
-    fn as_before<'b>(
+    /// Blocks of a class that are not affected, the smallest first.
+    fn unaffected_blocks<'b>(
         &'b self,
-        class: &'b BTreeMap<Ranked, u32>,
-    ) -> impl Iterator<Item = Piece<'b>> + use<'b, 'a> {
-        let same = class.values().filter(|slot| !self.touched.has(**slot));
-        same.filter_map(|slot| self.table.blocks.at(*slot)).map(Self::piece)
+        cover_class: &'b BTreeMap<RankKey, u32>,
+    ) -> impl Iterator<Item = BlockView<'b>> + use<'b, 'a> {
+        let same = cover_class.values().filter(|slot| !self.affected.contains(**slot));
+        same.filter_map(|slot| self.table.blocks.by_slot(*slot)).map(Self::view)
     }
 
-    /// Gaps and overlaps. The table knows its own gaps; a sweep tells those among changed blocks, and overlaps.
-    fn faults(&self) -> Vec<Found> {
-        let as_before = self.drafts.is_empty() && self.replaced.is_empty();
-        let faults = if as_before && self.table.overlaps == 0 {
-            let gap = self.table.gaps.first().map(|(count, first)| Keys::new(*first, first + count));
-            Faults { gap, overlap: None }
+    /// Gaps and overlaps. The table knows its own gaps; overlaps, and gaps next to changed blocks, need a sweep.
+    fn faults(&self) -> Vec<Finding> {
+        let is_unchanged = self.changed_blocks.is_empty() && self.replaced.is_empty();
+        let faults = if is_unchanged && self.table.overlaps == 0 {
+            let gap = self.table.gaps.first().map(|(count, first)| KeyRange::new(*first, first + count));
+            RangeFaults { gap, overlap: None }
         } else {
             self.sweep()
         };
-        // A gap has no holder: it is short of holders, and of zones.
-        let gap = faults.gap.filter(|_| self.least.holders > 0 || self.least.zones > 0);
-        let gap = gap.map(|keys| Found::new(keys, None, Short::Gap));
-        let overlap = faults.overlap.map(|(keys, one, two)| {
-            Found::new(keys, Some(one.min(two)), Short::Overlap { other: one.max(two) })
+        // The keys of a gap have no holder, so that they are short of holders and of zones if any are required.
+        let gap = faults.gap.filter(|_| self.requirements.holders > 0 || self.requirements.zones > 0);
+        let gap = gap.map(|keys| Finding::new(keys, None, Shortage::Gap));
+        let overlap = faults.overlap.map(|(keys, first, second)| {
+            Finding::new(keys, Some(first.min(second)), Shortage::Overlap { other: first.max(second) })
         });
         gap.into_iter().chain(overlap).collect()
     }
 
-    fn sweep(&self) -> Faults {
-        let drafts = self.drafts.iter().filter(|(_, draft)| draft.keys.count() > 0);
-        let drafts = drafts.map(|(block, draft)| (draft.keys, *block));
-        let mut hull = Keys::new(u64::MAX, 0);
-        let mut widen = |keys: Keys| hull = Keys::new(hull.first.min(keys.first), hull.end.max(keys.end));
-        let mut ranges = Vec::with_capacity(self.table.order.len() + self.drafts.len());
-        let mut replaced = Marks::default();
+    fn sweep(&self) -> RangeFaults {
+        let changed_blocks = self.changed_blocks.iter().filter(|(_, changed)| changed.keys.count() > 0);
+        let changed_blocks = changed_blocks.map(|(block, changed)| (changed.keys, *block));
+        let mut hull = KeyRange::new(u64::MAX, 0);
+        let mut extend_hull =
+            |keys: KeyRange| hull = KeyRange::new(hull.first.min(keys.first), hull.end.max(keys.end));
+        let mut ranges = Vec::with_capacity(self.table.ranges.len() + self.changed_blocks.len());
+        let mut replaced = SlotSet::default();
         for slot in &self.replaced {
-            replaced.mark(*slot);
+            replaced.insert(*slot);
         }
-        for ((first, block), (end, slot)) in &self.table.order {
-            widen(Keys::new(*first, *end));
-            if !replaced.has(*slot) {
-                ranges.push((Keys::new(*first, *end), *block));
+        for ((first, block), (end, slot)) in &self.table.ranges {
+            extend_hull(KeyRange::new(*first, *end));
+            if !replaced.contains(*slot) {
+                ranges.push((KeyRange::new(*first, *end), *block));
             }
         }
-        for (keys, block) in drafts {
-            widen(keys);
+        for (keys, block) in changed_blocks {
+            extend_hull(keys);
             ranges.push((keys, block));
         }
         ranges.sort_by_key(|(keys, block)| (keys.first, *block));
         sweep(ranges.into_iter(), hull)
     }
 
-    /// The smallest of the blocks that the proposal does not touch and that are short as they are, by classes.
-    fn short_before(&self) -> Vec<Found> {
-        let short = |(sound, zones): &(u32, u32)| *sound < self.least.holders || *zones < self.least.zones;
-        let classes = self.table.classes.iter().filter(|(class, _)| short(class));
-        let smallest = classes.filter_map(|(_, class)| self.as_before(class).next());
-        let mut parts = Vec::new();
-        let found = smallest.filter_map(|piece| {
-            self.table.sound(piece.holders, &self.away, &mut parts);
-            self.short(&piece, &parts)
+    /// The smallest unaffected block of each class that is short already.
+    fn existing_shortages(&self) -> Vec<Finding> {
+        let is_short = |(sound, zones): &(u32, u32)| {
+            *sound < self.requirements.holders || *zones < self.requirements.zones
+        };
+        let blocks_by_class =
+            self.table.blocks_by_class.iter().filter(|(cover_class, _)| is_short(cover_class));
+        let smallest =
+            blocks_by_class.filter_map(|(_, cover_class)| self.unaffected_blocks(cover_class).next());
+        let mut sound_holders = Vec::new();
+        let found = smallest.filter_map(|block| {
+            self.table.collect_sound(block.holders, &self.excluded, &mut sound_holders);
+            self.shortage(&block, &sound_holders)
         });
         found.collect()
     }
 
-    /// What a block is short of, of holders first.
-    fn short(&self, piece: &Piece, sound: &[Part]) -> Option<Found> {
-        let (sound, zones) = class(sound);
-        let Least { holders, zones: least, .. } = self.least;
+    /// Shortage of holders or else of zones of a block.
+    fn shortage(&self, block: &BlockView, sound_holders: &[SoundHolder]) -> Option<Finding> {
+        let (sound, zones) = cover_class(sound_holders);
+        let Requirements { holders, zones: least, .. } = self.requirements;
         if sound < holders {
-            Some(Found::of(piece, Short::Holders { sound, least: holders }))
+            Some(Finding::for_block(block, Shortage::Holders { sound, least: holders }))
         } else if zones < least {
-            Some(Found::of(piece, Short::Zones { sound: zones, least }))
+            Some(Finding::for_block(block, Shortage::Zones { sound: zones, least }))
         } else {
             None
         }
     }
 
-    fn rooms(&self) -> BTreeMap<Zone, Sums> {
-        let (table, delta) = (&self.table.tally, &self.delta);
-        let loads = table.loads(delta, &self.shares);
-        // Of a headroom that is no number all is to be spared.
-        let headroom = load::share(self.least.headroom, ONE);
+    fn zone_sums(&self) -> BTreeMap<Zone, Sums> {
+        let (table_sums, delta) = (&self.table.zone_sums, &self.delta);
+        let loads = table_sums.loads(delta, &self.shares);
+        // A headroom of NaN counts as 1, so that no load is allowed.
+        let headroom = load::share(self.requirements.headroom, ONE);
         let sums = |slot: usize| {
-            let capacity = sum(&table.capacity, slot) + sum(&delta.capacity, slot);
-            Sums { load: sum(&loads, slot), room: load::without(capacity, headroom), capacity }
+            let capacity = sum(&table_sums.capacity, slot) + sum(&delta.capacity, slot);
+            Sums { load: sum(&loads, slot), max_load: load::without_share(capacity, headroom), capacity }
         };
-        self.table.zones.names().map(|(zone, slot)| (zone, sums(slot as usize))).collect()
+        self.table.zones.keys().map(|(zone, slot)| (zone, sums(slot as usize))).collect()
     }
 
-    /// For each zone that more falls on than may, the smallest range that some of it comes from.
-    fn over_room(&self) -> Vec<Found> {
-        let over = self.rooms().into_iter().filter(|(_, sums)| sums.load > sums.room);
-        let found = over.filter_map(|(zone, sums)| {
-            let short = Short::Capacity { zone, load: units(sums.load), room: units(sums.room) };
+    /// For each overloaded zone, the smallest range that adds to its load.
+    fn overloaded_zones(&self) -> Vec<Finding> {
+        let overloaded = self.zone_sums().into_iter().filter(|(_, sums)| sums.load > sums.max_load);
+        let found = overloaded.filter_map(|(zone, sums)| {
+            let shortage = Shortage::Capacity { zone, load: units(sums.load), room: units(sums.max_load) };
             let slot = self.table.zones.slot(zone)? as usize;
-            let mut parts = Vec::new();
-            let mut falls = |piece: &Piece| self.falls_on(piece, slot, &mut parts);
-            let before =
-                self.table.classes.values().filter_map(|class| self.as_before(class).find(&mut falls));
-            let before = before.min_by_key(Piece::rank);
-            // Of the touched only those that would be smaller are looked at.
-            let smaller = |piece: &Piece| before.as_ref().is_none_or(|least| piece.rank() < least.rank());
-            let mut touched: Vec<Piece> = self.touched().filter(smaller).collect();
-            touched.sort_unstable_by_key(Piece::rank);
-            let found = touched.into_iter().find(&mut falls).or(before);
-            found.map(|piece| Found::of(&piece, short))
+            let mut sound_holders = Vec::new();
+            let mut adds_load = |block: &BlockView| self.adds_load_to(block, slot, &mut sound_holders);
+            let before = self
+                .table
+                .blocks_by_class
+                .values()
+                .filter_map(|cover_class| self.unaffected_blocks(cover_class).find(&mut adds_load));
+            let before = before.min_by_key(BlockView::rank);
+            // Only affected blocks that would be smaller need to be examined.
+            let smaller =
+                |block: &BlockView| before.as_ref().is_none_or(|smallest| block.rank() < smallest.rank());
+            let mut affected: Vec<BlockView> = self.affected().filter(smaller).collect();
+            affected.sort_unstable_by_key(BlockView::rank);
+            let found = affected.into_iter().find(&mut adds_load).or(before);
+            found.map(|block| Finding::for_block(&block, shortage))
         });
         found.collect()
     }
 
-    fn falls_on(&self, piece: &Piece, zone: usize, parts: &mut Vec<Part>) -> bool {
-        self.table.sound(piece.holders, &self.away, parts);
-        let mut on = On { zone, shares: &self.shares, sum: 0 };
-        fall(piece.load, parts, &mut on);
-        on.sum > 0
+    fn adds_load_to(&self, block: &BlockView, zone: usize, sound_holders: &mut Vec<SoundHolder>) -> bool {
+        self.table.collect_sound(block.holders, &self.excluded, sound_holders);
+        let mut zone_load = SingleZoneLoad { zone, shares: &self.shares, sum: 0 };
+        distribute(block.load, sound_holders, &mut zone_load);
+        zone_load.sum > 0
     }
 
-    fn counterexample(&self, found: Found) -> Counterexample {
-        let Found { keys, block, short, .. } = found;
-        let stores = match block.map(|block| (self.drafts.get(&block), self.table.blocks.get(block))) {
-            Some((Some(draft), _)) => draft.named.iter().copied().collect(),
-            Some((None, Some(entry))) => self.table.names(&entry.holders),
+    fn counterexample(&self, found: Finding) -> Counterexample {
+        let Finding { keys, block, shortage, .. } = found;
+        let stores = match block.map(|block| (self.changed_blocks.get(&block), self.table.blocks.get(block)))
+        {
+            Some((Some(changed), _)) => changed.holder_stores.iter().copied().collect(),
+            Some((None, Some(entry))) => self.table.store_numbers(&entry.holders),
             _ => Vec::new(),
         };
-        let led = matches!(short, Short::Capacity { .. });
-        let holders = stores.into_iter().map(|store| (store, self.lost(store, led))).collect();
-        Counterexample { keys, block, short, holders }
+        let is_capacity = matches!(shortage, Shortage::Capacity { .. });
+        let holders =
+            stores.into_iter().map(|store| (store, self.holder_status(store, is_capacity))).collect();
+        Counterexample { keys, block, shortage, holders }
     }
 
-    fn leads(&self, zone: Zone) -> bool {
+    fn redirects_load(&self, zone: Zone) -> bool {
         self.table.zones.slot(zone).is_some_and(|slot| self.shares[slot as usize] < ONE)
     }
 
-    fn lost(&self, store: Store, led: bool) -> Lost {
+    fn holder_status(&self, store: Store, is_capacity: bool) -> HolderStatus {
         let slot = self.table.stores.slot(store);
         match self.table.site(store) {
-            None => Lost::State(State::Gone),
-            Some(site) if !site.state.sound() => Lost::State(site.state),
-            Some(_) if slot.is_some_and(|slot| self.away.has(slot)) => Lost::Proposed,
-            Some(site) if led && self.leads(site.zone) => Lost::Share(site.zone),
-            Some(_) => Lost::Sound,
+            None => HolderStatus::Unavailable(State::Gone),
+            Some(site) if !site.state.is_sound() => HolderStatus::Unavailable(site.state),
+            Some(_) if slot.is_some_and(|slot| self.excluded.contains(slot)) => HolderStatus::Excluded,
+            Some(site) if is_capacity && self.redirects_load(site.zone) => {
+                HolderStatus::ShareReduced(site.zone)
+            }
+            Some(_) => HolderStatus::Sound,
         }
     }
 }
--- a/broker/crates/coverage/src/lib.rs
+++ b/broker/crates/coverage/src/lib.rs
@@ -1,15 +1,19 @@
-//! The one calculus of cover: who holds which key range, how many of them are sound, in which zones and regions, and what they
-//! have to spare; what a proposal would leave short, told by its smallest counterexample. Whoever decides something that takes
-//! stores, zones or blocks away asks here and counts nothing itself. Sans I/O, without time and without randomness.
+//! Coverage of the key space: which stores hold each key range, how many of them are sound, in which zones and regions, how much
+//! free capacity they have, and whether a proposed change leaves a range short, reported as the smallest counterexample. Every
+//! decision that takes stores, zones or blocks away uses this package rather than counts of its own. Sans I/O, without time and
+//! without randomness.
 //!
-//! It promises:
+//! A store is sound if its state lets it count as a holder ([`State::is_sound`]). The share of a zone is the part of its load that
+//! it serves itself; the rest is redirected to holders in other zones ([`Coverage::set_share`]).
 //!
-//! - C1: the answer after any row of changes is, to the bit, that of a table built anew in any order: amounts are whole
-//!   millionths inside, and sums of those don't depend on order;
-//! - C2: [`Coverage::check`] refuses exactly what a look at every single key finds short;
-//! - C3: a counterexample is true, and taking any one of its causes away mends it or shows another.
+//! Guarantees:
 //!
-//! It does not know brokers, epochs, bookings or why a store is gone.
+//! - C1: The answers after any sequence of changes are bit-identical to those of a table that is built from the same facts in any
+//!   order: amounts are integers in millionths internally, and sums of integers do not depend on their order.
+//! - C2: [`Coverage::check`] refuses exactly the proposals for which an examination of every single key finds a shortage.
+//! - C3: A counterexample is correct, and removing any one of its causes resolves it or leads to a different one.
+//!
+//! This package has no knowledge of brokers, epochs, bookings or the reasons why a store is unavailable.
 
 mod check;
 mod coverage;
@@ -21,6 +25,6 @@
 
 pub use coverage::Coverage;
 pub use types::{
-    Block, Bounds, Counterexample, Cover, Full, Held, Keys, Least, Lost, Proposal, Region, Room, Short, Site,
-    State, Store, Unfit, Zone,
+    Block, BlockAssignment, BlockError, Bounds, Counterexample, Cover, HolderStatus, KeyRange, LimitError,
+    Proposal, Region, Requirements, Shortage, Site, State, Store, Zone, ZoneLoad,
 };
--- a/broker/crates/coverage/src/load.rs
+++ b/broker/crates/coverage/src/load.rs
@@ -1,21 +1,22 @@
-//! Where a block's load falls, in whole millionths, so that every sum is the same in any order of adding. It promises that
-//! nothing is lost in dividing, and that shares need no look at blocks: what would leave each zone for each other one, were it
-//! led away whole, is summed by pairs, and a share takes its part of the sums.
+//! Distribution of blocks' load over stores and zones, in integer millionths, so that every sum is independent of the order of
+//! addition. Division loses nothing to rounding, and a change of a zone's share needs no iteration over blocks: the load that
+//! would move from each zone to each other one if the share of the first were 0 is summed by pairs of zones, and a share
+//! applies to these sums.
 
 use crate::types::{Region, State};
 
-/// Millionths in one.
+/// Number of millionths in one unit; also a share of 1.
 pub(crate) const ONE: u64 = 1_000_000;
 
-/// The largest amount that is taken, in units: far above any fleet, and small enough that no product overflows.
-pub(crate) const MOST: f64 = 1e9;
+/// Maximum amount in units: far above the needs of any fleet, and small enough that no product overflows.
+pub(crate) const MAX_AMOUNT: f64 = 1e9;
 
-/// An amount in millionths; what is no number counts as 0.
+/// Converts an amount from units to millionths; NaN counts as 0.
 pub(crate) fn amount(units: f64) -> u64 {
-    (units.clamp(0.0, MOST) * ONE as f64).round() as u64
+    (units.clamp(0.0, MAX_AMOUNT) * ONE as f64).round() as u64
 }
 
-/// A share in millionths; what is no number counts as `otherwise`.
+/// Converts a share to millionths; NaN counts as `otherwise`.
 pub(crate) fn share(share: f64, otherwise: u64) -> u64 {
     if share.is_nan() {
         otherwise
@@ -24,102 +25,112 @@
     }
 }
 
-/// Back to units.
+/// Converts an amount from millionths to units.
 pub(crate) fn units(amount: i128) -> f64 {
     amount as f64 / ONE as f64
 }
 
-/// What a store can do as it stands.
+/// Capacity of a store in its present state, in millionths.
 pub(crate) fn capacity(units: f64, state: State) -> u64 {
     match state {
         State::Listed => amount(units),
-        State::Cold { share: part } => of(amount(units), share(part, 0), ONE),
+        State::Cold { share: warm_share } => multiply_divide(amount(units), share(warm_share, 0), ONE),
         _ => 0,
     }
 }
 
-/// `amount * part / whole`, rounded down.
-fn of(amount: u64, part: u64, whole: u64) -> u64 {
+/// Returns `amount * part / whole`, rounded down.
+fn multiply_divide(amount: u64, part: u64, whole: u64) -> u64 {
     match amount.checked_mul(part) {
         Some(product) => product / whole,
         None => (u128::from(amount) * u128::from(part) / u128::from(whole)) as u64,
     }
 }
 
-/// What is left of a sum without a share of it, rounded down; of a zone's load, what is led away.
-pub(crate) fn without(sum: i128, share: u64) -> i128 {
+/// A sum minus a share of it, rounded down, such as the redirected part of a zone's load, or a capacity minus the headroom.
+pub(crate) fn without_share(sum: i128, share: u64) -> i128 {
     match ONE - share {
         0 => 0,
         ONE => sum,
-        rest => match i64::try_from(sum).ok().and_then(|sum| sum.checked_mul(rest as i64)) {
-            Some(product) => i128::from(product / ONE as i64),
-            None => sum * i128::from(rest) / i128::from(ONE),
-        },
+        redirected_share => {
+            match i64::try_from(sum).ok().and_then(|sum| sum.checked_mul(redirected_share as i64)) {
+                Some(product) => i128::from(product / ONE as i64),
+                None => sum * i128::from(redirected_share) / i128::from(ONE),
+            }
+        }
     }
 }
 
-/// A sound holder.
+/// A sound holder of a block.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Part {
-    /// Its slot in the table, and its zone's.
+pub(crate) struct SoundHolder {
+    /// Slot of the store in the table.
     pub(crate) slot: u32,
+    /// Slot of the store's zone.
     pub(crate) zone: usize,
     pub(crate) region: Region,
-    /// In millionths, as it stands.
+    /// Capacity of the store in its present state, in millionths.
     pub(crate) capacity: u64,
 }
 
-/// What takes note of where load falls.
-pub(crate) trait Falls {
-    /// So much falls on a holder while every share is 1.
-    fn near(&mut self, on: &Part, amount: u64);
-    /// So much of what falls on one holder falls on another once the zone of the first is led away whole.
-    fn led(&mut self, from: &Part, to: &Part, amount: u64);
+/// Receiver of the load that [`distribute`] assigns.
+pub(crate) trait LoadReceiver {
+    /// Adds load that a holder serves while every zone's share is 1.
+    fn add_local(&mut self, holder: &SoundHolder, amount: u64);
+    /// Adds the part of one holder's load that another holder would serve if the share of the first one's zone were 0.
+    fn add_redirected(&mut self, from: &SoundHolder, to: &SoundHolder, amount: u64);
 }
 
-/// Divides by weights so that the parts sum up to the whole; evenly where all weights are 0.
-fn divide(amount: u64, of_parts: impl Iterator<Item = (usize, u64)> + Clone, mut to: impl FnMut(usize, u64)) {
-    let total: u64 = of_parts.clone().map(|(_, weight)| weight).sum();
+/// Divides an amount in proportion to weights, so that the parts add up to the amount; evenly if all weights are 0.
+fn divide(
+    amount: u64,
+    weighted: impl Iterator<Item = (usize, u64)> + Clone,
+    mut assign: impl FnMut(usize, u64),
+) {
+    let total: u64 = weighted.clone().map(|(_, weight)| weight).sum();
     let even = u64::from(total == 0);
-    let total = if total == 0 { of_parts.clone().count() as u64 } else { total };
-    let (mut weights, mut given) = (0, 0);
-    for (index, weight) in of_parts {
+    let total = if total == 0 { weighted.clone().count() as u64 } else { total };
+    let (mut weights, mut assigned) = (0, 0);
+    for (index, weight) in weighted {
         weights += weight + even;
-        let upto = of(amount, weights, total);
-        to(index, upto - given);
-        given = upto;
+        let cumulative = multiply_divide(amount, weights, total);
+        assign(index, cumulative - assigned);
+        assigned = cumulative;
     }
 }
 
-/// Lets a block's load fall on its sound holders, which come by number: by capacity; and what their zones' shares lead away on
-/// holders in other zones, in the holder's own region if there are any.
-pub(crate) fn fall(load: u64, parts: &[Part], falls: &mut impl Falls) {
+/// Distributes a block's load over its sound holders, which have to be ordered by number: in proportion to capacity. The load that
+/// zones' shares redirect goes to holders in other zones; in the same region as the original holder if there are any.
+pub(crate) fn distribute(load: u64, holders: &[SoundHolder], receiver: &mut impl LoadReceiver) {
     if load == 0 {
         return;
     }
-    divide(load, parts.iter().map(|part| part.capacity).enumerate(), |index, near| {
-        let from = &parts[index];
-        falls.near(from, near);
-        let elsewhere = |part: &Part| part.zone != from.zone;
-        let by = parts.iter().any(|part| elsewhere(part) && part.region == from.region);
-        let others =
-            parts.iter().enumerate().filter(|(_, p)| elsewhere(p) && (!by || p.region == from.region));
-        divide(near, others.map(|(index, part)| (index, part.capacity)), |to, amount| {
-            falls.led(from, &parts[to], amount);
+    divide(load, holders.iter().map(|holder| holder.capacity).enumerate(), |index, local| {
+        let from = &holders[index];
+        receiver.add_local(from, local);
+        let in_other_zone = |holder: &SoundHolder| holder.zone != from.zone;
+        let has_in_region =
+            holders.iter().any(|holder| in_other_zone(holder) && holder.region == from.region);
+        let others = holders
+            .iter()
+            .enumerate()
+            .filter(|(_, holder)| in_other_zone(holder) && (!has_in_region || holder.region == from.region));
+        divide(local, others.map(|(index, holder)| (index, holder.capacity)), |to, amount| {
+            receiver.add_redirected(from, &holders[to], amount);
         });
     });
 }
 
-/// Sums by zones' slots. A slot that is let go has sums of 0, as nothing falls on a zone without stores.
+/// Sums by zone slot. The sums of a released slot are 0, since a zone without stores has no load.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Tally {
-    pub(crate) near: Vec<i128>,
-    /// From, to.
-    pub(crate) led: Vec<Vec<i128>>,
+pub(crate) struct ZoneSums {
+    pub(crate) local: Vec<i128>,
+    /// Load that would move between two zones if the share of the first were 0, indexed by slot of the first, then of the second.
+    pub(crate) redirected: Vec<Vec<i128>>,
     pub(crate) capacity: Vec<i128>,
 }
 
-/// Adds to a sum.
+/// Adds an amount to the sum at an index, extending the vector as needed.
 pub(crate) fn add(sums: &mut Vec<i128>, at: usize, amount: i128) {
     if sums.len() <= at {
         sums.resize(at + 1, 0);
@@ -127,21 +138,21 @@
     sums[at] += amount;
 }
 
-/// A sum.
+/// The sum at an index; 0 beyond the end of the vector.
 pub(crate) fn sum(sums: &[i128], at: usize) -> i128 {
     sums.get(at).copied().unwrap_or(0)
 }
 
-impl Tally {
-    /// What falls on each zone by both tallies' sums and the shares.
-    pub(crate) fn loads(&self, more: &Tally, shares: &[u64]) -> Vec<i128> {
-        let both = |of: fn(&Tally) -> &Vec<i128>, at| sum(of(self), at) + sum(of(more), at);
-        let mut loads: Vec<i128> = (0..shares.len()).map(|zone| both(|tally| &tally.near, zone)).collect();
-        let pair = |tally: &Tally, from: usize, to| tally.led.get(from).map_or(0, |row| sum(row, to));
+impl ZoneSums {
+    /// Load of each zone by the sums of `self` and `more` together and the shares.
+    pub(crate) fn loads(&self, more: &ZoneSums, shares: &[u64]) -> Vec<i128> {
+        let total = |select: fn(&ZoneSums) -> &Vec<i128>, at| sum(select(self), at) + sum(select(more), at);
+        let mut loads: Vec<i128> = (0..shares.len()).map(|zone| total(|sums| &sums.local, zone)).collect();
+        let pair = |sums: &ZoneSums, from: usize, to| sums.redirected.get(from).map_or(0, |row| sum(row, to));
         for (from, share) in shares.iter().enumerate().filter(|(_, share)| **share < ONE) {
             for to in 0..shares.len() {
-                // Both sums are one before the share takes its part: rounding must not tell whence they come.
-                let amount = without(pair(self, from, to) + pair(more, from, to), *share);
+                // The two sums are added before the share applies: rounding must not depend on how they are split.
+                let amount = without_share(pair(self, from, to) + pair(more, from, to), *share);
                 loads[from] -= amount;
                 loads[to] += amount;
             }
@@ -150,41 +161,41 @@
     }
 }
 
-/// Lets load fall on a tally, or takes it off.
-pub(crate) struct Onto<'a> {
-    pub(crate) tally: &'a mut Tally,
-    /// 1 or -1.
+/// Adds load to zone sums, or subtracts it from them.
+pub(crate) struct ZoneSumUpdate<'a> {
+    pub(crate) sums: &'a mut ZoneSums,
+    /// 1 to add, -1 to subtract.
     pub(crate) sign: i128,
 }
 
-impl Falls for Onto<'_> {
-    fn near(&mut self, on: &Part, amount: u64) {
-        add(&mut self.tally.near, on.zone, self.sign * i128::from(amount));
+impl LoadReceiver for ZoneSumUpdate<'_> {
+    fn add_local(&mut self, holder: &SoundHolder, amount: u64) {
+        add(&mut self.sums.local, holder.zone, self.sign * i128::from(amount));
     }
 
-    fn led(&mut self, from: &Part, to: &Part, amount: u64) {
-        if self.tally.led.len() <= from.zone {
-            self.tally.led.resize(from.zone + 1, Vec::new());
+    fn add_redirected(&mut self, from: &SoundHolder, to: &SoundHolder, amount: u64) {
+        if self.sums.redirected.len() <= from.zone {
+            self.sums.redirected.resize(from.zone + 1, Vec::new());
         }
-        add(&mut self.tally.led[from.zone], to.zone, self.sign * i128::from(amount));
+        add(&mut self.sums.redirected[from.zone], to.zone, self.sign * i128::from(amount));
     }
 }
 
-/// What of one block falls on one zone, in millionths of millionths: whether it is more than nothing is what is asked.
-pub(crate) struct On<'a> {
+/// Load of one block on one zone, in millionths of millionths. Callers only need to know whether it is above 0.
+pub(crate) struct SingleZoneLoad<'a> {
     pub(crate) zone: usize,
     pub(crate) shares: &'a [u64],
     pub(crate) sum: i128,
 }
 
-impl Falls for On<'_> {
-    fn near(&mut self, on: &Part, amount: u64) {
-        if on.zone == self.zone {
+impl LoadReceiver for SingleZoneLoad<'_> {
+    fn add_local(&mut self, holder: &SoundHolder, amount: u64) {
+        if holder.zone == self.zone {
             self.sum += i128::from(amount) * i128::from(ONE);
         }
     }
 
-    fn led(&mut self, from: &Part, to: &Part, amount: u64) {
+    fn add_redirected(&mut self, from: &SoundHolder, to: &SoundHolder, amount: u64) {
         if from.zone == self.zone || to.zone == self.zone {
             let amount = i128::from(amount) * i128::from(ONE - self.shares[from.zone]);
             self.sum += if to.zone == self.zone { amount } else { -amount };
@@ -192,20 +203,20 @@
     }
 }
 
-/// What falls on one store.
+/// Load of one store, in millionths.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct StoreLoad {
-    pub(crate) near: i128,
-    /// What leaves it once its zone is led away whole.
-    pub(crate) out: i128,
-    /// What comes to it once another zone is.
-    pub(crate) into: Vec<i128>,
+    pub(crate) local: i128,
+    /// Load that would leave the store if the share of its zone were 0.
+    pub(crate) outgoing: i128,
+    /// Load that would arrive at the store if the share of another zone were 0, by slot of that zone.
+    pub(crate) incoming: Vec<i128>,
 }
 
 impl StoreLoad {
-    /// All that falls on it, by shares.
+    /// Total load of the store under the given shares.
     pub(crate) fn sum(&self, zone: usize, shares: &[u64]) -> i128 {
-        let into = self.into.iter().zip(shares).map(|(sum, share)| without(*sum, *share));
-        self.near - without(self.out, shares[zone]) + into.sum::<i128>()
+        let incoming = self.incoming.iter().zip(shares).map(|(sum, share)| without_share(*sum, *share));
+        self.local - without_share(self.outgoing, shares[zone]) + incoming.sum::<i128>()
     }
 }
--- a/broker/crates/coverage/src/sweep.rs
+++ b/broker/crates/coverage/src/sweep.rs
@@ -1,52 +1,52 @@
-//! Gaps and overlaps of ranges, by one sweep in order of their firsts. It promises the smallest of each: with a range that
-//! begins, of all that are open, the one that ends first overlaps least.
+//! Detection of gaps and overlaps between ranges by one sweep in ascending order of first keys. Finds the smallest gap and the
+//! smallest overlap: of all ranges that are open where a range begins, the one that ends first has the smallest overlap with it.
 
 use std::collections::BTreeSet;
 
-use crate::types::{Block, Keys};
+use crate::types::{Block, KeyRange};
 
-/// The smallest faults, each by its keys and then its first.
+/// The smallest gap and the smallest overlap, by number of keys and then by first key.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub(crate) struct Faults {
-    pub(crate) gap: Option<Keys>,
-    pub(crate) overlap: Option<(Keys, Block, Block)>,
+pub(crate) struct RangeFaults {
+    pub(crate) gap: Option<KeyRange>,
+    pub(crate) overlap: Option<(KeyRange, Block, Block)>,
 }
 
-/// Sweeps ranges, which come by first, for faults within the hull.
-pub(crate) fn sweep(ranges: impl Iterator<Item = (Keys, Block)>, hull: Keys) -> Faults {
-    let mut faults = Faults::default();
+/// Finds the smallest gap and overlap within `hull`. The ranges have to be in ascending order of first keys.
+pub(crate) fn sweep(ranges: impl Iterator<Item = (KeyRange, Block)>, hull: KeyRange) -> RangeFaults {
+    let mut faults = RangeFaults::default();
     let mut open: BTreeSet<(u64, Block)> = BTreeSet::new();
-    let mut alone = None;
-    let mut reach = hull.first;
+    let mut last_open = None;
+    let mut covered_end = hull.first;
     let mut gap = |first: u64, end: u64| {
-        let found = Keys { first, end };
-        // The first of equals stays: the sweep goes upwards.
+        let found = KeyRange { first, end };
+        // Of equally small gaps the first is kept, since the sweep is in ascending order.
         if first < end && faults.gap.is_none_or(|smallest| found.count() < smallest.count()) {
             faults.gap = Some(found);
         }
     };
     for (keys, block) in ranges {
-        gap(reach, keys.first);
-        // Mostly one range ends where the next begins: only those that reach further are kept in order.
-        if keys.first >= reach {
+        gap(covered_end, keys.first);
+        // Usually a range begins where the last one ends, so that only ranges that extend further need to be kept in the ordered set.
+        if keys.first >= covered_end {
             open.clear();
-            alone = Some((keys.end, block));
-            reach = keys.end;
+            last_open = Some((keys.end, block));
+            covered_end = keys.end;
             continue;
         }
-        open.extend(alone.take());
+        open.extend(last_open.take());
         while open.first().is_some_and(|(end, _)| *end <= keys.first) {
             open.pop_first();
         }
         if let Some((end, other)) = open.first() {
-            let shared = Keys { first: keys.first, end: keys.end.min(*end) };
+            let shared = KeyRange { first: keys.first, end: keys.end.min(*end) };
             if faults.overlap.is_none_or(|(smallest, ..)| shared.count() < smallest.count()) {
                 faults.overlap = Some((shared, block, *other));
             }
         }
         open.insert((keys.end, block));
-        reach = reach.max(keys.end);
+        covered_end = covered_end.max(keys.end);
     }
-    gap(reach, hull.end);
+    gap(covered_end, hull.end);
     faults
 }
--- a/broker/crates/coverage/src/types.rs
+++ b/broker/crates/coverage/src/types.rs
@@ -1,239 +1,243 @@
-//! What goes in and what comes out: names as newtypes, so that none is taken for another, facts, proposals, answers and refusals.
+//! Types of the interface: numbers of stores, zones, regions and blocks as newtypes, so that they can't be confused, and facts,
+//! proposals, answers and errors.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use thiserror::Error;
 
-/// A store.
+/// Number of a store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Store(pub u32);
 
-/// A zone: what fails together.
+/// Number of a zone: a failure domain of stores.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Zone(pub u16);
 
-/// A region: zones near each other.
+/// Number of a region: a group of zones that are near each other.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Region(pub u16);
 
-/// A block of the map.
+/// Number of a block of the block map.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Block(pub u32);
 
-/// A half-open range of keys, `first < end`. `u64::MAX` is only ever an end: that key itself can't be in a range.
+/// A half-open range of keys, `first < end`. The key `u64::MAX` can't be in a range, since the end is exclusive.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Keys {
-    /// The first key in it.
+pub struct KeyRange {
+    /// First key of the range.
     pub first: u64,
-    /// The first key behind it.
+    /// First key after the range.
     pub end: u64,
 }
 
-impl Keys {
-    /// From `first` up to `end`, without it.
+impl KeyRange {
+    /// Creates the range from `first` to `end`, exclusive.
     pub fn new(first: u64, end: u64) -> Self {
         Self { first, end }
     }
 
-    /// How many keys there are; none where the end is not behind the first.
+    /// Number of keys in the range; 0 if `end` is not above `first`.
     pub fn count(self) -> u64 {
         self.end.saturating_sub(self.first)
     }
 
-    /// Whether the key is in it.
-    pub fn holds(self, key: u64) -> bool {
+    /// Whether the key is in the range.
+    pub fn contains(self, key: u64) -> bool {
         self.first <= key && key < self.end
     }
 }
 
-/// How a store stands. Sound are `Listed` and `Cold` alone.
+/// State of a store. Only `Listed` and `Cold` stores are sound, that is, count as holders.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum State {
-    /// It may be asked.
+    /// The store accepts requests.
     Listed,
-    /// It is being emptied.
+    /// The store is being drained.
     Draining,
-    /// It does not answer, or is not known.
+    /// The store does not answer, or is unknown.
     Gone,
-    /// It may be asked, and can do this share of what it could warm.
+    /// The store accepts requests, but with a reduced capacity because it is not warmed up yet.
     Cold {
-        /// 0 to 1.
+        /// Share of the warm capacity that the store has now, from 0 to 1.
         share: f64,
     },
-    /// An operator took it out.
+    /// An operator took the store out of service.
     OutByHand,
-    /// It is out for a window that has begun.
+    /// The store is out of service for a maintenance window that has begun.
     InWindow,
 }
 
 impl State {
-    /// Whether a store that stands so counts as a holder.
-    pub fn sound(self) -> bool {
+    /// Whether a store in this state counts as a holder.
+    pub fn is_sound(self) -> bool {
         matches!(self, State::Listed | State::Cold { .. })
     }
 }
 
-/// A store with where it stands and how. A capacity that is no number or below 0 counts as 0; above 1e9 as that.
+/// Location, capacity and state of a store. A capacity that is NaN or below 0 counts as 0, one above 1e9 as 1e9.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Site {
-    /// Which.
+    /// The store.
     pub store: Store,
-    /// Its zone.
+    /// Zone of the store.
     pub zone: Zone,
-    /// Its region.
+    /// Region of the store.
     pub region: Region,
-    /// What it can do warm, in the unit of loads.
+    /// Capacity of the store when it is warm, in the unit of loads.
     pub capacity: f64,
-    /// How it stands.
+    /// State of the store.
     pub state: State,
 }
 
-/// A block with its keys, who holds it and what is asked of it. A holder that no site is set for counts as gone.
+/// A block with its key range, its holders and its load. A holder without a [`Site`] counts as gone.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Held {
-    /// Which.
+pub struct BlockAssignment {
+    /// The block.
     pub block: Block,
-    /// Its keys.
-    pub keys: Keys,
-    /// Its holders, each once, in any order.
+    /// Key range of the block.
+    pub keys: KeyRange,
+    /// Stores that hold the block, in any order and without duplicates.
     pub holders: Vec<Store>,
-    /// What is asked of all holders together, in the unit of capacities.
+    /// Load of the block on all holders together, in the unit of capacities.
     pub load: f64,
 }
 
-/// What each range must have.
+/// Minimum cover of each range, and minimum headroom of each zone.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Least {
-    /// Sound holders of each key. With 0 here and in `zones`, gaps are no shortage.
+pub struct Requirements {
+    /// Minimum number of sound holders of each key. If both this and `zones` are 0, gaps are no shortage.
     pub holders: u32,
-    /// Zones with a sound holder, of each key.
+    /// Minimum number of zones with a sound holder, for each key.
     pub zones: u32,
-    /// What each zone must have to spare, as a share of its sound capacity.
+    /// Share of its sound capacity that each zone has to keep free.
     pub headroom: f64,
 }
 
-/// How a range is covered.
+/// Cover of the key range of a block.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Cover {
-    /// The range: a block's keys.
-    pub keys: Keys,
+    /// Key range of the block.
+    pub keys: KeyRange,
     /// The block.
     pub block: Block,
-    /// Its sound holders.
+    /// Number of sound holders.
     pub sound: u32,
-    /// The zones that they are in.
+    /// Number of zones with a sound holder.
     pub zones: u32,
-    /// The regions that they are in.
+    /// Number of regions with a sound holder.
     pub regions: u32,
-    /// What its sound holders can do above what falls on them, in the unit of capacities.
+    /// Free capacity of the sound holders, in the unit of capacities: capacity minus load of each, and at least 0 each.
     pub spare: f64,
 }
 
-/// What would change: stores away, zones' shares, blocks held otherwise. Empty: the state as it is.
+/// A proposed change: stores to exclude, zones' shares, blocks to set and to remove. An empty proposal stands for the present
+/// state.
 ///
-/// What is `gone` goes first, then each of `held` replaces what its block was; of two for one block the last counts. A range
-/// without keys holds nothing, a holder named twice counts once, and a load that can't be set counts as the nearest that can.
+/// `removed_blocks` are removed first, then each of `changed_blocks` replaces the block of that number; the last of several
+/// entries for one block counts. An entry with an empty range removes its block, a holder that is named twice counts once, and an
+/// invalid load counts as the nearest valid one.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Proposal {
-    /// Stores that would not count as holders.
-    pub away: BTreeSet<Store>,
-    /// Shares that would be other than set.
+    /// Stores that would no longer count as holders.
+    pub excluded_stores: BTreeSet<Store>,
+    /// Shares of zones that would differ from those set; see [`crate::Coverage::set_share`].
     pub shares: BTreeMap<Zone, f64>,
-    /// Blocks that would be new or otherwise.
-    pub held: Vec<Held>,
-    /// Blocks that would be no more.
-    pub gone: Vec<Block>,
+    /// Blocks that would be new or changed.
+    pub changed_blocks: Vec<BlockAssignment>,
+    /// Blocks that would be removed.
+    pub removed_blocks: Vec<Block>,
 }
 
-/// What a range is short of.
+/// What a range lacks. Callers include the `Debug` output in error texts, so that names of variants and fields have to stay.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Short {
-    /// Sound holders.
+pub enum Shortage {
+    /// The range has too few sound holders.
     Holders {
-        /// So many.
+        /// Number of sound holders.
         sound: u32,
-        /// Of these.
+        /// Required number.
         least: u32,
     },
-    /// Zones with a sound holder.
+    /// The sound holders of the range are in too few zones.
     Zones {
-        /// So many.
+        /// Number of zones with a sound holder.
         sound: u32,
-        /// Of these.
+        /// Required number.
         least: u32,
     },
-    /// Room in a zone that some of the range's load falls on.
+    /// A zone that serves part of the range's load is overloaded.
     Capacity {
         /// The zone.
         zone: Zone,
-        /// What falls on it, from all ranges.
+        /// Load of the zone from all ranges.
         load: f64,
-        /// What may.
+        /// Maximum load of the zone.
         room: f64,
     },
-    /// A block: keys that nobody holds, between others or held before the proposal.
+    /// No block holds these keys, although blocks on both sides, or blocks before the proposal, do.
     Gap,
-    /// Clearness: two blocks hold these keys.
+    /// Two blocks hold these keys.
     Overlap {
-        /// The other one.
+        /// The block of the two with the higher number.
         other: Block,
     },
 }
 
-/// Where a holder is.
+/// Whether a holder counts, and if not, why.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Lost {
-    /// Not lost: it counts.
+pub enum HolderStatus {
+    /// The holder counts.
     Sound,
-    /// It does not count, because of how it stands.
-    State(State),
-    /// The proposal takes it away.
-    Proposed,
-    /// It counts, but part of what falls on it is led out of its zone; told where room is what is short.
-    Share(Zone),
+    /// The holder does not count, because of its state.
+    Unavailable(State),
+    /// The proposal excludes the holder.
+    Excluded,
+    /// The holder counts, but its zone's share directs part of its load to other zones. Reported only where the shortage is one
+    /// of capacity.
+    ShareReduced(Zone),
 }
 
-/// The smallest range that a proposal leaves short (fewest keys, then the first), who holds it, and what takes each away.
+/// The smallest range that a proposal leaves short (fewest keys, then the lowest first key), with the status of its holders.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Counterexample {
     /// The range.
-    pub keys: Keys,
-    /// Its block; none for a gap.
+    pub keys: KeyRange,
+    /// Block of the range; `None` for a gap.
     pub block: Option<Block>,
-    /// What it is short of.
-    pub short: Short,
-    /// Its holders after the proposal, by number.
-    pub holders: Vec<(Store, Lost)>,
+    /// What the range lacks.
+    pub shortage: Shortage,
+    /// Holders of the range after the proposal, by number.
+    pub holders: Vec<(Store, HolderStatus)>,
 }
 
-/// A zone's load against its room.
+/// Load and capacity of a zone.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Room {
-    /// What falls on it.
+pub struct ZoneLoad {
+    /// Load of the zone.
     pub load: f64,
-    /// What may: its capacity less the headroom.
-    pub room: f64,
-    /// What its sound stores can do.
+    /// Maximum load of the zone: its capacity minus the headroom.
+    pub max_load: f64,
+    /// Capacity of the zone's sound stores.
     pub capacity: f64,
 }
 
-impl Room {
-    /// Whether the load is within the room.
-    pub fn enough(&self) -> bool {
-        self.load <= self.room
+impl ZoneLoad {
+    /// Whether the load is within the maximum.
+    pub fn is_within_limit(&self) -> bool {
+        self.load <= self.max_load
     }
 }
 
-/// How much a [`crate::Coverage`] takes in.
+/// Limits on the contents of a [`crate::Coverage`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bounds {
-    /// Stores.
+    /// Maximum number of stores.
     pub stores: usize,
-    /// Blocks.
+    /// Maximum number of blocks.
     pub blocks: usize,
-    /// Holders of one block; no more than 1,000.
+    /// Maximum number of holders of one block; at most 1,000 apply.
     pub holders: usize,
-    /// Zones with stores.
+    /// Maximum number of zones with stores.
     pub zones: usize,
 }
 
@@ -243,72 +247,72 @@
     }
 }
 
-/// No place for a store. Nothing has changed.
+/// Reason why a store was rejected. The table is unchanged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-pub enum Full {
-    /// Too many stores.
-    #[error("store {0}: {most} stores are in the table already; remove one, or raise `stores`", store.0)]
+pub enum LimitError {
+    /// The table has the maximum number of stores already.
+    #[error("store {0}: {most} stores are in the table already; remove one, or raise `stores`", store.0, most = .limit)]
     Stores {
-        /// The one refused.
+        /// The rejected store.
         store: Store,
-        /// The bound.
-        most: usize,
+        /// Maximum number of stores.
+        limit: usize,
     },
-    /// Too many zones.
-    #[error("store {0} is in zone {1}: {most} zones have stores already; raise `zones`", store.0, zone.0)]
+    /// The maximum number of zones have stores already.
+    #[error("store {0} is in zone {1}: {most} zones have stores already; raise `zones`", store.0, zone.0, most = .limit)]
     Zones {
-        /// The one refused.
+        /// The rejected store.
         store: Store,
-        /// Its zone.
+        /// Zone of the store.
         zone: Zone,
-        /// The bound.
-        most: usize,
+        /// Maximum number of zones.
+        limit: usize,
     },
 }
 
-/// What can't be a held block. Nothing has changed.
+/// Reason why a block was rejected. The table is unchanged.
 #[derive(Clone, Copy, Debug, PartialEq, Error)]
-pub enum Unfit {
-    /// A range without keys.
+pub enum BlockError {
+    /// The range has no keys.
     #[error("block {0}: keys {1} to {2} are none; the end must be above the first", block.0, keys.first, keys.end)]
-    Empty {
-        /// The one refused.
+    EmptyRange {
+        /// The rejected block.
         block: Block,
-        /// Its range.
-        keys: Keys,
+        /// Its key range.
+        keys: KeyRange,
     },
-    /// A load that is none.
+    /// The load is NaN or not between 0 and 1e9.
     #[error("block {0}: a load of {load} is not between 0 and 1e9", block.0)]
-    Load {
-        /// The one refused.
+    InvalidLoad {
+        /// The rejected block.
         block: Block,
         /// Its load.
         load: f64,
     },
-    /// Too many holders.
-    #[error("block {0}: {count} holders, and {most} may be; hold it less often, or raise `holders`", block.0)]
-    Holders {
-        /// The one refused.
+    /// The block has too many holders.
+    #[error("block {0}: {count} holders, and {most} may be; hold it less often, or raise `holders`", block.0, most = .limit)]
+    TooManyHolders {
+        /// The rejected block.
         block: Block,
-        /// So many.
+        /// Number of its holders.
         count: usize,
-        /// The bound.
-        most: usize,
+        /// Maximum number of holders.
+        limit: usize,
     },
-    /// A holder that is named twice.
+    /// A holder is named twice.
     #[error("block {0}: store {1} is named twice; name each holder once", block.0, store.0)]
-    Twice {
-        /// The one refused.
+    DuplicateHolder {
+        /// The rejected block.
         block: Block,
-        /// The store.
+        /// The store that is named twice.
         store: Store,
     },
-    /// Too many blocks.
-    #[error("block {0}: {most} blocks are in the table already; remove one, or raise `blocks`", block.0)]
-    Full {
-        /// The one refused.
+    /// The table has the maximum number of blocks already.
+    #[error("block {0}: {most} blocks are in the table already; remove one, or raise `blocks`", block.0, most = .limit)]
+    TooManyBlocks {
+        /// The rejected block.
         block: Block,
-        /// The bound.
-        most: usize,
+        /// Maximum number of blocks.
+        limit: usize,
     },
 }
--- a/unreleased/common/src/bookings.rs
+++ b/unreleased/common/src/bookings.rs
@@ -67,7 +67,7 @@
         }
         let own = plan.stores.iter().filter_map(|name| self.tables.number(name));
         let away = own.chain(booked.keys().copied()).collect();
-        let proposal = Proposal { away, ..Proposal::default() };
+        let proposal = Proposal { excluded_stores: away, ..Proposal::default() };
         let checked = self.coverage.check(&proposal, &self.in_force(least));
         checked.map_err(|example| self.uncovered(self.tell_example(&example, &booked)))
     }
@@ -105,12 +105,12 @@
     pub(crate) fn weakened(&self) -> Weakened {
         let begun = self.tables.bookings.values().filter(|row| row.begun);
         let stores = begun.flat_map(|row| &row.plan.stores).filter_map(|name| self.tables.number(name));
-        let blocks = stores.flat_map(|store| self.coverage.blocks_at(store));
+        let blocks = stores.flat_map(|store| self.coverage.blocks_of_store(store));
         blocks.filter_map(|block| Some((block.0, self.held_by(block.0)?))).collect()
     }
 
     fn held_by(&self, block: u32) -> Option<(u32, u32)> {
-        let cover = self.coverage.at(self.tables.blocks.get(&block)?.first)?;
+        let cover = self.coverage.cover_at(self.tables.blocks.get(&block)?.first)?;
         Some((cover.sound, cover.zones))
     }
 
@@ -124,7 +124,7 @@
             let least = self.tables.least().stricter(row.plan.least);
             let stores: Vec<Store> =
                 row.plan.stores.iter().filter_map(|name| self.tables.number(name)).collect();
-            let blocks = stores.iter().flat_map(|store| self.coverage.blocks_at(*store));
+            let blocks = stores.iter().flat_map(|store| self.coverage.blocks_of_store(*store));
             let fell = |block: &gingerledge_coverage::Block| {
                 let Some(now) = self.held_by(block.0) else { return false };
                 let fallen = before.get(&block.0).is_some_and(|was| now.0 < was.0 || now.1 < was.1);
--- a/unreleased/common/src/command.rs
+++ b/unreleased/common/src/command.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use gingerledge_coverage::Least;
+use gingerledge_coverage::Requirements;
 use serde::{Deserialize, Serialize};
 
 /// A version of the record: the log's index of the last command that changed it.
@@ -74,9 +74,9 @@
 }
 
 impl LeastFact {
-    pub(crate) fn least(self) -> Least {
+    pub(crate) fn least(self) -> Requirements {
         let headroom = f64::from(self.headroom_permille.min(WHOLE)) / f64::from(WHOLE);
-        Least { holders: self.holders, zones: self.zones, headroom }
+        Requirements { holders: self.holders, zones: self.zones, headroom }
     }
 
     /// The stricter of both, in each respect.
--- a/unreleased/common/src/examples.rs
+++ b/unreleased/common/src/examples.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use gingerledge_coverage::{Block, Counterexample, Lost, Short, State, Store};
+use gingerledge_coverage::{Block, Counterexample, HolderStatus, Shortage, State, Store};
 
 use crate::command::{BookingId, Decision, ExampleFact, LeastFact, LostFact, Refusal, Version, WHOLE};
 use crate::record::Record;
@@ -22,25 +22,25 @@
             let named = self.tables.zones.iter().find(|(_, row)| row.number == zone.0);
             named.map_or_else(|| format!("#{}", zone.0), |(name, _)| name.clone())
         };
-        let lost = |store: &Store, lost: &Lost| match (lost, booked.get(store)) {
-            (Lost::Proposed, Some(id)) => LostFact::Booking(*id),
-            (Lost::Proposed, None) => LostFact::Proposed,
-            (Lost::Sound, _) => LostFact::Sound,
-            (Lost::State(State::InWindow), _) => match self.tables.window(&name(store)) {
+        let lost = |store: &Store, lost: &HolderStatus| match (lost, booked.get(store)) {
+            (HolderStatus::Excluded, Some(id)) => LostFact::Booking(*id),
+            (HolderStatus::Excluded, None) => LostFact::Proposed,
+            (HolderStatus::Sound, _) => LostFact::Sound,
+            (HolderStatus::Unavailable(State::InWindow), _) => match self.tables.window(&name(store)) {
                 Some(id) => LostFact::Booking(id),
                 None => LostFact::State("in a window".to_owned()),
             },
-            (Lost::State(state), _) => LostFact::State(format!("{state:?}").to_lowercase()),
-            (Lost::Share(of), _) => LostFact::Share(zone(of)),
+            (HolderStatus::Unavailable(state), _) => LostFact::State(format!("{state:?}").to_lowercase()),
+            (HolderStatus::ShareReduced(of), _) => LostFact::Share(zone(of)),
         };
-        let short = match &example.short {
-            Short::Holders { sound, least } => format!("{sound} sound holders, {least} needed"),
-            Short::Zones { sound, least } => format!("sound holders in {sound} zones, {least} needed"),
-            Short::Capacity { zone: full, load, room } => {
+        let short = match &example.shortage {
+            Shortage::Holders { sound, least } => format!("{sound} sound holders, {least} needed"),
+            Shortage::Zones { sound, least } => format!("sound holders in {sound} zones, {least} needed"),
+            Shortage::Capacity { zone: full, load, room } => {
                 format!("zone {}: load {load:.3}, room {room:.3}", zone(full))
             }
-            Short::Gap => "no block holds it".to_owned(),
-            Short::Overlap { other } => format!("block {} holds it too", other.0),
+            Shortage::Gap => "no block holds it".to_owned(),
+            Shortage::Overlap { other } => format!("block {} holds it too", other.0),
         };
         ExampleFact {
             block: example.block.map(|block| block.0),
@@ -53,17 +53,17 @@
 
     /// A block as it is held now, for whom it matters that it has no more than the least.
     pub(crate) fn as_held(&self, block: u32, least: LeastFact) -> ExampleFact {
-        let held = self.coverage.held(Block(block));
+        let held = self.coverage.block(Block(block));
         let holders = held.iter().flat_map(|held| &held.holders);
         let lost = |store: &Store| match self.coverage.site(*store).map(|site| site.state) {
-            Some(state) if state.sound() => Lost::Sound,
-            state => Lost::State(state.unwrap_or(State::Gone)),
+            Some(state) if state.is_sound() => HolderStatus::Sound,
+            state => HolderStatus::Unavailable(state.unwrap_or(State::Gone)),
         };
-        let holders: Vec<(Store, Lost)> = holders.map(|store| (*store, lost(store))).collect();
-        let sound = holders.iter().filter(|(_, lost)| *lost == Lost::Sound).count() as u32;
+        let holders: Vec<(Store, HolderStatus)> = holders.map(|store| (*store, lost(store))).collect();
+        let sound = holders.iter().filter(|(_, lost)| *lost == HolderStatus::Sound).count() as u32;
         let keys = held.as_ref().map(|held| held.keys).unwrap_or_default();
-        let short = Short::Holders { sound, least: least.holders };
-        let example = Counterexample { keys, block: Some(Block(block)), short, holders };
+        let short = Shortage::Holders { sound, least: least.holders };
+        let example = Counterexample { keys, block: Some(Block(block)), shortage: short, holders };
         self.tell_example(&example, &BTreeMap::new())
     }
 
--- a/unreleased/common/src/maps.rs
+++ b/unreleased/common/src/maps.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use gingerledge_coverage::{self as cover, Block, Least, Proposal, Short};
+use gingerledge_coverage::{self as cover, Block, Proposal, Requirements, Shortage};
 
 use crate::command::{HeldFact, Note, Refusal, Version};
 use crate::record::Record;
@@ -41,17 +41,17 @@
             )));
         }
         let proposal = Proposal {
-            held: held.iter().map(|held| self.tables.held(held)).collect(),
-            gone: gone.iter().map(|block| Block(*block)).collect(),
+            changed_blocks: held.iter().map(|held| self.tables.held(held)).collect(),
+            removed_blocks: gone.iter().map(|block| Block(*block)).collect(),
             ..Proposal::default()
         };
         let least = self.in_force(self.tables.least());
         if let Err(example) = self.coverage.check(&proposal, &least) {
-            let keys = matches!(example.short, Short::Gap | Short::Overlap { .. });
+            let keys = matches!(example.shortage, Shortage::Gap | Shortage::Overlap { .. });
             let own = example.block.is_some_and(|block| numbers.contains(&block.0));
             let was =
                 !self.tables.blocks.is_empty() && self.coverage.check(&Proposal::default(), &least).is_err();
-            let weak = proposal.held.iter().any(|held| self.short(held, &least));
+            let weak = proposal.changed_blocks.iter().any(|held| self.short(held, &least));
             if keys || own || weak || !was {
                 return Err(self.uncovered(self.tell_example(&example, &BTreeMap::new())));
             }
@@ -66,23 +66,23 @@
         held: &[HeldFact],
         proposal: Proposal,
     ) -> Vec<Note> {
-        for block in proposal.gone {
+        for block in proposal.removed_blocks {
             self.tables.blocks.remove(&block.0);
-            self.coverage.remove_held(block);
+            self.coverage.remove_block(block);
         }
         // Two blocks may change places: none is refused for what the other still held.
-        for (fact, held) in held.iter().zip(proposal.held) {
+        for (fact, held) in held.iter().zip(proposal.changed_blocks) {
             self.tables.blocks.insert(fact.block, fact.clone());
-            let _ = self.coverage.set_held(held);
+            let _ = self.coverage.set_block(held);
         }
         (self.tables.map_version, self.tables.map_hash, self.tables.mapped) = (to, hash, Version(index));
         vec![Note::Mapped { version: to }]
     }
 
     /// Whether too few sound stores in too few zones hold a block.
-    fn short(&self, held: &cover::Held, least: &Least) -> bool {
+    fn short(&self, held: &cover::BlockAssignment, least: &Requirements) -> bool {
         let sound = held.holders.iter().filter_map(|store| self.coverage.site(*store));
-        let zones: Vec<_> = sound.filter(|site| site.state.sound()).map(|site| site.zone).collect();
+        let zones: Vec<_> = sound.filter(|site| site.state.is_sound()).map(|site| site.zone).collect();
         let apart = zones.iter().collect::<BTreeSet<_>>().len();
         zones.len() < least.holders as usize || apart < least.zones as usize
     }
--- a/unreleased/common/src/record.rs
+++ b/unreleased/common/src/record.rs
@@ -3,7 +3,9 @@
 
 use std::collections::BTreeMap;
 
-use gingerledge_coverage::{self as cover, Bounds, Counterexample, Coverage, Least, Proposal, Short};
+use gingerledge_coverage::{
+    self as cover, Bounds, Counterexample, Coverage, Proposal, Requirements, Shortage,
+};
 
 use crate::command::*;
 use crate::follower::View;
@@ -57,7 +59,7 @@
             }
         }
         for held in self.tables.blocks.values() {
-            let _ = self.coverage.set_held(self.tables.held(held));
+            let _ = self.coverage.set_block(self.tables.held(held));
         }
         for row in self.tables.zones.values() {
             self.coverage.set_share(cover::Zone(row.number), share(row.permille));
@@ -218,7 +220,7 @@
         }
         let notes = self.call_back(&before);
         // Names come and go over a long life: a store that is gone, holds nothing and is in no booking is let go.
-        let held = |store| self.coverage.blocks_at(store).next().is_some();
+        let held = |store| self.coverage.blocks_of_store(store).next().is_some();
         for store in self.tables.let_go(held) {
             self.coverage.remove_site(store);
         }
@@ -246,13 +248,13 @@
         let shares = BTreeMap::from([(number, share(permille))]);
         let proposal = Proposal { shares, ..Proposal::default() };
         let least = self.in_force(self.tables.least());
-        let before = self.coverage.carries(&Proposal::default(), &least);
-        let after = self.coverage.carries(&proposal, &least);
+        let before = self.coverage.zone_loads(&Proposal::default(), &least);
+        let after = self.coverage.zone_loads(&proposal, &least);
         let grows = |zone: &cover::Zone, load: f64| before.get(zone).is_none_or(|was| load > was.load);
-        match after.iter().find(|(zone, room)| !room.enough() && grows(zone, room.load)) {
+        match after.iter().find(|(zone, room)| !room.is_within_limit() && grows(zone, room.load)) {
             None => Ok(number),
             Some((full, room)) => {
-                let short = Short::Capacity { zone: *full, load: room.load, room: room.room };
+                let short = Shortage::Capacity { zone: *full, load: room.load, room: room.max_load };
                 let example = self.tell_example(&self.example_at(&proposal, &least, short), &BTreeMap::new());
                 Err(self.uncovered(example))
             }
@@ -284,18 +286,18 @@
     }
 
     /// The range that shows a zone to be over its room.
-    fn example_at(&self, proposal: &Proposal, least: &Least, short: Short) -> Counterexample {
-        let room = Least { holders: 0, zones: 0, ..*least };
+    fn example_at(&self, proposal: &Proposal, least: &Requirements, short: Shortage) -> Counterexample {
+        let room = Requirements { holders: 0, zones: 0, ..*least };
         self.coverage.check(proposal, &room).err().unwrap_or(Counterexample {
-            keys: cover::Keys::default(),
+            keys: cover::KeyRange::default(),
             block: None,
-            short,
+            shortage: short,
             holders: Vec::new(),
         })
     }
 
     /// What has to remain while windows are in force, as coverage takes it.
-    pub(crate) fn in_force(&self, least: LeastFact) -> Least {
+    pub(crate) fn in_force(&self, least: LeastFact) -> Requirements {
         let begun = self.tables.bookings.values().filter(|row| row.begun);
         begun.fold(least, |least, row| least.stricter(row.plan.least)).least()
     }
--- a/unreleased/common/src/table.rs
+++ b/unreleased/common/src/table.rs
@@ -158,10 +158,10 @@
     }
 
     /// A block as coverage takes it.
-    pub fn held(&self, held: &HeldFact) -> cover::Held {
-        cover::Held {
+    pub fn held(&self, held: &HeldFact) -> cover::BlockAssignment {
+        cover::BlockAssignment {
             block: cover::Block(held.block),
-            keys: cover::Keys { first: held.first, end: held.end },
+            keys: cover::KeyRange { first: held.first, end: held.end },
             holders: held.holders.iter().filter_map(|name| self.number(name)).collect(),
             load: held.load_milli as f64 / 1000.0,
         }
--- a/unreleased/maintenance/src/bound.rs
+++ b/unreleased/maintenance/src/bound.rs
@@ -5,7 +5,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use gingerledge_coverage::{Block, Coverage, Least, Proposal, Store, Zone};
+use gingerledge_coverage::{Block, Coverage, Proposal, Requirements, Store, Zone};
 
 /// Stores of a set with what keeps them apart, by their places in it.
 pub(crate) struct Apart {
@@ -25,9 +25,9 @@
 impl Asked {
     fn new(coverage: &Coverage, block: Block, places: &BTreeMap<Store, usize>) -> Self {
         let mut asked = Self { own: Vec::new(), sound: 0, staying: BTreeSet::new() };
-        let holders = coverage.held(block).map(|held| held.holders).unwrap_or_default();
+        let holders = coverage.block(block).map(|held| held.holders).unwrap_or_default();
         let sites = holders.into_iter().filter_map(|store| coverage.site(store));
-        for site in sites.filter(|site| site.state.sound()) {
+        for site in sites.filter(|site| site.state.is_sound()) {
             asked.sound += 1;
             match places.get(&site.store) {
                 Some(place) => asked.own.push((*place, site.zone)),
@@ -38,14 +38,14 @@
     }
 
     /// How many of its own may go at once: enough holders stay, and one in each zone that the others lack.
-    fn at_once(&self, least: &Least) -> usize {
+    fn at_once(&self, least: &Requirements) -> usize {
         let spare = self.sound.saturating_sub(least.holders) as usize;
         let lacking = (least.zones as usize).saturating_sub(self.staying.len());
         spare.min(self.own.len().saturating_sub(lacking))
     }
 
     /// Whether two of its own can't go together.
-    fn parts(&self, one: usize, two: usize, least: &Least) -> bool {
+    fn parts(&self, one: usize, two: usize, least: &Requirements) -> bool {
         let stay = self.own.iter().filter(|(place, _)| *place != one && *place != two);
         let mut zones: BTreeSet<Zone> = stay.map(|(_, zone)| *zone).collect();
         zones.extend(&self.staying);
@@ -54,13 +54,14 @@
 }
 
 impl Apart {
-    pub(crate) fn new(coverage: &Coverage, stores: &[Store], least: &Least) -> Self {
+    pub(crate) fn new(coverage: &Coverage, stores: &[Store], least: &Requirements) -> Self {
         let places: BTreeMap<Store, usize> = stores.iter().enumerate().map(|(n, s)| (*s, n)).collect();
         let mut apart = Self {
             conflicts: vec![BTreeSet::new(); stores.len()],
             at_least: usize::from(!stores.is_empty()),
         };
-        let blocks: BTreeSet<Block> = stores.iter().flat_map(|store| coverage.blocks_at(*store)).collect();
+        let blocks: BTreeSet<Block> =
+            stores.iter().flat_map(|store| coverage.blocks_of_store(*store)).collect();
         for asked in blocks.into_iter().map(|block| Asked::new(coverage, block, &places)) {
             // None at all: the store is refused alone.
             let bound = asked.own.len().div_ceil(asked.at_once(least).max(1));
@@ -95,16 +96,16 @@
 }
 
 /// All load stays while each range has a holder: so what is away at once can't take more than the room that it leaves.
-fn by_capacity(coverage: &Coverage, stores: &[Store], least: &Least) -> usize {
+fn by_capacity(coverage: &Coverage, stores: &[Store], least: &Requirements) -> usize {
     let sites = stores.iter().filter_map(|store| coverage.site(*store));
     let strength = |site: gingerledge_coverage::Site| match site.state {
         gingerledge_coverage::State::Cold { share } => site.capacity * share,
-        state if state.sound() => site.capacity,
+        state if state.is_sound() => site.capacity,
         _ => 0.0,
     };
     let own: f64 = sites.map(strength).sum();
-    let rooms = coverage.carries(&Proposal::default(), least);
-    let spare: f64 = rooms.values().map(|room| room.room - room.load).sum();
+    let rooms = coverage.zone_loads(&Proposal::default(), least);
+    let spare: f64 = rooms.values().map(|room| room.max_load - room.load).sum();
     let kept = 1.0 - least.headroom;
     if least.holders == 0 || kept <= 0.0 || spare <= 0.0 {
         return 0;
--- a/unreleased/maintenance/src/find.rs
+++ b/unreleased/maintenance/src/find.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use gingerledge_common::{Answer, Command, LeastFact, Plan, Record, Refusal};
-use gingerledge_coverage::{Least, Store};
+use gingerledge_coverage::{Requirements, Store};
 use thiserror::Error;
 
 use crate::profile::{Forecast, Profile};
@@ -184,7 +184,7 @@
     fn parted(&self, left: &BTreeSet<Store>, permille: u64) -> Result<Waves, NoWaves> {
         let least = scaled(self.ask.least, permille).stricter(self.bare.least());
         let headroom = f64::from(least.headroom_permille) / 1000.0;
-        let least = Least { holders: least.holders, zones: least.zones, headroom };
+        let least = Requirements { holders: least.holders, zones: least.zones, headroom };
         waves(self.bare.coverage(), left, &least, self.effort)
     }
 
--- a/unreleased/maintenance/src/keeper.rs
+++ b/unreleased/maintenance/src/keeper.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 
 use gingerledge_common::{Answer, BookingId, Command, Plan, Record, Refusal, SiteFact, StateFact};
-use gingerledge_coverage::{Least, Proposal, Room, Zone};
+use gingerledge_coverage::{Proposal, Requirements, Zone, ZoneLoad};
 
 /// What plays are bound by.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -163,12 +163,14 @@
     others().next()?;
     let least = others().fold(record.least(), |least, (_, plan, _)| least.stricter(plan.least));
     let headroom = f64::from(least.headroom_permille.min(1000)) / 1000.0;
-    let least = Least { holders: least.holders, zones: least.zones, headroom };
+    let least = Requirements { holders: least.holders, zones: least.zones, headroom };
     let mut after = Record::restore(&record.snapshot())?;
     after.apply(record.version().0 + 1, &Command::End { id });
-    let before = record.coverage().carries(&Proposal::default(), &least);
-    let rooms = after.coverage().carries(&Proposal::default(), &least);
-    let grows = |zone: &Zone, room: &Room| !room.enough() && before.get(zone).is_none_or(Room::enough);
+    let before = record.coverage().zone_loads(&Proposal::default(), &least);
+    let rooms = after.coverage().zone_loads(&Proposal::default(), &least);
+    let grows = |zone: &Zone, room: &ZoneLoad| {
+        !room.is_within_limit() && before.get(zone).is_none_or(ZoneLoad::is_within_limit)
+    };
     let (full, _) = rooms.iter().find(|(zone, room)| grows(zone, room))?;
     let zone_of = |fact: &SiteFact| record.coverage().site(record.number(&fact.store)?).map(|site| site.zone);
     record.sites().find(|fact| zone_of(fact) == Some(*full)).map(|fact| fact.zone.clone())
--- a/unreleased/maintenance/src/waves.rs
+++ b/unreleased/maintenance/src/waves.rs
@@ -5,7 +5,7 @@
 
 use std::collections::BTreeSet;
 
-use gingerledge_coverage::{Counterexample, Coverage, Least, Proposal, Short, Store};
+use gingerledge_coverage::{Counterexample, Coverage, Proposal, Requirements, Shortage, Store};
 use thiserror::Error;
 
 use crate::bound::Apart;
@@ -47,11 +47,11 @@
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum NoWaves {
     /// Something is short as it is.
-    #[error("keys {} to {} are short with nobody away ({:?}); mend that first, or ask for less", .0.keys.first, .0.keys.end, .0.short)]
+    #[error("keys {} to {} are short with nobody away ({:?}); mend that first, or ask for less", .0.keys.first, .0.keys.end, .0.shortage)]
     AsItIs(Counterexample),
     /// A store can't go even alone.
     #[error("store {}: keys {} to {} would be short with it alone away ({:?}); give them a further holder, or ask for less",
-        store.0, example.keys.first, example.keys.end, example.short)]
+        store.0, example.keys.first, example.keys.end, example.shortage)]
     Alone {
         /// Which.
         store: Store,
@@ -63,14 +63,14 @@
 /// What coverage says to sets, and how often it was asked.
 struct Asker<'a> {
     coverage: &'a Coverage,
-    least: &'a Least,
+    least: &'a Requirements,
     asked: u64,
 }
 
 impl Asker<'_> {
     fn check(&mut self, away: impl Iterator<Item = Store>) -> Result<(), Counterexample> {
         self.asked += 1;
-        let proposal = Proposal { away: away.collect(), ..Proposal::default() };
+        let proposal = Proposal { excluded_stores: away.collect(), ..Proposal::default() };
         self.coverage.check(&proposal, self.least)
     }
 }
@@ -79,7 +79,7 @@
 pub fn waves(
     coverage: &Coverage,
     stores: &BTreeSet<Store>,
-    least: &Least,
+    least: &Requirements,
     effort: &Effort,
 ) -> Result<Waves, NoWaves> {
     let mut asker = Asker { coverage, least, asked: 0 };
@@ -119,7 +119,9 @@
         }
         match asker.check(places(set).map(|place| stores[place])) {
             Ok(()) => may[set] = true,
-            Err(example) => never[set] = matches!(example.short, Short::Holders { .. } | Short::Zones { .. }),
+            Err(example) => {
+                never[set] = matches!(example.shortage, Shortage::Holders { .. } | Shortage::Zones { .. })
+            }
         }
     }
     // The fewest waves of each set, and the one among them with its first store.
--- a/unreleased/maintenance/tests/waves.rs
+++ b/unreleased/maintenance/tests/waves.rs
@@ -10,13 +10,19 @@
 use gingerledge_maintenance::*;
 use world::*;
 
-fn away(coverage: &Coverage, stores: &[Store], least: &Least) -> Result<(), Counterexample> {
-    let proposal = Proposal { away: stores.iter().copied().collect(), ..Proposal::default() };
+fn away(coverage: &Coverage, stores: &[Store], least: &Requirements) -> Result<(), Counterexample> {
+    let proposal = Proposal { excluded_stores: stores.iter().copied().collect(), ..Proposal::default() };
     coverage.check(&proposal, least)
 }
 
 /// The fewest waves by trying each store in each wave so far and in a new one.
-fn brute(coverage: &Coverage, left: &[Store], least: &Least, waves: &mut Vec<Vec<Store>>, best: &mut usize) {
+fn brute(
+    coverage: &Coverage,
+    left: &[Store],
+    least: &Requirements,
+    waves: &mut Vec<Vec<Store>>,
+    best: &mut usize,
+) {
     let Some((store, rest)) = left.split_first() else {
         if waves.iter().all(|wave| away(coverage, wave, least).is_ok()) {
             *best = waves.len().min(*best);
@@ -36,11 +42,11 @@
 }
 
 /// Fleets with a goal, of which some sets are small enough for brute force.
-fn small(seed: u64) -> (Coverage, Least, BTreeSet<Store>) {
+fn small(seed: u64) -> (Coverage, Requirements, BTreeSet<Store>) {
     let mut rng = fastrand::Rng::with_seed(seed);
     let coverage =
         fleet(seed, rng.u32(6..12), rng.u16(2..5), rng.u32(4..16), (2, 5), 0.55 * rng.f64(), false);
-    let least = Least { holders: 1, zones: rng.u32(1..=2), headroom: 0.3 * rng.f64() };
+    let least = Requirements { holders: 1, zones: rng.u32(1..=2), headroom: 0.3 * rng.f64() };
     let set = coverage.sites().map(|site| site.store).filter(|_| rng.u32(0..4) > 0).take(7).collect();
     (coverage, least, set)
 }
@@ -97,20 +103,23 @@
         coverage.set_site(Site { store, zone, region, capacity, state: State::Listed }).unwrap();
     }
     let holders = vec![Store(0), Store(1), Store(2)];
-    coverage.set_held(Held { block: Block(0), keys: Keys::new(0, 1), holders, load: 18.0 }).unwrap();
-    let least = Least { holders: 1, zones: 1, headroom: 0.0 };
+    coverage
+        .set_block(BlockAssignment { block: Block(0), keys: KeyRange::new(0, 1), holders, load: 18.0 })
+        .unwrap();
+    let least = Requirements { holders: 1, zones: 1, headroom: 0.0 };
     assert!(away(&coverage, &[], &least).is_ok());
     let one = away(&coverage, &[Store(0)], &least).unwrap_err();
-    assert!(matches!(one.short, Short::Capacity { zone: Zone(1), .. }), "{one:?}");
+    assert!(matches!(one.shortage, Shortage::Capacity { zone: Zone(1), .. }), "{one:?}");
     assert!(away(&coverage, &[Store(0), Store(1)], &least).is_ok());
 }
 
 #[test]
 fn a_store_that_can_not_go_is_named_with_its_range() {
     let mut coverage = fleet(1, 6, 3, 6, (3, 3), 0.1, true);
-    let lone = Held { block: Block(9), keys: Keys::new(60, 65), holders: vec![Store(4)], load: 0.0 };
-    coverage.set_held(lone).unwrap();
-    let least = Least { holders: 1, zones: 1, headroom: 0.0 };
+    let lone =
+        BlockAssignment { block: Block(9), keys: KeyRange::new(60, 65), holders: vec![Store(4)], load: 0.0 };
+    coverage.set_block(lone).unwrap();
+    let least = Requirements { holders: 1, zones: 1, headroom: 0.0 };
     let set = (0..6).map(Store).collect();
     let Err(NoWaves::Alone { store, example }) = waves(&coverage, &set, &least, &Effort::default()) else {
         panic!("expected a store that can't go");
@@ -125,7 +134,7 @@
         let mut rng = fastrand::Rng::with_seed(seed);
         let stores = rng.u32(60..=200);
         let coverage = fleet(seed, stores, 4, stores * 2, (3, 4), 0.3, true);
-        let least = Least { holders: 2, zones: 1 + u32::from(rng.bool()), headroom: 0.1 };
+        let least = Requirements { holders: 2, zones: 1 + u32::from(rng.bool()), headroom: 0.1 };
         let set: BTreeSet<Store> = (0..stores).map(Store).collect();
         let effort = Effort { seed, restarts: 8, ..Effort::default() };
         let found = waves(&coverage, &set, &least, &effort).unwrap();
--- a/unreleased/maintenance/tests/world/mod.rs
+++ b/unreleased/maintenance/tests/world/mod.rs
@@ -37,18 +37,19 @@
             all.sort_by_cached_key(|store| !met.insert(store.0 % u32::from(zones)));
         }
         all.truncate(rng.u32(holders.0..=holders.1) as usize);
-        let keys = Keys::new(u64::from(block) * 10, u64::from(block) * 10 + 10);
+        let keys = KeyRange::new(u64::from(block) * 10, u64::from(block) * 10 + 10);
         let load = used * 10.0 * f64::from(stores) / f64::from(blocks) * (0.5 + rng.f64());
-        coverage.set_held(Held { block: Block(block), keys, holders: all, load }).unwrap();
+        coverage.set_block(BlockAssignment { block: Block(block), keys, holders: all, load }).unwrap();
     }
     coverage
 }
 
 /// Whether enough holders and zones of each block remain, asked of each block alone.
-pub fn remains(coverage: &Coverage, away: &BTreeSet<Store>, least: &Least) -> bool {
+pub fn remains(coverage: &Coverage, away: &BTreeSet<Store>, least: &Requirements) -> bool {
     coverage.blocks().all(|(block, _)| {
-        let holders = coverage.held(block).unwrap().holders;
-        let sound = holders.iter().filter(|s| !away.contains(s) && coverage.site(**s).unwrap().state.sound());
+        let holders = coverage.block(block).unwrap().holders;
+        let sound =
+            holders.iter().filter(|s| !away.contains(s) && coverage.site(**s).unwrap().state.is_sound());
         let zones: Vec<Zone> = sound.map(|s| coverage.site(*s).unwrap().zone).collect();
         zones.len() >= least.holders as usize
             && zones.iter().collect::<BTreeSet<_>>().len() >= least.zones as usize
--- a/unreleased/zones/tests/failover.rs
+++ b/unreleased/zones/tests/failover.rs
@@ -170,13 +170,13 @@
     fleet.run(20_000.0);
     let left = fleet.share("B");
     assert!((500..1000).contains(&left), "{left}");
-    let carries = fleet.record.coverage().carries(&Default::default(), &fleet.record_least());
-    assert!(carries.values().all(|room| room.enough()), "{carries:?}");
+    let carries = fleet.record.coverage().zone_loads(&Default::default(), &fleet.record_least());
+    assert!(carries.values().all(|room| room.is_within_limit()), "{carries:?}");
 }
 
 impl Fleet {
-    fn record_least(&self) -> gingerledge_coverage::Least {
-        gingerledge_coverage::Least { holders: 1, zones: 1, headroom: 0.0 }
+    fn record_least(&self) -> gingerledge_coverage::Requirements {
+        gingerledge_coverage::Requirements { holders: 1, zones: 1, headroom: 0.0 }
     }
 }
 
