--- a/broker/crates/background/src/lib.rs
+++ b/broker/crates/background/src/lib.rs
@@ -1,15 +1,16 @@
-//! Background work under priorities and budgets: copies of blocks, spools that drain, logs that are compacted. Whoever has
-//! work [`Scheduler::submit`]s it, begins what [`Scheduler::poll`] lets begin, and says with [`Scheduler::finished`] what
-//! it cost. Sans I/O; time is an argument.
+//! Scheduler for background work with priorities and budgets, such as copies of blocks, draining of spools and compaction of logs.
+//! The owner of the work passes it to [`Scheduler::submit`], starts what [`Scheduler::poll`] returns, and reports the actual cost to
+//! [`Scheduler::finished`]. Sans I/O; the time is an argument.
 //!
-//! It promises:
+//! Guarantees:
 //!
-//! - no more bytes and work a second are begun than the budget has, in all and in each lane (a store, a disk);
-//! - while queries wait the budget shrinks, down to the share that is kept for work others wait for ([`Class::Urgent`]), which
-//!   therefore never starves;
-//! - among equals the lane that has had least goes first, and what has waited for long rises in rank, so nothing waits
-//!   for ever;
-//! - queues and lanes are bounded, and what nobody uses is let go.
+//! - The work that starts stays within the budgets of bytes and work per second, in total, and of bytes in each lane (a store, a
+//!   disk).
+//! - While queries wait, the budget shrinks, but not below the share reserved for work that others wait for
+//!   ([`Priority::Urgent`]), which therefore never starves.
+//! - Among jobs of equal priority, the one whose busiest lane has transferred the fewest bytes starts first, and jobs that wait for
+//!   long rise in priority, so that no job waits forever.
+//! - Queues and lanes are bounded, and unused lanes are removed.
 
 mod bucket;
 
@@ -23,59 +24,59 @@
 /// Milliseconds on the host's clock.
 pub type Millis = u64;
 
-/// How pressing work is.
+/// Priority of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Class {
-    /// Somebody waits: a drain, an entry at a fence.
+pub enum Priority {
+    /// Others wait for the job, such as a drain or an entry at a fence.
     Urgent,
-    /// It should be soon.
+    /// The job should start soon.
     Normal,
-    /// Whenever there is room.
+    /// The job may start whenever the budget allows.
     Idle,
 }
 
-/// What a piece of work costs.
+/// Cost of a job.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Cost {
-    /// Bytes moved.
+    /// Number of bytes transferred.
     pub bytes: f64,
-    /// Milliseconds of a store's work.
+    /// Working time of a store, in milliseconds.
     pub work_ms: f64,
 }
 
-/// A piece of work. `L` names lanes, `T` the work.
+/// A job. `T` is the type of its identifier, `L` that of lanes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Job<T, L> {
-    /// Its name, given back when it may begin.
+    /// Identifier of the job, returned by [`Scheduler::poll`] when the job may start.
     pub id: T,
-    /// How pressing it is.
-    pub class: Class,
-    /// What it passes through; each has a budget of its own.
+    /// Priority of the job.
+    pub priority: Priority,
+    /// Lanes that the job uses; each has a budget of its own.
     pub lanes: Vec<L>,
-    /// What it is expected to cost.
+    /// Expected cost of the job.
     pub cost: Cost,
 }
 
-/// The settings.
+/// Settings of a [`Scheduler`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Budget {
-    /// Bytes, in all.
+    /// Rate of bytes in total.
     pub bytes: Rate,
-    /// Work, in all, in milliseconds.
+    /// Rate of work in total, in milliseconds.
     pub work: Rate,
-    /// Bytes in each lane.
+    /// Rate of bytes in each lane.
     pub lane_bytes: Rate,
-    /// Jobs under way in a lane.
-    pub lane_jobs: usize,
-    /// Jobs under way in all.
-    pub jobs: usize,
-    /// Jobs that wait.
-    pub waiting: usize,
-    /// The share of the rates that is left for urgent work while queries wait.
-    pub least: f64,
-    /// So many queries waiting shrink the rates by half, twice as many to a third, and so on.
-    pub pressed: f64,
-    /// What has waited for so long rises one class.
+    /// Maximum number of running jobs in a lane.
+    pub max_lane_jobs: usize,
+    /// Maximum number of running jobs in total.
+    pub max_jobs: usize,
+    /// Maximum number of waiting jobs.
+    pub max_waiting: usize,
+    /// Share of the rates that remains for urgent work while queries wait.
+    pub urgent_share: f64,
+    /// Number of waiting queries that reduces the rates to a half; twice as many reduce them to a third, and so on.
+    pub half_rate_queries: f64,
+    /// Waiting time after which a job rises by one priority level, in milliseconds.
     pub aging_ms: Millis,
 }
 
@@ -85,244 +86,256 @@
             bytes: Rate { per_s: 20e6, burst: 4e6 },
             work: Rate { per_s: 500.0, burst: 100.0 },
             lane_bytes: Rate { per_s: 5e6, burst: 1e6 },
-            lane_jobs: 2,
-            jobs: 32,
-            waiting: 1024,
-            least: 0.1,
-            pressed: 4.0,
+            max_lane_jobs: 2,
+            max_jobs: 32,
+            max_waiting: 1024,
+            urgent_share: 0.1,
+            half_rate_queries: 4.0,
             aging_ms: 10_000,
         }
     }
 }
 
-/// Why work was not taken.
+/// Reason why a job was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-pub enum Refused {
-    /// As much waits as may.
+pub enum SubmitError {
+    /// The queue holds the maximum number of jobs already.
     #[error("{0} jobs wait already")]
-    Full(usize),
-    /// Work of this name waits or is under way.
+    QueueFull(usize),
+    /// A job with this identifier is waiting or running already.
     #[error("work of this name is there already")]
-    Twice,
+    DuplicateId,
 }
 
 #[derive(Debug)]
 struct Waiting<T, L> {
     job: Job<T, L>,
-    since: Millis,
+    submitted_at: Millis,
 }
 
 #[derive(Debug)]
 struct Lane {
     bytes: Bucket,
-    under_way: usize,
-    /// Bytes let through so far: the lane with the fewest goes first.
-    had: f64,
-    used: Millis,
+    running: usize,
+    /// Total cost in bytes of the jobs started so far: jobs on the lane with the least start first.
+    bytes_started: f64,
+    last_used: Millis,
 }
 
-/// The scheduler. See the crate's description.
+/// The scheduler of background jobs; see the crate documentation.
 #[derive(Debug)]
 pub struct Scheduler<T, L> {
     budget: Budget,
     bytes: Bucket,
     work: Bucket,
     waiting: BTreeMap<u64, Waiting<T, L>>,
-    under_way: HashMap<T, (Vec<L>, Cost)>,
-    names: HashSet<T>,
+    running: HashMap<T, (Vec<L>, Cost)>,
+    ids: HashSet<T>,
     lanes: HashMap<L, Lane>,
-    next: u64,
-    /// Queries that wait just now.
+    last_sequence: u64,
+    /// Number of waiting queries.
     queries: f64,
 }
 
-/// A lane that nobody has used for so long is let go.
-const LANE_MEMORY_MS: Millis = 60_000;
+/// Time after which an unused lane is removed, in milliseconds.
+const LANE_RETENTION_MS: Millis = 60_000;
 
 impl<T: Clone + Eq + Hash, L: Clone + Eq + Hash> Scheduler<T, L> {
-    /// A scheduler with nothing to do.
+    /// Creates a scheduler without jobs.
     pub fn new(budget: Budget, now: Millis) -> Self {
         Self {
             bytes: Bucket::new(budget.bytes, now),
             work: Bucket::new(budget.work, now),
             waiting: BTreeMap::new(),
-            under_way: HashMap::new(),
-            names: HashSet::new(),
+            running: HashMap::new(),
+            ids: HashSet::new(),
             lanes: HashMap::new(),
-            next: 0,
+            last_sequence: 0,
             queries: 0.0,
             budget,
         }
     }
 
-    /// The share of the rates that the budget has while so many queries wait.
+    /// Share of the rates that applies at the present number of waiting queries.
     fn share(&self) -> f64 {
-        let pressed = if self.budget.pressed > 0.0 { self.queries / self.budget.pressed } else { 0.0 };
-        (1.0 / (1.0 + pressed)).max(self.budget.least.clamp(0.0, 1.0))
+        let pressure = if self.budget.half_rate_queries > 0.0 {
+            self.queries / self.budget.half_rate_queries
+        } else {
+            0.0
+        };
+        (1.0 / (1.0 + pressure)).max(self.budget.urgent_share.clamp(0.0, 1.0))
     }
 
-    /// Whether only urgent work is begun: queries wait, and the budget is down to what is kept for that.
+    /// Whether only urgent jobs may start: queries wait, and the rates are down to the share reserved for urgent jobs.
     fn only_urgent(&self) -> bool {
-        self.queries > 0.0 && self.share() <= self.budget.least
+        self.queries > 0.0 && self.share() <= self.budget.urgent_share
     }
 
-    /// How many queries wait now.
-    pub fn queries(&mut self, now: Millis, waiting: usize) {
-        self.fill(now);
+    /// Sets the number of queries that wait now.
+    pub fn set_waiting_queries(&mut self, now: Millis, waiting: usize) {
+        self.refill(now);
         self.queries = waiting as f64;
     }
 
-    fn fill(&mut self, now: Millis) {
+    fn refill(&mut self, now: Millis) {
         let share = self.share();
-        self.bytes.fill(now, share);
-        self.work.fill(now, share);
+        self.bytes.refill(now, share);
+        self.work.refill(now, share);
         for lane in self.lanes.values_mut() {
-            lane.bytes.fill(now, share);
+            lane.bytes.refill(now, share);
         }
     }
 
-    /// Takes work on.
-    pub fn submit(&mut self, now: Millis, job: Job<T, L>) -> Result<(), Refused> {
-        if self.waiting.len() >= self.budget.waiting {
-            return Err(Refused::Full(self.budget.waiting));
+    /// Queues a job.
+    pub fn submit(&mut self, now: Millis, job: Job<T, L>) -> Result<(), SubmitError> {
+        if self.waiting.len() >= self.budget.max_waiting {
+            return Err(SubmitError::QueueFull(self.budget.max_waiting));
         }
-        if !self.names.insert(job.id.clone()) {
-            return Err(Refused::Twice);
+        if !self.ids.insert(job.id.clone()) {
+            return Err(SubmitError::DuplicateId);
         }
-        self.next += 1;
-        self.waiting.insert(self.next, Waiting { job, since: now });
+        self.last_sequence += 1;
+        self.waiting.insert(self.last_sequence, Waiting { job, submitted_at: now });
         Ok(())
     }
 
-    /// Lets go of work that waits; false if it does not.
+    /// Removes a waiting job; returns false if no job with this identifier is waiting.
     pub fn cancel(&mut self, id: &T) -> bool {
-        let at = self.waiting.iter().find(|(_, waiting)| waiting.job.id == *id).map(|(at, _)| *at);
-        let Some(at) = at else { return false };
-        self.waiting.remove(&at);
-        self.names.remove(id);
+        let sequence =
+            self.waiting.iter().find(|(_, waiting)| waiting.job.id == *id).map(|(sequence, _)| *sequence);
+        let Some(sequence) = sequence else { return false };
+        self.waiting.remove(&sequence);
+        self.ids.remove(id);
         true
     }
 
-    /// The class after so long a wait.
-    fn class(&self, now: Millis, waiting: &Waiting<T, L>) -> Class {
-        let risen = now.saturating_sub(waiting.since).checked_div(self.budget.aging_ms).unwrap_or(0);
-        match (waiting.job.class, risen) {
-            (Class::Idle, 0) => Class::Idle,
-            (Class::Normal | Class::Idle, 0..=1) => Class::Normal,
-            _ => Class::Urgent,
+    /// Priority of a job after its waiting time is taken into account.
+    fn effective_priority(&self, now: Millis, waiting: &Waiting<T, L>) -> Priority {
+        let levels = now.saturating_sub(waiting.submitted_at).checked_div(self.budget.aging_ms).unwrap_or(0);
+        match (waiting.job.priority, levels) {
+            (Priority::Idle, 0) => Priority::Idle,
+            (Priority::Normal | Priority::Idle, 0..=1) => Priority::Normal,
+            _ => Priority::Urgent,
         }
     }
 
-    /// The work that may begin now, the most pressing first.
+    /// Starts the jobs that may start now and returns their identifiers, the highest priority first.
     pub fn poll(&mut self, now: Millis) -> Vec<T> {
-        self.fill(now);
-        self.lanes.retain(|_, lane| lane.under_way > 0 || now.saturating_sub(lane.used) < LANE_MEMORY_MS);
-        let mut begun = Vec::new();
-        while self.under_way.len() < self.budget.jobs {
-            let Some(at) = self.next(now) else { break };
-            let Some(Waiting { job, .. }) = self.waiting.remove(&at) else { break };
-            self.bytes.pay(job.cost.bytes);
-            self.work.pay(job.cost.work_ms);
+        self.refill(now);
+        self.lanes
+            .retain(|_, lane| lane.running > 0 || now.saturating_sub(lane.last_used) < LANE_RETENTION_MS);
+        let mut started = Vec::new();
+        while self.running.len() < self.budget.max_jobs {
+            let Some(sequence) = self.next_job(now) else { break };
+            let Some(Waiting { job, .. }) = self.waiting.remove(&sequence) else { break };
+            self.bytes.charge(job.cost.bytes);
+            self.work.charge(job.cost.work_ms);
             for lane in &job.lanes {
                 let rate = self.budget.lane_bytes;
                 let lane = self.lanes.entry(lane.clone()).or_insert_with(|| Lane::new(rate, now));
-                lane.bytes.pay(job.cost.bytes);
-                lane.under_way += 1;
-                lane.had += job.cost.bytes;
-                lane.used = now;
+                lane.bytes.charge(job.cost.bytes);
+                lane.running += 1;
+                lane.bytes_started += job.cost.bytes;
+                lane.last_used = now;
             }
-            self.under_way.insert(job.id.clone(), (job.lanes, job.cost));
-            begun.push(job.id);
+            self.running.insert(job.id.clone(), (job.lanes, job.cost));
+            started.push(job.id);
         }
-        begun
+        started
     }
 
-    /// The job to begin next, if one may. A job that is held up by its lane alone does not hold up the others; one that
-    /// the whole budget can't pay for yet does, or small ones would pass a large one for ever.
-    fn next(&self, now: Millis) -> Option<u64> {
-        let had = |job: &Job<T, L>| {
-            job.lanes.iter().filter_map(|lane| self.lanes.get(lane)).map(|lane| lane.had).fold(0.0, f64::max)
+    /// Sequence number of the job to start next, if one may. A job that only its lane prevents from starting does not block the others;
+    /// one that exceeds the total budget does, or small jobs would overtake a large one forever.
+    fn next_job(&self, now: Millis) -> Option<u64> {
+        let lane_bytes_started = |job: &Job<T, L>| {
+            job.lanes
+                .iter()
+                .filter_map(|lane| self.lanes.get(lane))
+                .map(|lane| lane.bytes_started)
+                .fold(0.0, f64::max)
         };
         let only_urgent = self.only_urgent();
-        let open = |(at, waiting): (&u64, &Waiting<T, L>)| {
-            let class = self.class(now, waiting);
-            if !self.lanes_free(&waiting.job) || (only_urgent && class != Class::Urgent) {
+        let candidate = |(sequence, waiting): (&u64, &Waiting<T, L>)| {
+            let priority = self.effective_priority(now, waiting);
+            if !self.lanes_available(&waiting.job) || (only_urgent && priority != Priority::Urgent) {
                 return None;
             }
-            Some((class, had(&waiting.job), *at))
+            Some((priority, lane_bytes_started(&waiting.job), *sequence))
         };
-        let order = |a: &(Class, f64, u64), b: &(Class, f64, u64)| {
+        let order = |a: &(Priority, f64, u64), b: &(Priority, f64, u64)| {
             a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)).then(a.2.cmp(&b.2))
         };
-        let (_, _, at) = self.waiting.iter().filter_map(open).min_by(order)?;
-        let cost = self.waiting.get(&at)?.job.cost;
-        (self.bytes.may(cost.bytes) && self.work.may(cost.work_ms)).then_some(at)
+        let (_, _, sequence) = self.waiting.iter().filter_map(candidate).min_by(order)?;
+        let cost = self.waiting.get(&sequence)?.job.cost;
+        (self.bytes.can_start(cost.bytes) && self.work.can_start(cost.work_ms)).then_some(sequence)
     }
 
-    fn lanes_free(&self, job: &Job<T, L>) -> bool {
+    fn lanes_available(&self, job: &Job<T, L>) -> bool {
         job.lanes.iter().all(|lane| {
-            self.lanes
-                .get(lane)
-                .is_none_or(|lane| lane.under_way < self.budget.lane_jobs && lane.bytes.may(job.cost.bytes))
+            self.lanes.get(lane).is_none_or(|lane| {
+                lane.running < self.budget.max_lane_jobs && lane.bytes.can_start(job.cost.bytes)
+            })
         })
     }
 
-    /// Work has ended, at this cost.
+    /// Records the end of a job and its actual cost.
     pub fn finished(&mut self, now: Millis, id: &T, cost: Cost) {
-        let Some((lanes, expected)) = self.under_way.remove(id) else { return };
-        self.names.remove(id);
-        self.fill(now);
-        let more = cost.bytes - expected.bytes;
-        self.bytes.pay(more);
-        self.work.pay(cost.work_ms - expected.work_ms);
+        let Some((lanes, expected)) = self.running.remove(id) else { return };
+        self.ids.remove(id);
+        self.refill(now);
+        let excess_bytes = cost.bytes - expected.bytes;
+        self.bytes.charge(excess_bytes);
+        self.work.charge(cost.work_ms - expected.work_ms);
         for lane in lanes {
             let Some(lane) = self.lanes.get_mut(&lane) else { continue };
-            lane.bytes.pay(more);
-            lane.had += more;
-            lane.under_way = lane.under_way.saturating_sub(1);
-            lane.used = now;
+            lane.bytes.charge(excess_bytes);
+            lane.bytes_started += excess_bytes;
+            lane.running = lane.running.saturating_sub(1);
+            lane.last_used = now;
         }
     }
 
-    /// When [`Scheduler::poll`] may let something begin though nothing happens before.
+    /// Time at which [`Scheduler::poll`] may start a job if nothing happens before; `None` if no job can start until another one ends
+    /// or none is waiting.
     pub fn due(&self, now: Millis) -> Option<Millis> {
-        if self.under_way.len() >= self.budget.jobs {
+        if self.running.len() >= self.budget.max_jobs {
             return None;
         }
         let share = self.share();
-        let wait = |waiting: &Waiting<T, L>| {
+        let wait_ms = |waiting: &Waiting<T, L>| {
             let job = &waiting.job;
             let lanes = job.lanes.iter().filter_map(|lane| self.lanes.get(lane));
-            if lanes.clone().any(|lane| lane.under_way >= self.budget.lane_jobs) {
+            if lanes.clone().any(|lane| lane.running >= self.budget.max_lane_jobs) {
                 return None;
             }
-            let lanes = lanes.map(|lane| lane.bytes.wait(job.cost.bytes, share));
-            let all = self.bytes.wait(job.cost.bytes, share).max(self.work.wait(job.cost.work_ms, share));
-            let paid = lanes.fold(all, Millis::max);
-            if self.only_urgent() && self.class(now, waiting) != Class::Urgent {
-                // Until it has risen to what others wait for.
-                let rises = if job.class == Class::Idle { 2 } else { 1 };
-                let risen = waiting.since + rises * self.budget.aging_ms;
-                return Some(paid.max(risen.saturating_sub(now)));
+            let lanes = lanes.map(|lane| lane.bytes.wait_ms(job.cost.bytes, share));
+            let total_wait_ms =
+                self.bytes.wait_ms(job.cost.bytes, share).max(self.work.wait_ms(job.cost.work_ms, share));
+            let funded_in_ms = lanes.fold(total_wait_ms, Millis::max);
+            if self.only_urgent() && self.effective_priority(now, waiting) != Priority::Urgent {
+                // Only after the job has risen to `Urgent`.
+                let levels = if job.priority == Priority::Idle { 2 } else { 1 };
+                let urgent_at = waiting.submitted_at + levels * self.budget.aging_ms;
+                return Some(funded_in_ms.max(urgent_at.saturating_sub(now)));
             }
-            Some(paid)
+            Some(funded_in_ms)
         };
-        self.waiting.values().filter_map(wait).min().map(|wait| now + wait.max(1))
+        self.waiting.values().filter_map(wait_ms).min().map(|wait_ms| now + wait_ms.max(1))
     }
 
-    /// How many jobs wait, and how many are under way.
-    pub fn load(&self) -> (usize, usize) {
-        (self.waiting.len(), self.under_way.len())
+    /// Number of waiting jobs, and number of running jobs.
+    pub fn job_counts(&self) -> (usize, usize) {
+        (self.waiting.len(), self.running.len())
     }
 
-    /// How many lanes are remembered.
-    pub fn lanes(&self) -> usize {
+    /// Number of lanes with recorded state.
+    pub fn lane_count(&self) -> usize {
         self.lanes.len()
     }
 }
 
 impl Lane {
     fn new(rate: Rate, now: Millis) -> Self {
-        Self { bytes: Bucket::new(rate, now), under_way: 0, had: 0.0, used: now }
+        Self { bytes: Bucket::new(rate, now), running: 0, bytes_started: 0.0, last_used: now }
     }
 }
--- a/broker/crates/coverage/benches/scale.rs
+++ b/broker/crates/coverage/benches/scale.rs
@@ -126,8 +126,8 @@
 #[divan::bench]
 fn check_exclusion_of_50_stores(bencher: Bencher) {
     let table = full_table();
-    let away: BTreeSet<Store> = (0..50).map(|n| Store(n * ZONES)).collect();
-    let proposal = Proposal { excluded_stores: away, ..Proposal::default() };
+    let excluded_stores: BTreeSet<Store> = (0..50).map(|n| Store(n * ZONES)).collect();
+    let proposal = Proposal { excluded_stores, ..Proposal::default() };
     bencher.bench_local(|| black_box(table.check(&proposal, &REQUIREMENTS)));
 }
 
@@ -143,7 +143,7 @@
 #[divan::bench]
 fn check_refused_exclusion_of_half_the_stores(bencher: Bencher) {
     let table = full_table();
-    let away: BTreeSet<Store> = (0..STORES / 2).map(Store).collect();
-    let proposal = Proposal { excluded_stores: away, ..Proposal::default() };
+    let excluded_stores: BTreeSet<Store> = (0..STORES / 2).map(Store).collect();
+    let proposal = Proposal { excluded_stores, ..Proposal::default() };
     bencher.bench_local(|| black_box(table.check(&proposal, &REQUIREMENTS)));
 }
--- a/broker/crates/fleet/tests/golden.rs
+++ b/broker/crates/fleet/tests/golden.rs
@@ -32,10 +32,9 @@
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/golden/datagrams.txt")
 }
 
-fn broker(number: BrokerNumber) -> Membership {
-    let settings =
-        Settings { members: BROKERS, own: number, probe_ms: 1000.0, answer_ms: 300.0, sent_per_s: 20.0 };
-    Membership::new(settings, 1_700_000_000_000 + u64::from(number), u64::from(number) + 1, 0.0)
+fn broker(own: BrokerNumber) -> Membership {
+    let settings = Settings { members: BROKERS, own, probe_ms: 1000.0, answer_ms: 300.0, sent_per_s: 20.0 };
+    Membership::new(settings, 1_700_000_000_000 + u64::from(own), u64::from(own) + 1, 0.0)
 }
 
 /// Whether the network delivers a datagram at a time in milliseconds: brokers 0 and 1 can't reach each other at first, then
--- a/broker/src/blocks/boss.rs
+++ b/broker/src/blocks/boss.rs
@@ -8,7 +8,7 @@
 use async_channel::{Receiver, Sender};
 use async_io::Timer;
 use futures_lite::future::or;
-use gingerledge_background::{Class, Cost, Job, Scheduler};
+use gingerledge_background::{Cost, Job, Priority, Scheduler};
 use gingerledge_blocks::wire::{self, Copied, CopyCall, News, Word};
 use gingerledge_blocks::{
     plan, BlockId, BlockLoad, ChangeId, Coordinator, CopyJob, Cursor, Extent, Heard, Log, Ordered, Plan,
@@ -312,9 +312,9 @@
 
     fn submit(&mut self, job: CopyJob) {
         let key = (job.change, job.round);
-        let class = if job.urgent || self.leaves(job.from) { Class::Urgent } else { Class::Normal };
+        let priority = if job.urgent || self.leaves(job.from) { Priority::Urgent } else { Priority::Normal };
         let cost = Cost { bytes: wire::STRETCH_MOST as f64, work_ms: 1.0 };
-        let task = Job { id: key, class, lanes: vec![job.from, job.to], cost };
+        let task = Job { id: key, priority, lanes: vec![job.from, job.to], cost };
         let now = self.now();
         self.jobs.insert(key, job);
         if self.copies.submit(now, task).is_err() {
@@ -334,7 +334,7 @@
 
     fn begin_copies(&mut self) {
         let now = self.now();
-        self.copies.queries(now, self.blocks.exchange.open_queries());
+        self.copies.set_waiting_queries(now, self.blocks.exchange.open_queries());
         for key in self.copies.poll(now) {
             let Some(job) = self.jobs.get(&key).copied() else { continue };
             let address = |store| self.coordinator.name(store).and_then(|name| self.blocks.address(name));
--- a/broker/src/config/blocks.rs
+++ b/broker/src/config/blocks.rs
@@ -215,8 +215,8 @@
             budget: Budget {
                 bytes: rate(table.copy_bytes_per_s),
                 lane_bytes: rate(table.copy_bytes_per_s_store),
-                lane_jobs: table.copies,
-                least: table.copy_least,
+                max_lane_jobs: table.copies,
+                urgent_share: table.copy_least,
                 ..Budget::default()
             },
             found: found(table.found)?,
