--- a/broker/crates/background/src/lib.rs
+++ b/broker/crates/background/src/lib.rs
@@ -244,8 +244,8 @@
         started
     }
 
-    /// Sequence number of the job to start next, if one may. A job that only its lane prevents from starting does not block the others;
-    /// one that exceeds the total budget does, or small jobs would overtake a large one forever.
+    /// Sequence number of the job to start next, if one may. A job that only its lane prevents from starting does not block the
+    /// others; one that exceeds the total budget does, or small jobs would overtake a large one forever.
     fn next_job(&self, now: Millis) -> Option<u64> {
         let lane_bytes_started = |job: &Job<T, L>| {
             job.lanes
--- a/broker/crates/coverage/src/load.rs
+++ b/broker/crates/coverage/src/load.rs
@@ -39,11 +39,11 @@
     }
 }
 
-/// Returns `amount * part / whole`, rounded down.
-fn multiply_divide(amount: u64, part: u64, whole: u64) -> u64 {
-    match amount.checked_mul(part) {
-        Some(product) => product / whole,
-        None => (u128::from(amount) * u128::from(part) / u128::from(whole)) as u64,
+/// Returns `amount * numerator / denominator`, rounded down.
+fn multiply_divide(amount: u64, numerator: u64, denominator: u64) -> u64 {
+    match amount.checked_mul(numerator) {
+        Some(product) => product / denominator,
+        None => (u128::from(amount) * u128::from(numerator) / u128::from(denominator)) as u64,
     }
 }
 
--- a/broker/crates/coverage/src/sweep.rs
+++ b/broker/crates/coverage/src/sweep.rs
@@ -27,7 +27,8 @@
     };
     for (keys, block) in ranges {
         gap(covered_end, keys.first);
-        // Usually a range begins where the last one ends, so that only ranges that extend further need to be kept in the ordered set.
+        // Usually a range begins where the last one ends, so that only ranges that extend further need to be kept in the
+        // ordered set.
         if keys.first >= covered_end {
             open.clear();
             last_open = Some((keys.end, block));
--- a/broker/crates/coverage/tests/against_plain.rs
+++ b/broker/crates/coverage/tests/against_plain.rs
@@ -1,5 +1,5 @@
-//! Property tests that compare the table with the reference implementation, over small key spaces at both ends of the number range:
-//! answers after any sequence of changes (C1), refused proposals (C2), and contents of counterexamples (C3).
+//! Property tests that compare the table with the reference implementation, over small key spaces at both ends of the number
+//! range: answers after any sequence of changes (C1), refused proposals (C2), and contents of counterexamples (C3).
 #![allow(clippy::unwrap_used)]
 
 mod plain;
--- a/broker/crates/fleet/src/members.rs
+++ b/broker/crates/fleet/src/members.rs
@@ -27,7 +27,7 @@
 const SUSPICION_PERIODS_PER_DECADE: f64 = 5.0;
 /// Number of gossip rounds per probe period while there are updates to send on.
 const GOSSIPS_PER_PERIOD: f64 = 4.0;
-/// Number of members that each gossip round goes to.
+/// Number of members that receive each gossip round.
 const GOSSIP_FANOUT: usize = 2;
 /// Maximum number of suspects that are contacted directly per probe period.
 const MAX_SUSPECTS_CONTACTED: usize = 3;
@@ -84,8 +84,8 @@
             max_packet_size: non_zero(MAX_DATAGRAM_BYTES),
             // A member that is alive but was declared down has to be notified of that, or it would never rejoin.
             notify_down_members: true,
-            // `Membership` itself announces this broker to members that are not known to be alive, one at a time, whether they were
-            // known before or not.
+            // `Membership` itself announces this broker to members that are not known to be alive, one at a time, whether they
+            // were known before or not.
             periodic_announce: None,
             periodic_announce_to_down_members: None,
             periodic_gossip: Some(gossip),
@@ -312,8 +312,8 @@
             self.timers.first_entry().filter(|first| first.key().0 <= to_micros(self.active_time))
         {
             let (timer, set_at) = first.remove();
-            // Guards against declaring down a member that answers: its refutation may carry an incarnation that others know already,
-            // so that nobody forwards the suspicion to it. The member remains a suspect here until it is probed again.
+            // Guards against declaring down a member that answers: its refutation may carry an incarnation that others know
+            // already, so that nobody forwards the suspicion to it. The member remains a suspect here until it is probed again.
             if matches!(timer, ProtocolTimer::ChangeSuspectToDown { member_id, .. } if self.received_since(member_id, set_at))
             {
                 continue;
@@ -359,7 +359,7 @@
         let _ = self.call_protocol(|protocol, effects| protocol.leave_cluster(effects));
     }
 
-    /// Removes and returns the datagrams to send, with the number of the broker that each goes to.
+    /// Removes and returns the datagrams to send, each with the number of its receiver.
     pub fn take_outgoing(&mut self) -> impl Iterator<Item = (BrokerNumber, Vec<u8>)> + '_ {
         self.outgoing.drain(..)
     }
@@ -517,8 +517,8 @@
     }
 
     /// Renews this broker's identity with a later start time, because other members declared the present one down or know a later
-    /// one. How much later theirs is is unknown, so that each renewal soon after another doubles the step: 22 renewals make up for
-    /// a clock that was set back by an hour.
+    /// one. The others' start time is unknown, so that each renewal soon after another doubles the step: 22 renewals make up for a
+    /// clock that was set back by an hour.
     fn renew_identity(&mut self) {
         let own = *self.protocol.identity();
         let window = RENEWAL_WINDOW_PERIODS * self.settings.probe_ms;
--- a/broker/crates/fleet/tests/members.rs
+++ b/broker/crates/fleet/tests/members.rs
@@ -163,7 +163,7 @@
 
     /// Maximum number of datagrams that any broker sent within one second.
     fn max_sent_per_s(&self) -> usize {
-        let most = |times: &Vec<f64>| {
+        let max_in_one_second = |times: &Vec<f64>| {
             let mut first = 0;
             times
                 .iter()
@@ -176,11 +176,11 @@
                 })
                 .max()
         };
-        self.sent_times.iter().filter_map(most).max().unwrap_or(0)
+        self.sent_times.iter().filter_map(max_in_one_second).max().unwrap_or(0)
     }
 
-    /// Members out of `running_members` that were declared down since the time `from` although they were running, each with the time and the
-    /// broker that declared it.
+    /// Members out of `running_members` that were declared down since the time `from` although they were running, each with the time
+    /// and the broker that declared it.
     fn wrongly_declared_down(
         &self,
         from: f64,
@@ -393,8 +393,8 @@
             .filter(|(at, by, to)| *at > from && *by == *broker_number && *to == 17)
             .count()
     };
-    let most = network.running().iter().map(contacts).max().unwrap();
-    assert!(most >= 7, "{most}");
+    let max_contacts = network.running().iter().map(contacts).max().unwrap();
+    assert!(max_contacts >= 7, "{max_contacts}");
 }
 
 #[test]
@@ -525,7 +525,7 @@
     );
     for members in [3, 10, 30, 100, 300] {
         let mut network = Network::new(members, 1);
-        let found = network.run_until_agreed(600.0);
+        let discovered_s = network.run_until_agreed(600.0);
         network.run_for(30.0);
         let count = |network: &Network| network.datagrams.len() as f64;
         let bytes = |network: &Network| -> f64 {
@@ -536,9 +536,9 @@
         let each = f64::from(members) * 20.0;
         let stable = ((count(&network) - datagrams_before) / each, (bytes(&network) - bytes_before) / each);
         (0..members.div_ceil(20)).for_each(|broker_number| network.kill(broker_number));
-        let seen = network.run_until_agreed(600.0);
+        let detected_s = network.run_until_agreed(600.0);
         println!(
-            "{members}: {found:?} {:.2} {:.0} {seen:?} {}",
+            "{members}: {discovered_s:?} {:.2} {:.0} {detected_s:?} {}",
             stable.0,
             stable.1,
             network.max_sent_per_s()
