--- a/broker/src/blocks/coordinator.rs
+++ b/broker/src/blocks/coordinator.rs
@@ -212,7 +212,7 @@
                 log::warn!(store = name.as_str(); "blocks: store ignored, since there are more than stores_max");
             }
         }
-        let initial_blocks = &self.blocks.settings.found;
+        let initial_blocks = &self.blocks.settings.initial_blocks;
         if self.coordinator.map().version() == 0 && !initial_blocks.is_empty() {
             let ids = |names: &[String]| {
                 names.iter().map(|name| self.coordinator.store(name)).collect::<Option<Vec<_>>>()
--- a/broker/src/config.rs
+++ b/broker/src/config.rs
@@ -42,7 +42,7 @@
 
 /// Time-outs of client connections: devices on poor links are slow, and stalled ones must not stay connected forever.
 #[derive(Clone, Copy, Debug)]
-pub struct Waits {
+pub struct ClientTimeouts {
     /// A connection between requests is closed after so long.
     pub idle: Duration,
     /// A request comes within so long of its first byte; the first one, of the connection.
@@ -85,7 +85,7 @@
     /// Idle time after which a store closes a connection.
     pub idle_ms: Millis,
     /// Time-outs of client connections.
-    pub waits: Waits,
+    pub client_timeouts: ClientTimeouts,
     /// Time-outs of calls to discovery.
     pub calls: watching::CallTimeouts,
     /// Log level.
@@ -102,14 +102,14 @@
 
 /// Longest advice given to refused clients where the settings name none.
 const RETRY_AFTER_MS: Millis = 1000.0;
-const LEAST_SOCKETS: usize = 64;
-const LEAST_MEMORY_MB: usize = 16;
+const SOCKETS_MIN: usize = 64;
+const MEMORY_MB_MIN: usize = 16;
 /// Default time-outs for a request and for an idle connection.
-const READ_MS: u64 = 2500;
-const IDLE_MS: u64 = 2500;
+const DEFAULT_READ_TIMEOUT_MS: u64 = 2500;
+const DEFAULT_IDLE_TIMEOUT_MS: u64 = 2500;
 /// Descriptors have numbers below this.
 const FD_END: i32 = 1 << 20;
-const WAIT_MOST_MS: u64 = 3_600_000;
+const TIMEOUT_MAX_MS: u64 = 3_600_000;
 
 impl Config {
     /// Reads the environment through `var`, and the files that it names through `read`.
@@ -178,8 +178,8 @@
                 Error::new(format!("limits.{key}"), format!("expected at least {least}, found `{n}`"))
             }),
         };
-        let sockets = limit("sockets", 1024, LEAST_SOCKETS)?;
-        let memory_mb = limit("memory_mb", 192, LEAST_MEMORY_MB)?;
+        let sockets = limit("sockets", 1024, SOCKETS_MIN)?;
+        let memory_mb = limit("memory_mb", 192, MEMORY_MB_MIN)?;
         let log = match var("LB_LOG") {
             None => LevelFilter::Info,
             Some(level) => level
@@ -198,13 +198,13 @@
             Some(text) => text
                 .parse()
                 .ok()
-                .filter(|ms| (1..=WAIT_MOST_MS).contains(ms))
+                .filter(|ms| (1..=TIMEOUT_MAX_MS).contains(ms))
                 .map(Duration::from_millis)
-                .ok_or_else(|| Error::new(key, format!("expected 1 to {WAIT_MOST_MS}, found `{text}`"))),
+                .ok_or_else(|| Error::new(key, format!("expected 1 to {TIMEOUT_MAX_MS}, found `{text}`"))),
         };
-        let waits = Waits {
-            idle: wait("LB_IDLE_MS", IDLE_MS)?,
-            read: wait("LB_READ_MS", READ_MS)?,
+        let client_timeouts = ClientTimeouts {
+            idle: wait("LB_IDLE_MS", DEFAULT_IDLE_TIMEOUT_MS)?,
+            read: wait("LB_READ_MS", DEFAULT_READ_TIMEOUT_MS)?,
             write: wait("LB_WRITE_MS", 10_000)?,
         };
         let (mut features, mut blocks, mut fleet) = (None, None, None);
@@ -246,7 +246,7 @@
             idle_ms: number(&pairs, "limits.conn_idle_ms", 30_000.0, 1.0, 86_400_000.0)?,
             calls: watching::CallTimeouts::from_settings(&setup.settings),
             setup,
-            waits,
+            client_timeouts,
             log,
             log_json,
             features,
@@ -274,7 +274,7 @@
 }
 
 /// A number of the operator's file, if it lies between these.
-fn within(key: String, value: f64, least: f64, most: f64) -> Result<f64, Error> {
+fn check_range(key: String, value: f64, least: f64, most: f64) -> Result<f64, Error> {
     match (least..=most).contains(&value) {
         true => Ok(value),
         false => Err(Error::new(key, format!("expected {least} to {most}, found {value}"))),
--- a/broker/src/config/blocks.rs
+++ b/broker/src/config/blocks.rs
@@ -94,7 +94,7 @@
 
 /// A block of the first map.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Found {
+pub struct InitialBlock {
     /// Its number.
     pub block: u32,
     /// Its weighers.
@@ -131,7 +131,7 @@
     /// What copies may cost.
     pub budget: Budget,
     /// The first map.
-    pub found: Vec<Found>,
+    pub initial_blocks: Vec<InitialBlock>,
 }
 
 impl Blocks {
@@ -144,25 +144,25 @@
         let dir = table.state_dir.clone().or_else(|| state_dir.cloned()).ok_or_else(|| {
             Error::new(key("state_dir"), "missing, and TMPDIR is not set: the map has to be kept somewhere")
         })?;
-        let within = |name: &str, value, least, most| super::within(key(name), value, least, most);
-        within("lease_ms", table.lease_ms as f64, 100.0, 600_000.0)?;
-        within("follow_ms", table.follow_ms as f64, 10.0, 60_000.0)?;
-        within("blocks_max", table.blocks_max as f64, 1.0, BLOCKS_MOST as f64)?;
-        within("retired_max", table.retired_max as f64, 1.0, BLOCKS_MOST as f64)?;
-        within("stores_max", table.stores_max as f64, 1.0, 10_000.0)?;
-        within("changes_max", table.changes_max as f64, 1.0, 4096.0)?;
-        within("step_ms", table.step_ms as f64, 100.0, 3_600_000.0)?;
-        within("lag", table.lag as f64, 0.0, 1e6)?;
-        within("plan_every_ms", table.plan_every_ms as f64, 50.0, 3_600_000.0)?;
-        within("rest_ms", table.rest_ms as f64, 0.0, 86_400_000.0)?;
-        within("replicas", table.replicas as f64, 1.0, REPLICAS_MOST as f64)?;
-        within("uneven", table.uneven, 0.01, 10.0)?;
-        within("even", table.even, 0.0, table.uneven)?;
-        within("split_above", table.split_above, 0.0, 1e12)?;
-        within("copies", table.copies as f64, 1.0, 64.0)?;
-        within("copy_bytes_per_s", table.copy_bytes_per_s, 1e3, 1e12)?;
-        within("copy_bytes_per_s_store", table.copy_bytes_per_s_store, 1e3, table.copy_bytes_per_s)?;
-        within("copy_least", table.copy_least, 0.01, 1.0)?;
+        let check_range = |name: &str, value, least, most| super::check_range(key(name), value, least, most);
+        check_range("lease_ms", table.lease_ms as f64, 100.0, 600_000.0)?;
+        check_range("follow_ms", table.follow_ms as f64, 10.0, 60_000.0)?;
+        check_range("blocks_max", table.blocks_max as f64, 1.0, BLOCKS_MOST as f64)?;
+        check_range("retired_max", table.retired_max as f64, 1.0, BLOCKS_MOST as f64)?;
+        check_range("stores_max", table.stores_max as f64, 1.0, 10_000.0)?;
+        check_range("changes_max", table.changes_max as f64, 1.0, 4096.0)?;
+        check_range("step_ms", table.step_ms as f64, 100.0, 3_600_000.0)?;
+        check_range("lag", table.lag as f64, 0.0, 1e6)?;
+        check_range("plan_every_ms", table.plan_every_ms as f64, 50.0, 3_600_000.0)?;
+        check_range("rest_ms", table.rest_ms as f64, 0.0, 86_400_000.0)?;
+        check_range("replicas", table.replicas as f64, 1.0, REPLICAS_MOST as f64)?;
+        check_range("uneven", table.uneven, 0.01, 10.0)?;
+        check_range("even", table.even, 0.0, table.uneven)?;
+        check_range("split_above", table.split_above, 0.0, 1e12)?;
+        check_range("copies", table.copies as f64, 1.0, 64.0)?;
+        check_range("copy_bytes_per_s", table.copy_bytes_per_s, 1e3, 1e12)?;
+        check_range("copy_bytes_per_s_store", table.copy_bytes_per_s_store, 1e3, table.copy_bytes_per_s)?;
+        check_range("copy_least", table.copy_least, 0.01, 1.0)?;
         if table.merge_below > 0.0 && table.merge_below > table.split_above / 2.0 {
             let fault = "expected at most half of blocks.split_above, or halves of a split would merge again";
             return Err(Error::new(key("merge_below"), fault));
@@ -219,13 +219,13 @@
                 least: table.copy_least,
                 ..Budget::default()
             },
-            found: found(table.found)?,
+            initial_blocks: read_initial_blocks(table.found)?,
         })
     }
 }
 
-fn found(tables: Vec<FoundTable>) -> Result<Vec<Found>, Error> {
-    let (mut numbers, mut found): (HashSet<u32>, Vec<Found>) = (HashSet::new(), Vec::new());
+fn read_initial_blocks(tables: Vec<FoundTable>) -> Result<Vec<InitialBlock>, Error> {
+    let (mut numbers, mut found): (HashSet<u32>, Vec<InitialBlock>) = (HashSet::new(), Vec::new());
     for (n, table) in tables.into_iter().enumerate() {
         let key = |field: &str| format!("blocks.found.{n}.{field}");
         let span = Span::new(table.first, table.end);
@@ -247,7 +247,7 @@
         if let Some(extent) = table.extent {
             crate::geojson::Bbox::new(extent).map_err(|e| Error::new(key("extent"), e))?;
         }
-        found.push(Found { block: table.block, span, stores: table.stores, extent: table.extent });
+        found.push(InitialBlock { block: table.block, span, stores: table.stores, extent: table.extent });
     }
     Ok(found)
 }
--- a/broker/src/config/fleet.rs
+++ b/broker/src/config/fleet.rs
@@ -11,7 +11,7 @@
 use crate::clock::Millis;
 
 /// No fleet is larger.
-const MEMBERS_MOST: usize = 1_000;
+const MEMBERS_MAX: usize = 1_000;
 
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
@@ -43,12 +43,12 @@
     pub fn read(table: toml::Table, json: &Value) -> Result<Self, Error> {
         let table: Table =
             table.try_into().map_err(|e: toml::de::Error| Error::new("fleet", e.message().to_owned()))?;
-        let within =
-            |key: &str, value, least, most| super::within(format!("fleet.{key}"), value, least, most);
-        let probe_ms = within("probe_ms", table.probe_ms, 100.0, 60_000.0)?;
+        let check_range =
+            |key: &str, value, least, most| super::check_range(format!("fleet.{key}"), value, least, most);
+        let probe_ms = check_range("probe_ms", table.probe_ms, 100.0, 60_000.0)?;
         // Those that are asked to probe on one's behalf need as long again, and a little more.
-        let answer_ms = within("answer_ms", table.answer_ms, 5.0, probe_ms / 2.5)?;
-        let sent_per_s = within("sent_per_s", table.sent_per_s, 5.0, 1_000.0)?;
+        let answer_ms = check_range("answer_ms", table.answer_ms, 5.0, probe_ms / 2.5)?;
+        let sent_per_s = check_range("sent_per_s", table.sent_per_s, 5.0, 1_000.0)?;
         let address = |key: &str, value: &Value| {
             let text = value.as_str().unwrap_or_default();
             text.parse::<SocketAddr>()
@@ -58,8 +58,8 @@
         let listed = json["peers"].as_array().ok_or_else(|| {
             Error::new("peers", "missing; [fleet] needs the brokers' addresses in the order of their numbers")
         })?;
-        if !(2..=MEMBERS_MOST).contains(&listed.len()) {
-            let fault = format!("expected 2 to {MEMBERS_MOST} addresses for [fleet], found {}", listed.len());
+        if !(2..=MEMBERS_MAX).contains(&listed.len()) {
+            let fault = format!("expected 2 to {MEMBERS_MAX} addresses for [fleet], found {}", listed.len());
             return Err(Error::new("peers", fault));
         }
         let peers = listed
--- a/broker/src/front/features/describe.rs
+++ b/broker/src/front/features/describe.rs
@@ -1,5 +1,5 @@
-//! What the feature front says of itself: the landing page, the conformance classes that it meets, its
-//! collections and its OpenAPI description.
+//! Metadata documents of the feature front: the landing page, the conformance declaration, the collections and the OpenAPI
+//! description.
 
 use serde_json::{json, Value};
 
@@ -7,85 +7,86 @@
 use crate::core::KEY_MAX;
 use crate::front::key;
 
-/// The conformance classes of OGC API - Features, Part 1, that this front meets.
+/// Conformance classes of OGC API - Features, Part 1, that the feature front implements.
 pub const CONFORMANCE: [&str; 3] = [
     "http://www.opengis.net/spec/ogcapi-features-1/1.0/conf/core",
     "http://www.opengis.net/spec/ogcapi-features-1/1.0/conf/oas30",
     "http://www.opengis.net/spec/ogcapi-features-1/1.0/conf/geojson",
 ];
-/// Media types.
+/// Media type of metadata documents.
 pub const JSON: &str = "application/json";
-/// Of features.
+/// Media type of features.
 pub const GEOJSON: &str = "application/geo+json";
-/// Of the description.
+/// Media type of the OpenAPI description.
 pub const OPENAPI: &str = "application/vnd.oai.openapi+json;version=3.0";
-/// Of errors.
+/// Media type of errors (RFC 9457).
 pub const PROBLEM: &str = "application/problem+json";
 
-/// A link.
+/// Returns a link object; `kind` is the media type of its target.
 pub fn link(href: String, rel: &str, kind: &str, title: &str) -> Value {
     json!({ "href": href, "rel": rel, "type": kind, "title": title })
 }
 
-/// The landing page.
-pub fn landing(set: &Features, base: &str) -> Value {
+/// Returns the landing page.
+pub fn landing(config: &Features, base_url: &str) -> Value {
     json!({
-        "title": set.title,
-        "description": set.description,
+        "title": config.title,
+        "description": config.description,
         "links": [
-            link(format!("{base}/"), "self", JSON, "this document"),
-            link(format!("{base}/api"), "service-desc", OPENAPI, "the API description"),
-            link(format!("{base}/conformance"), "conformance", JSON, "conformance classes"),
-            link(format!("{base}/collections"), "data", JSON, "the collections"),
+            link(format!("{base_url}/"), "self", JSON, "this document"),
+            link(format!("{base_url}/api"), "service-desc", OPENAPI, "the API description"),
+            link(format!("{base_url}/conformance"), "conformance", JSON, "conformance classes"),
+            link(format!("{base_url}/collections"), "data", JSON, "the collections"),
         ],
     })
 }
 
-/// The conformance declaration.
+/// Returns the conformance declaration.
 pub fn conformance() -> Value {
     json!({ "conformsTo": CONFORMANCE })
 }
 
-/// One collection.
-pub fn collection(set: &Features, collection: &Collection, base: &str) -> Value {
+/// Returns the description of a collection.
+pub fn collection(config: &Features, collection: &Collection, base_url: &str) -> Value {
     let Collection { id, title, description, .. } = collection;
-    let here = format!("{base}/collections/{id}");
-    let boxes: Vec<_> = set.blocks.iter().map(|block| block.corners()).collect();
+    let collection_url = format!("{base_url}/collections/{id}");
+    let boxes: Vec<_> = config.blocks.iter().map(|block| block.corners()).collect();
     json!({
         "id": id,
         "title": title,
         "description": description,
         "extent": { "spatial": {
-            "bbox": overall(&boxes),
+            "bbox": spatial_extents(&boxes),
             "crs": "http://www.opengis.net/def/crs/OGC/1.3/CRS84",
         }},
         "itemType": "feature",
         "crs": ["http://www.opengis.net/def/crs/OGC/1.3/CRS84"],
         "links": [
-            link(here.clone(), "self", JSON, "this document"),
-            link(format!("{here}/items"), "items", GEOJSON, title),
+            link(collection_url.clone(), "self", JSON, "this document"),
+            link(format!("{collection_url}/items"), "items", GEOJSON, title),
         ],
     })
 }
 
-/// The box around all, then each: so the standard has it where there is more than one.
-fn overall(boxes: &[[f64; 4]]) -> Vec<[f64; 4]> {
+/// Returns the bounding box of all blocks, followed by the box of each: the order that the standard requires if there are
+/// several.
+fn spatial_extents(boxes: &[[f64; 4]]) -> Vec<[f64; 4]> {
     if let [only] = boxes {
         return vec![*only];
     }
-    let least = |at: usize| boxes.iter().map(|b| b[at]).fold(f64::INFINITY, f64::min);
-    let most = |at: usize| boxes.iter().map(|b| b[at]).fold(f64::NEG_INFINITY, f64::max);
-    // With one that crosses the antimeridian, all the way round.
+    let min_at = |at: usize| boxes.iter().map(|b| b[at]).fold(f64::INFINITY, f64::min);
+    let max_at = |at: usize| boxes.iter().map(|b| b[at]).fold(f64::NEG_INFINITY, f64::max);
+    // If a box crosses the antimeridian, the bounding box of all covers every longitude.
     let crosses = boxes.iter().any(|b| b[0] > b[2]);
-    let (west, east) = if crosses { (-180.0, 180.0) } else { (least(0), most(2)) };
-    std::iter::once([west, least(1), east, most(3)]).chain(boxes.iter().copied()).collect()
+    let (west, east) = if crosses { (-180.0, 180.0) } else { (min_at(0), max_at(2)) };
+    std::iter::once([west, min_at(1), east, max_at(3)]).chain(boxes.iter().copied()).collect()
 }
 
-/// The collections.
-pub fn collections(set: &Features, base: &str) -> Value {
-    let all: Vec<Value> = set.collections.iter().map(|c| collection(set, c, base)).collect();
+/// Returns the list of collections.
+pub fn collections(config: &Features, base_url: &str) -> Value {
+    let all: Vec<Value> = config.collections.iter().map(|c| collection(config, c, base_url)).collect();
     json!({
-        "links": [link(format!("{base}/collections"), "self", JSON, "this document")],
+        "links": [link(format!("{base_url}/collections"), "self", JSON, "this document")],
         "collections": all,
     })
 }
@@ -107,18 +108,19 @@
     json!({ "get": { "operationId": id, "summary": summary, "parameters": parameters, "responses": responses } })
 }
 
-/// The OpenAPI 3.0 description.
-pub fn api(set: &Features, base: &str) -> Value {
-    let f =
+/// Returns the OpenAPI 3.0 description of the feature front.
+pub fn api(config: &Features, base_url: &str) -> Value {
+    let format_parameter =
         || parameter("f", "query", "the form of the answer", json!({ "type": "string", "enum": ["json"] }));
-    let ids: Vec<&str> = set.collections.iter().map(|c| c.id.as_str()).collect();
+    let ids: Vec<&str> = config.collections.iter().map(|c| c.id.as_str()).collect();
     let id = || parameter("collectionId", "path", "the collection", json!({ "type": "string", "enum": ids }));
-    let number = |least: usize, most: usize| json!({ "type": "array", "minItems": least, "maxItems": most, "items": { "type": "number" } });
+    let number = |min_items: usize, max_items: usize| json!({ "type": "array", "minItems": min_items, "maxItems": max_items, "items": { "type": "number" } });
     let bbox = json!({ "oneOf": [number(4, 4), number(6, 6)] });
     let mut bbox = parameter("bbox", "query", "west, south, east, north in degrees (CRS84)", bbox);
     bbox["style"] = json!("form");
     bbox["explode"] = json!(false);
-    let limit = json!({ "type": "integer", "minimum": 1, "maximum": set.limit_max, "default": set.limit });
+    let limit =
+        json!({ "type": "integer", "minimum": 1, "maximum": config.limit_max, "default": config.limit });
     let text = || json!({ "type": "string" });
     let items = vec![
         id(),
@@ -126,33 +128,34 @@
         parameter("datetime", "query", "a date-time of RFC 3339, or an interval", text()),
         parameter("limit", "query", "features on a page", limit),
         parameter("cursor", "query", "from a next link, which holds all other parameters", text()),
-        f(),
+        format_parameter(),
     ];
-    // Its text is the header's; collections of one page may differ in what they need.
-    let keyed: Vec<&str> = set.collections.iter().filter(|c| c.keyed).map(|c| c.id.as_str()).collect();
+    // The idempotency key is a header parameter. Only keyed collections need it, so it is marked as required only if all
+    // collections are keyed.
+    let keyed: Vec<&str> = config.collections.iter().filter(|c| c.keyed).map(|c| c.id.as_str()).collect();
     let key = (!keyed.is_empty()).then(|| {
         let what = format!("what repeats of a request are told by; needed for {}", keyed.join(", "));
         let schema = json!({ "type": "string", "minLength": 1, "maxLength": KEY_MAX });
-        let mut key = parameter(key::HEADER, "header", &what, schema);
+        let mut key = parameter(key::IDEMPOTENCY_KEY_HEADER, "header", &what, schema);
         key["required"] = json!(keyed.len() == ids.len());
         key
     });
     let items: Vec<Value> = items.into_iter().chain(key.clone()).collect();
-    let one = [id(), parameter("featureId", "path", "the feature", text()), f()];
+    let one = [id(), parameter("featureId", "path", "the feature", text()), format_parameter()];
     let plain = ["400", "406"];
     let named = ["400", "404", "406"];
     let query = ["400", "404", "406", "502", "503", "504"];
     json!({
         "openapi": "3.0.3",
-        "info": { "title": set.title, "description": set.description, "version": env!("CARGO_PKG_VERSION") },
-        "servers": [{ "url": base }],
+        "info": { "title": config.title, "description": config.description, "version": env!("CARGO_PKG_VERSION") },
+        "servers": [{ "url": base_url }],
         "paths": {
-            "/": operation("getLandingPage", "the landing page", JSON, vec![f()], &plain),
-            "/api": operation("getApi", "this description", OPENAPI, vec![f()], &plain),
-            "/conformance": operation("getConformance", "conformance classes", JSON, vec![f()], &plain),
-            "/collections": operation("getCollections", "the collections", JSON, vec![f()], &plain),
+            "/": operation("getLandingPage", "the landing page", JSON, vec![format_parameter()], &plain),
+            "/api": operation("getApi", "this description", OPENAPI, vec![format_parameter()], &plain),
+            "/conformance": operation("getConformance", "conformance classes", JSON, vec![format_parameter()], &plain),
+            "/collections": operation("getCollections", "the collections", JSON, vec![format_parameter()], &plain),
             "/collections/{collectionId}":
-                operation("describeCollection", "one collection", JSON, vec![id(), f()], &named),
+                operation("describeCollection", "one collection", JSON, vec![id(), format_parameter()], &named),
             "/collections/{collectionId}/items":
                 operation("getFeatures", "features of a collection", GEOJSON, items, &query),
             "/collections/{collectionId}/items/{featureId}": operation(
--- a/broker/src/front/features/link.rs
+++ b/broker/src/front/features/link.rs
@@ -1,6 +1,6 @@
-//! The cursors of next links. A cursor holds the whole question and the last feature given, never a
-//! store: any broker that has the operator's key can follow it, whatever became of the stores since.
-//! It is signed, so that what comes back is what was given out.
+//! Cursors of next links. A cursor contains all parameters of the request and the id of the last feature returned, but no
+//! store: any broker with the operator's key can serve the next page, even if the stores have changed since. It is signed
+//! (HMAC-SHA-256, truncated), so clients cannot alter it.
 
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
 use base64::Engine;
@@ -8,31 +8,32 @@
 use serde::{Deserialize, Serialize};
 use sha2::Sha256;
 
-use super::query::Bad;
-use crate::geojson::Id;
+use super::query::InvalidRequest;
+use crate::geojson::FeatureId;
 
-const MAC_LENGTH: usize = 16;
-/// No cursor is longer.
-const CURSOR_MAX: usize = 4096;
+/// Length of the truncated signature at the start of a cursor, in bytes.
+const MAC_BYTES: usize = 16;
+/// Maximum length of an encoded cursor, in bytes.
+const CURSOR_MAX_BYTES: usize = 4096;
 
-/// A question, and where its next page begins.
+/// The parameters of an items request, and the position of its next page.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Position {
-    /// The collection.
+    /// Id of the collection.
     #[serde(rename = "c")]
     pub collection: String,
-    /// The box, as the client gave it.
+    /// Bounding box, as the client sent it.
     #[serde(rename = "b")]
     pub bbox: Option<String>,
-    /// The time, as the client gave it.
+    /// Date-time or interval, as the client sent it.
     #[serde(rename = "d")]
     pub datetime: Option<String>,
-    /// Features on a page.
+    /// Maximum number of features on a page.
     #[serde(rename = "l")]
     pub limit: usize,
-    /// The last feature given; the next page begins after it.
+    /// Id of the last feature returned; the next page begins after it.
     #[serde(rename = "a")]
-    pub after: Option<Id>,
+    pub after: Option<FeatureId>,
 }
 
 fn mac(key: &[u8], payload: &[u8]) -> Option<Hmac<Sha256>> {
@@ -41,22 +42,26 @@
     Some(mac)
 }
 
-/// Makes a cursor; `None` if the position is too long to be one.
-pub fn seal(position: &Position, key: &[u8]) -> Option<String> {
+/// Encodes and signs a cursor; `None` if it would be longer than the maximum.
+pub fn encode_cursor(position: &Position, key: &[u8]) -> Option<String> {
     let payload = serde_json::to_vec(position).ok()?;
-    let mut bytes = mac(key, &payload)?.finalize().into_bytes()[..MAC_LENGTH].to_vec();
+    let mut bytes = mac(key, &payload)?.finalize().into_bytes()[..MAC_BYTES].to_vec();
     bytes.extend_from_slice(&payload);
     let cursor = URL_SAFE_NO_PAD.encode(bytes);
-    (cursor.len() <= CURSOR_MAX).then_some(cursor)
+    (cursor.len() <= CURSOR_MAX_BYTES).then_some(cursor)
 }
 
-/// Reads a cursor that was sealed with this key.
-pub fn open(cursor: &str, key: &[u8]) -> Result<Position, Bad> {
-    let read = || {
-        let bytes = URL_SAFE_NO_PAD.decode(cursor).ok().filter(|_| cursor.len() <= CURSOR_MAX)?;
-        let (given, payload) = bytes.split_at_checked(MAC_LENGTH)?;
-        mac(key, payload)?.verify_truncated_left(given).ok()?;
+/// Verifies and decodes a cursor that was signed with `key`.
+///
+/// # Errors
+///
+/// If the cursor is too long or malformed, or its signature is invalid.
+pub fn decode_cursor(cursor: &str, key: &[u8]) -> Result<Position, InvalidRequest> {
+    let decode = || {
+        let bytes = URL_SAFE_NO_PAD.decode(cursor).ok().filter(|_| cursor.len() <= CURSOR_MAX_BYTES)?;
+        let (signature, payload) = bytes.split_at_checked(MAC_BYTES)?;
+        mac(key, payload)?.verify_truncated_left(signature).ok()?;
         serde_json::from_slice(payload).ok()
     };
-    read().ok_or_else(|| Bad("cursor: not one that was given out here".to_owned()))
+    decode().ok_or_else(|| InvalidRequest("cursor: not one that was given out here".to_owned()))
 }
--- a/broker/src/front/key.rs
+++ b/broker/src/front/key.rs
@@ -1,40 +1,41 @@
-//! The header in which clients send the key of a query, on either front. In a keyed class it has to be there, once
-//! and whole: without it stores would take a repeat for another query.
+//! The `Idempotency-Key` header, in which clients of both fronts send the idempotency key of a query. A query of a keyed
+//! class must carry exactly one valid key: without it, stores would treat a repeated query as a new one.
 
 use crate::core::{BadKey, IdempotencyKey};
 use crate::http::Head;
 
-/// Its name.
-pub const HEADER: &str = "Idempotency-Key";
+/// Name of the header that carries the idempotency key.
+pub const IDEMPOTENCY_KEY_HEADER: &str = "Idempotency-Key";
 
-/// Why there is no key.
+/// Error for a request of a keyed class without a usable idempotency key.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum NoKey {
-    /// There is no such header.
-    #[error("{HEADER}: missing, and this class needs it")]
+pub enum KeyError {
+    /// The request does not have the header.
+    #[error("{IDEMPOTENCY_KEY_HEADER}: missing, and this class needs it")]
     Missing,
-    /// There are several, and nothing says which one counts.
-    #[error("{HEADER}: stands twice")]
-    Twice,
-    /// It is no text.
-    #[error("{HEADER}: no text")]
-    NoText,
-    /// It can't be used.
-    #[error("{HEADER}: {0}")]
-    Bad(#[from] BadKey),
+    /// The request has the header several times, so the key is ambiguous.
+    #[error("{IDEMPOTENCY_KEY_HEADER}: stands twice")]
+    Repeated,
+    /// The value of the header is not valid UTF-8.
+    #[error("{IDEMPOTENCY_KEY_HEADER}: no text")]
+    NotUtf8,
+    /// The value of the header is not a valid key.
+    #[error("{IDEMPOTENCY_KEY_HEADER}: {0}")]
+    Invalid(#[from] BadKey),
 }
 
-/// The key of a request in a class that is keyed. In other classes none is read: only a keyed class is said to carry one,
-/// so there a store would take a frame with `k` for one that no client asked for, whatever the header holds.
-pub fn of(head: &Head, keyed: bool) -> Result<Option<IdempotencyKey>, NoKey> {
+/// Returns the idempotency key of a request. In a class that is not keyed the header is ignored and no key is
+/// returned: stores expect the field `k` only in frames of keyed classes, and would treat a frame with it as one that no
+/// client requested.
+pub fn read_key(head: &Head, keyed: bool) -> Result<Option<IdempotencyKey>, KeyError> {
     if !keyed {
         return Ok(None);
     }
-    let mut values = head.values(HEADER);
+    let mut values = head.values(IDEMPOTENCY_KEY_HEADER);
     let value = match (values.next(), values.next()) {
-        (None, _) => return Err(NoKey::Missing),
-        (Some(_), Some(_)) => return Err(NoKey::Twice),
-        (Some(value), None) => std::str::from_utf8(value).map_err(|_| NoKey::NoText)?,
+        (None, _) => return Err(KeyError::Missing),
+        (Some(_), Some(_)) => return Err(KeyError::Repeated),
+        (Some(value), None) => std::str::from_utf8(value).map_err(|_| KeyError::NotUtf8)?,
     };
     Ok(Some(IdempotencyKey::new(value.trim_matches([' ', '\t']))?))
 }
--- a/broker/src/front/server.rs
+++ b/broker/src/front/server.rs
@@ -14,7 +14,7 @@
 use super::client::{Answered, BodyMemory, Client, Closed, FinalRead, HalfClosed, NoRequest, Request};
 use super::connection_limit::ConnectionLimit;
 use super::{Accepted, Reply, Service};
-use crate::config::Waits;
+use crate::config::ClientTimeouts;
 use crate::counters::{count, Counters};
 use crate::handover::{OtherProcess, Presence};
 use crate::http::Fault;
@@ -36,7 +36,7 @@
     presence: Rc<Presence>,
     counters: Rc<Counters>,
     executor: Rc<LocalExecutor<'static>>,
-    waits: Waits,
+    client_timeouts: ClientTimeouts,
     clients: ClientBudget,
     slots: Rc<ConnectionSlots>,
     /// Number of requests in progress.
@@ -72,7 +72,7 @@
         (lifecycle, presence): (&Rc<Lifecycle>, &Rc<Presence>),
         counters: &Rc<Counters>,
         executor: &Rc<LocalExecutor<'static>>,
-        waits: Waits,
+        client_timeouts: ClientTimeouts,
         clients: ClientBudget,
         bodies: usize,
     ) -> Rc<Self> {
@@ -82,7 +82,7 @@
             presence: presence.clone(),
             counters: counters.clone(),
             executor: executor.clone(),
-            waits,
+            client_timeouts,
             clients,
             slots: ConnectionSlots::new(clients.hard_limit()),
             open: Cell::new(0),
@@ -174,9 +174,10 @@
         }
         let eviction = accepted
             .map_or_else(|| self.connection_limit.track_reused(), |_| self.connection_limit.track_new());
-        let first_by = accepted.map(|at| at + self.waits.read);
+        let first_by = accepted.map(|at| at + self.client_timeouts.read);
         if !client.begun() {
-            let within = first_by.map_or(self.waits.idle, |by| by.saturating_duration_since(Instant::now()));
+            let within =
+                first_by.map_or(self.client_timeouts.idle, |by| by.saturating_duration_since(Instant::now()));
             let first = async { client.first(within).await.map_err(Some) };
             let ended = async {
                 or(eviction.requested(), self.lifecycle.idle_deadline(accepted)).await;
@@ -190,7 +191,7 @@
         }
         // One that has been of use is let finish a request that has begun.
         let eviction = accepted.is_some().then_some(eviction);
-        let by = first_by.unwrap_or_else(|| Instant::now() + self.waits.read);
+        let by = first_by.unwrap_or_else(|| Instant::now() + self.client_timeouts.read);
         let request = async { Ok(client.request(&self.bodies, by).await) };
         let evicted = async {
             match &eviction {
@@ -270,7 +271,7 @@
             let invalid = (400..500).contains(&reply.status) && reply.status != 429;
             bad += u32::from(invalid);
             let keep_alive = keep_alive && !self.lifecycle.closes_connections() && bad < BAD_REQUESTS_MAX;
-            asking = match asking.answer(&reply, keep_alive, self.waits.write).await {
+            asking = match asking.answer(&reply, keep_alive, self.client_timeouts.write).await {
                 Answered::Reusable(client) => client,
                 Answered::Last(shut) => return self.linger(shut).await,
                 Answered::Unwritten(ended) => {
--- a/broker/src/geojson.rs
+++ b/broker/src/geojson.rs
@@ -1,7 +1,7 @@
-//! What both sides know of GeoJSON: boxes on the globe, features by their ids, and how a page is put
-//! together from what the blocks gave. Each block gives its features after a position, in the order of
-//! their ids, up to the limit, and says with a next link of its own that it has more. The features
-//! themselves go on as the bytes that came.
+//! GeoJSON types shared by the feature front and the clients of stores: bounding boxes, feature ids, and the merge of the
+//! pages of several blocks into one. The page of a block contains the features whose ids follow a given id, in ascending
+//! order and up to the limit; a link with the relation `next` indicates that the block has more. The features themselves
+//! are passed on byte for byte.
 
 use std::collections::BTreeMap;
 
@@ -10,10 +10,10 @@
 
 use crate::core::OpaqueBytes;
 
-/// No feature id is longer.
-const ID_MAX: usize = 256;
+/// Maximum length of a feature id, in bytes.
+const FEATURE_ID_MAX_BYTES: usize = 256;
 
-/// A box on the globe, in degrees. Its west lies east of its east where it crosses the antimeridian.
+/// A bounding box in degrees (CRS84). If it crosses the antimeridian, its western longitude is greater than its eastern one.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bbox {
     west: f64,
@@ -23,7 +23,11 @@
 }
 
 impl Bbox {
-    /// A box from its west, south, east and north.
+    /// Creates a bounding box from its western, southern, eastern and northern bounds, in degrees.
+    ///
+    /// # Errors
+    ///
+    /// If a longitude or latitude is out of range, or the southern bound lies north of the northern one.
     pub fn new([west, south, east, north]: [f64; 4]) -> Result<Self, String> {
         if ![west, east].iter().all(|lon| (-180.0..=180.0).contains(lon)) {
             return Err("longitudes go from -180 to 180".to_owned());
@@ -37,13 +41,13 @@
         Ok(Self { west, south, east, north })
     }
 
-    /// Its corners, as in GeoJSON.
+    /// Returns the bounds in the order of GeoJSON: west, south, east, north.
     pub fn corners(&self) -> [f64; 4] {
         [self.west, self.south, self.east, self.north]
     }
 
-    /// The spans of longitude that it covers, none of which crosses the antimeridian. That meridian has
-    /// two names, and what touches it under one touches it under the other.
+    /// Returns the intervals of longitude that the box covers, none of which crosses the antimeridian. The antimeridian is
+    /// both 180 and -180 degrees, so a box that touches one of these also covers the other.
     fn spans(&self) -> Vec<(f64, f64)> {
         let mut spans = match self.west <= self.east {
             true => vec![(self.west, self.east)],
@@ -58,25 +62,27 @@
         spans
     }
 
-    /// Whether the two have a point in common; edges belong to a box.
+    /// Whether two boxes have a point in common. The edges belong to a box.
     pub fn intersects(&self, other: &Self) -> bool {
-        let (ours, theirs) = (self.spans(), other.spans());
-        let across = ours.iter().any(|a| theirs.iter().any(|b| a.0 <= b.1 && b.0 <= a.1));
-        across && self.south <= other.north && other.south <= self.north
+        let (own_spans, other_spans) = (self.spans(), other.spans());
+        let longitudes_overlap =
+            own_spans.iter().any(|a| other_spans.iter().any(|b| a.0 <= b.1 && b.0 <= a.1));
+        longitudes_overlap && self.south <= other.north && other.south <= self.north
     }
 }
 
-/// A feature's id. Numbers come before texts.
+/// A feature id. Numbers sort before strings.
+// `expecting` keeps the error text, which is part of replies, independent of the name of the type.
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq, PartialOrd, Ord, Serialize)]
-#[serde(untagged)]
-pub enum Id {
-    /// A whole number.
+#[serde(untagged, expecting = "data did not match any variant of untagged enum Id")]
+pub enum FeatureId {
+    /// An integer id.
     Number(i64),
-    /// A text.
+    /// A string id.
     Text(String),
 }
 
-impl std::fmt::Display for Id {
+impl std::fmt::Display for FeatureId {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             Self::Number(number) => write!(f, "{number}"),
@@ -105,86 +111,93 @@
 struct Feature {
     #[serde(rename = "type")]
     kind: String,
-    id: Id,
+    id: FeatureId,
 }
 
-/// What one block gave: its features by id, and whether it has more.
-struct Block<'a> {
-    features: Vec<(Id, &'a str)>,
-    more: bool,
+/// The page of one block: its features with their ids, and whether the block has more.
+struct BlockPage<'a> {
+    features: Vec<(FeatureId, &'a str)>,
+    has_more: bool,
 }
 
-/// Reads what a block gave. It must be in order and go on from the position: otherwise a feature might
-/// be left out or stand on two pages.
-fn block<'a>(value: &'a [u8], after: Option<&Id>) -> Result<Block<'a>, String> {
+/// Parses the page of a block. Its ids must be ascending and greater than `after`: otherwise a feature could be missing from
+/// the merged pages, or be on two of them.
+fn parse_block_page<'a>(value: &'a [u8], after: Option<&FeatureId>) -> Result<BlockPage<'a>, String> {
     let collection: Collection = serde_json::from_slice(value).map_err(|e| format!("not GeoJSON: {e}"))?;
     if collection.kind != "FeatureCollection" {
         return Err("not a feature collection".to_owned());
     }
-    let mut features: Vec<(Id, &str)> = Vec::with_capacity(collection.features.len());
-    for raw in collection.features {
-        let feature: Feature = serde_json::from_str(raw.get()).map_err(|e| format!("a feature: {e}"))?;
-        if feature.kind != "Feature" || matches!(&feature.id, Id::Text(text) if text.len() > ID_MAX) {
+    let mut features: Vec<(FeatureId, &str)> = Vec::with_capacity(collection.features.len());
+    for raw_feature in collection.features {
+        let feature: Feature =
+            serde_json::from_str(raw_feature.get()).map_err(|e| format!("a feature: {e}"))?;
+        if feature.kind != "Feature"
+            || matches!(&feature.id, FeatureId::Text(text) if text.len() > FEATURE_ID_MAX_BYTES)
+        {
             return Err("something that is no feature, or of too long an id".to_owned());
         }
-        let before = features.last().map(|(id, _)| id).or(after);
-        if before.is_some_and(|before| *before >= feature.id) {
+        let previous = features.last().map(|(id, _)| id).or(after);
+        if previous.is_some_and(|previous| *previous >= feature.id) {
             return Err("features out of order".to_owned());
         }
-        features.push((feature.id, raw.get()));
+        features.push((feature.id, raw_feature.get()));
     }
-    let more = collection.links.iter().any(|link| link.rel == "next");
-    if more && features.is_empty() {
+    let has_more = collection.links.iter().any(|link| link.rel == "next");
+    if has_more && features.is_empty() {
         return Err("more features, but none on this page".to_owned());
     }
-    Ok(Block { features, more })
+    Ok(BlockPage { features, has_more })
 }
 
-/// Whether what a store gave is a page that can be put together with others.
-pub fn readable(value: &[u8]) -> bool {
-    block(value, None).is_ok()
+/// Whether a response body of a store is a valid page, which can be merged with others.
+pub fn is_valid_page(value: &[u8]) -> bool {
+    parse_block_page(value, None).is_ok()
 }
 
-/// A page.
+/// A page merged from the pages of several blocks.
 #[derive(Debug, PartialEq)]
 pub struct Page<'a> {
-    /// Its features, as they came.
+    /// The features as JSON texts, unchanged.
     pub features: Vec<&'a str>,
-    /// Where the next page begins, if there is one.
-    pub next: Option<Id>,
+    /// The id after which the next page begins; `None` on the last page.
+    pub next: Option<FeatureId>,
 }
 
-/// Puts a page together of at most `limit` features and about `bytes` bytes. What does not fit is
-/// never left out: it begins the next page.
-pub fn page<'a>(
+/// Merges the pages of several blocks into one of at most `limit` features and about `max_bytes` bytes. Features that do not
+/// fit are never skipped: the next page begins with them.
+///
+/// # Errors
+///
+/// If the page of a block is invalid, or the first feature alone exceeds `max_bytes`.
+pub fn merge_pages<'a>(
     values: &'a [(u32, OpaqueBytes)],
-    after: Option<&Id>,
+    after: Option<&FeatureId>,
     limit: usize,
-    bytes: usize,
+    max_bytes: usize,
 ) -> Result<Page<'a>, String> {
-    let mut all = BTreeMap::new();
-    // Past the last feature of a block that has more, features of that block may be missing.
-    let mut known_to: Option<Id> = None;
+    let mut features_by_id = BTreeMap::new();
+    // Beyond the last feature of a block that has more, features of that block may be missing.
+    let mut complete_up_to: Option<FeatureId> = None;
     for (shard, value) in values {
-        let block = block(value, after).map_err(|fault| format!("block {shard} gave {fault}"))?;
-        if let Some((last, _)) = block.features.last().filter(|_| block.more) {
-            known_to = Some(known_to.map_or(last.clone(), |to| to.min(last.clone())));
+        let block = parse_block_page(value, after).map_err(|fault| format!("block {shard} gave {fault}"))?;
+        if let Some((last, _)) = block.features.last().filter(|_| block.has_more) {
+            complete_up_to = Some(complete_up_to.map_or(last.clone(), |to| to.min(last.clone())));
         }
-        all.extend(block.features);
+        features_by_id.extend(block.features);
     }
     let mut page = Page { features: Vec::new(), next: None };
-    let (mut used, mut last, mut rest) = (0, None, known_to.is_some());
-    for (id, text) in all {
-        let known = known_to.as_ref().is_none_or(|to| id <= *to);
-        if !known || page.features.len() == limit || used + text.len() > bytes {
-            rest = true;
+    let (mut used_bytes, mut last, mut has_remaining) = (0, None, complete_up_to.is_some());
+    for (id, text) in features_by_id {
+        let is_in_complete_range = complete_up_to.as_ref().is_none_or(|to| id <= *to);
+        if !is_in_complete_range || page.features.len() == limit || used_bytes + text.len() > max_bytes {
+            has_remaining = true;
             break;
         }
-        used += text.len() + 1;
+        used_bytes += text.len() + 1;
         page.features.push(text);
         last = Some(id);
     }
-    if rest {
+    if has_remaining {
         page.next = Some(last.ok_or("a feature that is too large for a page")?);
     }
     Ok(page)
--- a/broker/src/service.rs
+++ b/broker/src/service.rs
@@ -15,15 +15,15 @@
 use crate::admin::AdminServer;
 use crate::blocks::Blocks;
 use crate::clock::{millis, Clock, Millis};
-use crate::config::{Config, Error, Waits};
+use crate::config::{ClientTimeouts, Config, Error};
 use crate::core::{Command, Core};
 use crate::counters::Counters;
 use crate::discovery::{self, Discovery};
 use crate::exchange::Exchange;
 use crate::faults;
 use crate::fleet::Fleet;
-use crate::front::features::Front;
-use crate::front::platform::{Names, Platform, TIMEOUT_MAX_MS};
+use crate::front::features::FeatureFront;
+use crate::front::platform::{Platform, RequestNames, TIMEOUT_MAX_MS};
 use crate::front::{Server, Service};
 use crate::handover::{self, OtherProcess, Presence};
 use crate::lifecycle::Lifecycle;
@@ -38,15 +38,15 @@
 /// The end is waited for no longer than any request may wait and its answer be written. That is a guard only: each connection
 /// ends in a time of its own. To end sooner would lose what was taken, where deadlines are long; to end later than SIGKILL is
 /// no loss of what came in time.
-const FINISH_WITHIN: Duration = Duration::from_millis(TIMEOUT_MAX_MS + 60_000);
-const FINISH_CHECK: Duration = Duration::from_millis(10);
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(TIMEOUT_MAX_MS + 60_000);
+const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// One part in so many of the memory may be held by requests longer than usual, at each front.
-const BODIES_SHARE: usize = 8;
+const BODY_MEMORY_DIVISOR: usize = 8;
 /// A connection is left to stand for this share of the time after which a store would close it.
-const IDLE_SHARE: f64 = 0.8;
+const IDLE_TIMEOUT_FACTOR: f64 = 0.8;
 
 /// How often what another process was told is looked for; either may be called, and both have to follow in 1 s.
-const FOLLOW: Duration = Duration::from_millis(100);
+const ROTATION_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Runs the broker until SIGTERM or SIGINT. `again` reloads the configuration on SIGHUP.
 ///
@@ -63,7 +63,7 @@
         let signals = Signals::new([Signal::Term, Signal::Int, Signal::Usr1, Signal::Hup])
             .map_err(|e| Error::new("signals", e.to_string()))?;
         let broker = Broker::start(config, clock, executor.clone())?;
-        broker.watch(signals, reload).await;
+        broker.handle_signals(signals, reload).await;
         broker.stop().await;
         Ok(())
     };
@@ -139,7 +139,7 @@
         batch: config.setup.settings.max_parts_per_call.max(1) as usize,
         links: budget.stores,
         dial_timeout: millis(config.dial_timeout_ms),
-        idle_timeout: millis(config.idle_ms * IDLE_SHARE),
+        idle_timeout: millis(config.idle_ms * IDLE_TIMEOUT_FACTOR),
     }
 }
 
@@ -149,7 +149,7 @@
     presence: &'a Rc<Presence>,
     counters: &'a Rc<Counters>,
     executor: &'a Rc<LocalExecutor<'static>>,
-    waits: Waits,
+    client_timeouts: ClientTimeouts,
     /// Bytes of long request bodies that a front may hold.
     body_bytes: usize,
 }
@@ -168,7 +168,7 @@
             (self.lifecycle, self.presence),
             self.counters,
             self.executor,
-            self.waits,
+            self.client_timeouts,
             clients,
             self.body_bytes,
         );
@@ -196,10 +196,10 @@
         let at_most_once = settings.classes.iter().map(|class| class.repeat == Repeat::Unsafe).collect();
         let routing = routes.clone().map(|routes| (routes, at_most_once));
         let exchange = Exchange::new(clock, counters.clone(), config.max_open, presence.clone(), routing);
-        let full_retry_ms = settings.max_retry_after_ms;
+        let overload_retry_ms = settings.max_retry_after_ms;
         let grace = millis(settings.drain_grace_ms);
         let set = config.features.map(Rc::new);
-        let offers = set.as_ref().map(|set| set.stores.clone()).unwrap_or_default();
+        let feature_addresses = set.as_ref().map(|set| set.stores.clone()).unwrap_or_default();
         let stores = Stores::new(
             executor.clone(),
             exchange.clone(),
@@ -207,7 +207,7 @@
             limits,
             presence.clone(),
             grace,
-            offers,
+            feature_addresses,
         );
         let rotation = Rotation::open(config.state_dir.as_deref(), config.listen, settings.warm_up_ms);
         let calls = config.calls;
@@ -232,38 +232,38 @@
             presence: &presence,
             counters: &counters,
             executor: &executor,
-            waits: config.waits,
-            body_bytes: (config.memory_mb << 20) / BODIES_SHARE,
+            client_timeouts: config.client_timeouts,
+            body_bytes: (config.memory_mb << 20) / BODY_MEMORY_DIVISOR,
         };
         let (listener, platform) = platform_listener(config.listener, config.listen)?;
         let inherited = config.listener.is_some();
-        let names = Names {
+        let names = RequestNames {
             keyed: settings.classes.iter().map(|class| class.repeat == Repeat::Keyed).collect(),
             classes: setup.classes,
             tenants: setup.tenants,
             shards: settings.shards,
-            moves: routes.is_some(),
+            has_movable_blocks: routes.is_some(),
         };
         let front = Platform {
             exchange: exchange.clone(),
             names,
             clock,
             lifecycle: lifecycle.clone(),
-            full_retry_ms,
+            overload_retry_ms,
         };
         fronts.spawn(front, budget.platform, listener, !inherited);
         log::info!("serving on {platform}");
         let mut features = None;
         if let Some(set) = set {
             let (listener, at) = listen("listen", set.listen, handover::listen_shared)?;
-            let front = Front {
-                base: set.base_url.clone().unwrap_or_else(|| format!("http://{at}")).into(),
-                named: Cell::new(first_name(config.seed, clock.now())),
-                set,
+            let front = FeatureFront {
+                base_url: set.base_url.clone().unwrap_or_else(|| format!("http://{at}")).into(),
+                next_query_number: Cell::new(first_query_number(config.seed, clock.now())),
+                config: set,
                 exchange: exchange.clone(),
                 clock,
                 routes: routes.clone(),
-                full_retry_ms,
+                overload_retry_ms,
             };
             fronts.spawn(front, budget.features, listener, true);
             log::info!("serving features on {at}");
@@ -304,14 +304,14 @@
         executor
             .spawn(become_ready(lifecycle.clone(), discovery.clone(), (has_other_process, calls), remembered))
             .detach();
-        executor.spawn(follow_rotation(discovery.clone())).detach();
+        executor.spawn(poll_rotation(discovery.clone())).detach();
         let sharing = exchange.clone();
         let share =
             move |other| sharing.process_count_changed(if other == OtherProcess::Serves { 2 } else { 1 });
         share(presence.other());
         executor.spawn(presence.clone().watch(share)).detach();
         executor
-            .spawn(drive(
+            .spawn(run_core(
                 core,
                 clock,
                 exchange.clone(),
@@ -346,7 +346,7 @@
 
     /// Prints the counters on SIGUSR1 and reads the configuration again on SIGHUP; returns on SIGTERM or
     /// SIGINT.
-    async fn watch(&self, mut signals: Signals, reload: impl Fn() -> Result<SocketAddr, Error>) {
+    async fn handle_signals(&self, mut signals: Signals, reload: impl Fn() -> Result<SocketAddr, Error>) {
         while let Some(signal) = signals.next().await {
             match signal {
                 Ok(Signal::Usr1) => log::info!("counters: {}", self.counters),
@@ -372,10 +372,10 @@
         log::info!("stopping: {} queries open", self.exchange.open_queries());
         // From here on a successor may serve: stores that are cold get nothing from two processes of one broker.
         self.exchange.shutdown_started();
-        let succeeded = self.presence.refresh() == OtherProcess::Serves;
+        let has_successor = self.presence.refresh() == OtherProcess::Serves;
         self.presence.announce_shutdown();
         // First of all: what is taken and what is left to lie counts from the signal.
-        self.lifecycle.shut_down(succeeded);
+        self.lifecycle.shut_down(has_successor);
         let subsystems = async {
             for subsystem in self.subsystems.iter() {
                 subsystem.stop().await;
@@ -383,9 +383,9 @@
         };
         let clients = async {
             self.lifecycle.accept_deadline().await;
-            let until = Instant::now() + FINISH_WITHIN;
+            let until = Instant::now() + SHUTDOWN_TIMEOUT;
             while self.lifecycle.connection_count() > 0 && Instant::now() < until {
-                Timer::after(FINISH_CHECK).await;
+                Timer::after(SHUTDOWN_POLL_INTERVAL).await;
             }
         };
         futures_lite::future::zip(subsystems, clients).await;
@@ -394,21 +394,21 @@
 }
 
 /// Applies changes to disabled stores by another process of this broker.
-async fn follow_rotation(discovery: Rc<Discovery>) {
+async fn poll_rotation(discovery: Rc<Discovery>) {
     loop {
-        Timer::after(FOLLOW).await;
+        Timer::after(ROTATION_POLL_INTERVAL).await;
         discovery.reload_rotation();
     }
 }
 
 /// Queries of the feature front are named from here on: apart at each broker, after each start, and in each of
 /// two processes.
-fn first_name(seed: u64, now: Millis) -> u64 {
+fn first_query_number(seed: u64, now: Millis) -> u64 {
     seed.rotate_left(17) ^ now.to_bits() ^ u64::from(std::process::id()).rotate_left(40)
 }
 
 /// Drives the core: runs a turn whenever events have arrived or one is due.
-async fn drive(
+async fn run_core(
     mut core: Core,
     clock: Clock,
     exchange: Rc<Exchange>,
@@ -416,11 +416,11 @@
     discovery: Rc<Discovery>,
     subsystems: Rc<[Rc<dyn Subsystem>]>,
 ) {
-    let mut happened = Default::default();
+    let mut pending_events = Default::default();
     loop {
         // Fault injection: the whole process may be paused here.
         let _ = faults::point("core.turn");
-        for command in core.turn(clock.now(), std::mem::take(&mut happened)) {
+        for command in core.turn(clock.now(), std::mem::take(&mut pending_events)) {
             match command {
                 Command::Send(order) => stores.send(order),
                 Command::Withdraw(attempt) => stores.stop(attempt, StopReason::NoAnswer),
@@ -435,6 +435,6 @@
             }
         }
         stores.turn_over();
-        happened = exchange.next_events(core.due()).await;
+        pending_events = exchange.next_events(core.due()).await;
     }
 }
--- a/broker/src/store/features.rs
+++ b/broker/src/store/features.rs
@@ -115,7 +115,7 @@
             self.idle_connections.borrow_mut().push((stream, slot, Instant::now()));
         }
         match head.status {
-            200 if geojson::readable(&body) => {
+            200 if geojson::is_valid_page(&body) => {
                 let served = Some(Served { score: 0, value: body.into() });
                 AttemptOutcome { outcome: Outcome::Success, served, report: Vec::new(), newer_epoch: None }
             }
@@ -150,8 +150,10 @@
         let slice = fence.slice.map(|s| format!("X-Block-Slice: {}-{}\r\n", s.first, s.end));
         format!("{EPOCH}: {}\r\n{}", fence.epoch.0, slice.unwrap_or_default())
     });
-    let key =
-        request.key.as_ref().map_or(String::new(), |key| format!("{}: {}\r\n", key::HEADER, key.as_str()));
+    let key = request
+        .key
+        .as_ref()
+        .map_or(String::new(), |key| format!("{}: {}\r\n", key::IDEMPOTENCY_KEY_HEADER, key.as_str()));
     let wait = timeout_ms.max(1.0).floor();
     let mut bytes = b"GET /".to_vec();
     bytes.extend_from_slice(&request.text);
--- a/broker/tests/config.rs
+++ b/broker/tests/config.rs
@@ -149,7 +149,7 @@
         let alone = read(&given, Some(sample), &[]).unwrap();
         let blocks = alone.blocks.unwrap();
         assert!(alone.features.is_none() && blocks.coordinate);
-        assert_eq!((blocks.found.len(), blocks.coordinators.len(), blocks.goal.replicas), (2, 2, 2));
+        assert_eq!((blocks.initial_blocks.len(), blocks.coordinators.len(), blocks.goal.replicas), (2, 2, 2));
         let both = format!("{}\n[blocks]\ncoordinate = true\n", world.operator(&[]));
         let env = [("TMPDIR", "here")];
         let both = read(&given, Some(&both), &env).unwrap();
--- a/broker/tests/golden.rs
+++ b/broker/tests/golden.rs
@@ -16,7 +16,7 @@
 use gingerledge::counters::Counters;
 use gingerledge::front::features::{describe, link};
 use gingerledge::front::{platform, Reply};
-use gingerledge::geojson::{page, Id};
+use gingerledge::geojson::{merge_pages, FeatureId};
 use gingerledge::handover::{OtherProcess, Presence};
 use gingerledge::http::{self, parse_head, Head};
 use gingerledge::rotation::{DisabledStores, Rotation};
@@ -249,20 +249,22 @@
         bbox: Some("-92.5,41,-76,49.25".into()),
         datetime: Some("2024-05-01T00:00:00Z/..".into()),
         limit: 10,
-        after: Some(Id::Text("w-\u{e9}17".into())),
+        after: Some(FeatureId::Text("w-\u{e9}17".into())),
     };
-    let number = link::Position { after: Some(Id::Number(-7)), bbox: None, datetime: None, ..whole.clone() };
+    let number =
+        link::Position { after: Some(FeatureId::Number(-7)), bbox: None, datetime: None, ..whole.clone() };
     let first = link::Position { after: None, ..number.clone() };
     let positions = [("whole", whole), ("after a number", number), ("from the first", first)];
     let path = file("cursors.txt");
-    let samples = positions.each_ref().map(|(name, p)| Sample::new(name, link::seal(p, key).unwrap()));
+    let samples =
+        positions.each_ref().map(|(name, p)| Sample::new(name, link::encode_cursor(p, key).unwrap()));
     compare(&path, &samples);
     let recorded = read(&path);
     for (name, position) in positions {
         let cursor = String::from_utf8(recorded[name].clone()).unwrap();
-        let opened = link::open(&cursor, key).unwrap();
+        let opened = link::decode_cursor(&cursor, key).unwrap();
         assert!(opened == position, "{name}");
-        assert_eq!(link::seal(&opened, key).unwrap(), cursor, "{name}");
+        assert_eq!(link::encode_cursor(&opened, key).unwrap(), cursor, "{name}");
     }
 }
 
@@ -308,14 +310,14 @@
         Rc::from(text.as_bytes())
     };
     let blocks = [(0, block(["1", "\"b\""], "")), (1, block(["2", "\"a\""], r#""links":[{"rel":"next"}],"#))];
-    let read = page(&blocks, None, 10, 10_000).unwrap();
+    let read = merge_pages(&blocks, None, 10, 10_000).unwrap();
     let next = serde_json::to_vec(&read.next).unwrap();
     let advice = Reply::text(503, "refused; trying again is harmless");
     compare(
         &file("answers.txt"),
         &[
-            Sample::new("whole", platform::answer(true, &values).unwrap()),
-            Sample::new("in part", platform::answer(false, &[]).unwrap()),
+            Sample::new("whole", platform::encode_answer(true, &values).unwrap()),
+            Sample::new("in part", platform::encode_answer(false, &[]).unwrap()),
             Sample::new("retry after", platform::retry_after(1234.0)),
             Sample::new("headers", advice.headers),
             Sample::new("body", advice.body),
@@ -387,11 +389,14 @@
         (1000.0, 300.0, 20.0)
     );
     let blocks = config.blocks.unwrap();
-    assert!(blocks.coordinate && blocks.coordinators.len() == 2 && blocks.found.len() == 2);
+    assert!(blocks.coordinate && blocks.coordinators.len() == 2 && blocks.initial_blocks.len() == 2);
     assert_eq!((blocks.lease_ms, blocks.follow_ms, blocks.plan_every_ms), (5000, 500, 2000));
     assert_eq!((blocks.rest_ms, blocks.goal.replicas, blocks.goal.uneven), (60_000, 2, 0.25));
-    assert_eq!((blocks.found[1].block, blocks.found[1].span), (1, Span::new(50_000, 100_000)));
-    assert_eq!(blocks.found[1].stores, ["s-0d91c3fe", "s-77a0e2b1"]);
+    assert_eq!(
+        (blocks.initial_blocks[1].block, blocks.initial_blocks[1].span),
+        (1, Span::new(50_000, 100_000))
+    );
+    assert_eq!(blocks.initial_blocks[1].stores, ["s-0d91c3fe", "s-77a0e2b1"]);
 }
 
 /// The fleet as operators see it, of a broker that has heard nobody: no counts that depend on time.
--- a/broker/tests/parsers.rs
+++ b/broker/tests/parsers.rs
@@ -8,8 +8,8 @@
 use gingerledge::config::Config;
 use gingerledge::discovery::{self, ListParser};
 use gingerledge::front::features::{link, query};
-use gingerledge::front::platform::{answer, question, Names};
-use gingerledge::geojson::{self, page, Id};
+use gingerledge::front::platform::{encode_answer, parse_query, RequestNames};
+use gingerledge::geojson::{self, merge_pages, FeatureId};
 use gingerledge::http::{parse_chunk, parse_head, Chunk, Fault, Framing, Kind, BODY_MAX, HEAD_MAX};
 use gingerledge::rotation::DisabledStores;
 use gingerledge::store::frame::{self, Frame};
@@ -208,26 +208,32 @@
     }
 }
 
-fn names() -> Names {
+fn names() -> RequestNames {
     let one = |name: &str| [(name.to_owned(), 0)].into();
-    Names { classes: one("yard-compare"), keyed: vec![false], tenants: one("club"), shards: 10, moves: false }
+    RequestNames {
+        classes: one("yard-compare"),
+        keyed: vec![false],
+        tenants: one("club"),
+        shards: 10,
+        has_movable_blocks: false,
+    }
 }
 
 /// The status of a query whose head has `from` replaced by `to`, and whose body is `body`.
 fn status(from: &str, to: &str, body: &[u8]) -> u16 {
     let head = String::from_utf8(REQUEST.to_vec()).unwrap().replace(from, to);
     let (head, _) = parse_head(head.as_bytes(), Kind::Request).unwrap().unwrap();
-    question(&head, body, &names(), 0.0).map_or_else(|bad| bad.status, |_| 200)
+    parse_query(&head, body, &names(), 0.0).map_or_else(|bad| bad.status, |_| 200)
 }
 
 #[test]
 fn queries_are_checked() {
     let (head, _) = parse_head(REQUEST, Kind::Request).unwrap().unwrap();
     assert_eq!(head.framing, Framing::Length(85));
-    let read = question(&head, BODY, &names(), 1000.0).unwrap();
+    let read = parse_query(&head, BODY, &names(), 1000.0).unwrap();
     assert_eq!((read.deadline, &*read.text, read.parts.len()), (1480.0, &b"c41e"[..], 2));
     assert_eq!(read.parts[0].cost_ms, Some(9.0));
-    garbage(BODY, |bytes| drop(question(&head, bytes, &names(), 0.0)));
+    garbage(BODY, |bytes| drop(parse_query(&head, bytes, &names(), 0.0)));
     for (from, to, expected) in [
         ("", "", 200),
         ("X-Priority-Class: yard", "X-Priority-Class: farm", 404),
@@ -263,7 +269,7 @@
 
 #[test]
 fn values_go_on_as_they_came() {
-    let of = |value: &[u8]| answer(false, &[(3, value.into())]).map(|b| String::from_utf8(b).unwrap());
+    let of = |value: &[u8]| encode_answer(false, &[(3, value.into())]).map(|b| String::from_utf8(b).unwrap());
     let expected = r#"{"total":false,"answers":[{"range":3,"blob":"5be2a0"}]}"#;
     assert_eq!(of(b"5be2a0").unwrap(), expected);
     let read: serde_json::Value = serde_json::from_str(&of("a\"\\\n\u{e9}".as_bytes()).unwrap()).unwrap();
@@ -331,26 +337,26 @@
         bbox: Some("1,2,3,4".to_owned()),
         datetime: None,
         limit: 5,
-        after: Some(Id::Text("y-7".to_owned())),
+        after: Some(FeatureId::Text("y-7".to_owned())),
     };
-    let cursor = link::seal(&position, b"a key of the operator").unwrap();
-    assert_eq!(link::open(&cursor, b"a key of the operator").unwrap(), position);
-    assert!(link::open(&cursor, b"another operator's key").is_err());
+    let cursor = link::encode_cursor(&position, b"a key of the operator").unwrap();
+    assert_eq!(link::decode_cursor(&cursor, b"a key of the operator").unwrap(), position);
+    assert!(link::decode_cursor(&cursor, b"another operator's key").is_err());
     garbage(cursor.as_bytes(), |bytes| {
         if let Ok(text) = std::str::from_utf8(bytes) {
-            assert!(text == cursor || link::open(text, b"a key of the operator").is_err());
+            assert!(text == cursor || link::decode_cursor(text, b"a key of the operator").is_err());
         }
     });
 }
 
 #[test]
 fn pages_of_garbage_are_refused() {
-    assert!(geojson::readable(PAGE));
-    garbage(PAGE, |bytes| drop(page(&[(0, bytes.into())], None, 10, 1000)));
+    assert!(geojson::is_valid_page(PAGE));
+    garbage(PAGE, |bytes| drop(merge_pages(&[(0, bytes.into())], None, 10, 1000)));
     let swapped = String::from_utf8(PAGE.to_vec()).unwrap().replace("\"a\"", "\"c\"");
-    assert!(!geojson::readable(swapped.as_bytes()), "out of order");
-    let after = Id::Text("a".to_owned());
-    assert!(page(&[(0, PAGE.into())], Some(&after), 10, 1000).is_err(), "not after the position");
+    assert!(!geojson::is_valid_page(swapped.as_bytes()), "out of order");
+    let after = FeatureId::Text("a".to_owned());
+    assert!(merge_pages(&[(0, PAGE.into())], Some(&after), 10, 1000).is_err(), "not after the position");
 }
 
 #[test]
@@ -361,10 +367,10 @@
     let features: Vec<String> = (1..=3).map(|id| feature(id, 400)).collect();
     let value = format!(r#"{{"type":"FeatureCollection","features":[{}]}}"#, features.join(","));
     let values = [(0, value.as_bytes().into())];
-    let first = page(&values, None, 10, 1000).unwrap();
-    assert_eq!((first.features.len(), first.next), (2, Some(Id::Number(2))));
-    assert_eq!(page(&values, None, 10, 9000).unwrap().next, None);
-    assert!(page(&values, None, 10, 100).is_err(), "one that fits no page is no empty page");
+    let first = merge_pages(&values, None, 10, 1000).unwrap();
+    assert_eq!((first.features.len(), first.next), (2, Some(FeatureId::Number(2))));
+    assert_eq!(merge_pages(&values, None, 10, 9000).unwrap().next, None);
+    assert!(merge_pages(&values, None, 10, 100).is_err(), "one that fits no page is no empty page");
 }
 
 #[test]
