--- a/broker/src/config.rs
+++ b/broker/src/config.rs
@@ -18,7 +18,7 @@
 use crate::clock::Millis;
 use crate::discovery::watching;
 
-/// What is wrong with which key.
+/// Error in the configuration: a key, and the description of its fault.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Error {
     key: String,
@@ -26,7 +26,7 @@
 }
 
 impl Error {
-    /// A fault of `key`.
+    /// Creates an error of `key`.
     pub fn new(key: impl Into<String>, fault: impl Into<String>) -> Self {
         Self { key: key.into(), fault: fault.into() }
     }
@@ -43,11 +43,11 @@
 /// Time-outs of client connections: devices on poor links are slow, and stalled ones must not stay connected forever.
 #[derive(Clone, Copy, Debug)]
 pub struct ClientTimeouts {
-    /// A connection between requests is closed after so long.
+    /// Time after which a connection without a request in progress is closed.
     pub idle: Duration,
-    /// A request comes within so long of its first byte; the first one, of the connection.
+    /// Time-out for reading a request, from its first byte; for the first request of a connection, from its acceptance.
     pub read: Duration,
-    /// An answer is read within so long.
+    /// Time-out for writing an answer.
     pub write: Duration,
 }
 
@@ -68,21 +68,21 @@
     pub discovery: SocketAddr,
     /// Seed for random numbers.
     pub seed: u64,
-    /// Maximum of file descriptors, over all processes of this broker.
+    /// Maximum number of file descriptors of all processes of this broker.
     pub sockets: usize,
     /// Memory limit in MB.
     pub memory_mb: usize,
-    /// The last list of an earlier process, in discovery's format.
+    /// The last endpoint list of an earlier process, in discovery's format.
     pub remembered_list: Option<Value>,
     /// Settings of the decision module, and the names of classes, tenants and zones.
     pub setup: Setup,
-    /// Maximum of open queries and parts.
+    /// Maximum number of open queries, and of open parts.
     pub max_open: usize,
-    /// Maximum of parts in flight on a connection to a store.
+    /// Maximum number of parts in flight on a connection to a store.
     pub streams: usize,
-    /// Time-out for opening a connection to a store.
+    /// Time-out for opening a connection to a store, in milliseconds.
     pub dial_timeout_ms: Millis,
-    /// Idle time after which a store closes a connection.
+    /// Idle time after which a store closes a connection, in milliseconds.
     pub idle_ms: Millis,
     /// Time-outs of client connections.
     pub client_timeouts: ClientTimeouts,
@@ -92,23 +92,25 @@
     pub log: LevelFilter,
     /// Whether the log is written as JSON lines.
     pub log_json: bool,
-    /// The feature front, where the operator has set one up.
+    /// The feature front, if the operator has configured one.
     pub features: Option<features::Features>,
-    /// Blocks that move, where the operator has set that up.
+    /// Movable blocks, if the operator has configured them.
     pub blocks: Option<blocks::Blocks>,
-    /// How the brokers keep track of one another, where the operator has set that up.
+    /// Fleet membership, if the operator has configured it.
     pub fleet: Option<fleet::Fleet>,
 }
 
-/// Longest advice given to refused clients where the settings name none.
+/// Default maximum of the retry delay sent to refused clients, in milliseconds.
 const RETRY_AFTER_MS: Millis = 1000.0;
+/// Lower bounds of the configurable numbers of file descriptors and of MB of memory.
 const SOCKETS_MIN: usize = 64;
 const MEMORY_MB_MIN: usize = 16;
-/// Default time-outs for a request and for an idle connection.
+/// Default time-outs for a request and for an idle connection, in milliseconds.
 const DEFAULT_READ_TIMEOUT_MS: u64 = 2500;
 const DEFAULT_IDLE_TIMEOUT_MS: u64 = 2500;
-/// Descriptors have numbers below this.
-const FD_END: i32 = 1 << 20;
+/// Exclusive upper bound of file descriptor numbers.
+const FD_LIMIT: i32 = 1 << 20;
+/// Upper bound of the configurable time-outs of client connections, in milliseconds.
 const TIMEOUT_MAX_MS: u64 = 3_600_000;
 
 impl Config {
@@ -128,7 +130,7 @@
         let text = file("LB_CONFIG", &path)?;
         let json: Value =
             serde_json::from_str(&text).map_err(|e| Error::new("LB_CONFIG", format!("not JSON: {e}")))?;
-        // The environment goes before the file.
+        // Environment variables take precedence over the file.
         let text_setting = |env: &str, key: &str| match var(env) {
             Some(text) => Ok((env.to_owned(), text)),
             None => match json.get(key).and_then(Value::as_str) {
@@ -137,19 +139,19 @@
             },
         };
         let (_, name) = text_setting("LB_NAME", "name")?;
-        let listen = address(text_setting("LB_LISTEN", "listen")?)?;
-        let discovery = address(text_setting("LB_DISCOVERY", "discovery")?)?;
+        let listen = parse_address(text_setting("LB_LISTEN", "listen")?)?;
+        let discovery = parse_address(text_setting("LB_DISCOVERY", "discovery")?)?;
         let admin = match (var("LB_ADMIN_ADDR"), json.get("admin_addr")) {
-            (Some(text), _) => Some(address(("LB_ADMIN_ADDR".to_owned(), text))?),
+            (Some(text), _) => Some(parse_address(("LB_ADMIN_ADDR".to_owned(), text))?),
             (None, None | Some(Value::Null)) => None,
-            (None, Some(given)) => Some(address(("admin_addr".to_owned(), plain(given)))?),
+            (None, Some(given)) => Some(parse_address(("admin_addr".to_owned(), scalar_text(given)))?),
         };
         let listener = match var("LB_FD") {
             None => None,
             Some(text) => Some(
                 text.parse()
                     .ok()
-                    .filter(|fd| (0..FD_END).contains(fd))
+                    .filter(|fd| (0..FD_LIMIT).contains(fd))
                     .ok_or_else(|| Error::new("LB_FD", format!("expected a descriptor, found `{text}`")))?,
             ),
         };
@@ -167,15 +169,15 @@
         let mut setup = Setup::read(&pairs)
             .map_err(|error| Error::new(format!("settings.{}", error.key), error.fault.to_string()))?;
         if setup.settings.max_retry_after_ms <= 0.0 {
-            // Refusals are answered at once and carry advice instead of being held back.
+            // Refusals are sent at once with a retry delay instead of being delayed.
             setup.settings.max_retry_after_ms =
                 number(&pairs, "limits.max_retry_after_ms", RETRY_AFTER_MS, 1.0, 60_000.0)?;
         }
-        let limit = |key: &str, absent: usize, least: usize| match json.get("limits").and_then(|l| l.get(key))
+        let limit = |key: &str, default: usize, min: usize| match json.get("limits").and_then(|l| l.get(key))
         {
-            None => Ok(absent),
-            Some(n) => n.as_f64().map(|n| n as usize).filter(|n| *n >= least).ok_or_else(|| {
-                Error::new(format!("limits.{key}"), format!("expected at least {least}, found `{n}`"))
+            None => Ok(default),
+            Some(n) => n.as_f64().map(|n| n as usize).filter(|n| *n >= min).ok_or_else(|| {
+                Error::new(format!("limits.{key}"), format!("expected at least {min}, found `{n}`"))
             }),
         };
         let sockets = limit("sockets", 1024, SOCKETS_MIN)?;
@@ -193,8 +195,8 @@
                 return Err(Error::new("LB_LOG_FORMAT", format!("expected text or json, found `{other}`")));
             }
         };
-        let wait = |key: &str, absent: u64| match var(key) {
-            None => Ok(Duration::from_millis(absent)),
+        let client_timeout = |key: &str, default: u64| match var(key) {
+            None => Ok(Duration::from_millis(default)),
             Some(text) => text
                 .parse()
                 .ok()
@@ -203,9 +205,9 @@
                 .ok_or_else(|| Error::new(key, format!("expected 1 to {TIMEOUT_MAX_MS}, found `{text}`"))),
         };
         let client_timeouts = ClientTimeouts {
-            idle: wait("LB_IDLE_MS", DEFAULT_IDLE_TIMEOUT_MS)?,
-            read: wait("LB_READ_MS", DEFAULT_READ_TIMEOUT_MS)?,
-            write: wait("LB_WRITE_MS", 10_000)?,
+            idle: client_timeout("LB_IDLE_MS", DEFAULT_IDLE_TIMEOUT_MS)?,
+            read: client_timeout("LB_READ_MS", DEFAULT_READ_TIMEOUT_MS)?,
+            write: client_timeout("LB_WRITE_MS", 10_000)?,
         };
         let (mut features, mut blocks, mut fleet) = (None, None, None);
         if let Some(path) = var("LB_OPERATOR") {
@@ -213,18 +215,18 @@
                 file("LB_OPERATOR", &path)?.parse().map_err(|e: toml::de::Error| {
                     Error::new("LB_OPERATOR", e.to_string().trim_end().replace('\n', " "))
                 })?;
-            let mut take = |key: &str| match table.remove(key) {
+            let mut take_table = |key: &str| match table.remove(key) {
                 None => Ok(None),
                 Some(toml::Value::Table(given)) => Ok(Some(given)),
                 Some(_) => Err(Error::new(key, format!("expected a table, [{key}]"))),
             };
-            if let Some(given) = take("blocks")? {
+            if let Some(given) = take_table("blocks")? {
                 blocks = Some(blocks::Blocks::read(given, state_dir.as_ref(), admin.is_some())?);
             }
-            if let Some(given) = take("fleet")? {
+            if let Some(given) = take_table("fleet")? {
                 fleet = Some(fleet::Fleet::read(given, &json)?);
             }
-            // A file may set up no front of its own.
+            // A file with [blocks] or [fleet] need not configure the feature front.
             if !table.is_empty() || (blocks.is_none() && fleet.is_none()) {
                 features = Some(features::Features::read(table, &setup, blocks.is_some())?);
             }
@@ -269,55 +271,55 @@
     }
 }
 
-fn address((key, text): (String, String)) -> Result<SocketAddr, Error> {
+fn parse_address((key, text): (String, String)) -> Result<SocketAddr, Error> {
     text.parse().map_err(|_| Error::new(key, format!("expected address:port, found `{text}`")))
 }
 
-/// A number of the operator's file, if it lies between these.
-fn check_range(key: String, value: f64, least: f64, most: f64) -> Result<f64, Error> {
-    match (least..=most).contains(&value) {
+/// Returns a number of the operator's file, or an error if it is out of range.
+fn check_range(key: String, value: f64, min: f64, max: f64) -> Result<f64, Error> {
+    match (min..=max).contains(&value) {
         true => Ok(value),
-        false => Err(Error::new(key, format!("expected {least} to {most}, found {value}"))),
+        false => Err(Error::new(key, format!("expected {min} to {max}, found {value}"))),
     }
 }
 
 fn number(
     pairs: &HashMap<String, String>,
     key: &str,
-    absent: f64,
-    least: f64,
-    most: f64,
+    default: f64,
+    min: f64,
+    max: f64,
 ) -> Result<f64, Error> {
-    let Some(text) = pairs.get(key) else { return Ok(absent) };
-    text.parse().ok().filter(|n: &f64| (least..=most).contains(n)).ok_or_else(|| {
-        Error::new(format!("settings.{key}"), format!("expected {least} to {most}, found `{text}`"))
+    let Some(text) = pairs.get(key) else { return Ok(default) };
+    text.parse().ok().filter(|n: &f64| (min..=max).contains(n)).ok_or_else(|| {
+        Error::new(format!("settings.{key}"), format!("expected {min} to {max}, found `{text}`"))
     })
 }
 
-/// Nested JSON as path and value: the form in which the settings are read.
+/// Flattens nested JSON to pairs of a dotted path and a value: the form in which the settings are parsed.
 fn flatten(value: &Value, path: String, pairs: &mut HashMap<String, String>) {
-    let below = |key: &str| if path.is_empty() { key.to_owned() } else { format!("{path}.{key}") };
+    let child_path = |key: &str| if path.is_empty() { key.to_owned() } else { format!("{path}.{key}") };
     match value {
         Value::Object(fields) => {
             for (key, value) in fields {
-                flatten(value, below(key), pairs);
+                flatten(value, child_path(key), pairs);
             }
         }
         Value::Array(items) if items.iter().any(Value::is_object) => {
-            pairs.insert(below("count"), items.len().to_string());
+            pairs.insert(child_path("count"), items.len().to_string());
             for (n, item) in items.iter().enumerate() {
-                flatten(item, below(&n.to_string()), pairs);
+                flatten(item, child_path(&n.to_string()), pairs);
             }
         }
         Value::Array(items) => {
-            let items: Vec<String> = items.iter().map(plain).collect();
+            let items: Vec<String> = items.iter().map(scalar_text).collect();
             pairs.insert(path, items.join(","));
         }
         Value::Null => {}
-        _ => drop(pairs.insert(path, plain(value))),
+        _ => drop(pairs.insert(path, scalar_text(value))),
     }
 }
 
-fn plain(value: &Value) -> String {
+fn scalar_text(value: &Value) -> String {
     value.as_str().map_or_else(|| value.to_string(), str::to_owned)
 }
--- a/broker/src/config/blocks.rs
+++ b/broker/src/config/blocks.rs
@@ -1,5 +1,5 @@
-//! The operator's `[blocks]`: whether blocks move here, who may move them, how fast, and which there are at the first
-//! start. Every error names the key.
+//! The operator's `[blocks]` table: configuration of movable blocks, their coordinators, the rate of moves, and the initial
+//! block map. Every error names the key.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -11,7 +11,8 @@
 
 use super::Error;
 
-const BLOCKS_MOST: usize = 200_000;
+/// Upper bound of the configurable numbers of blocks and of retired blocks.
+const BLOCKS_MAX: usize = 200_000;
 
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
@@ -83,60 +84,64 @@
     }
 }
 
-/// What becomes of plans.
+/// Whether plans for moves are executed automatically.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Planning {
-    /// They are made only when asked for.
+    /// Plans are made only on an operator's request.
     Off,
-    /// They are made and carried out.
+    /// Plans are made periodically and executed.
     Auto,
 }
 
-/// A block of the first map.
+/// A block of the initial map.
 #[derive(Clone, Debug, PartialEq)]
 pub struct InitialBlock {
-    /// Its number.
+    /// Number of the block.
     pub block: u32,
-    /// Its weighers.
+    /// Range of weighers that belong to the block.
     pub span: Span,
-    /// Its holders, by name.
+    /// Names of the stores that hold the block.
     pub stores: Vec<String>,
-    /// Where they stand.
+    /// Bounding box of its weighers: west, south, east, north, in degrees.
     pub extent: Option<[f64; 4]>,
 }
 
-/// Blocks that move, as set up.
+/// Configuration of movable blocks.
 #[derive(Clone, Debug)]
 pub struct Blocks {
-    /// Where the map, the lease and the coordinator's log are kept.
+    /// Directory of the block map, the lease and the coordinator's log.
     pub dir: PathBuf,
-    /// Whether this broker may coordinate.
+    /// Whether this broker may become the coordinator.
     pub coordinate: bool,
-    /// The operators' doors of the brokers that may.
+    /// Addresses of the admin endpoints of all brokers that may become the coordinator.
     pub coordinators: Vec<SocketAddr>,
-    /// How long a lease lasts.
+    /// Duration of a coordinator's lease, in milliseconds.
     pub lease_ms: u64,
-    /// How often a broker asks for news of the map though nothing points to any.
+    /// Interval at which a broker requests changes of the map without any sign of one, in milliseconds.
     pub follow_ms: u64,
-    /// The coordinator's bounds.
+    /// Limits of the coordinator.
     pub bounds: Bounds,
-    /// What becomes of plans.
+    /// Whether plans for moves are executed automatically.
     pub planning: Planning,
-    /// How often one is made.
+    /// Interval between plans, in milliseconds.
     pub plan_every_ms: u64,
-    /// How long a block is left alone after a change.
+    /// Time after a change of a block before it is changed again, in milliseconds.
     pub rest_ms: u64,
-    /// What plans aim for.
+    /// Target state of plans.
     pub goal: Goal,
-    /// What copies may cost.
+    /// Limits on the cost of copies.
     pub budget: Budget,
-    /// The first map.
+    /// Blocks of the initial map.
     pub initial_blocks: Vec<InitialBlock>,
 }
 
 impl Blocks {
-    /// Reads the table. Without a folder of its own the state lies in the broker's.
-    pub fn read(table: toml::Table, state_dir: Option<&PathBuf>, admin: bool) -> Result<Self, Error> {
+    /// Reads the table. If it sets no state directory, that of the broker (`state_dir`) is used.
+    ///
+    /// # Errors
+    ///
+    /// Names the first key that is missing or invalid.
+    pub fn read(table: toml::Table, state_dir: Option<&PathBuf>, has_admin: bool) -> Result<Self, Error> {
         let key = |key: &str| format!("blocks.{key}");
         let table: Table = toml::Value::Table(table).try_into().map_err(|e: toml::de::Error| {
             Error::new("blocks", e.to_string().trim_end().replace('\n', " "))
@@ -144,11 +149,11 @@
         let dir = table.state_dir.clone().or_else(|| state_dir.cloned()).ok_or_else(|| {
             Error::new(key("state_dir"), "missing, and TMPDIR is not set: the map has to be kept somewhere")
         })?;
-        let check_range = |name: &str, value, least, most| super::check_range(key(name), value, least, most);
+        let check_range = |name: &str, value, min, max| super::check_range(key(name), value, min, max);
         check_range("lease_ms", table.lease_ms as f64, 100.0, 600_000.0)?;
         check_range("follow_ms", table.follow_ms as f64, 10.0, 60_000.0)?;
-        check_range("blocks_max", table.blocks_max as f64, 1.0, BLOCKS_MOST as f64)?;
-        check_range("retired_max", table.retired_max as f64, 1.0, BLOCKS_MOST as f64)?;
+        check_range("blocks_max", table.blocks_max as f64, 1.0, BLOCKS_MAX as f64)?;
+        check_range("retired_max", table.retired_max as f64, 1.0, BLOCKS_MAX as f64)?;
         check_range("stores_max", table.stores_max as f64, 1.0, 10_000.0)?;
         check_range("changes_max", table.changes_max as f64, 1.0, 4096.0)?;
         check_range("step_ms", table.step_ms as f64, 100.0, 3_600_000.0)?;
@@ -174,13 +179,13 @@
         };
         let mut coordinators = Vec::new();
         for (n, text) in table.coordinators.iter().enumerate() {
-            coordinators.push(super::address((key(&format!("coordinators.{n}")), text.clone()))?);
+            coordinators.push(super::parse_address((key(&format!("coordinators.{n}")), text.clone()))?);
         }
         if !table.coordinate && coordinators.is_empty() {
             let fault = "empty: a broker that may not coordinate follows the map at these operators' doors";
             return Err(Error::new(key("coordinators"), fault));
         }
-        if table.coordinate && !admin {
+        if table.coordinate && !has_admin {
             let fault = "needs an operators' door (admin_addr): the other brokers follow the map there";
             return Err(Error::new(key("coordinate"), fault));
         }
--- a/broker/src/config/features.rs
+++ b/broker/src/config/features.rs
@@ -1,5 +1,5 @@
-//! The operator's file, which sets the feature front up: where it listens, which collections there
-//! are, whose requests count for which club, and where each weigher block lies.
+//! Configuration of the feature front in the operator's file: its address, the collections, the mapping of clients to clubs
+//! (tenants), and the extent of each weigher block.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::SocketAddr;
@@ -11,9 +11,11 @@
 use crate::clock::Millis;
 use crate::geojson::Bbox;
 
-/// A link key shorter than this could be guessed.
+/// Minimum length of a link key, in bytes: a shorter one could be guessed.
 const LINK_KEY_MIN_BYTES: usize = 16;
+/// Upper bound of the configurable maximum of features on a page.
 const LIMIT_MAX: usize = 1000;
+/// Upper bound of the configurable number of connections.
 const CONNECTIONS_MAX: usize = 256;
 
 #[derive(Debug, Deserialize)]
@@ -82,50 +84,51 @@
 /// A collection of features.
 #[derive(Clone, Debug)]
 pub struct Collection {
-    /// Its name in paths.
+    /// Id of the collection, as used in paths.
     pub id: String,
-    /// Its title.
+    /// Title for readers.
     pub title: String,
-    /// What it holds.
+    /// Description of its contents.
     pub description: String,
-    /// The class that its queries count for.
+    /// Index of the class of its queries.
     pub class: usize,
-    /// Whether its queries carry a key.
+    /// Whether its queries must carry an idempotency key.
     pub keyed: bool,
-    /// How long a client of it is taken to wait.
+    /// Time-out of its queries, in milliseconds.
     pub timeout_ms: Millis,
 }
 
-/// The feature front, as set up by the operator.
+/// Configuration of the feature front.
 #[derive(Clone, Debug)]
 pub struct Features {
-    /// Where clients of the feature front connect; a loopback address.
+    /// Address for clients of the feature front; a loopback address.
     pub listen: SocketAddr,
-    /// What links begin with; by default made from the address.
+    /// Prefix of the URLs in links; derived from the address if not set.
     pub base_url: Option<String>,
-    /// The landing page's title.
+    /// Title of the landing page.
     pub title: String,
-    /// The landing page's description.
+    /// Description on the landing page.
     pub description: String,
-    /// Signs next links; the same at every broker, so that each can follow any other's.
+    /// Key that signs the cursors of next links. It must be the same at every broker, so that each can serve the links of the
+    /// others.
     pub link_key: Vec<u8>,
-    /// Features on a page where the client names no limit.
+    /// Default limit of features on a page.
     pub limit: usize,
-    /// Features on a page at the most.
+    /// Maximum limit of features on a page.
     pub limit_max: usize,
-    /// Connections open at the most.
+    /// Maximum number of open client connections.
     pub connections: usize,
-    /// The header that names a club, if clients send one.
+    /// Name of the request header that identifies the club, if there is one.
     pub club_header: Option<String>,
-    /// The tenant of requests without it.
+    /// Index of the tenant of requests without that header.
     pub default_tenant: Option<usize>,
-    /// Tenants, by what the header says.
+    /// Indices of tenants, by the value of the header.
     pub clubs: HashMap<String, usize>,
-    /// The collections.
+    /// Collections of the front.
     pub collections: Vec<Collection>,
-    /// Where each weigher block lies, by shard.
+    /// Extents of the weigher blocks, by shard. Empty if blocks are movable.
     pub blocks: Vec<Bbox>,
-    /// Stores that offer the feature form, and where.
+    /// Addresses of the feature APIs of stores that have one, by the store's id.
     pub stores: HashMap<String, SocketAddr>,
 }
 
@@ -139,9 +142,13 @@
 }
 
 impl Features {
-    /// Reads the operator's file against the settings.
-    /// Where blocks move, the map says where they lie.
-    pub fn read(table: toml::Table, setup: &Setup, moves: bool) -> Result<Self, Error> {
+    /// Reads the operator's file and validates it against the settings. If blocks are movable, their extents are in the block
+    /// map and the file needs none.
+    ///
+    /// # Errors
+    ///
+    /// Names the first key that is missing or invalid.
+    pub fn read(table: toml::Table, setup: &Setup, has_movable_blocks: bool) -> Result<Self, Error> {
         let file: File = toml::Value::Table(table).try_into().map_err(|e: toml::de::Error| {
             Error::new("LB_OPERATOR", e.to_string().trim_end().replace('\n', " "))
         })?;
@@ -150,8 +157,8 @@
             index.ok_or_else(|| Error::new(key, format!("the settings have no club `{name}`")))
         };
         let mut clubs = HashMap::new();
-        for (said, name) in &file.clubs {
-            clubs.insert(said.clone(), tenant(format!("clubs.{said}"), name)?);
+        for (header_value, name) in &file.clubs {
+            clubs.insert(header_value.clone(), tenant(format!("clubs.{header_value}"), name)?);
         }
         let default_tenant =
             file.default_club.map(|name| tenant("default_club".to_owned(), &name)).transpose()?;
@@ -187,7 +194,7 @@
             default_tenant,
             clubs,
             collections: collections(file.collection, setup)?,
-            blocks: if moves { Vec::new() } else { blocks(&file.block, setup.settings.shards)? },
+            blocks: if has_movable_blocks { Vec::new() } else { blocks(&file.block, setup.settings.shards)? },
             stores,
         })
     }
@@ -198,15 +205,15 @@
     let mut collections = Vec::new();
     for (n, table) in tables.into_iter().enumerate() {
         let key = |field: &str| format!("collection.{n}.{field}");
-        let plain = |b: u8| b.is_ascii_alphanumeric() || b == b'-' || b == b'_';
-        if table.id.is_empty() || !table.id.bytes().all(plain) || !ids.insert(table.id.clone()) {
+        let is_allowed = |b: u8| b.is_ascii_alphanumeric() || b == b'-' || b == b'_';
+        if table.id.is_empty() || !table.id.bytes().all(is_allowed) || !ids.insert(table.id.clone()) {
             return Err(Error::new(key("id"), "expected letters, digits, - and _, no id twice"));
         }
         let &index = setup.classes.get(&table.class).ok_or_else(|| {
             Error::new(key("class"), format!("the settings have no class `{}`", table.class))
         })?;
         let class = &setup.settings.classes[index];
-        // A page is put together from every block asked; a class that may leave some out can't serve it.
+        // A page needs the answers of all its blocks, so a class that permits partial answers can't serve it.
         if class.follow_up_parts > 0
             || class.required_share < 1.0
             || class.minimum_share < class.required_share
--- a/broker/src/config/fleet.rs
+++ b/broker/src/config/fleet.rs
@@ -1,4 +1,4 @@
-//! The operator's `[fleet]`: whether the brokers of this tier keep track of one another. Every error names the key.
+//! The operator's `[fleet]` table: configuration of the membership of brokers. Every error names the key.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -10,7 +10,7 @@
 use super::Error;
 use crate::clock::Millis;
 
-/// No fleet is larger.
+/// Maximum number of brokers in a fleet.
 const MEMBERS_MAX: usize = 1_000;
 
 #[derive(Debug, Deserialize)]
@@ -27,24 +27,28 @@
     }
 }
 
-/// The fleet, as set up.
+/// Configuration of fleet membership.
 #[derive(Clone, Debug)]
 pub struct Fleet {
-    /// Where datagrams of other brokers come in.
+    /// Address on which datagrams of other brokers are received.
     pub listen: SocketAddr,
-    /// Where the brokers are, in the order of their numbers; this one's own place is not used.
+    /// Addresses of the brokers, in the order of their numbers. The entry of this broker itself is not used.
     pub peers: Vec<SocketAddr>,
-    /// What membership goes by.
+    /// Settings of the membership protocol.
     pub settings: Settings,
 }
 
 impl Fleet {
-    /// Reads the table, and what it needs of the platform's configuration: `peer_listen`, `peers` and `settings.index`.
+    /// Reads the table, and from the platform's configuration the keys `peer_listen`, `peers` and `settings.index`.
+    ///
+    /// # Errors
+    ///
+    /// Names the first key that is missing or invalid.
     pub fn read(table: toml::Table, json: &Value) -> Result<Self, Error> {
         let table: Table =
             table.try_into().map_err(|e: toml::de::Error| Error::new("fleet", e.message().to_owned()))?;
         let check_range =
-            |key: &str, value, least, most| super::check_range(format!("fleet.{key}"), value, least, most);
+            |key: &str, value, min, max| super::check_range(format!("fleet.{key}"), value, min, max);
         let probe_ms = check_range("probe_ms", table.probe_ms, 100.0, 60_000.0)?;
         // Those that are asked to probe on one's behalf need as long again, and a little more.
         let answer_ms = check_range("answer_ms", table.answer_ms, 5.0, probe_ms / 2.5)?;
--- a/broker/src/front/client.rs
+++ b/broker/src/front/client.rs
@@ -1,17 +1,17 @@
-//! One client's connection, and all the ways in which it ends. A connection that may carry requests is a [`Client`]; one that
-//! carries no more is [`HalfClosed`], on which nothing can be read as a request; and [`Closed`] can be made here alone, so that
-//! whoever serves a connection has to have ended it in order:
+//! The connection of a client, and all the ways in which it ends. A connection that may carry requests is a [`Client`]; one
+//! that carries no more requests is [`HalfClosed`]. Only this module can create [`Closed`], so code that serves a connection
+//! has to end it in one of these ways:
 //!
 //! ```text
 //! Client --last answer----------> HalfClosed --linger--> Closed
 //!   |----final read, nothing----> HalfClosed           the write side is shut down once nothing is unread
 //!   |----final read, a request--> Client + Request     it is served: its client could not know of the close
 //!   |----close unread-----------> HalfClosed           unread bytes stay unread: the client sends them again elsewhere
-//!   `----disconnected-----------> Closed               the client closed, or the connection broke: nothing is owed
+//!   `----disconnected-----------> Closed               the client closed, or the connection broke: no answer is needed
 //! ```
 //!
-//! A client that closes has gone. So has one that shuts its write side alone: it looks the same, and no client of ours
-//! does that and waits.
+//! A client that shuts down only its write side is treated as disconnected: the two cases look the same, and no supported
+//! client does that and still waits for an answer.
 
 use std::cell::Cell;
 use std::future::Future;
@@ -28,11 +28,11 @@
 
 /// Bodies up to this length need no reservation; the memory for longer ones is bounded.
 const UNRESERVED_BODY_MAX: usize = 4096;
-/// A connection that has ended is heard for so long: the answer is on its way, and the client may be sending still. A reset
-/// would take the answer with it. Longer than a round trip on a poor link.
+/// Time for which a half-closed connection is still read: the answer is in transit, and the client may still be sending. A
+/// reset would discard the answer. It is longer than a round trip on a poor link.
 const LINGER: Duration = Duration::from_millis(500);
 
-/// The bound on memory for long request bodies.
+/// Limit on memory for long request bodies.
 pub struct BodyMemory {
     limit: usize,
     reserved: Cell<usize>,
@@ -40,7 +40,7 @@
 }
 
 impl BodyMemory {
-    /// A bound in bytes, shared by all processes of this broker.
+    /// Creates a limit in bytes, shared by all processes of this broker.
     pub fn new(limit: usize, presence: &Rc<Presence>) -> Rc<Self> {
         Rc::new(Self { limit, reserved: Cell::new(0), presence: presence.clone() })
     }
@@ -73,20 +73,20 @@
 
 /// A complete request.
 pub struct Request {
-    /// Its head.
+    /// Head of the request.
     pub head: Head,
-    /// Its body.
+    /// Body of the request.
     pub body: Vec<u8>,
     _reservation: BodyReservation,
 }
 
-/// Why there is no request.
+/// Reason why no request was read.
 pub enum NoRequest {
     /// The client disconnected.
     Disconnected,
-    /// It was not complete in time.
+    /// The request was not complete in time.
     Stalled,
-    /// It is invalid.
+    /// The request is invalid.
     Fault(Fault),
     /// A limit on memory or requests is reached.
     NoCapacity,
@@ -125,9 +125,9 @@
 pub enum Answered {
     /// The connection may carry another request.
     Reusable(Client),
-    /// It was the last one.
+    /// The answer was the last one; the connection is half-closed.
     Last(HalfClosed),
-    /// It could not be written.
+    /// The answer could not be written.
     Unwritten(Closed),
 }
 
@@ -147,7 +147,7 @@
         Ok(self.stream.first(within).await?)
     }
 
-    /// Reads a request. Dropped in the midst of it, it goes on where it was when it is called again.
+    /// Reads a request. If the future is dropped before the request is complete, the next call resumes reading.
     pub async fn request(&mut self, bodies: &Rc<BodyMemory>, by: Instant) -> Result<Request, NoRequest> {
         let left = || by.saturating_duration_since(Instant::now());
         let (head, reserved) = match self.head.take() {
@@ -175,7 +175,7 @@
         self.stream.peer_closed().await;
     }
 
-    /// Writes an answer; the last one where `keep_alive` is false, or bytes behind its request had to be dropped.
+    /// Writes an answer; the last one where `keep_alive` is false, or bytes received after its request had to be dropped.
     pub async fn answer(mut self, reply: &Reply, keep_alive: bool, within: Duration) -> Answered {
         let keep_alive = keep_alive && !self.stream.has_dropped_bytes();
         let bytes = http::answer(reply.status, &reply.headers, &reply.body, keep_alive);
@@ -205,7 +205,7 @@
     }
 
     fn half_close(self) -> HalfClosed {
-        // An error shows again when the connection lingers.
+        // An error occurs again when the connection lingers.
         let _ = self.stream.shut();
         HalfClosed(self.stream)
     }
--- a/broker/src/front/server.rs
+++ b/broker/src/front/server.rs
@@ -29,7 +29,7 @@
 const BAD_REQUEST_DELAY: Duration = Duration::from_millis(50);
 const BAD_REQUESTS_MAX: u32 = 8;
 
-/// Serves connections from a listener until the broker leaves.
+/// Serves connections from a listener until the broker shuts down.
 pub struct Server<S> {
     service: S,
     lifecycle: Rc<Lifecycle>,
@@ -66,7 +66,7 @@
 }
 
 impl<S: Service + 'static> Server<S> {
-    /// A server for a front with so many clients, and `bodies` bytes of long bodies.
+    /// Creates the server of a front; `bodies` is the limit on memory for long request bodies, in bytes.
     pub fn new(
         service: S,
         (lifecycle, presence): (&Rc<Lifecycle>, &Rc<Presence>),
@@ -91,40 +91,40 @@
         })
     }
 
-    /// Accepts and serves. Where the listener is this process's own, what waits there when the broker leaves is
-    /// taken too: it would be turned back when the listener closes.
-    pub async fn run(self: Rc<Self>, listener: Async<TcpListener>, own: bool) {
-        // Whoever waits where another process serves as well is left to it until this one can.
+    /// Accepts and serves connections until the broker shuts down. If the listener belongs to this process alone, connections
+    /// in its backlog at shutdown are accepted too, since closing the listener would reset them.
+    pub async fn run(self: Rc<Self>, listener: Async<TcpListener>, is_own_listener: bool) {
+        // Connections on a listener shared with a serving process are left to that process until this one can serve.
         if self.presence.other() != OtherProcess::None {
             self.lifecycle.wait_until_able().await;
         }
         loop {
             let slot = async { Some(self.acquire_slot().await) };
-            let leaves = async {
-                match own {
+            let shutdown = async {
+                match is_own_listener {
                     true => self.lifecycle.slot_deadline().await,
                     false => self.lifecycle.accept_deadline().await,
                 }
                 None
             };
-            let Some(slot) = or(leaves, slot).await else { return };
+            let Some(slot) = or(shutdown, slot).await else { return };
             let accept = async { Some(listener.accept().await) };
             let closed = async {
                 self.lifecycle.accept_deadline().await;
                 None
             };
-            let taken = match or(closed, accept).await {
-                None if own => {
+            let accepted = match or(closed, accept).await {
+                None if is_own_listener => {
                     listener.get_ref().accept().ok().map(|(socket, at)| Async::new(socket).map(|s| (s, at)))
                 }
-                taken => taken,
+                accepted => accepted,
             };
-            match taken {
+            match accepted {
                 None => return,
                 Some(Ok((socket, _))) => self.clone().spawn_connection(socket, slot),
                 Some(Err(e)) => {
                     log::warn!(error:% = e; "accepting a client failed");
-                    // Others hold more than the limits say: who asks nothing goes first here too.
+                    // Descriptors ran out below the configured limits, so an idle connection is evicted here too.
                     self.connection_limit.evict_idle();
                     Timer::after(ACCEPT_RETRY_DELAY).await;
                 }
@@ -132,8 +132,8 @@
         }
     }
 
-    /// Waits for a place. Those that are too many make room as soon as they may: in a crowd that comes in one go nobody
-    /// has waited long enough yet. Those that linger go on doing so for a moment.
+    /// Waits for a free slot. Idle connections above the soft limit are evicted as soon as they may be: of many connections
+    /// that arrive at once, none may be evicted yet. Closing connections may linger for a short time before their eviction.
     async fn acquire_slot(&self) -> ConnectionSlot {
         loop {
             if let Some(slot) = self.slots.try_acquire() {
@@ -147,10 +147,10 @@
             for _ in 0..excess {
                 self.connection_limit.evict_idle();
             }
-            let later = async {
+            let recheck = async {
                 Timer::after(SLOT_RECHECK_DELAY).await;
             };
-            or(self.slots.freed(), later).await;
+            or(self.slots.freed(), recheck).await;
         }
     }
 
@@ -167,7 +167,7 @@
         self.executor.spawn(task).detach();
     }
 
-    /// Reads the next request of a connection; of one that was accepted just now, the first.
+    /// Reads the next request of a connection. `accepted` is the time of acceptance if it is the first one.
     async fn next(&self, mut client: Client, accepted: Option<Instant>) -> Next {
         if self.lifecycle.is_too_late() {
             return Next::Ended(client.close_unread());
@@ -189,7 +189,7 @@
                 Err(_) => return self.on_stop(client, Stop::Ended).await,
             }
         }
-        // One that has been of use is let finish a request that has begun.
+        // A reused connection may complete a request that has begun: only new ones are evicted while they send.
         let eviction = accepted.is_some().then_some(eviction);
         let by = first_by.unwrap_or_else(|| Instant::now() + self.client_timeouts.read);
         let request = async { Ok(client.request(&self.bodies, by).await) };
@@ -200,17 +200,17 @@
             }
             Err(Stop::Ended)
         };
-        let late = async {
+        let shutdown_deadline = async {
             self.lifecycle.read_deadline(accepted).await;
             Err(Stop::ShuttingDown)
         };
-        match or(request, or(evicted, late)).await {
+        match or(request, or(evicted, shutdown_deadline)).await {
             Ok(request) => self.on_request(client, request, false),
             Err(stop) => self.on_stop(client, stop).await,
         }
     }
 
-    /// Looks once more at a connection on which no request is waited for any longer.
+    /// Checks a connection a last time for a request before it is closed.
     async fn on_stop(&self, mut client: Client, stop: Stop) -> Next {
         if self.lifecycle.is_too_late() {
             return Next::Ended(client.close_unread());
@@ -219,10 +219,10 @@
             Stop::Ended => match client.final_read(&self.bodies).await {
                 FinalRead::Request(client, request) => self.on_request(client, Ok(request), true),
                 FinalRead::Invalid(client, invalid) => self.on_request(client, Err(invalid), true),
-                FinalRead::Nothing(shut) => Next::Ended(shut),
+                FinalRead::Nothing(half_closed) => Next::Ended(half_closed),
                 FinalRead::Disconnected(ended) => Next::Disconnected(ended),
             },
-            // Part of a request has come: its client is told that the rest is not waited for.
+            // A part of a request was received: the client gets a time-out reply if the rest is missing.
             Stop::ShuttingDown => {
                 let request = client.request(&self.bodies, Instant::now()).await;
                 self.on_request(client, request, true)
@@ -255,44 +255,45 @@
     }
 
     async fn serve(&self, mut client: Client) -> Closed {
-        let (mut accepted, mut bad) = (Some(Instant::now()), 0);
+        let (mut accepted, mut bad_request_count) = (Some(Instant::now()), 0);
         loop {
-            let (mut asking, reply, keep_alive) = match self.next(client, accepted.take()).await {
+            let (mut answered_client, reply, keep_alive) = match self.next(client, accepted.take()).await {
                 Next::Request(client, request, last) => match self.answer(client, request).await {
                     Ok((client, reply, keep_alive)) => (client, reply, keep_alive && !last),
                     Err(ended) => return ended,
                 },
                 Next::Invalid(client, reply) => (client, reply, false),
-                Next::Ended(shut) => return self.linger(shut).await,
+                Next::Ended(half_closed) => return self.linger(half_closed).await,
                 Next::Disconnected(ended) => return ended,
             };
-            // Guards against a client that sends the same again the moment it is turned away: it would
-            // have the thread to itself.
+            // Delays clients that repeat an invalid request immediately: they would otherwise monopolize the thread.
             let invalid = (400..500).contains(&reply.status) && reply.status != 429;
-            bad += u32::from(invalid);
-            let keep_alive = keep_alive && !self.lifecycle.closes_connections() && bad < BAD_REQUESTS_MAX;
-            asking = match asking.answer(&reply, keep_alive, self.client_timeouts.write).await {
-                Answered::Reusable(client) => client,
-                Answered::Last(shut) => return self.linger(shut).await,
-                Answered::Unwritten(ended) => {
-                    count(&self.counters.unwritten);
-                    return ended;
-                }
-            };
+            bad_request_count += u32::from(invalid);
+            let keep_alive =
+                keep_alive && !self.lifecycle.closes_connections() && bad_request_count < BAD_REQUESTS_MAX;
+            answered_client =
+                match answered_client.answer(&reply, keep_alive, self.client_timeouts.write).await {
+                    Answered::Reusable(client) => client,
+                    Answered::Last(half_closed) => return self.linger(half_closed).await,
+                    Answered::Unwritten(ended) => {
+                        count(&self.counters.unwritten);
+                        return ended;
+                    }
+                };
             if invalid {
                 Timer::after(BAD_REQUEST_DELAY).await;
             }
-            client = asking;
+            client = answered_client;
         }
     }
 
-    async fn linger(&self, shut: HalfClosed) -> Closed {
+    async fn linger(&self, half_closed: HalfClosed) -> Closed {
         let eviction = self.connection_limit.track_closing();
-        shut.linger(eviction.requested()).await
+        half_closed.linger(eviction.requested()).await
     }
 
-    /// Waits for a request's answer, unless its client goes first: dropping the ticket tells the core. Also tells whether the
-    /// connection may carry another.
+    /// Waits for the answer to a request, unless its client disconnects first; dropping the ticket then notifies the core.
+    /// Also returns whether the connection may carry another request.
     async fn answer(&self, mut client: Client, request: Request) -> Result<(Client, Reply, bool), Closed> {
         let Request { head, body, .. } = request;
         let (ticket, replier) = match self.service.accept(&head, body) {
@@ -306,11 +307,11 @@
         };
         self.open.set(self.open.get() + 1);
         let answer = async { Some(ticket.answer().await) };
-        let left = async {
+        let disconnected = async {
             client.disconnected().await;
             None
         };
-        let answer = or(answer, left).await;
+        let answer = or(answer, disconnected).await;
         self.open.set(self.open.get() - 1);
         drop(ticket);
         match answer {
