--- a/broker/src/admin.rs
+++ b/broker/src/admin.rs
@@ -21,11 +21,13 @@
 use crate::rotation;
 use crate::subsystem::{self, Subsystem};
 
-/// A call comes whole within this time.
-const CALL_WITHIN: Duration = Duration::from_millis(2000);
-const WRITE_WITHIN: Duration = Duration::from_millis(1000);
-/// The answer is on its way, and the caller may be sending still.
+/// Time-outs for reading a request and for writing its response.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(2000);
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1000);
+/// Time for which a connection is still read after its response: the response is in transit, and the caller may still be
+/// sending.
 const LINGER: Duration = Duration::from_millis(250);
+/// Delay before the next attempt to accept a connection.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// An operator's request.
@@ -53,7 +55,7 @@
 ///
 /// # Errors
 ///
-/// The response to a request that is no call.
+/// The response to an invalid request.
 pub fn parse_call(head: &Head, body: &[u8]) -> Result<Call, Reply> {
     let id = std::str::from_utf8(body).unwrap_or_default().trim();
     let store = |out| ("PUT", Call::Store { id: id.to_owned(), out });
@@ -91,7 +93,7 @@
 }
 
 impl AdminServer {
-    /// The admin endpoint of this broker.
+    /// Creates the admin endpoint of this broker.
     pub fn new(
         lifecycle: &Rc<Lifecycle>,
         discovery: &Rc<Discovery>,
@@ -113,17 +115,17 @@
         })
     }
 
-    /// Accepts and serves, for as long as the process runs.
-    pub async fn run(self: Rc<Self>, listener: Async<TcpListener>, most: usize) {
-        let slots = ConnectionSlots::new(most);
+    /// Accepts and serves connections until the process ends; `max_connections` is the limit on open ones.
+    pub async fn run(self: Rc<Self>, listener: Async<TcpListener>, max_connections: usize) {
+        let slots = ConnectionSlots::new(max_connections);
         loop {
             let Some(slot) = slots.try_acquire() else {
                 // Callers that hold connections without a request must not delay others.
                 self.evict_oldest();
-                let later = async {
+                let recheck = async {
                     Timer::after(ACCEPT_RETRY_DELAY).await;
                 };
-                or(slots.freed(), later).await;
+                or(slots.freed(), recheck).await;
                 continue;
             };
             let socket = match listener.accept().await {
@@ -134,31 +136,31 @@
                     continue;
                 }
             };
-            // Half of the slots are for connections whose request was answered.
-            if slots.taken() > most.div_ceil(2) {
+            // Half of the slots are reserved for connections whose request was answered and that are closing.
+            if slots.taken() > max_connections.div_ceil(2) {
                 self.evict_oldest();
             }
             let this = self.clone();
-            let (leave, left) = async_channel::bounded(1);
-            self.waiting.borrow_mut().push_back(leave.clone());
+            let (evict, evicted) = async_channel::bounded(1);
+            self.waiting.borrow_mut().push_back(evict.clone());
             let serve = async move {
                 let mut stream = Stream::new(socket);
                 let read = async { Some(this.read(&mut stream).await) };
-                let evicted = async {
-                    let _ = left.recv().await;
+                let eviction = async {
+                    let _ = evicted.recv().await;
                     None
                 };
-                let call = or(read, evicted).await;
-                this.waiting.borrow_mut().retain(|other| !other.same_channel(&leave));
+                let call = or(read, eviction).await;
+                this.waiting.borrow_mut().retain(|other| !other.same_channel(&evict));
                 if let Some(Some(call)) = call {
                     let subsystem::Reply { status, kind, body } = match call {
                         Ok((head, body)) => this.answer(&head, &body).await,
-                        Err((status, words)) => subsystem::Reply::text(status, &words),
+                        Err((status, text)) => subsystem::Reply::text(status, &text),
                     };
                     log::debug!(status; "admin request answered");
                     count(&this.counters.admin_calls);
                     let bytes = http::answer(status, &format!("Content-Type: {kind}\r\n"), &body, false);
-                    if stream.write(&bytes, WRITE_WITHIN).await.is_ok() {
+                    if stream.write(&bytes, RESPONSE_TIMEOUT).await.is_ok() {
                         stream.finish(LINGER).await;
                     }
                 } else if call.is_none() {
@@ -177,17 +179,17 @@
         }
     }
 
-    /// Reads a request; `None` if the caller closed the connection.
+    /// Reads a request; `None` if the caller closed the connection before it was complete.
     async fn read(&self, stream: &mut Stream) -> Option<Result<(Head, Vec<u8>), Reply>> {
-        let by = Instant::now() + CALL_WITHIN;
-        let left = || by.saturating_duration_since(Instant::now());
+        let deadline = Instant::now() + REQUEST_TIMEOUT;
+        let remaining = || deadline.saturating_duration_since(Instant::now());
         let request = async {
-            let head = stream.head(Kind::Request, left()).await?;
-            let body = stream.body(head.framing, left()).await?;
+            let head = stream.head(Kind::Request, remaining()).await?;
+            let body = stream.body(head.framing, remaining()).await?;
             Ok((head, body))
         };
         let fault = match request.await {
-            Ok(whole) => return Some(Ok(whole)),
+            Ok(request) => return Some(Ok(request)),
             Err(Ending::Closed | Ending::Cut) => return None,
             Err(Ending::Stalled) => Fault::Stalled,
             Err(Ending::Fault(fault)) => fault,
@@ -200,29 +202,29 @@
         if let Some(subsystem) = subsystem::find(&self.subsystems, head.path()) {
             return subsystem.handle_request(head, body).await;
         }
-        let (status, words) = match parse_call(head, body) {
+        let (status, text) = match parse_call(head, body) {
             Ok(call) => self.carry_out(call).await,
-            Err(no) => no,
+            Err(response) => response,
         };
-        subsystem::Reply::text(status, &words)
+        subsystem::Reply::text(status, &text)
     }
 
     async fn carry_out(&self, call: Call) -> Reply {
-        let yes = |words: &str| (200, words.to_owned());
+        let ok = |text: &str| (200, text.to_owned());
         match call {
-            Call::Ready if self.lifecycle.is_ready() => yes("ready"),
+            Call::Ready if self.lifecycle.is_ready() => ok("ready"),
             Call::Ready => (503, format!("not ready; {}", self.lifecycle.phase())),
             Call::Drain => {
                 self.lifecycle.drain();
-                yes("draining")
+                ok("draining")
             }
             Call::Store { id, out } => match self.discovery.set_disabled(&id, out, self.clock.now()).await {
-                Ok(()) => yes(if out { "out" } else { "back" }),
+                Ok(()) => ok(if out { "out" } else { "back" }),
                 Err(RotationError::Unknown) => (404, format!("no store {id}")),
                 Err(RotationError::NoList) => (503, "no list of stores yet".to_owned()),
                 Err(RotationError::NotSaved(e)) => (500, format!("not done: {e}")),
             },
-            Call::Undrain if self.lifecycle.undrain() => yes("serving"),
+            Call::Undrain if self.lifecycle.undrain() => ok("serving"),
             Call::Undrain => (409, "about to end".to_owned()),
         }
     }
--- a/broker/src/cli/blocks.rs
+++ b/broker/src/cli/blocks.rs
@@ -1,9 +1,10 @@
-//! `gingerledge blocks`: the map and its changes, for people and, with `--json`, for programs.
+//! The subcommand `gingerledge blocks`: prints the block map and its changes, as text or with `--json` as JSON, and requests
+//! changes.
 
 use clap::{Args, Subcommand};
 use serde_json::{json, Value};
 
-use super::table::{rows, table, text};
+use super::table::{print_table, rows, text};
 use super::{admin, validate, QueryArguments};
 
 #[derive(Args)]
@@ -77,15 +78,15 @@
     Resume,
 }
 
-/// Carries a command out.
+/// Runs the subcommand.
 pub fn run(arguments: &Arguments) -> Result<(), String> {
     let put = |path: &str, body: Value| {
         let body = if body.is_null() { String::new() } else { body.to_string() };
-        let said = admin::request(arguments.query.admin, "PUT", path, &body)?;
-        let words = String::from_utf8_lossy(&said).trim().to_owned();
+        let reply = admin::request(arguments.query.admin, "PUT", path, &body)?;
+        let text = String::from_utf8_lossy(&reply).trim().to_owned();
         match arguments.query.json {
-            true => println!("{}", json!({ "done": words })),
-            false => println!("{words}"),
+            true => println!("{}", json!({ "done": text })),
+            false => println!("{text}"),
         }
         Ok(())
     };
@@ -119,35 +120,39 @@
         blocks.extend(page["blocks"].as_array().cloned().unwrap_or_default());
         first.get_or_insert(page);
     }
-    let mut shown = first.unwrap_or_default();
-    shown["blocks"] = if changes { json!([]) } else { blocks.into() };
+    let mut response = first.unwrap_or_default();
+    response["blocks"] = if changes { json!([]) } else { blocks.into() };
     if arguments.query.json {
-        println!("{shown}");
+        println!("{response}");
         return Ok(());
     }
     println!(
         "term {}, version {}, {} blocks{}",
-        shown["term"],
-        shown["version"],
-        shown["count"],
-        if shown["paused"] == true { ", paused" } else { "" }
+        response["term"],
+        response["version"],
+        response["count"],
+        if response["paused"] == true { ", paused" } else { "" }
     );
     if !changes {
-        table(
+        print_table(
             &["block", "first", "end", "stores"],
-            &rows(&shown["blocks"], &["block", "first", "end", "stores"]),
+            &rows(&response["blocks"], &["block", "first", "end", "stores"]),
         );
     }
     for (key, title) in [("changes", "under way"), ("past", "ended lately")] {
-        let found = rows(&shown[key], &["change", "kind", "block", "from", "to", "step", "stuck", "reason"]);
-        if !found.is_empty() {
+        let changes_found =
+            rows(&response[key], &["change", "kind", "block", "from", "to", "step", "stuck", "reason"]);
+        if !changes_found.is_empty() {
             println!("\n{title}");
-            table(&["change", "kind", "block", "from", "to", "step", "stuck", "reason"], &found);
+            print_table(
+                &["change", "kind", "block", "from", "to", "step", "stuck", "reason"],
+                &changes_found,
+            );
         }
     }
-    let unheard = text(&shown["unheard"]);
-    if !unheard.is_empty() {
-        println!("\nhave not said what they hold: {unheard}");
+    let silent_stores = text(&response["unheard"]);
+    if !silent_stores.is_empty() {
+        println!("\nhave not said what they hold: {silent_stores}");
     }
     Ok(())
 }
@@ -158,10 +163,10 @@
         println!("{plan}");
         return Ok(());
     }
-    let wishes = rows(&plan["wishes"], &["kind", "block", "from", "to", "bytes", "urgent", "why"]);
-    match wishes.is_empty() {
+    let planned_changes = rows(&plan["wishes"], &["kind", "block", "from", "to", "bytes", "urgent", "why"]);
+    match planned_changes.is_empty() {
         true => println!("nothing to do"),
-        false => table(&["kind", "block", "from", "to", "bytes", "urgent", "why"], &wishes),
+        false => print_table(&["kind", "block", "from", "to", "bytes", "urgent", "why"], &planned_changes),
     }
     if plan["later"].as_u64().unwrap_or(0) > 0 {
         println!("\n{} more wait for a later plan", plan["later"]);
@@ -169,7 +174,7 @@
     let stranded = rows(&plan["stranded"], &["block", "why"]);
     if !stranded.is_empty() {
         println!("\nstranded");
-        table(&["block", "why"], &stranded);
+        print_table(&["block", "why"], &stranded);
     }
     let skew = &plan["fullest_over_mean"];
     println!(
--- a/broker/src/cli/fleet.rs
+++ b/broker/src/cli/fleet.rs
@@ -1,6 +1,6 @@
-//! `gingerledge fleet`: who of the brokers lives, as one of them sees it.
+//! The subcommand `gingerledge fleet`: prints the members of the fleet, as one broker sees them.
 
-use super::table::{rows, table};
+use super::table::{print_table, rows};
 use super::{admin, QueryArguments};
 use clap::{Args, Subcommand};
 
@@ -18,22 +18,22 @@
     Members,
 }
 
-/// Carries a command out.
+/// Runs the subcommand.
 pub fn run(arguments: &Arguments) -> Result<(), String> {
     let Command::Members = arguments.what;
-    let shown = admin::json(arguments.query.admin, "GET", "/fleet/members")?;
+    let response = admin::json(arguments.query.admin, "GET", "/fleet/members")?;
     if arguments.query.json {
-        println!("{shown}");
+        println!("{response}");
         return Ok(());
     }
-    let living = shown["living"].as_array().map_or(0, Vec::len);
-    let all = shown["members"].as_array().map_or(0, Vec::len);
-    println!("{living} of {all} live; own health {}", shown["health"]);
+    let living = response["living"].as_array().map_or(0, Vec::len);
+    let all = response["members"].as_array().map_or(0, Vec::len);
+    println!("{living} of {all} live; own health {}", response["health"]);
     println!(
         "datagrams: {} sent ({} bytes), {} held back, {} heard, {} unread",
-        shown["sent"], shown["bytes"], shown["held_back"], shown["heard"], shown["unread"]
+        response["sent"], response["bytes"], response["held_back"], response["heard"], response["unread"]
     );
     let keys = ["member", "state", "started_ms", "refuted", "address"];
-    table(&keys, &rows(&shown["members"], &keys));
+    print_table(&keys, &rows(&response["members"], &keys));
     Ok(())
 }
--- a/broker/src/cli/mod.rs
+++ b/broker/src/cli/mod.rs
@@ -1,4 +1,6 @@
-//! The command line: to serve, to check configuration, and to speak to the operators' door of a broker that runs.
+//! The command line: serves, validates the configuration, and sends requests to the admin endpoint of a running broker.
+//!
+//! Doc comments on types derived from `clap` are the text of `--help`.
 
 mod admin;
 mod blocks;
@@ -98,7 +100,7 @@
 
 /// Runs the program.
 pub fn main() -> ExitCode {
-    let done = match Arguments::parse().command {
+    let result = match Arguments::parse().command {
         None | Some(Command::Serve) => serve().map_err(|e| e.to_string()),
         Some(Command::Check) => check().map_err(|e| e.to_string()),
         Some(Command::Blocks(arguments)) => blocks::run(&arguments),
@@ -119,7 +121,7 @@
             admin::print(admin, "PUT", path, store)
         }
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(fault) => {
             eprintln!("gingerledge: {fault}");
@@ -143,7 +145,7 @@
     crate::service::run(config, clock, || Config::reload_discovery(var, read))
 }
 
-/// Says what the configuration sets up, or what is wrong with it.
+/// Prints a summary of the configuration, or returns its first error.
 fn check() -> Result<(), Error> {
     let config = Config::read(var, read)?;
     println!("{}: sound", config.name);
--- a/broker/src/cli/validate.rs
+++ b/broker/src/cli/validate.rs
@@ -1,5 +1,5 @@
-//! `gingerledge blocks validate`: proves a map that stands in a file, and the passage to it from another, before anybody
-//! follows it. It reads files and speaks to nobody.
+//! The subcommand `gingerledge blocks validate`: validates a block map in a file, and the transition to it from another map,
+//! before it is used. It only reads files and makes no connections.
 
 use std::io::{Read, Write};
 use std::path::Path;
@@ -7,27 +7,31 @@
 use gingerledge_blocks::validate::{faults, passage, Bounds, Document, Fault, Finding, Names, Passage};
 use serde_json::{json, Value};
 
-/// Says all that is wrong; fails if anything is.
+/// Prints all faults.
+///
+/// # Errors
+///
+/// If there is any fault, or a file can't be read.
 pub fn run(file: &Path, against: Option<&Path>, as_json: bool) -> Result<(), String> {
     let (bounds, mut names) = (Bounds::default(), Names::default());
     let new = read(file, &mut names, &bounds)?;
     let old = against.map(|path| read(path, &mut names, &bounds).map(|old| (path, old))).transpose()?;
-    let text = |store| names.text(store);
-    let mut found: Vec<(&Path, Finding)> = Vec::new();
-    let mut proved = Passage::default();
-    found.extend(faults(&new.draft, &text).into_iter().map(|finding| (file, finding)));
+    let store_name = |store| names.text(store);
+    let mut findings: Vec<(&Path, Finding)> = Vec::new();
+    let mut transition = Passage::default();
+    findings.extend(faults(&new.draft, &store_name).into_iter().map(|finding| (file, finding)));
     if let Some((path, old)) = &old {
-        // What the old map lacks may be why there is a new one; only what leaves its holders unclear counts.
-        let unclear = faults(&old.draft, &text).into_iter().filter(|finding| finding.fault.unclear());
-        found.extend(unclear.map(|finding| (*path, finding)));
+        // Faults of the old map may be the reason for the new one, so only those that make its holders ambiguous are reported.
+        let ambiguous = faults(&old.draft, &store_name).into_iter().filter(|finding| finding.fault.unclear());
+        findings.extend(ambiguous.map(|finding| (*path, finding)));
         if let Some((held, next)) = old.version.zip(new.version) {
             if held.checked_add(1) != Some(next) {
                 let fault = Fault::Version { held, found: next };
-                found.push((file, Finding { fault, keys: None, blocks: Vec::new(), lines: Vec::new() }));
+                findings.push((file, Finding { fault, keys: None, blocks: Vec::new(), lines: Vec::new() }));
             }
         }
-        proved = passage(&old.draft, &new.draft, &text);
-        found.extend(proved.findings.drain(..).map(|finding| (file, finding)));
+        transition = passage(&old.draft, &new.draft, &store_name);
+        findings.extend(transition.findings.drain(..).map(|finding| (file, finding)));
     }
     let mut lines = String::new();
     if as_json {
@@ -37,15 +41,15 @@
             value["text"] = finding.to_string().into();
             value
         };
-        let faults: Vec<Value> = found.iter().map(fault).collect();
+        let faults: Vec<Value> = findings.iter().map(fault).collect();
         let (sound, blocks) = (faults.is_empty(), new.draft.rows.len());
-        let all = json!({ "sound": sound, "blocks": blocks, "faults": faults, "waits": proved.waits });
+        let all = json!({ "sound": sound, "blocks": blocks, "faults": faults, "waits": transition.waits });
         lines = format!("{all}\n");
     } else {
-        for (path, finding) in &found {
+        for (path, finding) in &findings {
             lines += &format!("{}: {finding}\n", path.display());
         }
-        for wait in &proved.waits {
+        for wait in &transition.waits {
             lines += &format!(
                 "{}: keys {}: block {}: entries wait while {} lets go and {} takes over, and are told `later`\n",
                 file.display(),
@@ -55,13 +59,13 @@
                 wait.to.join(", ")
             );
         }
-        if found.is_empty() {
+        if findings.is_empty() {
             lines += &format!("{}: sound, {} blocks\n", file.display(), new.draft.rows.len());
         }
     }
-    // A reader that has seen enough closes its end: the verdict stays what it is.
+    // A reader such as `head` may close the pipe early; this must not change the result.
     let _ = std::io::stdout().write_all(lines.as_bytes());
-    match found.len() {
+    match findings.len() {
         0 => Ok(()),
         1 => Err(format!("{}: 1 fault", file.display())),
         n => Err(format!("{}: {n} faults", file.display())),
@@ -69,11 +73,11 @@
 }
 
 fn read(path: &Path, names: &mut Names, bounds: &Bounds) -> Result<Document, String> {
-    let place = |fault: &dyn std::fmt::Display| format!("{}: {fault}", path.display());
+    let with_path = |fault: &dyn std::fmt::Display| format!("{}: {fault}", path.display());
     let mut text = String::new();
-    // One byte more than may be, so that what is too long is seen to be.
-    let most = bounds.bytes as u64 + 1;
-    let file = std::fs::File::open(path).map_err(|fault| place(&fault))?;
-    file.take(most).read_to_string(&mut text).map_err(|fault| place(&fault))?;
-    Document::read(&text, names, bounds).map_err(|fault| place(&fault))
+    // Reads one byte more than the limit, so that a file that is too long is detected.
+    let max_bytes = bounds.bytes as u64 + 1;
+    let file = std::fs::File::open(path).map_err(|fault| with_path(&fault))?;
+    file.take(max_bytes).read_to_string(&mut text).map_err(|fault| with_path(&fault))?;
+    Document::read(&text, names, bounds).map_err(|fault| with_path(&fault))
 }
--- a/broker/src/clock.rs
+++ b/broker/src/clock.rs
@@ -1,4 +1,4 @@
-//! One clock for the whole program: milliseconds of Unix time that never run backwards.
+//! The program's clock: monotonic time in milliseconds, based on Unix time.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
@@ -7,7 +7,7 @@
 /// A point in Unix time or a duration, in milliseconds.
 pub type Millis = f64;
 
-/// Reads Unix time once and counts on from there, so that a step of the system's clock moves nothing.
+/// A clock that reads Unix time once and then adds elapsed monotonic time, so that steps of the system clock have no effect.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     started: Instant,
@@ -16,19 +16,19 @@
 }
 
 impl Clock {
-    /// A clock set by the system's.
+    /// Creates a clock from the current time of the system clock.
     pub fn new() -> Self {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let skew = faults::skew();
         Self { started: Instant::now(), unix_ms: unix.as_secs_f64() * 1000.0 + skew.unix_ms, skew }
     }
 
-    /// Now.
+    /// Returns the current time.
     pub fn now(&self) -> Millis {
         self.unix_ms + self.started.elapsed().as_secs_f64() * 1000.0 * self.skew.rate
     }
 
-    /// The time from now until `at`; zero if that has passed.
+    /// Returns the time from now until `at`; zero if `at` has passed.
     pub fn until(&self, at: Millis) -> Duration {
         millis((at - self.now()) / self.skew.rate)
     }
@@ -40,7 +40,7 @@
     }
 }
 
-/// A duration in the library's terms; none is longer than a day, none is negative.
+/// Converts milliseconds to a `Duration`, limited to the range from zero to one day.
 pub fn millis(ms: Millis) -> Duration {
     Duration::from_secs_f64(if ms > 0.0 { ms.min(86_400_000.0) / 1000.0 } else { 0.0 })
 }
--- a/broker/src/config.rs
+++ b/broker/src/config.rs
@@ -111,7 +111,7 @@
 /// Exclusive upper bound of file descriptor numbers.
 const FD_LIMIT: i32 = 1 << 20;
 /// Upper bound of the configurable time-outs of client connections, in milliseconds.
-const TIMEOUT_MAX_MS: u64 = 3_600_000;
+const WAIT_MOST_MS: u64 = 3_600_000;
 
 impl Config {
     /// Reads the environment through `var`, and the files that it names through `read`.
@@ -173,13 +173,13 @@
             setup.settings.max_retry_after_ms =
                 number(&pairs, "limits.max_retry_after_ms", RETRY_AFTER_MS, 1.0, 60_000.0)?;
         }
-        let limit = |key: &str, default: usize, min: usize| match json.get("limits").and_then(|l| l.get(key))
-        {
-            None => Ok(default),
-            Some(n) => n.as_f64().map(|n| n as usize).filter(|n| *n >= min).ok_or_else(|| {
-                Error::new(format!("limits.{key}"), format!("expected at least {min}, found `{n}`"))
-            }),
-        };
+        let limit =
+            |key: &str, default: usize, least: usize| match json.get("limits").and_then(|l| l.get(key)) {
+                None => Ok(default),
+                Some(n) => n.as_f64().map(|n| n as usize).filter(|n| *n >= least).ok_or_else(|| {
+                    Error::new(format!("limits.{key}"), format!("expected at least {least}, found `{n}`"))
+                }),
+            };
         let sockets = limit("sockets", 1024, SOCKETS_MIN)?;
         let memory_mb = limit("memory_mb", 192, MEMORY_MB_MIN)?;
         let log = match var("LB_LOG") {
@@ -200,9 +200,9 @@
             Some(text) => text
                 .parse()
                 .ok()
-                .filter(|ms| (1..=TIMEOUT_MAX_MS).contains(ms))
+                .filter(|ms| (1..=WAIT_MOST_MS).contains(ms))
                 .map(Duration::from_millis)
-                .ok_or_else(|| Error::new(key, format!("expected 1 to {TIMEOUT_MAX_MS}, found `{text}`"))),
+                .ok_or_else(|| Error::new(key, format!("expected 1 to {WAIT_MOST_MS}, found `{text}`"))),
         };
         let client_timeouts = ClientTimeouts {
             idle: client_timeout("LB_IDLE_MS", DEFAULT_IDLE_TIMEOUT_MS)?,
@@ -276,10 +276,10 @@
 }
 
 /// Returns a number of the operator's file, or an error if it is out of range.
-fn check_range(key: String, value: f64, min: f64, max: f64) -> Result<f64, Error> {
-    match (min..=max).contains(&value) {
+fn check_range(key: String, value: f64, least: f64, most: f64) -> Result<f64, Error> {
+    match (least..=most).contains(&value) {
         true => Ok(value),
-        false => Err(Error::new(key, format!("expected {min} to {max}, found {value}"))),
+        false => Err(Error::new(key, format!("expected {least} to {most}, found {value}"))),
     }
 }
 
@@ -287,12 +287,12 @@
     pairs: &HashMap<String, String>,
     key: &str,
     default: f64,
-    min: f64,
-    max: f64,
+    least: f64,
+    most: f64,
 ) -> Result<f64, Error> {
     let Some(text) = pairs.get(key) else { return Ok(default) };
-    text.parse().ok().filter(|n: &f64| (min..=max).contains(n)).ok_or_else(|| {
-        Error::new(format!("settings.{key}"), format!("expected {min} to {max}, found `{text}`"))
+    text.parse().ok().filter(|n: &f64| (least..=most).contains(n)).ok_or_else(|| {
+        Error::new(format!("settings.{key}"), format!("expected {least} to {most}, found `{text}`"))
     })
 }
 
--- a/broker/src/config/blocks.rs
+++ b/broker/src/config/blocks.rs
@@ -149,7 +149,7 @@
         let dir = table.state_dir.clone().or_else(|| state_dir.cloned()).ok_or_else(|| {
             Error::new(key("state_dir"), "missing, and TMPDIR is not set: the map has to be kept somewhere")
         })?;
-        let check_range = |name: &str, value, min, max| super::check_range(key(name), value, min, max);
+        let check_range = |name: &str, value, least, most| super::check_range(key(name), value, least, most);
         check_range("lease_ms", table.lease_ms as f64, 100.0, 600_000.0)?;
         check_range("follow_ms", table.follow_ms as f64, 10.0, 60_000.0)?;
         check_range("blocks_max", table.blocks_max as f64, 1.0, BLOCKS_MAX as f64)?;
--- a/broker/src/config/features.rs
+++ b/broker/src/config/features.rs
@@ -12,11 +12,11 @@
 use crate::geojson::Bbox;
 
 /// Minimum length of a link key, in bytes: a shorter one could be guessed.
-const LINK_KEY_MIN_BYTES: usize = 16;
+const KEY_LEAST: usize = 16;
 /// Upper bound of the configurable maximum of features on a page.
-const LIMIT_MAX: usize = 1000;
+const LIMIT_MOST: usize = 1000;
 /// Upper bound of the configurable number of connections.
-const CONNECTIONS_MAX: usize = 256;
+const CONNECTIONS_MOST: usize = 256;
 
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -165,17 +165,17 @@
         if !setup.tenants.is_empty() && default_tenant.is_none() && file.club_header.is_none() {
             return Err(Error::new("default_club", "missing, and there is no club_header either"));
         }
-        if file.link_key.len() < LINK_KEY_MIN_BYTES {
-            return Err(Error::new("link_key", format!("expected {LINK_KEY_MIN_BYTES} characters at least")));
+        if file.link_key.len() < KEY_LEAST {
+            return Err(Error::new("link_key", format!("expected {KEY_LEAST} characters at least")));
         }
-        if !(1..=LIMIT_MAX).contains(&file.limit_max) {
-            return Err(Error::new("limit_max", format!("expected 1 to {LIMIT_MAX}")));
+        if !(1..=LIMIT_MOST).contains(&file.limit_max) {
+            return Err(Error::new("limit_max", format!("expected 1 to {LIMIT_MOST}")));
         }
         if !(1..=file.limit_max).contains(&file.limit) {
             return Err(Error::new("limit", "expected 1 to limit_max"));
         }
-        if !(1..=CONNECTIONS_MAX).contains(&file.connections) {
-            return Err(Error::new("connections", format!("expected 1 to {CONNECTIONS_MAX}")));
+        if !(1..=CONNECTIONS_MOST).contains(&file.connections) {
+            return Err(Error::new("connections", format!("expected 1 to {CONNECTIONS_MOST}")));
         }
         let mut stores = HashMap::new();
         for (n, store) in file.store.iter().enumerate() {
--- a/broker/src/config/fleet.rs
+++ b/broker/src/config/fleet.rs
@@ -11,7 +11,7 @@
 use crate::clock::Millis;
 
 /// Maximum number of brokers in a fleet.
-const MEMBERS_MAX: usize = 1_000;
+const MEMBERS_MOST: usize = 1_000;
 
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
@@ -48,7 +48,7 @@
         let table: Table =
             table.try_into().map_err(|e: toml::de::Error| Error::new("fleet", e.message().to_owned()))?;
         let check_range =
-            |key: &str, value, min, max| super::check_range(format!("fleet.{key}"), value, min, max);
+            |key: &str, value, least, most| super::check_range(format!("fleet.{key}"), value, least, most);
         let probe_ms = check_range("probe_ms", table.probe_ms, 100.0, 60_000.0)?;
         // Those that are asked to probe on one's behalf need as long again, and a little more.
         let answer_ms = check_range("answer_ms", table.answer_ms, 5.0, probe_ms / 2.5)?;
@@ -62,8 +62,8 @@
         let listed = json["peers"].as_array().ok_or_else(|| {
             Error::new("peers", "missing; [fleet] needs the brokers' addresses in the order of their numbers")
         })?;
-        if !(2..=MEMBERS_MAX).contains(&listed.len()) {
-            let fault = format!("expected 2 to {MEMBERS_MAX} addresses for [fleet], found {}", listed.len());
+        if !(2..=MEMBERS_MOST).contains(&listed.len()) {
+            let fault = format!("expected 2 to {MEMBERS_MOST} addresses for [fleet], found {}", listed.len());
             return Err(Error::new("peers", fault));
         }
         let peers = listed
--- a/broker/src/counters.rs
+++ b/broker/src/counters.rs
@@ -1,24 +1,24 @@
-//! Counters of what is taken in, sent and answered; printed on SIGUSR1 and at exit.
+//! Counters of requests, queries, attempts and connections; logged on SIGUSR1 and at exit.
 
 use std::cell::Cell;
 use std::fmt;
 
 macro_rules! counters {
     ($($(#[$doc:meta])* $name:ident,)*) => {
-        /// Counts since the start. Shared by reference: the program has one thread.
+        /// Counts since the start. Shared by reference without synchronization, since the program has one thread.
         #[derive(Debug, Default)]
         pub struct Counters {
             $($(#[$doc])* pub $name: Cell<u64>,)*
         }
 
         impl fmt::Display for Counters {
-            /// One line, `name=count` each, in the order of their declaration.
+            /// Formats all counters on one line as `name=count`, in the order of their declaration.
             fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-                let all = [$((stringify!($name), self.$name.get()),)*];
-                let mut gap = "";
-                for (name, count) in all {
-                    write!(f, "{gap}{name}={count}")?;
-                    gap = " ";
+                let counts = [$((stringify!($name), self.$name.get()),)*];
+                let mut separator = "";
+                for (name, count) in counts {
+                    write!(f, "{separator}{name}={count}")?;
+                    separator = " ";
                 }
                 Ok(())
             }
@@ -31,17 +31,17 @@
     connections,
     /// Client connections closed because too many were open.
     connections_shed,
-    /// HTTP requests read whole.
+    /// HTTP requests read completely.
     requests,
-    /// Requests answered with a 4xx before they became a query.
+    /// Requests rejected with a 4xx status before a query was submitted.
     bad_requests,
-    /// Calls of operators answered.
+    /// Requests to the admin endpoint answered.
     admin_calls,
-    /// Queries handed to the core.
+    /// Queries submitted to the core.
     queries,
-    /// Queries turned away because the broker held as many as it may.
+    /// Queries rejected because the broker was at its limit on open queries.
     queries_full,
-    /// Clients that left before their answer.
+    /// Clients that disconnected before their answer.
     clients_gone,
     /// Queries answered.
     answered,
@@ -49,25 +49,25 @@
     refused,
     /// Queries failed.
     failed,
-    /// Queries turned away at the learned limit on parts out.
+    /// Queries rejected at the adaptive limit on parts in flight.
     over_limit,
-    /// Queries turned away because a shard has no store that is trusted.
+    /// Queries rejected because no store of a shard is considered healthy.
     shut,
-    /// Queries turned away because a shard is too slow for their class.
+    /// Queries rejected because a shard is too slow for their class.
     jammed,
-    /// Queries turned away because their client waits less than parts usually take.
+    /// Queries rejected because their time-out is shorter than the usual duration of parts.
     hasty,
-    /// Queries given up because no store on the list holds their shards.
+    /// Queries abandoned because no listed store holds their shards.
     unlisted,
-    /// Queries given up because parts of theirs can't be had any more.
+    /// Queries abandoned because some of their parts can no longer be answered.
     lost,
-    /// Queries given up because what was missing would have come too late.
+    /// Queries abandoned because the missing parts would have been answered too late.
     late,
-    /// Queries that the core had not ended when their time was up.
+    /// Queries that the core had not finished at their deadline.
     overdue,
-    /// Final answers that the exchange dropped: the client had left, or had one.
+    /// Final answers that the exchange dropped because the client had disconnected or had already been answered.
     finals_dropped,
-    /// Answers that could not be written whole to the client.
+    /// Answers that could not be written completely to the client.
     unwritten,
     /// Attempts sent to stores.
     attempts,
@@ -77,41 +77,41 @@
     served,
     /// Attempts answered with an error.
     errors,
-    /// Attempts turned away unseen.
+    /// Attempts that a store rejected without processing them.
     turned_away,
-    /// Attempts without a connection.
+    /// Attempts for which no connection to the store could be opened.
     unreachable,
     /// Attempts whose connection broke.
     broken,
     /// Attempts timed out.
     timed_out,
-    /// Attempts given up by the core.
+    /// Attempts withdrawn by the core.
     withdrawn,
     /// Attempts never sent.
     void,
     /// Connections opened to stores.
     dials,
-    /// Connections to stores given up because nothing came while a part waited in vain.
+    /// Connections to stores closed because nothing was received while a part waited for its answer.
     links_silent,
     /// Frames or answers from stores that could not be used.
     bad_frames,
-    /// Answers to parts that were no longer waited for.
+    /// Answers to parts that were no longer awaited.
     late_answers,
-    /// Watches on discovery begun.
+    /// Watches on discovery started.
     watches,
-    /// Lists and changes read from discovery.
+    /// Lists and changes received from discovery.
     lists,
     /// Calls to discovery that failed.
     list_failures,
     /// Datagrams sent to other brokers.
     peers_told,
-    /// Datagrams that came from other brokers.
+    /// Datagrams received from other brokers.
     peers_heard,
-    /// Datagrams of other brokers that changed nothing, since they could not be used.
+    /// Datagrams of other brokers that were ignored because they were invalid.
     peers_unread,
 }
 
-/// Adds one.
+/// Increments a counter by one; it saturates at the maximum.
 pub fn count(counter: &Cell<u64>) {
     counter.set(counter.get().saturating_add(1));
 }
--- a/broker/src/faults.rs
+++ b/broker/src/faults.rs
@@ -1,106 +1,106 @@
-//! Faults on demand, for the rig that runs several processes of the program: points in the code that fail when told to, and
-//! a clock that is off. They are a feature of test builds. Without it, as the platform builds, every point is `false`
-//! and the clock is the machine's; CI looks into the program for the name of `LB_FAULTS`.
+//! Fault injection for tests that run several processes of the program: fail points in the code, and a clock with an offset
+//! and a drift. It is a cargo feature of test builds. Without the feature, as in builds of the platform, every fail point is
+//! `false` and the clock is that of the machine; CI checks that release binaries do not contain the name `LB_FAULTS`.
 //!
-//! What is to fail stands in the file that `LB_FAULTS` names, a line each, and is followed while the process runs:
+//! The faults are read from the file that `LB_FAULTS` names, one per line, and the file is polled while the process runs:
 //!
 //! ```text
-//! version=3                 what is told back in the file of that name with `.taken` behind it, once it holds
-//! unix_ms=-3600000          Unix time is off by so much (at the start alone)
-//! rate=1.01                 the clock runs so many times as fast (at the start alone)
-//! point disk.write=return   the point fails; any action of the crate `fail` will do: `50%return`, `sleep(100)`, `off`
+//! version=3                 written to the file with the extension `.taken` once the faults are applied
+//! unix_ms=-3600000          offset of Unix time in milliseconds (read only at the start)
+//! rate=1.01                 factor on the speed of the clock (read only at the start)
+//! point disk.write=return   a fail point and its action in the syntax of the crate `fail`: `50%return`, `sleep(100)`, `off`
 //! ```
 
 #[cfg(feature = "faults")]
-pub use on::{point, skew, start, VARIABLE};
+pub use enabled::{point, skew, start, VARIABLE};
 
 #[cfg(not(feature = "faults"))]
-pub use off::{point, skew, start};
+pub use disabled::{point, skew, start};
 
-/// By how much a clock is off.
+/// Injected error of the clock.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Skew {
-    /// Milliseconds ahead of Unix time.
+    /// Offset from Unix time, in milliseconds.
     pub unix_ms: f64,
-    /// How many times as fast it runs.
+    /// Factor on the speed of the clock.
     pub rate: f64,
 }
 
 impl Skew {
-    /// A clock that is right.
+    /// A clock without error.
     pub const NONE: Self = Self { unix_ms: 0.0, rate: 1.0 };
 }
 
 #[cfg(not(feature = "faults"))]
-mod off {
+mod disabled {
     use super::Skew;
 
-    /// Whether what happens at this point is to fail: never.
+    /// Whether this fail point is active: never in this build.
     #[inline(always)]
     pub fn point(_: &'static str) -> bool {
         false
     }
 
-    /// By how much the clock is off: not at all.
+    /// Returns the injected error of the clock: none in this build.
     #[inline(always)]
     pub fn skew() -> Skew {
         Skew::NONE
     }
 
-    /// Nothing is to be followed.
+    /// Does nothing: this build has no fault injection.
     #[inline(always)]
     pub fn start() {}
 }
 
 #[cfg(feature = "faults")]
-mod on {
+mod enabled {
     use std::path::{Path, PathBuf};
     use std::sync::OnceLock;
     use std::time::Duration;
 
     use super::Skew;
 
-    /// Names the file.
+    /// Environment variable with the path of the file of faults.
     pub const VARIABLE: &str = "LB_FAULTS";
-    const FOLLOW: Duration = Duration::from_millis(5);
+    const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
     static SKEW: OnceLock<Skew> = OnceLock::new();
 
-    /// Whether what happens at this point is to fail. A point may also take its time, or panic.
+    /// Whether this fail point is active. Depending on its action, the call may also sleep or panic.
     pub fn point(name: &'static str) -> bool {
         fail::fail_point!(name, |_| true);
         false
     }
 
-    /// By how much the clock is off.
+    /// Returns the injected error of the clock.
     pub fn skew() -> Skew {
         SKEW.get().copied().unwrap_or(Skew::NONE)
     }
 
-    /// Takes what the file says, and follows it from then on.
+    /// Applies the file of faults and starts to poll it for changes.
     pub fn start() {
         let Some(path) = std::env::var_os(VARIABLE).map(PathBuf::from) else { return };
-        let mut taken = String::new();
-        follow(&path, &mut taken);
+        let mut applied_text = String::new();
+        apply_if_changed(&path, &mut applied_text);
         std::thread::spawn(move || loop {
-            std::thread::sleep(FOLLOW);
-            follow(&path, &mut taken);
+            std::thread::sleep(POLL_INTERVAL);
+            apply_if_changed(&path, &mut applied_text);
         });
     }
 
-    /// Takes the file in if it says something else than before.
-    fn follow(path: &Path, taken: &mut String) {
+    /// Applies the file if its contents have changed since the last call.
+    fn apply_if_changed(path: &Path, applied_text: &mut String) {
         let Ok(text) = std::fs::read_to_string(path) else { return };
-        if text == *taken {
+        if text == *applied_text {
             return;
         }
         let (mut skew, mut version) = (Skew::NONE, "");
         for line in text.lines() {
-            let words = line.split_once('#').map_or(line, |(words, _)| words).trim();
-            let done = match words.split_once('=') {
-                None => words.is_empty(),
-                Some(("version", is)) => {
-                    version = is;
+            let setting = line.split_once('#').map_or(line, |(setting, _)| setting).trim();
+            let is_valid = match setting.split_once('=') {
+                None => setting.is_empty(),
+                Some(("version", value)) => {
+                    version = value;
                     true
                 }
                 Some(("unix_ms", ms)) => ms.parse().map(|ms| skew.unix_ms = ms).is_ok(),
@@ -110,15 +110,15 @@
                     name.is_some_and(|name| fail::cfg(name, actions).is_ok())
                 }
             };
-            if !done {
+            if !is_valid {
                 log::error!("faults: `{line}` can't be read");
             }
         }
         let _ = SKEW.set(skew);
-        let told = path.with_extension("taken");
-        if let Err(fault) = std::fs::write(&told, version) {
-            log::error!("faults: {}: {fault}", told.display());
+        let acknowledgement = path.with_extension("taken");
+        if let Err(fault) = std::fs::write(&acknowledgement, version) {
+            log::error!("faults: {}: {fault}", acknowledgement.display());
         }
-        *taken = text;
+        *applied_text = text;
     }
 }
--- a/broker/src/fleet.rs
+++ b/broker/src/fleet.rs
@@ -1,5 +1,5 @@
-//! The driver of `gingerledge-fleet`, the membership of brokers. It owns the socket for datagrams between brokers; which
-//! members are alive is decided by the machine. Operators read it at `/fleet/members`.
+//! The driver of `gingerledge-fleet`, the membership of brokers. It owns the socket for datagrams between brokers; the state
+//! machine of that crate decides which members are alive. Operators read the members at `/fleet/members`.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -14,16 +14,16 @@
 use serde_json::{json, Value};
 
 use crate::clock::Clock;
-use crate::config::{fleet::Fleet as Set, Error};
+use crate::config::{fleet::Fleet as FleetConfig, Error};
 use crate::counters::Counters;
 use crate::faults;
 use crate::http::Head;
 use crate::subsystem::{Host, Reply, Subsystem};
 
-/// After an error of the socket, such as a port that nobody listens on.
+/// Delay after an error of the socket, such as an unreachable port of a peer.
 const RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// The driver.
+/// Driver of the membership protocol.
 pub struct Fleet {
     socket: Async<UdpSocket>,
     peers: Vec<SocketAddr>,
@@ -34,22 +34,26 @@
 }
 
 impl Fleet {
-    /// Opens the socket and begins to look for the others.
-    pub fn start(set: Set, host: &Host, seed: u64) -> Result<Rc<Self>, Error> {
-        let socket = Async::<UdpSocket>::bind(set.listen)
-            .map_err(|e| Error::new("peer_listen", format!("can't listen on {}: {e}", set.listen)))?;
-        let own = usize::from(set.settings.own);
-        let others = (0..).zip(&set.peers).filter(|(number, _)| usize::from(*number) != own);
+    /// Opens the socket and starts the membership protocol.
+    ///
+    /// # Errors
+    ///
+    /// If the address can't be bound.
+    pub fn start(config: FleetConfig, host: &Host, seed: u64) -> Result<Rc<Self>, Error> {
+        let socket = Async::<UdpSocket>::bind(config.listen)
+            .map_err(|e| Error::new("peer_listen", format!("can't listen on {}: {e}", config.listen)))?;
+        let own = usize::from(config.settings.own);
+        let others = (0..).zip(&config.peers).filter(|(number, _)| usize::from(*number) != own);
         let now = host.clock.now();
         let this = Rc::new(Self {
             socket,
             numbers: others.map(|(number, peer)| (*peer, number)).collect(),
-            members: RefCell::new(Members::new(set.settings, now.max(0.0) as u64, seed, now)),
-            peers: set.peers,
+            members: RefCell::new(Members::new(config.settings, now.max(0.0) as u64, seed, now)),
+            peers: config.peers,
             clock: host.clock,
             counters: host.counters.clone(),
         });
-        log::info!(members = this.peers.len(), own; "fleet membership listens on {}", set.listen);
+        log::info!(members = this.peers.len(), own; "fleet membership listens on {}", config.listen);
         host.executor.spawn(this.clone().run()).detach();
         Ok(this)
     }
@@ -59,11 +63,11 @@
         loop {
             let due = self.members.borrow().due();
             let received = async { Some(self.socket.recv_from(&mut datagram).await) };
-            let late = async {
+            let turn_due = async {
                 Timer::after(self.clock.until(due)).await;
                 None
             };
-            match or(received, late).await {
+            match or(received, turn_due).await {
                 None => {}
                 Some(Ok((n, from))) => self.on_datagram(from, &datagram[..n]),
                 Some(Err(fault)) => {
@@ -73,7 +77,7 @@
             }
             self.members.borrow_mut().turn(self.clock.now());
             self.flush().await;
-            // Nothing above need wait: the rest of the broker has its turn all the same.
+            // Yields, since everything above may be ready at once and would starve the other tasks.
             futures_lite::future::yield_now().await;
         }
     }
@@ -120,8 +124,8 @@
         }
     }
 
-    /// Who lives, for operators.
-    fn shown(&self) -> Value {
+    /// Returns the members and counters as JSON for operators.
+    fn members_json(&self) -> Value {
         let members = self.members.borrow();
         let member = |member: &gingerledge_fleet::Member| {
             let state = match member.state {
@@ -147,7 +151,7 @@
 
     fn handle_request<'a>(&'a self, head: &'a Head, body: &'a [u8]) -> LocalBoxFuture<'a, Reply> {
         let reply = match (head.method.as_str(), head.path()) {
-            ("GET", "/fleet/members") if body.is_empty() => Reply::json(&self.shown()),
+            ("GET", "/fleet/members") if body.is_empty() => Reply::json(&self.members_json()),
             ("GET", "/fleet/members") => Reply::text(400, "/fleet/members takes no body"),
             (_, "/fleet/members") => Reply::text(405, "/fleet/members takes GET"),
             (_, path) => Reply::text(404, &format!("no such path: {path}")),
@@ -155,7 +159,7 @@
         Box::pin(async { reply })
     }
 
-    /// Announces the departure, so that others need not detect it.
+    /// Announces the departure, so that the other brokers need not detect it as a failure.
     fn stop(&self) -> LocalBoxFuture<'_, ()> {
         Box::pin(async {
             self.members.borrow_mut().leave(self.clock.now());
--- a/broker/src/front/connection_limit.rs
+++ b/broker/src/front/connection_limit.rs
@@ -1,5 +1,5 @@
-//! Eviction of connections when too many are open: idle ones first, longest idle first, those without any request so far
-//! before reused ones; and of closing ones the one that has lingered longest.
+//! Eviction of connections when too many are open. Of idle connections, those without any request so far are evicted before
+//! reused ones, each in the order of their idle time, longest first; of closing ones, the one that has lingered longest.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -8,7 +8,7 @@
 use async_channel::{Receiver, Sender};
 
 /// Time that a new connection has for its first request before it is evicted ahead of reused ones. Connections that arrive
-/// together are read in turn: this covers several passes of a busy event loop.
+/// together are read one after the other: this covers several passes of a busy event loop.
 pub const JUST_CONNECTED: Duration = Duration::from_millis(50);
 
 /// A connection that may be evicted; untracked when dropped.
--- a/broker/src/front/mod.rs
+++ b/broker/src/front/mod.rs
@@ -1,5 +1,5 @@
-//! The client side: what all fronts share. A front reads requests, makes [`crate::core::Query`]s of
-//! them, waits for their answers at the exchange and writes those in its own form.
+//! Interfaces and code shared by all fronts, which serve clients. A front converts requests to [`crate::core::Query`]s,
+//! waits for their answers at the exchange, and encodes the answers in its own protocol.
 
 mod client;
 mod connection_limit;
@@ -14,41 +14,41 @@
 
 pub use server::Server;
 
-/// An answer, or what ends the connection instead of one.
+/// The HTTP response to a request.
 pub struct Reply {
-    /// The status.
+    /// HTTP status.
     pub status: u16,
-    /// Whole header lines.
+    /// Complete header lines, each with its line end.
     pub headers: String,
-    /// The body.
+    /// Body of the response.
     pub body: Vec<u8>,
 }
 
 impl Reply {
-    /// A short text.
+    /// Creates a plain-text response.
     pub fn text(status: u16, text: &str) -> Self {
         let headers = "Content-Type: text/plain; charset=utf-8\r\n".to_owned();
         Self { status, headers, body: format!("{text}\n").into_bytes() }
     }
 }
 
-/// What a front does with a request.
+/// The protocol of a front: how requests are handled and errors are encoded.
 pub trait Service {
-    /// Reads a request; a query that it asks for is taken in before this returns.
+    /// Handles a request. If it is a query, the query has been submitted when this returns.
     fn accept(&self, head: &Head, body: Vec<u8>) -> Accepted;
-    /// The reply to a request that could not be read.
+    /// Returns the reply to a request that could not be read.
     fn unreadable(&self, fault: http::Fault) -> Reply;
-    /// The rejection of a request when too many are in progress.
+    /// Returns the rejection of a request when too many are in progress.
     fn overloaded(&self) -> Reply;
 }
 
-/// Makes the reply of a query's final answer.
+/// Encodes the final answer to a query as a reply.
 pub type Replier = Box<dyn FnOnce(FinalAnswer) -> Reply>;
 
-/// What became of a request.
+/// Result of handling a request.
 pub enum Accepted {
-    /// It was a query, and an answer is owed.
+    /// The request was a query; the reply follows from its final answer.
     Query(PendingQuery, Replier),
-    /// It is answered at once.
+    /// The reply to a request that is answered immediately.
     Reply(Reply),
 }
--- a/broker/src/http.rs
+++ b/broker/src/http.rs
@@ -25,7 +25,7 @@
     BodyTooLong,
     /// A transfer coding other than `chunked`.
     Coding,
-    /// It was not complete in time.
+    /// The message was not complete in time.
     Stalled,
 }
 
--- a/broker/src/http/parse.rs
+++ b/broker/src/http/parse.rs
@@ -3,8 +3,9 @@
 
 use super::{Fault, Framing, Head, BODY_MAX, HEAD_MAX};
 
+/// Maximum number of headers in a head.
 const HEADERS_MAX: usize = 64;
-/// Maximum length of a chunk's size line, extensions included.
+/// Maximum length of a chunk's size line with its extensions, in bytes.
 const CHUNK_LINE_MAX: usize = 256;
 
 /// The kind of message that is read.
@@ -18,17 +19,17 @@
 
 /// Parses a head and returns it with its length; `None` until it is complete.
 pub fn parse_head(bytes: &[u8], kind: Kind) -> Result<Option<(Head, usize)>, Fault> {
-    let seen = &bytes[..bytes.len().min(HEAD_MAX)];
+    let head_bytes = &bytes[..bytes.len().min(HEAD_MAX)];
     let mut headers = [httparse::EMPTY_HEADER; HEADERS_MAX];
     let (status, method, target, code, version, headers) = match kind {
         Kind::Request => {
             let mut request = httparse::Request::new(&mut headers);
-            let status = request.parse(seen);
+            let status = request.parse(head_bytes);
             (status, request.method, request.path, 0, request.version, &*request.headers)
         }
         Kind::Answer => {
             let mut answer = httparse::Response::new(&mut headers);
-            let status = answer.parse(seen);
+            let status = answer.parse(head_bytes);
             (status, None, None, answer.code.unwrap_or(0), answer.version, &*answer.headers)
         }
     };
@@ -41,18 +42,19 @@
     };
     let headers: Vec<(String, Vec<u8>)> =
         headers.iter().map(|h| (h.name.to_owned(), h.value.to_vec())).collect();
-    let has = |name: &str, word: &str| {
+    let has_token = |name: &str, token: &str| {
         headers.iter().filter(|(n, _)| n.eq_ignore_ascii_case(name)).any(|(_, value)| {
             let text = String::from_utf8_lossy(value);
-            text.split(',').any(|part| part.trim().eq_ignore_ascii_case(word))
+            text.split(',').any(|part| part.trim().eq_ignore_ascii_case(token))
         })
     };
-    let keep_alive = !has("connection", "close") && (version == Some(1) || has("connection", "keep-alive"));
+    let keep_alive =
+        !has_token("connection", "close") && (version == Some(1) || has_token("connection", "keep-alive"));
     let head = Head {
         method: method.unwrap_or_default().to_owned(),
         target: target.unwrap_or_default().to_owned(),
         status: code,
-        expects: has("expect", "100-continue"),
+        expects: has_token("expect", "100-continue"),
         framing: framing(&headers, kind, code)?,
         keep_alive,
         headers,
@@ -63,9 +65,10 @@
 /// Determines how the body ends. A length beside a transfer coding, or two different lengths, permit request smuggling, so
 /// both are errors.
 fn framing(headers: &[(String, Vec<u8>)], kind: Kind, status: u16) -> Result<Framing, Fault> {
-    let of = |name: &'static str| headers.iter().filter(move |(n, _)| n.eq_ignore_ascii_case(name));
+    let headers_named =
+        |name: &'static str| headers.iter().filter(move |(n, _)| n.eq_ignore_ascii_case(name));
     let mut length = None;
-    for (_, value) in of("content-length") {
+    for (_, value) in headers_named("content-length") {
         let digits = std::str::from_utf8(value).map_err(|_| Fault::Malformed)?.trim();
         if digits.is_empty() || !digits.bytes().all(|b| b.is_ascii_digit()) {
             return Err(Fault::Malformed);
@@ -76,9 +79,9 @@
         }
         length = Some(value);
     }
-    let mut codings = of("transfer-encoding");
+    let mut codings = headers_named("transfer-encoding");
     match (codings.next(), codings.next(), length) {
-        // An answer's length is held against its stream's bound once the body is read.
+        // The length of a response is checked against the limit of its stream when the body is read.
         (None, _, Some(length)) if length > BODY_MAX && kind == Kind::Request => Err(Fault::BodyTooLong),
         (None, _, Some(length)) => Ok(Framing::Length(length)),
         (None, _, None) if kind == Kind::Request || status == 204 || status == 304 => Ok(Framing::Length(0)),
@@ -96,29 +99,30 @@
 pub enum Chunk {
     /// The chunk's data is `bytes[from..to]`; the next one begins at `next`.
     Data {
-        /// Where it begins.
+        /// Offset of the first byte of the data.
         from: usize,
-        /// Where it ends.
+        /// Offset after the last byte of the data.
         to: usize,
-        /// Where the next chunk begins.
+        /// Offset of the next chunk.
         next: usize,
     },
     /// The body ended; the next message begins at `next`.
     Last {
-        /// Where the next message begins.
+        /// Offset of the next message.
         next: usize,
     },
 }
 
-/// Reads the chunk at the front, of so many bytes at the most; `None` until it is whole. Trailers are passed over.
-pub fn parse_chunk(bytes: &[u8], most: usize) -> Result<Option<Chunk>, Fault> {
+/// Parses the chunk at the start of `bytes`; `None` until it is complete. `max_bytes` is the maximum length of its data, in bytes.
+/// Trailers are skipped.
+pub fn parse_chunk(bytes: &[u8], max_bytes: usize) -> Result<Option<Chunk>, Fault> {
     let (from, size) = match httparse::parse_chunk_size(bytes) {
         Ok(httparse::Status::Complete((from, size))) => (from, size),
         Ok(httparse::Status::Partial) if bytes.len() > CHUNK_LINE_MAX => return Err(Fault::Malformed),
         Ok(httparse::Status::Partial) => return Ok(None),
         Err(_) => return Err(Fault::Malformed),
     };
-    if size > most as u64 {
+    if size > max_bytes as u64 {
         return Err(Fault::BodyTooLong);
     }
     if size > 0 {
@@ -129,12 +133,12 @@
             None => Ok(None),
         };
     }
-    // Trailers, up to an empty line.
-    let mut at = from;
-    while let Some(end) = bytes[at..].windows(2).position(|pair| pair == b"\r\n") {
-        at += end + 2;
+    // Skips trailers, up to an empty line.
+    let mut offset = from;
+    while let Some(end) = bytes[offset..].windows(2).position(|pair| pair == b"\r\n") {
+        offset += end + 2;
         if end == 0 {
-            return Ok(Some(Chunk::Last { next: at }));
+            return Ok(Some(Chunk::Last { next: offset }));
         }
     }
     if bytes.len() - from > HEAD_MAX {
--- a/broker/src/http/stream.rs
+++ b/broker/src/http/stream.rs
@@ -10,14 +10,14 @@
 
 use super::{parse_chunk, parse_head, Chunk, Fault, Framing, Head, Kind, BODY_MAX, HEAD_MAX};
 
-/// What is of no use is read in pieces of this size and dropped. After so many bytes others have their turn for so
-/// long: a peer that sends without end costs a small part of the thread, and what a peer that has gone left behind in both
-/// machines' buffers (some MB) is through within some tens of milliseconds.
+/// Size of the buffer, in bytes, into which unneeded bytes are read before they are dropped. After `DROP_BURST` bytes other
+/// tasks run for at least `DROP_PAUSE`: a peer that sends without end then uses a small part of the thread, and the data that
+/// a closed peer left in the buffers of both machines (some MB) is dropped within some tens of milliseconds.
 const DROP_BUFFER: usize = 16 * 1024;
 const DROP_BURST: usize = 16 * DROP_BUFFER;
 const DROP_PAUSE: Duration = Duration::from_millis(1);
-/// Longer than any wait; a wait that ends is restarted.
-const LONG: Duration = Duration::from_secs(3600);
+/// Time-out for waits without a limit; a wait that times out is restarted.
+const UNLIMITED: Duration = Duration::from_secs(3600);
 
 /// Why reading from a peer ended.
 #[derive(Debug)]
@@ -49,7 +49,7 @@
 impl Stream {
     /// Wraps an open connection.
     pub fn new(socket: Async<TcpStream>) -> Self {
-        // Answers are small and waited for.
+        // Messages are small and the peer waits for them, so they must not be delayed for coalescing.
         let _ = socket.get_ref().set_nodelay(true);
         let (buffer, chunks, ended) = (Vec::new(), Vec::new(), Cell::new(false));
         Self { socket, buffer, ended, body_max: BODY_MAX, chunks, has_dropped_bytes: false }
@@ -70,15 +70,15 @@
         &self.socket
     }
 
-    /// Reads more; false at the end of the stream.
-    async fn more(&mut self, within: Duration) -> Result<bool, Ending> {
+    /// Reads more bytes to the buffer; false at the end of the stream.
+    async fn read_more(&mut self, within: Duration) -> Result<bool, Ending> {
         let mut chunk_buffer = [0; 4096];
         let read = async { Some((&self.socket).read(&mut chunk_buffer).await) };
-        let late = async {
+        let timed_out = async {
             Timer::after(within).await;
             None
         };
-        match futures_lite::future::or(read, late).await {
+        match futures_lite::future::or(read, timed_out).await {
             None => Err(Ending::Stalled),
             Some(Err(_)) => Err(Ending::Cut),
             Some(Ok(0)) => {
@@ -95,7 +95,7 @@
     /// Waits for the first byte of a message.
     pub async fn first(&mut self, within: Duration) -> Result<(), Ending> {
         while self.buffer.is_empty() {
-            if !self.more(within).await? {
+            if !self.read_more(within).await? {
                 return Err(Ending::Closed);
             }
         }
@@ -104,29 +104,28 @@
 
     /// Reads a head. `within` bounds all of it, so that a peer that sends single bytes can't hold the connection forever.
     pub async fn head(&mut self, kind: Kind, within: Duration) -> Result<Head, Ending> {
-        let until = Instant::now() + within;
+        let deadline = Instant::now() + within;
         loop {
             if let Some((head, length)) = parse_head(&self.buffer, kind).map_err(Ending::Fault)? {
                 self.buffer.drain(..length);
                 return Ok(head);
             }
-            self.more_before(until).await?;
+            self.read_more_before(deadline).await?;
         }
     }
 
-    async fn more_before(&mut self, until: Instant) -> Result<(), Ending> {
-        let left = until.saturating_duration_since(Instant::now());
-        match self.more(left).await? {
+    async fn read_more_before(&mut self, deadline: Instant) -> Result<(), Ending> {
+        let remaining = deadline.saturating_duration_since(Instant::now());
+        match self.read_more(remaining).await? {
             true => Ok(()),
             false => Err(Ending::Cut),
         }
     }
 
-    /// Reads a body, within a time for the whole of it. Chunks are unpacked as they come, so that a
-    /// body of many small ones holds no more memory than another. Dropped, or out of time, it goes on where it
-    /// was when it is called again.
+    /// Reads a body; `within` bounds all of it. Chunks are decoded as they arrive, so that a body of many small chunks uses no
+    /// more memory than another. After a time-out, or if the future is dropped, the next call resumes reading.
     pub async fn body(&mut self, framing: Framing, within: Duration) -> Result<Vec<u8>, Ending> {
-        let until = Instant::now() + within;
+        let deadline = Instant::now() + within;
         let mut body = Vec::new();
         match framing {
             Framing::Length(length) if length > self.body_max => {
@@ -134,14 +133,14 @@
             }
             Framing::Length(length) => {
                 while self.buffer.len() < length {
-                    self.more_before(until).await?;
+                    self.read_more_before(deadline).await?;
                 }
                 body.extend(self.buffer.drain(..length));
                 // Releases the memory of a long body.
                 self.buffer.shrink_to(HEAD_MAX);
             }
             Framing::Chunked => {
-                while let Some(chunk) = self.chunk_before(until).await? {
+                while let Some(chunk) = self.chunk_before(deadline).await? {
                     self.chunks.extend_from_slice(&chunk);
                     if self.chunks.len() > self.body_max {
                         return Err(Ending::Fault(Fault::BodyTooLong));
@@ -151,7 +150,7 @@
             }
             Framing::Close => {
                 while !self.ended.get() {
-                    match self.more_before(until).await {
+                    match self.read_more_before(deadline).await {
                         Err(Ending::Cut) if self.ended.get() => {}
                         other => other?,
                     }
@@ -170,7 +169,7 @@
         self.chunk_before(Instant::now() + within).await
     }
 
-    async fn chunk_before(&mut self, until: Instant) -> Result<Option<Vec<u8>>, Ending> {
+    async fn chunk_before(&mut self, deadline: Instant) -> Result<Option<Vec<u8>>, Ending> {
         loop {
             match parse_chunk(&self.buffer, self.body_max).map_err(Ending::Fault)? {
                 Some(Chunk::Last { next }) => {
@@ -182,17 +181,18 @@
                     self.buffer.drain(..next);
                     return Ok(Some(data));
                 }
-                None => self.more_before(until).await?,
+                None => self.read_more_before(deadline).await?,
             }
         }
     }
 
-    /// Resolves once the peer has closed or the connection broke. Bytes of a next message that come
-    /// meanwhile are kept, up to the longest head; past that they are dropped, and the connection can carry no further
-    /// message ([`Stream::has_dropped_bytes`]). Guards against a peer that sends much at once and goes: its end stands behind all of it.
+    /// Resolves once the peer has closed or the connection broke. Bytes of the next message that arrive meanwhile are kept, up
+    /// to `HEAD_MAX`; further ones are dropped, and the connection can then carry no further message
+    /// ([`Stream::has_dropped_bytes`]). Dropping them is needed to detect the disconnection of a peer that sends many bytes and
+    /// then closes, since the end of the stream follows all of them.
     pub async fn peer_closed(&mut self) {
         while self.buffer.len() < HEAD_MAX {
-            if !matches!(self.more(LONG).await, Ok(true) | Err(Ending::Stalled)) {
+            if !matches!(self.read_more(UNLIMITED).await, Ok(true) | Err(Ending::Stalled)) {
                 return;
             }
         }
@@ -208,11 +208,11 @@
     async fn drain(&mut self) {
         let mut chunk_buffer = vec![0; DROP_BUFFER];
         loop {
-            let mut taken = 0;
-            while taken < DROP_BURST {
+            let mut dropped = 0;
+            while dropped < DROP_BURST {
                 match (&self.socket).read(&mut chunk_buffer).await {
                     Ok(0) | Err(_) => return,
-                    Ok(n) => taken += n,
+                    Ok(n) => dropped += n,
                 }
                 self.has_dropped_bytes = true;
             }
@@ -220,7 +220,7 @@
         }
     }
 
-    /// Writes all bytes within a time.
+    /// Writes all bytes; `within` is the time-out.
     pub async fn write(&mut self, bytes: &[u8], within: Duration) -> io::Result<()> {
         write_all(&self.socket, bytes, within).await
     }
@@ -230,33 +230,33 @@
         self.socket.get_ref().shutdown(std::net::Shutdown::Write)
     }
 
-    /// Ends the connection so that what was written last still arrives: the peer is told, and what it had still under way
-    /// is read and dropped until it closes too, or the time is over. A close over unread bytes would be a reset.
+    /// Closes the connection so that the bytes written last still arrive: shuts the write side down, then reads and drops
+    /// received bytes until the peer closes too or the time is over. Closing with unread bytes would reset the connection.
     pub async fn finish(mut self, within: Duration) {
         if self.shut().is_ok() {
             self.buffer = Vec::new();
-            let late = async {
+            let timed_out = async {
                 Timer::after(within).await;
             };
-            futures_lite::future::or(self.drain(), late).await;
+            futures_lite::future::or(self.drain(), timed_out).await;
         }
     }
 }
 
-/// Writes all bytes within a time; a peer that reads nothing is an error.
+/// Writes all bytes; `within` is the time-out, so that a peer that does not read results in an error.
 pub async fn write_all(mut socket: &Async<TcpStream>, bytes: &[u8], within: Duration) -> io::Result<()> {
-    let late = async {
+    let timed_out = async {
         Timer::after(within).await;
         Err(io::ErrorKind::TimedOut.into())
     };
-    futures_lite::future::or(socket.write_all(bytes), late).await
+    futures_lite::future::or(socket.write_all(bytes), timed_out).await
 }
 
-/// Opens a connection within a time.
+/// Opens a connection; `within` is the time-out.
 pub async fn connect(address: std::net::SocketAddr, within: Duration) -> io::Result<Async<TcpStream>> {
-    let late = async {
+    let timed_out = async {
         Timer::after(within).await;
         Err(io::ErrorKind::TimedOut.into())
     };
-    futures_lite::future::or(Async::<TcpStream>::connect(address), late).await
+    futures_lite::future::or(Async::<TcpStream>::connect(address), timed_out).await
 }
--- a/broker/src/lib.rs
+++ b/broker/src/lib.rs
@@ -1,6 +1,6 @@
-//! The broker of the Great Lakes Hive Weighing Association: a multi-protocol edge that takes queries
-//! in, has the decision module `gingerledge-dispatch` place their parts on reading stores, and gives each query
-//! exactly one final answer. `docs/design/broker.md` tells the life of a request.
+//! The broker of the Great Lakes Hive Weighing Association. It accepts queries over several protocols, lets the decision
+//! module `gingerledge-dispatch` assign their parts to reading stores, and sends exactly one final answer to each query.
+//! `docs/design/broker.md` describes the processing of a request.
 
 pub mod admin;
 pub mod blocks;
--- a/broker/src/logger.rs
+++ b/broker/src/logger.rs
@@ -1,5 +1,5 @@
-//! The log on standard error, behind the `log` crate: one line an event, its fields behind it as `key=value`; or a JSON
-//! object a line, for programs.
+//! Implementation of the `log` facade that writes to standard error. Each event is one line: as text followed by its fields as
+//! `key=value`, or as a JSON object for programs.
 
 use std::fmt::Write as _;
 use std::io::Write;
@@ -13,27 +13,27 @@
 struct Logger {
     name: String,
     clock: Clock,
-    json: bool,
+    as_json: bool,
 }
 
-/// Fields as text.
-struct Text(String);
+/// Collects the fields of an event as text.
+struct TextFields(String);
 
-impl<'a> VisitSource<'a> for Text {
+impl<'a> VisitSource<'a> for TextFields {
     fn visit_pair(&mut self, key: Key<'a>, value: Value<'a>) -> Result<(), Error> {
-        // Writing to a string has no way to fail.
+        // Writing to a string cannot fail.
         let _ = write!(self.0, " {key}={value}");
         Ok(())
     }
 }
 
-/// Fields as JSON.
-struct Fields(Map<String, serde_json::Value>);
+/// Collects the fields of an event as JSON.
+struct JsonFields(Map<String, serde_json::Value>);
 
-impl<'a> VisitSource<'a> for Fields {
+impl<'a> VisitSource<'a> for JsonFields {
     fn visit_pair(&mut self, key: Key<'a>, value: Value<'a>) -> Result<(), Error> {
-        let as_json = serde_json::to_value(&value).unwrap_or_else(|_| value.to_string().into());
-        self.0.insert(key.to_string(), as_json);
+        let value = serde_json::to_value(&value).unwrap_or_else(|_| value.to_string().into());
+        self.0.insert(key.to_string(), value);
         Ok(())
     }
 }
@@ -48,16 +48,16 @@
             return;
         }
         let target = record.target().trim_start_matches("gingerledge::");
-        let line = match self.json {
-            true => self.object(record, target),
+        let line = match self.as_json {
+            true => self.json_object(record, target),
             false => {
-                let mut fields = Text(String::new());
+                let mut fields = TextFields(String::new());
                 let _ = record.key_values().visit(&mut fields);
                 let (seconds, name, level) = (self.clock.now() / 1000.0, &self.name, record.level());
                 format!("{seconds:.3} {name} {level} {target}: {}{}", record.args(), fields.0)
             }
         };
-        // A log that nobody reads must not stop the broker.
+        // A closed standard error must not stop the broker.
         let _ = writeln!(std::io::stderr().lock(), "{line}");
     }
 
@@ -65,8 +65,8 @@
 }
 
 impl Logger {
-    fn object(&self, record: &Record, target: &str) -> String {
-        let mut fields = Fields(Map::new());
+    fn json_object(&self, record: &Record, target: &str) -> String {
+        let mut fields = JsonFields(Map::new());
         let _ = record.key_values().visit(&mut fields);
         let mut object = fields.0;
         object.insert("at".to_owned(), (self.clock.now() / 1000.0).into());
@@ -78,14 +78,14 @@
     }
 }
 
-/// Sends the program's log to standard error from `level` on. A second call changes nothing.
+/// Installs a logger that writes events of `level` and more severe ones as text. A second call has no effect.
 pub fn start(name: &str, level: LevelFilter, clock: Clock) {
     start_as(name, level, false, clock);
 }
 
-/// The same, as JSON lines if so told.
-pub fn start_as(name: &str, level: LevelFilter, json: bool, clock: Clock) {
-    let logger = Box::new(Logger { name: name.to_owned(), clock, json });
+/// Installs a logger like [`start`], which writes JSON lines if `as_json` is true.
+pub fn start_as(name: &str, level: LevelFilter, as_json: bool, clock: Clock) {
+    let logger = Box::new(Logger { name: name.to_owned(), clock, as_json });
     if log::set_boxed_logger(logger).is_ok() {
         log::set_max_level(level);
     }
--- a/broker/src/main.rs
+++ b/broker/src/main.rs
@@ -1,4 +1,4 @@
-//! The broker's program; see `gingerledge::cli`.
+//! Entry point of the broker's program; see `gingerledge::cli`.
 
 use std::process::ExitCode;
 
--- a/broker/src/readiness.rs
+++ b/broker/src/readiness.rs
@@ -1,5 +1,5 @@
 //! Decides when a new process becomes ready: with the first list of discovery, with an older list after a delay, and finally
-//! without any, since a process that never becomes ready serves nobody. It knows neither clients nor requests.
+//! without any, since a process that never becomes ready serves no client. It does not depend on clients or requests.
 
 use std::rc::Rc;
 use std::time::Instant;
@@ -13,17 +13,17 @@
 /// Factor on the wait of a process without any list while another process of this broker serves.
 const OTHER_PROCESS_FACTOR: u32 = 3;
 
-/// Waits until discovery has told its list. Where an older one is known that will do: at once where no other
-/// process serves meanwhile, and beside one after a while. Where lists are pushed the older one is `held` back for that
-/// while: what the agent has counts as told from the first moment, so that no part goes out before it was asked.
-/// Where there is none at all the wait is bounded, too.
+/// Waits for the first list of discovery, then marks the process as ready. An older list replaces it: at once if no other
+/// process serves, and after a delay otherwise. If lists are pushed, `older_list` is applied only after that delay, since the
+/// agent's list takes effect from the first moment, so no part may be sent before the agent was called. The wait without any
+/// list is bounded, too.
 pub async fn become_ready(
     lifecycle: Rc<Lifecycle>,
     discovery: Rc<Discovery>,
     (has_other_process, calls): (bool, CallTimeouts),
     older_list: Option<List>,
 ) {
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let request_list = async {
         if !has_other_process && (discovery.has_stores() || older_list.is_some()) {
             futures_lite::future::pending::<()>().await;
@@ -31,9 +31,9 @@
         if !has_other_process {
             Timer::after(discovery.first_call_delay()).await;
         }
-        // Guards the start in a large fleet, whose first calls for the list are spread over seconds: of an upgrade, as what
-        // discovery has to tell counts as told soon after this process is ready; and without any list, as there is no
-        // more to wait for.
+        // In a large fleet the first calls to discovery are spread over seconds. This subscribes without that delay in an
+        // upgrade, since changes at discovery must be applied soon after this process is ready, and after the delay of the
+        // first call without any list.
         discovery.subscribe();
         futures_lite::future::pending::<()>().await
     };
@@ -45,9 +45,9 @@
             Timer::after(calls.first_list).await;
         }
         if !discovery.has_stores() {
-            let wait =
+            let timeout =
                 if has_other_process { calls.readiness * OTHER_PROCESS_FACTOR } else { calls.readiness };
-            Timer::at(begun + wait).await;
+            Timer::at(started_at + timeout).await;
             log::warn!("ready without any list of stores: discovery has sent none");
         }
     };
--- a/broker/src/service.rs
+++ b/broker/src/service.rs
@@ -35,20 +35,22 @@
 use crate::store::{StopReason, Stores};
 use crate::subsystem::{Host, Subsystem};
 
-/// The end is waited for no longer than any request may wait and its answer be written. That is a guard only: each connection
-/// ends in a time of its own. To end sooner would lose what was taken, where deadlines are long; to end later than SIGKILL is
-/// no loss of what came in time.
+/// Maximum duration of a shutdown: the longest time-out of a request, and time to write its answer. It is only a guard, since
+/// each connection ends within time limits of its own. A shorter time would lose accepted requests with long deadlines; if
+/// SIGKILL comes first, no request that was answered in time is lost.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(TIMEOUT_MAX_MS + 60_000);
+/// Interval at which a shutdown checks for open connections.
 const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// One part in so many of the memory may be held by requests longer than usual, at each front.
+/// Divisor of the memory limit: each front may use this fraction of it for long request bodies.
 const BODY_MEMORY_DIVISOR: usize = 8;
-/// A connection is left to stand for this share of the time after which a store would close it.
+/// Fraction of a store's idle time-out after which the broker closes an idle connection itself.
 const IDLE_TIMEOUT_FACTOR: f64 = 0.8;
 
-/// How often what another process was told is looked for; either may be called, and both have to follow in 1 s.
+/// Interval at which changes of disabled stores by another process of this broker are read. Operators may call either
+/// process, and both have to apply the change within 1 s.
 const ROTATION_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Runs the broker until SIGTERM or SIGINT. `again` reloads the configuration on SIGHUP.
+/// Runs the broker until SIGTERM or SIGINT. `reload` reads the configuration again on SIGHUP.
 ///
 /// # Errors
 ///
@@ -85,13 +87,13 @@
 
 /// A running broker.
 pub struct Broker {
-    /// Where the platform's clients connect.
+    /// Address for the platform's clients.
     pub platform: SocketAddr,
-    /// Where the feature front's clients connect, if it is set up.
+    /// Address for clients of the feature front, if it is configured.
     pub features: Option<SocketAddr>,
     /// Address of the admin endpoint, if there is one.
     pub admin: Option<SocketAddr>,
-    /// What it has counted.
+    /// Counters since the start.
     pub counters: Rc<Counters>,
     exchange: Rc<Exchange>,
     stores: Rc<Stores>,
@@ -143,14 +145,14 @@
     }
 }
 
-/// What the servers of all fronts share.
+/// Parameters shared by the servers of all fronts.
 struct FrontContext<'a> {
     lifecycle: &'a Rc<Lifecycle>,
     presence: &'a Rc<Presence>,
     counters: &'a Rc<Counters>,
     executor: &'a Rc<LocalExecutor<'static>>,
     client_timeouts: ClientTimeouts,
-    /// Bytes of long request bodies that a front may hold.
+    /// Limit on memory for long request bodies at each front, in bytes.
     body_bytes: usize,
 }
 
@@ -220,11 +222,12 @@
             counters.clone(),
             calls,
         );
-        let remembered = config.remembered_list.map(|list| discovery::parse(list.to_string().as_bytes()));
-        let mut remembered =
-            remembered.transpose().map_err(|fault| Error::new("known", fault.to_string()))?;
+        let remembered_list =
+            config.remembered_list.map(|list| discovery::parse(list.to_string().as_bytes()));
+        let mut remembered_list =
+            remembered_list.transpose().map_err(|fault| Error::new("known", fault.to_string()))?;
         if !calls.is_pushed {
-            remembered.take().iter().for_each(|list| discovery.apply(list, true));
+            remembered_list.take().iter().for_each(|list| discovery.apply(list, true));
         }
 
         let fronts = FrontContext {
@@ -302,14 +305,20 @@
         executor.spawn(discovery.clone().run()).detach();
         let has_other_process = presence.other() != OtherProcess::None;
         executor
-            .spawn(become_ready(lifecycle.clone(), discovery.clone(), (has_other_process, calls), remembered))
+            .spawn(become_ready(
+                lifecycle.clone(),
+                discovery.clone(),
+                (has_other_process, calls),
+                remembered_list,
+            ))
             .detach();
         executor.spawn(poll_rotation(discovery.clone())).detach();
-        let sharing = exchange.clone();
-        let share =
-            move |other| sharing.process_count_changed(if other == OtherProcess::Serves { 2 } else { 1 });
-        share(presence.other());
-        executor.spawn(presence.clone().watch(share)).detach();
+        let shared_exchange = exchange.clone();
+        let on_process_change = move |other| {
+            shared_exchange.process_count_changed(if other == OtherProcess::Serves { 2 } else { 1 })
+        };
+        on_process_change(presence.other());
+        executor.spawn(presence.clone().watch(on_process_change)).detach();
         executor
             .spawn(run_core(
                 core,
@@ -334,7 +343,7 @@
         })
     }
 
-    /// Current sizes of its tables.
+    /// Returns the current sizes of the broker's tables.
     pub fn sizes(&self) -> Sizes {
         Sizes {
             stores: self.stores.endpoint_count(),
@@ -358,8 +367,8 @@
         }
     }
 
-    /// Follows the discovery of a configuration that was read again; all other settings stay as they were
-    /// at the start. One that can't be used changes nothing.
+    /// Applies the address of discovery from a configuration that was read again; all other settings stay as they were at the
+    /// start. An invalid configuration changes nothing.
     pub fn reload(&self, discovery: Result<SocketAddr, Error>) {
         match discovery {
             Ok(discovery) => self.discovery.set_address(discovery),
@@ -370,11 +379,11 @@
     /// Shuts down gracefully: accepts no more requests and finishes those in progress.
     pub async fn stop(&self) {
         log::info!("stopping: {} queries open", self.exchange.open_queries());
-        // From here on a successor may serve: stores that are cold get nothing from two processes of one broker.
+        // From here on a successor may serve. Two processes of one broker must not both send to cold stores.
         self.exchange.shutdown_started();
         let has_successor = self.presence.refresh() == OtherProcess::Serves;
         self.presence.announce_shutdown();
-        // First of all: what is taken and what is left to lie counts from the signal.
+        // Before any await: which connections are still accepted is counted from the time of the signal.
         self.lifecycle.shut_down(has_successor);
         let subsystems = async {
             for subsystem in self.subsystems.iter() {
@@ -383,8 +392,8 @@
         };
         let clients = async {
             self.lifecycle.accept_deadline().await;
-            let until = Instant::now() + SHUTDOWN_TIMEOUT;
-            while self.lifecycle.connection_count() > 0 && Instant::now() < until {
+            let deadline = Instant::now() + SHUTDOWN_TIMEOUT;
+            while self.lifecycle.connection_count() > 0 && Instant::now() < deadline {
                 Timer::after(SHUTDOWN_POLL_INTERVAL).await;
             }
         };
@@ -401,8 +410,8 @@
     }
 }
 
-/// Queries of the feature front are named from here on: apart at each broker, after each start, and in each of
-/// two processes.
+/// Returns the number from which the queries of the feature front are named. It differs between brokers, between starts, and
+/// between two processes of one broker.
 fn first_query_number(seed: u64, now: Millis) -> u64 {
     seed.rotate_left(17) ^ now.to_bits() ^ u64::from(std::process::id()).rotate_left(40)
 }
@@ -430,7 +439,7 @@
                     subsystems.iter().for_each(|subsystem| subsystem.on_newer_epoch())
                 }
                 Command::Subscribe => discovery.subscribe(),
-                Command::CountRejection(query, why) => exchange.count_rejection(query, why),
+                Command::CountRejection(query, reason) => exchange.count_rejection(query, reason),
                 Command::Finish(query, answer) => drop(exchange.complete(query, answer)),
             }
         }
--- a/broker/src/subsystem.rs
+++ b/broker/src/subsystem.rs
@@ -1,4 +1,5 @@
-//! The interface of optional subsystems: what they are given ([`Host`]) and what they implement ([`Subsystem`]). The admin
+//! The interface of optional subsystems: the parts of the broker that they may use ([`Host`]) and the trait that they
+//! implement ([`Subsystem`]). The admin
 //! endpoint, the core's driver and the shutdown sequence know subsystems through this interface only.
 
 use std::rc::Rc;
