--- a/broker/src/admin.rs
+++ b/broker/src/admin.rs
@@ -159,7 +159,8 @@
                     };
                     log::debug!(status; "admin request answered");
                     count(&this.counters.admin_calls);
-                    let bytes = http::answer(status, &format!("Content-Type: {kind}\r\n"), &body, false);
+                    let bytes =
+                        http::encode_response(status, &format!("Content-Type: {kind}\r\n"), &body, false);
                     if stream.write(&bytes, RESPONSE_TIMEOUT).await.is_ok() {
                         stream.finish(LINGER).await;
                     }
--- a/broker/src/blocks/follow.rs
+++ b/broker/src/blocks/follow.rs
@@ -57,7 +57,7 @@
     let mut stream = Stream::new(socket);
     let request = format!("GET {target} HTTP/1.1\r\nHost: {at}\r\nConnection: close\r\n\r\n");
     stream.write(request.as_bytes(), STEP_TIMEOUT).await.ok()?;
-    let head = stream.head(Kind::Answer, STEP_TIMEOUT).await.ok()?;
+    let head = stream.head(Kind::Response, STEP_TIMEOUT).await.ok()?;
     let body = stream.body(head.framing, STEP_TIMEOUT).await.ok()?;
     (head.status == 200).then_some(body)
 }
--- a/broker/src/cli/admin.rs
+++ b/broker/src/cli/admin.rs
@@ -23,7 +23,7 @@
         let text =
             format!("{method} {path} HTTP/1.1\r\nHost: {at}\r\nConnection: close\r\nContent-Length: {length}\r\n\r\n{body}");
         stream.write(text.as_bytes(), TIMEOUT).await.map_err(|e| format!("can't ask: {e}"))?;
-        let head = stream.head(Kind::Answer, TIMEOUT).await.map_err(|e| format!("no answer: {e:?}"))?;
+        let head = stream.head(Kind::Response, TIMEOUT).await.map_err(|e| format!("no answer: {e:?}"))?;
         let body = stream.body(head.framing, TIMEOUT).await.map_err(|e| format!("no answer: {e:?}"))?;
         Ok((head.status, body))
     });
--- a/broker/src/cli/blocks.rs
+++ b/broker/src/cli/blocks.rs
@@ -150,9 +150,9 @@
             );
         }
     }
-    let silent_stores = text(&response["unheard"]);
-    if !silent_stores.is_empty() {
-        println!("\nhave not said what they hold: {silent_stores}");
+    let unheard = text(&response["unheard"]);
+    if !unheard.is_empty() {
+        println!("\nhave not said what they hold: {unheard}");
     }
     Ok(())
 }
--- a/broker/src/cli/validate.rs
+++ b/broker/src/cli/validate.rs
@@ -21,7 +21,8 @@
     let mut transition = Passage::default();
     findings.extend(faults(&new.draft, &store_name).into_iter().map(|finding| (file, finding)));
     if let Some((path, old)) = &old {
-        // Faults of the old map may be the reason for the new one, so only those that make its holders ambiguous are reported.
+        // Faults of the old map may be the reason for the new one, so only those that make its holders ambiguous are
+        // reported.
         let ambiguous = faults(&old.draft, &store_name).into_iter().filter(|finding| finding.fault.unclear());
         findings.extend(ambiguous.map(|finding| (*path, finding)));
         if let Some((held, next)) = old.version.zip(new.version) {
--- a/broker/src/config.rs
+++ b/broker/src/config.rs
@@ -1,5 +1,5 @@
-//! The one place where configuration is read, checked and given defaults: the environment, the
-//! JSON object that `LB_CONFIG` names, and the operator's file. Every error names the faulty key.
+//! Reading and validation of the configuration, with all defaults. Its sources are the environment, the JSON file that
+//! `LB_CONFIG` names, and the operator's file. Every error names the faulty key.
 
 pub mod blocks;
 pub mod features;
--- a/broker/src/config/fleet.rs
+++ b/broker/src/config/fleet.rs
@@ -50,7 +50,8 @@
         let check_range =
             |key: &str, value, least, most| super::check_range(format!("fleet.{key}"), value, least, most);
         let probe_ms = check_range("probe_ms", table.probe_ms, 100.0, 60_000.0)?;
-        // Those that are asked to probe on one's behalf need as long again, and a little more.
+        // An indirect probe through other members takes the same time again, plus a margin, and both have to fit in one
+        // probe interval.
         let answer_ms = check_range("answer_ms", table.answer_ms, 5.0, probe_ms / 2.5)?;
         let sent_per_s = check_range("sent_per_s", table.sent_per_s, 5.0, 1_000.0)?;
         let address = |key: &str, value: &Value| {
--- a/broker/src/discovery/calls.rs
+++ b/broker/src/discovery/calls.rs
@@ -129,7 +129,7 @@
         let mut stream = Stream::new(socket).up_to(LIST_MAX);
         let request = format!("GET {target} HTTP/1.1\r\nHost: {address}\r\nAccept: application/json\r\n\r\n");
         stream.write(request.as_bytes(), UNBOUNDED).await.map_err(|e| e.to_string())?;
-        let head = stream.head(Kind::Answer, UNBOUNDED).await.map_err(|e| format!("{e:?}"))?;
+        let head = stream.head(Kind::Response, UNBOUNDED).await.map_err(|e| format!("{e:?}"))?;
         match head.status {
             200 => {
                 self.on_event(Event::HeadReceived);
--- a/broker/src/front/client.rs
+++ b/broker/src/front/client.rs
@@ -137,35 +137,39 @@
         Self { stream: Stream::new(socket), head: None }
     }
 
-    /// Whether a request has begun.
-    pub fn begun(&self) -> bool {
-        self.head.is_some() || self.stream.begun()
+    /// Whether a part of a request has been received.
+    pub fn has_partial_request(&self) -> bool {
+        self.head.is_some() || self.stream.has_buffered_bytes()
     }
 
     /// Waits for the first byte of a request.
-    pub async fn first(&mut self, within: Duration) -> Result<(), NoRequest> {
-        Ok(self.stream.first(within).await?)
+    pub async fn wait_for_first_byte(&mut self, within: Duration) -> Result<(), NoRequest> {
+        Ok(self.stream.wait_for_first_byte(within).await?)
     }
 
     /// Reads a request. If the future is dropped before the request is complete, the next call resumes reading.
-    pub async fn request(&mut self, bodies: &Rc<BodyMemory>, by: Instant) -> Result<Request, NoRequest> {
-        let left = || by.saturating_duration_since(Instant::now());
-        let (head, reserved) = match self.head.take() {
-            Some(begun) => begun,
+    pub async fn request(
+        &mut self,
+        body_memory: &Rc<BodyMemory>,
+        deadline: Instant,
+    ) -> Result<Request, NoRequest> {
+        let remaining = || deadline.saturating_duration_since(Instant::now());
+        let (head, reservation) = match self.head.take() {
+            Some(partial) => partial,
             None => {
-                let head = self.stream.head(Kind::Request, left()).await?;
-                let reserved = bodies.reserve(head.framing).ok_or(NoRequest::NoCapacity)?;
+                let head = self.stream.head(Kind::Request, remaining()).await?;
+                let reservation = body_memory.reserve(head.framing).ok_or(NoRequest::NoCapacity)?;
                 if head.expects && head.framing != Framing::Length(0) {
-                    let _ = self.stream.write(b"HTTP/1.1 100 Continue\r\n\r\n", left()).await;
+                    let _ = self.stream.write(b"HTTP/1.1 100 Continue\r\n\r\n", remaining()).await;
                 }
-                (head, reserved)
+                (head, reservation)
             }
         };
         let framing = head.framing;
-        self.head = Some((head, reserved));
-        let body = self.stream.body(framing, left()).await?;
+        self.head = Some((head, reservation));
+        let body = self.stream.body(framing, remaining()).await?;
         match self.head.take() {
-            Some((head, reserved)) => Ok(Request { head, body, _reservation: reserved }),
+            Some((head, reservation)) => Ok(Request { head, body, _reservation: reservation }),
             None => Err(NoRequest::Disconnected),
         }
     }
@@ -178,7 +182,7 @@
     /// Writes an answer; the last one where `keep_alive` is false, or bytes received after its request had to be dropped.
     pub async fn answer(mut self, reply: &Reply, keep_alive: bool, within: Duration) -> Answered {
         let keep_alive = keep_alive && !self.stream.has_dropped_bytes();
-        let bytes = http::answer(reply.status, &reply.headers, &reply.body, keep_alive);
+        let bytes = http::encode_response(reply.status, &reply.headers, &reply.body, keep_alive);
         match self.stream.write(&bytes, within).await {
             Err(e) => {
                 log::debug!(error:% = e; "answer was not written");
@@ -190,8 +194,8 @@
     }
 
     /// Reads once more, without waiting, before an idle connection is closed: a request that arrived by now is served.
-    pub async fn final_read(mut self, bodies: &Rc<BodyMemory>) -> FinalRead {
-        match self.request(bodies, Instant::now()).await {
+    pub async fn final_read(mut self, body_memory: &Rc<BodyMemory>) -> FinalRead {
+        match self.request(body_memory, Instant::now()).await {
             Ok(request) => FinalRead::Request(self, request),
             Err(NoRequest::Stalled) => FinalRead::Nothing(self.half_close()),
             Err(NoRequest::Disconnected) => FinalRead::Disconnected(Closed(())),
@@ -206,7 +210,7 @@
 
     fn half_close(self) -> HalfClosed {
         // An error occurs again when the connection lingers.
-        let _ = self.stream.shut();
+        let _ = self.stream.shut_down_write();
         HalfClosed(self.stream)
     }
 
--- a/broker/src/front/server.rs
+++ b/broker/src/front/server.rs
@@ -175,10 +175,10 @@
         let eviction = accepted
             .map_or_else(|| self.connection_limit.track_reused(), |_| self.connection_limit.track_new());
         let first_by = accepted.map(|at| at + self.client_timeouts.read);
-        if !client.begun() {
+        if !client.has_partial_request() {
             let within =
                 first_by.map_or(self.client_timeouts.idle, |by| by.saturating_duration_since(Instant::now()));
-            let first = async { client.first(within).await.map_err(Some) };
+            let first = async { client.wait_for_first_byte(within).await.map_err(Some) };
             let ended = async {
                 or(eviction.requested(), self.lifecycle.idle_deadline(accepted)).await;
                 Err(None)
--- a/broker/src/http.rs
+++ b/broker/src/http.rs
@@ -17,13 +17,13 @@
 /// Why a message could not be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// Not HTTP, or ambiguous framing.
+    /// The message is not valid HTTP, or its framing is ambiguous.
     Malformed,
     /// The head is too long.
     HeadTooLong,
     /// The body is too long.
     BodyTooLong,
-    /// A transfer coding other than `chunked`.
+    /// The message has a transfer coding other than `chunked`.
     Coding,
     /// The message was not complete in time.
     Stalled,
@@ -57,22 +57,22 @@
 /// How a body ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
-    /// After this number of bytes.
+    /// The body ends after this number of bytes.
     Length(usize),
-    /// With the last chunk.
+    /// The body ends with the last chunk.
     Chunked,
-    /// With the end of the connection (responses only).
+    /// The body ends with the connection (responses only).
     Close,
 }
 
 /// The head of a request or a response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Head {
-    /// The method; empty in a response.
+    /// Method of a request; empty in a response.
     pub method: String,
-    /// The target; empty in a response.
+    /// Target of a request; empty in a response.
     pub target: String,
-    /// The status; 0 in a request.
+    /// Status of a response; 0 in a request.
     pub status: u16,
     /// Whether the connection may carry another message.
     pub keep_alive: bool,
@@ -107,7 +107,7 @@
 }
 
 /// Encodes a response. `headers` are complete lines, each with its line end.
-pub fn answer(status: u16, headers: &str, body: &[u8], keep_alive: bool) -> Vec<u8> {
+pub fn encode_response(status: u16, headers: &str, body: &[u8], keep_alive: bool) -> Vec<u8> {
     let reason = match status {
         200 => "OK",
         304 => "Not Modified",
--- a/broker/src/http/parse.rs
+++ b/broker/src/http/parse.rs
@@ -14,7 +14,7 @@
     /// Requests, by a server.
     Request,
     /// Responses, by a client.
-    Answer,
+    Response,
 }
 
 /// Parses a head and returns it with its length; `None` until it is complete.
@@ -27,10 +27,10 @@
             let status = request.parse(head_bytes);
             (status, request.method, request.path, 0, request.version, &*request.headers)
         }
-        Kind::Answer => {
-            let mut answer = httparse::Response::new(&mut headers);
-            let status = answer.parse(head_bytes);
-            (status, None, None, answer.code.unwrap_or(0), answer.version, &*answer.headers)
+        Kind::Response => {
+            let mut response = httparse::Response::new(&mut headers);
+            let status = response.parse(head_bytes);
+            (status, None, None, response.code.unwrap_or(0), response.version, &*response.headers)
         }
     };
     let length = match status {
@@ -113,8 +113,8 @@
     },
 }
 
-/// Parses the chunk at the start of `bytes`; `None` until it is complete. `max_bytes` is the maximum length of its data, in bytes.
-/// Trailers are skipped.
+/// Parses the chunk at the start of `bytes`; `None` until it is complete. `max_bytes` is the maximum length of its
+/// data. Trailers are skipped.
 pub fn parse_chunk(bytes: &[u8], max_bytes: usize) -> Result<Option<Chunk>, Fault> {
     let (from, size) = match httparse::parse_chunk_size(bytes) {
         Ok(httparse::Status::Complete((from, size))) => (from, size),
--- a/broker/src/http/stream.rs
+++ b/broker/src/http/stream.rs
@@ -60,8 +60,8 @@
         Self { body_max, ..self }
     }
 
-    /// Whether bytes of a next message have been read.
-    pub fn begun(&self) -> bool {
+    /// Whether bytes of the next message have been received.
+    pub fn has_buffered_bytes(&self) -> bool {
         !self.buffer.is_empty()
     }
 
@@ -93,7 +93,7 @@
     }
 
     /// Waits for the first byte of a message.
-    pub async fn first(&mut self, within: Duration) -> Result<(), Ending> {
+    pub async fn wait_for_first_byte(&mut self, within: Duration) -> Result<(), Ending> {
         while self.buffer.is_empty() {
             if !self.read_more(within).await? {
                 return Err(Ending::Closed);
@@ -122,8 +122,8 @@
         }
     }
 
-    /// Reads a body; `within` bounds all of it. Chunks are decoded as they arrive, so that a body of many small chunks uses no
-    /// more memory than another. After a time-out, or if the future is dropped, the next call resumes reading.
+    /// Reads a body; `within` bounds all of it. Chunks are decoded as they arrive, so that a body of many small chunks
+    /// uses no more memory than another. After a time-out, or if the future is dropped, the next call resumes reading.
     pub async fn body(&mut self, framing: Framing, within: Duration) -> Result<Vec<u8>, Ending> {
         let deadline = Instant::now() + within;
         let mut body = Vec::new();
@@ -186,10 +186,10 @@
         }
     }
 
-    /// Resolves once the peer has closed or the connection broke. Bytes of the next message that arrive meanwhile are kept, up
-    /// to `HEAD_MAX`; further ones are dropped, and the connection can then carry no further message
-    /// ([`Stream::has_dropped_bytes`]). Dropping them is needed to detect the disconnection of a peer that sends many bytes and
-    /// then closes, since the end of the stream follows all of them.
+    /// Resolves once the peer has closed or the connection broke. Bytes of the next message that arrive meanwhile are
+    /// kept, up to `HEAD_MAX`; further ones are dropped, and the connection can then carry no further message
+    /// ([`Stream::has_dropped_bytes`]). Dropping them is needed to detect the disconnection of a peer that sends many
+    /// bytes and then closes, since the end of the stream follows all of them.
     pub async fn peer_closed(&mut self) {
         while self.buffer.len() < HEAD_MAX {
             if !matches!(self.read_more(UNLIMITED).await, Ok(true) | Err(Ending::Stalled)) {
@@ -226,14 +226,14 @@
     }
 
     /// Shuts the write side down.
-    pub fn shut(&self) -> io::Result<()> {
+    pub fn shut_down_write(&self) -> io::Result<()> {
         self.socket.get_ref().shutdown(std::net::Shutdown::Write)
     }
 
     /// Closes the connection so that the bytes written last still arrive: shuts the write side down, then reads and drops
     /// received bytes until the peer closes too or the time is over. Closing with unread bytes would reset the connection.
     pub async fn finish(mut self, within: Duration) {
-        if self.shut().is_ok() {
+        if self.shut_down_write().is_ok() {
             self.buffer = Vec::new();
             let timed_out = async {
                 Timer::after(within).await;
--- a/broker/src/logger.rs
+++ b/broker/src/logger.rs
@@ -1,5 +1,5 @@
-//! Implementation of the `log` facade that writes to standard error. Each event is one line: as text followed by its fields as
-//! `key=value`, or as a JSON object for programs.
+//! Implementation of the `log` facade that writes to standard error. Each event is one line: as text followed by its fields
+//! as `key=value`, or as a JSON object for programs.
 
 use std::fmt::Write as _;
 use std::io::Write;
--- a/broker/src/store/features.rs
+++ b/broker/src/store/features.rs
@@ -97,7 +97,7 @@
         }
         written.set(true);
         let answer = async {
-            let head = stream.head(Kind::Answer, READ_TIMEOUT).await?;
+            let head = stream.head(Kind::Response, READ_TIMEOUT).await?;
             let body = stream.body(head.framing, READ_TIMEOUT).await?;
             Ok((head, body))
         };
@@ -110,7 +110,8 @@
             }
             Err(_) => return Outcome::Broken.into(),
         };
-        let is_reusable = head.keep_alive && head.framing != http::Framing::Close && !stream.begun();
+        let is_reusable =
+            head.keep_alive && head.framing != http::Framing::Close && !stream.has_buffered_bytes();
         if is_reusable && self.idle_connections.borrow().len() < IDLE_CONNECTIONS_MAX {
             self.idle_connections.borrow_mut().push((stream, slot, Instant::now()));
         }
--- a/broker/tests/endings_shutdown.rs
+++ b/broker/tests/endings_shutdown.rs
@@ -178,7 +178,7 @@
                         answered.borrow_mut().push(id);
                         return;
                     }
-                    assert!(!stream.begun(), "{id}: an answer cut short");
+                    assert!(!stream.has_buffered_bytes(), "{id}: an answer cut short");
                 }
             }));
         }
--- a/broker/tests/endings_store.rs
+++ b/broker/tests/endings_store.rs
@@ -215,7 +215,7 @@
 async fn answer(stream: &mut Stream, behind: &[u8]) {
     stream.head(Kind::Request, GUARD).await.unwrap();
     let page = b"{\"type\":\"FeatureCollection\",\"links\":[],\"features\":[]}";
-    let mut bytes = gingerledge::http::answer(200, "", page, true);
+    let mut bytes = gingerledge::http::encode_response(200, "", page, true);
     bytes.extend_from_slice(behind);
     stream.write(&bytes, GUARD).await.unwrap();
 }
--- a/broker/tests/leaving.rs
+++ b/broker/tests/leaving.rs
@@ -29,8 +29,8 @@
 
 /// The answer, or nothing of one.
 async fn answer(stream: &mut Stream) -> Option<Got> {
-    let Ok(head) = stream.head(Kind::Answer, WITHIN).await else {
-        assert!(!stream.begun(), "an answer cut short");
+    let Ok(head) = stream.head(Kind::Response, WITHIN).await else {
+        assert!(!stream.has_buffered_bytes(), "an answer cut short");
         return None;
     };
     let body = stream.body(head.framing, WITHIN).await.unwrap();
--- a/broker/tests/native.rs
+++ b/broker/tests/native.rs
@@ -508,7 +508,7 @@
         let mut stream = Stream::new(Async::<std::net::TcpStream>::connect(broker.platform).await.unwrap());
         let head = format!("{head}\r\nExpect: 100-continue\r\n\r\n");
         stream.write(head.as_bytes(), Duration::from_secs(5)).await.unwrap();
-        let asked = stream.head(gingerledge::http::Kind::Answer, Duration::from_secs(5)).await.unwrap();
+        let asked = stream.head(gingerledge::http::Kind::Response, Duration::from_secs(5)).await.unwrap();
         assert_eq!(asked.status, 100);
         stream.write(body.as_bytes(), Duration::from_secs(5)).await.unwrap();
         assert_eq!(read(&mut stream).await.unwrap().status, 200);
--- a/broker/tests/parsers.rs
+++ b/broker/tests/parsers.rs
@@ -40,8 +40,8 @@
 fn heads_are_read_however_they_are_cut() {
     cuts(REQUEST, |pieces| grow(pieces, |bytes| parse_head(bytes, Kind::Request).unwrap()));
     let reply = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-    cuts(reply, |pieces| grow(pieces, |bytes| parse_head(bytes, Kind::Answer).unwrap()));
-    for kind in [Kind::Request, Kind::Answer] {
+    cuts(reply, |pieces| grow(pieces, |bytes| parse_head(bytes, Kind::Response).unwrap()));
+    for kind in [Kind::Request, Kind::Response] {
         garbage(REQUEST, |bytes| drop(parse_head(bytes, kind)));
         garbage(reply, |bytes| drop(parse_head(bytes, kind)));
     }
--- a/broker/tests/told/sockets.rs
+++ b/broker/tests/told/sockets.rs
@@ -6,7 +6,7 @@
 
 use async_io::Async;
 use gingerledge::discovery::watching::UPDATE_DEADLINE;
-use gingerledge::http::{answer, Kind, Stream};
+use gingerledge::http::{encode_response, Kind, Stream};
 use gingerledge::service::Broker;
 use gingerledge_testkit::scripted::{exchange, listener, query, run, until, Service, World};
 use serde_json::json;
@@ -92,7 +92,7 @@
     let (mut stream, watch) = script.call().await;
     assert!(watch, "who can't be connected to says nothing of watches");
     script.crowd.clear();
-    stream.write(&answer(503, "", b"", false), LONG).await.unwrap();
+    stream.write(&encode_response(503, "", b"", false), LONG).await.unwrap();
     drop(stream);
 
     // Reset, with the request unread.
@@ -115,7 +115,7 @@
     let (reachable, lists) = (Instant::now(), broker.counters.lists.get());
     let (mut stream, watch) = script.call().await;
     assert!(!watch, "the list is asked for, after a watch that told nothing");
-    stream.write(&answer(200, "", world.list().to_string().as_bytes(), false), LONG).await.unwrap();
+    stream.write(&encode_response(200, "", world.list().to_string().as_bytes(), false), LONG).await.unwrap();
     until(|| broker.counters.lists.get() > lists).await;
     assert!(reachable.elapsed() < UPDATE_DEADLINE, "told {:?} later", reachable.elapsed());
     follows(&world, &broker).await;
--- a/testkit/broker/src/agent.rs
+++ b/testkit/broker/src/agent.rs
@@ -88,7 +88,10 @@
         self.up().await;
         let mut told = self.sent.borrow().clone();
         if !watch {
-            return stream.write(&http::answer(200, "", whole(&told).as_bytes(), false), WITHIN).await.ok();
+            return stream
+                .write(&http::encode_response(200, "", whole(&told).as_bytes(), false), WITHIN)
+                .await
+                .ok();
         }
         stream.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", WITHIN).await.ok()?;
         let mut line = whole(&told);
--- a/testkit/broker/src/client.rs
+++ b/testkit/broker/src/client.rs
@@ -49,7 +49,7 @@
     let exchange = async {
         let mut stream = Stream::new(Async::<TcpStream>::connect(at).await.ok()?);
         stream.write(text, WITHIN).await.ok()?;
-        let head = stream.head(Kind::Answer, WITHIN).await.ok()?;
+        let head = stream.head(Kind::Response, WITHIN).await.ok()?;
         let body = stream.body(head.framing, WITHIN).await.ok()?;
         Some(Got { status: head.status, head, body })
     };
--- a/testkit/broker/src/discovery.rs
+++ b/testkit/broker/src/discovery.rs
@@ -160,10 +160,10 @@
             ledger.note(*who, Deed::Called(watch));
         }
         if self.down.get() {
-            return stream.write(&http::answer(503, "", b"", false), WITHIN).await.ok();
+            return stream.write(&http::encode_response(503, "", b"", false), WITHIN).await.ok();
         }
         if !watch {
-            let bytes = http::answer(200, "", self.text(view).as_bytes(), false);
+            let bytes = http::encode_response(200, "", self.text(view).as_bytes(), false);
             return stream.write(&bytes, WITHIN).await.ok();
         }
         stream.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", WITHIN).await.ok()?;
--- a/testkit/broker/src/scripted.rs
+++ b/testkit/broker/src/scripted.rs
@@ -360,14 +360,14 @@
             _ => {}
         }
         if service == Service::Refuses || (watch && service == Service::NoWatch) {
-            return stream.write(&http::answer(503, "", b"", false), WITHIN).await.ok();
+            return stream.write(&http::encode_response(503, "", b"", false), WITHIN).await.ok();
         }
         let text = || match service {
             Service::Indented => format!("{:#}\n", self.list()),
             _ => format!("{}\n", self.list()),
         };
         if !watch {
-            let mut bytes = http::answer(200, "", text().as_bytes(), false);
+            let mut bytes = http::encode_response(200, "", text().as_bytes(), false);
             match service {
                 Service::Opens => {
                     let end = bytes.iter().position(|byte| *byte == b'{').unwrap_or_default();
@@ -375,7 +375,7 @@
                     return futures_lite::future::pending().await;
                 }
                 Service::Cuts => bytes.truncate(bytes.len() / 2),
-                Service::Garbles => bytes = http::answer(200, "", b"{\"generation\":true}", false),
+                Service::Garbles => bytes = http::encode_response(200, "", b"{\"generation\":true}", false),
                 _ => {}
             }
             return stream.write(&bytes, WITHIN).await.ok();
@@ -527,7 +527,12 @@
                 }
                 _ => (200, self.value(&sent)),
             };
-            let bytes = http::answer(status, "Content-Type: application/geo+json\r\n", body.as_bytes(), true);
+            let bytes = http::encode_response(
+                status,
+                "Content-Type: application/geo+json\r\n",
+                body.as_bytes(),
+                true,
+            );
             stream.write(&bytes, WITHIN).await.ok()?;
         }
     }
@@ -608,7 +613,7 @@
 }
 
 pub async fn read(stream: &mut Stream) -> Option<Got> {
-    let head = stream.head(Kind::Answer, WITHIN).await.ok()?;
+    let head = stream.head(Kind::Response, WITHIN).await.ok()?;
     let body = stream.body(head.framing, WITHIN).await.ok()?;
     Some(Got { status: head.status, head, body })
 }
