--- a/broker/src/service.rs
+++ b/broker/src/service.rs
@@ -383,7 +383,8 @@
         self.exchange.shutdown_started();
         let has_successor = self.presence.refresh() == OtherProcess::Serves;
         self.presence.announce_shutdown();
-        // Before any await: which connections are still accepted is counted from the time of the signal.
+        // Before the subsystems stop, since the time limits for accepting connections and reading requests count from the
+        // signal.
         self.lifecycle.shut_down(has_successor);
         let subsystems = async {
             for subsystem in self.subsystems.iter() {
