--- a/broker/crates/blocks/src/change/mod.rs
+++ b/broker/crates/blocks/src/change/mod.rs
@@ -5,14 +5,14 @@
 //! disk and no clock: whoever drives it makes each [`Effect::Record`] durable before it carries out what follows it.
 
 mod orders;
-mod terms;
+mod types;
 
 use serde::{Deserialize, Serialize};
 
 use crate::holding::{Done, Mode, Refusal};
 use crate::types::{BlockId, ChangeId, Epoch, Span, StoreId};
 
-pub use terms::{Effect, Input, Kind, Millis, Patience, Reason, Step};
+pub use types::{Effect, Input, Kind, Millis, Patience, Reason, Step};
 
 /// A change under way.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
--- a/broker/crates/blocks/src/coordinator/mod.rs
+++ b/broker/crates/blocks/src/coordinator/mod.rs
@@ -4,9 +4,9 @@
 //! is put right. It knows no socket and no disk; [`Work`] says what to write, send and copy, in order.
 
 mod interface;
-mod play;
+mod advance;
 mod recover;
-mod wish;
+mod requests;
 
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 
--- a/broker/crates/blocks/src/validate/batch.rs
+++ b/broker/crates/blocks/src/validate/batch.rs
@@ -9,7 +9,7 @@
 use super::draft::{Row, Standing};
 use super::fault::{Fault, Finding};
 use super::map::{row_stores, shape, tiling, Known};
-use super::passage::{pass, Passage};
+use super::transition::{pass, Passage};
 use crate::map::{BlockMap, Record};
 use crate::types::{BlockId, StoreId};
 
--- a/broker/crates/blocks/src/validate/mod.rs
+++ b/broker/crates/blocks/src/validate/mod.rs
@@ -8,7 +8,7 @@
 mod draft;
 mod fault;
 mod map;
-mod passage;
+mod transition;
 mod sweep;
 
 pub use batch::{batch, whole, Facts};
@@ -16,7 +16,7 @@
 pub use draft::{Draft, Least, Names, Row, Site, Standing};
 pub use fault::{first_of, Fault, Finding, Unfit};
 pub use map::faults;
-pub use passage::{Passage, Wait};
+pub use transition::{Passage, Wait};
 
 use rustc_hash::FxHashSet;
 
@@ -29,7 +29,7 @@
     // What the new map says of a store is the newer word; one that it leaves out is as it was.
     let standing = |store| after.get(&store).or(before.get(&store)).map(|site| site.standing);
     let known = map::Known { standing: &standing, text };
-    let mut passage = passage::pass(&old.rows, &new.rows, Some(new.keys), &known);
+    let mut passage = transition::pass(&old.rows, &new.rows, Some(new.keys), &known);
     let named: FxHashSet<&BlockId> = new.retired.iter().collect();
     let ended: FxHashSet<&BlockId> = old.retired.iter().filter(|id| !named.contains(id)).collect();
     for row in new.rows.iter().filter(|row| ended.contains(&row.id)) {
