--- a/broker/crates/blocks/benches/scale.rs
+++ b/broker/crates/blocks/benches/scale.rs
@@ -23,10 +23,10 @@
     let records = (0..blocks).map(|n| {
         let first = u64::from(n) * 1000;
         let (x, y) = (f64::from(n % 317) / 2.0 - 80.0, f64::from(n / 317) / 4.0 - 40.0);
-        Record::Living(Block {
+        Record::Active(Block {
             id: BlockId(n),
             span: Span::new(first, first + 1000),
-            epoch: Epoch::of(Term(1), 1),
+            epoch: Epoch::from_parts(Term(1), 1),
             replicas: vec![replica(n), replica(n + 1)],
             extent: Some(Extent([x, y, x + 0.49, y + 0.24])),
         })
@@ -61,7 +61,7 @@
     bencher.counter(ItemsCount::new(MANY)).bench_local(|| {
         for _ in 0..MANY {
             let weigher = jump(&mut n) % (u64::from(blocks) * 1000);
-            black_box(map.of_weigher(weigher).map(|block| block.epoch));
+            black_box(map.block_of_weigher(weigher).map(|block| block.epoch));
         }
     });
 }
@@ -69,7 +69,7 @@
 #[divan::bench(args = SIZES)]
 fn look_up_by_box(bencher: Bencher, blocks: u32) {
     let map = map(blocks);
-    bencher.bench_local(|| black_box(map.in_extent(Extent([-79.9, -39.9, -79.2, -39.8]))));
+    bencher.bench_local(|| black_box(map.blocks_in_extent(Extent([-79.9, -39.9, -79.2, -39.8]))));
 }
 
 #[divan::bench(args = SIZES)]
@@ -79,10 +79,10 @@
     bencher.bench_local(|| {
         epoch += 1;
         let mut block = map.block(BlockId(epoch % blocks)).cloned().expect("a block");
-        block.epoch = Epoch::of(Term(1), epoch);
+        block.epoch = Epoch::from_parts(Term(1), epoch);
         block.replicas.reverse();
         let version = map.version() + 1;
-        map.apply(&Batch { version, records: vec![Record::Living(block)] })
+        map.apply(&Batch { version, records: vec![Record::Active(block)] })
     });
 }
 
@@ -96,15 +96,17 @@
             id: StoreId(n),
             zone: n % 3,
             capacity: 1.0,
-            takes: true,
-            leaves: false,
-            sound: true,
+            accepts_blocks: true,
+            evacuate: false,
+            responds: true,
         })
         .collect();
     let loads: HashMap<BlockId, BlockLoad> = (0..blocks)
-        .map(|n| (BlockId(n), BlockLoad { bytes: 1_000_000, load: 1.0 + f64::from(n % 5), rested: true }))
+        .map(|n| {
+            (BlockId(n), BlockLoad { bytes: 1_000_000, load: 1.0 + f64::from(n % 5), is_changeable: true })
+        })
         .collect();
-    let goal = Goal { most: 1000, ..Goal::default() };
+    let goal = Goal { max_changes: 1000, ..Goal::default() };
     bencher.bench_local(|| black_box(plan(&map, &stores, &loads, &HashSet::new(), &[], &goal)));
 }
 
@@ -121,8 +123,8 @@
     bytes.extend(encode(&LogRecord::Start(Box::new(state))));
     for n in 0..records {
         let mut block = map.block(BlockId(n % blocks)).cloned().expect("a block");
-        block.epoch = Epoch::of(Term(1), n + 2);
-        let batch = Batch { version: u64::from(n) + 2, records: vec![Record::Living(block)] };
+        block.epoch = Epoch::from_parts(Term(1), n + 2);
+        let batch = Batch { version: u64::from(n) + 2, records: vec![Record::Active(block)] };
         bytes.extend(encode(&LogRecord::Batch(batch)));
     }
     bencher.counter(ItemsCount::new(records)).bench_local(|| {
--- a/broker/crates/blocks/benches/validate.rs
+++ b/broker/crates/blocks/benches/validate.rs
@@ -31,7 +31,7 @@
     Block {
         id: BlockId(n),
         span: Span::new(first, first + 1000),
-        epoch: Epoch::of(Term(1), epoch),
+        epoch: Epoch::from_parts(Term(1), epoch),
         replicas: holders.iter().map(serving).collect(),
         extent: None,
     }
@@ -39,7 +39,7 @@
 
 fn map() -> BlockMap {
     let mut map = BlockMap::new(BLOCKS as usize + 10, 1000);
-    let records = (0..BLOCKS).map(|n| Record::Living(block(n, 1, &holders(n)))).collect();
+    let records = (0..BLOCKS).map(|n| Record::Active(block(n, 1, &holders(n)))).collect();
     map.apply(&Batch { version: 1, records }).expect("a map");
     map
 }
@@ -55,9 +55,9 @@
     };
     Draft {
         keys: Span::new(0, u64::from(BLOCKS) * 1000),
-        least: Least { holders: 2, zones: 2 },
+        minimum: Redundancy { holders: 2, zones: 2 },
         sites: (0..STORES).map(site).collect(),
-        rows: map.blocks().map(Row::of).collect(),
+        rows: map.blocks().map(Row::from_block).collect(),
         retired: Vec::new(),
     }
 }
@@ -70,7 +70,7 @@
 fn moves() -> Vec<Batch> {
     let one = |n: u32| {
         let (id, to) = (n * 7 % BLOCKS, StoreId((n * 7 + 2) % STORES));
-        let records = vec![Record::Living(block(id, n + 2, &[to, holders(id)[1]]))];
+        let records = vec![Record::Active(block(id, n + 2, &[to, holders(id)[1]]))];
         Batch { version: u64::from(n) + 2, records }
     };
     (0..MAPS).map(one).collect()
@@ -126,7 +126,7 @@
         old.copying.extend(new.holders.iter().filter(|store| !old.holders.contains(store)));
     }
     bencher.bench_local(|| {
-        let proved = passage(black_box(&old), black_box(&new), &text);
+        let proved = transition(black_box(&old), black_box(&new), &text);
         assert!(proved.findings.is_empty() && proved.waits.is_empty());
     });
 }
@@ -136,7 +136,7 @@
     let map = map();
     let listed = |store: StoreId| (store.0 < STORES).then_some(Standing::Listed);
     let facts = Facts { standing: &listed, text: &text, copies: &|_, _| true };
-    bencher.bench_local(|| assert!(whole(black_box(&map), &facts).is_empty()));
+    bencher.bench_local(|| assert!(full_map(black_box(&map), &facts).is_empty()));
 }
 
 #[divan::bench(sample_count = 20)]
--- a/broker/crates/blocks/src/change/mod.rs
+++ b/broker/crates/blocks/src/change/mod.rs
@@ -1,58 +1,66 @@
-//! One change of one block or two: a replica that moves, joins or leaves, a split, a merge. The machine owns
-//! where the change stands, what it waits for, and whether it may still go back; the state table is in
-//! `docs/design/blocks.md`. It promises that nothing is committed before the source is fenced and followed
-//! to its watermark, that every order may be lost, repeated or late, and that it ends. It knows no socket, no
-//! disk and no clock: whoever drives it makes each [`Effect::Record`] durable before it carries out what follows it.
+//! State machine for one change of one or two blocks: moving, adding or removing a replica, a split, or a
+//! merge. It owns the current step, the pending acknowledgements, and whether the change can still be rolled
+//! back; the state table is in `docs/design/blocks.md`. Nothing is committed before the source is fenced and
+//! its log copied up to the watermark; any order may be lost, repeated or late; and every change ends. The
+//! machine uses no socket, disk or clock: the caller makes each [`Effect::Record`] durable before it carries
+//! out the effects after it.
 
 mod orders;
 mod types;
 
 use serde::{Deserialize, Serialize};
 
-use crate::holding::{Done, Mode, Refusal};
+use crate::holding::{Mode, OrderOutcome, Refusal};
 use crate::types::{BlockId, ChangeId, Epoch, Span, StoreId};
 
-pub use types::{Effect, Input, Kind, Millis, Patience, Reason, Step};
+pub use types::{ChangeKind, Effect, Input, Millis, Reason, Step, Timeouts};
 
-/// A change under way.
+/// A change in progress.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Change {
-    /// Which.
+    /// Identifier of the change.
     pub id: ChangeId,
-    /// The block.
+    /// Block that is changed.
     pub block: BlockId,
-    /// Its weigher numbers.
+    /// Weigher numbers in the block.
     pub span: Span,
-    /// What is done.
-    pub kind: Kind,
-    /// The epoch that it brings.
+    /// Kind of the change.
+    pub kind: ChangeKind,
+    /// Epoch of the block after the change.
     pub epoch: Epoch,
-    /// The epoch under which its source is let go on, should it go back.
-    pub back: Epoch,
-    /// Where it stands.
+    /// Epoch under which the source accepts entries again if the change is rolled back.
+    pub rollback_epoch: Epoch,
+    /// Current step.
     pub step: Step,
-    /// Why it goes back.
+    /// Reason for the rollback, if the change is rolled back.
     pub reason: Option<Reason>,
-    /// Rises with each step entered: what answers an earlier one is told apart by it.
+    /// Number of steps entered so far. Replies to an earlier step are recognised by their lower number.
     pub round: u32,
     /// Whether the source may have been fenced.
     fenced: bool,
-    /// Stores that have not acknowledged this step yet.
-    owed: Vec<StoreId>,
-    /// Up to where the target has copied.
+    /// Stores that have not acknowledged the current step yet.
+    pending_stores: Vec<StoreId>,
+    /// Index in the source's log up to which the target has copied.
     copied: u64,
-    /// Whether an order, a copy or a commit is under way.
-    waits: bool,
-    silences: u32,
-    again_at: Millis,
-    step_since: Millis,
+    /// Whether an order, a copy or a commit is in progress.
+    awaiting_reply: bool,
+    failed_attempts: u32,
+    retry_at: Millis,
+    last_progress_at: Millis,
 }
 
 impl Change {
-    /// A change that has not begun. `back` is an epoch above `epoch`.
-    pub fn new(id: ChangeId, block: BlockId, span: Span, kind: Kind, epoch: Epoch, back: Epoch) -> Self {
+    /// Creates a change that has not begun. `rollback_epoch` must be greater than `epoch`.
+    pub fn new(
+        id: ChangeId,
+        block: BlockId,
+        span: Span,
+        kind: ChangeKind,
+        epoch: Epoch,
+        rollback_epoch: Epoch,
+    ) -> Self {
         let step = match kind {
-            Kind::Split { .. } | Kind::Merge { .. } => Step::Naming,
+            ChangeKind::Split { .. } | ChangeKind::Merge { .. } => Step::Naming,
             _ => Step::Preparing,
         };
         Self {
@@ -61,145 +69,155 @@
             span,
             kind,
             epoch,
-            back,
+            rollback_epoch,
             step,
             reason: None,
             round: 0,
             fenced: false,
-            owed: Vec::new(),
+            pending_stores: Vec::new(),
             copied: 0,
-            waits: false,
-            silences: 0,
-            again_at: 0,
-            step_since: 0,
+            awaiting_reply: false,
+            failed_attempts: 0,
+            retry_at: 0,
+            last_progress_at: 0,
         }
     }
 
-    /// Where the log says that it stands.
-    pub fn recovered(&mut self, step: Step) {
+    /// Sets the step that the log records for this change.
+    pub fn restore_step(&mut self, step: Step) {
         self.step = step;
         self.fenced |= !matches!(step, Step::Preparing | Step::Copying | Step::Naming);
     }
 
-    /// It goes on in another's hands: its patience begins anew.
-    pub fn resumed(&mut self, now: Millis) {
-        (self.step_since, self.again_at, self.silences, self.waits) = (now, now, 0, false);
+    /// Restarts the timers after another coordinator has taken over the change.
+    pub fn resume(&mut self, now: Millis) {
+        (self.last_progress_at, self.retry_at, self.failed_attempts, self.awaiting_reply) =
+            (now, now, 0, false);
     }
 
-    /// The blocks that no other change may touch meanwhile.
+    /// Returns the blocks that no other change may modify in the meantime.
     pub fn blocks(&self) -> Vec<BlockId> {
         match &self.kind {
-            Kind::Merge { with, new, .. } => {
+            ChangeKind::Merge { with, new, .. } => {
                 [self.block, *with].into_iter().chain(new.iter().map(|n| n.0)).collect()
             }
-            Kind::Split { new, .. } => std::iter::once(self.block).chain(new.iter().map(|n| n.0)).collect(),
+            ChangeKind::Split { new, .. } => {
+                std::iter::once(self.block).chain(new.iter().map(|n| n.0)).collect()
+            }
             _ => vec![self.block],
         }
     }
 
-    /// Who copies from whom.
+    /// Returns the source and the target of the copy, if the change copies data.
     pub fn copy(&self) -> Option<(StoreId, StoreId)> {
         match self.kind {
-            Kind::Move { from, to } => Some((from, to)),
-            Kind::Add { source, to } => Some((source, to)),
-            Kind::Remove { from, keeper } => Some((from, keeper)),
+            ChangeKind::Move { from, to } => Some((from, to)),
+            ChangeKind::Add { source, to } => Some((source, to)),
+            ChangeKind::Remove { from, keeper } => Some((from, keeper)),
             _ => None,
         }
     }
 
-    /// The stores that it needs.
+    /// Returns the stores that take part in the change.
     pub fn stores(&self) -> Vec<StoreId> {
         match &self.kind {
-            Kind::Split { holders, .. } | Kind::Merge { holders, .. } => holders.clone(),
+            ChangeKind::Split { holders, .. } | ChangeKind::Merge { holders, .. } => holders.clone(),
             _ => self.copy().into_iter().flat_map(|(from, to)| [from, to]).collect(),
         }
     }
 
-    /// When it has to be given a [`Input::Tick`], if nothing happens before.
+    /// Returns the time at which [`Input::Tick`] is due if no other input arrives before.
     pub fn due(&self) -> Option<Millis> {
-        (!self.step.ended() && !self.waits).then_some(self.again_at)
+        (!self.step.has_ended() && !self.awaiting_reply).then_some(self.retry_at)
     }
 
-    /// Whether it can only wait for a store that has been silent for long.
-    pub fn stuck(&self, now: Millis, patience: &Patience) -> bool {
-        !self.step.ended() && now.saturating_sub(self.step_since) > patience.step_ms
+    /// Whether the current step has made no progress for longer than its timeout.
+    pub fn is_stuck(&self, now: Millis, timeouts: &Timeouts) -> bool {
+        !self.step.has_ended() && now.saturating_sub(self.last_progress_at) > timeouts.step_timeout_ms
     }
 
-    /// Takes what happened; says what is to be done, in order.
-    pub fn handle(&mut self, now: Millis, input: Input, patience: &Patience) -> Vec<Effect> {
+    /// Processes an input and returns the effects to carry out, in order.
+    pub fn handle(&mut self, now: Millis, input: Input, timeouts: &Timeouts) -> Vec<Effect> {
         let mut effects = Vec::new();
-        if self.step.ended() {
+        if self.step.has_ended() {
             return effects;
         }
         match input {
             Input::Resume => {
-                (self.waits, self.silences, self.step_since) = (false, 0, now);
-                self.owed = self.parties();
-                if self.owed.is_empty() && self.step != Step::Committing {
-                    self.onward(now, patience, &mut effects);
+                (self.awaiting_reply, self.failed_attempts, self.last_progress_at) = (false, 0, now);
+                self.pending_stores = self.step_stores();
+                if self.pending_stores.is_empty() && self.step != Step::Committing {
+                    self.enter_next_step(now, timeouts, &mut effects);
                 } else {
-                    self.ask(now, patience, &mut effects);
+                    self.send_requests(now, timeouts, &mut effects);
                 }
             }
-            Input::Said(store, Ok(done)) => self.said(now, store, done, patience, &mut effects),
-            Input::Said(store, Err(refusal)) => self.refused(now, store, refusal, patience, &mut effects),
-            Input::Silent(_) => {
-                self.waits = false;
-                self.silences += 1;
-                self.pause(now, patience);
-                self.lose_patience(now, patience, &mut effects);
+            Input::Reply(store, Ok(outcome)) => {
+                self.handle_reply(now, store, outcome, timeouts, &mut effects)
+            }
+            Input::Reply(store, Err(refusal)) => {
+                self.handle_refusal(now, store, refusal, timeouts, &mut effects)
+            }
+            Input::NoReply(_) => {
+                self.awaiting_reply = false;
+                self.failed_attempts += 1;
+                self.schedule_retry(now, timeouts);
+                self.check_step_timeout(now, timeouts, &mut effects);
             }
             Input::Copied { copied, length } => {
-                self.waits = false;
-                (self.silences, self.step_since) = (0, now);
+                self.awaiting_reply = false;
+                (self.failed_attempts, self.last_progress_at) = (0, now);
                 self.copied = self.copied.max(copied);
                 match self.step {
-                    Step::Copying if length.saturating_sub(self.copied) <= patience.lag => {
-                        let next =
-                            if matches!(self.kind, Kind::Add { .. }) { Step::Reading } else { Step::Fencing };
-                        self.enter(now, next, patience, &mut effects);
+                    Step::Copying if length.saturating_sub(self.copied) <= timeouts.max_lag_entries => {
+                        let next = if matches!(self.kind, ChangeKind::Add { .. }) {
+                            Step::Reading
+                        } else {
+                            Step::Fencing
+                        };
+                        self.enter_step(now, next, timeouts, &mut effects);
                     }
                     Step::CatchingUp { watermark } if self.copied >= watermark => {
-                        self.enter(now, Step::Reading, patience, &mut effects);
+                        self.enter_step(now, Step::Reading, timeouts, &mut effects);
                     }
-                    _ => self.ask(now, patience, &mut effects),
+                    _ => self.send_requests(now, timeouts, &mut effects),
                 }
             }
             Input::Committed if self.step == Step::Committing => {
-                self.waits = false;
+                self.awaiting_reply = false;
                 let next = match self.kind {
-                    Kind::Add { .. } => Step::Opening,
-                    Kind::Split { .. } | Kind::Merge { .. } => Step::Unnaming,
+                    ChangeKind::Add { .. } => Step::Opening,
+                    ChangeKind::Split { .. } | ChangeKind::Merge { .. } => Step::Unnaming,
                     _ => Step::Retiring,
                 };
-                self.enter(now, next, patience, &mut effects);
+                self.enter_step(now, next, timeouts, &mut effects);
             }
             Input::Committed => {}
-            Input::Overtaken if !self.step.committed() && self.step != Step::Unfencing => {
+            Input::AlreadyCommitted if !self.step.is_committed() && self.step != Step::Unfencing => {
                 self.reason = None;
-                self.enter(now, Step::Committing, patience, &mut effects);
+                self.enter_step(now, Step::Committing, timeouts, &mut effects);
             }
-            Input::Overtaken => {}
-            Input::Undone(epoch) => {
+            Input::AlreadyCommitted => {}
+            Input::AlreadyRolledBack(epoch) => {
                 if let Some((from, _)) = self.copy() {
                     let reason = Reason::Refused(from, Refusal::Old(epoch));
-                    self.turn_back(now, reason, patience, &mut effects);
+                    self.roll_back(now, reason, timeouts, &mut effects);
                 }
             }
-            // The step was entered and not recorded: to whoever reads the log, and to the stores, it is still the one before.
-            Input::Unsound(why) if self.step == Step::Committing => {
+            // The step was entered but not recorded, so the log and the stores still have the step before it.
+            Input::Invalid(why) if self.step == Step::Committing => {
                 self.reason = Some(Reason::Unsound(why));
-                let names = matches!(self.kind, Kind::Split { .. } | Kind::Merge { .. });
-                let next = if names { Step::Withdrawing } else { Step::Dropping };
-                self.enter(now, next, patience, &mut effects);
+                let is_rename = matches!(self.kind, ChangeKind::Split { .. } | ChangeKind::Merge { .. });
+                let next = if is_rename { Step::Withdrawing } else { Step::Dropping };
+                self.enter_step(now, next, timeouts, &mut effects);
             }
-            Input::Unsound(_) => {}
-            Input::Abandon => self.turn_back(now, Reason::Asked, patience, &mut effects),
+            Input::Invalid(_) => {}
+            Input::Abandon => self.roll_back(now, Reason::Asked, timeouts, &mut effects),
             Input::Tick => {
-                if !self.waits && now >= self.again_at {
-                    self.lose_patience(now, patience, &mut effects);
+                if !self.awaiting_reply && now >= self.retry_at {
+                    self.check_step_timeout(now, timeouts, &mut effects);
                     if effects.is_empty() {
-                        self.ask(now, patience, &mut effects);
+                        self.send_requests(now, timeouts, &mut effects);
                     }
                 }
             }
@@ -207,80 +225,81 @@
         effects
     }
 
-    fn pause(&mut self, now: Millis, patience: &Patience) {
-        let longer = patience.again_ms << self.silences.saturating_sub(1).min(10);
-        self.again_at = now + longer.min(patience.again_most_ms);
+    fn schedule_retry(&mut self, now: Millis, timeouts: &Timeouts) {
+        let delay_ms = timeouts.retry_initial_ms << self.failed_attempts.saturating_sub(1).min(10);
+        self.retry_at = now + delay_ms.min(timeouts.retry_max_ms);
     }
 
-    fn lose_patience(&mut self, now: Millis, patience: &Patience, effects: &mut Vec<Effect>) {
-        if now.saturating_sub(self.step_since) < patience.step_ms {
+    fn check_step_timeout(&mut self, now: Millis, timeouts: &Timeouts, effects: &mut Vec<Effect>) {
+        if now.saturating_sub(self.last_progress_at) < timeouts.step_timeout_ms {
             return;
         }
         match self.step {
-            // The copy that stays behind is let go when its store is next asked what it holds.
-            Step::Forgetting => self.enter(now, Step::Done, patience, effects),
-            step => self.turn_back(now, Reason::Patience(step), patience, effects),
+            // The remaining copy is deleted after the next inventory of its store.
+            Step::Forgetting => self.enter_step(now, Step::Done, timeouts, effects),
+            step => self.roll_back(now, Reason::Patience(step), timeouts, effects),
         }
     }
 
-    /// Goes back if that may still be; what is committed only goes forward.
-    fn turn_back(&mut self, now: Millis, reason: Reason, patience: &Patience, effects: &mut Vec<Effect>) {
-        if self.step.committed() || self.step.back() {
+    /// Rolls the change back if it has not been committed. A committed change can only be completed.
+    fn roll_back(&mut self, now: Millis, reason: Reason, timeouts: &Timeouts, effects: &mut Vec<Effect>) {
+        if self.step.is_committed() || self.step.is_rolling_back() {
             return;
         }
         self.reason = Some(reason);
         let next = if self.step == Step::Naming { Step::Withdrawing } else { Step::Dropping };
-        self.enter(now, next, patience, effects);
+        self.enter_step(now, next, timeouts, effects);
     }
 
-    fn enter(&mut self, now: Millis, step: Step, patience: &Patience, effects: &mut Vec<Effect>) {
+    fn enter_step(&mut self, now: Millis, step: Step, timeouts: &Timeouts, effects: &mut Vec<Effect>) {
         self.step = step;
         self.round += 1;
-        // What goes out under way is stale from here on, and its word is told apart by the step's stores.
-        (self.waits, self.silences, self.step_since) = (false, 0, now);
+        // Replies to earlier requests are out of date from here on; they are recognised by the stores of the
+        // step.
+        (self.awaiting_reply, self.failed_attempts, self.last_progress_at) = (false, 0, now);
         self.fenced |= step == Step::Fencing;
         effects.push(Effect::Record(step));
-        self.owed = self.parties();
-        if self.owed.is_empty() && !step.ended() && step != Step::Committing {
-            return self.onward(now, patience, effects);
+        self.pending_stores = self.step_stores();
+        if self.pending_stores.is_empty() && !step.has_ended() && step != Step::Committing {
+            return self.enter_next_step(now, timeouts, effects);
         }
-        self.ask(now, patience, effects);
+        self.send_requests(now, timeouts, effects);
     }
 
-    fn ask(&mut self, now: Millis, patience: &Patience, effects: &mut Vec<Effect>) {
-        if self.step.ended() {
+    fn send_requests(&mut self, now: Millis, timeouts: &Timeouts, effects: &mut Vec<Effect>) {
+        if self.step.has_ended() {
             return;
         }
-        self.waits = true;
-        self.pause(now, patience);
+        self.awaiting_reply = true;
+        self.schedule_retry(now, timeouts);
         if self.step == Step::Committing {
             return effects.push(Effect::Commit);
         }
         if matches!(self.step, Step::Copying | Step::CatchingUp { .. }) {
             if let Some((from, to)) = self.copy() {
-                effects.push(Effect::Copy { to, from, at: self.copied });
+                effects.push(Effect::Copy { to, from, start: self.copied });
             }
             return;
         }
         let Some(order) = self.order() else { return };
-        let epoch = if matches!(self.step, Step::Unfencing) { self.back } else { self.epoch };
-        for store in self.owed.clone() {
+        let epoch = if matches!(self.step, Step::Unfencing) { self.rollback_epoch } else { self.epoch };
+        for store in self.pending_stores.clone() {
             effects.push(Effect::Order(store, self.block, epoch, order.clone()));
         }
     }
 
-    fn said(
+    fn handle_reply(
         &mut self,
         now: Millis,
         store: StoreId,
-        done: Done,
-        patience: &Patience,
+        outcome: OrderOutcome,
+        timeouts: &Timeouts,
         effects: &mut Vec<Effect>,
     ) {
-        let Some(at) = self.owed.iter().position(|owed| *owed == store) else { return };
-        // Guards against a word on an order of an earlier step, which came late: the mode shows it.
-        let fits = matches!(
-            (self.step, done.mode),
+        let Some(index) = self.pending_stores.iter().position(|pending| *pending == store) else { return };
+        // Ignores late replies to orders of an earlier step, which are recognised by the block's mode.
+        let is_expected = matches!(
+            (self.step, outcome.mode),
             (Step::Preparing, Some(Mode::Copying | Mode::Open))
                 | (Step::Fencing, Some(Mode::Fenced | Mode::Retired))
                 | (Step::Reading, Some(Mode::Reading | Mode::Open))
@@ -289,87 +308,88 @@
                 | (Step::Forgetting | Step::Dropping | Step::Unnaming, None)
                 | (Step::Naming | Step::Withdrawing, _)
         );
-        if !fits {
+        if !is_expected {
             return;
         }
-        self.owed.remove(at);
-        (self.silences, self.step_since) = (0, now);
+        self.pending_stores.remove(index);
+        (self.failed_attempts, self.last_progress_at) = (0, now);
         match self.step {
-            Step::Preparing => self.copied = done.copied,
+            Step::Preparing => self.copied = outcome.copied,
             Step::Fencing => {
-                let step = Step::CatchingUp { watermark: done.watermark };
-                return self.enter(now, step, patience, effects);
+                let step = Step::CatchingUp { watermark: outcome.watermark };
+                return self.enter_step(now, step, timeouts, effects);
             }
             _ => {}
         }
-        if self.owed.is_empty() {
-            self.onward(now, patience, effects);
+        if self.pending_stores.is_empty() {
+            self.enter_next_step(now, timeouts, effects);
         }
     }
 
-    /// The step after this one, all of whose stores have acknowledged.
-    fn onward(&mut self, now: Millis, patience: &Patience, effects: &mut Vec<Effect>) {
+    /// Enters the next step after all stores have acknowledged the current one.
+    fn enter_next_step(&mut self, now: Millis, timeouts: &Timeouts, effects: &mut Vec<Effect>) {
         let next = match self.step {
             Step::Preparing => Step::Copying,
             Step::Reading | Step::Naming => Step::Committing,
-            Step::Retiring if matches!(self.kind, Kind::Move { .. }) => Step::Opening,
+            Step::Retiring if matches!(self.kind, ChangeKind::Move { .. }) => Step::Opening,
             Step::Retiring => Step::Forgetting,
-            Step::Opening if matches!(self.kind, Kind::Move { .. }) => Step::Forgetting,
+            Step::Opening if matches!(self.kind, ChangeKind::Move { .. }) => Step::Forgetting,
             Step::Dropping => Step::Unfencing,
             Step::Unfencing | Step::Withdrawing => Step::Abandoned,
             _ => Step::Done,
         };
-        self.enter(now, next, patience, effects);
+        self.enter_step(now, next, timeouts, effects);
     }
 
-    fn refused(
+    fn handle_refusal(
         &mut self,
         now: Millis,
         store: StoreId,
         refusal: Refusal,
-        patience: &Patience,
+        timeouts: &Timeouts,
         effects: &mut Vec<Effect>,
     ) {
-        if !self.owed.contains(&store) || refusal == Refusal::Late {
+        if !self.pending_stores.contains(&store) || refusal == Refusal::Late {
             return;
         }
         match (self.step, &refusal) {
-            // Another coordinator's word has come before: the target is open, so the change has been committed.
+            // Another coordinator opened the target, so the change has been committed.
             (Step::Dropping, Refusal::Mode(Mode::Open)) => {
                 self.reason = None;
-                self.enter(now, Step::Committing, patience, effects);
+                self.enter_step(now, Step::Committing, timeouts, effects);
             }
-            // The old names are gone at a holder: a deposed coordinator had committed the new ones. All holders are given
-            // them again, and it goes forward.
+            // The old block identifiers are gone at one holder because a deposed coordinator had committed the
+            // new ones. The new identifiers are sent to all holders again and the change is completed.
             (Step::Withdrawing, Refusal::Mode(Mode::Open)) => {
                 self.reason = None;
-                self.enter(now, Step::Naming, patience, effects);
+                self.enter_step(now, Step::Naming, timeouts, effects);
             }
-            // It has nothing to give up any more (a deposed coordinator had come further), or has moved on since. A target that has moved on may have been open, so
-            // a source that was fenced for it stays so until an operator has looked.
+            // The store has no copy to delete, because a deposed coordinator had progressed further, or has
+            // taken part in a later change. A target that has taken part in a later change may have been open,
+            // so a source that was fenced for it stays fenced until an operator intervenes.
             (Step::Forgetting | Step::Retiring, Refusal::Unheld)
             | (Step::Forgetting, Refusal::Old(_))
             | (Step::Dropping, Refusal::Unheld) => {
-                self.owed.retain(|owed| *owed != store);
-                self.onward(now, patience, effects);
+                self.pending_stores.retain(|pending| *pending != store);
+                self.enter_next_step(now, timeouts, effects);
             }
             (Step::Dropping, Refusal::Old(_)) if !self.fenced => {
-                self.owed.retain(|owed| *owed != store);
-                self.onward(now, patience, effects);
+                self.pending_stores.retain(|pending| *pending != store);
+                self.enter_next_step(now, timeouts, effects);
             }
-            // Nothing was fenced, or it is open again under a later epoch.
+            // The source was not fenced, or has been opened again under a later epoch.
             (Step::Unfencing, Refusal::Unheld | Refusal::Old(_)) => {
-                self.owed.retain(|owed| *owed != store);
-                self.onward(now, patience, effects);
+                self.pending_stores.retain(|pending| *pending != store);
+                self.enter_next_step(now, timeouts, effects);
             }
-            // A target that has lost its copy can't go on; while nothing is committed that is a way back.
-            _ if !self.step.committed() && !self.step.back() => {
-                self.turn_back(now, Reason::Refused(store, refusal), patience, effects);
+            // A target that has lost its copy cannot continue. Before the commit, the change is rolled back.
+            _ if !self.step.is_committed() && !self.step.is_rolling_back() => {
+                self.roll_back(now, Reason::Refused(store, refusal), timeouts, effects);
             }
             _ => {
-                self.waits = false;
-                self.silences += 1;
-                self.pause(now, patience);
+                self.awaiting_reply = false;
+                self.failed_attempts += 1;
+                self.schedule_retry(now, timeouts);
             }
         }
     }
--- a/broker/crates/blocks/src/change/orders.rs
+++ b/broker/crates/blocks/src/change/orders.rs
@@ -1,18 +1,18 @@
-//! Who is owed which order at each step.
+//! Orders of each step of a change, and the stores that they are sent to.
 
-use super::{Change, Kind, Step};
+use super::{Change, ChangeKind, Step};
 use crate::holding::Order;
 use crate::types::{BlockId, Span, StoreId};
 
 impl Change {
-    /// Who has to acknowledge the present step.
-    pub(super) fn parties(&self) -> Vec<StoreId> {
+    /// Returns the stores that must acknowledge the current step.
+    pub(super) fn step_stores(&self) -> Vec<StoreId> {
         match (self.step, &self.kind) {
             (Step::Preparing | Step::Reading | Step::Opening, _) => {
                 self.copy().map(|(_, to)| to).into_iter().collect()
             }
-            // A keeper holds the block anyway: there is nothing to drop.
-            (Step::Dropping, Kind::Remove { .. }) => Vec::new(),
+            // The remaining holder had the block before the change, so there is nothing to drop.
+            (Step::Dropping, ChangeKind::Remove { .. }) => Vec::new(),
             (Step::Dropping, _) => self.copy().map(|(_, to)| to).into_iter().collect(),
             (Step::Copying | Step::CatchingUp { .. }, _) => {
                 self.copy().map(|(_, to)| to).into_iter().collect()
@@ -30,23 +30,23 @@
         let (from, to) = self.copy().unwrap_or_default();
         let names = |new: &[(BlockId, Span)]| new.iter().map(|(id, _)| *id).collect();
         let old = || match &self.kind {
-            Kind::Merge { with, .. } => vec![self.block, *with],
+            ChangeKind::Merge { with, .. } => vec![self.block, *with],
             _ => vec![self.block],
         };
         Some(match (self.step, &self.kind) {
             (Step::Preparing, _) => Order::Prepare { span: self.span, from },
             (Step::Fencing, _) => Order::Fence { to },
-            (Step::Reading, _) => Order::Read,
+            (Step::Reading, _) => Order::AllowReads,
             (Step::Retiring, _) => Order::Retire,
             (Step::Opening, _) => Order::Open,
             (Step::Forgetting | Step::Dropping, _) => Order::Forget,
             (Step::Unfencing, _) => Order::Unfence,
-            (Step::Naming, Kind::Split { new, .. } | Kind::Merge { new, .. }) => {
-                Order::Name { old: old(), new: new.clone() }
+            (Step::Naming, ChangeKind::Split { new, .. } | ChangeKind::Merge { new, .. }) => {
+                Order::AddNames { old: old(), new: new.clone() }
             }
-            (Step::Unnaming, _) => Order::Unname { names: old() },
-            (Step::Withdrawing, Kind::Split { new, .. } | Kind::Merge { new, .. }) => {
-                Order::Unname { names: names(new) }
+            (Step::Unnaming, _) => Order::RemoveNames { names: old() },
+            (Step::Withdrawing, ChangeKind::Split { new, .. } | ChangeKind::Merge { new, .. }) => {
+                Order::RemoveNames { names: names(new) }
             }
             _ => return None,
         })
--- a/broker/crates/blocks/src/change/types.rs
+++ b/broker/crates/blocks/src/change/types.rs
@@ -1,192 +1,194 @@
-//! What a change is made of: its kinds, its steps, what happens to it, what it wants done, and how patient it is.
+//! Types of a change: kinds, steps, inputs, effects and timeouts.
 
 use serde::{Deserialize, Serialize};
 
-use crate::holding::{Done, Order, Refusal};
+use crate::holding::{Order, OrderOutcome, Refusal};
 use crate::types::{BlockId, Epoch, Span, StoreId};
 
-/// Milliseconds on the driver's clock.
+/// Time in milliseconds on the caller's clock.
 pub type Millis = u64;
 
-/// What a change does.
+/// Kind of a change.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Kind {
-    /// A replica goes from one store to another.
+pub enum ChangeKind {
+    /// Moves a replica from one store to another.
     Move {
-        /// Who gives it up.
+        /// Store that loses the replica.
         from: StoreId,
-        /// Who takes it over.
+        /// Store that receives the replica.
         to: StoreId,
     },
-    /// One more replica.
+    /// Adds a replica.
     Add {
-        /// Whose log is copied.
+        /// Store whose log is copied.
         source: StoreId,
-        /// Who takes it.
+        /// Store that receives the replica.
         to: StoreId,
     },
-    /// One replica fewer.
+    /// Removes a replica.
     Remove {
-        /// Who gives it up.
+        /// Store that loses the replica.
         from: StoreId,
-        /// Which holder follows it to its end.
+        /// Remaining holder that copies the store's log up to its end.
         keeper: StoreId,
     },
-    /// One block becomes two, at all its holders.
+    /// Splits a block in two at all its holders.
     Split {
-        /// Its holders.
+        /// Stores that hold the block.
         holders: Vec<StoreId>,
-        /// The new blocks.
+        /// Identifiers and spans of the new blocks.
         new: Vec<(BlockId, Span)>,
     },
-    /// Two neighbours become one, at all their holders.
+    /// Merges two adjacent blocks at all their holders.
     Merge {
-        /// The other block.
+        /// Identifier of the second block.
         with: BlockId,
-        /// The holders of both.
+        /// Stores that hold both blocks.
         holders: Vec<StoreId>,
-        /// The new block.
+        /// Identifier and span of the new block.
         new: Vec<(BlockId, Span)>,
     },
 }
 
-/// Where a change stands.
+/// Step of a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Step {
-    /// The target gets ready.
+    /// The target prepares to copy.
     Preparing,
-    /// The target copies.
+    /// The target copies the source's log.
     Copying,
-    /// The source lets no more entries in.
+    /// The source stops accepting entries.
     Fencing,
-    /// The target copies up to the watermark.
+    /// The target copies the log up to the watermark.
     CatchingUp {
-        /// The length of the source's log when it was fenced.
+        /// Length of the source's log when it was fenced.
         watermark: u64,
     },
-    /// The target lets reads in.
+    /// The target starts to accept reads.
     Reading,
-    /// All holders answer to the new names too.
+    /// All holders hold the block under the new identifiers too.
     Naming,
-    /// The map's change is being made durable.
+    /// The change of the map is made durable.
     Committing,
-    /// The source lets nothing in.
+    /// The source stops accepting requests.
     Retiring,
-    /// The target lets entries in.
+    /// The target starts to accept entries.
     Opening,
-    /// The source gives up its copy.
+    /// The source deletes its copy.
     Forgetting,
-    /// The old names go.
+    /// The holders remove the old block identifiers.
     Unnaming,
-    /// Back: the target gives up its copy.
+    /// Rollback: the target deletes its copy.
     Dropping,
-    /// Back: the source lets entries in again.
+    /// Rollback: the source accepts entries again.
     Unfencing,
-    /// Back: the new names go.
+    /// Rollback: the holders remove the new block identifiers.
     Withdrawing,
-    /// Done.
+    /// The change is complete.
     Done,
-    /// Gone back; all is as before.
+    /// The change has been rolled back; the state is as before.
     Abandoned,
 }
 
 impl Step {
-    /// Whether it has ended.
-    pub fn ended(self) -> bool {
+    /// Whether the change has ended.
+    pub fn has_ended(self) -> bool {
         matches!(self, Self::Done | Self::Abandoned)
     }
 
-    /// Whether the map already says so.
-    pub fn committed(self) -> bool {
+    /// Whether the change has reached its commit.
+    pub fn is_committed(self) -> bool {
         use Step::{Committing, Done, Forgetting, Opening, Retiring, Unnaming};
         matches!(self, Committing | Retiring | Opening | Forgetting | Unnaming | Done)
     }
 
-    /// Whether it is on its way back.
-    pub fn back(self) -> bool {
+    /// Whether the change is being or has been rolled back.
+    pub fn is_rolling_back(self) -> bool {
         matches!(self, Self::Dropping | Self::Unfencing | Self::Withdrawing | Self::Abandoned)
     }
 }
 
-/// Why a change goes back.
+/// Reason for a rollback.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Reason {
-    /// An operator said so.
+    /// Requested by an operator.
     Asked,
-    /// A step did not come about in time.
+    /// A step timed out.
     Patience(Step),
-    /// A store refused.
+    /// A store rejected an order.
     Refused(StoreId, Refusal),
-    /// The map that it would make is not sound.
+    /// The validator rejected the map that the change would produce.
     Unsound(String),
 }
 
-/// Something that happened.
+/// Input of the state machine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Input {
-    /// It begins, or goes on after a restart.
+    /// The change begins, or continues after a restart.
     Resume,
-    /// A store's word on an order of this change.
-    Said(StoreId, Result<Done, Refusal>),
-    /// A store could not be asked, or said nothing.
-    Silent(StoreId),
-    /// A stretch was copied: up to here of the source's log, which is so long.
+    /// Reply of a store to an order of this change.
+    Reply(StoreId, Result<OrderOutcome, Refusal>),
+    /// A store could not be reached or did not reply.
+    NoReply(StoreId),
+    /// A section of the log has been copied.
     Copied {
-        /// Up to where.
+        /// Index in the source's log up to which the target has copied.
         copied: u64,
-        /// The source's length.
+        /// Length of the source's log.
         length: u64,
     },
-    /// The map's change is durable.
+    /// The change of the map is durable.
     Committed,
-    /// The source says that it has retired for this change: a deposed coordinator had committed it.
-    Overtaken,
-    /// The source says that it has been let go on under a later epoch: a deposed coordinator had gone back.
-    Undone(Epoch),
-    /// What it would commit is not sound, says the validator, and nothing of it has been made durable.
-    Unsound(String),
-    /// An operator wants it back.
+    /// The source has already retired the block for this change, because a deposed coordinator had committed
+    /// it.
+    AlreadyCommitted,
+    /// The source has been opened again under a later epoch, because a deposed coordinator had rolled the
+    /// change back.
+    AlreadyRolledBack(Epoch),
+    /// The validator rejected the records to be committed. None of them has been made durable.
+    Invalid(String),
+    /// An operator requests a rollback.
     Abandon,
     /// Time has passed.
     Tick,
 }
 
-/// Something to be done, in this order.
+/// Effect to carry out. Effects must be carried out in order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Make the step durable, before anything behind this.
+    /// Make the step durable before any later effect is carried out.
     Record(Step),
-    /// Send an order; [`Input::Said`] or [`Input::Silent`] is owed.
+    /// Send an order; answered by [`Input::Reply`] or [`Input::NoReply`].
     Order(StoreId, BlockId, Epoch, Order),
-    /// Have the target copy a stretch from the source, as the budget allows; [`Input::Copied`] or
-    /// [`Input::Silent`] is owed.
+    /// Make the target copy a section of the source's log, as the budget allows; answered by [`Input::Copied`]
+    /// or [`Input::NoReply`].
     Copy {
-        /// Who copies.
+        /// Store that copies.
         to: StoreId,
-        /// From whom.
+        /// Store that is copied from.
         from: StoreId,
-        /// From where in the source's log.
-        at: u64,
+        /// Index in the source's log at which the section begins.
+        start: u64,
     },
-    /// Change the map and make that durable; [`Input::Committed`] is owed.
+    /// Change the map and make that durable; answered by [`Input::Committed`].
     Commit,
 }
 
-/// How patient a change is.
+/// Timeouts and retry limits of a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Patience {
-    /// The first wait before an order is repeated; it doubles with each silence.
-    pub again_ms: Millis,
-    /// The longest such wait.
-    pub again_most_ms: Millis,
-    /// A step that can go back does so after so long without progress.
-    pub step_ms: Millis,
-    /// The source is fenced once the target lacks no more than so many entries.
-    pub lag: u64,
+pub struct Timeouts {
+    /// First delay before an order is repeated, in milliseconds; doubled each time no reply arrives.
+    pub retry_initial_ms: Millis,
+    /// Longest delay before an order is repeated, in milliseconds.
+    pub retry_max_ms: Millis,
+    /// Time without progress, in milliseconds, after which a step that can be rolled back is rolled back.
+    pub step_timeout_ms: Millis,
+    /// The source is fenced once the target lacks at most this number of entries.
+    pub max_lag_entries: u64,
 }
 
-impl Default for Patience {
+impl Default for Timeouts {
     fn default() -> Self {
-        Self { again_ms: 50, again_most_ms: 2_000, step_ms: 20_000, lag: 64 }
+        Self { retry_initial_ms: 50, retry_max_ms: 2_000, step_timeout_ms: 20_000, max_lag_entries: 64 }
     }
 }
--- a/broker/crates/blocks/src/coordinator/advance.rs
+++ b/broker/crates/blocks/src/coordinator/advance.rs
@@ -1,19 +1,19 @@
-//! Changes played: what each wants done becomes work in order, its end lets its blocks go, and its outcome is what the map
-//! says from then on.
+//! Advances changes: converts the effects of a change to work, releases its blocks when it ends, and computes
+//! the records that it commits.
 
 use std::collections::VecDeque;
 
-use super::interface::{CopyJob, Past, Tag, Work};
+use super::interface::{CopyJob, EndedChange, OrderPurpose, Work};
 use super::Coordinator;
-use crate::change::{Effect, Input, Kind, Millis, Reason, Step};
+use crate::change::{ChangeKind, Effect, Input, Millis, Reason, Step};
 use crate::log::LogRecord;
 use crate::map::{Batch, Block, Record, Replica, ReplicaState};
 use crate::types::{BlockId, ChangeId, Extent, StoreId};
 use crate::validate;
 
 impl Coordinator {
-    /// What answers an earlier round of a change is dropped.
-    pub(super) fn play_round(
+    /// Advances a change unless the input belongs to an earlier round.
+    pub(super) fn advance_round(
         &mut self,
         now: Millis,
         (id, round): (ChangeId, u32),
@@ -21,38 +21,40 @@
         work: &mut Vec<Work>,
     ) {
         if self.changes.get(&id).is_some_and(|change| change.round == round) {
-            self.play(now, id, input, work);
+            self.advance(now, id, input, work);
         }
     }
 
-    pub(crate) fn play(&mut self, now: Millis, id: ChangeId, input: Input, work: &mut Vec<Work>) {
-        let patience = self.bounds.patience;
+    pub(crate) fn advance(&mut self, now: Millis, id: ChangeId, input: Input, work: &mut Vec<Work>) {
+        let timeouts = self.bounds.timeouts;
         let mut inputs = VecDeque::from([input]);
         while let Some(input) = inputs.pop_front() {
             let Some(change) = self.changes.get_mut(&id) else { return };
-            // Guards against orders to a store that has not said what it holds: all of the change waits for that.
-            let unheard = change.stores().into_iter().find(|store| !self.heard.contains(store));
+            // Sends no order to a store whose inventory has not been received: the whole change waits for it.
+            let store_without_inventory =
+                change.stores().into_iter().find(|store| !self.inventoried.contains(store));
             let before = change.step;
-            let effects = change.handle(now, input, &patience);
-            // Between the last step that can go back and the first that can't: what the validator refuses is never
-            // recorded as committing. Another coordinator's commit is not taken back, whatever it looks like here.
+            let effects = change.handle(now, input, &timeouts);
+            // This is the last point at which the change can be rolled back: records that the validator
+            // rejects are never logged as committing. The commit of another coordinator is not reverted, even
+            // if it is invalid here.
             let commits = matches!(before, Step::Reading | Step::Naming) && effects.contains(&Effect::Commit);
-            if let Some(why) = commits.then(|| self.unsound(id)).flatten() {
-                inputs.push_front(Input::Unsound(why));
+            if let Some(why) = commits.then(|| self.commit_fault(id)).flatten() {
+                inputs.push_front(Input::Invalid(why));
                 continue;
             }
             for effect in effects {
-                self.carry_out(id, effect, unheard, &mut inputs, work);
+                self.perform_effect(id, effect, store_without_inventory, &mut inputs, work);
             }
-            self.end(now, id, work);
+            self.finish(now, id, work);
         }
     }
 
-    fn carry_out(
+    fn perform_effect(
         &mut self,
         id: ChangeId,
         effect: Effect,
-        unheard: Option<StoreId>,
+        store_without_inventory: Option<StoreId>,
         inputs: &mut VecDeque<Input>,
         work: &mut Vec<Work>,
     ) {
@@ -62,22 +64,26 @@
             Effect::Record(step) => {
                 work.push(Work::Append(LogRecord::Step(id, step, change.reason.clone())));
             }
-            Effect::Order(store, ..) if unheard.is_some() => inputs.push_back(Input::Silent(store)),
-            Effect::Copy { from, .. } if unheard.is_some() => inputs.push_back(Input::Silent(from)),
+            Effect::Order(store, ..) if store_without_inventory.is_some() => {
+                inputs.push_back(Input::NoReply(store))
+            }
+            Effect::Copy { from, .. } if store_without_inventory.is_some() => {
+                inputs.push_back(Input::NoReply(from))
+            }
             Effect::Order(store, block, epoch, order) => {
-                let ordered = self.stamp(block, epoch, order);
-                work.push(Work::Send(store, Tag::Change(id, round), ordered));
+                let ordered = self.stamp_order(block, epoch, order);
+                work.push(Work::Send(store, OrderPurpose::Change(id, round), ordered));
             }
-            Effect::Copy { to, from, at } => {
+            Effect::Copy { to, from, start } => {
                 let (block, epoch) = (change.block, change.epoch);
                 let urgent = matches!(step, Step::CatchingUp { .. });
-                work.push(Work::Copy(CopyJob { change: id, round, block, epoch, to, from, at, urgent }));
+                work.push(Work::Copy(CopyJob { change: id, round, block, epoch, to, from, start, urgent }));
             }
             Effect::Commit => {
-                if let Some(records) = self.outcome(id) {
+                if let Some(records) = self.records_to_commit(id) {
                     let batch = Batch { version: self.map.version() + 1, records };
-                    // The batch was proved before its step was recorded, so a refusal here can only come from a log
-                    // of another map; it is shown as stuck.
+                    // The batch was validated before its step was recorded, so the map can only reject it if
+                    // the log belongs to another map. The change is then reported as stuck.
                     if self.map.apply(&batch).is_err() {
                         return;
                     }
@@ -89,49 +95,51 @@
         }
     }
 
-    /// What is wrong with what a change would commit.
-    fn unsound(&self, id: ChangeId) -> Option<String> {
-        let (change, records) = (self.changes.get(&id)?, self.outcome(id)?);
+    /// Returns the first fault of the records that a change would commit.
+    fn commit_fault(&self, id: ChangeId) -> Option<String> {
+        let (change, records) = (self.changes.get(&id)?, self.records_to_commit(id)?);
         if let Err(fault) = self.map.check(&records, false) {
             return Some(fault.to_string());
         }
         let copier = change.copy().map(|(_, to)| to);
         let copies = |block, store| block == change.block && copier == Some(store);
-        self.prove(&records, &copies)
+        self.validate_records(&records, &copies)
     }
 
-    /// What is wrong with records that would change the map; `copies` says who has copied what.
-    pub(super) fn prove(
+    /// Returns the first fault of records that would change the map. `copies` tells whether a store has copied
+    /// a block.
+    pub(super) fn validate_records(
         &self,
         records: &[Record],
         copies: &dyn Fn(BlockId, StoreId) -> bool,
     ) -> Option<String> {
-        let standing = |store| self.stores.contains_key(&store).then_some(validate::Standing::Listed);
+        let store_standing = |store| self.stores.contains_key(&store).then_some(validate::Standing::Listed);
         let text = |store| self.name(store).map_or_else(|| store.to_string(), |name| format!("store {name}"));
-        let facts = validate::Facts { standing: &standing, text: &text, copies };
+        let facts = validate::Facts { standing: &store_standing, text: &text, copies };
         let findings = validate::batch(&self.map, records, &facts).findings;
-        validate::first_of(&findings)
+        validate::summary(&findings)
     }
 
-    fn end(&mut self, now: Millis, id: ChangeId, work: &mut Vec<Work>) {
-        let Some(change) = self.changes.get(&id).filter(|change| change.step.ended()).cloned() else {
+    fn finish(&mut self, now: Millis, id: ChangeId, work: &mut Vec<Work>) {
+        let Some(change) = self.changes.get(&id).filter(|change| change.step.has_ended()).cloned() else {
             return;
         };
         self.changes.remove(&id);
-        self.locks.retain(|_, holder| *holder != id);
-        work.push(Work::Ended(id, change.step));
-        // Its word was not what the map let expect: it is asked anew, and what differs is put right.
+        self.locked_blocks.retain(|_, holder| *holder != id);
+        work.push(Work::ChangeEnded(id, change.step));
+        // The store's reply did not match the map. Its inventory is requested again and differences are
+        // corrected.
         if let Some(Reason::Refused(store, _)) = &change.reason {
-            self.unheard(*store);
+            self.discard_inventory(*store);
         }
-        self.past.push_back(Past { change, at: now });
-        while self.past.len() > self.bounds.ended {
-            self.past.pop_front();
+        self.ended.push_back(EndedChange { change, ended_at: now });
+        while self.ended.len() > self.bounds.ended {
+            self.ended.pop_front();
         }
     }
 
-    /// What the map says once a change is committed; nothing if it says so already.
-    fn outcome(&self, id: ChangeId) -> Option<Vec<Record>> {
+    /// Returns the records that a change commits, or `None` if the map already contains them.
+    fn records_to_commit(&self, id: ChangeId) -> Option<Vec<Record>> {
         let change = self.changes.get(&id)?;
         let epoch = change.epoch;
         let block = self.map.block(change.block)?;
@@ -139,34 +147,34 @@
         if block.epoch >= epoch {
             return None;
         }
-        let with = |replicas| vec![Record::Living(Block { epoch, replicas, ..block.clone() })];
+        let with = |replicas| vec![Record::Active(Block { epoch, replicas, ..block.clone() })];
         let retired = |block: &Block| Record::Retired { id: block.id, span: block.span, epoch };
         let mut replicas = block.replicas.clone();
         Some(match &change.kind {
-            Kind::Move { from, to } => {
+            ChangeKind::Move { from, to } => {
                 replicas.retain(|r| r.store != *from && r.store != *to);
                 replicas.push(serving(*to));
                 with(replicas)
             }
-            Kind::Add { to, .. } => {
+            ChangeKind::Add { to, .. } => {
                 replicas.retain(|r| r.store != *to);
                 replicas.push(serving(*to));
                 with(replicas)
             }
-            Kind::Remove { from, .. } => {
+            ChangeKind::Remove { from, .. } => {
                 replicas.retain(|r| r.store != *from);
                 with(replicas)
             }
-            Kind::Split { new, .. } | Kind::Merge { new, .. } => {
+            ChangeKind::Split { new, .. } | ChangeKind::Merge { new, .. } => {
                 let mut records = vec![retired(block)];
                 let mut extent = block.extent;
-                if let Kind::Merge { with, .. } = &change.kind {
+                if let ChangeKind::Merge { with, .. } = &change.kind {
                     let other = self.map.block(*with)?;
                     records.push(retired(other));
-                    extent = around(extent, other.extent);
+                    extent = bounding_box(extent, other.extent);
                 }
                 records.extend(new.iter().map(|(id, span)| {
-                    Record::Living(Block { id: *id, span: *span, epoch, replicas: replicas.clone(), extent })
+                    Record::Active(Block { id: *id, span: *span, epoch, replicas: replicas.clone(), extent })
                 }));
                 records
             }
@@ -174,8 +182,9 @@
     }
 }
 
-/// A box around both; where one is unknown, or they lie on different sides of the antimeridian, around the world between.
-fn around(one: Option<Extent>, two: Option<Extent>) -> Option<Extent> {
+/// Returns a box around both extents, or `None` if one is unknown. If one of them crosses the antimeridian, the
+/// box covers all longitudes.
+fn bounding_box(one: Option<Extent>, two: Option<Extent>) -> Option<Extent> {
     let ([w1, s1, e1, n1], [w2, s2, e2, n2]) = (one?.0, two?.0);
     let (south, north) = (s1.min(s2), n1.max(n2));
     if w1 > e1 || w2 > e2 {
--- a/broker/crates/blocks/src/coordinator/interface.rs
+++ b/broker/crates/blocks/src/coordinator/interface.rs
@@ -1,29 +1,28 @@
-//! What goes into a coordinator and what comes out of it: its bounds, what it hears, what it wants done, what may be wished
-//! of it and why not.
+//! Inputs and outputs of a coordinator, its limits, and the changes that can be requested.
 
 use thiserror::Error;
 
-use crate::change::{Change, Millis, Patience, Step};
-use crate::holding::{Done, Holding, Ordered, Refusal};
+use crate::change::{Change, Millis, Step, Timeouts};
+use crate::holding::{Holding, OrderOutcome, Refusal, StampedOrder};
 use crate::log::LogRecord;
 use crate::map::MapError;
 use crate::types::{BlockId, ChangeId, Epoch, Span, StoreId, Term};
 
-/// Bounds of a coordinator.
+/// Limits of a coordinator.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// Blocks living.
+    /// Maximum number of active blocks.
     pub blocks: usize,
-    /// Retired blocks whose spans are remembered.
+    /// Maximum number of retired blocks whose spans are remembered.
     pub retired: usize,
-    /// Stores.
+    /// Maximum number of stores.
     pub stores: usize,
-    /// Changes under way.
+    /// Maximum number of changes in progress.
     pub changes: usize,
-    /// Changes that have ended and can still be looked at.
+    /// Maximum number of ended changes that are kept for inspection.
     pub ended: usize,
-    /// How patient changes are.
-    pub patience: Patience,
+    /// Timeouts and retry limits of changes.
+    pub timeouts: Timeouts,
 }
 
 impl Default for Bounds {
@@ -34,150 +33,151 @@
             stores: 1_000,
             changes: 256,
             ended: 256,
-            patience: Patience::default(),
+            timeouts: Timeouts::default(),
         }
     }
 }
 
-/// Which order a word answers: what comes to a step that has passed is dropped.
+/// Identifies the order that a reply belongs to. Replies to a step that has ended are dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Tag {
-    /// An order of a change, given in one of its rounds.
+pub enum OrderPurpose {
+    /// An order of a change, with the round in which it was sent.
     Change(ChangeId, u32),
-    /// The question what a store holds.
+    /// A request for the inventory of a store.
     Inventory,
-    /// An order that puts right what no change explains.
+    /// An order that corrects a difference between map and store that no change explains.
     Repair(BlockId),
 }
 
-/// Something to be done, in this order.
+/// Work for the caller, to be carried out in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Work {
-    /// Write to the log and make it last. After an error the coordinator is to be dropped: what it would do
-    /// next rests on this.
+    /// Append a record to the log and make it durable. After an error the coordinator must be dropped, because
+    /// its next actions depend on this record.
     Append(LogRecord),
-    /// Send an order; the store's word is owed.
-    Send(StoreId, Tag, Ordered),
-    /// Have a stretch copied; its end is owed.
+    /// Send an order to a store; its reply is expected as an event.
+    Send(StoreId, OrderPurpose, StampedOrder),
+    /// Copy a section of a log; its result is expected as an event.
     Copy(CopyJob),
     /// The map has a new version.
     Publish(u64),
     /// A change has ended.
-    Ended(ChangeId, Step),
-    /// Another coordinator has this term: it is over here.
-    Deposed(Term),
+    ChangeEnded(ChangeId, Step),
+    /// A coordinator with this higher term exists; this one must stop.
+    HigherTerm(Term),
 }
 
-/// A stretch to be copied.
+/// A section of a log to be copied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CopyJob {
-    /// For which change.
+    /// Change that the copy belongs to.
     pub change: ChangeId,
-    /// In which of its rounds.
+    /// Round of the change.
     pub round: u32,
-    /// The block.
+    /// Block to be copied.
     pub block: BlockId,
-    /// The change's epoch.
+    /// Epoch of the change.
     pub epoch: Epoch,
-    /// Who copies.
+    /// Store that copies.
     pub to: StoreId,
-    /// From whom.
+    /// Store that is copied from.
     pub from: StoreId,
-    /// From where in its log.
-    pub at: u64,
-    /// Whether entries wait for it: the source is fenced.
+    /// Index in the source's log at which the section begins.
+    pub start: u64,
+    /// Whether entries are blocked until the copy is complete, because the source is fenced.
     pub urgent: bool,
 }
 
-/// What happened.
+/// Event that the coordinator processes.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Heard {
-    /// A store's word on an order.
-    Said(StoreId, Tag, Result<Done, Refusal>),
-    /// A store could not be asked.
-    Silent(StoreId, Tag),
-    /// What a store holds, with its highest term.
-    Holds(StoreId, Vec<(BlockId, Holding)>),
-    /// A stretch was copied.
+pub enum Event {
+    /// Reply of a store to an order.
+    Reply(StoreId, OrderPurpose, Result<OrderOutcome, Refusal>),
+    /// A store could not be reached.
+    NoReply(StoreId, OrderPurpose),
+    /// Inventory of a store.
+    Inventory(StoreId, Vec<(BlockId, Holding)>),
+    /// A section of a log has been copied.
     Copied {
-        /// Which.
+        /// Change that the copy belongs to.
         change: ChangeId,
-        /// In which round it was asked for.
+        /// Round in which the copy was requested.
         round: u32,
-        /// Up to where, and the source's length; nothing if a store was silent.
-        upto: Option<(u64, u64)>,
+        /// Index up to which the target has copied, and length of the source's log; `None` if a store did not
+        /// reply.
+        progress: Option<(u64, u64)>,
     },
     /// Time has passed.
     Tick,
 }
 
-/// What an operator or the planner wants.
+/// Change requested by an operator or by the planner.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Wish {
-    /// A replica to go from one store to another.
+pub enum ChangeRequest {
+    /// Move a replica of a block from the first store to the second.
     Move(BlockId, StoreId, StoreId),
-    /// One more replica.
+    /// Add a replica at a store.
     Add(BlockId, StoreId),
-    /// One replica fewer.
+    /// Remove the replica at a store.
     Remove(BlockId, StoreId),
-    /// Two blocks out of one, the second from this weigher on.
+    /// Split a block; the second new block begins at this weigher.
     Split(BlockId, u64),
-    /// One block out of two neighbours.
+    /// Merge two adjacent blocks.
     Merge(BlockId, BlockId),
 }
 
-/// Why a wish can't be met; nothing has been done.
+/// Reason why a requested change was rejected. Nothing has been changed.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub enum Unmet {
-    /// No such block lives; these cover what it covered.
+pub enum RequestError {
+    /// The block is not active; the listed blocks cover its weighers.
     #[error("{0} is not living; its weighers are in {1:?} now")]
-    NotLiving(BlockId, Vec<BlockId>),
-    /// A change of it is under way.
+    NotActive(BlockId, Vec<BlockId>),
+    /// Another change of the block is in progress.
     #[error("{0} is being changed already (change {n}); wait for it or abandon it", n = .1 .0)]
     Busy(BlockId, ChangeId),
-    /// A store that is not known.
+    /// The store is unknown.
     #[error("{0} is not known")]
-    NoStore(StoreId),
-    /// It holds the block already.
+    UnknownStore(StoreId),
+    /// The store already holds the block.
     #[error("{1} holds {0} already")]
-    Holds(BlockId, StoreId),
-    /// It does not hold the block.
+    AlreadyHolds(BlockId, StoreId),
+    /// The store does not hold the block.
     #[error("{1} does not hold {0}")]
-    HoldsNot(BlockId, StoreId),
-    /// Nobody else would hold it.
+    DoesNotHold(BlockId, StoreId),
+    /// No other store would hold the block.
     #[error("{1} is the only holder of {0}: add another first, or move it")]
-    Last(BlockId, StoreId),
-    /// Where to split does not lie inside.
+    LastHolder(BlockId, StoreId),
+    /// The split position is outside the block.
     #[error("{0} covers {1}: split it at a number inside, above the first")]
-    Outside(BlockId, Span),
-    /// They do not touch.
+    OutsideBlock(BlockId, Span),
+    /// The blocks are not adjacent.
     #[error("{0} and {1} are no neighbours")]
-    Apart(BlockId, BlockId),
-    /// Different holders.
+    NotAdjacent(BlockId, BlockId),
+    /// The blocks have different holders.
     #[error("{0} and {1} have other holders: move one of them first")]
-    OtherHolders(BlockId, BlockId),
-    /// As many changes as may be are under way.
+    DifferentHolders(BlockId, BlockId),
+    /// The limit on changes in progress has been reached.
     #[error("{0} changes are under way, which is the most: wait")]
-    Full(usize),
-    /// What a store holds is not known yet.
+    TooManyChanges(usize),
+    /// The inventory of the store has not been received yet.
     #[error("{0} has not said yet what it holds")]
-    Unheard(StoreId),
-    /// Operators have paused changes.
+    NoInventory(StoreId),
+    /// An operator has paused changes.
     #[error("changes are paused: resume them first")]
     Paused,
-    /// The map would refuse the result.
+    /// The map rejects the result.
     #[error(transparent)]
     Map(#[from] MapError),
-    /// The validator would.
+    /// The validator rejects the result.
     #[error("not sound: {0}")]
-    Unsound(String),
+    Invalid(String),
 }
 
 /// A change that has ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Past {
-    /// Which, with all that it was to do.
+pub struct EndedChange {
+    /// The change with its final state.
     pub change: Change,
-    /// When.
-    pub at: Millis,
+    /// Time at which the change ended, in milliseconds on the caller's clock.
+    pub ended_at: Millis,
 }
--- a/broker/crates/blocks/src/coordinator/mod.rs
+++ b/broker/crates/blocks/src/coordinator/mod.rs
@@ -1,27 +1,28 @@
-//! The coordinator: one broker that carries changes out in a term of its own. It owns the map, the changes under
-//! way and the numbers given to blocks, changes and epochs. It promises that it gives a store no order before it knows
-//! what the store holds, that whatever it acts on is in its log first, and that what a deposed coordinator left behind
-//! is put right. It knows no socket and no disk; [`Work`] says what to write, send and copy, in order.
+//! The coordinator: the broker that carries out changes, in a term of its own. It owns the map, the changes in
+//! progress, and the assignment of identifiers to blocks, changes and epochs. It sends no order to a store
+//! before it has the store's inventory, except to create the initial map. Whatever it acts on is written to its
+//! log first, and it completes or reverts the changes of a deposed coordinator. It uses no socket and no disk;
+//! [`Work`] lists in order what to write, send and copy.
 
-mod interface;
 mod advance;
+mod interface;
 mod recover;
 mod requests;
 
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 
-use recover::fold;
+use recover::replay;
 
 use crate::change::{Change, Input, Millis};
-use crate::holding::{Holding, Mode, Order, Ordered, Refusal};
+use crate::holding::{Holding, Mode, Order, Refusal, StampedOrder};
 use crate::log::LogRecord;
 use crate::map::{Batch, Block, BlockMap, Record, Replica, ReplicaState};
 use crate::types::{BlockId, ChangeId, Epoch, Extent, Span, StoreId, Term};
 
-pub use interface::{Bounds, CopyJob, Heard, Past, Tag, Unmet, Wish, Work};
+pub use interface::{Bounds, ChangeRequest, CopyJob, EndedChange, Event, OrderPurpose, RequestError, Work};
 pub use recover::RecoverError;
 
-/// The coordinator. See the module's description.
+/// The coordinator; see the module documentation.
 #[derive(Debug)]
 pub struct Coordinator {
     pub(crate) bounds: Bounds,
@@ -29,36 +30,37 @@
     pub(crate) map: BlockMap,
     pub(crate) names: HashMap<String, StoreId>,
     pub(crate) stores: BTreeMap<StoreId, String>,
-    /// Stores that have said in this term what they hold, and those that have been asked.
-    pub(crate) heard: HashSet<StoreId>,
-    asked: HashMap<StoreId, Millis>,
-    repairs: HashMap<StoreId, u32>,
+    /// Stores whose inventory has been received in this term. `inventory_requested_at` has the stores whose
+    /// inventory has been requested.
+    pub(crate) inventoried: HashSet<StoreId>,
+    inventory_requested_at: HashMap<StoreId, Millis>,
+    repair_attempts: HashMap<StoreId, u32>,
     pub(crate) changes: BTreeMap<ChangeId, Change>,
-    pub(crate) locks: HashMap<BlockId, ChangeId>,
-    past: VecDeque<Past>,
+    pub(crate) locked_blocks: HashMap<BlockId, ChangeId>,
+    ended: VecDeque<EndedChange>,
     paused: bool,
-    given: (u32, u64, u32),
+    last_assigned: (u32, u64, u32),
     serial: u64,
-    deposed: Option<Term>,
+    higher_term: Option<Term>,
 }
 
-/// A store that did not say what it holds is asked again after so long.
-const ASK_AGAIN_MS: Millis = 500;
-/// So often in a row what a store holds is put right before anything else is begun with it.
-const REPAIRS_MOST: u32 = 4;
+/// Delay in milliseconds before the inventory of a store is requested again.
+const INVENTORY_RETRY_MS: Millis = 500;
+/// Maximum number of consecutive repair attempts at a store before other changes with it may begin.
+const MAX_REPAIR_ATTEMPTS: u32 = 4;
 
 impl Coordinator {
-    /// Begins a term, on what an earlier term's log says. Its state is the first record of this term's log: the caller
-    /// writes that before anything else.
+    /// Begins a term on the records of an earlier term's log. The returned record holds the initial state of
+    /// this term and must be written to the new log before anything else.
     pub fn begin(
         now: Millis,
         term: Term,
         records: Vec<LogRecord>,
         bounds: Bounds,
     ) -> Result<(Self, LogRecord), RecoverError> {
-        let mut state = fold(records, &bounds)?;
+        let mut state = replay(records, &bounds)?;
         state.term = term;
-        state.given.2 = 0;
+        state.last_assigned.2 = 0;
         let map = BlockMap::restore(&state.map, bounds.blocks, bounds.retired)?;
         let mut this = Self {
             bounds,
@@ -66,83 +68,84 @@
             map,
             names: state.stores.iter().map(|(id, name)| (name.clone(), *id)).collect(),
             stores: state.stores.iter().cloned().collect(),
-            heard: HashSet::new(),
-            asked: HashMap::new(),
-            repairs: HashMap::new(),
+            inventoried: HashSet::new(),
+            inventory_requested_at: HashMap::new(),
+            repair_attempts: HashMap::new(),
             changes: BTreeMap::new(),
-            locks: HashMap::new(),
-            past: VecDeque::new(),
+            locked_blocks: HashMap::new(),
+            ended: VecDeque::new(),
             paused: state.paused,
-            given: state.given,
+            last_assigned: state.last_assigned,
             serial: 0,
-            deposed: None,
+            higher_term: None,
         };
         for change in &state.changes {
-            this.locks.extend(change.blocks().into_iter().map(|block| (block, change.id)));
+            this.locked_blocks.extend(change.blocks().into_iter().map(|block| (block, change.id)));
             let mut change = change.clone();
-            change.resumed(now);
+            change.resume(now);
             this.changes.insert(change.id, change);
         }
         Ok((this, LogRecord::Start(Box::new(state))))
     }
 
-    /// The map.
+    /// Returns the block map.
     pub fn map(&self) -> &BlockMap {
         &self.map
     }
 
-    /// The term.
+    /// Returns the term of the coordinator.
     pub fn term(&self) -> Term {
         self.term
     }
 
-    /// The changes under way.
+    /// Iterates over the changes in progress.
     pub fn changes(&self) -> impl Iterator<Item = &Change> {
         self.changes.values()
     }
 
-    /// Those that have ended, the latest last.
-    pub fn past(&self) -> impl Iterator<Item = &Past> {
-        self.past.iter()
+    /// Iterates over the ended changes, latest last.
+    pub fn ended_changes(&self) -> impl Iterator<Item = &EndedChange> {
+        self.ended.iter()
     }
 
-    /// A store's name.
+    /// Returns the name of a store.
     pub fn name(&self, store: StoreId) -> Option<&str> {
         self.stores.get(&store).map(String::as_str)
     }
 
-    /// The store of a name.
+    /// Returns the store with this name.
     pub fn store(&self, name: &str) -> Option<StoreId> {
         self.names.get(name).copied()
     }
 
-    /// All stores, by number.
+    /// Iterates over all stores by number.
     pub fn stores(&self) -> impl Iterator<Item = (StoreId, String)> + '_ {
         self.stores.iter().map(|(id, name)| (*id, name.clone()))
     }
 
-    /// Whether a store has said in this term what it holds.
-    pub fn has_heard(&self, store: StoreId) -> bool {
-        self.heard.contains(&store)
+    /// Whether the inventory of a store has been received in this term.
+    pub fn has_inventory(&self, store: StoreId) -> bool {
+        self.inventoried.contains(&store)
     }
 
-    /// Whether a change has made no progress for longer than it should need.
-    pub fn stuck(&self, change: &Change, now: Millis) -> bool {
-        change.stuck(now, &self.bounds.patience)
+    /// Whether a change has made no progress for longer than its step timeout.
+    pub fn is_stuck(&self, change: &Change, now: Millis) -> bool {
+        change.is_stuck(now, &self.bounds.timeouts)
     }
 
-    /// The question what a store holds, for its own sake.
-    pub fn inventory(&mut self) -> Ordered {
-        self.stamp(BlockId::default(), Epoch::default(), Order::Inventory)
+    /// Creates an inventory request that belongs to no change.
+    pub fn inventory(&mut self) -> StampedOrder {
+        self.stamp_order(BlockId::default(), Epoch::default(), Order::Inventory)
     }
 
-    /// Whether operators have paused changes.
+    /// Whether an operator has paused changes.
     pub fn paused(&self) -> bool {
         self.paused
     }
 
-    /// Notes a store; the first time with a number of its own.
-    pub fn note(&mut self, name: &str, work: &mut Vec<Work>) -> Option<StoreId> {
+    /// Returns the number of a store and registers the store if it is new. Returns `None` if the limit on
+    /// stores has been reached.
+    pub fn register_store(&mut self, name: &str, work: &mut Vec<Work>) -> Option<StoreId> {
         if let Some(id) = self.names.get(name) {
             return Some(*id);
         }
@@ -156,98 +159,100 @@
         Some(id)
     }
 
-    /// Forgets that a store has said what it holds: it has started anew, or was long away.
-    pub fn unheard(&mut self, store: StoreId) {
-        self.heard.remove(&store);
-        self.asked.remove(&store);
+    /// Discards the inventory of a store after the store has restarted or was away for long.
+    pub fn discard_inventory(&mut self, store: StoreId) {
+        self.inventoried.remove(&store);
+        self.inventory_requested_at.remove(&store);
     }
 
-    pub(crate) fn epoch(&mut self) -> Epoch {
-        self.given.2 += 1;
-        Epoch::of(self.term, self.given.2)
+    pub(crate) fn next_epoch(&mut self) -> Epoch {
+        self.last_assigned.2 += 1;
+        Epoch::from_parts(self.term, self.last_assigned.2)
     }
 
-    pub(crate) fn block_id(&mut self) -> BlockId {
-        self.given.0 += 1;
-        BlockId(self.given.0)
+    pub(crate) fn next_block_id(&mut self) -> BlockId {
+        self.last_assigned.0 += 1;
+        BlockId(self.last_assigned.0)
     }
 
-    fn given(&self) -> LogRecord {
-        let (blocks, changes, epochs) = self.given;
-        LogRecord::Given { blocks, changes, epochs }
+    fn assignment_record(&self) -> LogRecord {
+        let (blocks, changes, epochs) = self.last_assigned;
+        LogRecord::Assigned { blocks, changes, epochs }
     }
 
-    /// Makes the first map: blocks with these numbers, spans and holders, which the stores hold already or are told to.
-    pub fn found(
+    /// Creates the initial map from blocks with their identifiers, spans and holders. The stores either hold
+    /// these blocks already or are ordered to.
+    pub fn create_map(
         &mut self,
         blocks: Vec<(BlockId, Span, Vec<StoreId>, Option<Extent>)>,
-    ) -> Result<Vec<Work>, Unmet> {
-        let epoch = self.epoch();
+    ) -> Result<Vec<Work>, RequestError> {
+        let epoch = self.next_epoch();
         let serving = |store| Replica { store, state: ReplicaState::Serving };
         let mut records = Vec::new();
         for (id, span, stores, extent) in blocks {
-            self.given.0 = self.given.0.max(id.0);
+            self.last_assigned.0 = self.last_assigned.0.max(id.0);
             let replicas = stores.into_iter().map(serving).collect();
-            records.push(Record::Living(Block { id, span, epoch, replicas, extent }));
+            records.push(Record::Active(Block { id, span, epoch, replicas, extent }));
         }
         let batch = Batch { version: self.map.version() + 1, records };
         self.map.check(&batch.records, false)?;
-        if let Some(why) = self.prove(&batch.records, &|_, _| false) {
-            return Err(Unmet::Unsound(why));
+        if let Some(why) = self.validate_records(&batch.records, &|_, _| false) {
+            return Err(RequestError::Invalid(why));
         }
         self.map.apply(&batch)?;
-        let mut work = vec![Work::Append(self.given()), Work::Append(LogRecord::Batch(batch.clone()))];
+        let mut work =
+            vec![Work::Append(self.assignment_record()), Work::Append(LogRecord::Batch(batch.clone()))];
         for record in &batch.records {
-            let Record::Living(block) = record else { continue };
+            let Record::Active(block) = record else { continue };
             for store in block.holders() {
-                let order = Order::Found { span: block.span };
-                let ordered = self.stamp(block.id, epoch, order);
-                work.push(Work::Send(store, Tag::Repair(block.id), ordered));
+                let order = Order::Create { span: block.span };
+                let ordered = self.stamp_order(block.id, epoch, order);
+                work.push(Work::Send(store, OrderPurpose::Repair(block.id), ordered));
             }
         }
         work.push(Work::Publish(self.map.version()));
         Ok(work)
     }
 
-    pub(crate) fn stamp(&mut self, block: BlockId, epoch: Epoch, order: Order) -> Ordered {
+    pub(crate) fn stamp_order(&mut self, block: BlockId, epoch: Epoch, order: Order) -> StampedOrder {
         self.serial += 1;
-        Ordered { term: self.term, serial: self.serial, block, epoch, order }
+        StampedOrder { term: self.term, serial: self.serial, block, epoch, order }
     }
 
-    /// Takes what happened; says what is to be done, in order.
-    pub fn handle(&mut self, now: Millis, heard: Heard) -> Vec<Work> {
+    /// Processes an event and returns the work to carry out, in order.
+    pub fn handle(&mut self, now: Millis, event: Event) -> Vec<Work> {
         let mut work = Vec::new();
-        if self.deposed.is_some() {
+        if self.higher_term.is_some() {
             return work;
         }
-        match heard {
-            Heard::Said(_, _, Err(Refusal::Deposed(term))) => {
-                self.deposed = Some(term);
-                work.push(Work::Deposed(term));
+        match event {
+            Event::Reply(_, _, Err(Refusal::Deposed(term))) => {
+                self.higher_term = Some(term);
+                work.push(Work::HigherTerm(term));
             }
-            Heard::Said(store, Tag::Change(id, round), word) => {
-                self.play_round(now, (id, round), Input::Said(store, word), &mut work);
+            Event::Reply(store, OrderPurpose::Change(id, round), word) => {
+                self.advance_round(now, (id, round), Input::Reply(store, word), &mut work);
             }
-            // It is asked once more, until nothing differs.
-            Heard::Said(store, Tag::Repair(_), _) => self.unheard(store),
-            Heard::Said(..) => {}
-            Heard::Silent(store, Tag::Change(id, round)) => {
-                self.play_round(now, (id, round), Input::Silent(store), &mut work);
+            // The inventory is requested again until it matches the map.
+            Event::Reply(store, OrderPurpose::Repair(_), _) => self.discard_inventory(store),
+            Event::Reply(..) => {}
+            Event::NoReply(store, OrderPurpose::Change(id, round)) => {
+                self.advance_round(now, (id, round), Input::NoReply(store), &mut work);
             }
-            Heard::Silent(store, Tag::Repair(_)) => self.unheard(store),
-            Heard::Silent(..) => {}
-            Heard::Holds(store, holdings) => self.holds(now, store, &holdings, &mut work),
-            Heard::Copied { change, round, upto } => {
+            Event::NoReply(store, OrderPurpose::Repair(_)) => self.discard_inventory(store),
+            Event::NoReply(..) => {}
+            Event::Inventory(store, holdings) => self.handle_inventory(now, store, &holdings, &mut work),
+            Event::Copied { change, round, progress } => {
                 if let Some((from, _)) = self.changes.get(&change).and_then(Change::copy) {
-                    let input = match upto {
+                    let input = match progress {
                         Some((copied, length)) => Input::Copied { copied, length },
-                        None => Input::Silent(from),
+                        None => Input::NoReply(from),
                     };
-                    self.play_round(now, (change, round), input, &mut work);
+                    self.advance_round(now, (change, round), input, &mut work);
                 }
             }
-            Heard::Tick => {
-                self.ask_stores(now, &mut work);
+            Event::Tick => {
+                self.request_inventories(now, &mut work);
                 let due: Vec<ChangeId> = self
                     .changes
                     .values()
@@ -255,67 +260,78 @@
                     .map(|change| change.id)
                     .collect();
                 for id in due {
-                    self.play(now, id, Input::Tick, &mut work);
+                    self.advance(now, id, Input::Tick, &mut work);
                 }
             }
         }
         work
     }
 
-    /// A store has said what it holds: what differs from the map is put right, and changes that waited for it go on.
-    fn holds(&mut self, now: Millis, store: StoreId, holdings: &[(BlockId, Holding)], work: &mut Vec<Work>) {
-        self.asked.remove(&store);
-        if !self.stores.contains_key(&store) || !self.heard.insert(store) {
+    /// Processes the inventory of a store: corrects differences from the map and resumes the changes that
+    /// waited for it.
+    fn handle_inventory(
+        &mut self,
+        now: Millis,
+        store: StoreId,
+        holdings: &[(BlockId, Holding)],
+        work: &mut Vec<Work>,
+    ) {
+        self.inventory_requested_at.remove(&store);
+        if !self.stores.contains_key(&store) || !self.inventoried.insert(store) {
             return;
         }
         self.reconcile(now, store, holdings, work);
-        // While something is being put right there nothing else is begun with it, unless that is refused
-        // again and again: then the rest goes on, and the difference stays for an operator to see.
-        if work.iter().any(|item| matches!(item, Work::Send(_, Tag::Repair(_), _))) {
-            let tries = self.repairs.entry(store).or_default();
-            *tries += 1;
-            if *tries <= REPAIRS_MOST {
-                self.heard.remove(&store);
+        // While a repair is in progress at a store, no other change with it begins. If the store rejects
+        // repairs repeatedly, the other changes continue and the difference remains for an operator to
+        // inspect.
+        if work.iter().any(|item| matches!(item, Work::Send(_, OrderPurpose::Repair(_), _))) {
+            let attempts = self.repair_attempts.entry(store).or_default();
+            *attempts += 1;
+            if *attempts <= MAX_REPAIR_ATTEMPTS {
+                self.inventoried.remove(&store);
                 return;
             }
         }
-        self.repairs.remove(&store);
+        self.repair_attempts.remove(&store);
         let waits = |change: &&Change| change.stores().contains(&store);
         let waiting: Vec<ChangeId> = self.changes.values().filter(waits).map(|change| change.id).collect();
         for id in waiting {
             let Some(change) = self.changes.get(&id) else { continue };
-            if let Some(said) = deposed_word(change, store, holdings) {
-                self.play(now, id, said, work);
+            if let Some(observed) = outcome_elsewhere(change, store, holdings) {
+                self.advance(now, id, observed, work);
             }
-            self.play(now, id, Input::Resume, work);
+            self.advance(now, id, Input::Resume, work);
         }
     }
 
-    fn ask_stores(&mut self, now: Millis, work: &mut Vec<Work>) {
+    fn request_inventories(&mut self, now: Millis, work: &mut Vec<Work>) {
         for store in self.stores.keys().copied().collect::<Vec<_>>() {
-            let again = self.asked.get(&store).is_none_or(|at| now >= at + ASK_AGAIN_MS);
-            if !self.heard.contains(&store) && again {
-                self.asked.insert(store, now);
+            let is_due =
+                self.inventory_requested_at.get(&store).is_none_or(|at| now >= at + INVENTORY_RETRY_MS);
+            if !self.inventoried.contains(&store) && is_due {
+                self.inventory_requested_at.insert(store, now);
                 let order = self.inventory();
-                work.push(Work::Send(store, Tag::Inventory, order));
+                work.push(Work::Send(store, OrderPurpose::Inventory, order));
             }
         }
     }
 
-    /// When [`Heard::Tick`] is due, if nothing happens before.
+    /// Returns the time at which [`Event::Tick`] is due if no other event arrives before.
     pub fn due(&self) -> Option<Millis> {
-        let asks = self.stores.keys().filter(|s| !self.heard.contains(s));
-        let asks = asks.map(|s| self.asked.get(s).map_or(0, |at| at + ASK_AGAIN_MS));
-        asks.chain(self.changes.values().filter_map(Change::due)).min()
+        let pending = self.stores.keys().filter(|s| !self.inventoried.contains(s));
+        let pending =
+            pending.map(|s| self.inventory_requested_at.get(s).map_or(0, |at| at + INVENTORY_RETRY_MS));
+        pending.chain(self.changes.values().filter_map(Change::due)).min()
     }
 }
 
-/// What a change's source shows of a deposed coordinator's doings: that it had committed, or gone back.
-fn deposed_word(change: &Change, store: StoreId, holdings: &[(BlockId, Holding)]) -> Option<Input> {
+/// Derives from the source's inventory whether a deposed coordinator had committed the change or rolled it
+/// back.
+fn outcome_elsewhere(change: &Change, store: StoreId, holdings: &[(BlockId, Holding)]) -> Option<Input> {
     change.copy().filter(|(from, _)| *from == store)?;
     let (_, held) = holdings.iter().find(|(block, _)| *block == change.block)?;
     if held.epoch > change.epoch {
-        return Some(Input::Undone(held.epoch));
+        return Some(Input::AlreadyRolledBack(held.epoch));
     }
-    (held.epoch == change.epoch && held.mode == Mode::Retired).then_some(Input::Overtaken)
+    (held.epoch == change.epoch && held.mode == Mode::Retired).then_some(Input::AlreadyCommitted)
 }
--- a/broker/crates/blocks/src/coordinator/recover.rs
+++ b/broker/crates/blocks/src/coordinator/recover.rs
@@ -1,4 +1,4 @@
-//! A term's beginning: the state that an earlier term's log makes, and why it may make none.
+//! Recovery of the coordinator's state from the log of an earlier term.
 
 use std::collections::HashMap;
 
@@ -10,22 +10,22 @@
 use crate::types::StoreId;
 use crate::validate;
 
-/// Why a log's records can't be taken up.
+/// Reason why the state cannot be recovered from a log.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum RecoverError {
-    /// The map.
+    /// The map rejects a batch or the snapshot of the log.
     #[error("the log's map: {0}")]
     Map(#[from] MapError),
-    /// A record that makes no sense where it stands.
+    /// A record is not valid at its position.
     #[error("the log's record {0}: {1}")]
     Record(usize, &'static str),
-    /// The map that the records make together.
+    /// The validator rejects the recovered map.
     #[error("the log's map is not sound: {0}; restore the log, or rebuild the map from the stores")]
-    Unsound(String),
+    Invalid(String),
 }
 
-/// The state that a log's records make together.
-pub(super) fn fold(records: Vec<LogRecord>, bounds: &Bounds) -> Result<State, RecoverError> {
+/// Computes the state from the records of a log.
+pub(super) fn replay(records: Vec<LogRecord>, bounds: &Bounds) -> Result<State, RecoverError> {
     let mut state = State::default();
     let mut map = BlockMap::new(bounds.blocks, bounds.retired);
     for (n, record) in records.into_iter().enumerate() {
@@ -43,21 +43,23 @@
                 let Some(change) = state.changes.iter_mut().find(|change| change.id == id) else {
                     return Err(RecoverError::Record(n, "a step of a change that never began"));
                 };
-                change.recovered(step);
+                change.restore_step(step);
                 change.reason = reason;
-                state.changes.retain(|change| !change.step.ended());
+                state.changes.retain(|change| !change.step.has_ended());
             }
             LogRecord::Batch(batch) => map.apply(&batch)?,
             LogRecord::Paused(paused) => state.paused = paused,
-            LogRecord::Given { blocks, changes, epochs } => state.given = (blocks, changes, epochs),
+            LogRecord::Assigned { blocks, changes, epochs } => {
+                state.last_assigned = (blocks, changes, epochs)
+            }
         }
     }
     let names: HashMap<StoreId, &String> = state.stores.iter().map(|(id, name)| (*id, name)).collect();
-    let standing = |store| names.contains_key(&store).then_some(validate::Standing::Listed);
+    let store_standing = |store| names.contains_key(&store).then_some(validate::Standing::Listed);
     let text = |store| names.get(&store).map_or_else(|| store.to_string(), |name| format!("store {name}"));
-    let facts = validate::Facts { standing: &standing, text: &text, copies: &|_, _| true };
-    if let Some(why) = validate::first_of(&validate::whole(&map, &facts)) {
-        return Err(RecoverError::Unsound(why));
+    let facts = validate::Facts { standing: &store_standing, text: &text, copies: &|_, _| true };
+    if let Some(why) = validate::summary(&validate::full_map(&map, &facts)) {
+        return Err(RecoverError::Invalid(why));
     }
     state.map = map.snapshot();
     Ok(state)
--- a/broker/crates/blocks/src/coordinator/requests.rs
+++ b/broker/crates/blocks/src/coordinator/requests.rs
@@ -1,156 +1,173 @@
-//! Wishes: checked against the map and against what is under way, numbered, and taken on as changes.
+//! Requested changes: checks them against the map and the changes in progress, assigns identifiers, and starts
+//! them.
 
-use super::interface::{Unmet, Wish, Work};
+use super::interface::{ChangeRequest, RequestError, Work};
 use super::Coordinator;
-use crate::change::{Change, Input, Kind, Millis};
+use crate::change::{Change, ChangeKind, Input, Millis};
 use crate::log::LogRecord;
 use crate::map::{Block, MapError};
 use crate::types::{BlockId, ChangeId, Epoch, Span, StoreId};
 
 impl Coordinator {
-    fn living(&self, id: BlockId) -> Result<&Block, Unmet> {
-        if let Some(change) = self.locks.get(&id) {
-            return Err(Unmet::Busy(id, *change));
+    fn unlocked_block(&self, id: BlockId) -> Result<&Block, RequestError> {
+        if let Some(change) = self.locked_blocks.get(&id) {
+            return Err(RequestError::Busy(id, *change));
         }
         self.map.block(id).ok_or_else(|| {
-            let heirs = self.map.resolve(id).unwrap_or_default();
-            Unmet::NotLiving(id, heirs.iter().map(|piece| piece.block).collect())
+            let successors = self.map.resolve(id).unwrap_or_default();
+            RequestError::NotActive(id, successors.iter().map(|piece| piece.block).collect())
         })
     }
 
-    fn known(&self, stores: &[StoreId]) -> Result<(), Unmet> {
+    fn check_stores(&self, stores: &[StoreId]) -> Result<(), RequestError> {
         for store in stores {
             if !self.stores.contains_key(store) {
-                return Err(Unmet::NoStore(*store));
+                return Err(RequestError::UnknownStore(*store));
             }
-            if !self.heard.contains(store) {
-                return Err(Unmet::Unheard(*store));
+            if !self.inventoried.contains(store) {
+                return Err(RequestError::NoInventory(*store));
             }
         }
         Ok(())
     }
 
-    /// Checks a wish and makes a kind of change of it. New blocks' numbers are not given yet.
-    fn kind(&self, wish: &Wish) -> Result<(BlockId, Kind), Unmet> {
-        match *wish {
-            Wish::Move(id, from, to) => {
-                let block = self.living(id)?;
-                self.known(&[from, to])?;
-                held(block, from, true)?;
-                held(block, to, false)?;
-                Ok((id, Kind::Move { from, to }))
+    /// Checks a request and converts it to a kind of change. The identifiers of new blocks are not assigned
+    /// yet.
+    fn change_kind(&self, request: &ChangeRequest) -> Result<(BlockId, ChangeKind), RequestError> {
+        match *request {
+            ChangeRequest::Move(id, from, to) => {
+                let block = self.unlocked_block(id)?;
+                self.check_stores(&[from, to])?;
+                check_holder(block, from, true)?;
+                check_holder(block, to, false)?;
+                Ok((id, ChangeKind::Move { from, to }))
             }
-            Wish::Add(id, to) => {
-                let block = self.living(id)?;
-                held(block, to, false)?;
-                let source = block.holders().find(|s| self.heard.contains(s));
+            ChangeRequest::Add(id, to) => {
+                let block = self.unlocked_block(id)?;
+                check_holder(block, to, false)?;
+                let source = block.holders().find(|s| self.inventoried.contains(s));
                 let source = source.or(block.holders().next()).unwrap_or_default();
-                self.known(&[to, source])?;
-                if block.replicas.len() >= crate::map::REPLICAS_MOST {
+                self.check_stores(&[to, source])?;
+                if block.replicas.len() >= crate::map::MAX_REPLICAS {
                     return Err(MapError::Malformed(id, "too many replicas").into());
                 }
-                Ok((id, Kind::Add { source, to }))
+                Ok((id, ChangeKind::Add { source, to }))
             }
-            Wish::Remove(id, from) => {
-                let block = self.living(id)?;
-                held(block, from, true)?;
+            ChangeRequest::Remove(id, from) => {
+                let block = self.unlocked_block(id)?;
+                check_holder(block, from, true)?;
                 let other = |s: &StoreId| *s != from;
-                let sound = block.holders().find(|s| other(s) && self.heard.contains(s));
-                let keeper = sound.or(block.holders().find(other)).ok_or(Unmet::Last(id, from))?;
-                self.known(&[from, keeper])?;
-                Ok((id, Kind::Remove { from, keeper }))
+                let inventoried_holder = block.holders().find(|s| other(s) && self.inventoried.contains(s));
+                let keeper = inventoried_holder
+                    .or(block.holders().find(other))
+                    .ok_or(RequestError::LastHolder(id, from))?;
+                self.check_stores(&[from, keeper])?;
+                Ok((id, ChangeKind::Remove { from, keeper }))
             }
-            Wish::Split(id, at) => {
-                let block = self.living(id)?;
+            ChangeRequest::Split(id, at) => {
+                let block = self.unlocked_block(id)?;
                 let span = block.span;
                 if !(span.first + 1..span.end).contains(&at) {
-                    return Err(Unmet::Outside(id, span));
+                    return Err(RequestError::OutsideBlock(id, span));
                 }
                 let holders: Vec<StoreId> = block.holders().collect();
-                self.known(&holders)?;
+                self.check_stores(&holders)?;
                 let new = vec![
                     (BlockId::default(), Span::new(span.first, at)),
                     (BlockId::default(), Span::new(at, span.end)),
                 ];
-                Ok((id, Kind::Split { holders, new }))
+                Ok((id, ChangeKind::Split { holders, new }))
             }
-            Wish::Merge(id, with) => {
-                let (one, two) = (self.living(id)?, self.living(with)?);
+            ChangeRequest::Merge(id, with) => {
+                let (one, two) = (self.unlocked_block(id)?, self.unlocked_block(with)?);
                 let (low, high) =
                     if one.span < two.span { (one.span, two.span) } else { (two.span, one.span) };
                 if low.end != high.first {
-                    return Err(Unmet::Apart(id, with));
+                    return Err(RequestError::NotAdjacent(id, with));
                 }
                 let mut holders: Vec<StoreId> = one.holders().collect();
                 let mut others: Vec<StoreId> = two.holders().collect();
                 holders.sort_unstable();
                 others.sort_unstable();
                 if holders != others {
-                    return Err(Unmet::OtherHolders(id, with));
+                    return Err(RequestError::DifferentHolders(id, with));
                 }
-                self.known(&holders)?;
+                self.check_stores(&holders)?;
                 let new = vec![(BlockId::default(), Span::new(low.first, high.end))];
-                Ok((id, Kind::Merge { with, holders, new }))
+                Ok((id, ChangeKind::Merge { with, holders, new }))
             }
         }
     }
 
-    /// Takes a change on.
-    pub fn wish(&mut self, now: Millis, wish: &Wish, work: &mut Vec<Work>) -> Result<ChangeId, Unmet> {
+    /// Starts a requested change.
+    pub fn request_change(
+        &mut self,
+        now: Millis,
+        request: &ChangeRequest,
+        work: &mut Vec<Work>,
+    ) -> Result<ChangeId, RequestError> {
         if self.paused {
-            return Err(Unmet::Paused);
+            return Err(RequestError::Paused);
         }
         if self.changes.len() >= self.bounds.changes {
-            return Err(Unmet::Full(self.bounds.changes));
+            return Err(RequestError::TooManyChanges(self.bounds.changes));
         }
-        let (block, mut kind) = self.kind(wish)?;
-        if let Kind::Split { new, .. } | Kind::Merge { new, .. } = &mut kind {
-            let ids: Vec<BlockId> = new.iter().map(|_| self.block_id()).collect();
+        let (block, mut kind) = self.change_kind(request)?;
+        if let ChangeKind::Split { new, .. } | ChangeKind::Merge { new, .. } = &mut kind {
+            let ids: Vec<BlockId> = new.iter().map(|_| self.next_block_id()).collect();
             new.iter_mut().zip(ids).for_each(|(new, id)| new.0 = id);
         }
         let span = self.map.block(block).map(|b| b.span).unwrap_or_default();
-        let epoch = self.epoch();
-        let change = self.change(block, span, kind, epoch);
-        Ok(self.take_on(now, change, work))
+        let epoch = self.next_epoch();
+        let change = self.new_change(block, span, kind, epoch);
+        Ok(self.start_change(now, change, work))
     }
 
-    /// A change of this kind, with the next number. Its way back has an epoch of its own.
-    pub(crate) fn change(&mut self, block: BlockId, span: Span, kind: Kind, epoch: Epoch) -> Change {
-        let back = self.epoch();
-        self.given.1 += 1;
-        Change::new(ChangeId(self.given.1), block, span, kind, epoch, back)
+    /// Creates a change with the next identifier and an additional epoch for its rollback.
+    pub(crate) fn new_change(
+        &mut self,
+        block: BlockId,
+        span: Span,
+        kind: ChangeKind,
+        epoch: Epoch,
+    ) -> Change {
+        let back = self.next_epoch();
+        self.last_assigned.1 += 1;
+        Change::new(ChangeId(self.last_assigned.1), block, span, kind, epoch, back)
     }
 
-    pub(crate) fn take_on(&mut self, now: Millis, change: Change, work: &mut Vec<Work>) -> ChangeId {
+    pub(crate) fn start_change(&mut self, now: Millis, change: Change, work: &mut Vec<Work>) -> ChangeId {
         let id = change.id;
-        self.locks.extend(change.blocks().into_iter().map(|block| (block, id)));
-        work.push(Work::Append(self.given()));
+        self.locked_blocks.extend(change.blocks().into_iter().map(|block| (block, id)));
+        work.push(Work::Append(self.assignment_record()));
         work.push(Work::Append(LogRecord::Begin(change.clone())));
         self.changes.insert(id, change);
-        self.play(now, id, Input::Resume, work);
+        self.advance(now, id, Input::Resume, work);
         id
     }
 
-    /// Has a change go back, if it still may.
+    /// Rolls a change back if it has not been committed. Returns whether the rollback was started.
     pub fn abandon(&mut self, now: Millis, id: ChangeId, work: &mut Vec<Work>) -> bool {
-        let may = self.changes.get(&id).is_some_and(|c| !c.step.committed() && !c.step.back());
-        if may {
-            self.play(now, id, Input::Abandon, work);
+        let can_abandon =
+            self.changes.get(&id).is_some_and(|c| !c.step.is_committed() && !c.step.is_rolling_back());
+        if can_abandon {
+            self.advance(now, id, Input::Abandon, work);
         }
-        may
+        can_abandon
     }
 
-    /// Pauses changes: none is taken on, those under way go on to their end. Or resumes.
+    /// Pauses or resumes changes. While paused no change is started, but changes in progress continue to their
+    /// end.
     pub fn pause(&mut self, paused: bool, work: &mut Vec<Work>) {
         self.paused = paused;
         work.push(Work::Append(LogRecord::Paused(paused)));
     }
 }
 
-fn held(block: &Block, store: StoreId, wanted: bool) -> Result<(), Unmet> {
-    match (block.replicas.iter().any(|r| r.store == store), wanted) {
-        (true, false) => Err(Unmet::Holds(block.id, store)),
-        (false, true) => Err(Unmet::HoldsNot(block.id, store)),
+fn check_holder(block: &Block, store: StoreId, expected: bool) -> Result<(), RequestError> {
+    match (block.replicas.iter().any(|r| r.store == store), expected) {
+        (true, false) => Err(RequestError::AlreadyHolds(block.id, store)),
+        (false, true) => Err(RequestError::DoesNotHold(block.id, store)),
         _ => Ok(()),
     }
 }
--- a/broker/crates/blocks/src/holding.rs
+++ b/broker/crates/blocks/src/holding.rs
@@ -1,7 +1,7 @@
-//! What a store does with the blocks it holds: the fence. It owns each block's mode and epoch, the log of entries that
-//! ran here, and the highest term seen. It promises that an order repeated changes nothing more, that an order of
-//! an old term changes nothing at all, and that an entry known by its key is not run again. Whoever hosts it makes
-//! each change durable before it answers; it does not know how.
+//! State machine of a store for the blocks that it holds, including the fence. It owns the mode and epoch of
+//! each block, the log of executed entries, and the highest term seen. A repeated order changes nothing more,
+//! an order of an earlier term changes nothing, and an entry whose key is in the log is not executed again. The
+//! caller must make each change durable before it replies; this module does no I/O.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -10,315 +10,329 @@
 
 use crate::types::{BlockId, Epoch, Span, StoreId, Term};
 
-/// What a store lets in for a block.
+/// Mode of a block at a store, which determines the requests that the store accepts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Mode {
-    /// Nothing: it copies.
+    /// No requests: the store is copying the block.
     Copying,
-    /// Reads only: it has all that the source had when that was fenced.
+    /// Reads only: the store has copied everything that the source had when it was fenced.
     Reading,
-    /// Everything.
+    /// Reads and entries.
     Open,
-    /// Reads only: another is to take over.
+    /// Reads only: another store is going to take the block over.
     Fenced,
-    /// Nothing: another has taken over.
+    /// No requests: another store has taken the block over.
     Retired,
 }
 
-/// A block at a store.
+/// State of a block at a store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Holding {
-    /// Its weigher numbers.
+    /// Weigher numbers in the block.
     pub span: Span,
-    /// The epoch of its last change here.
+    /// Epoch of the last change of the block at this store.
     pub epoch: Epoch,
-    /// Parts placed under an older epoch than this were meant for an earlier tenure.
+    /// Epoch since which the store has held the block. Parts placed under an earlier epoch were meant for an
+    /// earlier period in which it held the block, and are rejected.
     pub since: Epoch,
-    /// What is let in.
+    /// Mode of the block.
     pub mode: Mode,
-    /// Where it copies from, or who takes over from it.
+    /// Store from which this store copies, or which takes over from it.
     pub peer: Option<StoreId>,
-    /// Up to where of the peer's log it has copied.
+    /// Index in the peer's log up to which entries have been copied.
     pub copied: u64,
 }
 
-/// A block at a store, with its size and use.
+/// State of a block at a store with its size and use, as reported to the coordinator.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Held {
-    /// Which.
+pub struct HeldBlock {
+    /// Identifier of the block.
     pub block: BlockId,
-    /// How.
+    /// State of the block at the store.
     pub holding: Holding,
-    /// Its size.
+    /// Size of the block, in bytes.
     pub bytes: u64,
-    /// Parts that ran since the store started.
+    /// Number of parts executed since the store started.
     pub parts: u64,
 }
 
-/// An entry that ran, or a reading that was there from the beginning.
+/// An executed entry, or a reading that the store had from the beginning.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Entry {
-    /// Says whether two are the same.
+    /// Key that identifies the entry: two entries with the same key are the same entry.
     pub key: String,
-    /// Whose it is.
+    /// Number of the weigher that the entry belongs to.
     pub weigher: u64,
-    /// What it carries.
+    /// Payload of the entry.
     pub value: Vec<u8>,
 }
 
-/// What a coordinator asks of a store. Each may be repeated.
+/// Order from a coordinator to a store. Every order is idempotent.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Order {
-    /// To hear the term, and say what is held.
+    /// Record the coordinator's term and report the blocks held.
     Inventory,
-    /// To hold a block from the beginning, without a copy: the first blocks of all.
-    Found {
-        /// Its weigher numbers.
+    /// Hold a block from the beginning without copying it; used for the initial map.
+    Create {
+        /// Weigher numbers in the block.
         span: Span,
     },
-    /// To get ready to copy a block. A store that is open for it stays so and follows the source's log.
+    /// Prepare to copy a block. A store on which the block is open keeps it open and follows the source's log.
     Prepare {
-        /// Its weigher numbers.
+        /// Weigher numbers in the block.
         span: Span,
-        /// Whose log it will copy.
+        /// Store whose log will be copied.
         from: StoreId,
     },
-    /// To let no more entries in, and say how long the log is.
+    /// Accept no more entries, and report the length of the log.
     Fence {
-        /// Who is to take over.
+        /// Store that takes over.
         to: StoreId,
     },
-    /// To let reads in: all up to the source's watermark has been copied.
-    Read,
-    /// To let nothing in: the map has changed.
+    /// Accept reads: everything up to the source's watermark has been copied.
+    AllowReads,
+    /// Accept no requests: the map has changed.
     Retire,
-    /// To let everything in.
+    /// Accept reads and entries.
     Open,
-    /// To give the copy up, retired or never opened.
+    /// Delete a copy that is retired or was never opened.
     Forget,
-    /// To let entries in again, under this fresh epoch.
+    /// Accept entries again, under this new epoch.
     Unfence,
-    /// To answer to these new names too, which together cover the old ones.
-    Name {
-        /// The old names.
+    /// Hold the block under these new identifiers too, which together cover the old ones.
+    AddNames {
+        /// Old block identifiers.
         old: Vec<BlockId>,
-        /// The new names and their numbers.
+        /// New block identifiers with their weigher numbers.
         new: Vec<(BlockId, Span)>,
     },
-    /// To answer no longer to these names, whose weighers are covered by others.
-    Unname {
-        /// The names.
+    /// Stop holding blocks under these identifiers, whose weighers are covered by others.
+    RemoveNames {
+        /// Block identifiers to remove.
         names: Vec<BlockId>,
     },
 }
 
-/// An order with its stamp.
+/// An order with its term, sequence number, block and epoch.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Ordered {
-    /// Of whose term it is.
+pub struct StampedOrder {
+    /// Term of the coordinator that issued the order.
     pub term: Term,
-    /// Rises with each order of the term: one that comes after a later one of its block is too late.
+    /// Sequence number within the term. An order with a lower number than a later order for the same block is
+    /// rejected.
     pub serial: u64,
-    /// Which block it is about.
+    /// Block that the order is about.
     pub block: BlockId,
-    /// The epoch of the change it belongs to.
+    /// Epoch of the change that the order belongs to.
     pub epoch: Epoch,
-    /// What to do.
+    /// Operation to carry out.
     pub order: Order,
 }
 
-/// What a store says to an order that it has carried out.
+/// Reply of a store to an order that it has carried out.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Done {
-    /// The block's mode now; `None` if it is not held.
+pub struct OrderOutcome {
+    /// Current mode of the block; `None` if the store does not hold it.
     pub mode: Option<Mode>,
-    /// The length of the log: what the other side has to copy up to.
+    /// Length of the store's log, up to which the other store has to copy.
     pub watermark: u64,
-    /// Up to where of the peer's log has been copied.
+    /// Index in the peer's log up to which entries have been copied.
     pub copied: u64,
 }
 
-/// Why an order was not carried out; nothing has changed.
+/// Reason why an order was rejected. The state of the store is unchanged.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Error, Serialize, Deserialize)]
 pub enum Refusal {
-    /// Another coordinator has taken over.
+    /// A coordinator with a higher term has taken over.
     #[error("a coordinator of term {} has taken over", .0 .0)]
     Deposed(Term),
-    /// The block is not in a mode in which this can be done.
+    /// The operation is not possible in the block's current mode.
     #[error("the block is {0:?} here")]
     Mode(Mode),
-    /// The store knows nothing of the block.
+    /// The store does not hold the block.
     #[error("the block is not held here")]
     Unheld,
-    /// The change is older than what has been done since.
+    /// A later change of the block has already been carried out.
     #[error("{0} has come since")]
     Old(Epoch),
-    /// A later order for the block has come before this one.
+    /// A later order for the block arrived before this one.
     #[error("a later order has come before")]
     Late,
-    /// The store has no room for one more block.
+    /// The store has reached its limit on blocks.
     #[error("no room for one more block")]
     Full,
-    /// New names do not cover what the old ones cover.
+    /// The new block identifiers do not cover the same weighers as the old ones.
     #[error("the new names cover other weigher numbers than the old ones")]
     Uneven,
 }
 
-/// What a store's disk holds.
+/// Durable state of a store.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Kept {
-    /// The highest term seen.
+pub struct DurableState {
+    /// Highest term seen.
     pub term: Term,
-    /// Its blocks.
+    /// Blocks held.
     pub blocks: Vec<(BlockId, Holding)>,
-    /// Blocks it let go.
-    pub gone: Vec<(BlockId, Epoch)>,
-    /// The last orders of the term.
-    pub latest: Vec<(BlockId, u64)>,
-    /// Its log.
+    /// Deleted blocks with the epoch of the deletion.
+    pub deleted: Vec<(BlockId, Epoch)>,
+    /// Sequence number of the last order of this term for each block.
+    pub last_serials: Vec<(BlockId, u64)>,
+    /// Log of entries.
     pub entries: Vec<Entry>,
 }
 
-/// Whether a part may run.
+/// Decision on whether a part may be executed.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Verdict {
-    /// Yes, over these weigher numbers.
-    Run(Span),
-    /// It is an entry that ran before: the answer is what it was.
-    Known(usize),
-    /// No, and it never did: `later`, with the newest epoch known here.
-    Later(Option<Epoch>),
+pub enum Admission {
+    /// The part may be executed, over these weigher numbers.
+    Execute(Span),
+    /// The part is an entry that was executed before, at this index in the log. Its answer is the same as
+    /// before.
+    Duplicate(usize),
+    /// The part must not be executed and was never executed; the client is told `later`. Contains the newest
+    /// epoch of the block at this store.
+    Reject(Option<Epoch>),
 }
 
-/// A store's blocks. See the module's description.
+/// State of all blocks at a store; see the module documentation.
 #[derive(Clone, Debug, Default)]
 pub struct Holdings {
     term: Term,
-    most: usize,
+    max_blocks: usize,
     blocks: BTreeMap<BlockId, Holding>,
-    /// Blocks that were forgotten: the epoch of that, so that an old order can't bring them back.
-    gone: BTreeMap<BlockId, Epoch>,
-    /// The last order for each block in this term.
-    latest: HashMap<BlockId, u64>,
-    /// Parts that ran, by block.
-    parts: HashMap<BlockId, u64>,
+    /// Deleted blocks with the epoch of the deletion, so that a late order cannot restore them.
+    deleted: BTreeMap<BlockId, Epoch>,
+    /// Sequence number of the last order for each block in this term.
+    last_serials: HashMap<BlockId, u64>,
+    /// Number of executed parts by block.
+    part_counts: HashMap<BlockId, u64>,
     entries: Vec<Entry>,
-    keys: HashMap<String, usize>,
+    entry_index: HashMap<String, usize>,
     bytes: u64,
-    fenceless: bool,
+    is_fence_disabled: bool,
 }
 
 impl Holdings {
-    /// A store that may hold so many blocks.
-    pub fn new(most: usize) -> Self {
-        Self { most, ..Self::default() }
+    /// Creates an empty state for a store that may hold up to `max_blocks` blocks.
+    pub fn new(max_blocks: usize) -> Self {
+        Self { max_blocks, ..Self::default() }
     }
 
-    /// One whose fence is broken: it lets entries in whatever its mode. For tests that have to notice.
-    pub fn without_fence(most: usize) -> Self {
-        Self { fenceless: true, ..Self::new(most) }
+    /// Creates a store without a working fence, which accepts entries in every mode except `Copying`. For tests
+    /// that must detect this fault.
+    pub fn without_fence(max_blocks: usize) -> Self {
+        Self { is_fence_disabled: true, ..Self::new(max_blocks) }
     }
 
-    /// What a store that lasts finds again: the term, its blocks, those it let go, and its log.
-    pub fn restore(most: usize, kept: Kept) -> Self {
-        let mut this = Self::new(most);
-        (this.term, this.latest) = (kept.term, kept.latest.into_iter().collect());
-        this.blocks = kept.blocks.into_iter().collect();
-        this.gone = kept.gone.into_iter().collect();
-        for entry in kept.entries {
-            this.run(entry);
+    /// Restores a store from its durable state: term, blocks, deleted blocks and log.
+    pub fn restore(max_blocks: usize, state: DurableState) -> Self {
+        let mut this = Self::new(max_blocks);
+        (this.term, this.last_serials) = (state.term, state.last_serials.into_iter().collect());
+        this.blocks = state.blocks.into_iter().collect();
+        this.deleted = state.deleted.into_iter().collect();
+        for entry in state.entries {
+            this.append(entry);
         }
         this
     }
 
-    /// What has to last, but for the entries.
-    pub fn kept(&self) -> Kept {
-        let mut latest: Vec<(BlockId, u64)> = self.latest.iter().map(|(id, n)| (*id, *n)).collect();
-        latest.sort_unstable();
-        Kept {
+    /// Returns the state that must be durable, without the log of entries.
+    pub fn durable_state(&self) -> DurableState {
+        let mut last_serials: Vec<(BlockId, u64)> =
+            self.last_serials.iter().map(|(id, n)| (*id, *n)).collect();
+        last_serials.sort_unstable();
+        DurableState {
             term: self.term,
             blocks: self.blocks.iter().map(|(id, held)| (*id, *held)).collect(),
-            gone: self.gone.iter().map(|(id, epoch)| (*id, *epoch)).collect(),
-            latest,
+            deleted: self.deleted.iter().map(|(id, epoch)| (*id, *epoch)).collect(),
+            last_serials,
             entries: Vec::new(),
         }
     }
 
-    /// The highest term seen.
+    /// Returns the highest term seen.
     pub fn term(&self) -> Term {
         self.term
     }
 
-    /// The blocks held.
+    /// Iterates over the blocks held.
     pub fn blocks(&self) -> impl Iterator<Item = (BlockId, &Holding)> {
         self.blocks.iter().map(|(id, holding)| (*id, holding))
     }
 
-    /// One of them.
+    /// Returns the state of a block.
     pub fn block(&self, id: BlockId) -> Option<&Holding> {
         self.blocks.get(&id)
     }
 
-    /// The log of entries, oldest first.
+    /// Returns the log of entries, oldest first.
     pub fn entries(&self) -> &[Entry] {
         &self.entries
     }
 
-    /// Bytes held.
+    /// Returns the total size of the entries, in bytes.
     pub fn bytes(&self) -> u64 {
         self.bytes
     }
 
-    /// Notes that a part ran.
-    pub fn count(&mut self, block: BlockId) {
-        *self.parts.entry(block).or_default() += 1;
+    /// Counts an executed part of a block.
+    pub fn count_part(&mut self, block: BlockId) {
+        *self.part_counts.entry(block).or_default() += 1;
     }
 
-    /// Some of the blocks held, from one on, each with its size and use; and whether there are more.
-    pub fn held(&self, from: BlockId, most: usize) -> (Vec<Held>, bool) {
+    /// Reports up to `limit` blocks, starting at `from`, with their size and use. The second value is true if
+    /// more blocks follow.
+    pub fn inventory(&self, from: BlockId, limit: usize) -> (Vec<HeldBlock>, bool) {
         let mut rest = self.blocks.range(from..);
         let held = |(id, holding): (&BlockId, &Holding)| {
             let inside = self.entries.iter().filter(|entry| holding.span.contains(entry.weigher));
             let bytes = inside.map(|entry| entry.value.len() as u64).sum();
-            Held { block: *id, holding: *holding, bytes, parts: self.parts.get(id).copied().unwrap_or(0) }
+            HeldBlock {
+                block: *id,
+                holding: *holding,
+                bytes,
+                parts: self.part_counts.get(id).copied().unwrap_or(0),
+            }
         };
-        let held: Vec<Held> = rest.by_ref().take(most).map(held).collect();
+        let held: Vec<HeldBlock> = rest.by_ref().take(limit).map(held).collect();
         (held, rest.next().is_some())
     }
 
-    /// Whether a part may run. `key` is given for an entry, which is a part that must not run twice.
-    pub fn admit(&self, block: BlockId, epoch: Epoch, key: Option<&str>) -> Verdict {
+    /// Decides whether a part may be executed. `key` is set for an entry, which must not be executed twice.
+    pub fn admission(&self, block: BlockId, epoch: Epoch, key: Option<&str>) -> Admission {
         let Some(holding) = self.blocks.get(&block) else {
-            return Verdict::Later(self.gone.get(&block).copied());
+            return Admission::Reject(self.deleted.get(&block).copied());
         };
-        let lets = match holding.mode {
-            Mode::Copying | Mode::Retired => self.fenceless && holding.mode == Mode::Retired,
-            Mode::Reading | Mode::Fenced => key.is_none() || self.fenceless,
+        let is_allowed = match holding.mode {
+            Mode::Copying | Mode::Retired => self.is_fence_disabled && holding.mode == Mode::Retired,
+            Mode::Reading | Mode::Fenced => key.is_none() || self.is_fence_disabled,
             Mode::Open => true,
         };
-        if !lets || (epoch < holding.since && !self.fenceless) {
-            return Verdict::Later(Some(holding.epoch));
+        if !is_allowed || (epoch < holding.since && !self.is_fence_disabled) {
+            return Admission::Reject(Some(holding.epoch));
         }
-        // The entry ran, here or where this block came from.
-        match key.and_then(|key| self.keys.get(key)) {
-            Some(at) => Verdict::Known(*at),
-            None => Verdict::Run(holding.span),
+        // The entry has been executed, here or at the store from which the block was copied.
+        match key.and_then(|key| self.entry_index.get(key)) {
+            Some(at) => Admission::Duplicate(*at),
+            None => Admission::Execute(holding.span),
         }
     }
 
-    /// Adds an entry that has been let in, or one that was there from the beginning; false if it is known.
-    pub fn run(&mut self, entry: Entry) -> bool {
-        if self.keys.contains_key(&entry.key) {
+    /// Appends an accepted entry, or one that the store had from the beginning. Returns false if the log
+    /// already contains it.
+    pub fn append(&mut self, entry: Entry) -> bool {
+        if self.entry_index.contains_key(&entry.key) {
             return false;
         }
         self.bytes += entry.value.len() as u64;
-        self.keys.insert(entry.key.clone(), self.entries.len());
+        self.entry_index.insert(entry.key.clone(), self.entries.len());
         self.entries.push(entry);
         true
     }
 
-    /// A stretch of the log for a copier: entries of a span from an index on, up to so many bytes; and the index behind.
-    pub fn tail(&self, span: Span, from: u64, bytes: u64) -> (Vec<Entry>, u64) {
+    /// Reads a section of the log for a store that copies: the entries of a span, from an index on, up to a
+    /// size limit in bytes (at least one entry). Also returns the index after the section.
+    pub fn read_section(&self, span: Span, from: u64, bytes: u64) -> (Vec<Entry>, u64) {
         let (mut found, mut size, mut next) = (Vec::new(), 0, from);
         for entry in self.entries.iter().skip(from as usize) {
             if span.contains(entry.weigher) {
@@ -333,8 +347,8 @@
         (found, next.max(from))
     }
 
-    /// Takes a stretch of the peer's log in. It counts only if it follows what has been copied.
-    pub fn absorb(
+    /// Applies a section of the peer's log. It is ignored unless it begins where the last copied section ended.
+    pub fn apply_section(
         &mut self,
         block: BlockId,
         epoch: Epoch,
@@ -342,17 +356,19 @@
         entries: Vec<Entry>,
         next: u64,
     ) -> bool {
-        let fits = |holding: &Holding| {
+        let follows_copy = |holding: &Holding| {
             holding.epoch == epoch
                 && holding.copied == from
                 && matches!(holding.mode, Mode::Copying | Mode::Open)
         };
-        let Some(span) = self.blocks.get(&block).filter(|holding| fits(holding)).map(|h| h.span) else {
+        let Some(span) =
+            self.blocks.get(&block).filter(|holding| follows_copy(holding)).map(|held| held.span)
+        else {
             return false;
         };
         for entry in entries {
             if span.contains(entry.weigher) {
-                self.run(entry);
+                self.append(entry);
             }
         }
         if let Some(holding) = self.blocks.get_mut(&block) {
@@ -361,110 +377,110 @@
         true
     }
 
-    /// Carries an order out, or says why not.
-    pub fn obey(&mut self, ordered: &Ordered) -> Result<Done, Refusal> {
-        if ordered.term < self.term {
+    /// Carries out an order, or returns the reason why it was rejected.
+    pub fn carry_out(&mut self, stamped: &StampedOrder) -> Result<OrderOutcome, Refusal> {
+        if stamped.term < self.term {
             return Err(Refusal::Deposed(self.term));
         }
-        if self.term < ordered.term {
-            self.latest.clear();
+        if self.term < stamped.term {
+            self.last_serials.clear();
         }
-        self.term = ordered.term;
-        let (id, epoch) = (ordered.block, ordered.epoch);
-        self.in_order(id, ordered)?;
-        match &ordered.order {
+        self.term = stamped.term;
+        let (id, epoch) = (stamped.block, stamped.epoch);
+        self.check_serial(id, stamped)?;
+        match &stamped.order {
             Order::Inventory => Ok(()),
-            Order::Found { span } => self.found(id, epoch, *span),
+            Order::Create { span } => self.create(id, epoch, *span),
             Order::Prepare { span, from } => self.prepare(id, epoch, *span, *from),
-            Order::Name { old, new } => self.name(epoch, old, new),
-            Order::Unname { names } => self.unname(epoch, names),
+            Order::AddNames { old, new } => self.add_names(epoch, old, new),
+            Order::RemoveNames { names } => self.remove_names(epoch, names),
             Order::Forget => self.forget(id, epoch),
-            order => self.step(id, epoch, order),
+            order => self.change_mode(id, epoch, order),
         }?;
-        Ok(self.done(id))
+        Ok(self.outcome(id))
     }
 
-    /// Guards against orders that overtake each other on different connections.
-    fn in_order(&mut self, id: BlockId, ordered: &Ordered) -> Result<(), Refusal> {
-        if ordered.order == Order::Inventory {
+    /// Rejects orders that were overtaken by later ones on another connection.
+    fn check_serial(&mut self, id: BlockId, stamped: &StampedOrder) -> Result<(), Refusal> {
+        if stamped.order == Order::Inventory {
             return Ok(());
         }
-        let last = self.latest.entry(id).or_default();
-        if ordered.serial < *last {
+        let last = self.last_serials.entry(id).or_default();
+        if stamped.serial < *last {
             return Err(Refusal::Late);
         }
-        *last = ordered.serial;
-        if self.latest.len() > 2 * self.most + 64 {
-            let oldest = self.latest.iter().min_by_key(|(_, serial)| **serial).map(|(id, _)| *id);
-            oldest.and_then(|id| self.latest.remove(&id));
+        *last = stamped.serial;
+        if self.last_serials.len() > 2 * self.max_blocks + 64 {
+            let oldest = self.last_serials.iter().min_by_key(|(_, serial)| **serial).map(|(id, _)| *id);
+            oldest.and_then(|id| self.last_serials.remove(&id));
         }
         Ok(())
     }
 
-    fn done(&self, id: BlockId) -> Done {
+    fn outcome(&self, id: BlockId) -> OrderOutcome {
         let held = self.blocks.get(&id);
-        Done {
-            mode: held.map(|h| h.mode),
+        OrderOutcome {
+            mode: held.map(|held| held.mode),
             watermark: self.entries.len() as u64,
-            copied: held.map_or(0, |h| h.copied),
+            copied: held.map_or(0, |held| held.copied),
         }
     }
 
-    fn room(&self) -> Result<(), Refusal> {
-        if self.blocks.len() < self.most {
+    fn check_capacity(&self) -> Result<(), Refusal> {
+        if self.blocks.len() < self.max_blocks {
             Ok(())
         } else {
             Err(Refusal::Full)
         }
     }
 
-    fn found(&mut self, id: BlockId, epoch: Epoch, span: Span) -> Result<(), Refusal> {
+    fn create(&mut self, id: BlockId, epoch: Epoch, span: Span) -> Result<(), Refusal> {
         if let Some(held) = self.blocks.get(&id) {
             return if held.mode == Mode::Open { Ok(()) } else { Err(Refusal::Mode(held.mode)) };
         }
-        if let Some(gone) = self.gone.get(&id) {
-            return Err(Refusal::Old(*gone));
+        if let Some(deleted) = self.deleted.get(&id) {
+            return Err(Refusal::Old(*deleted));
         }
-        self.room()?;
+        self.check_capacity()?;
         let holding = Holding { span, epoch, since: epoch, mode: Mode::Open, peer: None, copied: 0 };
         self.blocks.insert(id, holding);
         Ok(())
     }
 
     fn prepare(&mut self, id: BlockId, epoch: Epoch, span: Span, from: StoreId) -> Result<(), Refusal> {
-        if let Some(gone) = self.gone.get(&id).filter(|gone| **gone >= epoch) {
-            return Err(Refusal::Old(*gone));
+        if let Some(deleted) = self.deleted.get(&id).filter(|deleted| **deleted >= epoch) {
+            return Err(Refusal::Old(*deleted));
         }
         match self.blocks.get_mut(&id) {
             Some(held) if held.epoch == epoch => Ok(()),
             Some(held) if held.epoch > epoch => Err(Refusal::Old(held.epoch)),
-            // An open holder follows another's log and stays open.
+            // A store on which the block is open follows another store's log and keeps the block open.
             Some(held) if held.mode == Mode::Open => {
                 (held.epoch, held.peer, held.copied) = (epoch, Some(from), 0);
                 Ok(())
             }
             Some(held) if matches!(held.mode, Mode::Copying | Mode::Retired) => {
-                *held = copying(span, epoch, from);
+                *held = copying_state(span, epoch, from);
                 Ok(())
             }
             Some(held) => Err(Refusal::Mode(held.mode)),
             None => {
-                self.room()?;
-                self.blocks.insert(id, copying(span, epoch, from));
+                self.check_capacity()?;
+                self.blocks.insert(id, copying_state(span, epoch, from));
                 Ok(())
             }
         }
     }
 
-    /// The orders that take a block from one mode to the next.
-    fn step(&mut self, id: BlockId, epoch: Epoch, order: &Order) -> Result<(), Refusal> {
+    /// Carries out the orders that change the mode of a block.
+    fn change_mode(&mut self, id: BlockId, epoch: Epoch, order: &Order) -> Result<(), Refusal> {
         let Some(held) = self.blocks.get_mut(&id) else { return Err(Refusal::Unheld) };
         if held.epoch > epoch {
             return Err(Refusal::Old(held.epoch));
         }
         let (to, from): (Mode, &[Mode]) = match order {
             Order::Fence { .. } => (Mode::Fenced, &[Mode::Open, Mode::Fenced, Mode::Retired]),
-            Order::Read => (Mode::Reading, &[Mode::Copying, Mode::Reading, Mode::Open]),
+            Order::AllowReads => (Mode::Reading, &[Mode::Copying, Mode::Reading, Mode::Open]),
             Order::Retire => (Mode::Retired, &[Mode::Fenced, Mode::Retired]),
             Order::Open => (Mode::Open, &[Mode::Reading, Mode::Copying, Mode::Open]),
             _ => (Mode::Open, &[Mode::Fenced, Mode::Open, Mode::Retired]),
@@ -472,10 +488,12 @@
         if !from.contains(&held.mode) {
             return Err(Refusal::Mode(held.mode));
         }
-        // An order that comes again finds its work done, or more than that.
-        let behind =
-            matches!((order, held.mode), (Order::Fence { .. }, Mode::Retired) | (Order::Read, Mode::Open));
-        if !behind {
+        // A repeated order may find that its effect, or that of a later order, is already in place.
+        let already_done = matches!(
+            (order, held.mode),
+            (Order::Fence { .. }, Mode::Retired) | (Order::AllowReads, Mode::Open)
+        );
+        if !already_done {
             if matches!(order, Order::Open) && held.mode != Mode::Open {
                 held.since = epoch;
             }
@@ -491,26 +509,26 @@
     fn forget(&mut self, id: BlockId, epoch: Epoch) -> Result<(), Refusal> {
         match self.blocks.get(&id) {
             Some(held) if held.epoch > epoch => Err(Refusal::Old(held.epoch)),
-            // Guards what nobody else has: an open or fenced copy is never let go on one word.
+            // An open or fenced copy may be the only one, so a single order never deletes it.
             Some(held) if matches!(held.mode, Mode::Open | Mode::Fenced) => Err(Refusal::Mode(held.mode)),
             _ => {
-                self.let_go(id, epoch);
+                self.delete(id, epoch);
                 Ok(())
             }
         }
     }
 
-    fn let_go(&mut self, id: BlockId, epoch: Epoch) {
+    fn delete(&mut self, id: BlockId, epoch: Epoch) {
         self.blocks.remove(&id);
-        self.parts.remove(&id);
-        let gone = self.gone.entry(id).or_default();
-        *gone = epoch.max(*gone);
-        while self.gone.len() > self.most.max(16) {
-            self.gone.pop_first();
+        self.part_counts.remove(&id);
+        let deleted = self.deleted.entry(id).or_default();
+        *deleted = epoch.max(*deleted);
+        while self.deleted.len() > self.max_blocks.max(16) {
+            self.deleted.pop_first();
         }
     }
 
-    fn name(&mut self, epoch: Epoch, old: &[BlockId], new: &[(BlockId, Span)]) -> Result<(), Refusal> {
+    fn add_names(&mut self, epoch: Epoch, old: &[BlockId], new: &[(BlockId, Span)]) -> Result<(), Refusal> {
         if new.iter().all(|(id, _)| self.blocks.contains_key(id)) {
             return Ok(());
         }
@@ -520,10 +538,10 @@
                 return Err(Refusal::Mode(held.mode));
             }
         }
-        if !new.iter().all(|(_, span)| self.covered(*span, |id| old.contains(&id))) {
+        if !new.iter().all(|(_, span)| self.is_covered(*span, |id| old.contains(&id))) {
             return Err(Refusal::Uneven);
         }
-        if self.blocks.len() + new.len() > self.most {
+        if self.blocks.len() + new.len() > self.max_blocks {
             return Err(Refusal::Full);
         }
         for (id, span) in
@@ -535,30 +553,30 @@
         Ok(())
     }
 
-    /// Whether all of a span is open here under names that count.
-    fn covered(&self, span: Span, counts: impl Fn(BlockId) -> bool) -> bool {
+    /// Whether open blocks whose identifiers satisfy `counts` cover the complete span.
+    fn is_covered(&self, span: Span, counts: impl Fn(BlockId) -> bool) -> bool {
         let open = self.blocks.iter().filter(|(id, held)| held.mode == Mode::Open && counts(**id));
-        let mut spans: Vec<Span> = open.filter_map(|(_, held)| held.span.meet(span)).collect();
+        let mut spans: Vec<Span> = open.filter_map(|(_, held)| held.span.intersection(span)).collect();
         spans.sort_unstable();
         let reached =
             spans.iter().fold(span.first, |at, part| if part.first <= at { at.max(part.end) } else { at });
         reached >= span.end
     }
 
-    /// Lets names go. Guards what is known here under no other name: a deposed coordinator may have committed
-    /// what its successor takes back.
-    fn unname(&mut self, epoch: Epoch, names: &[BlockId]) -> Result<(), Refusal> {
+    /// Removes block identifiers, unless their weighers are covered by no other identifier here: a deposed
+    /// coordinator may have committed a split or merge that its successor reverts.
+    fn remove_names(&mut self, epoch: Epoch, names: &[BlockId]) -> Result<(), Refusal> {
         let held = names.iter().filter_map(|name| self.blocks.get(name)).map(|held| held.span);
-        if !held.into_iter().all(|span| self.covered(span, |id| !names.contains(&id))) {
+        if !held.into_iter().all(|span| self.is_covered(span, |id| !names.contains(&id))) {
             return Err(Refusal::Mode(Mode::Open));
         }
         for name in names {
-            self.let_go(*name, epoch);
+            self.delete(*name, epoch);
         }
         Ok(())
     }
 }
 
-fn copying(span: Span, epoch: Epoch, from: StoreId) -> Holding {
+fn copying_state(span: Span, epoch: Epoch, from: StoreId) -> Holding {
     Holding { span, epoch, since: epoch, mode: Mode::Copying, peer: Some(from), copied: 0 }
 }
--- a/broker/crates/blocks/src/lib.rs
+++ b/broker/crates/blocks/src/lib.rs
@@ -1,5 +1,6 @@
-//! Who holds which block of weighers, and how that changes while queries run. Sans I/O throughout: events and the time go
-//! in, what is to be done comes out; the same input gives the same output. `docs/design/blocks.md` says why it is so.
+//! Assignment of blocks of weighers to stores, and its changes while queries run. This crate does no I/O:
+//! events and the time are inputs, the work to do is the output, and equal input gives equal output.
+//! `docs/design/blocks.md` gives the reasons for the design.
 
 mod change;
 mod coordinator;
@@ -13,12 +14,17 @@
 pub mod validate;
 pub mod wire;
 
-pub use change::{Change, Effect, Input, Kind, Millis, Patience, Reason, Step};
-pub use coordinator::{Bounds, Coordinator, CopyJob, Heard, Past, RecoverError, Tag, Unmet, Wish, Work};
-pub use holding::{Done, Entry, Holding, Holdings, Kept, Mode, Order, Ordered, Refusal, Verdict};
-pub use log::{decode, encode, Disk, ForgetfulDisk, Log, LogError, LogRecord, OpenError, State, MAGIC};
+pub use change::{Change, ChangeKind, Effect, Input, Millis, Reason, Step, Timeouts};
+pub use coordinator::{
+    Bounds, ChangeRequest, Coordinator, CopyJob, EndedChange, Event, OrderPurpose, RecoverError,
+    RequestError, Work,
+};
+pub use holding::{
+    Admission, DurableState, Entry, Holding, Holdings, Mode, Order, OrderOutcome, Refusal, StampedOrder,
+};
+pub use log::{decode, encode, Disk, Log, LogError, LogRecord, OpenError, SimulatedDisk, State, MAGIC};
 pub use map::{
-    Batch, Block, BlockMap, Cursor, MapError, Piece, Record, Replica, ReplicaState, Snapshot, REPLICAS_MOST,
+    Batch, Block, BlockMap, Cursor, MapError, Piece, Record, Replica, ReplicaState, Snapshot, MAX_REPLICAS,
 };
 pub use plan::{plan, BlockLoad, Goal, Plan, StoreState};
 pub use types::{BlockId, ChangeId, Epoch, Extent, Span, StoreId, Term};
--- a/broker/crates/blocks/src/map/apply.rs
+++ b/broker/crates/blocks/src/map/apply.rs
@@ -1,105 +1,107 @@
-//! Batches taken into the map, whole or not at all.
+//! Application of batches to the map, completely or not at all.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use super::{area, Batch, Block, BlockMap, MapError, Record, REPLICAS_MOST};
+use super::{area, Batch, Block, BlockMap, MapError, Record, MAX_REPLICAS};
 use crate::types::{BlockId, Extent, Span, StoreId};
 
 impl BlockMap {
-    /// Takes a batch, whole or not at all.
+    /// Applies a batch completely or not at all.
     pub fn apply(&mut self, batch: &Batch) -> Result<(), MapError> {
         if batch.version != self.version + 1 {
             return Err(MapError::Gap { held: self.version, found: batch.version });
         }
         self.check(&batch.records, false)?;
         for record in &batch.records {
-            self.put(record);
+            self.apply_record(record);
         }
-        self.mark(batch);
+        self.record_version(batch);
         Ok(())
     }
 
-    /// Takes what [`BlockMap::since`] gave, all pages together, the later records of a block over the earlier ones:
-    /// a whole way from the version held to that one, or nothing.
+    /// Applies all pages that [`BlockMap::since`] returned, with later records of a block replacing earlier
+    /// ones. Either all changes between the current version and `version` are applied, or none.
     pub fn catch_up(&mut self, records: Vec<Record>, version: u64) -> Result<(), MapError> {
         if version < self.version {
             return Err(MapError::Gap { held: self.version, found: version });
         }
-        let records = self.news(records);
+        let records = self.new_records(records);
         self.check(&records, true)?;
         for record in &records {
-            self.put(record);
+            self.apply_record(record);
         }
-        self.mark(&Batch { version, records });
+        self.record_version(&Batch { version, records });
         Ok(())
     }
 
-    /// What of [`BlockMap::since`] says something new here: of each block the last word, and only where it is none that
-    /// is held already.
-    pub fn news(&self, records: Vec<Record>) -> Vec<Record> {
+    /// Reduces the records of [`BlockMap::since`] to those that change this map: the last record of each block,
+    /// without records that the map already contains.
+    pub fn new_records(&self, records: Vec<Record>) -> Vec<Record> {
         let mut last: BTreeMap<BlockId, Record> = BTreeMap::new();
         for record in records {
             last.insert(record.id(), record);
         }
-        let new = |record: &Record| match self.living.get(&record.id()) {
+        let new = |record: &Record| match self.active.get(&record.id()) {
             Some(held) => held.epoch != record.epoch(),
             None => !self.retired.contains_key(&record.id()),
         };
         last.into_values().filter(new).collect()
     }
 
-    /// `many`: the records come from several batches, so a block may have come and gone between.
-    pub(crate) fn check(&self, records: &[Record], many: bool) -> Result<(), MapError> {
-        let (mut seen, mut given, mut taken) = (BTreeSet::new(), Vec::new(), Vec::new());
-        let mut more = 0usize;
+    /// Checks whether the records can be applied. `many` means that the records come from several batches, so a
+    /// block may have been created and retired in between.
+    pub(crate) fn check(&self, records: &[Record], is_multi_batch: bool) -> Result<(), MapError> {
+        let (mut seen, mut replaced_spans, mut new_spans) = (BTreeSet::new(), Vec::new(), Vec::new());
+        let mut added_blocks = 0usize;
         for record in records {
             let (id, found) = (record.id(), record.epoch());
             if !seen.insert(id) || self.retired.contains_key(&id) {
                 return Err(MapError::Reused(id));
             }
-            let held = self.living.get(&id);
+            let held = self.active.get(&id);
             if let Some(held) = held.filter(|held| held.epoch >= found) {
                 return Err(MapError::Stale { block: id, held: held.epoch, found });
             }
-            given.extend(held.map(|held| held.span));
+            replaced_spans.extend(held.map(|held| held.span));
             match record {
-                Record::Living(block) => {
+                Record::Active(block) => {
                     check_block(block)?;
-                    taken.push(block.span);
-                    more += usize::from(held.is_none());
+                    new_spans.push(block.span);
+                    added_blocks += usize::from(held.is_none());
                 }
                 Record::Retired { span, .. } => match held {
                     Some(held) if held.span == *span => {}
-                    None if many => {}
+                    None if is_multi_batch => {}
                     _ => return Err(MapError::Malformed(id, "retired, but no living block has its span")),
                 },
             }
         }
-        if self.living.len() + more > self.most {
-            return Err(MapError::Full(self.most));
+        if self.active.len() + added_blocks > self.max_blocks {
+            return Err(MapError::TooManyBlocks(self.max_blocks));
         }
-        // What the batch covers afterwards is what its blocks covered before; the first batch of all is free to
-        // cover what nobody does.
-        let (given, taken) = (joined(given)?, joined(taken)?);
-        let fresh = taken.iter().all(|span| self.covering(*span).is_empty());
-        if given == taken || (given.is_empty() && fresh) {
+        // The blocks of a batch must cover the same numbers after it as before. Only a batch that changes no
+        // existing block may cover numbers that no block covers.
+        let (replaced_spans, new_spans) = (join_spans(replaced_spans)?, join_spans(new_spans)?);
+        let is_new_range = new_spans.iter().all(|span| self.covering(*span).is_empty());
+        if replaced_spans == new_spans || (replaced_spans.is_empty() && is_new_range) {
             return Ok(());
         }
-        let differ = given.iter().zip(&taken).find(|(g, t)| g != t);
-        Err(MapError::Uneven(differ.map_or(0, |(g, t)| g.first.min(t.first))))
+        let difference = replaced_spans.iter().zip(&new_spans).find(|(old, new)| old != new);
+        Err(MapError::CoverageMismatch(difference.map_or(0, |(old, new)| old.first.min(new.first))))
     }
 
-    pub(super) fn put(&mut self, record: &Record) {
+    pub(super) fn apply_record(&mut self, record: &Record) {
         let id = record.id();
-        let old = self.living.remove(&id);
+        let old = self.active.remove(&id);
         let new = match record {
-            Record::Living(block) => Some(block),
+            Record::Active(block) => Some(block),
             Record::Retired { .. } => None,
         };
-        // Most changes are of holders only: what stays is left where it is.
-        let stays =
-            |what: fn(&Block, &Block) -> bool| old.as_ref().zip(new).is_some_and(|(old, new)| what(old, new));
-        if !stays(|old, new| old.span == new.span) {
+        // Most changes affect only replicas, so index entries that stay the same are not rewritten.
+        let is_unchanged = |is_equal: fn(&Block, &Block) -> bool| {
+            old.as_ref().zip(new).is_some_and(|(old, new)| is_equal(old, new))
+        };
+        if !is_unchanged(|old, new| old.span == new.span) {
             if let Some(old) = &old {
                 self.by_first.remove(old.span.first, id);
             }
@@ -107,12 +109,12 @@
                 self.by_first.insert(new.span.first, id);
             }
         }
-        if !stays(|old, new| old.extent == new.extent) {
+        if !is_unchanged(|old, new| old.extent == new.extent) {
             for part in old.iter().filter_map(|old| old.extent).flat_map(Extent::boxes) {
-                self.by_place.remove(&area(id, part));
+                self.by_extent.remove(&area(id, part));
             }
             for part in new.iter().filter_map(|new| new.extent).flat_map(Extent::boxes) {
-                self.by_place.insert(area(id, part));
+                self.by_extent.insert(area(id, part));
             }
         }
         for replica in old.iter().flat_map(|old| &old.replicas) {
@@ -121,35 +123,35 @@
             }
         }
         match record {
-            Record::Living(block) => {
+            Record::Active(block) => {
                 for replica in &block.replicas {
                     self.by_store.entry(replica.store).or_default().insert(id);
                 }
-                self.living.insert(id, block.clone());
+                self.active.insert(id, block.clone());
             }
             Record::Retired { span, epoch, .. } => {
                 self.retired.insert(id, (*span, *epoch));
-                self.oldest.push_back(id);
-                while self.oldest.len() > self.retired_most {
-                    if let Some(gone) = self.oldest.pop_front() {
-                        self.retired.remove(&gone);
-                        self.unmark(gone);
+                self.retirement_order.push_back(id);
+                while self.retirement_order.len() > self.max_retired {
+                    if let Some(evicted) = self.retirement_order.pop_front() {
+                        self.retired.remove(&evicted);
+                        self.remove_version(evicted);
                     }
                 }
             }
         }
     }
 
-    fn mark(&mut self, batch: &Batch) {
+    fn record_version(&mut self, batch: &Batch) {
         self.version = batch.version;
         for record in &batch.records {
-            self.unmark(record.id());
+            self.remove_version(record.id());
             self.changed_at.insert(record.id(), batch.version);
             self.changed.insert((batch.version, record.id()));
         }
     }
 
-    fn unmark(&mut self, id: BlockId) {
+    fn remove_version(&mut self, id: BlockId) {
         if let Some(at) = self.changed_at.remove(&id) {
             self.changed.remove(&(at, id));
         }
@@ -165,7 +167,7 @@
         "nobody would hold it"
     } else if stores.windows(2).any(|pair| pair[0] == pair[1]) {
         "a store holds it twice"
-    } else if stores.len() > REPLICAS_MOST {
+    } else if stores.len() > MAX_REPLICAS {
         "too many replicas"
     } else if block.extent.is_some_and(|e| e.0.iter().any(|degrees| !degrees.is_finite())) {
         "an extent that is no box"
@@ -175,13 +177,13 @@
     Err(MapError::Malformed(block.id, fault))
 }
 
-/// Spans sorted, with neighbours joined; an overlap is an error.
-fn joined(mut spans: Vec<Span>) -> Result<Vec<Span>, MapError> {
+/// Sorts spans and joins adjacent ones. Overlapping spans are an error.
+fn join_spans(mut spans: Vec<Span>) -> Result<Vec<Span>, MapError> {
     spans.sort_unstable();
     let mut out: Vec<Span> = Vec::new();
     for span in spans {
         match out.last_mut() {
-            Some(last) if span.first < last.end => return Err(MapError::Uneven(span.first)),
+            Some(last) if span.first < last.end => return Err(MapError::CoverageMismatch(span.first)),
             Some(last) if span.first == last.end => last.end = span.end,
             _ => out.push(span),
         }
--- a/broker/crates/blocks/src/map/record.rs
+++ b/broker/crates/blocks/src/map/record.rs
@@ -1,160 +1,160 @@
-//! What a map is told in: blocks, batches of records, how far they have been told, and why a batch is refused.
+//! Data types of the block map: blocks, batches of records, cursors into the change history, and errors.
 
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
 use crate::types::{BlockId, Epoch, Extent, Span, StoreId};
 
-/// A block has no more replicas.
-pub const REPLICAS_MOST: usize = 8;
+/// Maximum number of replicas of a block.
+pub const MAX_REPLICAS: usize = 8;
 
-/// What a replica may be sent.
+/// State of a replica, which determines what it may be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ReplicaState {
-    /// Everything.
+    /// The replica may be sent all requests.
     Serving,
-    /// It copies; nothing is to be sent to it yet.
+    /// The replica is copying the block and must not be sent requests yet.
     Joining,
-    /// Everything until the change under way has been committed.
+    /// The replica may be sent all requests until the change in progress is committed.
     Leaving,
 }
 
-/// One holder of a block.
+/// A replica of a block.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Replica {
-    /// Where.
+    /// Store that holds the replica.
     pub store: StoreId,
-    /// What it may be sent.
+    /// State of the replica.
     pub state: ReplicaState,
 }
 
-/// A living block.
+/// An active block.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Block {
-    /// Its number.
+    /// Identifier of the block.
     pub id: BlockId,
-    /// The weigher numbers in it.
+    /// Weigher numbers in the block.
     pub span: Span,
-    /// Rises with each change.
+    /// Epoch of the block, which increases with each change.
     pub epoch: Epoch,
-    /// Its holders.
+    /// Replicas of the block.
     pub replicas: Vec<Replica>,
-    /// Where its weighers stand, for those who ask by place.
+    /// Geographic bounding box of the block's weighers, for queries by location.
     pub extent: Option<Extent>,
 }
 
 impl Block {
-    /// The stores that may be sent parts.
+    /// Iterates over the stores that may be sent requests for this block.
     pub fn holders(&self) -> impl Iterator<Item = StoreId> + '_ {
         self.replicas.iter().filter(|r| r.state != ReplicaState::Joining).map(|r| r.store)
     }
 
-    /// Whether a store may be sent its parts.
-    pub fn held_by(&self, store: StoreId) -> bool {
+    /// Whether a store may be sent requests for this block.
+    pub fn is_holder(&self, store: StoreId) -> bool {
         self.holders().any(|holder| holder == store)
     }
 }
 
-/// One line of a batch.
+/// One entry of a batch.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Record {
-    /// The block is so from now on.
-    Living(Block),
-    /// The block is no more; its span is asked at others.
+    /// The block is active with this content from now on.
+    Active(Block),
+    /// The block is retired; requests for its span go to other blocks.
     Retired {
-        /// Which.
+        /// Identifier of the retired block.
         id: BlockId,
-        /// What it covered.
+        /// Weigher numbers that the block covered.
         span: Span,
-        /// The epoch of its end.
+        /// Epoch of the retirement.
         epoch: Epoch,
     },
 }
 
 impl Record {
-    /// The block it speaks of.
+    /// Returns the block that the record describes.
     pub fn id(&self) -> BlockId {
         match self {
-            Self::Living(block) => block.id,
+            Self::Active(block) => block.id,
             Self::Retired { id, .. } => *id,
         }
     }
 
     pub(crate) fn epoch(&self) -> Epoch {
         match self {
-            Self::Living(block) => block.epoch,
+            Self::Active(block) => block.epoch,
             Self::Retired { epoch, .. } => *epoch,
         }
     }
 }
 
-/// Changes that are taken together, and the version of the map that they make.
+/// Records that are applied together, and the version of the map that results.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Batch {
-    /// Versions follow each other without gap.
+    /// Version of the map after this batch. Versions are consecutive.
     pub version: u64,
-    /// The changes.
+    /// Records of the batch.
     pub records: Vec<Record>,
 }
 
-/// How far the changes of a map have been told: all up to a version's block.
+/// Position in the change history: all changes up to and including one block in one version.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Cursor {
-    /// The version.
+    /// Version of the map.
     pub version: u64,
-    /// The last block told of it.
+    /// Last block of this version that has been delivered.
     pub block: BlockId,
 }
 
 impl Cursor {
-    /// Behind all of a version.
-    pub fn at(version: u64) -> Self {
+    /// Creates a cursor after all changes of a version.
+    pub fn after_version(version: u64) -> Self {
         Self { version, block: BlockId(u32::MAX) }
     }
 }
 
-/// Why a batch was refused; the map is as before.
+/// Reason why a batch was rejected. The map is unchanged.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum MapError {
-    /// A batch is missing before this one.
+    /// One or more batches before this one are missing.
     #[error("version {found} does not follow version {held}: ask for what lies between")]
     Gap {
-        /// The map's version.
+        /// Version of the map.
         held: u64,
-        /// The batch's.
+        /// Version of the batch.
         found: u64,
     },
-    /// An epoch that does not rise.
+    /// The epoch of a record is not greater than the block's current epoch.
     #[error("{block}: {found} does not rise above {held}")]
     Stale {
-        /// Which block.
+        /// Block of the record.
         block: BlockId,
-        /// Its epoch.
+        /// Current epoch of the block.
         held: Epoch,
-        /// The batch's.
+        /// Epoch in the batch.
         found: Epoch,
     },
-    /// A number that was retired comes back, or one stands twice in a batch.
+    /// A retired block identifier is used again, or an identifier occurs twice in a batch.
     #[error("{0}: the number has been used before; a new block takes a new one")]
     Reused(BlockId),
-    /// A block without weighers, holders, or with a holder twice or too many.
+    /// A block has no weighers, no holders, too many holders, or the same holder twice.
     #[error("{0}: {1}")]
     Malformed(BlockId, &'static str),
-    /// The batch would leave numbers uncovered, or covered twice.
+    /// The batch would leave weigher numbers uncovered or covered twice.
     #[error("the batch covers other weigher numbers than it gives up, first at {0}")]
-    Uneven(u64),
-    /// More blocks than the map may have.
+    CoverageMismatch(u64),
+    /// The map would exceed its limit on blocks.
     #[error("more than {0} blocks")]
-    Full(usize),
+    TooManyBlocks(usize),
 }
 
-/// One slice of what was asked for, and the block that answers for it now.
+/// Part of a requested span, and the active block that covers it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Piece {
-    /// The living block.
+    /// Active block that covers the slice.
     pub block: BlockId,
-    /// The weigher numbers asked of it.
+    /// Part of the requested span that this block covers.
     pub slice: Span,
-    /// Whether that is all the block has.
-    pub all: bool,
+    /// Whether the slice is the complete span of the block.
+    pub is_whole_block: bool,
 }
--- a/broker/crates/blocks/src/plan.rs
+++ b/broker/crates/blocks/src/plan.rs
@@ -1,116 +1,127 @@
-//! The planner: given stores, blocks and what is wanted, the next wishes. It promises that whatever must leave a store is
-//! planned first and nothing is stranded in silence, that replicas stand in different zones as far as those go, that load is
-//! evened with few bytes, and that the same picture after the plan asks for nothing more. It changes nothing itself.
+//! The planner: computes the next changes from the stores, the blocks and the goal. Blocks on stores that must
+//! be emptied are planned first, and a block that cannot be helped is reported. Replicas are placed in
+//! different zones as far as there are enough zones, and load is balanced with few copied bytes. Once the plan
+//! is carried out, the same input yields no further changes. The planner itself changes nothing.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 
-use crate::coordinator::Wish;
+use crate::coordinator::ChangeRequest;
 use crate::map::{Block, BlockMap};
 use crate::types::{BlockId, StoreId};
 
-/// A store as the planner sees it.
+/// State of a store as the planner uses it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StoreState {
-    /// Which.
+    /// Number of the store.
     pub id: StoreId,
-    /// Its site.
+    /// Zone of the store.
     pub zone: u32,
-    /// What it can do, against the others; 0 for one that is to hold nothing.
+    /// Capacity of the store relative to the others; 0 if it is to hold no blocks.
     pub capacity: f64,
-    /// Whether it may be given blocks: switched on, neither draining nor out by hand.
-    pub takes: bool,
-    /// Whether its blocks are to leave: it drains, or is out by hand.
-    pub leaves: bool,
-    /// Whether it answers: a source that does not can't be followed.
-    pub sound: bool,
+    /// Whether the store may receive blocks: it is enabled, not draining, and not excluded by an operator.
+    pub accepts_blocks: bool,
+    /// Whether the store's blocks must be moved away: it is draining or excluded by an operator.
+    pub evacuate: bool,
+    /// Whether the store responds. The log of a store that does not respond cannot be copied.
+    pub responds: bool,
 }
 
-/// A block's cost and use.
+/// Size and load of a block.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct BlockLoad {
-    /// Its size.
+    /// Size of the block, in bytes.
     pub bytes: u64,
-    /// Work a second, over all its replicas, in any unit.
+    /// Load over all replicas, as work per second in any unit.
     pub load: f64,
-    /// Whether it has been left alone for long enough to be changed again.
-    pub rested: bool,
+    /// Whether enough time has passed since the block's last change to change it again.
+    pub is_changeable: bool,
 }
 
-/// What is wanted.
+/// Goal of the planner.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Goal {
-    /// Replicas a block.
+    /// Number of replicas for each block.
     pub replicas: usize,
-    /// Stores are evened once the fullest has so much more than the mean, as a share ...
-    pub uneven: f64,
-    /// ... until none has more than this: less, so that a plan is not undone by the next.
-    pub even: f64,
-    /// A block with more load than this is split; 0: none is.
+    /// Balancing starts once the load of the most loaded store exceeds the mean by this fraction.
+    pub imbalance_start: f64,
+    /// Balancing ends once no store exceeds the mean by more than this fraction. It is less than
+    /// `imbalance_start`, so that the next plan does not undo this one.
+    pub imbalance_target: f64,
+    /// Load above which a block is split; 0 disables splitting.
     pub split_above: f64,
-    /// Two neighbours with less than this together are merged: less than half of the above.
+    /// Combined load below which two adjacent blocks are merged. At most half of `split_above` takes effect.
     pub merge_below: f64,
-    /// Copies into a store, and out of one, at once.
-    pub copies: usize,
-    /// Wishes in a plan.
-    pub most: usize,
+    /// Maximum number of concurrent copies into a store, and out of a store.
+    pub max_copies: usize,
+    /// Maximum number of changes in a plan.
+    pub max_changes: usize,
 }
 
 impl Default for Goal {
     fn default() -> Self {
-        Self { replicas: 2, uneven: 0.25, even: 0.1, split_above: 0.0, merge_below: 0.0, copies: 2, most: 64 }
+        Self {
+            replicas: 2,
+            imbalance_start: 0.25,
+            imbalance_target: 0.1,
+            split_above: 0.0,
+            merge_below: 0.0,
+            max_copies: 2,
+            max_changes: 64,
+        }
     }
 }
 
-/// One wish with its reason.
+/// A planned change with its reason.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Planned {
-    /// What.
-    pub wish: Wish,
-    /// Why, in a few words.
+pub struct PlannedChange {
+    /// Change to request.
+    pub change: ChangeRequest,
+    /// Short reason for the change.
     pub why: &'static str,
-    /// Bytes to be copied.
+    /// Number of bytes to copy.
     pub bytes: u64,
-    /// Whether a store waits for it to leave.
+    /// Whether the change is needed to empty a store or to replace a holder that does not respond.
     pub urgent: bool,
 }
 
-/// What is to be done next.
+/// Changes to request next.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Plan {
-    /// The wishes, the most pressing first.
-    pub wishes: Vec<Planned>,
-    /// Blocks that can't be helped now, and why.
-    pub stranded: Vec<(BlockId, &'static str)>,
-    /// Wishes left for a later plan.
-    pub later: usize,
-    /// The fullest store's load over the mean, now and once the plan is carried out.
+    /// Planned changes, most urgent first.
+    pub changes: Vec<PlannedChange>,
+    /// Blocks for which no change is possible at present, and the reason.
+    pub unresolved: Vec<(BlockId, &'static str)>,
+    /// Number of changes left for a later plan.
+    pub deferred: usize,
+    /// Load of the most loaded store divided by the mean, now and after the plan.
     pub skew: (f64, f64),
 }
 
-/// Load as a whole number, so that it can be sorted.
-fn units(load: f64) -> u64 {
+/// Converts load to an integer (millionths) so that it can be sorted.
+fn sortable_load(load: f64) -> u64 {
     (load.max(0.0) * 1e6).min(9e18) as u64
 }
 
 struct Planner<'a> {
     goal: &'a Goal,
     stores: BTreeMap<StoreId, &'a StoreState>,
-    /// Load by store, and the stores that take blocks by load over capacity, in each zone.
+    /// Load by store; `ranked` has, for each zone, the stores that accept blocks, sorted by load over capacity.
     load: HashMap<StoreId, f64>,
     ranked: BTreeMap<u32, BTreeSet<(u64, StoreId)>>,
-    ins: HashMap<StoreId, usize>,
-    outs: HashMap<StoreId, usize>,
-    touched: HashSet<BlockId>,
+    copies_in: HashMap<StoreId, usize>,
+    copies_out: HashMap<StoreId, usize>,
+    changed_blocks: HashSet<BlockId>,
     plan: Plan,
 }
 
-/// Makes a plan. `busy` blocks are being changed already; what is under way counts into `under_way` for each store.
+/// Computes a plan. `busy` are the blocks that are being changed; `in_progress` are the sources and targets of
+/// the running copies, which count towards the limits of each store.
 pub fn plan(
     map: &BlockMap,
     stores: &[StoreState],
     loads: &HashMap<BlockId, BlockLoad>,
     busy: &HashSet<BlockId>,
-    under_way: &[(StoreId, StoreId)],
+    in_progress: &[(StoreId, StoreId)],
     goal: &Goal,
 ) -> Plan {
     let mut planner = Planner {
@@ -118,39 +129,39 @@
         stores: stores.iter().map(|store| (store.id, store)).collect(),
         load: HashMap::new(),
         ranked: BTreeMap::new(),
-        ins: HashMap::new(),
-        outs: HashMap::new(),
-        touched: busy.clone(),
+        copies_in: HashMap::new(),
+        copies_out: HashMap::new(),
+        changed_blocks: busy.clone(),
         plan: Plan::default(),
     };
-    for (from, to) in under_way {
-        *planner.outs.entry(*from).or_default() += 1;
-        *planner.ins.entry(*to).or_default() += 1;
+    for (from, to) in in_progress {
+        *planner.copies_out.entry(*from).or_default() += 1;
+        *planner.copies_in.entry(*to).or_default() += 1;
     }
-    let of = |block: &Block| loads.get(&block.id).copied().unwrap_or_default();
+    let load_of = |block: &Block| loads.get(&block.id).copied().unwrap_or_default();
     for block in map.blocks() {
-        let share = of(block).load / block.replicas.len().max(1) as f64;
+        let share = load_of(block).load / block.replicas.len().max(1) as f64;
         for holder in block.holders() {
             *planner.load.entry(holder).or_default() += share;
         }
     }
-    for store in stores.iter().filter(|store| store.takes && store.capacity > 0.0) {
-        let key = (units(planner.full(store.id)), store.id);
+    for store in stores.iter().filter(|store| store.accepts_blocks && store.capacity > 0.0) {
+        let key = (sortable_load(planner.utilization(store.id)), store.id);
         planner.ranked.entry(store.zone).or_default().insert(key);
     }
     let before = planner.skew();
     for block in map.blocks() {
-        planner.leave(block, of(block));
+        planner.evacuate(block, load_of(block));
     }
     for block in map.blocks() {
-        planner.replicate(block, of(block));
+        planner.replicate(block, load_of(block));
     }
     for block in map.blocks() {
-        planner.spread(block, of(block));
+        planner.spread_zones(block, load_of(block));
     }
-    planner.even_out(map, loads);
+    planner.balance(map, loads);
     if goal.split_above > 0.0 {
-        planner.divide(map, loads);
+        planner.split_and_merge(map, loads);
     }
     let after = planner.skew();
     let mut plan = planner.plan;
@@ -159,26 +170,26 @@
 }
 
 impl Planner<'_> {
-    /// A store's load over its capacity.
-    fn full(&self, store: StoreId) -> f64 {
+    /// Returns the load of a store divided by its capacity.
+    fn utilization(&self, store: StoreId) -> f64 {
         let capacity = self.stores.get(&store).map_or(1.0, |s| s.capacity.max(1e-9));
         self.load.get(&store).copied().unwrap_or(0.0) / capacity
     }
 
     fn skew(&self) -> f64 {
         let full = self.ranked.values().flatten().map(|(full, _)| *full as f64);
-        let (sum, most, n) = full.fold((0.0, 0.0f64, 0.0), |(s, m, n), f| (s + f, m.max(f), n + 1.0));
+        let (sum, highest, n) = full.fold((0.0, 0.0f64, 0.0), |(s, m, n), f| (s + f, m.max(f), n + 1.0));
         if sum > 0.0 {
-            most / (sum / n)
+            highest / (sum / n)
         } else {
             1.0
         }
     }
 
     fn add_load(&mut self, store: StoreId, more: f64) {
-        let before = (units(self.full(store)), store);
+        let before = (sortable_load(self.utilization(store)), store);
         *self.load.entry(store).or_default() += more;
-        let after = (units(self.full(store)), store);
+        let after = (sortable_load(self.utilization(store)), store);
         if let Some(zone) = self.stores.get(&store).map(|s| s.zone) {
             if let Some(ranked) = self.ranked.get_mut(&zone) {
                 if ranked.remove(&before) {
@@ -188,76 +199,77 @@
         }
     }
 
-    /// The emptiest store for one more replica: in a zone where no other holder stands, if there is one.
-    fn target(&self, block: &Block, without: Option<StoreId>) -> Option<StoreId> {
+    /// Returns the least loaded store for another replica, if possible in a zone that has no other holder.
+    fn target(&self, block: &Block, ignored_store: Option<StoreId>) -> Option<StoreId> {
         let others: Vec<StoreId> = block.replicas.iter().map(|r| r.store).collect();
         let zones: HashSet<u32> = others
             .iter()
-            .filter(|s| Some(**s) != without)
+            .filter(|s| Some(**s) != ignored_store)
             .filter_map(|s| self.stores.get(s).map(|s| s.zone))
             .collect();
         let free = |(_, store): &&(u64, StoreId)| {
-            !others.contains(store) && self.ins.get(store).copied().unwrap_or(0) < self.goal.copies
+            !others.contains(store) && self.copies_in.get(store).copied().unwrap_or(0) < self.goal.max_copies
         };
         let first = |zone: &BTreeSet<(u64, StoreId)>| zone.iter().find(free).copied();
-        let apart = self.ranked.iter().filter(|(zone, _)| !zones.contains(zone));
-        let apart = apart.filter_map(|(_, stores)| first(stores)).min();
-        apart.or_else(|| self.ranked.values().filter_map(first).min()).map(|(_, store)| store)
+        let other_zones = self.ranked.iter().filter(|(zone, _)| !zones.contains(zone));
+        let other_zones = other_zones.filter_map(|(_, stores)| first(stores)).min();
+        other_zones.or_else(|| self.ranked.values().filter_map(first).min()).map(|(_, store)| store)
     }
 
-    fn out_free(&self, store: StoreId) -> bool {
-        self.outs.get(&store).copied().unwrap_or(0) < self.goal.copies
+    fn can_copy_from(&self, store: StoreId) -> bool {
+        self.copies_out.get(&store).copied().unwrap_or(0) < self.goal.max_copies
     }
 
-    /// Takes a wish into the plan; false if it has to wait for a later one.
-    fn push(
+    /// Adds a change to the plan. Returns false if the plan is full.
+    fn add_change(
         &mut self,
-        wish: Wish,
+        change: ChangeRequest,
         why: &'static str,
         bytes: u64,
         copy: Option<(StoreId, StoreId)>,
         urgent: bool,
     ) -> bool {
-        if self.plan.wishes.len() >= self.goal.most {
-            self.plan.later += 1;
+        if self.plan.changes.len() >= self.goal.max_changes {
+            self.plan.deferred += 1;
             return false;
         }
         if let Some((from, to)) = copy {
-            *self.outs.entry(from).or_default() += 1;
-            *self.ins.entry(to).or_default() += 1;
+            *self.copies_out.entry(from).or_default() += 1;
+            *self.copies_in.entry(to).or_default() += 1;
         }
-        self.plan.wishes.push(Planned { wish, why, bytes, urgent });
+        self.plan.changes.push(PlannedChange { change, why, bytes, urgent });
         true
     }
 
-    /// Whatever is at a store that drains or is out by hand goes elsewhere.
-    fn leave(&mut self, block: &Block, load: BlockLoad) {
-        let leaving = |s: &StoreId| self.stores.get(s).is_none_or(|s| s.leaves || !s.sound);
+    /// Plans to move a replica away from a store that is draining, excluded or not responding.
+    fn evacuate(&mut self, block: &Block, load: BlockLoad) {
+        let leaving = |s: &StoreId| self.stores.get(s).is_none_or(|s| s.evacuate || !s.responds);
         let Some(from) = block.holders().find(leaving) else { return };
-        if self.touched.contains(&block.id) {
+        if self.changed_blocks.contains(&block.id) {
             return;
         }
-        let sound = |s: &StoreId| self.stores.get(s).is_some_and(|s| s.sound);
-        if sound(&from) {
+        let responds = |s: &StoreId| self.stores.get(s).is_some_and(|s| s.responds);
+        if responds(&from) {
             let Some(to) = self.target(block, Some(from)) else {
-                self.strand(block, "no other store may take it now");
+                self.report_unresolved(block, "no other store may take it now");
                 return;
             };
             self.move_replica(block, load, (from, to), "its store is to be empty", true);
             return;
         }
-        // The source can't be followed: another holder is copied, and the lost replica stays listed until it is back.
-        let Some(source) = block.holders().find(|s| *s != from && sound(s)) else {
-            self.strand(block, "no holder answers: nothing can be copied until one is back");
+        // The source's log cannot be copied, so another holder is the source. The lost replica stays in the
+        // map until its store is back.
+        let Some(source) = block.holders().find(|s| *s != from && responds(s)) else {
+            self.report_unresolved(block, "no holder answers: nothing can be copied until one is back");
             return;
         };
-        let sound_holders = block.holders().filter(sound).count();
-        if sound_holders < self.goal.replicas {
+        let responding_holders = block.holders().filter(responds).count();
+        if responding_holders < self.goal.replicas {
             self.add(block, load, source, "a holder does not answer", true);
         }
     }
 
-    /// Plans a move, or leaves it for a later plan, and counts its load where it will be.
+    /// Plans a move, or leaves it for a later plan, and attributes the load to the new store.
     fn move_replica(
         &mut self,
         block: &Block,
@@ -266,77 +278,91 @@
         why: &'static str,
         urgent: bool,
     ) {
-        if !self.out_free(from) {
-            self.plan.later += 1;
-        } else if self.push(Wish::Move(block.id, from, to), why, load.bytes, Some((from, to)), urgent) {
-            self.touched.insert(block.id);
+        if !self.can_copy_from(from) {
+            self.plan.deferred += 1;
+        } else if self.add_change(
+            ChangeRequest::Move(block.id, from, to),
+            why,
+            load.bytes,
+            Some((from, to)),
+            urgent,
+        ) {
+            self.changed_blocks.insert(block.id);
             let share = load.load / block.replicas.len().max(1) as f64;
             self.add_load(from, -share);
             self.add_load(to, share);
         }
     }
 
-    fn strand(&mut self, block: &Block, why: &'static str) {
-        self.plan.stranded.push((block.id, why));
+    fn report_unresolved(&mut self, block: &Block, why: &'static str) {
+        self.plan.unresolved.push((block.id, why));
     }
 
     fn add(&mut self, block: &Block, load: BlockLoad, source: StoreId, why: &'static str, urgent: bool) {
         let Some(to) = self.target(block, None) else {
             if urgent {
-                self.strand(block, "no other store may take it now");
+                self.report_unresolved(block, "no other store may take it now");
             }
             return;
         };
-        if !self.out_free(source) {
-            self.plan.later += 1;
-        } else if self.push(Wish::Add(block.id, to), why, load.bytes, Some((source, to)), urgent) {
-            self.touched.insert(block.id);
+        if !self.can_copy_from(source) {
+            self.plan.deferred += 1;
+        } else if self.add_change(
+            ChangeRequest::Add(block.id, to),
+            why,
+            load.bytes,
+            Some((source, to)),
+            urgent,
+        ) {
+            self.changed_blocks.insert(block.id);
             self.add_load(to, load.load / (block.replicas.len() + 1) as f64);
         }
     }
 
-    /// Blocks have as many replicas as wanted.
+    /// Plans to add or remove a replica if a block has too few or too many.
     fn replicate(&mut self, block: &Block, load: BlockLoad) {
-        if self.touched.contains(&block.id) {
+        if self.changed_blocks.contains(&block.id) {
             return;
         }
-        let sound = |s: &StoreId| self.stores.get(s).is_some_and(|s| s.sound);
-        // Holders that don't answer stay listed until they are back, and count for nothing meanwhile.
-        let count = block.holders().filter(sound).count();
+        let responds = |s: &StoreId| self.stores.get(s).is_some_and(|s| s.responds);
+        // Holders that do not respond remain in the map until they are back, and do not count in the meantime.
+        let count = block.holders().filter(responds).count();
         if count < self.goal.replicas {
-            if let Some(source) = block.holders().find(sound) {
+            if let Some(source) = block.holders().find(responds) {
                 self.add(block, load, source, "too few replicas", false);
             }
-        } else if count > self.goal.replicas && load.rested {
-            // The one in a zone that another holder shares, or else the fullest.
+        } else if count > self.goal.replicas && load.is_changeable {
+            // Removes a replica whose zone has another holder, or otherwise the one on the most loaded store.
             let zone = |s: StoreId| self.stores.get(&s).map(|s| s.zone);
-            let doubled = |s: StoreId| block.holders().any(|other| other != s && zone(other) == zone(s));
-            let key = |s: &StoreId| (doubled(*s), units(self.full(*s)), *s);
-            let Some(from) = block.holders().filter(sound).max_by_key(key) else { return };
-            let Some(keeper) = block.holders().find(|s| *s != from && sound(s)) else { return };
-            if !self.out_free(from) {
-                self.plan.later += 1;
-            } else if self.push(
-                Wish::Remove(block.id, from),
+            let shares_zone = |s: StoreId| block.holders().any(|other| other != s && zone(other) == zone(s));
+            let key = |s: &StoreId| (shares_zone(*s), sortable_load(self.utilization(*s)), *s);
+            let Some(from) = block.holders().filter(responds).max_by_key(key) else { return };
+            let Some(keeper) = block.holders().find(|s| *s != from && responds(s)) else { return };
+            if !self.can_copy_from(from) {
+                self.plan.deferred += 1;
+            } else if self.add_change(
+                ChangeRequest::Remove(block.id, from),
                 "too many replicas",
                 0,
                 Some((from, keeper)),
                 false,
             ) {
-                self.touched.insert(block.id);
+                self.changed_blocks.insert(block.id);
                 self.add_load(from, -load.load / count as f64);
             }
         }
     }
 
-    /// Replicas stand in different zones as far as those go.
-    fn spread(&mut self, block: &Block, load: BlockLoad) {
-        if self.touched.contains(&block.id) || !load.rested {
+    /// Plans to move a replica to another zone if two replicas share a zone.
+    fn spread_zones(&mut self, block: &Block, load: BlockLoad) {
+        if self.changed_blocks.contains(&block.id) || !load.is_changeable {
             return;
         }
         let zone = |s: StoreId| self.stores.get(&s).map(|s| s.zone);
-        let doubled = |s: &StoreId| block.holders().any(|other| other != *s && zone(other) == zone(*s));
-        let Some(from) = block.holders().filter(doubled).max_by_key(|s| (units(self.full(*s)), *s)) else {
+        let shares_zone = |s: &StoreId| block.holders().any(|other| other != *s && zone(other) == zone(*s));
+        let Some(from) =
+            block.holders().filter(shares_zone).max_by_key(|s| (sortable_load(self.utilization(*s)), *s))
+        else {
             return;
         };
         let Some(to) = self.target(block, Some(from)) else { return };
@@ -346,28 +372,29 @@
         self.move_replica(block, load, (from, to), "two replicas in one zone", false);
     }
 
-    /// The fullest store gives to the emptiest that fits, the block that evens most for its bytes.
-    fn even_out(&mut self, map: &BlockMap, loads: &HashMap<BlockId, BlockLoad>) {
+    /// Balances load: moves from the most loaded store to the least loaded suitable store the block with the
+    /// best ratio of load to the square root of its bytes.
+    fn balance(&mut self, map: &BlockMap, loads: &HashMap<BlockId, BlockLoad>) {
         let all: Vec<f64> = self.ranked.values().flatten().map(|(full, _)| *full as f64 / 1e6).collect();
         let mean = all.iter().sum::<f64>() / all.len().max(1) as f64;
-        let most = all.iter().copied().fold(0.0, f64::max);
-        if mean <= 0.0 || most <= mean * (1.0 + self.goal.uneven) {
+        let highest = all.iter().copied().fold(0.0, f64::max);
+        if mean <= 0.0 || highest <= mean * (1.0 + self.goal.imbalance_start) {
             return;
         }
         let mut tried = HashSet::new();
-        while self.plan.wishes.len() < self.goal.most {
+        while self.plan.changes.len() < self.goal.max_changes {
             let full = self.ranked.values().flatten().filter(|(_, s)| !tried.contains(s)).max().copied();
             let Some((full, from)) = full else { return };
-            if full as f64 / 1e6 <= mean * (1.0 + self.goal.even) {
+            if full as f64 / 1e6 <= mean * (1.0 + self.goal.imbalance_target) {
                 return;
             }
-            if !self.out_free(from) || !self.give(map, loads, from, mean) {
+            if !self.can_copy_from(from) || !self.move_best_block(map, loads, from, mean) {
                 tried.insert(from);
             }
         }
     }
 
-    fn give(
+    fn move_best_block(
         &mut self,
         map: &BlockMap,
         loads: &HashMap<BlockId, BlockLoad>,
@@ -375,32 +402,36 @@
         mean: f64,
     ) -> bool {
         let capacity = self.stores.get(&from).map_or(1.0, |s| s.capacity.max(1e-9));
-        let excess = (self.full(from) - mean) * capacity;
+        let excess = (self.utilization(from) - mean) * capacity;
         let mut best: Option<(f64, BlockId, StoreId)> = None;
-        for id in map.at_store(from) {
-            let Some(block) = map.block(id).filter(|b| !self.touched.contains(&b.id) && b.held_by(from))
+        for id in map.blocks_at_store(from) {
+            let Some(block) =
+                map.block(id).filter(|b| !self.changed_blocks.contains(&b.id) && b.is_holder(from))
             else {
                 continue;
             };
-            let Some(load) = loads.get(&id).filter(|load| load.rested && load.load > 0.0) else { continue };
+            let Some(load) = loads.get(&id).filter(|load| load.is_changeable && load.load > 0.0) else {
+                continue;
+            };
             let share = load.load / block.replicas.len().max(1) as f64;
-            // More than the excess would only turn the two stores round.
+            // Moving more than the excess would only make the other store the overloaded one.
             if share > excess {
                 continue;
             }
-            let worth = share / (load.bytes.max(1) as f64).sqrt();
-            if best.as_ref().is_some_and(|(most, ..)| worth <= *most) {
+            let benefit = share / (load.bytes.max(1) as f64).sqrt();
+            if best.as_ref().is_some_and(|(highest, ..)| benefit <= *highest) {
                 continue;
             }
             let Some(to) = self.target(block, Some(from)) else { continue };
-            // Evenness never brings two replicas into one zone: the next plan would undo it.
+            // Balancing never puts two replicas into one zone, because the next plan would undo that.
             let zone = |s: StoreId| self.stores.get(&s).map(|s| s.zone);
             if block.holders().any(|s| s != from && zone(s) == zone(to)) {
                 continue;
             }
-            let room = self.stores.get(&to).map_or(1.0, |s| s.capacity.max(1e-9)) * (mean - self.full(to));
-            if room >= share {
-                best = Some((worth, id, to));
+            let free_capacity =
+                self.stores.get(&to).map_or(1.0, |s| s.capacity.max(1e-9)) * (mean - self.utilization(to));
+            if free_capacity >= share {
+                best = Some((benefit, id, to));
             }
         }
         let Some((_, id, to)) = best else { return false };
@@ -410,24 +441,25 @@
         true
     }
 
-    /// Hot blocks split, cold neighbours merge. Merging waits until both together are far below what is split.
-    fn divide(&mut self, map: &BlockMap, loads: &HashMap<BlockId, BlockLoad>) {
+    /// Splits blocks with a high load and merges adjacent ones with a low load. The merge threshold is at most
+    /// half the split threshold, so that a merged block is not split again.
+    fn split_and_merge(&mut self, map: &BlockMap, loads: &HashMap<BlockId, BlockLoad>) {
         let below = self.goal.merge_below.min(self.goal.split_above / 2.0);
         let mut before: Option<&Block> = None;
         for block in map.blocks() {
             let load = loads.get(&block.id).copied().unwrap_or_default();
-            let free = !self.touched.contains(&block.id) && load.rested;
+            let free = !self.changed_blocks.contains(&block.id) && load.is_changeable;
             let span = block.span;
             if free && load.load > self.goal.split_above && span.end - span.first > 1 {
                 let at = span.first + (span.end - span.first) / 2;
-                if self.push(
-                    Wish::Split(block.id, at),
+                if self.add_change(
+                    ChangeRequest::Split(block.id, at),
                     "more load than one block should have",
                     0,
                     None,
                     false,
                 ) {
-                    self.touched.insert(block.id);
+                    self.changed_blocks.insert(block.id);
                 }
             }
             let neighbour = before.filter(|left| {
@@ -435,17 +467,22 @@
                 let (mut a, mut b): (Vec<_>, Vec<_>) = (left.holders().collect(), block.holders().collect());
                 a.sort_unstable();
                 b.sort_unstable();
-                free && other.rested
+                free && other.is_changeable
                     && left.span.end == span.first
-                    && !self.touched.contains(&left.id)
-                    && !self.touched.contains(&block.id)
+                    && !self.changed_blocks.contains(&left.id)
+                    && !self.changed_blocks.contains(&block.id)
                     && load.load + other.load < below
                     && a == b
             });
             if let Some(left) = neighbour {
-                if self.push(Wish::Merge(left.id, block.id), "little load in two neighbours", 0, None, false)
-                {
-                    self.touched.extend([left.id, block.id]);
+                if self.add_change(
+                    ChangeRequest::Merge(left.id, block.id),
+                    "little load in two neighbours",
+                    0,
+                    None,
+                    false,
+                ) {
+                    self.changed_blocks.extend([left.id, block.id]);
                 }
             }
             before = Some(block);
--- a/broker/crates/blocks/src/types.rs
+++ b/broker/crates/blocks/src/types.rs
@@ -1,37 +1,37 @@
-//! The names of things: blocks, stores, epochs, terms, spans and extents. Newtypes, so that none is
-//! taken for another.
+//! Identifiers and ranges: blocks, stores, epochs, terms, spans and extents. Each is a newtype, so that the
+//! compiler rejects one in place of another.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// A block. Given once and never again, also after the block has split or merged.
+/// Identifier of a block. It is assigned once and never reused, even after the block has split or merged.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct BlockId(pub u32);
 
-/// A store, as the map numbers it.
+/// Number of a store in the block map.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct StoreId(pub u32);
 
-/// A change under way.
+/// Identifier of a change.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ChangeId(pub u64);
 
-/// A coordinator's term of office. Stores obey the highest they have seen.
+/// Term of a coordinator. A store accepts orders only from the highest term that it has seen.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Term(pub u32);
 
-/// A block's version: the term in the upper half, so that no two coordinators give the same one.
+/// Version of a block. The upper 32 bits hold the term, so that two coordinators never assign the same epoch.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Epoch(pub u64);
 
 impl Epoch {
-    /// The `n`th epoch of a term.
-    pub fn of(term: Term, n: u32) -> Self {
-        Self(u64::from(term.0) << 32 | u64::from(n))
+    /// Creates the epoch with the sequence number `n` in a term.
+    pub fn from_parts(term: Term, sequence: u32) -> Self {
+        Self(u64::from(term.0) << 32 | u64::from(sequence))
     }
 
-    /// The term that gave it.
+    /// Returns the term in which this epoch was assigned.
     pub fn term(self) -> Term {
         Term((self.0 >> 32) as u32)
     }
@@ -58,30 +58,30 @@
 /// A half-open range of weigher numbers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Span {
-    /// The first number in it.
+    /// First weigher number in the range.
     pub first: u64,
-    /// The first number behind it.
+    /// First weigher number after the range.
     pub end: u64,
 }
 
 impl Span {
-    /// From `first` up to, and without, `end`.
+    /// Creates the range from `first` up to, but not including, `end`.
     pub fn new(first: u64, end: u64) -> Self {
         Self { first, end }
     }
 
-    /// Whether nothing is in it.
+    /// Whether the range contains no number.
     pub fn is_empty(self) -> bool {
         self.first >= self.end
     }
 
-    /// Whether it contains a weigher's number.
+    /// Whether the range contains a weigher number.
     pub fn contains(self, weigher: u64) -> bool {
         (self.first..self.end).contains(&weigher)
     }
 
-    /// What both contain.
-    pub fn meet(self, other: Self) -> Option<Self> {
+    /// Returns the intersection of two ranges, or `None` if it is empty.
+    pub fn intersection(self, other: Self) -> Option<Self> {
         let both = Self { first: self.first.max(other.first), end: self.end.min(other.end) };
         (!both.is_empty()).then_some(both)
     }
@@ -93,13 +93,13 @@
     }
 }
 
-/// West, south, east, north in degrees (RFC 7946, section 5). West may lie east of east, across the
-/// antimeridian.
+/// Bounding box in degrees, as west, south, east, north (RFC 7946, section 5). If west is greater than east,
+/// the box crosses the antimeridian.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Extent(pub [f64; 4]);
 
 impl Extent {
-    /// One or two boxes that do not cross the antimeridian.
+    /// Splits the extent into one or two boxes that do not cross the antimeridian.
     pub(crate) fn boxes(self) -> impl Iterator<Item = [f64; 4]> {
         let [west, south, east, north] = self.0;
         let (first, second) = if west <= east {
