--- a/broker/crates/blocks/src/validate/batch.rs
+++ b/broker/crates/blocks/src/validate/batch.rs
@@ -1,6 +1,6 @@
-//! The validator where maps are held and not written: a batch against the map that it changes, and a whole map that comes
-//! from a log or from another broker. It looks at what the records touch and at nothing else, so that a batch costs the
-//! same however large the map is.
+//! Validation of maps in memory: of a batch against the map that it changes, and of a complete map from a log
+//! or from another broker. The check of a batch considers only what its records affect, so its cost does not
+//! depend on the size of the map.
 
 use std::collections::BTreeMap;
 
@@ -8,37 +8,37 @@
 
 use super::draft::{Row, Standing};
 use super::fault::{Fault, Finding};
-use super::map::{row_stores, shape, tiling, Known};
-use super::transition::{pass, Passage};
+use super::map::{check_row_stores, check_span, check_tiling, StoreInfo};
+use super::transition::{check_transition, Transition};
 use crate::map::{BlockMap, Record};
 use crate::types::{BlockId, StoreId};
 
-/// What whoever asks knows beside the map.
+/// Facts about stores that the map does not contain.
 pub struct Facts<'a> {
-    /// What a store is fit for; nothing for one that nobody has named.
+    /// Returns the state of a store; `None` for an unknown store.
     pub standing: &'a dyn Fn(StoreId) -> Option<Standing>,
-    /// What people call a store.
+    /// Returns the display name of a store.
     pub text: &'a dyn Fn(StoreId) -> String,
-    /// Whether a store has copied a living block and follows it.
+    /// Whether a store has copied an active block and follows its log.
     pub copies: &'a dyn Fn(BlockId, StoreId) -> bool,
 }
 
 impl Facts<'_> {
-    fn known(&self) -> Known<'_> {
-        Known { standing: self.standing, text: self.text }
+    fn known(&self) -> StoreInfo<'_> {
+        StoreInfo { standing: self.standing, text: self.text }
     }
 }
 
-/// All that is wrong with records that are to change a map together: with what they say, with what would be covered, and with
-/// the passage.
-pub fn batch(map: &BlockMap, records: &[Record], facts: &Facts<'_>) -> Passage {
+/// Returns all faults of records that are to change a map together: of the records themselves, of the resulting
+/// coverage, and of the transition.
+pub fn batch(map: &BlockMap, records: &[Record], facts: &Facts<'_>) -> Transition {
     let mut found = Vec::new();
     let (mut old, mut new) = (Vec::new(), Vec::new());
     let mut seen = FxHashSet::default();
     for record in records {
         let id = record.id();
         let (span, epoch) = match record {
-            Record::Living(block) => (block.span, block.epoch),
+            Record::Active(block) => (block.span, block.epoch),
             Record::Retired { span, epoch, .. } => (*span, *epoch),
         };
         let place = |fault| Finding::new(fault, span).block(id, 0);
@@ -50,54 +50,54 @@
             found.push(place(Fault::UsedAgain));
         }
         if let Some(block) = map.block(id) {
-            // A block that lives on is the passage's to look at.
+            // The transition check covers blocks that remain active.
             if matches!(record, Record::Retired { .. }) && epoch <= block.epoch {
                 found.push(place(Fault::Epoch { held: block.epoch, found: epoch }));
             }
-            old.push(Row::of(block));
+            old.push(Row::from_block(block));
         }
-        if let Record::Living(block) = record {
-            new.push(Row::of(block));
+        if let Record::Active(block) = record {
+            new.push(Row::from_block(block));
         }
     }
     let known = facts.known();
     for row in &new {
-        shape(row, &mut found);
+        check_span(row, &mut found);
         let fresh = |store: StoreId| !old.iter().any(|row: &Row| row.holders.contains(&store));
-        row_stores(row, &known, fresh, &mut found);
+        check_row_stores(row, &known, fresh, &mut found);
     }
-    // Blocks that the records don't speak of, and that new ones would lie over.
+    // Blocks that the records do not mention but that new blocks would overlap.
     let mut beside: BTreeMap<BlockId, Row> = BTreeMap::new();
     for row in new.iter().filter(|row| !row.span.is_empty()) {
         for piece in map.covering(row.span) {
             let block = map.block(piece.block).filter(|block| !seen.contains(&block.id));
-            beside.extend(block.map(|block| (block.id, Row::of(block))));
+            beside.extend(block.map(|block| (block.id, Row::from_block(block))));
         }
     }
     let changed = new.len();
     new.extend(beside.into_values());
-    tiling(&new, None, &mut found);
+    check_tiling(&new, None, &mut found);
     new.truncate(changed);
     for row in &mut old {
         let gained = new.iter().flat_map(|new| &new.holders);
         let copied = gained.filter(|store| (facts.copies)(row.id, **store)).copied();
         row.copying.extend(copied);
     }
-    let passage = pass(&old, &new, None, &known);
-    Passage { findings: [found, passage.findings].concat(), waits: passage.waits }
+    let result = check_transition(&old, &new, None, &known);
+    Transition { findings: [found, result.findings].concat(), waits: result.waits }
 }
 
-/// All that is wrong with a whole map: what is malformed or held by nobody who is known, what overlaps, and what was
-/// covered by a block that has come to its end and is covered by none now. Numbers that no block ever had are not missed.
-pub fn whole(map: &BlockMap, facts: &Facts<'_>) -> Vec<Finding> {
+/// Returns all faults of a complete map: malformed blocks, blocks without a known holder, overlaps, and keys of
+/// a retired block that no block covers now. Numbers that no block ever covered are not faults.
+pub fn full_map(map: &BlockMap, facts: &Facts<'_>) -> Vec<Finding> {
     let mut found = Vec::new();
-    let rows: Vec<Row> = map.blocks().map(Row::of).collect();
+    let rows: Vec<Row> = map.blocks().map(Row::from_block).collect();
     let known = facts.known();
     for row in &rows {
-        shape(row, &mut found);
-        row_stores(row, &known, |_| false, &mut found);
+        check_span(row, &mut found);
+        check_row_stores(row, &known, |_| false, &mut found);
     }
-    tiling(&rows, None, &mut found);
+    check_tiling(&rows, None, &mut found);
     let mut gaps = FxHashMap::default();
     for (id, span, _) in map.retirements() {
         let mut at = span.first;
--- a/broker/crates/blocks/src/validate/document.rs
+++ b/broker/crates/blocks/src/validate/document.rs
@@ -1,44 +1,44 @@
-//! A map as a document, in TOML, as an operator writes it. It owns the format, which `docs/design/blocks.md` states, and knows
-//! the line of everything in it. A document that can be read at all may still be unsound: that is the validator's to say.
+//! The TOML format in which operators write a map; `docs/design/blocks.md` states it. The parser keeps the line of every
+//! element. A document that can be read may still be invalid; the validator decides that.
 //!
 //! ```toml
 //! version = 7
-//! keys = [0, 200]              # all there is to cover, half open
-//! retired = [3]                # numbers that have come to their end
+//! keys = [0, 200]              # range to be covered, half-open
+//! retired = [3]                # identifiers of retired blocks
 //! goal = { replicas = 2, zones = 2 }
 //!
 //! [[store]]
 //! name = "s-5be2a07c"
 //! zone = "a"
-//! region = "north"             # may be left out
+//! region = "north"             # optional
 //! capacity = 100.0
-//! state = "listed"             # or cold, draining, gone; listed if left out
+//! state = "listed"             # or cold, draining, gone; listed by default
 //!
 //! [[block]]
 //! block = 1
 //! first = 0
 //! end = 200
 //! epoch = 4294967297
-//! load = 1.0                   # in the unit of capacity; 1 if left out
+//! load = 1.0                   # in the unit of capacity; 1 by default
 //! stores = ["s-5be2a07c", "s-93d04c1e"]
-//! copying = ["s-0a4fb6d2"]     # may be left out
+//! copying = ["s-0a4fb6d2"]     # optional
 //! ```
 
 use serde::Deserialize;
 use thiserror::Error;
 use toml::Spanned;
 
-use super::draft::{Draft, Least, Names, Row, Site, Standing};
+use super::draft::{Draft, Names, Redundancy, Row, Site, Standing};
 use crate::types::{BlockId, Epoch, Span};
 
-/// How large a document may be.
+/// Limits on the size of a document.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// Its text, in bytes.
+    /// Length of the text, in bytes.
     pub bytes: usize,
-    /// Its stores.
+    /// Number of stores.
     pub stores: usize,
-    /// Its blocks, and its retired numbers.
+    /// Number of blocks, and of retired block identifiers.
     pub blocks: usize,
 }
 
@@ -48,25 +48,25 @@
     }
 }
 
-/// Why a document can't be read.
+/// Reason why a document cannot be read.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum DocumentError {
-    /// It is no TOML, or not of this format.
+    /// The document is not valid TOML, or not of this format.
     #[error("line {line}: {what}: see the format in docs/design/blocks.md")]
     Format {
-        /// Where.
+        /// Line of the error, from 1.
         line: u32,
-        /// What is wrong there.
+        /// Description of the error.
         what: String,
     },
-    /// More of something than a document may have.
+    /// A limit on the size of a document is exceeded.
     #[error("{found} {what}, and {most} is the most: split it, or raise the bound")]
     Large {
-        /// Of what.
+        /// What there is too much of.
         what: &'static str,
-        /// So many.
+        /// Number found.
         found: usize,
-        /// The most.
+        /// Maximum number allowed.
         most: usize,
     },
 }
@@ -137,24 +137,24 @@
     1.0
 }
 
-/// A document that could be read.
+/// A parsed document.
 #[derive(Clone, Debug)]
 pub struct Document {
-    /// Its version, if it says one.
+    /// Version of the map, if the document states it.
     pub version: Option<u64>,
-    /// What it says.
+    /// Map that the document describes.
     pub draft: Draft,
 }
 
 impl Document {
-    /// Reads a document. Documents that are to be held against each other share their names.
+    /// Parses a document. Documents that are to be compared must share `names`.
     pub fn read(text: &str, names: &mut Names, bounds: &Bounds) -> Result<Self, DocumentError> {
         let within = |what, found, most| match found <= most {
             true => Ok(()),
             false => Err(DocumentError::Large { what, found, most }),
         };
         within("bytes", text.len(), bounds.bytes)?;
-        let lines = Lines::of(text);
+        let lines = Lines::new(text);
         let table: Table = toml::from_str(text).map_err(|fault| DocumentError::Format {
             line: fault.span().map_or(1, |span| lines.line(span.start)),
             what: fault.message().trim().replace('\n', " "),
@@ -165,7 +165,7 @@
         let (mut zones, mut regions) = (Names::default(), Names::default());
         let site = |store: StoreTable| Site {
             store: names.id(store.name.get_ref()),
-            // No more zones than stores, and those are bounded.
+            // There are no more zones than stores, whose number is limited to 65,535.
             zone: zones.id(&store.zone).0 as u16,
             region: regions.id(&store.region).0 as u16,
             capacity: store.capacity,
@@ -189,18 +189,18 @@
             lines: block.stores.iter().chain(&block.copying).map(|n| lines.line(n.span().start)).collect(),
         };
         let rows = table.block.into_iter().map(row).collect();
-        let least = Least { holders: table.goal.replicas, zones: table.goal.zones };
+        let minimum = Redundancy { holders: table.goal.replicas, zones: table.goal.zones };
         let keys = Span::new(table.keys[0], table.keys[1]);
         let retired = table.retired.into_iter().map(BlockId).collect();
-        Ok(Self { version: table.version, draft: Draft { keys, least, sites, rows, retired } })
+        Ok(Self { version: table.version, draft: Draft { keys, minimum, sites, rows, retired } })
     }
 }
 
-/// Where the lines of a text begin.
+/// Offsets, in bytes, at which the lines of a text begin, except for the first line.
 struct Lines(Vec<usize>);
 
 impl Lines {
-    fn of(text: &str) -> Self {
+    fn new(text: &str) -> Self {
         Self(text.bytes().enumerate().filter(|(_, byte)| *byte == b'\n').map(|(at, _)| at + 1).collect())
     }
 
--- a/broker/crates/blocks/src/validate/draft.rs
+++ b/broker/crates/blocks/src/validate/draft.rs
@@ -1,5 +1,6 @@
-//! What the validator looks at: a map as somebody wrote it, sound or not. It owns the rows, the stores and the lines that they
-//! stand on. It promises nothing of what is in it: overlaps, unknown stores and reversed ranges can all be said here.
+//! Input of the validator: a map as it was written, valid or not, with its blocks, stores and their lines in
+//! the file. Nothing is guaranteed about its content: overlaps, unknown stores and reversed ranges can all
+//! occur.
 
 use gingerledge_coverage::State;
 use rustc_hash::FxHashMap;
@@ -7,26 +8,26 @@
 use crate::map::{Block, Replica, ReplicaState};
 use crate::types::{BlockId, Epoch, Span, StoreId};
 
-/// What a store is fit for.
+/// State of a store that determines its suitability as a holder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Standing {
-    /// It serves.
+    /// The store is in service.
     Listed,
-    /// It serves, and warms up.
+    /// The store is in service and is warming up.
     Cold,
-    /// It serves what it has and is given nothing new: its blocks are to leave.
+    /// The store serves its blocks but receives no new ones; its blocks are to be moved away.
     Draining,
-    /// It is no more.
+    /// The store no longer exists.
     Gone,
 }
 
 impl Standing {
-    /// Whether it counts as a holder.
-    pub fn sound(self) -> bool {
+    /// Whether the store counts as a holder.
+    pub fn is_usable(self) -> bool {
         self.state().sound()
     }
 
-    /// As the calculus of cover has it. A map is for when all are warm.
+    /// Returns the state for the coverage calculation. A map is checked for the time when all stores are warm.
     pub(crate) fn state(self) -> State {
         match self {
             Self::Listed => State::Listed,
@@ -36,53 +37,53 @@
         }
     }
 
-    /// Whether it can be read: what drains still has all that it had.
-    pub fn answers(self) -> bool {
+    /// Whether the store can be read: a draining store still has all its data.
+    pub fn responds(self) -> bool {
         self != Self::Gone
     }
 }
 
-/// A store.
+/// A store of the map.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Site {
-    /// Which.
+    /// Number of the store.
     pub store: StoreId,
-    /// Its zone, by a number of the caller's.
+    /// Number of the store's zone, assigned by the caller.
     pub zone: u16,
-    /// Its region, likewise.
+    /// Number of the store's region, assigned by the caller.
     pub region: u16,
-    /// The load that it can carry.
+    /// Load that the store can carry.
     pub capacity: f64,
-    /// What it is fit for.
+    /// State of the store.
     pub standing: Standing,
-    /// Where it stands in the file; 0: in none.
+    /// Line of the store in the file, from 1; 0 if there is no file.
     pub line: u32,
 }
 
-/// A block.
+/// A block of the map.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Row {
-    /// Its number.
+    /// Identifier of the block.
     pub id: BlockId,
-    /// Its keys.
+    /// Keys in the block.
     pub span: Span,
-    /// Its epoch.
+    /// Epoch of the block.
     pub epoch: Epoch,
-    /// Who may be sent its parts.
+    /// Stores that may be sent the block's parts.
     pub holders: Vec<StoreId>,
-    /// Who copies it.
+    /// Stores that copy the block.
     pub copying: Vec<StoreId>,
-    /// Its load, in the unit of the stores' capacity.
+    /// Load of the block, in the unit of the stores' capacity.
     pub load: f64,
-    /// Where it stands in the file; 0: in none.
+    /// Line of the block in the file, from 1; 0 if there is no file.
     pub line: u32,
-    /// Where its holders and then its copiers do, as far as known.
+    /// Lines of the holders, followed by those of the copying stores, as far as known.
     pub lines: Vec<u32>,
 }
 
 impl Row {
-    /// A block of a map; of its replicas those that join copy.
-    pub fn of(block: &Block) -> Self {
+    /// Converts a block of a map. Replicas in the state `Joining` count as copying.
+    pub fn from_block(block: &Block) -> Self {
         let joins = |r: &&Replica| r.state == ReplicaState::Joining;
         Self {
             id: block.id,
@@ -96,39 +97,39 @@
         }
     }
 
-    /// Where its `n`th store stands, holders before copiers.
+    /// Returns the line of the `n`th store, where holders come before copying stores.
     pub(crate) fn line_of(&self, n: usize) -> u32 {
         self.lines.get(n).copied().unwrap_or(self.line)
     }
 }
 
-/// What each range is to have at the least.
+/// Minimum redundancy of each range.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Least {
-    /// Sound holders.
+pub struct Redundancy {
+    /// Minimum number of usable holders.
     pub holders: u32,
-    /// Zones that they stand in.
+    /// Minimum number of zones of the usable holders.
     pub zones: u32,
 }
 
-/// A map as it would be.
+/// A proposed map.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Draft {
-    /// What is to be covered.
+    /// Keys that the map must cover.
     pub keys: Span,
-    /// What each range is to have.
-    pub least: Least,
-    /// The stores.
+    /// Minimum redundancy of each range.
+    pub minimum: Redundancy,
+    /// Stores of the map.
     pub sites: Vec<Site>,
-    /// The blocks, in any order.
+    /// Blocks of the map, in any order.
     pub rows: Vec<Row>,
-    /// Numbers that have come to their end.
+    /// Identifiers of retired blocks.
     pub retired: Vec<BlockId>,
 }
 
 impl Draft {
-    /// What each store is fit for; what stands twice counts as it stands first.
-    pub(crate) fn standings(&self) -> FxHashMap<StoreId, &Site> {
+    /// Returns the entry of each store; of several entries for one store, the first counts.
+    pub(crate) fn sites_by_store(&self) -> FxHashMap<StoreId, &Site> {
         let mut found = FxHashMap::default();
         for site in &self.sites {
             found.entry(site.store).or_insert(site);
@@ -137,7 +138,7 @@
     }
 }
 
-/// Names of stores and their numbers, shared by the documents of one passage.
+/// Names of stores and their numbers, shared by the documents of one transition.
 #[derive(Clone, Debug, Default)]
 pub struct Names {
     ids: FxHashMap<String, StoreId>,
@@ -145,7 +146,7 @@
 }
 
 impl Names {
-    /// The number of a name, the first time a fresh one.
+    /// Returns the number of a name, and assigns one to a new name.
     pub fn id(&mut self, name: &str) -> StoreId {
         if let Some(id) = self.ids.get(name) {
             return *id;
@@ -156,7 +157,7 @@
         id
     }
 
-    /// A store as people call it.
+    /// Returns the display name of a store.
     pub fn text(&self, store: StoreId) -> String {
         self.texts.get(store.0 as usize).map_or_else(|| store.to_string(), |name| format!("store {name}"))
     }
--- a/broker/crates/blocks/src/validate/fault.rs
+++ b/broker/crates/blocks/src/validate/fault.rs
@@ -1,5 +1,5 @@
-//! What can be wrong with a map or with the passage to the next: each kind with its data, and where it was found. It
-//! promises that a text names the place, the keys, the blocks and the way out. It finds nothing itself.
+//! Faults of a map or of the transition to the next map, and their places. The text of a finding names the
+//! place, the keys, the blocks and the remedy. This module does not detect faults.
 
 use std::fmt;
 
@@ -7,160 +7,161 @@
 
 use crate::types::{BlockId, Epoch, Span};
 
-/// Why a store can't be a holder.
+/// Reason why a store cannot be a holder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Unfit {
-    /// Nobody has named it.
+    /// The store is not in the list of stores.
     Unknown,
-    /// Its blocks are to leave.
+    /// The store is draining: its blocks are to be moved away.
     Draining,
-    /// It is no more.
+    /// The store no longer exists.
     Gone,
 }
 
-/// What is wrong.
+/// Kind of a fault.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case", tag = "kind")]
 pub enum Fault {
-    /// No block has these keys.
+    /// No block contains these keys.
     Gap,
-    /// Several blocks have these keys.
+    /// Several blocks contain these keys.
     Overlap {
-        /// Blocks beside those named.
+        /// Number of blocks in addition to those named.
         more: usize,
     },
     /// A block without keys.
     Empty,
-    /// A block whose end lies before its first key.
+    /// A block whose end is less than its first key.
     Reversed,
-    /// A block that goes beyond what is to be covered.
+    /// A block with keys outside of the range to be covered.
     Outside {
-        /// What is to be covered.
+        /// Range to be covered.
         all: Span,
     },
-    /// A number that two blocks have.
+    /// A block identifier that occurs twice.
     UsedTwice,
-    /// A number that had come to its end.
+    /// The identifier of a retired block, used again.
     UsedAgain,
-    /// A block that changes under an epoch that does not rise.
+    /// A block that changes without a higher epoch.
     Epoch {
-        /// The epoch that holds.
+        /// Current epoch.
         held: Epoch,
-        /// The one that would follow.
+        /// Epoch after the change.
         found: Epoch,
     },
-    /// A holder that can't be one.
+    /// A store that is not suitable as a holder.
     Holder {
-        /// Who.
+        /// Name of the store.
         store: String,
-        /// Why not.
+        /// Reason why the store is not suitable.
         why: Unfit,
-        /// Whether it is only to copy.
+        /// Whether the store is listed only as copying.
         copies: bool,
     },
-    /// A holder that stands twice.
+    /// A holder that is listed twice.
     HeldTwice {
-        /// Who.
+        /// Name of the store.
         store: String,
     },
     /// More replicas than a block may have.
     TooMany {
-        /// So many.
+        /// Number of replicas.
         replicas: usize,
-        /// The most.
+        /// Maximum number of replicas.
         most: usize,
     },
-    /// Fewer sound holders than the goal.
+    /// Fewer usable holders than the goal.
     Holders {
-        /// So many.
+        /// Number of usable holders.
         sound: u32,
-        /// The goal.
+        /// Minimum number of usable holders.
         least: u32,
     },
-    /// Sound holders in fewer zones than the goal.
+    /// Usable holders in fewer zones than the goal.
     Zones {
-        /// So many.
+        /// Number of zones with usable holders.
         sound: u32,
-        /// The goal.
+        /// Minimum number of zones.
         least: u32,
     },
-    /// A store with more load than it can carry.
+    /// A store with more load than its capacity.
     Capacity {
-        /// Who.
+        /// Name of the store.
         store: String,
-        /// What falls on it.
+        /// Load of the store.
         load: f64,
-        /// What it can carry.
+        /// Capacity of the store.
         room: f64,
     },
-    /// A store that stands twice.
+    /// A store that is listed twice.
     StoreTwice {
-        /// Who.
+        /// Name of the store.
         store: String,
     },
-    /// A figure that is none, or below zero.
+    /// A value that is negative or not a finite number.
     Figure {
-        /// Of which key.
+        /// Name of the setting.
         what: &'static str,
-        /// What was found.
+        /// Value found.
         value: String,
     },
-    /// None of the new holders was one before, and none has copied.
+    /// No new holder was a holder before, and none has copied the block.
     Unfollowed {
-        /// The old holders.
+        /// Names of the old holders.
         old: Vec<String>,
-        /// The new ones.
+        /// Names of the new holders.
         new: Vec<String>,
     },
-    /// Old and new holders may take entries at once: nothing fences the old ones off.
+    /// Old and new holders may accept entries at the same time, because the old ones are not fenced.
     TwoSets {
-        /// Old holders that let go.
+        /// Names of the old holders that give the keys up.
         old: Vec<String>,
-        /// New ones that take over.
+        /// Names of the new holders that take the keys over.
         new: Vec<String>,
     },
-    /// At some time of the passage no store that answers may be read.
+    /// At some time during the transition no responding store may be read.
     Unreadable {
-        /// The old holders.
+        /// Names of the old holders.
         old: Vec<String>,
-        /// The new ones that have the keys.
+        /// Names of the new holders that have the keys.
         new: Vec<String>,
     },
-    /// Keys that somebody had and nobody has any more.
+    /// Keys that had a holder and have none any more.
     GivenUp,
-    /// A version that is not the next.
+    /// A version that is not the successor of the current one.
     Version {
-        /// The version that holds.
+        /// Current version.
         held: u64,
-        /// The one that would follow.
+        /// Version found.
         found: u64,
     },
 }
 
 impl Fault {
-    /// Whether a passage from a map with this fault can't be proved: of some key it is not said who has it.
-    pub fn unclear(&self) -> bool {
+    /// Whether a map with this fault prevents a check of the transition, because it is ambiguous which block
+    /// some key belongs to.
+    pub fn is_ambiguous(&self) -> bool {
         matches!(self, Self::Overlap { .. } | Self::Empty | Self::Reversed | Self::UsedTwice)
     }
 }
 
-/// A fault and where it is.
+/// A fault and its place.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Finding {
-    /// What is wrong.
+    /// Kind of the fault.
     #[serde(flatten)]
     pub fault: Fault,
-    /// With which keys; nothing where it is about no range.
+    /// Affected keys; `None` if the fault concerns no range.
     pub keys: Option<Span>,
-    /// With which blocks; of many the first few.
+    /// Affected blocks, limited to the first few.
     pub blocks: Vec<BlockId>,
-    /// On which lines of the file; none where there is no file.
+    /// Lines in the file; empty if there is no file.
     pub lines: Vec<u32>,
 }
 
-/// Blocks named in one finding.
-pub(crate) const NAMED_MOST: usize = 8;
+/// Maximum number of blocks named in one finding.
+pub(crate) const MAX_NAMED_BLOCKS: usize = 8;
 
 impl Finding {
     pub(crate) fn new(fault: Fault, keys: impl Into<Option<Span>>) -> Self {
@@ -182,8 +183,8 @@
     }
 }
 
-/// The first of some findings as a text that says how many more there are; nothing for none.
-pub fn first_of(findings: &[Finding]) -> Option<String> {
+/// Formats the first of the findings and the number of further ones. Returns `None` if there are no findings.
+pub fn summary(findings: &[Finding]) -> Option<String> {
     let (first, more) = findings.split_first()?;
     Some(if more.is_empty() {
         first.to_string()
--- a/broker/crates/blocks/src/validate/map.rs
+++ b/broker/crates/blocks/src/validate/map.rs
@@ -1,5 +1,6 @@
-//! A whole map, proved: every key in exactly one block, every block at holders that can hold it, as many and as far apart
-//! as the goal says, and no store over its capacity. It promises to name all faults at once, each once.
+//! Validation of a complete map: every key is in exactly one block, every block is at suitable holders, in the
+//! number and in the zones that the goal requires, and no store exceeds its capacity. All faults are reported
+//! at once, each of them once.
 
 use std::collections::BTreeMap;
 
@@ -7,24 +8,24 @@
 use rustc_hash::{FxHashMap, FxHashSet};
 
 use super::draft::{Draft, Row, Site, Standing};
-use super::fault::{Fault, Finding, Unfit, NAMED_MOST};
+use super::fault::{Fault, Finding, Unfit, MAX_NAMED_BLOCKS};
 use super::sweep::sweep;
-use crate::map::REPLICAS_MOST;
+use crate::map::MAX_REPLICAS;
 use crate::types::{BlockId, Span, StoreId};
 
-/// More holders of one block are not counted; that they are too many is said anyway.
-const HOLDERS_MOST: usize = 1000;
+/// Maximum number of holders of one block that are counted. An excess of holders is reported separately.
+const MAX_COUNTED_HOLDERS: usize = 1000;
 
-/// What is known of stores.
-pub(crate) struct Known<'a> {
-    /// What one is fit for; nothing for a store that nobody has named.
+/// Information about stores.
+pub(crate) struct StoreInfo<'a> {
+    /// Returns the state of a store; `None` for an unknown store.
     pub(crate) standing: &'a dyn Fn(StoreId) -> Option<Standing>,
-    /// What people call it.
+    /// Returns the display name of a store.
     pub(crate) text: &'a dyn Fn(StoreId) -> String,
 }
 
-impl Known<'_> {
-    /// Why a store can't be a holder.
+impl StoreInfo<'_> {
+    /// Returns the reason why a store cannot be a holder.
     fn unfit(&self, store: StoreId) -> Option<Unfit> {
         match (self.standing)(store) {
             None => Some(Unfit::Unknown),
@@ -35,28 +36,30 @@
     }
 }
 
-/// All that is wrong with a map by itself.
+/// Returns all faults of a map on its own.
 pub fn faults(draft: &Draft, text: &dyn Fn(StoreId) -> String) -> Vec<Finding> {
     let mut found = Vec::new();
-    let sites = draft.standings();
+    let sites = draft.sites_by_store();
     let standing = |store| sites.get(&store).map(|site: &&Site| site.standing);
-    let known = Known { standing: &standing, text };
+    let known = StoreInfo { standing: &standing, text };
     if draft.keys.is_empty() {
         let reversed = draft.keys.end < draft.keys.first;
         found.push(Finding::new(if reversed { Fault::Reversed } else { Fault::Empty }, draft.keys));
     }
-    let mut cover = cover(&sites);
-    stores(draft, text, &mut found);
-    numbers(draft, &mut found);
+    let mut cover = build_coverage(&sites);
+    check_sites(draft, text, &mut found);
+    check_ids(draft, &mut found);
     for row in &draft.rows {
-        if !shape(row, &mut found) && (row.span.first < draft.keys.first || row.span.end > draft.keys.end) {
+        if !check_span(row, &mut found)
+            && (row.span.first < draft.keys.first || row.span.end > draft.keys.end)
+        {
             found.push(at(row, Fault::Outside { all: draft.keys }));
         }
-        row_stores(row, &known, |_| true, &mut found);
-        goal(row, draft, &mut cover, &mut found);
+        check_row_stores(row, &known, |_| true, &mut found);
+        check_redundancy(row, draft, &mut cover, &mut found);
     }
-    tiling(&draft.rows, Some(draft.keys), &mut found);
-    capacity(draft, &sites, text, &mut found);
+    check_tiling(&draft.rows, Some(draft.keys), &mut found);
+    check_capacity(draft, &sites, text, &mut found);
     found
 }
 
@@ -64,7 +67,7 @@
     Finding::new(fault, row.span).block(row.id, row.line)
 }
 
-fn stores(draft: &Draft, text: &dyn Fn(StoreId) -> String, found: &mut Vec<Finding>) {
+fn check_sites(draft: &Draft, text: &dyn Fn(StoreId) -> String, found: &mut Vec<Finding>) {
     let mut seen: FxHashMap<StoreId, u32> = FxHashMap::default();
     for site in &draft.sites {
         if let Some(line) = seen.insert(site.store, site.line) {
@@ -78,7 +81,7 @@
     }
 }
 
-fn numbers(draft: &Draft, found: &mut Vec<Finding>) {
+fn check_ids(draft: &Draft, found: &mut Vec<Finding>) {
     let retired: FxHashSet<BlockId> = draft.retired.iter().copied().collect();
     let mut seen: FxHashMap<BlockId, u32> = FxHashMap::default();
     for row in &draft.rows {
@@ -95,8 +98,8 @@
     }
 }
 
-/// Whether a block has no keys to speak of.
-pub(crate) fn shape(row: &Row, found: &mut Vec<Finding>) -> bool {
+/// Reports a block without keys, and returns whether the block has none.
+pub(crate) fn check_span(row: &Row, found: &mut Vec<Finding>) -> bool {
     if row.span.end < row.span.first {
         found.push(at(row, Fault::Reversed));
     } else if row.span.is_empty() {
@@ -105,10 +108,11 @@
     row.span.is_empty()
 }
 
-/// What is wrong with a block's stores one by one; of those that are not `new` here only what they are listed as.
-pub(crate) fn row_stores(
+/// Checks the stores of a block one by one. Stores that are not `new` in this block are only checked for being
+/// known.
+pub(crate) fn check_row_stores(
     row: &Row,
-    known: &Known<'_>,
+    known: &StoreInfo<'_>,
     new: impl Fn(StoreId) -> bool,
     found: &mut Vec<Finding>,
 ) {
@@ -124,30 +128,30 @@
         }
     }
     let replicas = row.holders.len() + row.copying.len();
-    if replicas > REPLICAS_MOST {
-        found.push(at(row, Fault::TooMany { replicas, most: REPLICAS_MOST }));
+    if replicas > MAX_REPLICAS {
+        found.push(at(row, Fault::TooMany { replicas, most: MAX_REPLICAS }));
     }
     if row.holders.is_empty() {
         found.push(at(row, Fault::Holders { sound: 0, least: 1 }));
     }
 }
 
-/// A block's sound holders, each once.
-fn sound<'a>(row: &Row, sites: &FxHashMap<StoreId, &'a Site>) -> Vec<&'a Site> {
+/// Returns the usable holders of a block, each once.
+fn usable_holders<'a>(row: &Row, sites: &FxHashMap<StoreId, &'a Site>) -> Vec<&'a Site> {
     let mut found: Vec<&Site> = row.holders.iter().filter_map(|store| sites.get(store).copied()).collect();
-    found.retain(|site| site.standing.sound());
+    found.retain(|site| site.standing.is_usable());
     found.sort_unstable_by_key(|site| site.store);
     found.dedup_by_key(|site| site.store);
     found
 }
 
-/// The stores as the calculus of cover has them, which alone counts holders and zones.
-fn cover(sites: &FxHashMap<StoreId, &Site>) -> Coverage {
+/// Converts the stores for the coverage calculation, which alone counts holders and zones.
+fn build_coverage(sites: &FxHashMap<StoreId, &Site>) -> Coverage {
     let stores = sites.len();
-    let mut cover = Coverage::new(Bounds { stores, blocks: 1, holders: HOLDERS_MOST, zones: stores });
+    let mut cover = Coverage::new(Bounds { stores, blocks: 1, holders: MAX_COUNTED_HOLDERS, zones: stores });
     for site in sites.values() {
         let (store, zone, region) = (Store(site.store.0), Zone(site.zone), Region(site.region));
-        // There is room for just as many as there are.
+        // The limit on stores equals their number, so adding one cannot fail.
         let _ = cover.set_site(gingerledge_coverage::Site {
             store,
             zone,
@@ -159,44 +163,45 @@
     cover
 }
 
-fn goal(row: &Row, draft: &Draft, cover: &mut Coverage, found: &mut Vec<Finding>) {
-    // An empty list has been named already.
+fn check_redundancy(row: &Row, draft: &Draft, cover: &mut Coverage, found: &mut Vec<Finding>) {
+    // An empty list of holders has already been reported.
     if row.holders.is_empty() {
         return;
     }
     let mut holders: Vec<Store> = row.holders.iter().map(|store| Store(store.0)).collect();
     holders.sort_unstable();
     holders.dedup();
-    // One block at a time, over keys of its own: rows may overlap, be reversed, or have a number twice.
+    // Each block is evaluated on its own, over placeholder keys: rows may overlap, be reversed, or have the
+    // same identifier twice.
     let held = Held { block: Default::default(), keys: Keys::new(0, 1), holders, load: 0.0 };
     if cover.set_held(held).is_err() {
         return;
     }
     let Some(Cover { sound, zones, .. }) = cover.at(0) else { return };
-    if sound < draft.least.holders {
-        found.push(at(row, Fault::Holders { sound, least: draft.least.holders }));
+    if sound < draft.minimum.holders {
+        found.push(at(row, Fault::Holders { sound, least: draft.minimum.holders }));
     }
-    if zones < draft.least.zones {
-        found.push(at(row, Fault::Zones { sound: zones, least: draft.least.zones }));
+    if zones < draft.minimum.zones {
+        found.push(at(row, Fault::Zones { sound: zones, least: draft.minimum.zones }));
     }
 }
 
-/// Gaps within what is to be covered, if that is known, and overlaps.
-pub(crate) fn tiling(rows: &[Row], keys: Option<Span>, found: &mut Vec<Finding>) {
+/// Reports overlaps, and gaps in the range to be covered if that is known.
+pub(crate) fn check_tiling(rows: &[Row], keys: Option<Span>, found: &mut Vec<Finding>) {
     let spans: Vec<Span> = rows.iter().map(|row| row.span).collect();
     let ends = keys.filter(|keys| !keys.is_empty()).map(|keys| [keys.first, keys.end]);
-    sweep(&spans, ends.as_ref().map_or(&[], |ends| ends), |stretch, inside| match inside.len() {
+    sweep(&spans, ends.as_ref().map_or(&[], |ends| ends), |section, inside| match inside.len() {
         0 => {
-            if let Some(gap) = keys.and_then(|keys| keys.meet(stretch)) {
-                // A neighbour may be widened: the lines are theirs.
+            if let Some(gap) = keys.and_then(|keys| keys.intersection(section)) {
+                // Adjacent blocks could be widened, so their lines are added below.
                 found.push(Finding::new(Fault::Gap, gap));
             }
         }
         1 => {}
         n => {
-            let fault = Fault::Overlap { more: n.saturating_sub(NAMED_MOST) };
-            let named = inside.iter().take(NAMED_MOST).map(|at| &rows[*at]);
-            let all = named.fold(Finding::new(fault, stretch), |all, row| {
+            let fault = Fault::Overlap { more: n.saturating_sub(MAX_NAMED_BLOCKS) };
+            let named = inside.iter().take(MAX_NAMED_BLOCKS).map(|at| &rows[*at]);
+            let all = named.fold(Finding::new(fault, section), |all, row| {
                 let all = all.line(row.line);
                 Finding { blocks: [all.blocks, vec![row.id]].concat(), ..all }
             });
@@ -218,8 +223,9 @@
     }
 }
 
-/// A block's load falls on its sound holders by their capacity.
-fn capacity(
+/// Checks the load of each store. The load of a block is distributed over its usable holders in proportion to
+/// their capacity.
+fn check_capacity(
     draft: &Draft,
     sites: &FxHashMap<StoreId, &Site>,
     text: &dyn Fn(StoreId) -> String,
@@ -227,7 +233,7 @@
 ) {
     let mut carried: BTreeMap<StoreId, (f64, Vec<&Row>)> = BTreeMap::new();
     for row in draft.rows.iter().filter(|row| row.load.is_finite() && row.load > 0.0) {
-        let holders = sound(row, sites);
+        let holders = usable_holders(row, sites);
         let all: f64 = holders.iter().map(|site| site.capacity.max(0.0)).sum();
         for site in &holders {
             let share = match all > 0.0 && all.is_finite() {
@@ -241,13 +247,13 @@
     }
     for (store, (load, rows)) in carried {
         let Some(site) = sites.get(&store).filter(|site| site.capacity.is_finite()) else { continue };
-        // Shares are fractions: what they add up to is exact but for their last digits.
+        // Shares are fractions, so their sum is subject to rounding errors.
         if load > site.capacity * (1.0 + 1e-9) + 1e-9 {
             let fault = Fault::Capacity { store: text(store), load, room: site.capacity };
             let keys = rows.iter().map(|row| row.span).filter(|span| !span.is_empty());
             let keys = keys.reduce(|a, b| Span::new(a.first.min(b.first), a.end.max(b.end)));
             let finding = Finding::new(fault, keys).line(site.line);
-            found.push(rows.iter().take(NAMED_MOST).fold(finding, |all, row| all.block(row.id, 0)));
+            found.push(rows.iter().take(MAX_NAMED_BLOCKS).fold(finding, |all, row| all.block(row.id, 0)));
         }
     }
 }
--- a/broker/crates/blocks/src/wire.rs
+++ b/broker/crates/blocks/src/wire.rs
@@ -1,123 +1,124 @@
-//! What coordinators, brokers and stores say to each other about blocks, as bytes: postcard behind a letter of the frames'.
-//! Every list has a bound, so that no frame outgrows what both sides take.
+//! Messages between coordinators, brokers and stores about blocks: postcard values after a frame's type byte.
+//! Every list is bounded, so that no frame exceeds the limit of either side.
 
 use core::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
 
-use crate::holding::{Done, Entry, Refusal};
+use crate::holding::{Entry, OrderOutcome, Refusal};
 use crate::map::{Cursor, Record};
 use crate::types::{BlockId, Epoch, Span, StoreId};
 
-pub use crate::holding::Held;
+pub use crate::holding::HeldBlock;
 
-/// An order to a store.
+/// Frame type of an order to a store.
 pub const ORDER: u8 = b's';
-/// A store's word on an order.
-pub const WORD: u8 = b't';
-/// To copy a stretch from another store.
+/// Frame type of a store's reply to an order.
+pub const REPLY: u8 = b't';
+/// Frame type of a request to copy a section of a log from another store.
 pub const COPY: u8 = b'u';
-/// How far that came.
+/// Frame type of the reply to a copy request.
 pub const COPIED: u8 = b'v';
-/// A stretch of a log is asked for.
-pub const TAIL: u8 = b'w';
-/// The stretch.
-pub const STRETCH: u8 = b'x';
+/// Frame type of a request for a section of a log.
+pub const READ_SECTION: u8 = b'w';
+/// Frame type of a section of a log.
+pub const SECTION: u8 = b'x';
 
-/// Blocks in one word on what a store holds.
-pub const HOLDS_MOST: usize = 400;
-/// Bytes of entries in one stretch.
-pub const STRETCH_MOST: u64 = 48 * 1024;
+/// Maximum number of blocks in one inventory message.
+pub const MAX_INVENTORY_BLOCKS: usize = 400;
+/// Maximum size of the entries in one log section, in bytes.
+pub const MAX_SECTION_BYTES: u64 = 48 * 1024;
 
-/// A store's word.
+/// Reply of a store to an order.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Word {
-    /// On an order that was carried out.
-    Done(Done),
-    /// On an order that was not.
+pub enum OrderReply {
+    /// The order was carried out.
+    Done(OrderOutcome),
+    /// The order was rejected.
     Refused(Refusal),
-    /// What is held, from the block named in the order on, in the order of numbers.
-    Holds {
-        /// At most [`HOLDS_MOST`] of them.
-        held: Vec<Held>,
-        /// Whether there are more behind the last.
+    /// Inventory of the store, in the order of block identifiers, from the block named in the order on.
+    Inventory {
+        /// At most [`MAX_INVENTORY_BLOCKS`] blocks.
+        held: Vec<HeldBlock>,
+        /// Whether more blocks follow.
         more: bool,
     },
 }
 
-/// A call to copy.
+/// Request to copy a section of a log from another store.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct CopyCall {
-    /// The block.
+pub struct CopyRequest {
+    /// Block to be copied.
     pub block: BlockId,
-    /// The change's epoch.
+    /// Epoch of the change.
     pub epoch: Epoch,
-    /// Where the source listens.
+    /// Address on which the source listens.
     pub from: SocketAddr,
-    /// From where in its log.
-    pub at: u64,
-    /// At most so many bytes.
+    /// Index in the source's log at which the section begins.
+    pub start: u64,
+    /// Maximum size of the section, in bytes.
     pub bytes: u64,
 }
 
-/// How far a copy came.
+/// Reply to a copy request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Copied {
-    /// Up to where of the source's log; what the target has, whether this call moved it or not.
+pub struct CopyReply {
+    /// Index in the source's log up to which the target has copied, including what it had before this request.
     pub copied: u64,
-    /// The length of the source's log.
+    /// Length of the source's log.
     pub length: u64,
-    /// Bytes moved.
+    /// Number of bytes transferred.
     pub bytes: u64,
 }
 
-/// A call for a stretch.
+/// Request for a section of a log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct TailCall {
-    /// Whose entries.
+pub struct SectionRequest {
+    /// Weighers whose entries are requested.
     pub span: Span,
-    /// From where in the log.
-    pub at: u64,
-    /// At most so many bytes.
+    /// Index in the log at which the section begins.
+    pub start: u64,
+    /// Maximum size of the section, in bytes.
     pub bytes: u64,
 }
 
-/// A stretch.
+/// A section of a log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Stretch {
-    /// The entries.
+pub struct LogSection {
+    /// Entries of the section.
     pub entries: Vec<Entry>,
-    /// The index behind them.
+    /// Index in the log after the section.
     pub next: u64,
-    /// The log's length.
+    /// Length of the log.
     pub length: u64,
 }
 
-/// What a broker that follows the map is told: records up to a version, or the whole map from its beginning.
+/// Map update for a broker that follows the map: records up to a version, or the complete map from its
+/// beginning.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct News {
-    /// Stores by their numbers, all of them.
+pub struct MapPage {
+    /// All stores with their numbers and names.
     pub stores: Vec<(StoreId, String)>,
     /// Records in the order of versions.
     pub records: Vec<Record>,
-    /// How far they go.
-    pub upto: Cursor,
-    /// The coordinator's version: there is more until all of it has been told.
+    /// Position in the change history after these records.
+    pub cursor: Cursor,
+    /// Version of the coordinator's map. More updates follow until this version is reached.
     pub version: u64,
-    /// The coordinator's term.
+    /// Term of the coordinator.
     pub term: u32,
-    /// Whether these begin a whole map, after which nothing held before counts.
-    pub whole: bool,
+    /// Whether this update begins a complete map, which replaces the map that the broker had.
+    pub is_full_map: bool,
 }
 
-/// Bytes of a message.
-pub fn pack<T: Serialize>(message: &T) -> Vec<u8> {
-    // These types have no way to fail.
+/// Encodes a message.
+pub fn encode<T: Serialize>(message: &T) -> Vec<u8> {
+    // Serializing these types cannot fail.
     postcard::to_stdvec(message).unwrap_or_default()
 }
 
-/// The message, if the bytes are one and nothing else.
-pub fn unpack<T: for<'a> Deserialize<'a>>(bytes: &[u8]) -> Option<T> {
+/// Decodes a message. Returns `None` unless the bytes are exactly one message.
+pub fn decode<T: for<'a> Deserialize<'a>>(bytes: &[u8]) -> Option<T> {
     let (message, rest) = postcard::take_from_bytes(bytes).ok()?;
     rest.is_empty().then_some(message)
 }
--- a/broker/crates/blocks/tests/golden.rs
+++ b/broker/crates/blocks/tests/golden.rs
@@ -8,10 +8,12 @@
 use std::path::PathBuf;
 
 use gingerledge_blocks::validate::{
-    Bounds, Document, Draft, Fault, Finding, Least, Names, Passage, Row, Site,
+    Bounds, Document, Draft, Fault, Finding, Names, Redundancy, Row, Site, Transition,
+};
+use gingerledge_blocks::validate::{EntryWait, Standing, Unfit};
+use gingerledge_blocks::wire::{
+    self, CopyReply, CopyRequest, HeldBlock, LogSection, MapPage, OrderReply, SectionRequest,
 };
-use gingerledge_blocks::validate::{Standing, Unfit, Wait};
-use gingerledge_blocks::wire::{self, Copied, CopyCall, Held, News, Stretch, TailCall, Word};
 use gingerledge_blocks::*;
 use gingerledge_golden::{compare, read, Sample};
 use serde::de::DeserializeOwned;
@@ -37,12 +39,12 @@
     }
 
     fn add<T: Serialize + DeserializeOwned + PartialEq + Debug + 'static>(&mut self, name: &str, value: T) {
-        self.samples.push(Sample::new(name, wire::pack(&value)));
+        self.samples.push(Sample::new(name, wire::encode(&value)));
         let name = name.to_owned();
         self.checks.push(Box::new(move |bytes| {
-            let read: T = wire::unpack(bytes).unwrap_or_else(|| panic!("{name} can't be read"));
+            let read: T = wire::decode(bytes).unwrap_or_else(|| panic!("{name} can't be read"));
             assert!(read == value, "{name} reads as {read:?}");
-            assert_eq!(wire::pack(&read), bytes, "{name}");
+            assert_eq!(wire::encode(&read), bytes, "{name}");
         }));
     }
 
@@ -60,7 +62,7 @@
 }
 
 fn epoch(n: u32) -> Epoch {
-    Epoch::of(Term(3), n)
+    Epoch::from_parts(Term(3), n)
 }
 
 fn every_step() -> Vec<(&'static str, Step)> {
@@ -115,31 +117,31 @@
     ]
 }
 
-fn every_kind() -> Vec<(&'static str, Kind)> {
+fn every_kind() -> Vec<(&'static str, ChangeKind)> {
     let holders = vec![StoreId(1), StoreId(300)];
     let halves = vec![(BlockId(8), Span::new(300, 5000)), (BlockId(9), Span::new(5000, 70_000))];
     vec![
-        ("move", Kind::Move { from: StoreId(1), to: StoreId(2) }),
-        ("add", Kind::Add { source: StoreId(1), to: StoreId(2) }),
-        ("remove", Kind::Remove { from: StoreId(1), keeper: StoreId(2) }),
-        ("split", Kind::Split { holders: holders.clone(), new: halves }),
-        ("merge", Kind::Merge { with: BlockId(6), holders, new: vec![(BlockId(10), span())] }),
+        ("move", ChangeKind::Move { from: StoreId(1), to: StoreId(2) }),
+        ("add", ChangeKind::Add { source: StoreId(1), to: StoreId(2) }),
+        ("remove", ChangeKind::Remove { from: StoreId(1), keeper: StoreId(2) }),
+        ("split", ChangeKind::Split { holders: holders.clone(), new: halves }),
+        ("merge", ChangeKind::Merge { with: BlockId(6), holders, new: vec![(BlockId(10), span())] }),
     ]
 }
 
-fn change(kind: Kind) -> Change {
+fn change(kind: ChangeKind) -> Change {
     Change::new(ChangeId(400), BlockId(5), span(), kind, epoch(1), epoch(2))
 }
 
 /// A change that has gone to its fence: the fields that none sets from outside differ from one another.
 fn change_under_way() -> Change {
-    let patience = Patience::default();
-    let done = |watermark| Ok(Done { mode: Some(Mode::Copying), watermark, copied: 0 });
-    let mut change = change(Kind::Move { from: StoreId(1), to: StoreId(2) });
+    let patience = Timeouts::default();
+    let done = |watermark| Ok(OrderOutcome { mode: Some(Mode::Copying), watermark, copied: 0 });
+    let mut change = change(ChangeKind::Move { from: StoreId(1), to: StoreId(2) });
     change.handle(1000, Input::Resume, &patience);
-    change.handle(1100, Input::Said(StoreId(2), done(0)), &patience);
+    change.handle(1100, Input::Reply(StoreId(2), done(0)), &patience);
     change.handle(1200, Input::Copied { copied: 500, length: 501 }, &patience);
-    change.handle(1300, Input::Silent(StoreId(1)), &patience);
+    change.handle(1300, Input::NoReply(StoreId(1)), &patience);
     change
 }
 
@@ -165,7 +167,7 @@
 fn snapshot() -> Snapshot {
     let bare = Block { id: BlockId(6), extent: None, span: Span::new(70_000, 80_000), ..block() };
     let gone = vec![(BlockId(4), Span::new(0, 300), epoch(6))];
-    Snapshot { version: 1234, living: vec![block(), bare], retired: gone }
+    Snapshot { version: 1234, active: vec![block(), bare], retired: gone }
 }
 
 fn stores() -> Vec<(StoreId, String)> {
@@ -185,7 +187,7 @@
         map: snapshot(),
         changes,
         paused: true,
-        given: (10, 400, 70_000),
+        last_assigned: (10, 400, 70_000),
     }
 }
 
@@ -197,11 +199,11 @@
         ("begin under way".to_owned(), LogRecord::Begin(change_under_way())),
         (
             "batch".to_owned(),
-            LogRecord::Batch(Batch { version: 1235, records: vec![Record::Living(block()), retired()] }),
+            LogRecord::Batch(Batch { version: 1235, records: vec![Record::Active(block()), retired()] }),
         ),
         ("paused".to_owned(), LogRecord::Paused(true)),
         ("resumed".to_owned(), LogRecord::Paused(false)),
-        ("given".to_owned(), LogRecord::Given { blocks: 10, changes: 400, epochs: 70_000 }),
+        ("given".to_owned(), LogRecord::Assigned { blocks: 10, changes: 400, epochs: 70_000 }),
     ];
     let begin = |(name, kind)| (format!("begin {name}"), LogRecord::Begin(change(kind)));
     records.extend(every_kind().into_iter().map(begin));
@@ -236,7 +238,7 @@
 #[test]
 fn a_log_with_a_torn_tail_is_read_and_mended_as_it_was() {
     let records: Vec<LogRecord> = every_record().into_iter().map(|(_, record)| record).collect();
-    let (mut log, _) = Log::open(ForgetfulDisk::default()).unwrap();
+    let (mut log, _) = Log::open(SimulatedDisk::default()).unwrap();
     log.append(&records).unwrap();
     let whole = log.disk().bytes().to_vec();
     let torn = [&whole[..], &encode(&LogRecord::Store(StoreId(9), "torn".into()))[..11]].concat();
@@ -247,10 +249,10 @@
     let (read, sound) = decode(&torn).unwrap();
     assert!(read == records);
     assert_eq!(sound, whole.len());
-    let (log, opened) = Log::open(ForgetfulDisk::with(torn)).unwrap();
+    let (log, opened) = Log::open(SimulatedDisk::with(torn)).unwrap();
     assert!(opened == records);
     assert_eq!(log.disk().bytes(), whole, "the torn record is cut off");
-    let (mut again, _) = Log::open(ForgetfulDisk::default()).unwrap();
+    let (mut again, _) = Log::open(SimulatedDisk::default()).unwrap();
     again.append(&read).unwrap();
     assert_eq!(again.disk().bytes(), whole);
 }
@@ -261,7 +263,7 @@
     let bounds = gingerledge_blocks::Bounds::default();
     let mut old = State { changes: Vec::new(), ..state() };
     // What the retired block had is covered by the first that lives.
-    old.map.living[0].span.first = 0;
+    old.map.active[0].span.first = 0;
     let old = LogRecord::Start(Box::new(old));
     let (coordinator, start) = Coordinator::begin(5000, Term(4), vec![old], bounds).unwrap();
     compare(&file("coordinator.txt"), &[Sample::new("start of the next term", encode(&start))]);
@@ -276,21 +278,21 @@
 fn orders_are_packed_and_read_as_they_were() {
     let orders = [
         ("inventory", Order::Inventory),
-        ("found", Order::Found { span: span() }),
+        ("found", Order::Create { span: span() }),
         ("prepare", Order::Prepare { span: span(), from: StoreId(300) }),
         ("fence", Order::Fence { to: StoreId(300) }),
-        ("read", Order::Read),
+        ("read", Order::AllowReads),
         ("retire", Order::Retire),
         ("open", Order::Open),
         ("forget", Order::Forget),
         ("unfence", Order::Unfence),
-        ("name", Order::Name { old: vec![BlockId(1), BlockId(2)], new: vec![(BlockId(300), span())] }),
-        ("unname", Order::Unname { names: vec![BlockId(1), BlockId(300)] }),
+        ("name", Order::AddNames { old: vec![BlockId(1), BlockId(2)], new: vec![(BlockId(300), span())] }),
+        ("unname", Order::RemoveNames { names: vec![BlockId(1), BlockId(300)] }),
     ];
     let mut packed = Packed::new("orders.txt");
     for (name, order) in orders {
         let (term, serial, block) = (Term(3), 999, BlockId(5));
-        packed.add(name, Ordered { term, serial, block, epoch: epoch(1), order });
+        packed.add(name, StampedOrder { term, serial, block, epoch: epoch(1), order });
     }
     packed.check();
 }
@@ -303,44 +305,56 @@
 fn words_are_packed_and_read_as_they_were() {
     let mut packed = Packed::new("words.txt");
     for (name, mode) in every_mode() {
-        packed
-            .add(&format!("done {name}"), Word::Done(Done { mode: Some(mode), watermark: 400, copied: 399 }));
+        packed.add(
+            &format!("done {name}"),
+            OrderReply::Done(OrderOutcome { mode: Some(mode), watermark: 400, copied: 399 }),
+        );
     }
-    packed.add("done and not held", Word::Done(Done { mode: None, watermark: 1, copied: 2 }));
+    packed.add("done and not held", OrderReply::Done(OrderOutcome { mode: None, watermark: 1, copied: 2 }));
     for (name, refusal) in every_refusal() {
-        packed.add(&format!("refused {name}"), Word::Refused(refusal));
+        packed.add(&format!("refused {name}"), OrderReply::Refused(refusal));
     }
-    let held = |mode| Held { block: BlockId(5), holding: holding(mode), bytes: 1_000_000, parts: 5 };
-    let mut all: Vec<Held> = every_mode().into_iter().map(|(_, mode)| held(mode)).collect();
+    let held = |mode| HeldBlock { block: BlockId(5), holding: holding(mode), bytes: 1_000_000, parts: 5 };
+    let mut all: Vec<HeldBlock> = every_mode().into_iter().map(|(_, mode)| held(mode)).collect();
     all[0].holding.peer = None;
-    packed.add("holds", Word::Holds { held: all, more: true });
-    packed.add("holds nothing", Word::Holds { held: Vec::new(), more: false });
+    packed.add("holds", OrderReply::Inventory { held: all, more: true });
+    packed.add("holds nothing", OrderReply::Inventory { held: Vec::new(), more: false });
     packed.check();
 }
 
 #[test]
 fn copies_stretches_and_news_are_packed_and_read_as_they_were() {
     let entry = |key: &str| Entry { key: key.into(), weigher: 500, value: vec![1, 2, 255] };
-    let from = |text: &str| CopyCall {
+    let from = |text: &str| CopyRequest {
         block: BlockId(5),
         epoch: epoch(1),
         from: text.parse().unwrap(),
-        at: 300,
+        start: 300,
         bytes: 49_152,
     };
     let mut packed = Packed::new("messages.txt");
     packed.add("copy over IPv4", from("127.0.0.1:8080"));
     packed.add("copy over IPv6", from("[2001:db8::7]:8080"));
-    packed.add("copied", Some(Copied { copied: 300, length: 400, bytes: 500 }));
-    packed.add("not copied", None::<Copied>);
-    packed.add("tail", TailCall { span: span(), at: 300, bytes: 49_152 });
-    packed.add("stretch", Stretch { entries: vec![entry("q1.3"), entry("")], next: 4, length: 900 });
-    let records = vec![Record::Living(block()), retired()];
-    let upto = Cursor { version: 1234, block: BlockId(5) };
-    packed.add("news", News { stores: stores(), records, upto, version: 1235, term: 3, whole: true });
+    packed.add("copied", Some(CopyReply { copied: 300, length: 400, bytes: 500 }));
+    packed.add("not copied", None::<CopyReply>);
+    packed.add("tail", SectionRequest { span: span(), start: 300, bytes: 49_152 });
+    packed.add("stretch", LogSection { entries: vec![entry("q1.3"), entry("")], next: 4, length: 900 });
+    let records = vec![Record::Active(block()), retired()];
+    let cursor = Cursor { version: 1234, block: BlockId(5) };
+    packed.add(
+        "news",
+        MapPage { stores: stores(), records, cursor, version: 1235, term: 3, is_full_map: true },
+    );
     packed.add(
         "no news",
-        News { stores: vec![], records: vec![], upto: Cursor::at(9), version: 9, term: 3, whole: false },
+        MapPage {
+            stores: vec![],
+            records: vec![],
+            cursor: Cursor::after_version(9),
+            version: 9,
+            term: 3,
+            is_full_map: false,
+        },
     );
     packed.check();
 }
@@ -349,9 +363,9 @@
 fn what_is_kept_on_disk_is_packed_and_read_as_it_was() {
     let blocks = every_mode().into_iter().map(|(_, mode)| (BlockId(5), holding(mode))).collect();
     let entries = vec![Entry { key: "q1.3".into(), weigher: 500, value: vec![1, 2, 255] }];
-    let (gone, latest) = (vec![(BlockId(4), epoch(6))], vec![(BlockId(5), 999)]);
+    let (deleted, last_serials) = (vec![(BlockId(4), epoch(6))], vec![(BlockId(5), 999)]);
     let mut packed = Packed::new("kept.txt");
-    packed.add("a store's disk", Kept { term: Term(3), blocks, gone, latest, entries });
+    packed.add("a store's disk", DurableState { term: Term(3), blocks, deleted, last_serials, entries });
     packed.add("a map", snapshot());
     packed.add("a broker's kept map", (snapshot(), stores(), 3u32));
     packed.check();
@@ -359,7 +373,7 @@
 
 #[test]
 fn the_letters_are_what_they_were() {
-    let letters = [wire::ORDER, wire::WORD, wire::COPY, wire::COPIED, wire::TAIL, wire::STRETCH];
+    let letters = [wire::ORDER, wire::REPLY, wire::COPY, wire::COPIED, wire::READ_SECTION, wire::SECTION];
     compare(&file("letters.txt"), &[Sample::new("letters", letters), Sample::new("magic", *MAGIC)]);
 }
 
@@ -422,9 +436,10 @@
         samples.push(Sample::new(&format!("{name}, JSON"), serde_json::to_vec(&finding).unwrap()));
         samples.push(Sample::new(&format!("{name}, text"), finding.to_string()));
     }
-    let wait = Wait { keys: span(), block: BlockId(5), from: vec!["s-1".into()], to: vec!["s-2".into()] };
+    let wait =
+        EntryWait { keys: span(), block: BlockId(5), from: vec!["s-1".into()], to: vec!["s-2".into()] };
     let finding = Finding { fault: Fault::Gap, keys: None, blocks: Vec::new(), lines: Vec::new() };
-    let passage = Passage { findings: vec![finding], waits: vec![wait] };
+    let passage = Transition { findings: vec![finding], waits: vec![wait] };
     samples.push(Sample::new("passage, JSON", serde_json::to_vec(&passage).unwrap()));
     compare(&file("findings.txt"), &samples);
 }
@@ -505,7 +520,7 @@
     };
     let expected = Draft {
         keys: Span::new(0, 200),
-        least: Least { holders: 2, zones: 3 },
+        minimum: Redundancy { holders: 2, zones: 3 },
         sites: vec![
             site(0, a, north, 100.0, Standing::Listed, lines(0)),
             site(1, b, none, 50.0, Standing::Cold, lines(1)),
--- a/broker/crates/blocks/tests/log.rs
+++ b/broker/crates/blocks/tests/log.rs
@@ -10,22 +10,28 @@
     let block = Block {
         id: BlockId(1),
         span,
-        epoch: Epoch::of(Term(1), 1),
+        epoch: Epoch::from_parts(Term(1), 1),
         replicas: vec![replica(0), replica(1)],
         extent: Some(Extent([1.0, 2.0, 3.0, 4.0])),
     };
-    let kind = Kind::Move { from: StoreId(0), to: StoreId(2) };
-    let change =
-        Change::new(ChangeId(1), BlockId(1), span, kind, Epoch::of(Term(1), 2), Epoch::of(Term(1), 3));
+    let kind = ChangeKind::Move { from: StoreId(0), to: StoreId(2) };
+    let change = Change::new(
+        ChangeId(1),
+        BlockId(1),
+        span,
+        kind,
+        Epoch::from_parts(Term(1), 2),
+        Epoch::from_parts(Term(1), 3),
+    );
     vec![
         LogRecord::Start(Box::new(State { term: Term(1), ..State::default() })),
         LogRecord::Store(StoreId(0), "s-5be2a07c".into()),
-        LogRecord::Batch(Batch { version: 1, records: vec![Record::Living(block)] }),
+        LogRecord::Batch(Batch { version: 1, records: vec![Record::Active(block)] }),
         LogRecord::Begin(change),
         LogRecord::Step(ChangeId(1), Step::CatchingUp { watermark: 77 }, None),
         LogRecord::Step(ChangeId(1), Step::Dropping, Some(Reason::Asked)),
         LogRecord::Paused(true),
-        LogRecord::Given { blocks: 3, changes: 4, epochs: 5 },
+        LogRecord::Assigned { blocks: 3, changes: 4, epochs: 5 },
     ]
 }
 
@@ -50,7 +56,7 @@
         let end = ends.iter().copied().filter(|end| *end <= cut).max().unwrap_or(0);
         assert_eq!(sound, end, "cut at {cut}");
         // Opened, it is repaired, and what is added follows the last whole record.
-        let (mut log, again) = Log::open(ForgetfulDisk::with(whole[..cut].to_vec())).unwrap();
+        let (mut log, again) = Log::open(SimulatedDisk::with(whole[..cut].to_vec())).unwrap();
         assert_eq!(again, read);
         log.append(&[LogRecord::Paused(false)]).unwrap();
         let (after, _) = decode(log.disk().bytes()).unwrap();
@@ -74,7 +80,7 @@
                     assert_eq!(read, all[..all.len() - 1]);
                 }
                 Err(LogError::Magic(_)) => assert!(at < MAGIC.len()),
-                Err(LogError::Spoilt { number, at: begins }) => {
+                Err(LogError::Damaged { number, at: begins }) => {
                     assert_eq!(begins, ends[number]);
                     assert!((begins..ends[number + 1]).contains(&at));
                 }
@@ -89,8 +95,8 @@
     let all = records();
     let (whole, ends) = bytes(&all);
     for most in 0..whole.len() {
-        let mut disk = ForgetfulDisk::default();
-        disk.most = Some(most);
+        let mut disk = SimulatedDisk::default();
+        disk.capacity = Some(most);
         let Ok((mut log, _)) = Log::open(disk) else {
             assert!(most < MAGIC.len());
             continue;
@@ -99,7 +105,7 @@
         for kept in [0, 1, 7, 10_000] {
             let mut disk = log.disk().clone();
             disk.crash(kept);
-            disk.most = None;
+            disk.capacity = None;
             let (mut log, read) = Log::open(disk).unwrap();
             assert_eq!(read.iter().collect::<Vec<_>>(), lasts, "disk of {most}, {kept} kept");
             log.append(&[LogRecord::Paused(true)]).unwrap();
--- a/broker/crates/blocks/tests/map.rs
+++ b/broker/crates/blocks/tests/map.rs
@@ -13,15 +13,21 @@
         stores.iter().map(|s| Replica { store: StoreId(*s), state: ReplicaState::Serving }).collect();
     let degrees = |n: u64| n as f64 / WEIGHERS as f64 * 100.0;
     let extent = Some(Extent([degrees(first), 0.0, degrees(end), 10.0]));
-    Block { id: BlockId(id), span: Span::new(first, end), epoch: Epoch::of(Term(1), epoch), replicas, extent }
+    Block {
+        id: BlockId(id),
+        span: Span::new(first, end),
+        epoch: Epoch::from_parts(Term(1), epoch),
+        replicas,
+        extent,
+    }
 }
 
 fn living(block: Block) -> Record {
-    Record::Living(block)
+    Record::Active(block)
 }
 
 fn retired(block: &Block, epoch: u32) -> Record {
-    Record::Retired { id: block.id, span: block.span, epoch: Epoch::of(Term(1), epoch) }
+    Record::Retired { id: block.id, span: block.span, epoch: Epoch::from_parts(Term(1), epoch) }
 }
 
 /// Random splits, merges and moves.
@@ -92,16 +98,16 @@
 
     fn check(&self, map: &BlockMap) {
         for weigher in 0..WEIGHERS {
-            assert_eq!(map.of_weigher(weigher).unwrap().id.0, self.plain[weigher as usize]);
+            assert_eq!(map.block_of_weigher(weigher).unwrap().id.0, self.plain[weigher as usize]);
         }
-        assert!(map.of_weigher(WEIGHERS).is_none());
+        assert!(map.block_of_weigher(WEIGHERS).is_none());
         for (id, span) in &self.spans {
             let pieces = map.resolve(BlockId(*id)).unwrap();
             // The pieces are the span again, without gap or overlap, each of the block that has it now.
             let mut at = span.first;
             for piece in &pieces {
                 assert_eq!(piece.slice.first, at);
-                assert_eq!(piece.all, map.block(piece.block).unwrap().span == piece.slice);
+                assert_eq!(piece.is_whole_block, map.block(piece.block).unwrap().span == piece.slice);
                 for weigher in piece.slice.first..piece.slice.end {
                     assert_eq!(self.plain[weigher as usize], piece.block.0);
                 }
@@ -110,14 +116,14 @@
             assert_eq!(at, span.end, "block {id}");
         }
         for store in 0..10 {
-            let mut here: Vec<BlockId> = map.at_store(StoreId(store)).collect();
+            let mut here: Vec<BlockId> = map.blocks_at_store(StoreId(store)).collect();
             here.sort_unstable();
             let mut there: Vec<BlockId> =
-                map.blocks().filter(|b| b.held_by(StoreId(store))).map(|b| b.id).collect();
+                map.blocks().filter(|b| b.is_holder(StoreId(store))).map(|b| b.id).collect();
             there.sort_unstable();
             assert_eq!(here, there);
         }
-        let found = map.in_extent(Extent([20.1, 1.0, 30.0, 2.0]));
+        let found = map.blocks_in_extent(Extent([20.1, 1.0, 30.0, 2.0]));
         let mut touch: Vec<BlockId> = map
             .blocks()
             .filter(|b| b.extent.unwrap().0[0] <= 30.0 && b.extent.unwrap().0[2] >= 20.1)
@@ -151,9 +157,9 @@
             for _ in 0..player.rng.usize(1..6) {
                 player.step();
             }
-            let (mut at, mut all) = (Cursor::at(broker.version()), Vec::new());
-            while at < Cursor::at(player.map.version()) {
-                let (records, upto) = player.map.since(at, 2).unwrap();
+            let (mut at, mut all) = (Cursor::after_version(broker.version()), Vec::new());
+            while at < Cursor::after_version(player.map.version()) {
+                let (records, upto) = player.map.changes_since(at, 2).unwrap();
                 all.extend(records);
                 at = upto;
                 // The map goes on changing while the pages are read.
@@ -187,7 +193,10 @@
             "an empty block",
             vec![retired(&a, 2), living(block(5, 0, 50, 2, &[0])), living(block(6, 50, 50, 2, &[0]))],
         ),
-        ("another's span", vec![Record::Retired { id: a.id, span: b.span, epoch: Epoch::of(Term(1), 2) }]),
+        (
+            "another's span",
+            vec![Record::Retired { id: a.id, span: b.span, epoch: Epoch::from_parts(Term(1), 2) }],
+        ),
     ];
     for (what, records) in cases {
         assert!(map.apply(&batch(2, records)).is_err(), "{what}");
@@ -217,7 +226,7 @@
         living(at(3, 30, [0.0, 0.0, 10.0, 10.0])),
     ];
     map.apply(&Batch { version: 1, records }).unwrap();
-    let found = |extent| map.in_extent(Extent(extent)).into_iter().map(|id| id.0).collect::<Vec<_>>();
+    let found = |extent| map.blocks_in_extent(Extent(extent)).into_iter().map(|id| id.0).collect::<Vec<_>>();
     assert_eq!(found([175.0, 0.0, -175.0, 40.0]), [0, 1, 2]);
     assert_eq!(found([-180.0, 25.0, -178.0, 26.0]), [2]);
     assert_eq!(found([-180.0, -90.0, 180.0, 90.0]), [0, 1, 2, 3]);
@@ -229,7 +238,7 @@
     let mut map = BlockMap::new(10, 3);
     map.apply(&Batch { version: 1, records: vec![living(block(0, 0, 64, 1, &[0]))] }).unwrap();
     for n in 0..6u32 {
-        let old = map.of_weigher(0).unwrap().clone();
+        let old = map.block_of_weigher(0).unwrap().clone();
         let records = vec![retired(&old, n + 2), living(block(n + 1, 0, 64, n + 2, &[0]))];
         map.apply(&Batch { version: u64::from(n) + 2, records }).unwrap();
     }
@@ -238,7 +247,7 @@
     // Who was away for so long can't be told what has changed, and needs the whole map.
     let mut broker = BlockMap::new(10, 3);
     broker.apply(&Batch { version: 1, records: vec![living(block(0, 0, 64, 1, &[0]))] }).unwrap();
-    let (records, upto) = map.since(Cursor::at(1), 100).unwrap();
+    let (records, upto) = map.changes_since(Cursor::after_version(1), 100).unwrap();
     assert!(broker.catch_up(records, upto.version).is_err());
     assert_eq!(broker.version(), 1);
 }
--- a/broker/crates/blocks/tests/maps/brute.rs
+++ b/broker/crates/blocks/tests/maps/brute.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeSet;
 
-use gingerledge_blocks::validate::{Draft, Fault, Finding, Passage, Row, Site, Standing, Unfit};
-use gingerledge_blocks::{StoreId, REPLICAS_MOST};
+use gingerledge_blocks::validate::{Draft, Fault, Finding, Row, Site, Standing, Transition, Unfit};
+use gingerledge_blocks::{StoreId, MAX_REPLICAS};
 
 /// Findings cut down to single keys, or to what they say of a block or a store: a set that both ways have to give.
 pub type Said = BTreeSet<String>;
@@ -111,13 +111,13 @@
         }
         let zones: BTreeSet<u16> =
             draft.sites.iter().filter(|site| sound.contains(&site.store)).map(|site| site.zone).collect();
-        if sound.len() < draft.least.holders as usize {
+        if sound.len() < draft.minimum.holders as usize {
             say(&format!("holders {}", sound.len()));
         }
-        if !row.holders.is_empty() && zones.len() < draft.least.zones as usize {
+        if !row.holders.is_empty() && zones.len() < draft.minimum.zones as usize {
             say(&format!("zones {}", zones.len()));
         }
-        assert!(seen.len() <= REPLICAS_MOST);
+        assert!(seen.len() <= MAX_REPLICAS);
     }
     for (n, site) in draft.sites.iter().enumerate() {
         if draft.sites[..n].iter().any(|before| before.store == site.store) {
@@ -127,11 +127,11 @@
         let held = draft.rows.iter().filter(|row| row.holders.contains(&site.store));
         let load: f64 = held
             .map(|row| {
-                let of = |other: &&Site| row.holders.contains(&other.store) && other.standing.sound();
+                let of = |other: &&Site| row.holders.contains(&other.store) && other.standing.is_usable();
                 let first = |n: usize| draft.sites[..n].iter().all(|s| s.store != draft.sites[n].store);
                 let sites = draft.sites.iter().enumerate().filter(|(n, other)| of(other) && first(*n));
                 let (all, count) = sites.fold((0.0, 0), |(sum, n), (_, other)| (sum + other.capacity, n + 1));
-                match (site.standing.sound(), all > 0.0) {
+                match (site.standing.is_usable(), all > 0.0) {
                     (false, _) => 0.0,
                     (true, true) => row.load * site.capacity / all,
                     (true, false) => row.load / f64::from(count),
@@ -233,7 +233,7 @@
 }
 
 /// What the validator said of a passage, in the same words.
-pub fn said_of(passage: &Passage) -> (Said, BTreeSet<u64>) {
+pub fn said_of(passage: &Transition) -> (Said, BTreeSet<u64>) {
     let waits = passage.waits.iter().flat_map(|wait| wait.keys.first..wait.keys.end).collect();
     (said(&passage.findings), waits)
 }
--- a/broker/crates/blocks/tests/maps/mod.rs
+++ b/broker/crates/blocks/tests/maps/mod.rs
@@ -6,7 +6,7 @@
 pub mod change;
 
 use fastrand::Rng;
-use gingerledge_blocks::validate::{Draft, Least, Row, Site, Standing};
+use gingerledge_blocks::validate::{Draft, Redundancy, Row, Site, Standing};
 use gingerledge_blocks::{BlockId, Epoch, Span, StoreId};
 
 /// One thing done wrong.
@@ -69,17 +69,17 @@
 }
 
 /// Listed stores in so many zones first, then any others.
-pub fn pick(rng: &mut Rng, least: Least) -> Vec<StoreId> {
+pub fn pick(rng: &mut Rng, minimum: Redundancy) -> Vec<StoreId> {
     let mut all: Vec<u32> = (0..LISTED).collect();
     rng.shuffle(&mut all);
     let mut picked: Vec<u32> = Vec::new();
     for store in &all {
-        if (picked.len() as u32) < least.zones && picked.iter().all(|other| other % 3 != store % 3) {
+        if (picked.len() as u32) < minimum.zones && picked.iter().all(|other| other % 3 != store % 3) {
             picked.push(*store);
         }
     }
     for store in all {
-        if (picked.len() as u32) < least.holders && !picked.contains(&store) {
+        if (picked.len() as u32) < minimum.holders && !picked.contains(&store) {
             picked.push(store);
         }
     }
@@ -92,13 +92,13 @@
     let first = [0, 1000, u64::MAX - many][rng.usize(..3)];
     let keys = Span::new(first, first + many);
     let holders = rng.u32(1..=3);
-    let least = Least { holders, zones: rng.u32(1..=holders) };
+    let minimum = Redundancy { holders, zones: rng.u32(1..=holders) };
     let mut cuts: Vec<u64> = (0..rng.usize(..7)).map(|_| first + rng.u64(..many)).collect();
     cuts.extend([keys.first, keys.end]);
     cuts.sort_unstable();
     cuts.dedup();
     let spans = cuts.windows(2).map(|pair| Span::new(pair[0], pair[1]));
-    let mut rows: Vec<Row> = spans.zip(20..).map(|(span, id)| row(id, span, pick(rng, least))).collect();
+    let mut rows: Vec<Row> = spans.zip(20..).map(|(span, id)| row(id, span, pick(rng, minimum))).collect();
     for row in &mut rows {
         if rng.u32(..3) == 0 {
             let free = (0..LISTED).map(StoreId).find(|store| !row.holders.contains(store));
@@ -126,12 +126,12 @@
     };
     rng.shuffle(&mut rows);
     let retired = (1..4).map(BlockId).collect();
-    Draft { keys, least, sites: (0..UNKNOWN.0).map(site).collect(), rows, retired }
+    Draft { keys, minimum, sites: (0..UNKNOWN.0).map(site).collect(), rows, retired }
 }
 
 /// Breaks a sound map; `None` where this break can't be made of it. Gives the block that is to be named.
 pub fn break_it(rng: &mut Rng, draft: &mut Draft, what: Break) -> Option<BlockId> {
-    let (keys, least) = (draft.keys, draft.least);
+    let (keys, minimum) = (draft.keys, draft.minimum);
     let n = rng.usize(..draft.rows.len());
     let other = rng.usize(..draft.rows.len());
     let twin = draft.rows[other].id;
@@ -156,7 +156,7 @@
         Break::CopierGone => row.copying = vec![GONE],
         Break::HeldTwice => row.holders.push(row.holders[rng.usize(..row.holders.len())]),
         Break::FewerHolders => drop(row.holders.pop()),
-        Break::FewerZones if least.zones > 1 => {
+        Break::FewerZones if minimum.zones > 1 => {
             // As many holders as before, all in the first one's zone.
             let zone = row.holders[0].0 % 3;
             row.holders =
@@ -192,8 +192,8 @@
         draft.keys.first,
         draft.keys.end,
         retired.join(", "),
-        draft.least.holders,
-        draft.least.zones
+        draft.minimum.holders,
+        draft.minimum.zones
     );
     let line = |text: &str| text.lines().count() as u32 + 1;
     for site in &mut draft.sites {
--- a/broker/crates/blocks/tests/model.rs
+++ b/broker/crates/blocks/tests/model.rs
@@ -6,8 +6,8 @@
 mod shown;
 
 use gingerledge_blocks::{
-    BlockId, Change, ChangeId, Done, Effect, Entry, Epoch, Holdings, Input, Kind, Mode, Order, Ordered,
-    Patience, Refusal, Span, Step, StoreId, Term, Verdict,
+    Admission, BlockId, Change, ChangeId, ChangeKind, Effect, Entry, Epoch, Holdings, Input, Mode, Order,
+    OrderOutcome, Refusal, Span, StampedOrder, Step, StoreId, Term, Timeouts,
 };
 use shown::Store;
 use stateright::{Checker, Model, Property};
@@ -20,7 +20,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 enum Wire {
     Order(usize, Step, Epoch, Order),
-    Word(usize, Step, Result<Done, Refusal>),
+    Word(usize, Step, Result<OrderOutcome, Refusal>),
     Copy(Step, u64),
     Copied(Step, u64, u64),
     Entry(usize, Epoch),
@@ -60,13 +60,13 @@
     fenceless: bool,
 }
 
-fn patience() -> Patience {
-    Patience { again_ms: 1, again_most_ms: 1, step_ms: 100, lag: 0 }
+fn patience() -> Timeouts {
+    Timeouts { retry_initial_ms: 1, retry_max_ms: 1, step_timeout_ms: 100, max_lag_entries: 0 }
 }
 
 fn fresh() -> Change {
-    let kind = Kind::Move { from: StoreId(0), to: StoreId(1) };
-    let (epoch, back) = (Epoch::of(Term(1), 2), Epoch::of(Term(1), 3));
+    let kind = ChangeKind::Move { from: StoreId(0), to: StoreId(1) };
+    let (epoch, back) = (Epoch::from_parts(Term(1), 2), Epoch::from_parts(Term(1), 3));
     Change::new(ChangeId(1), BLOCK, SPAN, kind, epoch, back)
 }
 
@@ -82,7 +82,7 @@
                     Effect::Order(store, _, epoch, order) => {
                         world.wire.insert(Wire::Order(store.0 as usize, step, epoch, order));
                     }
-                    Effect::Copy { at, .. } => drop(world.wire.insert(Wire::Copy(step, at))),
+                    Effect::Copy { start, .. } => drop(world.wire.insert(Wire::Copy(step, start))),
                     Effect::Commit => {
                         world.committed = true;
                         inputs.push(Input::Committed);
@@ -90,7 +90,7 @@
                 }
             }
         }
-        if world.change.step.ended() {
+        if world.change.step.has_ended() {
             // What is still on the wire belongs to the past; the entry alone goes on.
             world.wire.retain(|wire| matches!(wire, Wire::Order(..) | Wire::Entry(..) | Wire::Ran(..)));
         }
@@ -99,18 +99,18 @@
     fn deliver(&self, world: &mut World, wire: Wire) {
         match wire {
             Wire::Order(store, step, epoch, order) => {
-                let ordered = Ordered { term: Term(1), serial: 1, block: BLOCK, epoch, order };
-                let word = world.stores[store].0.obey(&ordered);
+                let ordered = StampedOrder { term: Term(1), serial: 1, block: BLOCK, epoch, order };
+                let word = world.stores[store].0.carry_out(&ordered);
                 world.wire.insert(Wire::Word(store, step, word));
             }
             Wire::Word(store, step, word) if world.change.step == step => {
-                self.play(world, Input::Said(StoreId(store as u32), word), 0);
+                self.play(world, Input::Reply(StoreId(store as u32), word), 0);
             }
             Wire::Copy(step, at) => {
-                let (entries, next) = world.stores[0].0.tail(SPAN, at, 1000);
+                let (entries, next) = world.stores[0].0.read_section(SPAN, at, 1000);
                 let length = world.stores[0].0.entries().len() as u64;
                 let epoch = world.change.epoch;
-                world.stores[1].0.absorb(BLOCK, epoch, at, entries, next);
+                world.stores[1].0.apply_section(BLOCK, epoch, at, entries, next);
                 let copied = world.stores[1].0.block(BLOCK).map_or(0, |held| held.copied);
                 world.wire.insert(Wire::Copied(step, copied, length));
             }
@@ -118,15 +118,15 @@
                 self.play(world, Input::Copied { copied, length }, 0);
             }
             Wire::Entry(store, epoch) => {
-                let verdict = world.stores[store].0.admit(BLOCK, epoch, Some(KEY));
+                let verdict = world.stores[store].0.admission(BLOCK, epoch, Some(KEY));
                 let good = match verdict {
-                    Verdict::Run(_) => {
+                    Admission::Execute(_) => {
                         let entry = Entry { key: KEY.into(), weigher: 3, value: vec![1] };
-                        world.runs += u8::from(world.stores[store].0.run(entry));
+                        world.runs += u8::from(world.stores[store].0.append(entry));
                         true
                     }
-                    Verdict::Known(_) => true,
-                    Verdict::Later(_) => false,
+                    Admission::Duplicate(_) => true,
+                    Admission::Reject(_) => false,
                 };
                 world.wire.insert(Wire::Ran(store, good));
             }
@@ -147,11 +147,16 @@
     fn init_states(&self) -> Vec<World> {
         let new = if self.fenceless { Holdings::without_fence } else { Holdings::new };
         let mut stores = [Store(new(4)), Store(new(4))];
-        let found = Order::Found { span: SPAN };
-        let ordered =
-            Ordered { term: Term(1), serial: 1, block: BLOCK, epoch: Epoch::of(Term(1), 1), order: found };
-        stores[0].0.obey(&ordered).unwrap();
-        stores[0].0.run(Entry { key: "old".into(), weigher: 1, value: vec![0] });
+        let found = Order::Create { span: SPAN };
+        let ordered = StampedOrder {
+            term: Term(1),
+            serial: 1,
+            block: BLOCK,
+            epoch: Epoch::from_parts(Term(1), 1),
+            order: found,
+        };
+        stores[0].0.carry_out(&ordered).unwrap();
+        stores[0].0.append(Entry { key: "old".into(), weigher: 1, value: vec![0] });
         let change = fresh();
         let mut world = World {
             logged: change.step,
@@ -186,7 +191,7 @@
         if world.crashes == 0 {
             actions.push(Act::Crash);
         }
-        if world.patience == 0 && !world.change.step.ended() {
+        if world.patience == 0 && !world.change.step.has_ended() {
             actions.push(Act::Impatient);
         }
         // An order is given again once nothing of its step is under way.
@@ -197,7 +202,7 @@
             }
             Wire::Entry(..) | Wire::Ran(..) => false,
         };
-        if !step.ended() && !world.wire.iter().any(under_way) {
+        if !step.has_ended() && !world.wire.iter().any(under_way) {
             actions.push(Act::Again);
         }
         if !world.out && !world.may_have_run && world.sent < 2 {
@@ -228,7 +233,7 @@
                 world.crashes += 1;
                 // What lasts is the change as it began, and the step in the log.
                 world.change = fresh();
-                world.change.recovered(world.logged);
+                world.change.restore_step(world.logged);
                 self.play(&mut world, Input::Resume, 0);
             }
             Act::Impatient => {
@@ -239,7 +244,7 @@
             Act::Again => self.play(&mut world, Input::Resume, 0),
             Act::Send(store) => {
                 (world.sent, world.out) = (world.sent + 1, true);
-                let epoch = if world.committed { world.change.epoch } else { Epoch::of(Term(1), 1) };
+                let epoch = if world.committed { world.change.epoch } else { Epoch::from_parts(Term(1), 1) };
                 world.wire.insert(Wire::Entry(store, epoch));
             }
         }
@@ -257,10 +262,14 @@
             Property::always("never held by nobody", |_, world: &World| {
                 // Whoever the map names now lets reads in.
                 let now = usize::from(world.committed);
-                let source_still =
-                    !matches!(world.stores[0].0.admit(BLOCK, Epoch(u64::MAX), None), Verdict::Later(_));
-                let named =
-                    !matches!(world.stores[now].0.admit(BLOCK, Epoch(u64::MAX), None), Verdict::Later(_));
+                let source_still = !matches!(
+                    world.stores[0].0.admission(BLOCK, Epoch(u64::MAX), None),
+                    Admission::Reject(_)
+                );
+                let named = !matches!(
+                    world.stores[now].0.admission(BLOCK, Epoch(u64::MAX), None),
+                    Admission::Reject(_)
+                );
                 named || (source_still && world.committed)
             }),
             Property::always("never run twice", |_, world: &World| world.runs <= 1),
--- a/broker/crates/blocks/tests/model_names.rs
+++ b/broker/crates/blocks/tests/model_names.rs
@@ -8,8 +8,8 @@
 use std::collections::BTreeSet;
 
 use gingerledge_blocks::{
-    BlockId, Change, ChangeId, Done, Effect, Epoch, Holdings, Input, Kind, Order, Ordered, Patience, Refusal,
-    Span, Step, StoreId, Term, Verdict,
+    Admission, BlockId, Change, ChangeId, ChangeKind, Effect, Epoch, Holdings, Input, Order, OrderOutcome,
+    Refusal, Span, StampedOrder, Step, StoreId, Term, Timeouts,
 };
 use shown::Store;
 use stateright::{Checker, Model, Property};
@@ -21,12 +21,14 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 enum Wire {
     Order(usize, u32, Epoch, u64, Order),
-    Word(usize, u32, Result<Done, Refusal>),
+    Word(usize, u32, Result<OrderOutcome, Refusal>),
 }
 
 /// Whether a store takes entries under all these names.
 fn takes(store: &Store, names: &[BlockId]) -> bool {
-    names.iter().all(|name| !matches!(store.0.admit(*name, Epoch(u64::MAX), Some("k")), Verdict::Later(_)))
+    names
+        .iter()
+        .all(|name| !matches!(store.0.admission(*name, Epoch(u64::MAX), Some("k")), Admission::Reject(_)))
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -76,15 +78,16 @@
     fn fresh(self) -> Change {
         let holders = vec![StoreId(0), StoreId(1)];
         let kind = match self.merge {
-            true => Kind::Merge { with: BlockId(2), holders, new: self.after() },
-            false => Kind::Split { holders, new: self.after() },
+            true => ChangeKind::Merge { with: BlockId(2), holders, new: self.after() },
+            false => ChangeKind::Split { holders, new: self.after() },
         };
-        let (epoch, back) = (Epoch::of(Term(1), 2), Epoch::of(Term(1), 3));
+        let (epoch, back) = (Epoch::from_parts(Term(1), 2), Epoch::from_parts(Term(1), 3));
         Change::new(ChangeId(1), BlockId(1), self.before()[0].1, kind, epoch, back)
     }
 
     fn play(self, world: &mut World, input: Input) {
-        let patience = Patience { again_ms: 1, again_most_ms: 1, step_ms: 100, lag: 0 };
+        let patience =
+            Timeouts { retry_initial_ms: 1, retry_max_ms: 1, step_timeout_ms: 100, max_lag_entries: 0 };
         let mut inputs = vec![input];
         while let Some(input) = inputs.pop() {
             for effect in world.change.handle(0, input, &patience) {
@@ -114,9 +117,9 @@
         let mut stores = [Store(Holdings::new(8)), Store(Holdings::new(8))];
         for store in &mut stores {
             for (block, span) in self.before() {
-                let order = Order::Found { span };
-                let epoch = Epoch::of(Term(1), 1);
-                store.0.obey(&Ordered { term: Term(1), serial: 0, block, epoch, order }).unwrap();
+                let order = Order::Create { span };
+                let epoch = Epoch::from_parts(Term(1), 1);
+                store.0.carry_out(&StampedOrder { term: Term(1), serial: 0, block, epoch, order }).unwrap();
             }
         }
         let change = self.fresh();
@@ -146,14 +149,14 @@
         if world.crashes == 0 {
             actions.push(Act::Crash);
         }
-        if world.doubts == 0 && !world.change.step.ended() {
+        if world.doubts == 0 && !world.change.step.has_ended() {
             actions.push(Act::Doubt);
         }
         let round = world.change.round;
         let under_way = |wire: &Wire| match wire {
             Wire::Order(_, of, ..) | Wire::Word(_, of, _) => *of == round,
         };
-        if !world.change.step.ended() && !world.wire.iter().any(under_way) {
+        if !world.change.step.has_ended() && !world.wire.iter().any(under_way) {
             actions.push(Act::Again);
         }
     }
@@ -169,12 +172,12 @@
                 }
                 match wire {
                     Wire::Order(store, round, epoch, serial, order) => {
-                        let ordered = Ordered { term: Term(1), serial, block: BlockId(1), epoch, order };
-                        let word = world.stores[store].0.obey(&ordered);
+                        let ordered = StampedOrder { term: Term(1), serial, block: BlockId(1), epoch, order };
+                        let word = world.stores[store].0.carry_out(&ordered);
                         world.wire.insert(Wire::Word(store, round, word));
                     }
                     Wire::Word(store, round, word) if world.change.round == round => {
-                        self.play(&mut world, Input::Said(StoreId(store as u32), word));
+                        self.play(&mut world, Input::Reply(StoreId(store as u32), word));
                     }
                     Wire::Word(..) => {}
                 }
@@ -187,7 +190,7 @@
                 world.crashes += 1;
                 let round = world.change.round;
                 world.change = self.fresh();
-                world.change.recovered(world.logged);
+                world.change.restore_step(world.logged);
                 // Words to the one before reach nobody: another's rounds are not taken for one's own.
                 world.change.round = round + 1;
                 self.play(&mut world, Input::Resume);
--- a/broker/crates/blocks/tests/plan.rs
+++ b/broker/crates/blocks/tests/plan.rs
@@ -11,9 +11,9 @@
         id: StoreId(n),
         zone: n % zones,
         capacity: 1.0,
-        takes: true,
-        leaves: false,
-        sound: true,
+        accepts_blocks: true,
+        evacuate: false,
+        responds: true,
     };
     (0..count).map(store).collect()
 }
@@ -32,10 +32,10 @@
         let records = (0..blocks).map(|n| {
             let span = Span::new(u64::from(n) * 100, u64::from(n) * 100 + 100);
             let replicas = vec![replica(n), replica(n + 1)];
-            Record::Living(Block {
+            Record::Active(Block {
                 id: BlockId(n),
                 span,
-                epoch: Epoch::of(Term(1), 1),
+                epoch: Epoch::from_parts(Term(1), 1),
                 replicas,
                 extent: None,
             })
@@ -47,7 +47,7 @@
                 BlockLoad {
                     bytes: 1000 + u64::from(n % 7) * 500,
                     load: 1.0 + f64::from(n % 3),
-                    rested: true,
+                    is_changeable: true,
                 },
             )
         };
@@ -59,20 +59,20 @@
     }
 
     fn carry_out(&mut self, plan: &Plan) {
-        for planned in &plan.wishes {
+        for planned in &plan.changes {
             self.epoch += 1;
             let serving = |store: &StoreId| Replica { store: *store, state: ReplicaState::Serving };
-            let (id, gone, new) = match &planned.wish {
-                Wish::Move(id, from, to) => (*id, Some(*from), Some(serving(to))),
-                Wish::Add(id, to) => (*id, None, Some(serving(to))),
-                Wish::Remove(id, from) => (*id, Some(*from), None),
+            let (id, gone, new) = match &planned.change {
+                ChangeRequest::Move(id, from, to) => (*id, Some(*from), Some(serving(to))),
+                ChangeRequest::Add(id, to) => (*id, None, Some(serving(to))),
+                ChangeRequest::Remove(id, from) => (*id, Some(*from), None),
                 _ => continue,
             };
             let mut block = self.map.block(id).unwrap().clone();
             block.replicas.retain(|r| Some(r.store) != gone);
             block.replicas.extend(new);
-            block.epoch = Epoch::of(Term(1), self.epoch);
-            let batch = Batch { version: self.map.version() + 1, records: vec![Record::Living(block)] };
+            block.epoch = Epoch::from_parts(Term(1), self.epoch);
+            let batch = Batch { version: self.map.version() + 1, records: vec![Record::Active(block)] };
             self.map.apply(&batch).unwrap();
         }
     }
@@ -82,17 +82,17 @@
         let mut wishes = 0;
         for _ in 0..200 {
             let plan = self.plan(stores, goal);
-            if plan.wishes.is_empty() {
+            if plan.changes.is_empty() {
                 return wishes;
             }
-            wishes += plan.wishes.len();
+            wishes += plan.changes.len();
             self.carry_out(&plan);
         }
         panic!("plans never come to an end");
     }
 
     fn count(&self, store: u32) -> usize {
-        self.map.at_store(StoreId(store)).count()
+        self.map.blocks_at_store(StoreId(store)).count()
     }
 }
 
@@ -104,14 +104,14 @@
     fleet.settle(&stores, &goal);
     assert!((0..12).all(|n| fleet.count(n) > 0), "every store has blocks");
     let skew = fleet.plan(&stores, &goal).skew.0;
-    assert!(skew <= 1.0 + goal.uneven, "skew {skew}");
+    assert!(skew <= 1.0 + goal.imbalance_start, "skew {skew}");
     for block in fleet.map.blocks() {
         let zones: HashSet<u32> = block.holders().map(|s| s.0 % 3).collect();
         assert_eq!(zones.len(), 2, "{}", block.id);
     }
     // Back to six: the others drain.
     for store in &mut stores[6..] {
-        (store.takes, store.leaves) = (false, true);
+        (store.accepts_blocks, store.evacuate) = (false, true);
     }
     fleet.settle(&stores, &goal);
     assert!((6..12).all(|n| fleet.count(n) == 0), "what drains is empty");
@@ -120,16 +120,16 @@
 
 #[test]
 fn drains_come_first_and_no_store_copies_more_than_it_may() {
-    let goal = Goal { copies: 2, most: 10, ..Goal::default() };
+    let goal = Goal { max_copies: 2, max_changes: 10, ..Goal::default() };
     let mut stores = stores(8, 2);
     let fleet = Fleet::new(80, 4);
-    (stores[1].takes, stores[1].leaves) = (false, true);
+    (stores[1].accepts_blocks, stores[1].evacuate) = (false, true);
     let plan = fleet.plan(&stores, &goal);
-    assert!(plan.wishes[0].urgent && plan.later > 0);
-    assert!(plan.wishes.len() <= 10);
+    assert!(plan.changes[0].urgent && plan.deferred > 0);
+    assert!(plan.changes.len() <= 10);
     let (mut ins, mut outs) = (HashMap::new(), HashMap::new());
-    for planned in &plan.wishes {
-        if let Wish::Move(_, from, to) = planned.wish {
+    for planned in &plan.changes {
+        if let ChangeRequest::Move(_, from, to) = planned.change {
             *ins.entry(to).or_insert(0) += 1;
             *outs.entry(from).or_insert(0) += 1;
         }
@@ -142,15 +142,15 @@
     let goal = Goal::default();
     let mut stores = stores(2, 2);
     let fleet = Fleet::new(4, 2);
-    (stores[0].takes, stores[0].leaves) = (false, true);
+    (stores[0].accepts_blocks, stores[0].evacuate) = (false, true);
     let plan = fleet.plan(&stores, &goal);
-    assert!(plan.wishes.is_empty());
-    assert_eq!(plan.stranded.len(), 4);
+    assert!(plan.changes.is_empty());
+    assert_eq!(plan.unresolved.len(), 4);
     // No holder answers: nothing can be copied.
-    stores.iter_mut().for_each(|store| (store.sound, store.takes) = (false, false));
+    stores.iter_mut().for_each(|store| (store.responds, store.accepts_blocks) = (false, false));
     let plan = fleet.plan(&stores, &goal);
-    assert_eq!(plan.stranded.len(), 4);
-    assert!(plan.stranded[0].1.contains("no holder answers"), "{:?}", plan.stranded);
+    assert_eq!(plan.unresolved.len(), 4);
+    assert!(plan.unresolved[0].1.contains("no holder answers"), "{:?}", plan.unresolved);
 }
 
 #[test]
@@ -158,7 +158,7 @@
     let goal = Goal::default();
     let mut stores = stores(4, 2);
     let mut fleet = Fleet::new(8, 4);
-    (stores[2].sound, stores[2].takes) = (false, false);
+    (stores[2].responds, stores[2].accepts_blocks) = (false, false);
     fleet.settle(&stores, &goal);
     for block in fleet.map.blocks() {
         assert!(block.holders().filter(|s| s.0 != 2).count() >= 2, "{}", block.id);
@@ -167,24 +167,30 @@
 
 #[test]
 fn hot_blocks_split_cold_ones_merge_and_nothing_flaps() {
-    let goal = Goal { split_above: 10.0, merge_below: 4.0, uneven: 9.0, ..Goal::default() };
+    let goal = Goal { split_above: 10.0, merge_below: 4.0, imbalance_start: 9.0, ..Goal::default() };
     let stores = stores(4, 2);
     let mut fleet = Fleet::new(8, 4);
     fleet.loads.values_mut().for_each(|load| load.load = 6.0);
-    assert!(fleet.plan(&stores, &goal).wishes.is_empty());
+    assert!(fleet.plan(&stores, &goal).changes.is_empty());
     fleet.loads.get_mut(&BlockId(3)).unwrap().load = 11.0;
     let plan = fleet.plan(&stores, &goal);
-    assert_eq!(plan.wishes.iter().map(|p| &p.wish).collect::<Vec<_>>(), [&Wish::Split(BlockId(3), 350)]);
-    fleet.loads.get_mut(&BlockId(3)).unwrap().rested = false;
-    assert!(fleet.plan(&stores, &goal).wishes.is_empty(), "it has just been changed");
+    assert_eq!(
+        plan.changes.iter().map(|p| &p.change).collect::<Vec<_>>(),
+        [&ChangeRequest::Split(BlockId(3), 350)]
+    );
+    fleet.loads.get_mut(&BlockId(3)).unwrap().is_changeable = false;
+    assert!(fleet.plan(&stores, &goal).changes.is_empty(), "it has just been changed");
     // Neighbours 0 and 1 have other holders; 0 and 4 are none. Only neighbours on the same stores merge.
     fleet.loads.values_mut().for_each(|load| load.load = 1.0);
-    assert!(fleet.plan(&stores, &goal).wishes.is_empty());
+    assert!(fleet.plan(&stores, &goal).changes.is_empty());
     let mut near = Fleet::new(4, 2);
-    near.loads.values_mut().for_each(|load| (load.load, load.rested) = (1.5, true));
+    near.loads.values_mut().for_each(|load| (load.load, load.is_changeable) = (1.5, true));
     let plan = near.plan(&stores[..2], &goal);
-    let merges: Vec<_> = plan.wishes.iter().map(|p| &p.wish).collect();
-    assert_eq!(merges, [&Wish::Merge(BlockId(0), BlockId(1)), &Wish::Merge(BlockId(2), BlockId(3))]);
+    let merges: Vec<_> = plan.changes.iter().map(|p| &p.change).collect();
+    assert_eq!(
+        merges,
+        [&ChangeRequest::Merge(BlockId(0), BlockId(1)), &ChangeRequest::Merge(BlockId(2), BlockId(3))]
+    );
     // Halves of a split block have more together than what is merged.
     assert!(goal.split_above > goal.merge_below);
 }
@@ -202,16 +208,16 @@
         // Half of the fleets lose a store, but never the last of a zone.
         let drains = (seed % 2 == 0).then(|| rng.u32(..count));
         if let Some(n) = drains {
-            (stores[n as usize].takes, stores[n as usize].leaves) = (false, true);
+            (stores[n as usize].accepts_blocks, stores[n as usize].evacuate) = (false, true);
         }
         let mut fleet = Fleet::new(rng.u32(80..200), count);
-        let goal = Goal { copies: 100, most: 1000, ..Goal::default() };
+        let goal = Goal { max_copies: 100, max_changes: 1000, ..Goal::default() };
         fleet.settle(&stores, &goal);
         let after = fleet.plan(&stores, &goal);
-        assert!(after.wishes.is_empty(), "seed {seed}: {:?}", after.wishes);
+        assert!(after.changes.is_empty(), "seed {seed}: {:?}", after.changes);
         match drains {
             Some(n) => assert_eq!(fleet.count(n), 0, "seed {seed}"),
-            None => assert!(after.skew.0 < 1.0 + goal.uneven + 0.1, "seed {seed}: {}", after.skew.0),
+            None => assert!(after.skew.0 < 1.0 + goal.imbalance_start + 0.1, "seed {seed}: {}", after.skew.0),
         }
         for block in fleet.map.blocks() {
             let zones: HashSet<u32> = block.holders().map(|s| s.0 % zones).collect();
--- a/broker/crates/blocks/tests/proved.rs
+++ b/broker/crates/blocks/tests/proved.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeSet;
 
 use fastrand::Rng;
-use gingerledge_blocks::validate::{batch, faults, passage, Draft, Facts, Fault, Finding, Row, Standing};
+use gingerledge_blocks::validate::{batch, faults, transition, Draft, Facts, Fault, Finding, Row, Standing};
 use gingerledge_blocks::*;
 use maps::{brute, change};
 
@@ -29,7 +29,7 @@
         let before = old.rows.iter().find(|old| old.id == row.id);
         before.is_some_and(|old| (old.span, old.epoch, &old.holders) == (row.span, row.epoch, &row.holders))
     };
-    ended.chain(new.rows.iter().filter(|row| !same(row)).map(|row| Record::Living(block(row)))).collect()
+    ended.chain(new.rows.iter().filter(|row| !same(row)).map(|row| Record::Active(block(row)))).collect()
 }
 
 #[test]
@@ -52,7 +52,7 @@
         let mut map = BlockMap::new(100, 100);
         map.apply(&Batch {
             version: 1,
-            records: old.rows.iter().map(|row| Record::Living(block(row))).collect(),
+            records: old.rows.iter().map(|row| Record::Active(block(row))).collect(),
         })
         .unwrap();
         let records = records(&old, &new);
@@ -72,7 +72,7 @@
         let expected: BTreeSet<String> = brute::said(&shape)
             .into_iter()
             .map(|said| said.replace("gap", "given up"))
-            .chain(brute::said(&passage(&old, &new, &text).findings))
+            .chain(brute::said(&transition(&old, &new, &text).findings))
             .collect();
         // What lies before the first key was nobody's, and nobody misses it.
         let found = brute::said(&said.findings);
@@ -94,7 +94,7 @@
 
 fn snapshot(holders: &[u32]) -> Snapshot {
     let holders = holders.iter().map(|store| StoreId(*store)).collect();
-    let epoch = Epoch::of(Term(1), 1);
+    let epoch = Epoch::from_parts(Term(1), 1);
     let row = Row {
         id: BlockId(1),
         span: SPAN,
@@ -105,41 +105,41 @@
         line: 0,
         lines: vec![],
     };
-    Snapshot { version: 1, living: vec![block(&row)], retired: vec![] }
+    Snapshot { version: 1, active: vec![block(&row)], retired: vec![] }
 }
 
 fn begin(map: Snapshot, more: Vec<LogRecord>) -> Result<(Coordinator, LogRecord), RecoverError> {
     let stores = vec![(StoreId(0), "s-5be2a07c".to_owned())];
-    let state = State { term: Term(1), stores, map, given: (9, 9, 9), ..State::default() };
+    let state = State { term: Term(1), stores, map, last_assigned: (9, 9, 9), ..State::default() };
     let records = [vec![LogRecord::Start(Box::new(state))], more].concat();
     Coordinator::begin(0, Term(2), records, Bounds::default())
 }
 
 #[test]
 fn a_change_whose_outcome_is_not_sound_goes_back_before_it_is_committed() {
-    let epoch = |n| Epoch::of(Term(1), n);
+    let epoch = |n| Epoch::from_parts(Term(1), n);
     let split = |cut: u64| {
         let new = vec![(BlockId(2), Span::new(0, 4)), (BlockId(3), Span::new(cut, 10))];
-        let kind = Kind::Split { holders: vec![StoreId(0)], new };
+        let kind = ChangeKind::Split { holders: vec![StoreId(0)], new };
         Change::new(ChangeId(1), BlockId(1), SPAN, kind, epoch(2), epoch(3))
     };
     for (cut, good) in [(4, true), (5, false), (3, false)] {
         let (mut coordinator, _) = begin(snapshot(&[0]), vec![LogRecord::Begin(split(cut))]).unwrap();
-        coordinator.handle(0, Heard::Tick);
+        coordinator.handle(0, Event::Tick);
         let holding =
             Holding { span: SPAN, epoch: epoch(1), since: epoch(1), mode: Mode::Open, peer: None, copied: 0 };
-        let work = coordinator.handle(1, Heard::Holds(StoreId(0), vec![(BlockId(1), holding)]));
+        let work = coordinator.handle(1, Event::Inventory(StoreId(0), vec![(BlockId(1), holding)]));
         let named = work.iter().find_map(|item| match item {
-            Work::Send(store, tag @ Tag::Change(..), ordered)
-                if matches!(ordered.order, Order::Name { .. }) =>
+            Work::Send(store, tag @ OrderPurpose::Change(..), ordered)
+                if matches!(ordered.order, Order::AddNames { .. }) =>
             {
                 Some((*store, *tag))
             }
             _ => None,
         });
         let (store, tag) = named.unwrap();
-        let done = Done { mode: Some(Mode::Open), watermark: 0, copied: 0 };
-        let work = coordinator.handle(2, Heard::Said(store, tag, Ok(done)));
+        let done = OrderOutcome { mode: Some(Mode::Open), watermark: 0, copied: 0 };
+        let work = coordinator.handle(2, Event::Reply(store, tag, Ok(done)));
         let committing = |item: &Work| {
             matches!(item, Work::Append(LogRecord::Step(_, Step::Committing, _) | LogRecord::Batch(_)))
         };
@@ -153,24 +153,24 @@
         else {
             panic!("{work:?}");
         };
-        let done = Done { mode: None, watermark: 0, copied: 0 };
-        let work = coordinator.handle(3, Heard::Said(*store, *tag, Ok(done)));
+        let done = OrderOutcome { mode: None, watermark: 0, copied: 0 };
+        let work = coordinator.handle(3, Event::Reply(*store, *tag, Ok(done)));
         let step = if good { Step::Done } else { Step::Abandoned };
-        assert!(work.contains(&Work::Ended(ChangeId(1), step)), "{work:?}");
+        assert!(work.contains(&Work::ChangeEnded(ChangeId(1), step)), "{work:?}");
     }
 }
 
 #[test]
 fn a_log_whose_map_is_not_sound_is_refused_by_the_fault_s_name() {
     let refused = |map| match begin(map, vec![]) {
-        Err(RecoverError::Unsound(why)) => why,
+        Err(RecoverError::Invalid(why)) => why,
         other => panic!("{other:?}"),
     };
     assert!(begin(snapshot(&[0]), vec![]).is_ok());
     let why = refused(snapshot(&[0, 4]));
     assert!(why.contains("keys 0..10: block 1: store 4 is to hold it, and nobody has named it"), "{why}");
     // Block 7 had numbers that nobody has now; those beyond it nobody ever had.
-    let ended = |span| vec![(BlockId(7), span, Epoch::of(Term(1), 1))];
+    let ended = |span| vec![(BlockId(7), span, Epoch::from_parts(Term(1), 1))];
     assert!(begin(Snapshot { retired: ended(Span::new(3, 10)), ..snapshot(&[0]) }, vec![]).is_ok());
     let why = refused(Snapshot { retired: ended(Span::new(3, 11)), ..snapshot(&[0]) });
     assert!(why.contains("keys 10..11: block 7: no block has these keys"), "{why}");
@@ -179,10 +179,10 @@
 #[test]
 fn a_first_map_at_a_store_that_nobody_has_named_is_not_made() {
     let (mut coordinator, _) = Coordinator::begin(0, Term(1), vec![], Bounds::default()).unwrap();
-    let store = coordinator.note("s-5be2a07c", &mut vec![]).unwrap();
+    let store = coordinator.register_store("s-5be2a07c", &mut vec![]).unwrap();
     let found = |stores| vec![(BlockId(1), SPAN, stores, None)];
-    let unmet = coordinator.found(found(vec![store, StoreId(8)])).unwrap_err();
+    let unmet = coordinator.create_map(found(vec![store, StoreId(8)])).unwrap_err();
     assert!(unmet.to_string().contains("store 8 is to hold it"), "{unmet}");
     assert_eq!(coordinator.map().version(), 0);
-    coordinator.found(found(vec![store])).unwrap();
+    coordinator.create_map(found(vec![store])).unwrap();
 }
--- a/broker/crates/blocks/tests/shown/mod.rs
+++ b/broker/crates/blocks/tests/shown/mod.rs
@@ -8,7 +8,7 @@
 impl Store {
     /// Its blocks, those it let go, the last order of each, and how many entries ran or came with a copy.
     fn shown(&self) -> (Vec<u8>, usize) {
-        (wire::pack(&self.0.kept()), self.0.entries().len())
+        (wire::encode(&self.0.durable_state()), self.0.entries().len())
     }
 }
 
--- a/broker/crates/blocks/tests/validate.rs
+++ b/broker/crates/blocks/tests/validate.rs
@@ -6,7 +6,9 @@
 
 use fastrand::Rng;
 use gingerledge_blocks::validate::*;
-use gingerledge_blocks::{BlockId, Entry, Epoch, Holdings, Order, Ordered, Span, StoreId, Term, Verdict};
+use gingerledge_blocks::{
+    Admission, BlockId, Entry, Epoch, Holdings, Order, Span, StampedOrder, StoreId, Term,
+};
 use maps::{brute, change, Break, BREAKS, LISTED, UNKNOWN};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 
@@ -160,7 +162,7 @@
         if spoilt {
             change::spoil(&mut rng, &mut old, &mut new);
         }
-        let proved = passage(&old, &new, &text);
+        let proved = transition(&old, &new, &text);
         let expected = brute::passage(&old, &new);
         let good = brute::said_of(&proved) == expected && (spoilt || proved.findings.is_empty());
         if !good {
@@ -172,9 +174,10 @@
 }
 
 /// A store acts on an order.
-fn obey(store: &mut Holdings, epoch: u64, order: Order) {
-    let ordered = Ordered { term: Term(1), serial: epoch, block: BlockId(1), epoch: Epoch(epoch), order };
-    store.obey(&ordered).unwrap();
+fn carry_out(store: &mut Holdings, epoch: u64, order: Order) {
+    let ordered =
+        StampedOrder { term: Term(1), serial: epoch, block: BlockId(1), epoch: Epoch(epoch), order };
+    store.carry_out(&ordered).unwrap();
 }
 
 /// The rule against the real fence: whatever order the stores learn of the new version in, as far as the coordinator's steps
@@ -189,32 +192,32 @@
         (old.rows[0].id, old.rows[0].span) = (BlockId(1), span);
         old.retired.clear();
         let mut new = old.clone();
-        let least = Least { holders: rng.u32(1..=3), zones: 1 };
-        let after = maps::pick(&mut rng, least);
+        let minimum = Redundancy { holders: rng.u32(1..=3), zones: 1 };
+        let after = maps::pick(&mut rng, minimum);
         old.rows[0].copying = after.iter().filter(|s| !holders.contains(s)).copied().collect();
         (new.rows[0].holders, new.rows[0].copying, new.rows[0].epoch) = (after.clone(), vec![], Epoch(11));
-        let proved = passage(&old, &new, &text);
+        let proved = transition(&old, &new, &text);
         assert_eq!(proved.findings, [], "seed {seed}");
 
         let (source, mut stores) = (holders[0], vec![Holdings::new(4); LISTED as usize]);
         let at = |store: StoreId| store.0 as usize;
-        holders.iter().for_each(|s| obey(&mut stores[at(*s)], 10, Order::Found { span }));
+        holders.iter().for_each(|s| carry_out(&mut stores[at(*s)], 10, Order::Create { span }));
         let mut lost: Vec<StoreId> = holders.iter().filter(|s| !after.contains(s)).copied().collect();
         let mut gained = old.rows[0].copying.clone();
         rng.shuffle(&mut lost);
         rng.shuffle(&mut gained);
         for store in &gained {
-            obey(&mut stores[at(*store)], 11, Order::Prepare { span, from: source });
+            carry_out(&mut stores[at(*store)], 11, Order::Prepare { span, from: source });
         }
         for store in &lost {
-            obey(&mut stores[at(*store)], 11, Order::Fence { to: after[0] });
+            carry_out(&mut stores[at(*store)], 11, Order::Fence { to: after[0] });
         }
-        gained.iter().for_each(|store| obey(&mut stores[at(*store)], 11, Order::Read));
+        gained.iter().for_each(|store| carry_out(&mut stores[at(*store)], 11, Order::AllowReads));
         let mut waited = false;
         let mut look = |stores: &[Holdings], told: bool| {
             let lets = |key: Option<&str>, epoch| -> Vec<StoreId> {
                 let runs = |s: &StoreId| {
-                    matches!(stores[at(*s)].admit(BlockId(1), Epoch(epoch), key), Verdict::Run(_))
+                    matches!(stores[at(*s)].admission(BlockId(1), Epoch(epoch), key), Admission::Execute(_))
                 };
                 (0..LISTED).map(StoreId).filter(runs).collect()
             };
@@ -228,13 +231,13 @@
         };
         look(&stores, false);
         for store in &lost {
-            obey(&mut stores[at(*store)], 11, Order::Retire);
+            carry_out(&mut stores[at(*store)], 11, Order::Retire);
             look(&stores, true);
         }
         for store in &gained {
-            obey(&mut stores[at(*store)], 11, Order::Open);
+            carry_out(&mut stores[at(*store)], 11, Order::Open);
             let entry = Entry { key: format!("e{}", store.0), weigher: span.first, value: vec![] };
-            stores[at(*store)].run(entry);
+            stores[at(*store)].append(entry);
             look(&stores, true);
         }
         assert_eq!(waited, !proved.waits.is_empty(), "seed {seed}: {:?}", proved.waits);
--- a/broker/crates/blocks/tests/world/mod.rs
+++ b/broker/crates/blocks/tests/world/mod.rs
@@ -12,37 +12,37 @@
 pub const WEIGHERS: u64 = 120;
 
 #[derive(Clone, Debug)]
-enum Ev {
+enum SimulationEvent {
     /// An order has reached a store.
     Order {
-        by: usize,
+        coordinator_index: usize,
         store: usize,
-        tag: Tag,
-        ordered: Ordered,
+        purpose: OrderPurpose,
+        stamped: StampedOrder,
     },
     /// A store's word has reached a coordinator.
-    Heard {
+    CoordinatorInput {
         to: usize,
-        heard: Heard,
+        input: Event,
     },
     /// A copy's stretch is made now.
     Copy {
-        by: usize,
+        coordinator_index: usize,
         job: CopyJob,
     },
     Tick(usize),
-    Wish,
+    RequestChange,
     Fault,
     /// The broker learns the map.
-    Learn,
+    UpdateBroker,
     /// A client's entry or read sets out.
-    Ask {
+    ClientRequest {
         key: String,
         weigher: u64,
         entry: bool,
         attempt: u32,
     },
-    Call {
+    ExecutePart {
         key: String,
         weigher: u64,
         block: BlockId,
@@ -52,24 +52,24 @@
         attempt: u32,
     },
     /// Its store is back, its coordinator awake.
-    Up(usize),
-    Awake(usize),
-    Elect,
+    StoreUp(usize),
+    CoordinatorResumed(usize),
+    StartCoordinator,
 }
 
-pub struct Boss {
+pub struct SimulatedCoordinator {
     pub coordinator: Coordinator,
-    log: Log<ForgetfulDisk>,
-    asleep: bool,
-    missed: Vec<Heard>,
-    over: bool,
+    log: Log<SimulatedDisk>,
+    is_paused: bool,
+    queued_inputs: Vec<Event>,
+    is_stopped: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Told {
-    Good,
+pub enum ClientReply {
+    Answered,
     Failed,
-    Later,
+    NotExecuted,
 }
 
 pub struct World {
@@ -77,25 +77,26 @@
     rng: Rng,
     pub now: u64,
     queue: BinaryHeap<Reverse<(u64, u64)>>,
-    events: HashMap<u64, Ev>,
+    events: HashMap<u64, SimulationEvent>,
     next: u64,
     pub stores: Vec<Holdings>,
-    up: Vec<bool>,
-    pub bosses: Vec<Boss>,
+    is_store_up: Vec<bool>,
+    pub coordinators: Vec<SimulatedCoordinator>,
     term: u32,
     broker: BlockMap,
-    pub told: BTreeMap<String, (u64, Told)>,
-    pub runs: HashMap<String, u32>,
-    calm: bool,
+    pub replies: BTreeMap<String, (u64, ClientReply)>,
+    pub executions: HashMap<String, u32>,
+    is_fault_free: bool,
     pub loss: f64,
     pub changes: usize,
     pub done: usize,
-    pub reads_unheld: usize,
+    pub reads_without_holder: usize,
 }
 
 pub fn bounds() -> Bounds {
-    let patience = Patience { again_ms: 20, again_most_ms: 200, step_ms: 1500, lag: 2 };
-    Bounds { blocks: 500, retired: 500, stores: 20, changes: 6, ended: 1000, patience }
+    let timeouts =
+        Timeouts { retry_initial_ms: 20, retry_max_ms: 200, step_timeout_ms: 1500, max_lag_entries: 2 };
+    Bounds { blocks: 500, retired: 500, stores: 20, changes: 6, ended: 1000, timeouts }
 }
 
 impl World {
@@ -108,22 +109,22 @@
             events: HashMap::new(),
             next: 0,
             stores: (0..stores).map(|_| Holdings::new(200)).collect(),
-            up: vec![true; stores],
-            bosses: Vec::new(),
+            is_store_up: vec![true; stores],
+            coordinators: Vec::new(),
             term: 0,
             broker: BlockMap::new(500, 500),
-            told: BTreeMap::new(),
-            runs: HashMap::new(),
-            calm: false,
+            replies: BTreeMap::new(),
+            executions: HashMap::new(),
+            is_fault_free: false,
             loss: 0.03,
             changes: 0,
             done: 0,
-            reads_unheld: 0,
+            reads_without_holder: 0,
         };
-        world.elect();
+        world.start_coordinator();
         let mut work = Vec::new();
         for n in 0..stores {
-            world.bosses[0].coordinator.note(&format!("s-{n}"), &mut work);
+            world.coordinators[0].coordinator.register_store(&format!("s-{n}"), &mut work);
         }
         let blocks = (0..6u64)
             .map(|n| {
@@ -131,40 +132,40 @@
                 (BlockId(n as u32), Span::new(n * 20, n * 20 + 20), holders, None)
             })
             .collect();
-        work.extend(world.bosses[0].coordinator.found(blocks).unwrap());
-        world.work(0, work);
-        world.at(1, Ev::Learn);
-        world.at(300, Ev::Wish);
-        world.at(400, Ev::Fault);
+        work.extend(world.coordinators[0].coordinator.create_map(blocks).unwrap());
+        world.perform_work(0, work);
+        world.schedule(1, SimulationEvent::UpdateBroker);
+        world.schedule(300, SimulationEvent::RequestChange);
+        world.schedule(400, SimulationEvent::Fault);
         world
     }
 
-    fn at(&mut self, delay: u64, ev: Ev) {
+    fn schedule(&mut self, delay: u64, ev: SimulationEvent) {
         self.next += 1;
         self.events.insert(self.next, ev);
         self.queue.push(Reverse((self.now + delay, self.next)));
     }
 
     /// A message's way: it takes 1 to 8 ms, sometimes much longer, and now and then it is lost.
-    fn send(&mut self, ev: Ev) {
+    fn send(&mut self, ev: SimulationEvent) {
         // The first blocks are founded in peace.
-        let calm = self.calm || self.now < 300;
-        if !calm && self.rng.f64() < self.loss {
+        let is_fault_free = self.is_fault_free || self.now < 300;
+        if !is_fault_free && self.rng.f64() < self.loss {
             return;
         }
-        let late = !calm && self.rng.f64() < 0.02;
+        let late = !is_fault_free && self.rng.f64() < 0.02;
         let delay = self.rng.u64(1..8) + if late { self.rng.u64(0..400) } else { 0 };
-        self.at(delay, ev);
+        self.schedule(delay, ev);
     }
 
-    pub fn boss(&self) -> &Coordinator {
-        &self.bosses.last().unwrap().coordinator
+    pub fn current_coordinator(&self) -> &Coordinator {
+        &self.coordinators.last().unwrap().coordinator
     }
 
     /// A new coordinator takes over, from what the last log says at this moment.
-    fn elect(&mut self) {
+    fn start_coordinator(&mut self) {
         self.term += 1;
-        let records = match self.bosses.last() {
+        let records = match self.coordinators.last() {
             Some(last) => {
                 let bytes = last.log_bytes();
                 decode(&bytes).unwrap().0
@@ -172,51 +173,62 @@
             None => Vec::new(),
         };
         let (coordinator, start) = Coordinator::begin(self.now, Term(self.term), records, bounds()).unwrap();
-        let (mut log, _) = Log::open(ForgetfulDisk::default()).unwrap();
+        let (mut log, _) = Log::open(SimulatedDisk::default()).unwrap();
         log.append(&[start]).unwrap();
-        self.bosses.push(Boss { coordinator, log, asleep: false, missed: Vec::new(), over: false });
-        let by = self.bosses.len() - 1;
-        self.at(1, Ev::Tick(by));
+        self.coordinators.push(SimulatedCoordinator {
+            coordinator,
+            log,
+            is_paused: false,
+            queued_inputs: Vec::new(),
+            is_stopped: false,
+        });
+        let coordinator_index = self.coordinators.len() - 1;
+        self.schedule(1, SimulationEvent::Tick(coordinator_index));
     }
 
-    fn work(&mut self, by: usize, work: Vec<Work>) {
+    fn perform_work(&mut self, coordinator_index: usize, work: Vec<Work>) {
         for item in work {
             match item {
-                Work::Append(record) => self.bosses[by].log.append(&[record]).unwrap(),
-                Work::Send(store, tag, ordered) => {
-                    self.send(Ev::Order { by, store: store.0 as usize, tag, ordered });
+                Work::Append(record) => self.coordinators[coordinator_index].log.append(&[record]).unwrap(),
+                Work::Send(store, purpose, stamped) => {
+                    self.send(SimulationEvent::Order {
+                        coordinator_index,
+                        store: store.0 as usize,
+                        purpose,
+                        stamped,
+                    });
                     // A driver that hears nothing says so.
-                    let heard = Heard::Silent(store, tag);
-                    self.at(600, Ev::Heard { to: by, heard });
+                    let input = Event::NoReply(store, purpose);
+                    self.schedule(600, SimulationEvent::CoordinatorInput { to: coordinator_index, input });
                 }
                 Work::Copy(job) => {
-                    self.send(Ev::Copy { by, job });
-                    let heard = Heard::Copied { change: job.change, round: job.round, upto: None };
-                    self.at(600, Ev::Heard { to: by, heard });
+                    self.send(SimulationEvent::Copy { coordinator_index, job });
+                    let input = Event::Copied { change: job.change, round: job.round, progress: None };
+                    self.schedule(600, SimulationEvent::CoordinatorInput { to: coordinator_index, input });
                 }
                 Work::Publish(_) => {
                     let lag = if self.rng.f64() < 0.1 { 1500 } else { self.rng.u64(1..60) };
-                    self.at(lag, Ev::Learn);
+                    self.schedule(lag, SimulationEvent::UpdateBroker);
                 }
-                Work::Ended(_, step) => {
+                Work::ChangeEnded(_, step) => {
                     self.changes += 1;
                     self.done += usize::from(step == Step::Done);
                 }
-                Work::Deposed(_) => self.bosses[by].over = true,
+                Work::HigherTerm(_) => self.coordinators[coordinator_index].is_stopped = true,
             }
         }
     }
 
-    fn hear(&mut self, to: usize, heard: Heard) {
-        if self.bosses[to].over {
+    fn deliver_input(&mut self, to: usize, input: Event) {
+        if self.coordinators[to].is_stopped {
             return;
         }
-        if self.bosses[to].asleep {
-            self.bosses[to].missed.push(heard);
+        if self.coordinators[to].is_paused {
+            self.coordinators[to].queued_inputs.push(input);
             return;
         }
-        let work = self.bosses[to].coordinator.handle(self.now, heard);
-        self.work(to, work);
+        let work = self.coordinators[to].coordinator.handle(self.now, input);
+        self.perform_work(to, work);
     }
 
     pub fn run(&mut self, until: u64) {
@@ -227,90 +239,92 @@
             let Reverse((at, id)) = self.queue.pop().unwrap();
             self.now = at;
             let ev = self.events.remove(&id).unwrap();
-            self.play(ev);
+            self.process(ev);
             self.check_held();
         }
         self.now = until;
     }
 
-    fn play(&mut self, ev: Ev) {
+    fn process(&mut self, ev: SimulationEvent) {
         match ev {
-            Ev::Order { by, store, tag, ordered } => {
-                if !self.up[store] {
+            SimulationEvent::Order { coordinator_index, store, purpose, stamped } => {
+                if !self.is_store_up[store] {
                     return;
                 }
-                let word = self.stores[store].obey(&ordered);
+                let reply = self.stores[store].carry_out(&stamped);
                 let traced = std::env::var("TRACE").unwrap_or_default();
-                if ordered.order != Order::Inventory
-                    && traced.split(',').any(|block| block == ordered.block.0.to_string())
+                if stamped.order != Order::Inventory
+                    && traced.split(',').any(|block| block == stamped.block.0.to_string())
                 {
-                    eprintln!("{} store {store} {ordered:?} -> {word:?}", self.now);
+                    eprintln!("{} store {store} {stamped:?} -> {reply:?}", self.now);
                 }
                 let id = StoreId(store as u32);
-                let heard = match (&ordered.order, word) {
+                let input = match (&stamped.order, reply) {
                     (Order::Inventory, Ok(_)) => {
-                        Heard::Holds(id, self.stores[store].blocks().map(|(b, h)| (b, *h)).collect())
+                        Event::Inventory(id, self.stores[store].blocks().map(|(b, h)| (b, *h)).collect())
                     }
-                    (_, word) => Heard::Said(id, tag, word),
+                    (_, reply) => Event::Reply(id, purpose, reply),
                 };
-                self.send(Ev::Heard { to: by, heard });
+                self.send(SimulationEvent::CoordinatorInput { to: coordinator_index, input });
             }
-            Ev::Heard { to, heard } => self.hear(to, heard),
-            Ev::Copy { by, job } => {
+            SimulationEvent::CoordinatorInput { to, input } => self.deliver_input(to, input),
+            SimulationEvent::Copy { coordinator_index, job } => {
                 let (from, to) = (job.from.0 as usize, job.to.0 as usize);
-                if !self.up[from] || !self.up[to] {
+                if !self.is_store_up[from] || !self.is_store_up[to] {
                     return;
                 }
                 let Some(held) = self.stores[to].block(job.block).copied() else { return };
-                let (entries, next) = self.stores[from].tail(held.span, job.at, 40);
+                let (entries, next) = self.stores[from].read_section(held.span, job.start, 40);
                 let length = self.stores[from].entries().len() as u64;
-                self.stores[to].absorb(job.block, job.epoch, job.at, entries, next);
+                self.stores[to].apply_section(job.block, job.epoch, job.start, entries, next);
                 let copied = self.stores[to].block(job.block).map_or(0, |h| h.copied);
-                let heard =
-                    Heard::Copied { change: job.change, round: job.round, upto: Some((copied, length)) };
-                self.send(Ev::Heard { to: by, heard });
+                let input =
+                    Event::Copied { change: job.change, round: job.round, progress: Some((copied, length)) };
+                self.send(SimulationEvent::CoordinatorInput { to: coordinator_index, input });
             }
-            Ev::Tick(by) => {
-                self.hear(by, Heard::Tick);
-                if !self.bosses[by].over {
-                    self.at(20, Ev::Tick(by));
+            SimulationEvent::Tick(coordinator_index) => {
+                self.deliver_input(coordinator_index, Event::Tick);
+                if !self.coordinators[coordinator_index].is_stopped {
+                    self.schedule(20, SimulationEvent::Tick(coordinator_index));
                 }
             }
-            Ev::Wish => {
-                self.wish();
-                if !self.calm {
+            SimulationEvent::RequestChange => {
+                self.request_change();
+                if !self.is_fault_free {
                     let wait = self.rng.u64(20..200);
-                    self.at(wait, Ev::Wish);
+                    self.schedule(wait, SimulationEvent::RequestChange);
                 }
             }
-            Ev::Fault => {
-                if !self.calm {
+            SimulationEvent::Fault => {
+                if !self.is_fault_free {
                     self.fault();
                     let wait = self.rng.u64(100..900);
-                    self.at(wait, Ev::Fault);
+                    self.schedule(wait, SimulationEvent::Fault);
                 }
             }
-            Ev::Up(store) => self.up[store] = true,
-            Ev::Awake(by) => {
-                self.bosses[by].asleep = false;
-                for heard in std::mem::take(&mut self.bosses[by].missed) {
-                    self.hear(by, heard);
+            SimulationEvent::StoreUp(store) => self.is_store_up[store] = true,
+            SimulationEvent::CoordinatorResumed(coordinator_index) => {
+                self.coordinators[coordinator_index].is_paused = false;
+                for input in std::mem::take(&mut self.coordinators[coordinator_index].queued_inputs) {
+                    self.deliver_input(coordinator_index, input);
                 }
             }
-            Ev::Elect => self.elect(),
-            Ev::Learn => self.learn(),
-            Ev::Ask { key, weigher, entry, attempt } => self.ask(key, weigher, entry, attempt),
-            Ev::Call { key, weigher, block, epoch, store, entry, attempt } => {
-                self.call(key, weigher, block, epoch, store, entry, attempt);
+            SimulationEvent::StartCoordinator => self.start_coordinator(),
+            SimulationEvent::UpdateBroker => self.update_broker(),
+            SimulationEvent::ClientRequest { key, weigher, entry, attempt } => {
+                self.send_client_request(key, weigher, entry, attempt)
+            }
+            SimulationEvent::ExecutePart { key, weigher, block, epoch, store, entry, attempt } => {
+                self.execute_part(key, weigher, block, epoch, store, entry, attempt);
             }
         }
     }
 
-    fn learn(&mut self) {
-        let boss = &self.bosses.last().unwrap().coordinator;
-        let (mut from, mut all) = (Cursor::at(self.broker.version()), Vec::new());
+    fn update_broker(&mut self) {
+        let current = &self.coordinators.last().unwrap().coordinator;
+        let (mut from, mut all) = (Cursor::after_version(self.broker.version()), Vec::new());
         let caught_up = loop {
-            match boss.map().since(from, 3) {
+            match current.map().changes_since(from, 3) {
                 Some((records, upto)) if upto > from => {
                     all.extend(records);
                     from = upto;
@@ -320,105 +334,106 @@
             }
         };
         if !caught_up {
-            self.broker = BlockMap::restore(&boss.map().snapshot(), 500, 500).unwrap();
+            self.broker = BlockMap::restore(&current.map().snapshot(), 500, 500).unwrap();
         }
     }
 
-    fn wish(&mut self) {
-        let by = self.bosses.len() - 1;
-        if self.bosses[by].asleep || self.bosses[by].over {
+    fn request_change(&mut self) {
+        let coordinator_index = self.coordinators.len() - 1;
+        if self.coordinators[coordinator_index].is_paused || self.coordinators[coordinator_index].is_stopped {
             return;
         }
-        let boss = &self.bosses[by].coordinator;
+        let current = &self.coordinators[coordinator_index].coordinator;
         let blocks: Vec<(BlockId, Span, Vec<StoreId>)> =
-            boss.map().blocks().map(|b| (b.id, b.span, b.holders().collect())).collect();
+            current.map().blocks().map(|b| (b.id, b.span, b.holders().collect())).collect();
         let n = self.rng.usize(..blocks.len());
         let (id, span, holders) = blocks[n].clone();
         let to = StoreId(self.rng.u32(..self.stores.len() as u32));
         let from = holders[self.rng.usize(..holders.len())];
-        let wish = match self.rng.u32(..10) {
-            0..=3 => Wish::Move(id, from, to),
-            4 => Wish::Add(id, to),
-            5 => Wish::Remove(id, from),
-            6 | 7 if blocks.len() < 20 => Wish::Split(id, span.first + (span.end - span.first) / 2),
-            _ => Wish::Merge(id, blocks[(n + 1) % blocks.len()].0),
+        let request = match self.rng.u32(..10) {
+            0..=3 => ChangeRequest::Move(id, from, to),
+            4 => ChangeRequest::Add(id, to),
+            5 => ChangeRequest::Remove(id, from),
+            6 | 7 if blocks.len() < 20 => ChangeRequest::Split(id, span.first + (span.end - span.first) / 2),
+            _ => ChangeRequest::Merge(id, blocks[(n + 1) % blocks.len()].0),
         };
         let now = self.now;
         let mut work = Vec::new();
-        let _ = self.bosses[by].coordinator.wish(now, &wish, &mut work);
+        let _ = self.coordinators[coordinator_index].coordinator.request_change(now, &request, &mut work);
         if self.rng.f64() < 0.05 {
-            let some = self.bosses[by].coordinator.changes().map(|c| c.id).next();
+            let some = self.coordinators[coordinator_index].coordinator.changes().map(|c| c.id).next();
             if let Some(id) = some {
-                self.bosses[by].coordinator.abandon(now, id, &mut work);
+                self.coordinators[coordinator_index].coordinator.abandon(now, id, &mut work);
             }
         }
-        self.work(by, work);
+        self.perform_work(coordinator_index, work);
     }
 
     fn fault(&mut self) {
-        let by = self.bosses.len() - 1;
+        let coordinator_index = self.coordinators.len() - 1;
         match self.rng.u32(..10) {
             // A store is away for a while; what it holds lasts.
             0..=4 => {
                 let store = self.rng.usize(..self.stores.len());
                 let long = self.rng.u64(50..3000);
-                self.up[store] = false;
-                self.at(long, Ev::Up(store));
+                self.is_store_up[store] = false;
+                self.schedule(long, SimulationEvent::StoreUp(store));
             }
             // The coordinator dies; another takes over from its log.
             5 | 6 => {
-                self.bosses[by].over = true;
+                self.coordinators[coordinator_index].is_stopped = true;
                 let wait = self.rng.u64(10..800);
-                self.at(wait, Ev::Elect);
+                self.schedule(wait, SimulationEvent::StartCoordinator);
             }
             // It sleeps for longer than its lease, another takes over, and it awakes.
             7 => {
-                self.bosses[by].asleep = true;
+                self.coordinators[coordinator_index].is_paused = true;
                 let long = self.rng.u64(300..2000);
-                self.at(200, Ev::Elect);
-                self.at(long, Ev::Awake(by));
+                self.schedule(200, SimulationEvent::StartCoordinator);
+                self.schedule(long, SimulationEvent::CoordinatorResumed(coordinator_index));
             }
             // A store restarts and is asked anew.
             _ => {
                 let store = StoreId(self.rng.u32(..self.stores.len() as u32));
-                self.bosses[by].coordinator.unheard(store);
+                self.coordinators[coordinator_index].coordinator.discard_inventory(store);
             }
         }
     }
 
     /// A client's entries and reads, spread over a stretch of time.
-    pub fn clients(&mut self, count: usize, over: u64) {
+    pub fn clients(&mut self, count: usize, is_stopped: u64) {
         for n in 0..count {
             let (weigher, entry) = (self.rng.u64(..WEIGHERS), self.rng.bool());
-            let delay = self.rng.u64(10..over);
+            let delay = self.rng.u64(10..is_stopped);
             let key = format!("q{n}.{weigher}");
-            self.at(delay, Ev::Ask { key, weigher, entry, attempt: 0 });
+            self.schedule(delay, SimulationEvent::ClientRequest { key, weigher, entry, attempt: 0 });
         }
     }
 
-    fn ask(&mut self, key: String, weigher: u64, entry: bool, attempt: u32) {
-        let found = self.broker.of_weigher(weigher);
+    fn send_client_request(&mut self, key: String, weigher: u64, entry: bool, attempt: u32) {
+        let found = self.broker.block_of_weigher(weigher);
         let (Some(block), true) = (found, attempt < 3) else {
-            self.told.insert(key, (weigher, Told::Later));
+            self.replies.insert(key, (weigher, ClientReply::NotExecuted));
             return;
         };
         let holders: Vec<StoreId> = block.holders().collect();
         let (block, epoch) = (block.id, block.epoch);
         let store = holders[self.rng.usize(..holders.len())].0 as usize;
-        let call = Ev::Call { key: key.clone(), weigher, block, epoch, store, entry, attempt };
-        if !self.up[store] {
+        let call =
+            SimulationEvent::ExecutePart { key: key.clone(), weigher, block, epoch, store, entry, attempt };
+        if !self.is_store_up[store] {
             // Refused: it never ran.
-            self.at(30, Ev::Ask { key, weigher, entry, attempt: attempt + 1 });
-        } else if self.calm || self.rng.f64() > self.loss {
+            self.schedule(30, SimulationEvent::ClientRequest { key, weigher, entry, attempt: attempt + 1 });
+        } else if self.is_fault_free || self.rng.f64() > self.loss {
             let delay = self.rng.u64(1..40);
-            self.at(delay, call);
+            self.schedule(delay, call);
         } else {
-            self.told.insert(key, (weigher, Told::Failed));
+            self.replies.insert(key, (weigher, ClientReply::Failed));
         }
     }
 
     #[allow(clippy::too_many_arguments)]
-    fn call(
+    fn execute_part(
         &mut self,
         key: String,
         weigher: u64,
@@ -428,23 +443,27 @@
         entry: bool,
         attempt: u32,
     ) {
-        if !self.up[store] {
-            self.told.insert(key, (weigher, Told::Failed));
+        if !self.is_store_up[store] {
+            self.replies.insert(key, (weigher, ClientReply::Failed));
             return;
         }
-        match self.stores[store].admit(block, epoch, entry.then_some(key.as_str())) {
-            Verdict::Later(_) => {
-                self.at(25, Ev::Ask { key, weigher, entry, attempt: attempt + 1 });
+        match self.stores[store].admission(block, epoch, entry.then_some(key.as_str())) {
+            Admission::Reject(_) => {
+                self.schedule(
+                    25,
+                    SimulationEvent::ClientRequest { key, weigher, entry, attempt: attempt + 1 },
+                );
             }
             verdict => {
-                if let (Verdict::Run(span), true) = (&verdict, entry) {
+                if let (Admission::Execute(span), true) = (&verdict, entry) {
                     assert!(span.contains(weigher), "seed {}: {key} ran in {span}", self.seed);
-                    if self.stores[store].run(Entry { key: key.clone(), weigher, value: vec![7; 9] }) {
-                        *self.runs.entry(key.clone()).or_default() += 1;
+                    if self.stores[store].append(Entry { key: key.clone(), weigher, value: vec![7; 9] }) {
+                        *self.executions.entry(key.clone()).or_default() += 1;
                     }
                 }
-                let lost = !self.calm && self.rng.f64() < self.loss;
-                self.told.insert(key, (weigher, if lost { Told::Failed } else { Told::Good }));
+                let lost = !self.is_fault_free && self.rng.f64() < self.loss;
+                self.replies
+                    .insert(key, (weigher, if lost { ClientReply::Failed } else { ClientReply::Answered }));
             }
         }
     }
@@ -469,23 +488,23 @@
     }
 
     /// Faults end, all are up and awake, and everything under way comes to its end.
-    pub fn calm_down(&mut self) {
-        self.calm = true;
-        self.up.iter_mut().for_each(|up| *up = true);
+    pub fn end_faults(&mut self) {
+        self.is_fault_free = true;
+        self.is_store_up.iter_mut().for_each(|up| *up = true);
         let long = self.now + 2500;
         self.run(long);
-        for by in 0..self.bosses.len() - 1 {
-            self.bosses[by].over = true;
+        for coordinator_index in 0..self.coordinators.len() - 1 {
+            self.coordinators[coordinator_index].is_stopped = true;
         }
-        if self.bosses.last().unwrap().over {
-            self.elect();
+        if self.coordinators.last().unwrap().is_stopped {
+            self.start_coordinator();
         }
-        self.bosses.last_mut().unwrap().asleep = false;
+        self.coordinators.last_mut().unwrap().is_paused = false;
         // Whatever the one before left at the stores is found by asking them anew.
         for round in 0..4 {
-            let by = self.bosses.len() - 1;
+            let coordinator_index = self.coordinators.len() - 1;
             for store in 0..self.stores.len() {
-                self.bosses[by].coordinator.unheard(StoreId(store as u32));
+                self.coordinators[coordinator_index].coordinator.discard_inventory(StoreId(store as u32));
             }
             let until = self.now + 8000;
             self.run(until);
@@ -494,8 +513,8 @@
     }
 
     pub fn check(&self) {
-        let (seed, map) = (self.seed, self.boss().map());
-        let stuck: Vec<_> = self.boss().changes().collect();
+        let (seed, map) = (self.seed, self.current_coordinator().map());
+        let stuck: Vec<_> = self.current_coordinator().changes().collect();
         for change in &stuck {
             for (n, store) in self.stores.iter().enumerate() {
                 eprintln!(
@@ -506,7 +525,7 @@
         }
         assert!(stuck.is_empty(), "seed {seed}: not ended: {stuck:?}");
         for weigher in 0..WEIGHERS {
-            assert!(map.of_weigher(weigher).is_some(), "seed {seed}: weigher {weigher} is in no block");
+            assert!(map.block_of_weigher(weigher).is_some(), "seed {seed}: weigher {weigher} is in no block");
         }
         let mut holders: HashMap<u64, Vec<usize>> = HashMap::new();
         for block in map.blocks() {
@@ -521,22 +540,22 @@
         }
         for (n, store) in self.stores.iter().enumerate() {
             for (id, held) in store.blocks() {
-                let listed = map.block(id).is_some_and(|b| b.held_by(StoreId(n as u32)));
+                let listed = map.block(id).is_some_and(|b| b.is_holder(StoreId(n as u32)));
                 assert!(listed, "seed {seed}: store {n} has {id} as {held:?}, and the map does not know");
             }
         }
-        let twice: Vec<_> = self.runs.iter().filter(|(_, runs)| **runs > 1).collect();
+        let twice: Vec<_> = self.executions.iter().filter(|(_, executions)| **executions > 1).collect();
         assert!(twice.is_empty(), "seed {seed}: ran twice: {twice:?}");
         let mut known: HashMap<usize, HashSet<&str>> = HashMap::new();
         for (n, store) in self.stores.iter().enumerate() {
             known.insert(n, store.entries().iter().map(|e| e.key.as_str()).collect());
         }
-        for (key, (weigher, told)) in &self.told {
-            let ran = self.runs.contains_key(key);
-            if *told == Told::Later {
+        for (key, (weigher, replies)) in &self.replies {
+            let ran = self.executions.contains_key(key);
+            if *replies == ClientReply::NotExecuted {
                 assert!(!ran, "seed {seed}: {key} was told that it never ran, and it did");
             }
-            if *told == Told::Good && ran {
+            if *replies == ClientReply::Answered && ran {
                 let kept = holders[weigher].iter().any(|n| known[n].contains(key.as_str()));
                 assert!(kept, "seed {seed}: {key} was acknowledged, and no holder has it");
             }
@@ -544,7 +563,7 @@
     }
 }
 
-impl Boss {
+impl SimulatedCoordinator {
     fn log_bytes(&self) -> Vec<u8> {
         self.log.disk().bytes().to_vec()
     }
--- a/broker/src/blocks/admin.rs
+++ b/broker/src/blocks/admin.rs
@@ -1,6 +1,8 @@
 //! The admin endpoint for blocks: parses HTTP requests into requests to the coordinator, and formats its replies as JSON.
 
-use gingerledge_blocks::{BlockId, Change, Coordinator, Cursor, Kind, Plan, ReplicaState, StoreId, Wish};
+use gingerledge_blocks::{
+    BlockId, Change, ChangeKind, ChangeRequest, Coordinator, Cursor, Plan, ReplicaState, StoreId,
+};
 use serde::Deserialize;
 use serde_json::{json, Value};
 
@@ -100,13 +102,13 @@
 }
 
 /// The name of a kind of change in JSON.
-fn kind_name(kind: &Kind) -> &'static str {
+fn kind_name(kind: &ChangeKind) -> &'static str {
     match kind {
-        Kind::Move { .. } => "move",
-        Kind::Add { .. } => "add",
-        Kind::Remove { .. } => "remove",
-        Kind::Split { .. } => "split",
-        Kind::Merge { .. } => "merge",
+        ChangeKind::Move { .. } => "move",
+        ChangeKind::Add { .. } => "add",
+        ChangeKind::Remove { .. } => "remove",
+        ChangeKind::Split { .. } => "split",
+        ChangeKind::Merge { .. } => "merge",
     }
 }
 
@@ -127,11 +129,13 @@
         "stuck": is_stuck,
     });
     match &change.kind {
-        Kind::Move { from, to } | Kind::Add { source: from, to } | Kind::Remove { from, keeper: to } => {
+        ChangeKind::Move { from, to }
+        | ChangeKind::Add { source: from, to }
+        | ChangeKind::Remove { from, keeper: to } => {
             json["from"] = store_name(coordinator, *from).into();
             json["to"] = store_name(coordinator, *to).into();
         }
-        Kind::Split { holders, new } | Kind::Merge { holders, new, .. } => {
+        ChangeKind::Split { holders, new } | ChangeKind::Merge { holders, new, .. } => {
             json["holders"] = names(holders).into();
             json["new"] = new.iter().map(|(id, _)| id.0).collect::<Vec<_>>().into();
         }
@@ -166,17 +170,20 @@
                 "epoch": block.epoch.0, "stores": replicas })
         })
         .collect();
-    let is_stuck = |change: &Change| coordinator.stuck(change, now);
+    let is_stuck = |change: &Change| coordinator.is_stuck(change, now);
     let changes: Vec<Value> = coordinator
         .changes()
         .take(PAGE_BLOCKS_MAX)
         .map(|change| change_json(coordinator, change, is_stuck(change)))
         .collect();
     let mut past: Vec<Value> =
-        coordinator.past().map(|past| change_json(coordinator, &past.change, false)).collect();
+        coordinator.ended_changes().map(|past| change_json(coordinator, &past.change, false)).collect();
     let past = past.split_off(past.len().saturating_sub(20));
-    let unreported: Vec<String> =
-        coordinator.stores().filter(|(id, _)| !coordinator.has_heard(*id)).map(|(_, name)| name).collect();
+    let unreported: Vec<String> = coordinator
+        .stores()
+        .filter(|(id, _)| !coordinator.has_inventory(*id))
+        .map(|(_, name)| name)
+        .collect();
     json!({ "term": coordinator.term().0, "version": map.version(), "paused": coordinator.paused(),
         "count": map.len(), "blocks": blocks, "next": next, "changes": changes, "past": past,
         "unheard": unreported })
@@ -184,24 +191,24 @@
 
 /// Formats a plan.
 pub fn plan_json(coordinator: &Coordinator, plan: &Plan) -> Value {
-    let wish_json = |wish: &Wish| match wish {
-        Wish::Move(block, from, to) => {
+    let wish_json = |wish: &ChangeRequest| match wish {
+        ChangeRequest::Move(block, from, to) => {
             json!({ "kind": "move", "block": block.0, "from": store_name(coordinator, *from), "to": store_name(coordinator, *to) })
         }
-        Wish::Add(block, to) => {
+        ChangeRequest::Add(block, to) => {
             json!({ "kind": "add", "block": block.0, "to": store_name(coordinator, *to) })
         }
-        Wish::Remove(block, from) => {
+        ChangeRequest::Remove(block, from) => {
             json!({ "kind": "remove", "block": block.0, "from": store_name(coordinator, *from) })
         }
-        Wish::Split(block, at) => json!({ "kind": "split", "block": block.0, "at": at }),
-        Wish::Merge(block, with) => json!({ "kind": "merge", "block": block.0, "with": with.0 }),
+        ChangeRequest::Split(block, at) => json!({ "kind": "split", "block": block.0, "at": at }),
+        ChangeRequest::Merge(block, with) => json!({ "kind": "merge", "block": block.0, "with": with.0 }),
     };
     let wishes: Vec<Value> = plan
-        .wishes
+        .changes
         .iter()
         .map(|planned| {
-            let mut json = wish_json(&planned.wish);
+            let mut json = wish_json(&planned.change);
             json["why"] = planned.why.into();
             json["bytes"] = planned.bytes.into();
             json["urgent"] = planned.urgent.into();
@@ -209,11 +216,11 @@
         })
         .collect();
     let stranded: Vec<Value> = plan
-        .stranded
+        .unresolved
         .iter()
         .take(PAGE_BLOCKS_MAX)
         .map(|(block, why)| json!({ "block": block.0, "why": why }))
         .collect();
-    json!({ "wishes": wishes, "later": plan.later, "stranded": stranded,
+    json!({ "wishes": wishes, "later": plan.deferred, "stranded": stranded,
         "fullest_over_mean": { "now": plan.skew.0, "then": plan.skew.1 } })
 }
--- a/broker/src/blocks/coordinator.rs
+++ b/broker/src/blocks/coordinator.rs
@@ -10,10 +10,10 @@
 use async_io::Timer;
 use futures_lite::future::or;
 use gingerledge_background::{Class, Cost, Job, Scheduler};
-use gingerledge_blocks::wire::{self, Copied, CopyCall, News, Word};
+use gingerledge_blocks::wire::{self, CopyReply, CopyRequest, MapPage, OrderReply};
 use gingerledge_blocks::{
-    plan, BlockId, BlockLoad, ChangeId, Coordinator, CopyJob, Cursor, Extent, Heard, Log, Ordered, Plan,
-    StoreId, StoreState, Tag, Term, Unmet, Wish, Work,
+    plan, BlockId, BlockLoad, ChangeId, ChangeRequest, Coordinator, CopyJob, Cursor, Event, Extent, Log,
+    OrderPurpose, Plan, RequestError, StampedOrder, StoreId, StoreState, Term, Work,
 };
 
 use super::lease::{self, FileDisk};
@@ -40,11 +40,11 @@
     /// A request, and the channel for its reply.
     Request(Request, Sender<Reply>),
     /// An answer of a store to an order, or its absence.
-    OrderEnded(Heard),
+    OrderEnded(Event),
     /// A copy has ended; with its result, if the stores answered.
-    Copied(CopyJob, Option<Copied>),
+    Copied(CopyJob, Option<CopyReply>),
     /// The blocks that a store holds, with their sizes and use.
-    Usage(StoreId, Vec<wire::Held>),
+    Usage(StoreId, Vec<wire::HeldBlock>),
     /// The driver must check whether it has to stop.
     Wake,
 }
@@ -190,15 +190,15 @@
                 break;
             }
             self.register_stores().await;
-            let work = self.coordinator.handle(self.now(), Heard::Tick);
+            let work = self.coordinator.handle(self.now(), Event::Tick);
             self.execute(work).await;
             self.start_copies();
             if now >= plan_at {
                 plan_at = now + plan_ms;
                 self.request_usage();
                 if settings.planning == Planning::Auto && !self.coordinator.paused() {
-                    let changes = self.plan().wishes;
-                    self.start_changes(changes.into_iter().map(|planned| planned.wish).collect()).await;
+                    let changes = self.plan().changes;
+                    self.start_changes(changes.into_iter().map(|planned| planned.change).collect()).await;
                 }
             }
         }
@@ -208,7 +208,9 @@
     async fn register_stores(&mut self) {
         let mut work = Vec::new();
         for name in self.blocks.stores.names() {
-            if self.coordinator.store(&name).is_none() && self.coordinator.note(&name, &mut work).is_none() {
+            if self.coordinator.store(&name).is_none()
+                && self.coordinator.register_store(&name, &mut work).is_none()
+            {
                 log::warn!(store = name.as_str(); "blocks: store ignored, since there are more than stores_max");
             }
         }
@@ -224,7 +226,7 @@
                 })
                 .collect();
             if let Some(blocks) = blocks {
-                match self.coordinator.found(blocks) {
+                match self.coordinator.create_map(blocks) {
                     Ok(more) => work.extend(more),
                     Err(fault) => log::error!("blocks: creating the first map failed: {fault}"),
                 }
@@ -245,8 +247,8 @@
                 let bytes = copied.map_or(0.0, |copied| copied.bytes as f64);
                 let now = self.now();
                 self.copies.finished(now, &key, Cost { bytes, work_ms: 1.0 });
-                let upto = copied.map(|copied| (copied.copied, copied.length));
-                let heard = Heard::Copied { change: job.change, round: job.round, upto };
+                let progress = copied.map(|copied| (copied.copied, copied.length));
+                let heard = Event::Copied { change: job.change, round: job.round, progress };
                 let work = self.coordinator.handle(now, heard);
                 self.execute(work).await;
                 self.start_copies();
@@ -290,9 +292,9 @@
                 Work::Send(store, tag, ordered) => self.send_order(store, tag, ordered),
                 Work::Copy(job) => self.submit_copy(job),
                 Work::Publish(_) => self.publish(),
-                Work::Ended(id, step) => {
+                Work::ChangeEnded(id, step) => {
                     let now = self.now();
-                    let past = self.coordinator.past().last().filter(|past| past.change.id == id);
+                    let past = self.coordinator.ended_changes().last().filter(|past| past.change.id == id);
                     if let Some(past) = past {
                         let block = past.change.block.0;
                         let reason = past
@@ -310,7 +312,7 @@
                     let map = self.coordinator.map();
                     self.last_changed.retain(|block, _| map.block(*block).is_some());
                 }
-                Work::Deposed(term) => {
+                Work::HigherTerm(term) => {
                     log::warn!(term = term.0; "blocks: another broker coordinates");
                     self.must_stop = true;
                     return;
@@ -320,7 +322,7 @@
     }
 
     /// Sends an order to a store in a task of its own; the answer arrives as [`Input::OrderEnded`].
-    fn send_order(&self, store: StoreId, tag: Tag, ordered: Ordered) {
+    fn send_order(&self, store: StoreId, tag: OrderPurpose, ordered: StampedOrder) {
         let address = self.coordinator.name(store).and_then(|name| self.blocks.address(name));
         let (inputs, client) = (self.inputs.clone(), self.client.clone());
         let task = async move {
@@ -328,7 +330,7 @@
                 None => None,
                 Some(address) => execute_order(&client, address, store, tag, ordered).await,
             };
-            let _ = inputs.send(Input::OrderEnded(heard.unwrap_or(Heard::Silent(store, tag)))).await;
+            let _ = inputs.send(Input::OrderEnded(heard.unwrap_or(Event::NoReply(store, tag)))).await;
         };
         self.blocks.executor.spawn(task).detach();
     }
@@ -337,7 +339,7 @@
     fn submit_copy(&mut self, job: CopyJob) {
         let key = (job.change, job.round);
         let class = if job.urgent || self.is_draining(job.from) { Class::Urgent } else { Class::Normal };
-        let cost = Cost { bytes: wire::STRETCH_MOST as f64, work_ms: 1.0 };
+        let cost = Cost { bytes: wire::MAX_SECTION_BYTES as f64, work_ms: 1.0 };
         let task = Job { id: key, class, lanes: vec![job.from, job.to], cost };
         let now = self.now();
         self.jobs.insert(key, job);
@@ -387,22 +389,22 @@
     }
 
     /// A page of updates of the map after a position that a broker received in `term`, or the first page of the whole map.
-    fn map_updates(&self, since: Cursor, term: u32) -> News {
+    fn map_updates(&self, since: Cursor, term: u32) -> MapPage {
         let map = self.coordinator.map();
         let stores = self.coordinator.stores().collect();
         let (version, current_term) = (map.version(), self.coordinator.term().0);
         // Updates from the coordinator of another term may never have been written to its log, so the whole map is sent. The
         // broker then requests the further pages in this term.
-        let changes = if term == current_term { map.since(since, PAGE_RECORDS_MAX) } else { None };
-        let (records, upto, whole) = match changes {
-            Some((records, upto)) => (records, upto, false),
+        let changes = if term == current_term { map.changes_since(since, PAGE_RECORDS_MAX) } else { None };
+        let (records, cursor, is_full_map) = match changes {
+            Some((records, cursor)) => (records, cursor, false),
             None => {
-                let first_page = map.since(Cursor::default(), PAGE_RECORDS_MAX);
-                let (records, upto) = first_page.unwrap_or((Vec::new(), Cursor::at(version)));
-                (records, upto, true)
+                let first_page = map.changes_since(Cursor::default(), PAGE_RECORDS_MAX);
+                let (records, cursor) = first_page.unwrap_or((Vec::new(), Cursor::after_version(version)));
+                (records, cursor, true)
             }
         };
-        News { stores, records, upto, version, term: current_term, whole }
+        MapPage { stores, records, cursor, version, term: current_term, is_full_map }
     }
 
     /// Requests the use of blocks from all stores; the answers arrive as [`Input::Usage`].
@@ -424,7 +426,7 @@
     }
 
     /// Updates the sizes and loads of blocks from a store's report.
-    fn on_usage(&mut self, store: StoreId, held_blocks: &[wire::Held]) {
+    fn on_usage(&mut self, store: StoreId, held_blocks: &[wire::HeldBlock]) {
         let seconds = (self.blocks.settings.plan_every_ms as f64 / 1000.0).max(0.001);
         for held in held_blocks {
             let previous = self.part_counts.insert((held.block, store), held.parts);
@@ -449,9 +451,9 @@
                 id,
                 zone: listed.map_or(u32::MAX, |member| member.zone),
                 capacity: 1.0,
-                takes: listed.is_some_and(|member| member.is_ready),
-                leaves: listed.is_some_and(|member| !member.is_ready),
-                sound: listed.is_some() && self.coordinator.has_heard(id),
+                accepts_blocks: listed.is_some_and(|member| member.is_ready),
+                evacuate: listed.is_some_and(|member| !member.is_ready),
+                responds: listed.is_some() && self.coordinator.has_inventory(id),
             }
         };
         let stores: Vec<StoreState> = self.coordinator.stores().map(state).collect();
@@ -460,8 +462,8 @@
         let load = |block: &gingerledge_blocks::Block| {
             let measured = self.loads.get(&block.id).copied().unwrap_or_default();
             let last_changed = self.last_changed.get(&block.id).copied().unwrap_or(0);
-            let rested = now.saturating_sub(last_changed) >= self.blocks.settings.rest_ms;
-            (block.id, BlockLoad { load: measured.load + IDLE_LOAD, rested, ..measured })
+            let is_changeable = now.saturating_sub(last_changed) >= self.blocks.settings.rest_ms;
+            (block.id, BlockLoad { load: measured.load + IDLE_LOAD, is_changeable, ..measured })
         };
         let loads: HashMap<BlockId, BlockLoad> = self.coordinator.map().blocks().map(load).collect();
         let copies_in_progress: Vec<_> =
@@ -474,15 +476,15 @@
     /// # Errors
     ///
     /// The reason for which the change can't be started.
-    async fn start_change(&mut self, change: &Wish) -> Result<ChangeId, Unmet> {
+    async fn start_change(&mut self, change: &ChangeRequest) -> Result<ChangeId, RequestError> {
         let mut work = Vec::new();
-        let started = self.coordinator.wish(self.now(), change, &mut work);
+        let started = self.coordinator.request_change(self.now(), change, &mut work);
         self.execute(work).await;
         started
     }
 
     /// Starts changes; returns the number of started ones, and the reasons for which the others can't be started.
-    async fn start_changes(&mut self, changes: Vec<Wish>) -> (usize, Vec<String>) {
+    async fn start_changes(&mut self, changes: Vec<ChangeRequest>) -> (usize, Vec<String>) {
         let (mut started, mut refusals) = (0, Vec::new());
         for change in changes {
             match self.start_change(&change).await {
@@ -529,7 +531,7 @@
                 let plan = self.plan();
                 let mut json = super::admin::plan_json(&self.coordinator, &plan);
                 if execute {
-                    let changes = plan.wishes.into_iter().map(|planned| planned.wish).collect();
+                    let changes = plan.changes.into_iter().map(|planned| planned.change).collect();
                     let (started, refusals) = self.start_changes(changes).await;
                     json["begun"] = started.into();
                     json["refused"] = refusals.into();
@@ -537,7 +539,7 @@
                 Reply::Json(json)
             }
             Request::MapUpdates { since, term } => {
-                Reply::MapUpdates(wire::pack(&self.map_updates(since, term)))
+                Reply::MapUpdates(wire::encode(&self.map_updates(since, term)))
             }
         }
     }
@@ -547,14 +549,16 @@
     /// # Errors
     ///
     /// The first name that is not known.
-    fn resolve_names(&self, named: &NamedChange) -> Result<Wish, String> {
+    fn resolve_names(&self, named: &NamedChange) -> Result<ChangeRequest, String> {
         let store = |name: &String| self.coordinator.store(name).ok_or_else(|| name.clone());
         Ok(match named {
-            NamedChange::Move(block, from, to) => Wish::Move(BlockId(*block), store(from)?, store(to)?),
-            NamedChange::Add(block, to) => Wish::Add(BlockId(*block), store(to)?),
-            NamedChange::Remove(block, from) => Wish::Remove(BlockId(*block), store(from)?),
-            NamedChange::Split(block, at) => Wish::Split(BlockId(*block), *at),
-            NamedChange::Merge(block, with) => Wish::Merge(BlockId(*block), BlockId(*with)),
+            NamedChange::Move(block, from, to) => {
+                ChangeRequest::Move(BlockId(*block), store(from)?, store(to)?)
+            }
+            NamedChange::Add(block, to) => ChangeRequest::Add(BlockId(*block), store(to)?),
+            NamedChange::Remove(block, from) => ChangeRequest::Remove(BlockId(*block), store(from)?),
+            NamedChange::Split(block, at) => ChangeRequest::Split(BlockId(*block), *at),
+            NamedChange::Merge(block, with) => ChangeRequest::Merge(BlockId(*block), BlockId(*with)),
         })
     }
 }
@@ -564,41 +568,42 @@
     client: &StoreClient,
     address: std::net::SocketAddr,
     store: StoreId,
-    tag: Tag,
-    ordered: Ordered,
-) -> Option<Heard> {
-    if tag == Tag::Inventory {
+    tag: OrderPurpose,
+    ordered: StampedOrder,
+) -> Option<Event> {
+    if tag == OrderPurpose::Inventory {
         return match fetch_inventory(client, address, ordered).await? {
-            (None, held_blocks) => {
-                Some(Heard::Holds(store, held_blocks.iter().map(|held| (held.block, held.holding)).collect()))
-            }
-            (Some(refusal), _) => Some(Heard::Said(store, tag, Err(refusal))),
+            (None, held_blocks) => Some(Event::Inventory(
+                store,
+                held_blocks.iter().map(|held| (held.block, held.holding)).collect(),
+            )),
+            (Some(refusal), _) => Some(Event::Reply(store, tag, Err(refusal))),
         };
     }
-    let rest = wire::pack(&ordered);
-    let word = client.call(address, CallKind::Order, wire::ORDER, &rest, wire::WORD).await?;
-    match wire::unpack::<Word>(&word)? {
-        Word::Done(done) => Some(Heard::Said(store, tag, Ok(done))),
-        Word::Refused(refusal) => Some(Heard::Said(store, tag, Err(refusal))),
-        Word::Holds { .. } => None,
+    let rest = wire::encode(&ordered);
+    let word = client.call(address, CallKind::Order, wire::ORDER, &rest, wire::REPLY).await?;
+    match wire::decode::<OrderReply>(&word)? {
+        OrderReply::Done(done) => Some(Event::Reply(store, tag, Ok(done))),
+        OrderReply::Refused(refusal) => Some(Event::Reply(store, tag, Err(refusal))),
+        OrderReply::Inventory { .. } => None,
     }
 }
 
 /// The refusal of an inventory request, if any, and the blocks that the store holds.
-type Inventory = (Option<gingerledge_blocks::Refusal>, Vec<wire::Held>);
+type Inventory = (Option<gingerledge_blocks::Refusal>, Vec<wire::HeldBlock>);
 
 /// Requests all blocks that a store holds, page by page; `None` if the store did not answer.
 async fn fetch_inventory(
     client: &StoreClient,
     address: std::net::SocketAddr,
-    mut ordered: Ordered,
+    mut ordered: StampedOrder,
 ) -> Option<Inventory> {
-    let mut all: Vec<wire::Held> = Vec::new();
+    let mut all: Vec<wire::HeldBlock> = Vec::new();
     loop {
-        let rest = wire::pack(&ordered);
-        let word = client.call(address, CallKind::Order, wire::ORDER, &rest, wire::WORD).await?;
-        match wire::unpack::<Word>(&word)? {
-            Word::Holds { held, more } => {
+        let rest = wire::encode(&ordered);
+        let word = client.call(address, CallKind::Order, wire::ORDER, &rest, wire::REPLY).await?;
+        match wire::decode::<OrderReply>(&word)? {
+            OrderReply::Inventory { held, more } => {
                 let last = held.last().map(|held| held.block.0);
                 all.extend(held);
                 match last.filter(|_| more) {
@@ -606,8 +611,8 @@
                     None => return Some((None, all)),
                 }
             }
-            Word::Refused(refusal) => return Some((Some(refusal), all)),
-            Word::Done(_) => return None,
+            OrderReply::Refused(refusal) => return Some((Some(refusal), all)),
+            OrderReply::Done(_) => return None,
         }
     }
 }
@@ -618,8 +623,14 @@
     from: std::net::SocketAddr,
     to: std::net::SocketAddr,
     job: &CopyJob,
-) -> Option<Copied> {
-    let call = CopyCall { block: job.block, epoch: job.epoch, from, at: job.at, bytes: wire::STRETCH_MOST };
-    let answer = client.call(to, CallKind::Copy, wire::COPY, &wire::pack(&call), wire::COPIED).await?;
-    wire::unpack::<Option<Copied>>(&answer)?
+) -> Option<CopyReply> {
+    let call = CopyRequest {
+        block: job.block,
+        epoch: job.epoch,
+        from,
+        start: job.start,
+        bytes: wire::MAX_SECTION_BYTES,
+    };
+    let answer = client.call(to, CallKind::Copy, wire::COPY, &wire::encode(&call), wire::COPIED).await?;
+    wire::decode::<Option<CopyReply>>(&answer)?
 }
--- a/broker/src/blocks/follow.rs
+++ b/broker/src/blocks/follow.rs
@@ -7,7 +7,7 @@
 
 use async_io::Timer;
 use futures_lite::future::or;
-use gingerledge_blocks::wire::{self, News};
+use gingerledge_blocks::wire::{self, MapPage};
 
 use super::Blocks;
 use crate::http::{self, Kind, Stream};
@@ -47,7 +47,7 @@
 async fn fetch_updates(blocks: &Blocks, at: SocketAddr) -> Option<MapUpdate> {
     let (from, term) = (blocks.routes.next_cursor(), blocks.routes.term());
     let target = format!("/blocks/news?since={}&block={}&term={term}", from.version, from.block.0);
-    let page: News = wire::unpack(&get(at, &target).await?)?;
+    let page: MapPage = wire::decode(&get(at, &target).await?)?;
     blocks.apply_update(page)
 }
 
--- a/broker/src/blocks/mod.rs
+++ b/broker/src/blocks/mod.rs
@@ -19,7 +19,7 @@
 use async_executor::LocalExecutor;
 use async_io::Timer;
 use futures_core::future::LocalBoxFuture;
-use gingerledge_blocks::wire::{self, News};
+use gingerledge_blocks::wire::{self, MapPage};
 use gingerledge_blocks::{Snapshot, StoreId};
 
 use crate::clock::Clock;
@@ -103,7 +103,7 @@
 
     /// Applies a page of updates of the map, and reports changed owners to the core; `None` if the page could not be
     /// applied.
-    fn apply_update(&self, page: News) -> Option<MapUpdate> {
+    fn apply_update(&self, page: MapPage) -> Option<MapUpdate> {
         match self.routes.apply(page) {
             Ok(update) => {
                 if let MapUpdate::UpToDate(_) = update {
@@ -134,7 +134,7 @@
     /// Restores the stored map, so that queries can be routed to stores even while there is no coordinator.
     fn restore(&self) {
         let Some(bytes) = lease::read_checked(&self.map_file()) else { return };
-        let Some((snapshot, stores, term)) = wire::unpack::<(Snapshot, Vec<(StoreId, String)>, u32)>(&bytes)
+        let Some((snapshot, stores, term)) = wire::decode::<(Snapshot, Vec<(StoreId, String)>, u32)>(&bytes)
         else {
             log::warn!("blocks: the stored map can't be decoded; waiting for a coordinator");
             return;
@@ -155,7 +155,7 @@
             Timer::after(STORE_DELAY).await;
             let _ = self.map_changes.1.try_recv();
             let (snapshot, path) = (self.routes.snapshot(), self.map_file());
-            let bytes = wire::pack(&snapshot);
+            let bytes = wire::encode(&snapshot);
             if let Err(fault) = blocking::unblock(move || lease::write_checked(&path, &bytes)).await {
                 log::warn!("blocks: storing the map failed: {fault}");
             }
--- a/broker/src/cli/validate.rs
+++ b/broker/src/cli/validate.rs
@@ -4,7 +4,7 @@
 use std::io::{Read, Write};
 use std::path::Path;
 
-use gingerledge_blocks::validate::{faults, passage, Bounds, Document, Fault, Finding, Names, Passage};
+use gingerledge_blocks::validate::{faults, transition, Bounds, Document, Fault, Finding, Names, Transition};
 use serde_json::{json, Value};
 
 /// Says all that is wrong; fails if anything is.
@@ -14,11 +14,11 @@
     let old = against.map(|path| read(path, &mut names, &bounds).map(|old| (path, old))).transpose()?;
     let text = |store| names.text(store);
     let mut found: Vec<(&Path, Finding)> = Vec::new();
-    let mut proved = Passage::default();
+    let mut proved = Transition::default();
     found.extend(faults(&new.draft, &text).into_iter().map(|finding| (file, finding)));
     if let Some((path, old)) = &old {
         // What the old map lacks may be why there is a new one; only what leaves its holders unclear counts.
-        let unclear = faults(&old.draft, &text).into_iter().filter(|finding| finding.fault.unclear());
+        let unclear = faults(&old.draft, &text).into_iter().filter(|finding| finding.fault.is_ambiguous());
         found.extend(unclear.map(|finding| (*path, finding)));
         if let Some((held, next)) = old.version.zip(new.version) {
             if held.checked_add(1) != Some(next) {
@@ -26,7 +26,7 @@
                 found.push((file, Finding { fault, keys: None, blocks: Vec::new(), lines: Vec::new() }));
             }
         }
-        proved = passage(&old.draft, &new.draft, &text);
+        proved = transition(&old.draft, &new.draft, &text);
         found.extend(proved.findings.drain(..).map(|finding| (file, finding)));
     }
     let mut lines = String::new();
--- a/broker/src/config/blocks.rs
+++ b/broker/src/config/blocks.rs
@@ -6,7 +6,7 @@
 use std::path::PathBuf;
 
 use gingerledge_background::{Budget, Rate};
-use gingerledge_blocks::{Bounds, Goal, Patience, Span, REPLICAS_MOST};
+use gingerledge_blocks::{Bounds, Goal, Span, Timeouts, MAX_REPLICAS};
 use serde::Deserialize;
 
 use super::Error;
@@ -155,7 +155,7 @@
         within("lag", table.lag as f64, 0.0, 1e6)?;
         within("plan_every_ms", table.plan_every_ms as f64, 50.0, 3_600_000.0)?;
         within("rest_ms", table.rest_ms as f64, 0.0, 86_400_000.0)?;
-        within("replicas", table.replicas as f64, 1.0, REPLICAS_MOST as f64)?;
+        within("replicas", table.replicas as f64, 1.0, MAX_REPLICAS as f64)?;
         within("uneven", table.uneven, 0.01, 10.0)?;
         within("even", table.even, 0.0, table.uneven)?;
         within("split_above", table.split_above, 0.0, 1e12)?;
@@ -184,7 +184,8 @@
             let fault = "needs an operators' door (admin_addr): the other brokers follow the map there";
             return Err(Error::new(key("coordinate"), fault));
         }
-        let patience = Patience { step_ms: table.step_ms, lag: table.lag, ..Patience::default() };
+        let timeouts =
+            Timeouts { step_timeout_ms: table.step_ms, max_lag_entries: table.lag, ..Timeouts::default() };
         let rate = |per_s: f64| Rate { per_s, burst: per_s / 5.0 };
         Ok(Self {
             dir,
@@ -197,7 +198,7 @@
                 retired: table.retired_max,
                 stores: table.stores_max,
                 changes: table.changes_max,
-                patience,
+                timeouts,
                 ..Bounds::default()
             },
             planning,
@@ -205,12 +206,12 @@
             rest_ms: table.rest_ms,
             goal: Goal {
                 replicas: table.replicas,
-                uneven: table.uneven,
-                even: table.even,
+                imbalance_start: table.uneven,
+                imbalance_target: table.even,
                 split_above: table.split_above,
                 merge_below: table.merge_below,
-                copies: table.copies,
-                most: table.changes_max,
+                max_copies: table.copies,
+                max_changes: table.changes_max,
             },
             budget: Budget {
                 bytes: rate(table.copy_bytes_per_s),
@@ -235,13 +236,13 @@
         if !numbers.insert(table.block) {
             return Err(Error::new(key("block"), format!("{} stands twice", table.block)));
         }
-        if let Some(other) = found.iter().find(|other| other.span.meet(span).is_some()) {
+        if let Some(other) = found.iter().find(|other| other.span.intersection(span).is_some()) {
             let fault = format!("overlaps block {}, which has {}", other.block, other.span);
             return Err(Error::new(key("first"), fault));
         }
         let stores: HashSet<&String> = table.stores.iter().collect();
-        if !(1..=REPLICAS_MOST).contains(&stores.len()) || stores.len() != table.stores.len() {
-            let fault = format!("expected 1 to {REPLICAS_MOST} stores, none twice");
+        if !(1..=MAX_REPLICAS).contains(&stores.len()) || stores.len() != table.stores.len() {
+            let fault = format!("expected 1 to {MAX_REPLICAS} stores, none twice");
             return Err(Error::new(key("stores"), fault));
         }
         if let Some(extent) = table.extent {
--- a/broker/src/routes.rs
+++ b/broker/src/routes.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeSet, HashMap};
 
 use gingerledge_blocks::validate::{self, Facts, Finding, Standing};
-use gingerledge_blocks::wire::News;
+use gingerledge_blocks::wire::MapPage;
 use gingerledge_blocks::{
     BlockId, BlockMap, Cursor, Epoch, Extent, MapError, Record, Snapshot, Span, StoreId,
 };
@@ -124,7 +124,7 @@
     pub fn next_cursor(&self) -> Cursor {
         let state = self.state.borrow();
         match state.pending.is_empty() {
-            true => Cursor::at(state.map.version()),
+            true => Cursor::after_version(state.map.version()),
             false => state.pending_up_to,
         }
     }
@@ -150,7 +150,7 @@
     /// # Errors
     ///
     /// If the update does not fit the current map or would make it invalid; the next one then starts from the beginning.
-    pub fn apply(&self, page: News) -> Result<MapUpdate, MapUpdateError> {
+    pub fn apply(&self, page: MapPage) -> Result<MapUpdate, MapUpdateError> {
         let mut state = self.state.borrow_mut();
         if page.term < state.term {
             return Ok(MapUpdate::OutdatedTerm);
@@ -158,17 +158,17 @@
         // The numbers of stores are valid across terms and never change.
         state.names.extend(page.stores);
         state.term = page.term;
-        if page.whole {
+        if page.is_full_map {
             (state.pending_is_full_map, state.pending) = (true, Vec::new());
         }
         state.pending.extend(page.records);
-        state.pending_up_to = page.upto;
+        state.pending_up_to = page.cursor;
         // Bounds the memory: a correct coordinator never sends more records than this.
         if state.pending.len() > 2 * (self.max_blocks + self.max_retired) + 1024 {
             (state.pending, state.pending_is_full_map, state.term) = (Vec::new(), false, 0);
-            return Err(MapError::Full(self.max_blocks).into());
+            return Err(MapError::TooManyBlocks(self.max_blocks).into());
         }
-        if page.upto < Cursor::at(page.version) {
+        if page.cursor < Cursor::after_version(page.version) {
             return Ok(MapUpdate::MorePages);
         }
         let records = std::mem::take(&mut state.pending);
@@ -178,12 +178,12 @@
         let term = std::mem::take(&mut state.term);
         if is_full_map {
             let map = map_from_records(records, page.version, self.max_blocks, self.max_retired)?;
-            validate_map(&state.names, page.version, |facts| validate::whole(&map, facts))?;
+            validate_map(&state.names, page.version, |facts| validate::full_map(&map, facts))?;
             let former: Vec<BlockId> = state.map.blocks().map(|block| block.id).collect();
             state.map = map;
             state.dirty.extend(former);
         } else {
-            let records = state.map.news(records);
+            let records = state.map.new_records(records);
             validate_map(&state.names, page.version, |facts| {
                 validate::batch(&state.map, &records, facts).findings
             })?;
@@ -207,7 +207,7 @@
     ) -> Result<(), MapUpdateError> {
         let map = BlockMap::restore(snapshot, self.max_blocks, self.max_retired)?;
         let names = stores.iter().cloned().collect();
-        validate_map(&names, snapshot.version, |facts| validate::whole(&map, facts))?;
+        validate_map(&names, snapshot.version, |facts| validate::full_map(&map, facts))?;
         let mut state = self.state.borrow_mut();
         state.dirty.extend(map.blocks().map(|block| block.id));
         state.names = names;
@@ -242,7 +242,7 @@
 
     /// The current blocks that intersect a bounding box.
     pub fn in_extent(&self, extent: [f64; 4]) -> Vec<u32> {
-        self.state.borrow().map.in_extent(Extent(extent)).into_iter().map(|id| id.0).collect()
+        self.state.borrow().map.blocks_in_extent(Extent(extent)).into_iter().map(|id| id.0).collect()
     }
 
     /// Resolves the block number that a client used, possibly with one weigher of the block, to current blocks. An entry
@@ -272,7 +272,7 @@
         if let Some(weigher) = weigher {
             let piece = pieces.iter().find(|piece| piece.slice.contains(weigher));
             let piece = piece.ok_or(RouteError::NotInBlock(requested_block, weigher))?;
-            return Ok(vec![target(piece.block, piece.slice, piece.all, 1.0)]);
+            return Ok(vec![target(piece.block, piece.slice, piece.is_whole_block, 1.0)]);
         }
         if is_entry && pieces.len() > 1 {
             return Err(RouteError::Ambiguous(
@@ -282,7 +282,7 @@
         }
         let size = |span: Span| (span.end - span.first) as f64;
         let total: f64 = pieces.iter().map(|piece| size(piece.slice)).sum();
-        Ok(pieces.iter().map(|p| target(p.block, p.slice, p.all, size(p.slice) / total)).collect())
+        Ok(pieces.iter().map(|p| target(p.block, p.slice, p.is_whole_block, size(p.slice) / total)).collect())
     }
 
     /// The successors of a block that no longer exists, for a part that requested these weighers of it.
@@ -303,7 +303,7 @@
             let state = self.state.borrow();
             targets.retain_mut(|target| {
                 let Some(successor) = state.map.block(BlockId(target.block)) else { return false };
-                let Some(part) = successor.span.meet(requested) else { return false };
+                let Some(part) = successor.span.intersection(requested) else { return false };
                 target.first_weigher = part.first;
                 target.slice = (part != successor.span).then_some(part);
                 target.share =
@@ -320,7 +320,7 @@
     fn mark_store_dirty(&mut self, name: &str) {
         let id = self.names.iter().find(|(_, known)| *known == name).map(|(id, _)| *id);
         let Some(id) = id else { return };
-        let blocks: Vec<BlockId> = self.map.at_store(id).collect();
+        let blocks: Vec<BlockId> = self.map.blocks_at_store(id).collect();
         self.dirty.extend(blocks);
     }
 
@@ -348,7 +348,7 @@
     let standing = |store| names.contains_key(&store).then_some(Standing::Listed);
     let text = |store| names.get(&store).map_or_else(|| store.to_string(), |name| format!("store {name}"));
     let findings = check(&Facts { standing: &standing, text: &text, copies: &|_, _| true });
-    validate::first_of(&findings).map_or(Ok(()), |why| Err(MapUpdateError::Unsound { version, why }))
+    validate::summary(&findings).map_or(Ok(()), |why| Err(MapUpdateError::Unsound { version, why }))
 }
 
 /// Builds a map from the records of a complete update, of which the last one of each block counts.
@@ -368,10 +368,10 @@
             continue;
         }
         match record {
-            Record::Living(block) => snapshot.living.push(block),
+            Record::Active(block) => snapshot.active.push(block),
             Record::Retired { id, span, epoch } => snapshot.retired.push((id, span, epoch)),
         }
     }
-    snapshot.living.sort_unstable_by_key(|block| block.span);
+    snapshot.active.sort_unstable_by_key(|block| block.span);
     BlockMap::restore(&snapshot, max_blocks, max_retired)
 }
--- a/broker/tests/golden.rs
+++ b/broker/tests/golden.rs
@@ -126,7 +126,7 @@
     let block = |id, first, end| Block {
         id: BlockId(id),
         span: Span::new(first, end),
-        epoch: Epoch::of(Term(3), 1),
+        epoch: Epoch::from_parts(Term(3), 1),
         replicas: vec![
             replica(1, ReplicaState::Serving),
             replica(2, ReplicaState::Joining),
@@ -135,11 +135,11 @@
         extent: None,
     };
     let kinds = [
-        Kind::Move { from: StoreId(1), to: StoreId(2) },
-        Kind::Add { source: StoreId(1), to: StoreId(2) },
-        Kind::Remove { from: StoreId(1), keeper: StoreId(3) },
-        Kind::Split { holders: vec![StoreId(1)], new: vec![(BlockId(20), Span::new(0, 10))] },
-        Kind::Merge {
+        ChangeKind::Move { from: StoreId(1), to: StoreId(2) },
+        ChangeKind::Add { source: StoreId(1), to: StoreId(2) },
+        ChangeKind::Remove { from: StoreId(1), keeper: StoreId(3) },
+        ChangeKind::Split { holders: vec![StoreId(1)], new: vec![(BlockId(20), Span::new(0, 10))] },
+        ChangeKind::Merge {
             with: BlockId(5),
             holders: vec![StoreId(1)],
             new: vec![(BlockId(21), Span::new(0, 10))],
@@ -152,7 +152,7 @@
         Some(Reason::Unsound("two \"holders\"".into())),
         None,
     ];
-    let (epoch, back) = (Epoch::of(Term(3), 2), Epoch::of(Term(3), 3));
+    let (epoch, back) = (Epoch::from_parts(Term(3), 2), Epoch::from_parts(Term(3), 3));
     let changes = (0..5u32).zip(kinds).zip(reasons).map(|((n, kind), reason)| {
         let span = Span::new(u64::from(n) * 10, u64::from(n) * 10 + 10);
         let mut change = Change::new(ChangeId(u64::from(n)), BlockId(n), span, kind, epoch, back);
@@ -167,12 +167,12 @@
         stores: (1..=3).map(|n| (StoreId(n), format!("s-{n}"))).collect(),
         map: Snapshot {
             version: 12,
-            living: (0..6).map(|n| block(n, u64::from(n) * 10, u64::from(n) * 10 + 10)).collect(),
+            active: (0..6).map(|n| block(n, u64::from(n) * 10, u64::from(n) * 10 + 10)).collect(),
             retired: vec![],
         },
         changes: changes.collect(),
         paused: true,
-        given: (30, 10, 5),
+        last_assigned: (30, 10, 5),
     };
     let records = vec![LogRecord::Start(Box::new(state))];
     Coordinator::begin(1000, Term(4), records, Bounds::default()).unwrap().0
@@ -181,16 +181,16 @@
 #[test]
 fn the_operators_documents_of_blocks_are_what_they_were() {
     let coordinator = coordinator();
-    let site = |n: u32, leaves: bool| StoreState {
+    let site = |n: u32, evacuate: bool| StoreState {
         id: StoreId(n),
         zone: n,
         capacity: 1.0,
-        takes: !leaves,
-        leaves,
-        sound: true,
+        accepts_blocks: !evacuate,
+        evacuate,
+        responds: true,
     };
     let sites = [site(1, false), site(2, false), site(3, true), site(4, false)];
-    let load = BlockLoad { bytes: 1000, load: 1.0, rested: true };
+    let load = BlockLoad { bytes: 1000, load: 1.0, is_changeable: true };
     let loads = (0..6).map(|n| (BlockId(n), load)).collect();
     let goal = Goal { split_above: 0.5, ..Goal::default() };
     let planned = plan(coordinator.map(), &sites, &loads, &[BlockId(0)].into(), &[], &goal);
@@ -389,7 +389,7 @@
     let blocks = config.blocks.unwrap();
     assert!(blocks.coordinate && blocks.coordinators.len() == 2 && blocks.found.len() == 2);
     assert_eq!((blocks.lease_ms, blocks.follow_ms, blocks.plan_every_ms), (5000, 500, 2000));
-    assert_eq!((blocks.rest_ms, blocks.goal.replicas, blocks.goal.uneven), (60_000, 2, 0.25));
+    assert_eq!((blocks.rest_ms, blocks.goal.replicas, blocks.goal.imbalance_start), (60_000, 2, 0.25));
     assert_eq!((blocks.found[1].block, blocks.found[1].span), (1, Span::new(50_000, 100_000)));
     assert_eq!(blocks.found[1].stores, ["s-0d91c3fe", "s-77a0e2b1"]);
 }
--- a/broker/tests/validate.rs
+++ b/broker/tests/validate.rs
@@ -6,7 +6,7 @@
 use std::process::Command;
 
 use gingerledge::routes::{MapUpdate, MapUpdateError, Routes};
-use gingerledge_blocks::wire::News;
+use gingerledge_blocks::wire::MapPage;
 use gingerledge_blocks::{Block, BlockId, Cursor, Epoch, Record, Replica, ReplicaState, Span, StoreId, Term};
 use serde_json::Value;
 
@@ -137,24 +137,24 @@
 }
 
 /// A page of news that is all there is: blocks of 100 weighers, each with its number, epoch and holder.
-fn news(version: u64, whole: bool, blocks: &[(u32, u32, u32)]) -> News {
+fn news(version: u64, is_full_map: bool, blocks: &[(u32, u32, u32)]) -> MapPage {
     let block = |(id, epoch, store): &(u32, u32, u32)| {
         let first = u64::from(*id) * 100;
-        Record::Living(Block {
+        Record::Active(Block {
             id: BlockId(*id),
             span: Span::new(first, first + 100),
-            epoch: Epoch::of(Term(1), *epoch),
+            epoch: Epoch::from_parts(Term(1), *epoch),
             replicas: vec![Replica { store: StoreId(*store), state: ReplicaState::Serving }],
             extent: None,
         })
     };
-    News {
+    MapPage {
         stores: (0..2).map(|n| (StoreId(n), format!("s-{n}"))).collect(),
         records: blocks.iter().map(block).collect(),
-        upto: Cursor::at(version),
+        cursor: Cursor::after_version(version),
         version,
         term: 1,
-        whole,
+        is_full_map,
     }
 }
 
@@ -175,13 +175,13 @@
     assert!(version == 2 && why.contains("store 9"), "{why}");
     // All is as it was, but for the term: without one the coordinator tells the whole map.
     assert_eq!(routes.snapshot().0, held.0);
-    assert_eq!((routes.term(), routes.next_cursor()), (0, Cursor::at(1)));
+    assert_eq!((routes.term(), routes.next_cursor()), (0, Cursor::after_version(1)));
     assert_eq!(routes.apply(news(2, true, &[(0, 1, 0), (1, 2, 0)])), Ok(MapUpdate::UpToDate(2)));
     assert_eq!(routes.apply(news(3, false, &[(0, 3, 1)])), Ok(MapUpdate::UpToDate(3)));
-    assert_eq!(routes.epoch(0), Some(Epoch::of(Term(1), 3)));
+    assert_eq!(routes.epoch(0), Some(Epoch::from_parts(Term(1), 3)));
     // The map that was kept is looked at likewise.
     let (mut kept, stores, term) = routes.snapshot();
-    kept.living[0].replicas[0].store = StoreId(9);
+    kept.active[0].replicas[0].store = StoreId(9);
     let fresh = Routes::new(100, 100);
     assert!(matches!(fresh.restore(&kept, &stores, term), Err(MapUpdateError::Unsound { version: 3, .. })));
     assert_eq!(fresh.version(), 0);
--- a/testkit/broker/src/store.rs
+++ b/testkit/broker/src/store.rs
@@ -15,9 +15,9 @@
 use gingerledge::blocks::store_client;
 use gingerledge::http;
 use gingerledge::store::frame;
-use gingerledge_blocks::wire::{self, Copied, CopyCall, Stretch, TailCall, Word};
+use gingerledge_blocks::wire::{self, CopyReply, CopyRequest, LogSection, OrderReply, SectionRequest};
 use gingerledge_blocks::{
-    BlockId, Disk, Entry, Epoch, ForgetfulDisk, Holdings, Kept, Order, Ordered, Span, Verdict,
+    Admission, BlockId, Disk, DurableState, Entry, Epoch, Holdings, Order, SimulatedDisk, Span, StampedOrder,
 };
 
 use crate::data;
@@ -59,7 +59,7 @@
     holdings: RefCell<Holdings>,
     /// Readings by weigher, as the log holds them.
     readings: RefCell<BTreeMap<u64, u64>>,
-    disk: RefCell<ForgetfulDisk>,
+    disk: RefCell<SimulatedDisk>,
     /// How much of the log is on the disk, and whether the rest of the state is.
     logged: Cell<usize>,
     cores: Semaphore,
@@ -112,7 +112,7 @@
         let address = listener.local_addr()?;
         let mut holdings = Holdings::new(BLOCKS_MOST);
         for weigher in weighers.iter().flat_map(|span| span.first..span.end) {
-            holdings.run(data::reading(weigher));
+            holdings.append(data::reading(weigher));
         }
         let store = Rc::new(Self {
             name: name.to_owned(),
@@ -173,7 +173,7 @@
     /// Gives it a fault, or ends that.
     pub fn set_fault(&self, fault: Fault) {
         self.fault.set(fault);
-        self.disk.borrow_mut().most = (fault == Fault::Full).then(|| self.disk.borrow().bytes().len());
+        self.disk.borrow_mut().capacity = (fault == Fault::Full).then(|| self.disk.borrow().bytes().len());
     }
 
     /// Ends it at once: connections are reset, and what was not on the disk is lost.
@@ -185,13 +185,15 @@
 
     /// Starts it again, with what its disk holds.
     pub fn restart(self: &Rc<Self>, now_ms: u64) -> std::io::Result<()> {
-        let mut kept = Kept::default();
+        let mut kept = DurableState::default();
         let bytes = self.disk.borrow_mut().read()?;
         let mut rest = &bytes[..];
         while let Some((record, after)) = record(rest) {
             match record {
                 Lasting::Entry(entry) => kept.entries.push(entry),
-                Lasting::Rest(new) => kept = Kept { entries: std::mem::take(&mut kept.entries), ..new },
+                Lasting::Rest(new) => {
+                    kept = DurableState { entries: std::mem::take(&mut kept.entries), ..new }
+                }
             }
             rest = after;
         }
@@ -288,19 +290,20 @@
             frame::PROBE => Some(frame::frame(frame::PROBE, b"good")),
             frame::LOAD_PROBE => Some(frame::frame(frame::LOAD_PROBE, b"-")),
             wire::ORDER => {
-                let word = store.order(&wire::unpack(&rest)?)?;
-                Some(frame::frame(wire::WORD, &wire::pack(&word)))
+                let word = store.order(&wire::decode(&rest)?)?;
+                Some(frame::frame(wire::REPLY, &wire::encode(&word)))
             }
-            wire::TAIL => {
-                let call: TailCall = wire::unpack(&rest)?;
+            wire::READ_SECTION => {
+                let call: SectionRequest = wire::decode(&rest)?;
                 let holdings = store.holdings.borrow();
-                let (entries, next) = holdings.tail(call.span, call.at, call.bytes.min(wire::STRETCH_MOST));
+                let (entries, next) =
+                    holdings.read_section(call.span, call.start, call.bytes.min(wire::MAX_SECTION_BYTES));
                 let length = holdings.entries().len() as u64;
-                Some(frame::frame(wire::STRETCH, &wire::pack(&Stretch { entries, next, length })))
+                Some(frame::frame(wire::SECTION, &wire::encode(&LogSection { entries, next, length })))
             }
             wire::COPY => {
-                let copied = store.copy(wire::unpack(&rest)?).await;
-                Some(frame::frame(wire::COPIED, &wire::pack(&copied)))
+                let copied = store.copy(wire::decode(&rest)?).await;
+                Some(frame::frame(wire::COPIED, &wire::encode(&copied)))
             }
             _ => None,
         }
@@ -313,39 +316,46 @@
         }
     }
 
-    fn order(&self, ordered: &Ordered) -> Option<Word> {
-        let said = self.holdings.borrow_mut().obey(ordered);
+    fn order(&self, ordered: &StampedOrder) -> Option<OrderReply> {
+        let said = self.holdings.borrow_mut().carry_out(ordered);
         // An order counts once it lasts. Where the disk is full nothing is said, and the store forgets it.
         if !self.lasts() {
             return None;
         }
         Some(match (&ordered.order, said) {
-            (_, Err(refusal)) => Word::Refused(refusal),
+            (_, Err(refusal)) => OrderReply::Refused(refusal),
             (Order::Inventory, Ok(_)) => {
-                let (held, more) = self.holdings.borrow().held(ordered.block, wire::HOLDS_MOST);
-                Word::Holds { held, more }
+                let (held, more) =
+                    self.holdings.borrow().inventory(ordered.block, wire::MAX_INVENTORY_BLOCKS);
+                OrderReply::Inventory { held, more }
             }
-            (_, Ok(done)) => Word::Done(done),
+            (_, Ok(done)) => OrderReply::Done(done),
         })
     }
 
     /// Copies a stretch from another store's log.
-    async fn copy(&self, call: CopyCall) -> Option<Copied> {
+    async fn copy(&self, call: CopyRequest) -> Option<CopyReply> {
         let held = self.holdings.borrow().block(call.block).copied().filter(|h| h.epoch == call.epoch)?;
         // What was copied further already need not come again.
-        let at = held.copied.max(call.at);
-        let asked = TailCall { span: held.span, at, bytes: call.bytes };
-        let stretch: Stretch =
-            wire::unpack(&ask(call.from, wire::TAIL, &wire::pack(&asked), wire::STRETCH).await?)?;
+        let start = held.copied.max(call.start);
+        let asked = SectionRequest { span: held.span, start, bytes: call.bytes };
+        let stretch: LogSection =
+            wire::decode(&ask(call.from, wire::READ_SECTION, &wire::encode(&asked), wire::SECTION).await?)?;
         let bytes: u64 = stretch.entries.iter().map(|e| (e.value.len() + e.key.len()) as u64).sum();
         let before = self.holdings.borrow().entries().len();
-        self.holdings.borrow_mut().absorb(call.block, call.epoch, at, stretch.entries, stretch.next);
+        self.holdings.borrow_mut().apply_section(
+            call.block,
+            call.epoch,
+            start,
+            stretch.entries,
+            stretch.next,
+        );
         if !self.lasts() {
             return None;
         }
         self.index(before);
         let copied = self.holdings.borrow().block(call.block).map_or(0, |held| held.copied);
-        Some(Copied { copied, length: stretch.length, bytes })
+        Some(CopyReply { copied, length: stretch.length, bytes })
     }
 
     /// Answers for a part.
@@ -379,20 +389,20 @@
         });
         // An entry's key is the part's id up to the block that it is asked of now.
         let key = field("w=1").map(|_| id.split('-').next().unwrap_or(id));
-        let verdict = self.holdings.borrow().admit(block, epoch, key);
+        let verdict = self.holdings.borrow().admission(block, epoch, key);
         let (end, report, value) = match verdict {
-            Verdict::Later(newer) => {
+            Admission::Reject(newer) => {
                 ("later", format!("epoch={}", newer.unwrap_or_default().0), String::new())
             }
-            Verdict::Known(_) => ("good", "-".to_owned(), "stored".to_owned()),
-            Verdict::Run(span) => {
-                self.holdings.borrow_mut().count(block);
-                let span = slice.and_then(|slice| slice.meet(span)).unwrap_or(span);
+            Admission::Duplicate(_) => ("good", "-".to_owned(), "stored".to_owned()),
+            Admission::Execute(span) => {
+                self.holdings.borrow_mut().count_part(block);
+                let span = slice.and_then(|slice| slice.intersection(span)).unwrap_or(span);
                 match key {
                     Some(key) => {
                         let weigher = weigher.unwrap_or(span.first);
                         let entry = Entry { key: key.to_owned(), weigher, value: text.into() };
-                        if self.holdings.borrow_mut().run(entry) {
+                        if self.holdings.borrow_mut().append(entry) {
                             *self.runs.borrow_mut().entry(key.to_owned()).or_default() += 1;
                         }
                         match self.lasts() {
@@ -437,7 +447,7 @@
             for entry in holdings.entries().iter().skip(self.logged.get()) {
                 bytes.extend(packed(&Lasting::Entry(entry.clone())));
             }
-            bytes.extend(packed(&Lasting::Rest(holdings.kept())));
+            bytes.extend(packed(&Lasting::Rest(holdings.durable_state())));
         }
         let mut disk = self.disk.borrow_mut();
         if disk.append(&bytes).and_then(|()| disk.sync()).is_err() {
@@ -452,13 +462,13 @@
 #[derive(Debug)]
 enum Lasting {
     Entry(Entry),
-    Rest(Kept),
+    Rest(DurableState),
 }
 
 fn packed(lasting: &Lasting) -> Vec<u8> {
     let (letter, body) = match lasting {
-        Lasting::Entry(entry) => (0u8, wire::pack(entry)),
-        Lasting::Rest(kept) => (1, wire::pack(kept)),
+        Lasting::Entry(entry) => (0u8, wire::encode(entry)),
+        Lasting::Rest(kept) => (1, wire::encode(kept)),
     };
     let mut bytes = (body.len() as u32).to_le_bytes().to_vec();
     bytes.extend_from_slice(&crc32fast::hash(&body).to_le_bytes());
@@ -476,8 +486,8 @@
         return None;
     }
     let lasting = match letter {
-        0 => Lasting::Entry(wire::unpack(body)?),
-        _ => Lasting::Rest(wire::unpack(body)?),
+        0 => Lasting::Entry(wire::decode(body)?),
+        _ => Lasting::Rest(wire::decode(body)?),
     };
     Some((lasting, rest))
 }
