--- a/broker/crates/blocks/benches/scale.rs
+++ b/broker/crates/blocks/benches/scale.rs
@@ -1,4 +1,5 @@
-//! Look-ups, changes, plans and recovery as the map grows. `cargo bench -p gingerledge-blocks`.
+//! Benchmarks of look-ups, changes, plans and recovery for growing maps. Run with `cargo bench -p
+//! gingerledge-blocks`.
 
 #![allow(clippy::expect_used)]
 
@@ -15,7 +16,7 @@
 
 const SIZES: [u32; 4] = [100, 1_000, 10_000, 100_000];
 
-/// So many blocks of a thousand weighers, on a hundredth as many stores.
+/// Creates a map with blocks of 1000 weighers each, on a hundredth as many stores (at least four).
 fn map(blocks: u32) -> BlockMap {
     let stores = (blocks / 100).max(4);
     let replica = |store: u32| Replica { store: StoreId(store % stores), state: ReplicaState::Serving };
@@ -35,11 +36,12 @@
     map
 }
 
-/// Look-ups in one turn of a look-up's benchmark: the figure is the thousandth part of it.
-const MANY: usize = 1000;
+/// Number of look-ups in one iteration of a benchmark, so that the time of one look-up is a thousandth of the
+/// reported time.
+const LOOK_UPS: usize = 1000;
 
-/// The next of a sequence that jumps all over.
-fn jump(n: &mut u64) -> u64 {
+/// Returns the next number of a pseudo-random sequence.
+fn next_pseudo_random(n: &mut u64) -> u64 {
     *n = n.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
     *n >> 20
 }
@@ -47,9 +49,9 @@
 #[divan::bench(args = SIZES)]
 fn thousand_look_ups_by_number(bencher: Bencher, blocks: u32) {
     let (map, mut n) = (map(blocks), 1);
-    bencher.counter(ItemsCount::new(MANY)).bench_local(|| {
-        for _ in 0..MANY {
-            let id = BlockId(jump(&mut n) as u32 % blocks);
+    bencher.counter(ItemsCount::new(LOOK_UPS)).bench_local(|| {
+        for _ in 0..LOOK_UPS {
+            let id = BlockId(next_pseudo_random(&mut n) as u32 % blocks);
             black_box(map.block(id).map(|block| block.epoch));
         }
     });
@@ -58,9 +60,9 @@
 #[divan::bench(args = SIZES)]
 fn thousand_look_ups_by_weigher(bencher: Bencher, blocks: u32) {
     let (map, mut n) = (map(blocks), 1);
-    bencher.counter(ItemsCount::new(MANY)).bench_local(|| {
-        for _ in 0..MANY {
-            let weigher = jump(&mut n) % (u64::from(blocks) * 1000);
+    bencher.counter(ItemsCount::new(LOOK_UPS)).bench_local(|| {
+        for _ in 0..LOOK_UPS {
+            let weigher = next_pseudo_random(&mut n) % (u64::from(blocks) * 1000);
             black_box(map.block_of_weigher(weigher).map(|block| block.epoch));
         }
     });
@@ -90,7 +92,7 @@
 fn plan_for_stores_switched_on(bencher: Bencher, blocks: u32) {
     let map = map(blocks);
     let used = (blocks / 100).max(4);
-    // A fifth more stores than hold blocks now.
+    // Returns a fifth more stores than the number that hold blocks.
     let stores: Vec<StoreState> = (0..used + (used / 5).max(1))
         .map(|n| StoreState {
             id: StoreId(n),
--- a/broker/crates/blocks/benches/validate.rs
+++ b/broker/crates/blocks/benches/validate.rs
@@ -1,5 +1,6 @@
-//! What proving costs with ten thousand blocks: a thousand maps one after the other, each by its batch or each whole, a
-//! passage between two whole maps, and a document. `cargo bench -p gingerledge-blocks --bench validate`.
+//! Benchmarks of the validator with 10,000 blocks: 1000 maps in sequence, by batch or as complete maps, a
+//! transition between two complete maps, and a document. Run with `cargo bench -p gingerledge-blocks --bench
+//! validate`.
 
 #![allow(clippy::expect_used)]
 
@@ -66,8 +67,8 @@
     store.to_string()
 }
 
-/// A thousand moves: block by block its first holder gives way to another.
-fn moves() -> Vec<Batch> {
+/// Creates 1000 moves, each of which replaces the first holder of one block.
+fn move_batches() -> Vec<Batch> {
     let one = |n: u32| {
         let (id, to) = (n * 7 % BLOCKS, StoreId((n * 7 + 2) % STORES));
         let records = vec![Record::Active(block(id, n + 2, &[to, holders(id)[1]]))];
@@ -78,7 +79,7 @@
 
 #[divan::bench(sample_count = 20)]
 fn replay_a_thousand_maps_batch_by_batch(bencher: Bencher) {
-    let (start, moves) = (map(), moves());
+    let (start, moves) = (map(), move_batches());
     let listed = |store: StoreId| (store.0 < STORES).then_some(Standing::Listed);
     let facts = Facts { standing: &listed, text: &text, copies: &|_, _| true };
     bencher.counter(ItemsCount::new(MAPS)).with_inputs(|| start.clone()).bench_local_values(|mut map| {
@@ -92,7 +93,7 @@
 
 #[divan::bench(sample_count = 20)]
 fn apply_a_thousand_batches_unproved(bencher: Bencher) {
-    let (start, moves) = (map(), moves());
+    let (start, moves) = (map(), move_batches());
     bencher.counter(ItemsCount::new(MAPS)).with_inputs(|| start.clone()).bench_local_values(|mut map| {
         for moved in &moves {
             map.apply(moved).expect("a batch");
@@ -103,7 +104,7 @@
 
 #[divan::bench(sample_count = 2, sample_size = 1)]
 fn replay_a_thousand_maps_whole(bencher: Bencher) {
-    let (start, moves) = (map(), moves());
+    let (start, moves) = (map(), move_batches());
     bencher.counter(ItemsCount::new(MAPS)).with_inputs(|| start.clone()).bench_local_values(|mut map| {
         for moved in &moves {
             map.apply(moved).expect("a batch");
@@ -117,7 +118,7 @@
 fn passage_between_two_whole_maps(bencher: Bencher) {
     let mut map = map();
     let mut old = draft(&map);
-    let moves = moves();
+    let moves = move_batches();
     for moved in &moves {
         map.apply(moved).expect("a batch");
     }
--- a/broker/crates/blocks/tests/golden.rs
+++ b/broker/crates/blocks/tests/golden.rs
@@ -1,7 +1,6 @@
-//! What is stored and sent about blocks, against bytes that an earlier version of this package wrote.
-//!
-//! The texts of findings, and the JSON forms of findings and passages, are shown to operators as they stand here: they are pinned
-//! with the rest. `GOLDEN_WRITE=1` writes the files anew.
+//! Checks stored and transmitted data about blocks against bytes that an earlier version of this package wrote.
+//! The texts of findings and the JSON forms of findings and transitions are visible to operators, so they are
+//! checked too. `GOLDEN_WRITE=1` rewrites the files.
 #![allow(clippy::unwrap_used)]
 
 use std::fmt::Debug;
@@ -23,17 +22,17 @@
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name)
 }
 
-/// Reads recorded bytes of one value, compares it, and packs it again.
+/// Reads recorded bytes of one value, compares the value, and encodes it again.
 type Check = Box<dyn Fn(&[u8])>;
 
-/// Values with their names. Compares what they are packed to with the file, then reads the file's bytes back.
-struct Packed {
+/// Named values. Compares their encoding with the file, then decodes the bytes of the file.
+struct EncodedSamples {
     file: PathBuf,
     samples: Vec<Sample>,
     checks: Vec<Check>,
 }
 
-impl Packed {
+impl EncodedSamples {
     fn new(name: &str) -> Self {
         Self { file: file(name), samples: Vec::new(), checks: Vec::new() }
     }
@@ -133,8 +132,8 @@
     Change::new(ChangeId(400), BlockId(5), span(), kind, epoch(1), epoch(2))
 }
 
-/// A change that has gone to its fence: the fields that none sets from outside differ from one another.
-fn change_under_way() -> Change {
+/// Returns a change that has reached its fence: its private fields have values that differ from one another.
+fn fenced_change() -> Change {
     let patience = Timeouts::default();
     let done = |watermark| Ok(OrderOutcome { mode: Some(Mode::Copying), watermark, copied: 0 });
     let mut change = change(ChangeKind::Move { from: StoreId(1), to: StoreId(2) });
@@ -179,8 +178,7 @@
 }
 
 fn state() -> State {
-    let changes =
-        every_kind().into_iter().map(|(_, kind)| change(kind)).chain([change_under_way()]).collect();
+    let changes = every_kind().into_iter().map(|(_, kind)| change(kind)).chain([fenced_change()]).collect();
     State {
         term: Term(3),
         stores: stores(),
@@ -196,7 +194,7 @@
         ("start of an empty state".to_owned(), LogRecord::Start(Box::default())),
         ("start".to_owned(), LogRecord::Start(Box::new(state()))),
         ("store".to_owned(), LogRecord::Store(StoreId(300), "s-93d04c1e".into())),
-        ("begin under way".to_owned(), LogRecord::Begin(change_under_way())),
+        ("begin under way".to_owned(), LogRecord::Begin(fenced_change())),
         (
             "batch".to_owned(),
             LogRecord::Batch(Batch { version: 1235, records: vec![Record::Active(block()), retired()] }),
@@ -221,7 +219,7 @@
 }
 
 #[test]
-fn log_records_are_written_and_read_as_they_were() {
+fn log_records_keep_their_encoding() {
     let samples: Vec<Sample> =
         every_record().iter().map(|(name, record)| Sample::new(name, encode(record))).collect();
     compare(&file("log_records.txt"), &samples);
@@ -236,7 +234,7 @@
 }
 
 #[test]
-fn a_log_with_a_torn_tail_is_read_and_mended_as_it_was() {
+fn a_log_with_an_incomplete_last_record_is_repaired() {
     let records: Vec<LogRecord> = every_record().into_iter().map(|(_, record)| record).collect();
     let (mut log, _) = Log::open(SimulatedDisk::default()).unwrap();
     log.append(&records).unwrap();
@@ -257,12 +255,12 @@
     assert_eq!(again.disk().bytes(), whole);
 }
 
-/// The state that a coordinator's term begins with: the first record of its log.
+/// Checks the initial state of a coordinator's term, which is the first record of its log.
 #[test]
-fn a_coordinator_begins_a_term_with_the_state_it_did() {
+fn the_initial_record_of_a_term_keeps_its_encoding() {
     let bounds = gingerledge_blocks::Bounds::default();
     let mut old = State { changes: Vec::new(), ..state() };
-    // What the retired block had is covered by the first that lives.
+    // The first active block covers what the retired block covered.
     old.map.active[0].span.first = 0;
     let old = LogRecord::Start(Box::new(old));
     let (coordinator, start) = Coordinator::begin(5000, Term(4), vec![old], bounds).unwrap();
@@ -275,7 +273,7 @@
 }
 
 #[test]
-fn orders_are_packed_and_read_as_they_were() {
+fn orders_keep_their_encoding() {
     let orders = [
         ("inventory", Order::Inventory),
         ("found", Order::Create { span: span() }),
@@ -289,12 +287,12 @@
         ("name", Order::AddNames { old: vec![BlockId(1), BlockId(2)], new: vec![(BlockId(300), span())] }),
         ("unname", Order::RemoveNames { names: vec![BlockId(1), BlockId(300)] }),
     ];
-    let mut packed = Packed::new("orders.txt");
+    let mut samples = EncodedSamples::new("orders.txt");
     for (name, order) in orders {
         let (term, serial, block) = (Term(3), 999, BlockId(5));
-        packed.add(name, StampedOrder { term, serial, block, epoch: epoch(1), order });
+        samples.add(name, StampedOrder { term, serial, block, epoch: epoch(1), order });
     }
-    packed.check();
+    samples.check();
 }
 
 fn holding(mode: Mode) -> Holding {
@@ -302,28 +300,28 @@
 }
 
 #[test]
-fn words_are_packed_and_read_as_they_were() {
-    let mut packed = Packed::new("words.txt");
+fn order_replies_keep_their_encoding() {
+    let mut samples = EncodedSamples::new("words.txt");
     for (name, mode) in every_mode() {
-        packed.add(
+        samples.add(
             &format!("done {name}"),
             OrderReply::Done(OrderOutcome { mode: Some(mode), watermark: 400, copied: 399 }),
         );
     }
-    packed.add("done and not held", OrderReply::Done(OrderOutcome { mode: None, watermark: 1, copied: 2 }));
+    samples.add("done and not held", OrderReply::Done(OrderOutcome { mode: None, watermark: 1, copied: 2 }));
     for (name, refusal) in every_refusal() {
-        packed.add(&format!("refused {name}"), OrderReply::Refused(refusal));
+        samples.add(&format!("refused {name}"), OrderReply::Refused(refusal));
     }
     let held = |mode| HeldBlock { block: BlockId(5), holding: holding(mode), bytes: 1_000_000, parts: 5 };
     let mut all: Vec<HeldBlock> = every_mode().into_iter().map(|(_, mode)| held(mode)).collect();
     all[0].holding.peer = None;
-    packed.add("holds", OrderReply::Inventory { held: all, more: true });
-    packed.add("holds nothing", OrderReply::Inventory { held: Vec::new(), more: false });
-    packed.check();
+    samples.add("holds", OrderReply::Inventory { held: all, more: true });
+    samples.add("holds nothing", OrderReply::Inventory { held: Vec::new(), more: false });
+    samples.check();
 }
 
 #[test]
-fn copies_stretches_and_news_are_packed_and_read_as_they_were() {
+fn copy_section_and_map_messages_keep_their_encoding() {
     let entry = |key: &str| Entry { key: key.into(), weigher: 500, value: vec![1, 2, 255] };
     let from = |text: &str| CopyRequest {
         block: BlockId(5),
@@ -332,20 +330,20 @@
         start: 300,
         bytes: 49_152,
     };
-    let mut packed = Packed::new("messages.txt");
-    packed.add("copy over IPv4", from("127.0.0.1:8080"));
-    packed.add("copy over IPv6", from("[2001:db8::7]:8080"));
-    packed.add("copied", Some(CopyReply { copied: 300, length: 400, bytes: 500 }));
-    packed.add("not copied", None::<CopyReply>);
-    packed.add("tail", SectionRequest { span: span(), start: 300, bytes: 49_152 });
-    packed.add("stretch", LogSection { entries: vec![entry("q1.3"), entry("")], next: 4, length: 900 });
+    let mut samples = EncodedSamples::new("messages.txt");
+    samples.add("copy over IPv4", from("127.0.0.1:8080"));
+    samples.add("copy over IPv6", from("[2001:db8::7]:8080"));
+    samples.add("copied", Some(CopyReply { copied: 300, length: 400, bytes: 500 }));
+    samples.add("not copied", None::<CopyReply>);
+    samples.add("tail", SectionRequest { span: span(), start: 300, bytes: 49_152 });
+    samples.add("stretch", LogSection { entries: vec![entry("q1.3"), entry("")], next: 4, length: 900 });
     let records = vec![Record::Active(block()), retired()];
     let cursor = Cursor { version: 1234, block: BlockId(5) };
-    packed.add(
+    samples.add(
         "news",
         MapPage { stores: stores(), records, cursor, version: 1235, term: 3, is_full_map: true },
     );
-    packed.add(
+    samples.add(
         "no news",
         MapPage {
             stores: vec![],
@@ -356,30 +354,30 @@
             is_full_map: false,
         },
     );
-    packed.check();
+    samples.check();
 }
 
 #[test]
-fn what_is_kept_on_disk_is_packed_and_read_as_it_was() {
+fn stored_data_keeps_its_encoding() {
     let blocks = every_mode().into_iter().map(|(_, mode)| (BlockId(5), holding(mode))).collect();
     let entries = vec![Entry { key: "q1.3".into(), weigher: 500, value: vec![1, 2, 255] }];
     let (deleted, last_serials) = (vec![(BlockId(4), epoch(6))], vec![(BlockId(5), 999)]);
-    let mut packed = Packed::new("kept.txt");
-    packed.add("a store's disk", DurableState { term: Term(3), blocks, deleted, last_serials, entries });
-    packed.add("a map", snapshot());
-    packed.add("a broker's kept map", (snapshot(), stores(), 3u32));
-    packed.check();
+    let mut samples = EncodedSamples::new("kept.txt");
+    samples.add("a store's disk", DurableState { term: Term(3), blocks, deleted, last_serials, entries });
+    samples.add("a map", snapshot());
+    samples.add("a broker's kept map", (snapshot(), stores(), 3u32));
+    samples.check();
 }
 
 #[test]
-fn the_letters_are_what_they_were() {
+fn frame_types_and_magic_bytes_are_unchanged() {
     let letters = [wire::ORDER, wire::REPLY, wire::COPY, wire::COPIED, wire::READ_SECTION, wire::SECTION];
     compare(&file("letters.txt"), &[Sample::new("letters", letters), Sample::new("magic", *MAGIC)]);
 }
 
-/// The map's form in a text format. No program writes it today; the names of its fields are pinned by it.
+/// Checks the JSON form of the map. No program writes it at present; this test fixes the names of its fields.
 #[test]
-fn the_map_as_json_is_what_it_was() {
+fn the_json_form_of_the_map_is_unchanged() {
     let path = file("map_json.txt");
     let map = serde_json::to_vec(&snapshot()).unwrap();
     compare(&path, &[Sample::new("map", map)]);
@@ -423,7 +421,7 @@
 }
 
 #[test]
-fn findings_are_shown_to_operators_as_they_were() {
+fn findings_keep_their_texts_and_json_forms() {
     let mut samples = Vec::new();
     for (n, (name, fault)) in every_fault().into_iter().enumerate() {
         let placed = n % 2 == 0;
@@ -444,7 +442,7 @@
     compare(&file("findings.txt"), &samples);
 }
 
-/// A map as an operator writes it, with every key and every state.
+/// A map document with every key and every store state.
 const DOCUMENT: &str = r#"version = 7
 keys = [0, 200]
 retired = [3]
@@ -486,7 +484,7 @@
 "#;
 
 #[test]
-fn a_map_document_is_read_as_it_was() {
+fn a_map_document_is_parsed_as_before() {
     let path = file("document.txt");
     compare(&path, &[Sample::new("document", DOCUMENT)]);
     let text = String::from_utf8(read(&path).remove("document").unwrap()).unwrap();
@@ -502,7 +500,7 @@
         line,
     };
     let read = &document.draft;
-    // Zones and regions have numbers in the order in which they are met.
+    // Zones and regions are numbered in the order of their first occurrence.
     let (north, none) = (read.sites[0].region, read.sites[1].region);
     let (a, b, c) = (read.sites[0].zone, read.sites[1].zone, read.sites[3].zone);
     assert!(north != none && a != b && b != c && a != c);
--- a/broker/crates/blocks/tests/log.rs
+++ b/broker/crates/blocks/tests/log.rs
@@ -1,4 +1,4 @@
-//! The log cut off at every byte, with every byte changed, on disks that fill up and crash.
+//! Tests of the log: truncated at every byte, with every byte changed, and on disks that fill up or crash.
 #![allow(clippy::unwrap_used)]
 
 use gingerledge_blocks::*;
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn cut_off_anywhere_it_is_read_up_to_the_last_whole_record() {
+fn a_truncated_log_is_read_up_to_the_last_complete_record() {
     let all = records();
     let (whole, ends) = bytes(&all);
     for cut in 0..=whole.len() {
@@ -55,7 +55,7 @@
         assert_eq!(read, all[..expected], "cut at {cut}");
         let end = ends.iter().copied().filter(|end| *end <= cut).max().unwrap_or(0);
         assert_eq!(sound, end, "cut at {cut}");
-        // Opened, it is repaired, and what is added follows the last whole record.
+        // Opening the log repairs it, and new records follow the last complete one.
         let (mut log, again) = Log::open(SimulatedDisk::with(whole[..cut].to_vec())).unwrap();
         assert_eq!(again, read);
         log.append(&[LogRecord::Paused(false)]).unwrap();
@@ -66,16 +66,16 @@
 }
 
 #[test]
-fn with_any_byte_changed_it_is_never_read_wrongly() {
+fn a_log_with_a_changed_byte_is_never_misread() {
     let all = records();
     let (whole, ends) = bytes(&all);
     for at in 0..whole.len() {
         for flip in [1u8, 0x80, 0xff] {
-            let mut spoilt = whole.clone();
-            spoilt[at] ^= flip;
-            match decode(&spoilt) {
+            let mut damaged = whole.clone();
+            damaged[at] ^= flip;
+            match decode(&damaged) {
                 Ok((read, _)) => {
-                    // Only the last record may be taken for one that was being written.
+                    // Only the last record may be mistaken for one that was being written.
                     assert!(at >= ends[ends.len() - 2], "byte {at} changed, and nobody noticed");
                     assert_eq!(read, all[..all.len() - 1]);
                 }
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn a_full_disk_or_a_crash_loses_only_what_was_never_said_to_last() {
+fn a_full_disk_or_a_crash_loses_only_unacknowledged_records() {
     let all = records();
     let (whole, ends) = bytes(&all);
     for most in 0..whole.len() {
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn garbage_is_refused_or_read_as_nothing() {
+fn random_bytes_are_rejected_or_read_as_an_empty_log() {
     fn read(garbage: Vec<u8>) -> bool {
         let headed = [MAGIC.as_slice(), &garbage].concat();
         decode(&headed).map_or(true, |(records, _)| records.is_empty())
--- a/broker/crates/blocks/tests/maps/brute.rs
+++ b/broker/crates/blocks/tests/maps/brute.rs
@@ -1,16 +1,17 @@
-//! The validator once more, the slow way: key by key, and for a passage every store's version by itself.
+//! Brute-force validator: evaluates key by key, and for a transition every combination of versions of the
+//! stores.
 
 use std::collections::BTreeSet;
 
 use gingerledge_blocks::validate::{Draft, Fault, Finding, Row, Site, Standing, Transition, Unfit};
 use gingerledge_blocks::{StoreId, MAX_REPLICAS};
 
-/// Findings cut down to single keys, or to what they say of a block or a store: a set that both ways have to give.
-pub type Said = BTreeSet<String>;
+/// Findings reduced to single keys, or to a block or a store, as a set that both validators must produce.
+pub type FaultSet = BTreeSet<String>;
 
-/// What the validator said.
-pub fn said(findings: &[Finding]) -> Said {
-    let mut all = Said::new();
+/// Converts findings of the validator.
+pub fn fault_set(findings: &[Finding]) -> FaultSet {
+    let mut all = FaultSet::new();
     for finding in findings {
         let (keys, blocks) = (finding.keys, &finding.blocks);
         let ids: Vec<u32> = blocks.iter().map(|id| id.0).collect();
@@ -54,9 +55,9 @@
     draft.sites.iter().find(|site| site.store == store).map(|site| site.standing)
 }
 
-/// Everything that is wrong with a map of few keys.
-pub fn faults(draft: &Draft) -> Said {
-    let mut all = Said::new();
+/// Returns all faults of a map with few keys.
+pub fn faults(draft: &Draft) -> FaultSet {
+    let mut all = FaultSet::new();
     let has = |row: &&Row, key: u64| row.span.first <= key && key < row.span.end;
     let lowest = draft.rows.iter().map(|row| row.span.first.min(row.span.end)).min().unwrap_or(0);
     let highest = draft.rows.iter().map(|row| row.span.first.max(row.span.end)).max().unwrap_or(0);
@@ -145,9 +146,9 @@
     all
 }
 
-/// Everything that is wrong with a passage, and the keys whose entries wait.
-pub fn passage(old: &Draft, new: &Draft) -> (Said, BTreeSet<u64>) {
-    let (mut all, mut waits) = (Said::new(), BTreeSet::new());
+/// Returns all faults of a transition, and the keys whose entries wait.
+pub fn transition_faults(old: &Draft, new: &Draft) -> (FaultSet, BTreeSet<u64>) {
+    let (mut all, mut waits) = (FaultSet::new(), BTreeSet::new());
     for row in &new.rows {
         if old.retired.contains(&row.id) && !new.retired.contains(&row.id) {
             all.insert(format!("used again {:?} {}", [row.id.0], row.span));
@@ -171,7 +172,7 @@
     key: u64,
     (old, o): (&Draft, &Row),
     (new, n): (&Draft, &Row),
-    all: &mut Said,
+    all: &mut FaultSet,
     waits: &mut BTreeSet<u64>,
 ) {
     let set = |stores: &[StoreId]| stores.iter().copied().collect::<BTreeSet<_>>();
@@ -194,12 +195,12 @@
         known.is_some_and(|standing| standing != Standing::Gone)
     };
     let stores: Vec<StoreId> = before.union(&after).copied().filter(copied).collect();
-    // Every store's version by itself.
+    // Every combination of the versions of the stores.
     for mixture in 0u32..1 << stores.len() {
         let acts_new = |store: &StoreId| mixture >> stores.iter().position(|s| s == store).unwrap() & 1 == 1;
         let lets_go = |store: &StoreId| before.contains(store) && !after.contains(store);
         let takes_over = |store: &StoreId| !before.contains(store);
-        // The fence: nobody takes over before all who let go have done so.
+        // With the fence, no store takes over before all stores that give the key up have done so.
         let taken_over = stores.iter().any(|store| takes_over(store) && acts_new(store));
         let still = stores.iter().any(|store| lets_go(store) && !acts_new(store));
         if n.epoch > o.epoch && taken_over && still {
@@ -232,8 +233,8 @@
     }
 }
 
-/// What the validator said of a passage, in the same words.
-pub fn said_of(passage: &Transition) -> (Said, BTreeSet<u64>) {
-    let waits = passage.waits.iter().flat_map(|wait| wait.keys.first..wait.keys.end).collect();
-    (said(&passage.findings), waits)
+/// Converts the result of the validator for a transition.
+pub fn transition_fault_set(result: &Transition) -> (FaultSet, BTreeSet<u64>) {
+    let waits = result.waits.iter().flat_map(|wait| wait.keys.first..wait.keys.end).collect();
+    (fault_set(&result.findings), waits)
 }
--- a/broker/crates/blocks/tests/maps/change.rs
+++ b/broker/crates/blocks/tests/maps/change.rs
@@ -1,4 +1,4 @@
-//! The next version of a map, by lawful changes and by others.
+//! Generates the next version of a map by valid and by invalid changes.
 
 use fastrand::Rng;
 use gingerledge_blocks::validate::{Draft, Standing};
@@ -6,8 +6,8 @@
 
 use super::{DRAINING, GONE, LISTED, UNKNOWN};
 
-/// The next version of a map by lawful changes, one of them perhaps unlawful.
-pub fn next(rng: &mut Rng, old: &mut Draft) -> Draft {
+/// Creates the next version of a map by valid changes.
+pub fn next_version(rng: &mut Rng, old: &mut Draft) -> Draft {
     let mut new = old.clone();
     let mut fresh = 100;
     for n in (0..new.rows.len()).rev() {
@@ -16,7 +16,7 @@
         let free: Vec<StoreId> = (0..LISTED).map(StoreId).filter(|s| !ahead.holders.contains(s)).collect();
         let to = free[rng.usize(..free.len())];
         match rng.u32(..6) {
-            // Moved, or every holder exchanged at once.
+            // The block is moved, or all holders are replaced at once.
             0 => {
                 old.rows[n].copying = vec![to];
                 ahead.holders[0] = to;
@@ -44,8 +44,8 @@
     new
 }
 
-/// Makes a passage unlawful, or nearly so.
-pub fn spoil(rng: &mut Rng, old: &mut Draft, new: &mut Draft) {
+/// Makes a transition invalid, or almost invalid.
+pub fn invalidate(rng: &mut Rng, old: &mut Draft, new: &mut Draft) {
     let n = rng.usize(..new.rows.len());
     let o = rng.usize(..old.rows.len());
     match rng.u32(..9) {
--- a/broker/crates/blocks/tests/maps/mod.rs
+++ b/broker/crates/blocks/tests/maps/mod.rs
@@ -1,4 +1,5 @@
-//! Maps for the validator's tests: sound ones from a seed, each with one known break on request, and as documents.
+//! Maps for the tests of the validator: valid ones from a seed, optionally with one known fault, and as
+//! documents.
 
 #![allow(dead_code)]
 
@@ -9,9 +10,9 @@
 use gingerledge_blocks::validate::{Draft, Redundancy, Row, Site, Standing};
 use gingerledge_blocks::{BlockId, Epoch, Span, StoreId};
 
-/// One thing done wrong.
+/// A fault that can be introduced into a map.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Break {
+pub enum KnownFault {
     Gap,
     Overlap,
     Empty,
@@ -30,26 +31,27 @@
     StoreTwice,
 }
 
-pub const BREAKS: [Break; 16] = [
-    Break::Gap,
-    Break::Overlap,
-    Break::Empty,
-    Break::Reversed,
-    Break::Outside,
-    Break::UsedTwice,
-    Break::UsedAgain,
-    Break::Unknown,
-    Break::Draining,
-    Break::Gone,
-    Break::CopierGone,
-    Break::HeldTwice,
-    Break::FewerHolders,
-    Break::FewerZones,
-    Break::Capacity,
-    Break::StoreTwice,
+pub const KNOWN_FAULTS: [KnownFault; 16] = [
+    KnownFault::Gap,
+    KnownFault::Overlap,
+    KnownFault::Empty,
+    KnownFault::Reversed,
+    KnownFault::Outside,
+    KnownFault::UsedTwice,
+    KnownFault::UsedAgain,
+    KnownFault::Unknown,
+    KnownFault::Draining,
+    KnownFault::Gone,
+    KnownFault::CopierGone,
+    KnownFault::HeldTwice,
+    KnownFault::FewerHolders,
+    KnownFault::FewerZones,
+    KnownFault::Capacity,
+    KnownFault::StoreTwice,
 ];
 
-/// Stores that serve, and behind them one that drains, one that is gone; nobody has named the next number.
+/// Number of stores in service. The numbers after them are a draining store, a store that no longer exists, and
+/// an unknown store.
 pub const LISTED: u32 = 6;
 pub const DRAINING: StoreId = StoreId(LISTED);
 pub const GONE: StoreId = StoreId(LISTED + 1);
@@ -68,8 +70,8 @@
     }
 }
 
-/// Listed stores in so many zones first, then any others.
-pub fn pick(rng: &mut Rng, minimum: Redundancy) -> Vec<StoreId> {
+/// Chooses listed stores, first from the required number of zones, then any others.
+pub fn choose_holders(rng: &mut Rng, minimum: Redundancy) -> Vec<StoreId> {
     let mut all: Vec<u32> = (0..LISTED).collect();
     rng.shuffle(&mut all);
     let mut picked: Vec<u32> = Vec::new();
@@ -86,8 +88,9 @@
     picked.into_iter().map(StoreId).collect()
 }
 
-/// A sound map of one to seven blocks over at most 24 keys, some of them at the very beginning or end of all numbers.
-pub fn sound(rng: &mut Rng) -> Draft {
+/// Creates a valid map of one to seven blocks over at most 24 keys, in some cases at the very beginning or end
+/// of the number range.
+pub fn valid_map(rng: &mut Rng) -> Draft {
     let many = rng.u64(1..=24);
     let first = [0, 1000, u64::MAX - many][rng.usize(..3)];
     let keys = Span::new(first, first + many);
@@ -98,14 +101,16 @@
     cuts.sort_unstable();
     cuts.dedup();
     let spans = cuts.windows(2).map(|pair| Span::new(pair[0], pair[1]));
-    let mut rows: Vec<Row> = spans.zip(20..).map(|(span, id)| row(id, span, pick(rng, minimum))).collect();
+    let mut rows: Vec<Row> =
+        spans.zip(20..).map(|(span, id)| row(id, span, choose_holders(rng, minimum))).collect();
     for row in &mut rows {
         if rng.u32(..3) == 0 {
             let free = (0..LISTED).map(StoreId).find(|store| !row.holders.contains(store));
             row.copying.extend(free);
         }
     }
-    // Each of a block's holders carries the same share: just as much as the fullest store has is enough.
+    // The holders of a block carry equal shares, so a capacity equal to the load of the most loaded store is
+    // enough.
     let carried = |store| {
         let held = rows.iter().filter(|row: &&Row| row.holders.contains(&store));
         held.map(|row| 1.0 / row.holders.len() as f64).sum::<f64>()
@@ -129,8 +134,9 @@
     Draft { keys, minimum, sites: (0..UNKNOWN.0).map(site).collect(), rows, retired }
 }
 
-/// Breaks a sound map; `None` where this break can't be made of it. Gives the block that is to be named.
-pub fn break_it(rng: &mut Rng, draft: &mut Draft, what: Break) -> Option<BlockId> {
+/// Introduces a fault into a valid map. Returns the block that the finding must name, or `None` if the fault
+/// cannot be introduced into this map.
+pub fn introduce_fault(rng: &mut Rng, draft: &mut Draft, what: KnownFault) -> Option<BlockId> {
     let (keys, minimum) = (draft.keys, draft.minimum);
     let n = rng.usize(..draft.rows.len());
     let other = rng.usize(..draft.rows.len());
@@ -139,40 +145,43 @@
     let width = row.span.end - row.span.first;
     let swap = |row: &mut Row, to: StoreId| row.holders[0] = to;
     match what {
-        // Off by one at either end.
-        Break::Gap if width > 1 && rng.bool() => row.span.first += 1,
-        Break::Gap if width > 1 => row.span.end -= 1,
-        Break::Overlap if rng.bool() && row.span.first > keys.first => row.span.first -= 1,
-        Break::Overlap if row.span.end < keys.end => row.span.end += 1,
-        Break::Empty => row.span.end = row.span.first,
-        Break::Reversed => row.span = Span::new(row.span.end, row.span.first),
-        Break::Outside if rng.bool() && row.span.first == keys.first && keys.first > 0 => row.span.first -= 1,
-        Break::Outside if row.span.end == keys.end && keys.end < u64::MAX => row.span.end += 1,
-        Break::UsedTwice if twin != row.id => row.id = twin,
-        Break::UsedAgain => row.id = draft.retired[rng.usize(..draft.retired.len())],
-        Break::Unknown => swap(row, UNKNOWN),
-        Break::Draining => swap(row, DRAINING),
-        Break::Gone => swap(row, GONE),
-        Break::CopierGone => row.copying = vec![GONE],
-        Break::HeldTwice => row.holders.push(row.holders[rng.usize(..row.holders.len())]),
-        Break::FewerHolders => drop(row.holders.pop()),
-        Break::FewerZones if minimum.zones > 1 => {
-            // As many holders as before, all in the first one's zone.
+        // The range is off by one at either end.
+        KnownFault::Gap if width > 1 && rng.bool() => row.span.first += 1,
+        KnownFault::Gap if width > 1 => row.span.end -= 1,
+        KnownFault::Overlap if rng.bool() && row.span.first > keys.first => row.span.first -= 1,
+        KnownFault::Overlap if row.span.end < keys.end => row.span.end += 1,
+        KnownFault::Empty => row.span.end = row.span.first,
+        KnownFault::Reversed => row.span = Span::new(row.span.end, row.span.first),
+        KnownFault::Outside if rng.bool() && row.span.first == keys.first && keys.first > 0 => {
+            row.span.first -= 1
+        }
+        KnownFault::Outside if row.span.end == keys.end && keys.end < u64::MAX => row.span.end += 1,
+        KnownFault::UsedTwice if twin != row.id => row.id = twin,
+        KnownFault::UsedAgain => row.id = draft.retired[rng.usize(..draft.retired.len())],
+        KnownFault::Unknown => swap(row, UNKNOWN),
+        KnownFault::Draining => swap(row, DRAINING),
+        KnownFault::Gone => swap(row, GONE),
+        KnownFault::CopierGone => row.copying = vec![GONE],
+        KnownFault::HeldTwice => row.holders.push(row.holders[rng.usize(..row.holders.len())]),
+        KnownFault::FewerHolders => drop(row.holders.pop()),
+        KnownFault::FewerZones if minimum.zones > 1 => {
+            // The block has as many holders as before, all in the zone of the first one.
             let zone = row.holders[0].0 % 3;
             row.holders =
                 (0..LISTED).filter(|n| n % 3 == zone).take(row.holders.len()).map(StoreId).collect();
             row.copying.clear();
         }
-        Break::Capacity => {
+        KnownFault::Capacity => {
             let held = |store: StoreId| draft.rows.iter().any(|row| row.holders.contains(&store));
             let store = (0..LISTED).map(StoreId).find(|store| held(*store))?;
             let site = draft.sites.iter_mut().find(|site| site.store == store)?;
             site.capacity = 0.0;
-            // With its share gone to others, one of them or it itself has too much only if it is alone.
+            // Since the load is redistributed, a store exceeds its capacity for certain only if it is the only
+            // holder.
             let alone = draft.rows.iter().find(|row| row.holders == [store])?;
             return Some(alone.id);
         }
-        Break::StoreTwice => {
+        KnownFault::StoreTwice => {
             let again = draft.sites[rng.usize(..draft.sites.len())].clone();
             draft.sites.push(again);
             return Some(row.id);
@@ -182,8 +191,8 @@
     Some(draft.rows[n].id)
 }
 
-/// The map as an operator would write it; lines of the rows are noted in the map.
-pub fn write(draft: &mut Draft) -> String {
+/// Writes the map as an operator would, and stores the line numbers in the draft.
+pub fn write_document(draft: &mut Draft) -> String {
     let name = |store: &StoreId| format!("\"s-{}\"", store.0);
     let list = |stores: &[StoreId]| stores.iter().map(name).collect::<Vec<_>>().join(", ");
     let retired: Vec<String> = draft.retired.iter().map(|id| id.0.to_string()).collect();
--- a/broker/crates/blocks/tests/model.rs
+++ b/broker/crates/blocks/tests/model.rs
@@ -1,5 +1,6 @@
-//! A move explored exhaustively: a coordinator, two stores, one entry under way, messages that are lost, repeated and
-//! reordered, and one crash of the coordinator. Without the fence the same exploration has to find a fault.
+//! Exhaustive exploration of a move with a coordinator, two stores, one entry in progress, lost, repeated and
+//! reordered messages, and one crash of the coordinator. Without the fence the same exploration must find a
+//! fault.
 
 #![allow(clippy::unwrap_used)]
 
@@ -9,80 +10,81 @@
     Admission, BlockId, Change, ChangeId, ChangeKind, Effect, Entry, Epoch, Holdings, Input, Mode, Order,
     OrderOutcome, Refusal, Span, StampedOrder, Step, StoreId, Term, Timeouts,
 };
-use shown::Store;
+use shown::ModelStore;
 use stateright::{Checker, Model, Property};
 
 const BLOCK: BlockId = BlockId(1);
 const SPAN: Span = Span { first: 0, end: 10 };
 const KEY: &str = "q1.1";
 
-/// What is on the wire. A set, so that messages are reordered; taking one may leave it there, so that it is repeated.
+/// Messages in transit. They are a set, so that messages are reordered; delivering one may keep it in the set,
+/// so that it is repeated.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-enum Wire {
+enum Message {
     Order(usize, Step, Epoch, Order),
-    Word(usize, Step, Result<OrderOutcome, Refusal>),
+    Reply(usize, Step, Result<OrderOutcome, Refusal>),
     Copy(Step, u64),
     Copied(Step, u64, u64),
     Entry(usize, Epoch),
-    Ran(usize, bool),
+    EntryReply(usize, bool),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct World {
     change: Change,
-    /// What the log says.
+    /// Step recorded in the log.
     logged: Step,
     committed: bool,
-    stores: [Store; 2],
-    wire: std::collections::BTreeSet<Wire>,
-    /// Attempts of the entry that were sent, and what is known of the last.
+    stores: [ModelStore; 2],
+    messages: std::collections::BTreeSet<Message>,
+    /// Number of attempts to send the entry. The fields after it hold the outcome of the last attempt.
     sent: u8,
-    out: bool,
+    awaiting_entry_reply: bool,
     may_have_run: bool,
     acknowledged: bool,
     runs: u8,
     crashes: u8,
     losses: u8,
-    patience: u8,
+    abandon_requests: u8,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum Act {
-    Deliver(Wire, bool),
-    Lose(Wire),
+enum Action {
+    Deliver(Message, bool),
+    Lose(Message),
     Crash,
-    Impatient,
-    Again,
+    Abandon,
+    Repeat,
     Send(usize),
 }
 
 struct Move {
-    fenceless: bool,
+    is_fence_disabled: bool,
 }
 
-fn patience() -> Timeouts {
+fn timeouts() -> Timeouts {
     Timeouts { retry_initial_ms: 1, retry_max_ms: 1, step_timeout_ms: 100, max_lag_entries: 0 }
 }
 
-fn fresh() -> Change {
+fn initial_change() -> Change {
     let kind = ChangeKind::Move { from: StoreId(0), to: StoreId(1) };
-    let (epoch, back) = (Epoch::from_parts(Term(1), 2), Epoch::from_parts(Term(1), 3));
-    Change::new(ChangeId(1), BLOCK, SPAN, kind, epoch, back)
+    let (epoch, rollback_epoch) = (Epoch::from_parts(Term(1), 2), Epoch::from_parts(Term(1), 3));
+    Change::new(ChangeId(1), BLOCK, SPAN, kind, epoch, rollback_epoch)
 }
 
 impl Move {
-    fn play(&self, world: &mut World, input: Input, now: u64) {
+    fn apply_input(&self, world: &mut World, input: Input, now: u64) {
         let mut inputs = vec![input];
         while let Some(input) = inputs.pop() {
-            let effects = world.change.handle(now, input, &patience());
+            let effects = world.change.handle(now, input, &timeouts());
             let step = world.change.step;
             for effect in effects {
                 match effect {
                     Effect::Record(step) => world.logged = step,
                     Effect::Order(store, _, epoch, order) => {
-                        world.wire.insert(Wire::Order(store.0 as usize, step, epoch, order));
+                        world.messages.insert(Message::Order(store.0 as usize, step, epoch, order));
                     }
-                    Effect::Copy { start, .. } => drop(world.wire.insert(Wire::Copy(step, start))),
+                    Effect::Copy { start, .. } => drop(world.messages.insert(Message::Copy(step, start))),
                     Effect::Commit => {
                         world.committed = true;
                         inputs.push(Input::Committed);
@@ -91,33 +93,35 @@
             }
         }
         if world.change.step.has_ended() {
-            // What is still on the wire belongs to the past; the entry alone goes on.
-            world.wire.retain(|wire| matches!(wire, Wire::Order(..) | Wire::Entry(..) | Wire::Ran(..)));
+            // The remaining messages belong to an ended change; only the entry is still processed.
+            world.messages.retain(|message| {
+                matches!(message, Message::Order(..) | Message::Entry(..) | Message::EntryReply(..))
+            });
         }
     }
 
-    fn deliver(&self, world: &mut World, wire: Wire) {
-        match wire {
-            Wire::Order(store, step, epoch, order) => {
-                let ordered = StampedOrder { term: Term(1), serial: 1, block: BLOCK, epoch, order };
-                let word = world.stores[store].0.carry_out(&ordered);
-                world.wire.insert(Wire::Word(store, step, word));
+    fn deliver(&self, world: &mut World, message: Message) {
+        match message {
+            Message::Order(store, step, epoch, order) => {
+                let stamped = StampedOrder { term: Term(1), serial: 1, block: BLOCK, epoch, order };
+                let reply = world.stores[store].0.carry_out(&stamped);
+                world.messages.insert(Message::Reply(store, step, reply));
             }
-            Wire::Word(store, step, word) if world.change.step == step => {
-                self.play(world, Input::Reply(StoreId(store as u32), word), 0);
+            Message::Reply(store, step, reply) if world.change.step == step => {
+                self.apply_input(world, Input::Reply(StoreId(store as u32), reply), 0);
             }
-            Wire::Copy(step, at) => {
+            Message::Copy(step, at) => {
                 let (entries, next) = world.stores[0].0.read_section(SPAN, at, 1000);
                 let length = world.stores[0].0.entries().len() as u64;
                 let epoch = world.change.epoch;
                 world.stores[1].0.apply_section(BLOCK, epoch, at, entries, next);
                 let copied = world.stores[1].0.block(BLOCK).map_or(0, |held| held.copied);
-                world.wire.insert(Wire::Copied(step, copied, length));
+                world.messages.insert(Message::Copied(step, copied, length));
             }
-            Wire::Copied(step, copied, length) if world.change.step == step => {
-                self.play(world, Input::Copied { copied, length }, 0);
+            Message::Copied(step, copied, length) if world.change.step == step => {
+                self.apply_input(world, Input::Copied { copied, length }, 0);
             }
-            Wire::Entry(store, epoch) => {
+            Message::Entry(store, epoch) => {
                 let verdict = world.stores[store].0.admission(BLOCK, epoch, Some(KEY));
                 let good = match verdict {
                     Admission::Execute(_) => {
@@ -128,10 +132,10 @@
                     Admission::Duplicate(_) => true,
                     Admission::Reject(_) => false,
                 };
-                world.wire.insert(Wire::Ran(store, good));
+                world.messages.insert(Message::EntryReply(store, good));
             }
-            Wire::Ran(_, good) if world.out => {
-                world.out = false;
+            Message::EntryReply(_, good) if world.awaiting_entry_reply => {
+                world.awaiting_entry_reply = false;
                 world.acknowledged |= good;
                 world.may_have_run |= good;
             }
@@ -142,125 +146,126 @@
 
 impl Model for Move {
     type State = World;
-    type Action = Act;
+    type Action = Action;
 
     fn init_states(&self) -> Vec<World> {
-        let new = if self.fenceless { Holdings::without_fence } else { Holdings::new };
-        let mut stores = [Store(new(4)), Store(new(4))];
+        let new = if self.is_fence_disabled { Holdings::without_fence } else { Holdings::new };
+        let mut stores = [ModelStore(new(4)), ModelStore(new(4))];
         let found = Order::Create { span: SPAN };
-        let ordered = StampedOrder {
+        let stamped = StampedOrder {
             term: Term(1),
             serial: 1,
             block: BLOCK,
             epoch: Epoch::from_parts(Term(1), 1),
             order: found,
         };
-        stores[0].0.carry_out(&ordered).unwrap();
+        stores[0].0.carry_out(&stamped).unwrap();
         stores[0].0.append(Entry { key: "old".into(), weigher: 1, value: vec![0] });
-        let change = fresh();
+        let change = initial_change();
         let mut world = World {
             logged: change.step,
             change,
             committed: false,
             stores,
-            wire: Default::default(),
+            messages: Default::default(),
             sent: 0,
-            out: false,
+            awaiting_entry_reply: false,
             may_have_run: false,
             acknowledged: false,
             runs: 0,
             crashes: 0,
             losses: 0,
-            patience: 0,
+            abandon_requests: 0,
         };
-        self.play(&mut world, Input::Resume, 0);
+        self.apply_input(&mut world, Input::Resume, 0);
         vec![world]
     }
 
-    fn actions(&self, world: &World, actions: &mut Vec<Act>) {
-        for wire in &world.wire {
-            actions.push(Act::Deliver(wire.clone(), false));
-            // Orders may come twice; an entry's call goes over one connection and can't.
-            if matches!(wire, Wire::Order(..)) && world.losses < 2 {
-                actions.push(Act::Deliver(wire.clone(), true));
+    fn actions(&self, world: &World, actions: &mut Vec<Action>) {
+        for message in &world.messages {
+            actions.push(Action::Deliver(message.clone(), false));
+            // Orders may be delivered twice. The request for an entry uses one connection, so it cannot.
+            if matches!(message, Message::Order(..)) && world.losses < 2 {
+                actions.push(Action::Deliver(message.clone(), true));
             }
             if world.losses < 2 {
-                actions.push(Act::Lose(wire.clone()));
+                actions.push(Action::Lose(message.clone()));
             }
         }
         if world.crashes == 0 {
-            actions.push(Act::Crash);
+            actions.push(Action::Crash);
         }
-        if world.patience == 0 && !world.change.step.has_ended() {
-            actions.push(Act::Impatient);
+        if world.abandon_requests == 0 && !world.change.step.has_ended() {
+            actions.push(Action::Abandon);
         }
-        // An order is given again once nothing of its step is under way.
+        // An order is repeated once no message of its step is in transit.
         let step = world.change.step;
-        let under_way = |wire: &Wire| match wire {
-            Wire::Order(_, of, ..) | Wire::Word(_, of, _) | Wire::Copy(of, _) | Wire::Copied(of, ..) => {
-                *of == step
-            }
-            Wire::Entry(..) | Wire::Ran(..) => false,
+        let in_transit = |message: &Message| match message {
+            Message::Order(_, message_step, ..)
+            | Message::Reply(_, message_step, _)
+            | Message::Copy(message_step, _)
+            | Message::Copied(message_step, ..) => *message_step == step,
+            Message::Entry(..) | Message::EntryReply(..) => false,
         };
-        if !step.has_ended() && !world.wire.iter().any(under_way) {
-            actions.push(Act::Again);
+        if !step.has_ended() && !world.messages.iter().any(in_transit) {
+            actions.push(Action::Repeat);
         }
-        if !world.out && !world.may_have_run && world.sent < 2 {
-            actions.push(Act::Send(usize::from(world.committed)));
+        if !world.awaiting_entry_reply && !world.may_have_run && world.sent < 2 {
+            actions.push(Action::Send(usize::from(world.committed)));
         }
     }
 
-    fn next_state(&self, last: &World, act: Act) -> Option<World> {
-        let mut world = last.clone();
+    fn next_state(&self, previous: &World, act: Action) -> Option<World> {
+        let mut world = previous.clone();
         match act {
-            Act::Deliver(wire, keep) => {
+            Action::Deliver(message, keep) => {
                 if keep {
                     world.losses += 1;
                 } else {
-                    world.wire.remove(&wire);
+                    world.messages.remove(&message);
                 }
-                self.deliver(&mut world, wire);
+                self.deliver(&mut world, message);
             }
-            Act::Lose(wire) => {
+            Action::Lose(message) => {
                 world.losses += 1;
-                world.wire.remove(&wire);
-                if matches!(wire, Wire::Entry(..) | Wire::Ran(..)) {
-                    // Timed out: it may have run, and is never sent again.
-                    (world.out, world.may_have_run) = (false, true);
+                world.messages.remove(&message);
+                if matches!(message, Message::Entry(..) | Message::EntryReply(..)) {
+                    // The request timed out: the entry may have been executed, and is never sent again.
+                    (world.awaiting_entry_reply, world.may_have_run) = (false, true);
                 }
             }
-            Act::Crash => {
+            Action::Crash => {
                 world.crashes += 1;
-                // What lasts is the change as it began, and the step in the log.
-                world.change = fresh();
+                // The durable state is the initial change, and the step in the log.
+                world.change = initial_change();
                 world.change.restore_step(world.logged);
-                self.play(&mut world, Input::Resume, 0);
+                self.apply_input(&mut world, Input::Resume, 0);
             }
-            Act::Impatient => {
-                world.patience += 1;
-                self.play(&mut world, Input::Abandon, 0);
+            Action::Abandon => {
+                world.abandon_requests += 1;
+                self.apply_input(&mut world, Input::Abandon, 0);
             }
-            // An order that was lost is given again.
-            Act::Again => self.play(&mut world, Input::Resume, 0),
-            Act::Send(store) => {
-                (world.sent, world.out) = (world.sent + 1, true);
+            // Repeats a lost order.
+            Action::Repeat => self.apply_input(&mut world, Input::Resume, 0),
+            Action::Send(store) => {
+                (world.sent, world.awaiting_entry_reply) = (world.sent + 1, true);
                 let epoch = if world.committed { world.change.epoch } else { Epoch::from_parts(Term(1), 1) };
-                world.wire.insert(Wire::Entry(store, epoch));
+                world.messages.insert(Message::Entry(store, epoch));
             }
         }
-        // A word on a step that has passed is dropped by whoever hosts the change.
+        // Replies to an earlier step are dropped by the caller of the state machine.
         let step = world.change.step;
-        world.wire.retain(|wire| match wire {
-            Wire::Word(_, of, _) | Wire::Copied(of, ..) => *of == step,
+        world.messages.retain(|message| match message {
+            Message::Reply(_, message_step, _) | Message::Copied(message_step, ..) => *message_step == step,
             _ => true,
         });
-        (world != *last).then_some(world)
+        (world != *previous).then_some(world)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always("never held by nobody", |_, world: &World| {
-                // Whoever the map names now lets reads in.
+                // The store that the map names accepts reads.
                 let now = usize::from(world.committed);
                 let source_still = !matches!(
                     world.stores[0].0.admission(BLOCK, Epoch(u64::MAX), None),
@@ -274,11 +279,12 @@
             }),
             Property::always("never run twice", |_, world: &World| world.runs <= 1),
             Property::always("never two that take entries", |_, world: &World| {
-                let takes = |s: &Store| s.0.block(BLOCK).is_some_and(|held| held.mode == Mode::Open);
-                !(takes(&world.stores[0]) && takes(&world.stores[1]))
+                let accepts_entries =
+                    |s: &ModelStore| s.0.block(BLOCK).is_some_and(|held| held.mode == Mode::Open);
+                !(accepts_entries(&world.stores[0]) && accepts_entries(&world.stores[1]))
             }),
             Property::always("nothing acknowledged is lost", |_, world: &World| {
-                let has = |s: &Store| s.0.entries().iter().any(|entry| entry.key == KEY);
+                let has = |s: &ModelStore| s.0.entries().iter().any(|entry| entry.key == KEY);
                 match world.change.step {
                     Step::Done => !world.acknowledged || has(&world.stores[1]),
                     Step::Abandoned => !world.acknowledged || has(&world.stores[0]),
@@ -286,7 +292,7 @@
                 }
             }),
             Property::always("what ends, ends with one open holder", |_, world: &World| {
-                let open = |s: &Store| s.0.block(BLOCK).is_some_and(|held| held.mode == Mode::Open);
+                let open = |s: &ModelStore| s.0.block(BLOCK).is_some_and(|held| held.mode == Mode::Open);
                 match world.change.step {
                     Step::Done => open(&world.stores[1]),
                     Step::Abandoned => open(&world.stores[0]) && !world.committed,
@@ -303,8 +309,8 @@
 }
 
 #[test]
-fn a_move_holds_its_promises_in_every_order_of_events() {
-    let checker = Move { fenceless: false }.checker().threads(4).spawn_bfs().join();
+fn a_move_keeps_its_invariants_in_every_order_of_events() {
+    let checker = Move { is_fence_disabled: false }.checker().threads(4).spawn_bfs().join();
     println!("{} states", checker.unique_state_count());
     checker.assert_properties();
     assert!(checker.unique_state_count() > 10_000, "{}", checker.unique_state_count());
@@ -312,7 +318,7 @@
 
 #[test]
 fn without_the_fence_the_same_exploration_finds_a_fault() {
-    let checker = Move { fenceless: true }.checker().threads(4).spawn_bfs().join();
+    let checker = Move { is_fence_disabled: true }.checker().threads(4).spawn_bfs().join();
     let found = checker.discoveries();
     assert!(found.contains_key("nothing acknowledged is lost"), "{:?}", found.keys());
 }
--- a/broker/crates/blocks/tests/model_names.rs
+++ b/broker/crates/blocks/tests/model_names.rs
@@ -1,6 +1,6 @@
-//! A split and a merge explored exhaustively: two holders, an entry under way, orders that are lost, repeated and late,
-//! one crash of the coordinator, one change of mind. At every moment every weigher is held under the names that brokers
-//! know, whichever map they have.
+//! Exhaustive exploration of a split and a merge with two holders, an entry in progress, lost, repeated and
+//! late orders, one crash of the coordinator, and one request to abandon the change. At any time every weigher
+//! is held under the block identifiers that brokers use, whichever map version they have.
 #![allow(clippy::unwrap_used)]
 
 mod shown;
@@ -11,21 +11,21 @@
     Admission, BlockId, Change, ChangeId, ChangeKind, Effect, Epoch, Holdings, Input, Order, OrderOutcome,
     Refusal, Span, StampedOrder, Step, StoreId, Term, Timeouts,
 };
-use shown::Store;
+use shown::ModelStore;
 use stateright::{Checker, Model, Property};
 
-const WHOLE: Span = Span { first: 0, end: 10 };
+const FULL_SPAN: Span = Span { first: 0, end: 10 };
 const LOW: Span = Span { first: 0, end: 5 };
 const HIGH: Span = Span { first: 5, end: 10 };
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-enum Wire {
+enum Message {
     Order(usize, u32, Epoch, u64, Order),
-    Word(usize, u32, Result<OrderOutcome, Refusal>),
+    Reply(usize, u32, Result<OrderOutcome, Refusal>),
 }
 
-/// Whether a store takes entries under all these names.
-fn takes(store: &Store, names: &[BlockId]) -> bool {
+/// Whether a store accepts entries under all these block identifiers.
+fn accepts_entries(store: &ModelStore, names: &[BlockId]) -> bool {
     names
         .iter()
         .all(|name| !matches!(store.0.admission(*name, Epoch(u64::MAX), Some("k")), Admission::Reject(_)))
@@ -36,21 +36,21 @@
     change: Change,
     logged: Step,
     committed: bool,
-    stores: [Store; 2],
-    wire: BTreeSet<Wire>,
+    stores: [ModelStore; 2],
+    messages: BTreeSet<Message>,
     serial: u64,
-    troubles: u8,
+    disturbances: u8,
     crashes: u8,
-    doubts: u8,
+    abandon_requests: u8,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum Act {
-    Deliver(Wire, bool),
-    Lose(Wire),
+enum Action {
+    Deliver(Message, bool),
+    Lose(Message),
     Crash,
-    Doubt,
-    Again,
+    Abandon,
+    Repeat,
 }
 
 #[derive(Clone, Copy)]
@@ -63,40 +63,46 @@
         if self.merge {
             vec![(BlockId(1), LOW), (BlockId(2), HIGH)]
         } else {
-            vec![(BlockId(1), WHOLE)]
+            vec![(BlockId(1), FULL_SPAN)]
         }
     }
 
     fn after(self) -> Vec<(BlockId, Span)> {
         if self.merge {
-            vec![(BlockId(3), WHOLE)]
+            vec![(BlockId(3), FULL_SPAN)]
         } else {
             vec![(BlockId(3), LOW), (BlockId(4), HIGH)]
         }
     }
 
-    fn fresh(self) -> Change {
+    fn initial_change(self) -> Change {
         let holders = vec![StoreId(0), StoreId(1)];
         let kind = match self.merge {
             true => ChangeKind::Merge { with: BlockId(2), holders, new: self.after() },
             false => ChangeKind::Split { holders, new: self.after() },
         };
-        let (epoch, back) = (Epoch::from_parts(Term(1), 2), Epoch::from_parts(Term(1), 3));
-        Change::new(ChangeId(1), BlockId(1), self.before()[0].1, kind, epoch, back)
+        let (epoch, rollback_epoch) = (Epoch::from_parts(Term(1), 2), Epoch::from_parts(Term(1), 3));
+        Change::new(ChangeId(1), BlockId(1), self.before()[0].1, kind, epoch, rollback_epoch)
     }
 
-    fn play(self, world: &mut World, input: Input) {
-        let patience =
+    fn apply_input(self, world: &mut World, input: Input) {
+        let timeouts =
             Timeouts { retry_initial_ms: 1, retry_max_ms: 1, step_timeout_ms: 100, max_lag_entries: 0 };
         let mut inputs = vec![input];
         while let Some(input) = inputs.pop() {
-            for effect in world.change.handle(0, input, &patience) {
+            for effect in world.change.handle(0, input, &timeouts) {
                 match effect {
                     Effect::Record(step) => world.logged = step,
                     Effect::Order(store, _, epoch, order) => {
                         world.serial += 1;
                         let round = world.change.round;
-                        world.wire.insert(Wire::Order(store.0 as usize, round, epoch, world.serial, order));
+                        world.messages.insert(Message::Order(
+                            store.0 as usize,
+                            round,
+                            epoch,
+                            world.serial,
+                            order,
+                        ));
                     }
                     Effect::Copy { .. } => unreachable!("nothing is copied"),
                     Effect::Commit => {
@@ -111,10 +117,10 @@
 
 impl Model for Names {
     type State = World;
-    type Action = Act;
+    type Action = Action;
 
     fn init_states(&self) -> Vec<World> {
-        let mut stores = [Store(Holdings::new(8)), Store(Holdings::new(8))];
+        let mut stores = [ModelStore(Holdings::new(8)), ModelStore(Holdings::new(8))];
         for store in &mut stores {
             for (block, span) in self.before() {
                 let order = Order::Create { span };
@@ -122,88 +128,92 @@
                 store.0.carry_out(&StampedOrder { term: Term(1), serial: 0, block, epoch, order }).unwrap();
             }
         }
-        let change = self.fresh();
+        let change = self.initial_change();
         let mut world = World {
             logged: change.step,
             change,
             committed: false,
             stores,
-            wire: BTreeSet::new(),
+            messages: BTreeSet::new(),
             serial: 0,
-            troubles: 0,
+            disturbances: 0,
             crashes: 0,
-            doubts: 0,
+            abandon_requests: 0,
         };
-        self.play(&mut world, Input::Resume);
+        self.apply_input(&mut world, Input::Resume);
         vec![world]
     }
 
-    fn actions(&self, world: &World, actions: &mut Vec<Act>) {
-        for wire in &world.wire {
-            actions.push(Act::Deliver(wire.clone(), false));
-            if world.troubles < 2 {
-                actions.push(Act::Deliver(wire.clone(), true));
-                actions.push(Act::Lose(wire.clone()));
+    fn actions(&self, world: &World, actions: &mut Vec<Action>) {
+        for message in &world.messages {
+            actions.push(Action::Deliver(message.clone(), false));
+            if world.disturbances < 2 {
+                actions.push(Action::Deliver(message.clone(), true));
+                actions.push(Action::Lose(message.clone()));
             }
         }
         if world.crashes == 0 {
-            actions.push(Act::Crash);
+            actions.push(Action::Crash);
         }
-        if world.doubts == 0 && !world.change.step.has_ended() {
-            actions.push(Act::Doubt);
+        if world.abandon_requests == 0 && !world.change.step.has_ended() {
+            actions.push(Action::Abandon);
         }
         let round = world.change.round;
-        let under_way = |wire: &Wire| match wire {
-            Wire::Order(_, of, ..) | Wire::Word(_, of, _) => *of == round,
+        let in_transit = |message: &Message| match message {
+            Message::Order(_, message_round, ..) | Message::Reply(_, message_round, _) => {
+                *message_round == round
+            }
         };
-        if !world.change.step.has_ended() && !world.wire.iter().any(under_way) {
-            actions.push(Act::Again);
+        if !world.change.step.has_ended() && !world.messages.iter().any(in_transit) {
+            actions.push(Action::Repeat);
         }
     }
 
-    fn next_state(&self, last: &World, act: Act) -> Option<World> {
-        let mut world = last.clone();
+    fn next_state(&self, previous: &World, act: Action) -> Option<World> {
+        let mut world = previous.clone();
         match act {
-            Act::Deliver(wire, keep) => {
+            Action::Deliver(message, keep) => {
                 if keep {
-                    world.troubles += 1;
+                    world.disturbances += 1;
                 } else {
-                    world.wire.remove(&wire);
+                    world.messages.remove(&message);
                 }
-                match wire {
-                    Wire::Order(store, round, epoch, serial, order) => {
-                        let ordered = StampedOrder { term: Term(1), serial, block: BlockId(1), epoch, order };
-                        let word = world.stores[store].0.carry_out(&ordered);
-                        world.wire.insert(Wire::Word(store, round, word));
+                match message {
+                    Message::Order(store, round, epoch, serial, order) => {
+                        let stamped = StampedOrder { term: Term(1), serial, block: BlockId(1), epoch, order };
+                        let reply = world.stores[store].0.carry_out(&stamped);
+                        world.messages.insert(Message::Reply(store, round, reply));
                     }
-                    Wire::Word(store, round, word) if world.change.round == round => {
-                        self.play(&mut world, Input::Reply(StoreId(store as u32), word));
+                    Message::Reply(store, round, reply) if world.change.round == round => {
+                        self.apply_input(&mut world, Input::Reply(StoreId(store as u32), reply));
                     }
-                    Wire::Word(..) => {}
+                    Message::Reply(..) => {}
                 }
             }
-            Act::Lose(wire) => {
-                world.troubles += 1;
-                world.wire.remove(&wire);
+            Action::Lose(message) => {
+                world.disturbances += 1;
+                world.messages.remove(&message);
             }
-            Act::Crash => {
+            Action::Crash => {
                 world.crashes += 1;
                 let round = world.change.round;
-                world.change = self.fresh();
+                world.change = self.initial_change();
                 world.change.restore_step(world.logged);
-                // Words to the one before reach nobody: another's rounds are not taken for one's own.
+                // Replies to the crashed coordinator are lost: rounds of two coordinators are never confused.
                 world.change.round = round + 1;
-                self.play(&mut world, Input::Resume);
+                self.apply_input(&mut world, Input::Resume);
             }
-            Act::Doubt => {
-                world.doubts += 1;
-                self.play(&mut world, Input::Abandon);
+            Action::Abandon => {
+                world.abandon_requests += 1;
+                self.apply_input(&mut world, Input::Abandon);
             }
-            Act::Again => self.play(&mut world, Input::Resume),
+            Action::Repeat => self.apply_input(&mut world, Input::Resume),
         }
         let round = world.change.round;
-        world.wire.retain(|wire| !matches!(wire, Wire::Word(_, of, _) if *of != round));
-        (world != *last).then_some(world)
+        world.messages.retain(
+            |message| !matches!(message, Message::Reply(_, message_round, _) if *message_round != round),
+        );
+        (world != *previous).then_some(world)
     }
 
     fn within_boundary(&self, world: &World) -> bool {
@@ -213,19 +223,23 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always("never held by nobody", |model: &Self, world: &World| {
-                // At every holder, under the names of the map as it is; and under the old ones until it is unnamed.
+                // Every holder accepts entries under the identifiers of the current map. The old identifiers
+                // remain valid until they are removed.
                 let known = names(if world.committed { model.after() } else { model.before() });
-                world.stores.iter().all(|store| takes(store, &known))
+                world.stores.iter().all(|store| accepts_entries(store, &known))
             }),
             Property::always("what ends, ends with one set of names", |model: &Self, world: &World| {
                 let (old, new) = (names(model.before()), names(model.after()));
                 let gone =
-                    |store: &Store, names: &[BlockId]| names.iter().all(|n| store.0.block(*n).is_none());
+                    |store: &ModelStore, names: &[BlockId]| names.iter().all(|n| store.0.block(*n).is_none());
                 match world.change.step {
                     Step::Done => {
-                        world.stores.iter().all(|s| takes(s, &new) && gone(s, &old)) && world.committed
+                        world.stores.iter().all(|s| accepts_entries(s, &new) && gone(s, &old))
+                            && world.committed
+                    }
+                    Step::Abandoned => {
+                        world.stores.iter().all(|s| accepts_entries(s, &old)) && !world.committed
                     }
-                    Step::Abandoned => world.stores.iter().all(|s| takes(s, &old)) && !world.committed,
                     _ => true,
                 }
             }),
@@ -247,11 +261,11 @@
 }
 
 #[test]
-fn a_split_holds_its_promises_in_every_order_of_events() {
+fn a_split_keeps_its_invariants_in_every_order_of_events() {
     explore(Names { merge: false });
 }
 
 #[test]
-fn a_merge_holds_its_promises_in_every_order_of_events() {
+fn a_merge_keeps_its_invariants_in_every_order_of_events() {
     explore(Names { merge: true });
 }
--- a/broker/crates/blocks/tests/plan.rs
+++ b/broker/crates/blocks/tests/plan.rs
@@ -1,4 +1,4 @@
-//! Plans, and what comes of carrying them out again and again.
+//! Tests of the planner: single plans, and the result of carrying out plans repeatedly.
 #![allow(clippy::unwrap_used)]
 
 use std::collections::{HashMap, HashSet};
@@ -25,7 +25,7 @@
 }
 
 impl Fleet {
-    /// So many blocks, two replicas each, on the first `used` stores.
+    /// Creates blocks with two replicas each on the first `used` stores.
     fn new(blocks: u32, used: u32) -> Self {
         let mut map = BlockMap::new(100_000, 10);
         let replica = |store: u32| Replica { store: StoreId(store % used), state: ReplicaState::Serving };
@@ -77,15 +77,15 @@
         }
     }
 
-    /// Plans and carries out until nothing is asked for; gives how many wishes that took.
+    /// Plans and carries out changes until the plan is empty; returns the number of changes.
     fn settle(&mut self, stores: &[StoreState], goal: &Goal) -> usize {
-        let mut wishes = 0;
+        let mut changes = 0;
         for _ in 0..200 {
             let plan = self.plan(stores, goal);
             if plan.changes.is_empty() {
-                return wishes;
+                return changes;
             }
-            wishes += plan.changes.len();
+            changes += plan.changes.len();
             self.carry_out(&plan);
         }
         panic!("plans never come to an end");
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn stores_switched_on_fill_up_and_what_drains_is_emptied() {
+fn new_stores_receive_blocks_and_draining_stores_are_emptied() {
     let goal = Goal::default();
     let mut stores = stores(12, 3);
     let mut fleet = Fleet::new(120, 6);
@@ -109,7 +109,7 @@
         let zones: HashSet<u32> = block.holders().map(|s| s.0 % 3).collect();
         assert_eq!(zones.len(), 2, "{}", block.id);
     }
-    // Back to six: the others drain.
+    // The other six stores drain.
     for store in &mut stores[6..] {
         (store.accepts_blocks, store.evacuate) = (false, true);
     }
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn drains_come_first_and_no_store_copies_more_than_it_may() {
+fn draining_stores_come_first_and_copy_limits_are_kept() {
     let goal = Goal { max_copies: 2, max_changes: 10, ..Goal::default() };
     let mut stores = stores(8, 2);
     let fleet = Fleet::new(80, 4);
@@ -127,18 +127,18 @@
     let plan = fleet.plan(&stores, &goal);
     assert!(plan.changes[0].urgent && plan.deferred > 0);
     assert!(plan.changes.len() <= 10);
-    let (mut ins, mut outs) = (HashMap::new(), HashMap::new());
+    let (mut copies_in, mut copies_out) = (HashMap::new(), HashMap::new());
     for planned in &plan.changes {
         if let ChangeRequest::Move(_, from, to) = planned.change {
-            *ins.entry(to).or_insert(0) += 1;
-            *outs.entry(from).or_insert(0) += 1;
+            *copies_in.entry(to).or_insert(0) += 1;
+            *copies_out.entry(from).or_insert(0) += 1;
         }
     }
-    assert!(ins.values().chain(outs.values()).all(|n| *n <= 2), "{ins:?} {outs:?}");
+    assert!(copies_in.values().chain(copies_out.values()).all(|n| *n <= 2), "{copies_in:?} {copies_out:?}");
 }
 
 #[test]
-fn what_can_not_be_helped_is_said() {
+fn blocks_that_cannot_be_helped_are_reported() {
     let goal = Goal::default();
     let mut stores = stores(2, 2);
     let fleet = Fleet::new(4, 2);
@@ -146,7 +146,7 @@
     let plan = fleet.plan(&stores, &goal);
     assert!(plan.changes.is_empty());
     assert_eq!(plan.unresolved.len(), 4);
-    // No holder answers: nothing can be copied.
+    // No holder responds, so nothing can be copied.
     stores.iter_mut().for_each(|store| (store.responds, store.accepts_blocks) = (false, false));
     let plan = fleet.plan(&stores, &goal);
     assert_eq!(plan.unresolved.len(), 4);
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn a_lost_store_is_made_up_for_from_the_other_holder() {
+fn replicas_of_a_lost_store_are_copied_from_the_other_holder() {
     let goal = Goal::default();
     let mut stores = stores(4, 2);
     let mut fleet = Fleet::new(8, 4);
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn hot_blocks_split_cold_ones_merge_and_nothing_flaps() {
+fn hot_blocks_split_cold_ones_merge_and_plans_do_not_oscillate() {
     let goal = Goal { split_above: 10.0, merge_below: 4.0, imbalance_start: 9.0, ..Goal::default() };
     let stores = stores(4, 2);
     let mut fleet = Fleet::new(8, 4);
@@ -180,7 +180,8 @@
     );
     fleet.loads.get_mut(&BlockId(3)).unwrap().is_changeable = false;
     assert!(fleet.plan(&stores, &goal).changes.is_empty(), "it has just been changed");
-    // Neighbours 0 and 1 have other holders; 0 and 4 are none. Only neighbours on the same stores merge.
+    // Blocks 0 and 1 are adjacent but have different holders; blocks 0 and 4 are not adjacent. Only adjacent
+    // blocks on the same stores are merged.
     fleet.loads.values_mut().for_each(|load| load.load = 1.0);
     assert!(fleet.plan(&stores, &goal).changes.is_empty());
     let mut near = Fleet::new(4, 2);
@@ -191,12 +192,12 @@
         merges,
         [&ChangeRequest::Merge(BlockId(0), BlockId(1)), &ChangeRequest::Merge(BlockId(2), BlockId(3))]
     );
-    // Halves of a split block have more together than what is merged.
+    // The halves of a split block together have more load than the merge threshold.
     assert!(goal.split_above > goal.merge_below);
 }
 
 #[test]
-fn random_fleets_settle_and_stay_settled() {
+fn random_fleets_reach_a_stable_placement() {
     for seed in 0..60 {
         let mut rng = Rng::with_seed(seed);
         let zones = rng.u32(2..4);
@@ -205,7 +206,7 @@
         for store in &mut stores {
             store.capacity = rng.f64() * 0.5 + 0.75;
         }
-        // Half of the fleets lose a store, but never the last of a zone.
+        // Half of the fleets lose a store, but never the last one of a zone.
         let drains = (seed % 2 == 0).then(|| rng.u32(..count));
         if let Some(n) = drains {
             (stores[n as usize].accepts_blocks, stores[n as usize].evacuate) = (false, true);
--- a/broker/crates/blocks/tests/proved.rs
+++ b/broker/crates/blocks/tests/proved.rs
@@ -1,5 +1,6 @@
-//! The validator where maps are held: a batch against the map that it changes says what the whole maps say, a coordinator goes back
-//! before it commits what is not sound, and a log whose map is not sound is refused by the fault's name.
+//! Tests of the validation of maps in memory: a batch gives the same findings as a comparison of the complete
+//! maps, a coordinator rolls a change back instead of committing an invalid result, and a log with an invalid
+//! map is rejected with the name of the fault.
 #![allow(clippy::unwrap_used)]
 
 mod maps;
@@ -21,7 +22,7 @@
     Block { id: row.id, span: row.span, epoch: row.epoch, replicas, extent: None }
 }
 
-/// The records that lead from one map to the next.
+/// Returns the records that lead from one map to the next.
 fn records(old: &Draft, new: &Draft) -> Vec<Record> {
     let ended = old.rows.iter().filter(|row| new.rows.iter().all(|other| other.id != row.id));
     let ended = ended.map(|row| Record::Retired { id: row.id, span: row.span, epoch: Epoch(11) });
@@ -33,12 +34,12 @@
 }
 
 #[test]
-fn a_batch_by_what_it_touches_says_what_the_whole_maps_say() {
-    let (mut sound, mut refused) = (0, 0);
+fn validation_of_a_batch_matches_validation_of_the_complete_maps() {
+    let (mut valid_count, mut rejected_count) = (0, 0);
     for seed in 0..20_000 {
         let mut rng = Rng::with_seed(seed);
-        let mut old = maps::sound(&mut rng);
-        let mut new = change::next(&mut rng, &mut old);
+        let mut old = maps::valid_map(&mut rng);
+        let mut new = change::next_version(&mut rng, &mut old);
         let n = rng.usize(..new.rows.len());
         match rng.u32(..8) {
             0 => new.rows[n].epoch = Epoch(10),
@@ -59,35 +60,36 @@
         let standing = |store: StoreId| (store < maps::UNKNOWN).then_some(Standing::Listed);
         let copies = |id, store| old.rows.iter().any(|row| row.id == id && row.copying.contains(&store));
         let facts = Facts { standing: &standing, text: &text, copies: &copies };
-        let said = batch(&map, &records, &facts);
+        let result = batch(&map, &records, &facts);
         let kind = |finding: &Finding| {
-            let (whole, fault) = (finding.fault.clone(), &finding.fault);
+            let (copy, fault) = (finding.fault.clone(), &finding.fault);
             matches!(fault, Fault::Overlap { .. } | Fault::Gap | Fault::Empty | Fault::Holder { .. })
-                .then_some(whole)
+                .then_some(copy)
         };
-        // The whole maps: what is wrong with the new one by its shape, and the passage. A gap is told as what was given up.
-        let shape = faults(&new, &text).into_iter().filter(|finding| kind(finding).is_some());
-        let shape: Vec<Finding> =
-            shape.filter(|f| !matches!(&f.fault, Fault::Holder { copies: true, .. })).collect();
-        let expected: BTreeSet<String> = brute::said(&shape)
+        // Expected findings from the complete maps: the faults of the new map by itself, and of the
+        // transition. A gap is reported as keys that were given up.
+        let map_faults = faults(&new, &text).into_iter().filter(|finding| kind(finding).is_some());
+        let map_faults: Vec<Finding> =
+            map_faults.filter(|f| !matches!(&f.fault, Fault::Holder { copies: true, .. })).collect();
+        let expected: BTreeSet<String> = brute::fault_set(&map_faults)
             .into_iter()
-            .map(|said| said.replace("gap", "given up"))
-            .chain(brute::said(&transition(&old, &new, &text).findings))
+            .map(|finding| finding.replace("gap", "given up"))
+            .chain(brute::fault_set(&transition(&old, &new, &text).findings))
             .collect();
-        // What lies before the first key was nobody's, and nobody misses it.
-        let found = brute::said(&said.findings);
+        // Keys before the first block were never covered, so they are not reported.
+        let found = brute::fault_set(&result.findings);
         assert_eq!(found, expected, "seed {seed}\n{old:#?}\n{new:#?}");
-        // What the map itself refuses, the validator does too, but for a new range beside the old ones.
-        let taken = map.apply(&Batch { version: 2, records }).is_ok();
+        // The validator rejects whatever the map rejects, except for a new range next to the old ones.
+        let is_applied = map.apply(&Batch { version: 2, records }).is_ok();
         if found.is_empty() {
-            sound += 1;
+            valid_count += 1;
         } else {
-            refused += 1;
+            rejected_count += 1;
         }
-        let beyond = new.rows.iter().any(|row| row.span.first < old.keys.first);
-        assert!(taken || !found.is_empty() || beyond, "seed {seed}: {new:#?}");
+        let is_outside = new.rows.iter().any(|row| row.span.first < old.keys.first);
+        assert!(is_applied || !found.is_empty() || is_outside, "seed {seed}: {new:#?}");
     }
-    assert!(sound > 5_000 && refused > 5_000, "{sound} sound, {refused} refused");
+    assert!(valid_count > 5_000 && rejected_count > 5_000, "{valid_count} valid, {rejected_count} rejected");
 }
 
 const SPAN: Span = Span { first: 0, end: 10 };
@@ -116,7 +118,7 @@
 }
 
 #[test]
-fn a_change_whose_outcome_is_not_sound_goes_back_before_it_is_committed() {
+fn a_change_with_an_invalid_result_is_rolled_back_before_its_commit() {
     let epoch = |n| Epoch::from_parts(Term(1), n);
     let split = |cut: u64| {
         let new = vec![(BlockId(2), Span::new(0, 4)), (BlockId(3), Span::new(cut, 10))];
@@ -147,8 +149,8 @@
         assert_eq!(coordinator.map().version(), if good { 2 } else { 1 });
         let change = coordinator.changes().next().unwrap();
         assert_eq!(change.step, if good { Step::Unnaming } else { Step::Withdrawing });
-        assert_eq!(matches!(&change.reason, Some(Reason::Unsound(why)) if !why.is_empty()), !good);
-        // The stores are told to let the new names go, and so it ends.
+        assert_eq!(matches!(&change.reason, Some(Reason::Unsound(reason)) if !reason.is_empty()), !good);
+        // The stores are ordered to remove the new identifiers, and the change ends.
         let Some(Work::Send(store, tag, _)) = work.iter().rev().find(|item| matches!(item, Work::Send(..)))
         else {
             panic!("{work:?}");
@@ -161,28 +163,31 @@
 }
 
 #[test]
-fn a_log_whose_map_is_not_sound_is_refused_by_the_fault_s_name() {
+fn a_log_with_an_invalid_map_is_rejected_with_the_name_of_the_fault() {
     let refused = |map| match begin(map, vec![]) {
-        Err(RecoverError::Invalid(why)) => why,
+        Err(RecoverError::Invalid(reason)) => reason,
         other => panic!("{other:?}"),
     };
     assert!(begin(snapshot(&[0]), vec![]).is_ok());
-    let why = refused(snapshot(&[0, 4]));
-    assert!(why.contains("keys 0..10: block 1: store 4 is to hold it, and nobody has named it"), "{why}");
-    // Block 7 had numbers that nobody has now; those beyond it nobody ever had.
+    let reason = refused(snapshot(&[0, 4]));
+    assert!(
+        reason.contains("keys 0..10: block 1: store 4 is to hold it, and nobody has named it"),
+        "{reason}"
+    );
+    // Block 7 covered numbers that no block covers now; the numbers after them were never covered.
     let ended = |span| vec![(BlockId(7), span, Epoch::from_parts(Term(1), 1))];
     assert!(begin(Snapshot { retired: ended(Span::new(3, 10)), ..snapshot(&[0]) }, vec![]).is_ok());
-    let why = refused(Snapshot { retired: ended(Span::new(3, 11)), ..snapshot(&[0]) });
-    assert!(why.contains("keys 10..11: block 7: no block has these keys"), "{why}");
+    let reason = refused(Snapshot { retired: ended(Span::new(3, 11)), ..snapshot(&[0]) });
+    assert!(reason.contains("keys 10..11: block 7: no block has these keys"), "{reason}");
 }
 
 #[test]
-fn a_first_map_at_a_store_that_nobody_has_named_is_not_made() {
+fn an_initial_map_with_an_unknown_store_is_rejected() {
     let (mut coordinator, _) = Coordinator::begin(0, Term(1), vec![], Bounds::default()).unwrap();
     let store = coordinator.register_store("s-5be2a07c", &mut vec![]).unwrap();
     let found = |stores| vec![(BlockId(1), SPAN, stores, None)];
-    let unmet = coordinator.create_map(found(vec![store, StoreId(8)])).unwrap_err();
-    assert!(unmet.to_string().contains("store 8 is to hold it"), "{unmet}");
+    let error = coordinator.create_map(found(vec![store, StoreId(8)])).unwrap_err();
+    assert!(error.to_string().contains("store 8 is to hold it"), "{error}");
     assert_eq!(coordinator.map().version(), 0);
     coordinator.create_map(found(vec![store])).unwrap();
 }
--- a/broker/crates/blocks/tests/shown/mod.rs
+++ b/broker/crates/blocks/tests/shown/mod.rs
@@ -1,27 +1,28 @@
-//! A store that can be a part of a model's state: compared and hashed by all that it goes by.
+//! A store as a part of a model's state, compared and hashed by everything that determines its behaviour.
 
 use gingerledge_blocks::{wire, Holdings};
 
 #[derive(Clone, Debug)]
-pub struct Store(pub Holdings);
+pub struct ModelStore(pub Holdings);
 
-impl Store {
-    /// Its blocks, those it let go, the last order of each, and how many entries ran or came with a copy.
-    fn shown(&self) -> (Vec<u8>, usize) {
+impl ModelStore {
+    /// Returns the encoded durable state (blocks, deleted blocks, and the last order of each) and the number of
+    /// entries.
+    fn identity(&self) -> (Vec<u8>, usize) {
         (wire::encode(&self.0.durable_state()), self.0.entries().len())
     }
 }
 
-impl PartialEq for Store {
+impl PartialEq for ModelStore {
     fn eq(&self, other: &Self) -> bool {
-        self.shown() == other.shown()
+        self.identity() == other.identity()
     }
 }
 
-impl Eq for Store {}
+impl Eq for ModelStore {}
 
-impl std::hash::Hash for Store {
+impl std::hash::Hash for ModelStore {
     fn hash<H: std::hash::Hasher>(&self, state: &mut H) {
-        self.shown().hash(state);
+        self.identity().hash(state);
     }
 }
--- a/broker/crates/blocks/tests/simulation.rs
+++ b/broker/crates/blocks/tests/simulation.rs
@@ -1,18 +1,19 @@
-//! Thousands of seeded clusters: moves, splits and merges under entries and reads, with messages lost and late, stores away,
-//! coordinators dead, asleep and two at once. A failure prints its seed; `SEED=n` plays that one alone.
+//! Simulations of clusters from many seeds: moves, splits and merges under entries and reads, with lost and
+//! late messages, unavailable stores, and coordinators that crash, pause or run two at once. A failure prints
+//! its seed; `SEED=n` runs only that one.
 
 mod world;
 
 use gingerledge_blocks::Reason;
-use world::{ClientReply, World};
+use world::{ClientReply, Simulation};
 
-fn simulate(seed: u64) -> World {
-    let mut world = World::new(seed, 5);
+fn simulate(seed: u64) -> Simulation {
+    let mut world = Simulation::new(seed, 5);
     world.clients(150, 9000);
     world.run(10_000);
     world.end_faults();
     world.check();
-    // What is proved at each commit refuses none of the coordinators' own changes.
+    // The validation before each commit rejects no change that the coordinators started themselves.
     let refused = |process: &world::SimulatedCoordinator| {
         process
             .coordinator
--- a/broker/crates/blocks/tests/validate.rs
+++ b/broker/crates/blocks/tests/validate.rs
@@ -1,5 +1,6 @@
-//! The validator against brute force: a hundred thousand maps a run, half of them broken in one known way; passages under every
-//! mixture of versions; what real stores take in on the way; and documents with their lines. A failure prints its seed.
+//! Compares the validator with a brute-force one: 100,000 maps, half of them with one known fault; transitions
+//! under every mixture of versions; the behaviour of real stores during a transition; and documents with their
+//! lines. A failure prints its seed.
 #![allow(clippy::unwrap_used)]
 
 mod maps;
@@ -9,10 +10,10 @@
 use gingerledge_blocks::{
     Admission, BlockId, Entry, Epoch, Holdings, Order, Span, StampedOrder, StoreId, Term,
 };
-use maps::{brute, change, Break, BREAKS, LISTED, UNKNOWN};
+use maps::{brute, change, KnownFault, KNOWN_FAULTS, LISTED, UNKNOWN};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 
-/// A case is its seed: what it makes is printed by playing it again.
+/// A test case is its seed, so that a failing case can be reproduced from it.
 #[derive(Clone, Debug)]
 struct Seed(u64);
 
@@ -36,44 +37,44 @@
     store.to_string()
 }
 
-/// A map of a seed, broken in one way or sound.
-fn case(rng: &mut Rng) -> (Draft, Option<(Break, BlockId)>) {
-    let mut draft = maps::sound(rng);
+/// Returns a map from a seed, valid or with one fault.
+fn case(rng: &mut Rng) -> (Draft, Option<(KnownFault, BlockId)>) {
+    let mut draft = maps::valid_map(rng);
     if rng.bool() {
         return (draft, None);
     }
-    // Some breaks can't be made of some maps: then it is another.
+    // Some faults cannot be introduced into some maps; then another one is chosen.
     loop {
-        let (what, before) = (BREAKS[rng.usize(..BREAKS.len())], draft.clone());
-        if let Some(id) = maps::break_it(rng, &mut draft, what) {
+        let (what, before) = (KNOWN_FAULTS[rng.usize(..KNOWN_FAULTS.len())], draft.clone());
+        if let Some(id) = maps::introduce_fault(rng, &mut draft, what) {
             return (draft, Some((what, id)));
         }
         draft = before;
     }
 }
 
-fn shows(finding: &Finding, what: Break, id: BlockId) -> bool {
+fn matches_fault(finding: &Finding, what: KnownFault, id: BlockId) -> bool {
     let named = finding.blocks.contains(&id);
     match (&finding.fault, what) {
-        // A gap names its neighbours, of which a block cut to nothing is none.
-        (Fault::Gap, Break::Gap)
-        | (Fault::Overlap { .. }, Break::Overlap)
-        | (Fault::Empty, Break::Empty)
-        | (Fault::Reversed, Break::Reversed)
-        | (Fault::Outside { .. }, Break::Outside)
-        | (Fault::UsedTwice, Break::UsedTwice)
-        | (Fault::UsedAgain, Break::UsedAgain)
-        | (Fault::HeldTwice { .. }, Break::HeldTwice)
-        | (Fault::Holders { .. }, Break::FewerHolders)
-        | (Fault::Capacity { .. }, Break::Capacity)
-        | (Fault::Zones { .. }, Break::FewerZones) => named,
-        (Fault::StoreTwice { .. }, Break::StoreTwice) => true,
+        // A gap names the adjacent blocks, which do not include a block reduced to nothing.
+        (Fault::Gap, KnownFault::Gap)
+        | (Fault::Overlap { .. }, KnownFault::Overlap)
+        | (Fault::Empty, KnownFault::Empty)
+        | (Fault::Reversed, KnownFault::Reversed)
+        | (Fault::Outside { .. }, KnownFault::Outside)
+        | (Fault::UsedTwice, KnownFault::UsedTwice)
+        | (Fault::UsedAgain, KnownFault::UsedAgain)
+        | (Fault::HeldTwice { .. }, KnownFault::HeldTwice)
+        | (Fault::Holders { .. }, KnownFault::FewerHolders)
+        | (Fault::Capacity { .. }, KnownFault::Capacity)
+        | (Fault::Zones { .. }, KnownFault::FewerZones) => named,
+        (Fault::StoreTwice { .. }, KnownFault::StoreTwice) => true,
         (Fault::Holder { why, copies, .. }, _) => {
             let expected = match what {
-                Break::Unknown => (Unfit::Unknown, false),
-                Break::Draining => (Unfit::Draining, false),
-                Break::Gone => (Unfit::Gone, false),
-                Break::CopierGone => (Unfit::Gone, true),
+                KnownFault::Unknown => (Unfit::Unknown, false),
+                KnownFault::Draining => (Unfit::Draining, false),
+                KnownFault::Gone => (Unfit::Gone, false),
+                KnownFault::CopierGone => (Unfit::Gone, true),
                 _ => return false,
             };
             named && (*why, *copies) == expected
@@ -83,16 +84,16 @@
 }
 
 #[test]
-fn each_known_break_of_a_hundred_thousand_maps_is_found_and_no_sound_one_refused() {
+fn known_faults_are_found_in_100_000_maps_and_no_valid_map_is_rejected() {
     fn holds(seed: Seed) -> bool {
         let (draft, broken) = case(&mut Rng::with_seed(seed.0));
         let found = faults(&draft, &text);
         let shown = match broken {
             None => found.is_empty(),
-            Some((what, id)) => found.iter().any(|finding| shows(finding, what, id)),
+            Some((what, id)) => found.iter().any(|finding| matches_fault(finding, what, id)),
         };
-        let said = brute::said(&found);
-        if !shown || said != brute::faults(&draft) {
+        let actual = brute::fault_set(&found);
+        if !shown || actual != brute::faults(&draft) {
             eprintln!("{broken:?}\n{draft:#?}\n{found:#?}\n{:?}", brute::faults(&draft));
             return false;
         }
@@ -102,12 +103,12 @@
 }
 
 #[test]
-fn a_document_says_what_its_map_says_and_each_fault_its_line() {
+fn a_document_gives_the_findings_of_its_map_with_their_lines() {
     fn holds(seed: Seed) -> bool {
         let (mut draft, _) = case(&mut Rng::with_seed(seed.0));
-        let written = maps::write(&mut draft);
+        let written = maps::write_document(&mut draft);
         let mut names = Names::default();
-        // The names in the order of their numbers, so that both count alike.
+        // Registers the names in the order of their numbers, so that both maps use the same numbers.
         for n in 0..=UNKNOWN.0 {
             names.id(&format!("s-{n}"));
         }
@@ -134,7 +135,7 @@
                             .all(|line| at(line).starts_with(key) && at(line).contains(&name))
                 }
                 Fault::HeldTwice { .. } => !finding.lines.is_empty(),
-                // A gap between nothing has no neighbours.
+                // A gap without adjacent blocks names none.
                 Fault::Gap => finding.lines.len() >= finding.blocks.len(),
                 _ => {
                     let block =
@@ -153,68 +154,70 @@
 }
 
 #[test]
-fn passages_hold_under_every_mixture_or_are_refused_with_each_key() {
+fn transitions_are_valid_under_every_mixture_or_rejected_for_each_key() {
     fn holds(seed: Seed) -> bool {
         let mut rng = Rng::with_seed(seed.0);
-        let mut old = maps::sound(&mut rng);
-        let mut new = change::next(&mut rng, &mut old);
-        let spoilt = rng.bool();
-        if spoilt {
-            change::spoil(&mut rng, &mut old, &mut new);
+        let mut old = maps::valid_map(&mut rng);
+        let mut new = change::next_version(&mut rng, &mut old);
+        let is_invalid = rng.bool();
+        if is_invalid {
+            change::invalidate(&mut rng, &mut old, &mut new);
         }
-        let proved = transition(&old, &new, &text);
-        let expected = brute::passage(&old, &new);
-        let good = brute::said_of(&proved) == expected && (spoilt || proved.findings.is_empty());
+        let result = transition(&old, &new, &text);
+        let expected = brute::transition_faults(&old, &new);
+        let good =
+            brute::transition_fault_set(&result) == expected && (is_invalid || result.findings.is_empty());
         if !good {
-            eprintln!("{old:#?}\n{new:#?}\n{proved:#?}\n{expected:?}");
+            eprintln!("{old:#?}\n{new:#?}\n{result:#?}\n{expected:?}");
         }
         good
     }
     check(40_000, 3, holds);
 }
 
-/// A store acts on an order.
+/// Carries out an order at a store.
 fn carry_out(store: &mut Holdings, epoch: u64, order: Order) {
     let ordered =
         StampedOrder { term: Term(1), serial: epoch, block: BlockId(1), epoch: Epoch(epoch), order };
     store.carry_out(&ordered).unwrap();
 }
 
-/// The rule against the real fence: whatever order the stores learn of the new version in, as far as the coordinator's steps
-/// allow, those that take entries are never of both versions, and waits are where the passage says.
+/// Checks the transition rule against the real fence: in whatever order the stores learn of the new version,
+/// within the steps of the coordinator, the stores that accept entries never belong to both versions, and
+/// entries wait only where the transition reports it.
 #[test]
-fn stores_with_their_fences_take_entries_and_reads_as_the_passage_says() {
+fn real_fences_accept_entries_and_reads_as_the_transition_predicts() {
     for seed in 0..3_000 {
         let mut rng = Rng::with_seed(seed);
-        let mut old = maps::sound(&mut rng);
+        let mut old = maps::valid_map(&mut rng);
         let (span, holders) = (old.keys, old.rows[0].holders.clone());
         old.rows.truncate(1);
         (old.rows[0].id, old.rows[0].span) = (BlockId(1), span);
         old.retired.clear();
         let mut new = old.clone();
         let minimum = Redundancy { holders: rng.u32(1..=3), zones: 1 };
-        let after = maps::pick(&mut rng, minimum);
+        let after = maps::choose_holders(&mut rng, minimum);
         old.rows[0].copying = after.iter().filter(|s| !holders.contains(s)).copied().collect();
         (new.rows[0].holders, new.rows[0].copying, new.rows[0].epoch) = (after.clone(), vec![], Epoch(11));
-        let proved = transition(&old, &new, &text);
-        assert_eq!(proved.findings, [], "seed {seed}");
+        let result = transition(&old, &new, &text);
+        assert_eq!(result.findings, [], "seed {seed}");
 
         let (source, mut stores) = (holders[0], vec![Holdings::new(4); LISTED as usize]);
         let at = |store: StoreId| store.0 as usize;
         holders.iter().for_each(|s| carry_out(&mut stores[at(*s)], 10, Order::Create { span }));
-        let mut lost: Vec<StoreId> = holders.iter().filter(|s| !after.contains(s)).copied().collect();
-        let mut gained = old.rows[0].copying.clone();
-        rng.shuffle(&mut lost);
-        rng.shuffle(&mut gained);
-        for store in &gained {
+        let mut removed: Vec<StoreId> = holders.iter().filter(|s| !after.contains(s)).copied().collect();
+        let mut added = old.rows[0].copying.clone();
+        rng.shuffle(&mut removed);
+        rng.shuffle(&mut added);
+        for store in &added {
             carry_out(&mut stores[at(*store)], 11, Order::Prepare { span, from: source });
         }
-        for store in &lost {
+        for store in &removed {
             carry_out(&mut stores[at(*store)], 11, Order::Fence { to: after[0] });
         }
-        gained.iter().for_each(|store| carry_out(&mut stores[at(*store)], 11, Order::AllowReads));
+        added.iter().for_each(|store| carry_out(&mut stores[at(*store)], 11, Order::AllowReads));
         let mut waited = false;
-        let mut look = |stores: &[Holdings], told: bool| {
+        let mut look = |stores: &[Holdings], is_published: bool| {
             let lets = |key: Option<&str>, epoch| -> Vec<StoreId> {
                 let runs = |s: &StoreId| {
                     matches!(stores[at(*s)].admission(BlockId(1), Epoch(epoch), key), Admission::Execute(_))
@@ -225,22 +228,25 @@
             let all_of = |set: &[StoreId]| takes.iter().all(|store| set.contains(store));
             assert!(all_of(&holders) || all_of(&after), "seed {seed}: {takes:?}");
             waited |= takes.is_empty();
-            // Who meets nobody of the old version is told of the new one.
+            // A request that finds no store of the old version is directed to the new one.
             assert!(!lets(None, 11).is_empty(), "seed {seed}");
-            assert!(told || lets(None, 10).iter().any(|store| holders.contains(store)), "seed {seed}");
+            assert!(
+                is_published || lets(None, 10).iter().any(|store| holders.contains(store)),
+                "seed {seed}"
+            );
         };
         look(&stores, false);
-        for store in &lost {
+        for store in &removed {
             carry_out(&mut stores[at(*store)], 11, Order::Retire);
             look(&stores, true);
         }
-        for store in &gained {
+        for store in &added {
             carry_out(&mut stores[at(*store)], 11, Order::Open);
             let entry = Entry { key: format!("e{}", store.0), weigher: span.first, value: vec![] };
             stores[at(*store)].append(entry);
             look(&stores, true);
         }
-        assert_eq!(waited, !proved.waits.is_empty(), "seed {seed}: {:?}", proved.waits);
+        assert_eq!(waited, !result.waits.is_empty(), "seed {seed}: {:?}", result.waits);
     }
 }
 
@@ -261,36 +267,45 @@
 }
 
 #[test]
-fn hard_ranges_are_told_apart() {
-    const MOST: u64 = u64::MAX;
-    let said = |keys, rows: &[(u32, u64, u64)]| -> Vec<String> {
+fn boundary_ranges_are_distinguished() {
+    const MAX: u64 = u64::MAX;
+    let texts = |keys, rows: &[(u32, u64, u64)]| -> Vec<String> {
         read(&blocks(keys, rows)).unwrap().iter().map(Finding::to_string).collect()
     };
-    let starts = |said: &[String], expected: &[&str]| {
-        assert_eq!(said.len(), expected.len(), "{said:#?}");
-        for (said, expected) in said.iter().zip(expected) {
-            assert!(said.contains(expected), "{said} should say {expected}");
+    let assert_findings = |texts: &[String], expected: &[&str]| {
+        assert_eq!(texts.len(), expected.len(), "{texts:#?}");
+        for (text, expected) in texts.iter().zip(expected) {
+            assert!(text.contains(expected), "{text} should contain {expected}");
         }
     };
-    starts(&said([0, MOST], &[(1, 0, MOST)]), &[]);
-    starts(&said([0, MOST], &[(1, 0, 1), (2, 1, MOST - 1), (3, MOST - 1, MOST)]), &[]);
-    starts(
-        &said([0, MOST], &[(1, 0, MOST - 1)]),
-        &[&format!("line 9: keys {}..{MOST}: block 1: no block", MOST - 1)],
+    assert_findings(&texts([0, MAX], &[(1, 0, MAX)]), &[]);
+    assert_findings(&texts([0, MAX], &[(1, 0, 1), (2, 1, MAX - 1), (3, MAX - 1, MAX)]), &[]);
+    assert_findings(
+        &texts([0, MAX], &[(1, 0, MAX - 1)]),
+        &[&format!("line 9: keys {}..{MAX}: block 1: no block", MAX - 1)],
     );
-    starts(&said([0, 3], &[(1, 1, 2)]), &["keys 0..1: block 1: no block", "keys 2..3: block 1: no block"]);
-    starts(&said([0, 9], &[]), &["keys 0..9: no block"]);
-    // Equal starts, equal ranges, one within another.
-    starts(&said([0, 9], &[(1, 0, 9), (2, 0, 3)]), &["line 9, 15: keys 0..3: blocks 1, 2: these keys"]);
-    starts(&said([0, 9], &[(1, 0, 9), (2, 0, 9)]), &["keys 0..9: blocks 1, 2"]);
-    starts(&said([0, 9], &[(1, 0, 9), (2, 4, 5)]), &["keys 4..5: blocks 1, 2"]);
-    starts(&said([0, 9], &[(1, 0, 9), (2, 4, 4)]), &["line 15: keys 4..4: block 2: has no keys"]);
-    starts(&said([0, 9], &[(1, 9, 0)]), &["keys 9..0: block 1: ends before", "keys 0..9: no block"]);
-    starts(&said([9, 0], &[(1, 0, 9)]), &["keys 9..0: ends before", "block 1: goes beyond"]);
+    assert_findings(
+        &texts([0, 3], &[(1, 1, 2)]),
+        &["keys 0..1: block 1: no block", "keys 2..3: block 1: no block"],
+    );
+    assert_findings(&texts([0, 9], &[]), &["keys 0..9: no block"]);
+    // Ranges with equal starts, equal ranges, and one range within another.
+    assert_findings(
+        &texts([0, 9], &[(1, 0, 9), (2, 0, 3)]),
+        &["line 9, 15: keys 0..3: blocks 1, 2: these keys"],
+    );
+    assert_findings(&texts([0, 9], &[(1, 0, 9), (2, 0, 9)]), &["keys 0..9: blocks 1, 2"]);
+    assert_findings(&texts([0, 9], &[(1, 0, 9), (2, 4, 5)]), &["keys 4..5: blocks 1, 2"]);
+    assert_findings(&texts([0, 9], &[(1, 0, 9), (2, 4, 4)]), &["line 15: keys 4..4: block 2: has no keys"]);
+    assert_findings(
+        &texts([0, 9], &[(1, 9, 0)]),
+        &["keys 9..0: block 1: ends before", "keys 0..9: no block"],
+    );
+    assert_findings(&texts([9, 0], &[(1, 0, 9)]), &["keys 9..0: ends before", "block 1: goes beyond"]);
 }
 
 #[test]
-fn what_can_not_be_read_names_its_line_and_what_is_too_large_its_bound() {
+fn unreadable_documents_name_the_line_and_large_ones_the_limit() {
     let whole = blocks([0, 9], &[(1, 0, 9)]);
     let line = |text: &str| match read(text) {
         Err(DocumentError::Format { line, what }) => (line, what),
@@ -313,7 +328,7 @@
 }
 
 #[test]
-fn garbage_never_panics() {
+fn random_bytes_never_cause_a_panic() {
     let whole = blocks([0, 9], &[(1, 0, 9)]);
     let mut rng = Rng::with_seed(7);
     for _ in 0..2_000 {
--- a/broker/crates/blocks/tests/wire.rs
+++ b/broker/crates/blocks/tests/wire.rs
@@ -1,4 +1,4 @@
-//! Messages: what is packed comes back, and no bytes bring a reader down.
+//! Tests of the messages: encoded messages decode to the same value, and no bytes make the decoder panic.
 #![allow(clippy::unwrap_used)]
 
 use gingerledge_blocks::wire::{
@@ -35,7 +35,7 @@
     };
     let retired =
         Record::Retired { id: BlockId(8), span: Span::new(0, 9), epoch: Epoch::from_parts(Term(1), 8) };
-    let news = MapPage {
+    let map_page = MapPage {
         stores: vec![(StoreId(0), "s-0".into())],
         records: vec![retired],
         cursor: Cursor::after_version(4),
@@ -51,11 +51,11 @@
         wire::encode(&Some(CopyReply { copied: 1, length: 2, bytes: 3 })),
         wire::encode(&SectionRequest { span: Span::new(0, 9), start: 0, bytes: 10 }),
         wire::encode(&LogSection { entries: vec![entry], next: 4, length: 9 }),
-        wire::encode(&news),
+        wire::encode(&map_page),
     ]
 }
 
-/// Reads bytes as every message there is.
+/// Decodes bytes as each type of message.
 fn read(bytes: &[u8]) -> [bool; 8] {
     [
         wire::decode::<OrderReply>(bytes).is_some(),
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn every_message_comes_back_and_none_is_read_short_or_long() {
+fn messages_decode_to_the_same_value_and_only_at_their_exact_length() {
     for bytes in messages() {
         assert!(read(&bytes).contains(&true));
         let own = read(&bytes).iter().position(|whole| *whole).unwrap();
@@ -83,18 +83,18 @@
 }
 
 #[test]
-fn garbage_is_no_message_or_one_within_bounds() {
-    fn spoilt(garbage: Vec<u8>, at: usize) -> bool {
+fn random_bytes_are_no_message_or_a_bounded_one() {
+    fn survives_damage(garbage: Vec<u8>, at: usize) -> bool {
         read(&garbage);
         for mut bytes in messages() {
             let at = at % bytes.len();
             let end = (at + garbage.len()).min(bytes.len());
             bytes[at..end].copy_from_slice(&garbage[..end - at]);
             read(&bytes);
-            if let Some(news) = wire::decode::<MapPage>(&bytes) {
-                // Whatever a peer says, the map stays one that tiles.
+            if let Some(map_page) = wire::decode::<MapPage>(&bytes) {
+                // Whatever a peer sends, the blocks of the map never overlap.
                 let mut map = BlockMap::new(10, 10);
-                let _ = map.catch_up(news.records, news.version);
+                let _ = map.catch_up(map_page.records, map_page.version);
                 let _ = map.snapshot();
             }
             if let Some(ordered) = wire::decode::<StampedOrder>(&bytes) {
@@ -103,6 +103,6 @@
         }
         true
     }
-    let spoilt = spoilt as fn(Vec<u8>, usize) -> bool;
-    QuickCheck::new().rng(Gen::from_size_and_seed(60, 23)).tests(3000).quickcheck(spoilt);
+    let survives_damage = survives_damage as fn(Vec<u8>, usize) -> bool;
+    QuickCheck::new().rng(Gen::from_size_and_seed(60, 23)).tests(3000).quickcheck(survives_damage);
 }
--- a/broker/crates/blocks/tests/world/mod.rs
+++ b/broker/crates/blocks/tests/world/mod.rs
@@ -1,6 +1,6 @@
-//! A whole cluster in virtual time from one seed: stores, coordinators one after the other or two at once, a
-//! broker whose map lags, entries and reads, and faults. What a run must hold is checked against a plain record of what the
-//! clients were told.
+//! Simulation of a cluster in virtual time from one seed: stores, coordinators one after the other or two at
+//! once, a broker whose map is out of date, entries and reads, and faults. The invariants are checked against a
+//! record of the replies that the clients received.
 #![allow(dead_code, clippy::unwrap_used)]
 
 use std::cmp::Reverse;
@@ -13,19 +13,19 @@
 
 #[derive(Clone, Debug)]
 enum SimulationEvent {
-    /// An order has reached a store.
+    /// An order has arrived at a store.
     Order {
         coordinator_index: usize,
         store: usize,
         purpose: OrderPurpose,
         stamped: StampedOrder,
     },
-    /// A store's word has reached a coordinator.
+    /// A store's reply or another event has arrived at a coordinator.
     CoordinatorInput {
         to: usize,
         input: Event,
     },
-    /// A copy's stretch is made now.
+    /// A section of the log is copied.
     Copy {
         coordinator_index: usize,
         job: CopyJob,
@@ -33,9 +33,9 @@
     Tick(usize),
     RequestChange,
     Fault,
-    /// The broker learns the map.
+    /// The broker updates its map.
     UpdateBroker,
-    /// A client's entry or read sets out.
+    /// A client sends an entry or a read.
     ClientRequest {
         key: String,
         weigher: u64,
@@ -51,7 +51,7 @@
         entry: bool,
         attempt: u32,
     },
-    /// Its store is back, its coordinator awake.
+    /// The store is available again.
     StoreUp(usize),
     CoordinatorResumed(usize),
     StartCoordinator,
@@ -72,7 +72,7 @@
     NotExecuted,
 }
 
-pub struct World {
+pub struct Simulation {
     pub seed: u64,
     rng: Rng,
     pub now: u64,
@@ -99,7 +99,7 @@
     Bounds { blocks: 500, retired: 500, stores: 20, changes: 6, ended: 1000, timeouts }
 }
 
-impl World {
+impl Simulation {
     pub fn new(seed: u64, stores: usize) -> Self {
         let mut world = Self {
             seed,
@@ -140,29 +140,30 @@
         world
     }
 
-    fn schedule(&mut self, delay: u64, ev: SimulationEvent) {
+    fn schedule(&mut self, delay: u64, event: SimulationEvent) {
         self.next += 1;
-        self.events.insert(self.next, ev);
+        self.events.insert(self.next, event);
         self.queue.push(Reverse((self.now + delay, self.next)));
     }
 
-    /// A message's way: it takes 1 to 8 ms, sometimes much longer, and now and then it is lost.
-    fn send(&mut self, ev: SimulationEvent) {
-        // The first blocks are founded in peace.
+    /// Sends a message: it takes 1 to 8 ms, occasionally up to 400 ms longer, and is lost at the configured
+    /// rate.
+    fn send(&mut self, event: SimulationEvent) {
+        // There are no faults while the initial map is created, in the first 300 ms.
         let is_fault_free = self.is_fault_free || self.now < 300;
         if !is_fault_free && self.rng.f64() < self.loss {
             return;
         }
         let late = !is_fault_free && self.rng.f64() < 0.02;
         let delay = self.rng.u64(1..8) + if late { self.rng.u64(0..400) } else { 0 };
-        self.schedule(delay, ev);
+        self.schedule(delay, event);
     }
 
     pub fn current_coordinator(&self) -> &Coordinator {
         &self.coordinators.last().unwrap().coordinator
     }
 
-    /// A new coordinator takes over, from what the last log says at this moment.
+    /// Starts a new coordinator from the current content of the last log.
     fn start_coordinator(&mut self) {
         self.term += 1;
         let records = match self.coordinators.last() {
@@ -197,7 +198,7 @@
                         purpose,
                         stamped,
                     });
-                    // A driver that hears nothing says so.
+                    // The caller reports a missing reply.
                     let input = Event::NoReply(store, purpose);
                     self.schedule(600, SimulationEvent::CoordinatorInput { to: coordinator_index, input });
                 }
@@ -238,15 +239,15 @@
             }
             let Reverse((at, id)) = self.queue.pop().unwrap();
             self.now = at;
-            let ev = self.events.remove(&id).unwrap();
-            self.process(ev);
+            let event = self.events.remove(&id).unwrap();
+            self.process(event);
             self.check_held();
         }
         self.now = until;
     }
 
-    fn process(&mut self, ev: SimulationEvent) {
-        match ev {
+    fn process(&mut self, event: SimulationEvent) {
+        match event {
             SimulationEvent::Order { coordinator_index, store, purpose, stamped } => {
                 if !self.is_store_up[store] {
                     return;
@@ -372,27 +373,27 @@
     fn fault(&mut self) {
         let coordinator_index = self.coordinators.len() - 1;
         match self.rng.u32(..10) {
-            // A store is away for a while; what it holds lasts.
+            // A store is unavailable for a while; its state is durable.
             0..=4 => {
                 let store = self.rng.usize(..self.stores.len());
                 let long = self.rng.u64(50..3000);
                 self.is_store_up[store] = false;
                 self.schedule(long, SimulationEvent::StoreUp(store));
             }
-            // The coordinator dies; another takes over from its log.
+            // The coordinator crashes; another takes over from its log.
             5 | 6 => {
                 self.coordinators[coordinator_index].is_stopped = true;
                 let wait = self.rng.u64(10..800);
                 self.schedule(wait, SimulationEvent::StartCoordinator);
             }
-            // It sleeps for longer than its lease, another takes over, and it awakes.
+            // The coordinator pauses for longer than its lease, another takes over, and the first one resumes.
             7 => {
                 self.coordinators[coordinator_index].is_paused = true;
                 let long = self.rng.u64(300..2000);
                 self.schedule(200, SimulationEvent::StartCoordinator);
                 self.schedule(long, SimulationEvent::CoordinatorResumed(coordinator_index));
             }
-            // A store restarts and is asked anew.
+            // A store restarts, and its inventory is requested again.
             _ => {
                 let store = StoreId(self.rng.u32(..self.stores.len() as u32));
                 self.coordinators[coordinator_index].coordinator.discard_inventory(store);
@@ -400,11 +401,11 @@
         }
     }
 
-    /// A client's entries and reads, spread over a stretch of time.
-    pub fn clients(&mut self, count: usize, is_stopped: u64) {
+    /// Schedules entries and reads of clients over a period of time.
+    pub fn clients(&mut self, count: usize, duration_ms: u64) {
         for n in 0..count {
             let (weigher, entry) = (self.rng.u64(..WEIGHERS), self.rng.bool());
-            let delay = self.rng.u64(10..is_stopped);
+            let delay = self.rng.u64(10..duration_ms);
             let key = format!("q{n}.{weigher}");
             self.schedule(delay, SimulationEvent::ClientRequest { key, weigher, entry, attempt: 0 });
         }
@@ -422,7 +423,7 @@
         let call =
             SimulationEvent::ExecutePart { key: key.clone(), weigher, block, epoch, store, entry, attempt };
         if !self.is_store_up[store] {
-            // Refused: it never ran.
+            // The store was not reached, so the entry was never executed.
             self.schedule(30, SimulationEvent::ClientRequest { key, weigher, entry, attempt: attempt + 1 });
         } else if self.is_fault_free || self.rng.f64() > self.loss {
             let delay = self.rng.u64(1..40);
@@ -468,7 +469,7 @@
         }
     }
 
-    /// At every moment some store lets reads of every weigher in, though it may be away just then.
+    /// Checks that at any time some store accepts reads of a random weigher, although it may be unavailable.
     fn check_held(&mut self) {
         let weigher = self.rng.u64(..WEIGHERS);
         let reads = |store: &Holdings| {
@@ -487,7 +488,7 @@
         }
     }
 
-    /// Faults end, all are up and awake, and everything under way comes to its end.
+    /// Ends all faults, makes all stores available, and runs until all changes have ended.
     pub fn end_faults(&mut self) {
         self.is_fault_free = true;
         self.is_store_up.iter_mut().for_each(|up| *up = true);
@@ -500,7 +501,7 @@
             self.start_coordinator();
         }
         self.coordinators.last_mut().unwrap().is_paused = false;
-        // Whatever the one before left at the stores is found by asking them anew.
+        // Inventories are requested again to find what the last coordinator left at the stores.
         for round in 0..4 {
             let coordinator_index = self.coordinators.len() - 1;
             for store in 0..self.stores.len() {
--- a/broker/src/config/blocks.rs
+++ b/broker/src/config/blocks.rs
@@ -6,7 +6,7 @@
 use std::path::PathBuf;
 
 use gingerledge_background::{Budget, Rate};
-use gingerledge_blocks::{Bounds, Goal, Span, Timeouts, MAX_REPLICAS};
+use gingerledge_blocks::{Bounds, Goal, Span, Timeouts, MAX_REPLICAS as REPLICAS_MOST};
 use serde::Deserialize;
 
 use super::Error;
@@ -155,7 +155,7 @@
         within("lag", table.lag as f64, 0.0, 1e6)?;
         within("plan_every_ms", table.plan_every_ms as f64, 50.0, 3_600_000.0)?;
         within("rest_ms", table.rest_ms as f64, 0.0, 86_400_000.0)?;
-        within("replicas", table.replicas as f64, 1.0, MAX_REPLICAS as f64)?;
+        within("replicas", table.replicas as f64, 1.0, REPLICAS_MOST as f64)?;
         within("uneven", table.uneven, 0.01, 10.0)?;
         within("even", table.even, 0.0, table.uneven)?;
         within("split_above", table.split_above, 0.0, 1e12)?;
@@ -241,8 +241,8 @@
             return Err(Error::new(key("first"), fault));
         }
         let stores: HashSet<&String> = table.stores.iter().collect();
-        if !(1..=MAX_REPLICAS).contains(&stores.len()) || stores.len() != table.stores.len() {
-            let fault = format!("expected 1 to {MAX_REPLICAS} stores, none twice");
+        if !(1..=REPLICAS_MOST).contains(&stores.len()) || stores.len() != table.stores.len() {
+            let fault = format!("expected 1 to {REPLICAS_MOST} stores, none twice");
             return Err(Error::new(key("stores"), fault));
         }
         if let Some(extent) = table.extent {
