--- a/broker/crates/blocks/benches/validate.rs
+++ b/broker/crates/blocks/benches/validate.rs
@@ -81,7 +81,7 @@
 fn replay_a_thousand_maps_batch_by_batch(bencher: Bencher) {
     let (start, moves) = (map(), move_batches());
     let listed = |store: StoreId| (store.0 < STORES).then_some(Standing::Listed);
-    let facts = Facts { standing: &listed, text: &text, copies: &|_, _| true };
+    let facts = Facts { standing: &listed, store_name: &text, copies: &|_, _| true };
     bencher.counter(ItemsCount::new(MAPS)).with_inputs(|| start.clone()).bench_local_values(|mut map| {
         for moved in &moves {
             assert!(batch(&map, &moved.records, &facts).findings.is_empty());
@@ -136,7 +136,7 @@
 fn whole_map_from_a_log(bencher: Bencher) {
     let map = map();
     let listed = |store: StoreId| (store.0 < STORES).then_some(Standing::Listed);
-    let facts = Facts { standing: &listed, text: &text, copies: &|_, _| true };
+    let facts = Facts { standing: &listed, store_name: &text, copies: &|_, _| true };
     bencher.bench_local(|| assert!(full_map(black_box(&map), &facts).is_empty()));
 }
 
--- a/broker/crates/blocks/src/coordinator/advance.rs
+++ b/broker/crates/blocks/src/coordinator/advance.rs
@@ -71,8 +71,8 @@
                 inputs.push_back(Input::NoReply(from))
             }
             Effect::Order(store, block, epoch, order) => {
-                let ordered = self.stamp_order(block, epoch, order);
-                work.push(Work::Send(store, OrderPurpose::Change(id, round), ordered));
+                let stamped = self.stamp_order(block, epoch, order);
+                work.push(Work::Send(store, OrderPurpose::Change(id, round), stamped));
             }
             Effect::Copy { to, from, start } => {
                 let (block, epoch) = (change.block, change.epoch);
@@ -101,8 +101,8 @@
         if let Err(fault) = self.map.check(&records, false) {
             return Some(fault.to_string());
         }
-        let copier = change.copy().map(|(_, to)| to);
-        let copies = |block, store| block == change.block && copier == Some(store);
+        let copy_target = change.copy().map(|(_, to)| to);
+        let copies = |block, store| block == change.block && copy_target == Some(store);
         self.validate_records(&records, &copies)
     }
 
@@ -114,8 +114,9 @@
         copies: &dyn Fn(BlockId, StoreId) -> bool,
     ) -> Option<String> {
         let store_standing = |store| self.stores.contains_key(&store).then_some(validate::Standing::Listed);
-        let text = |store| self.name(store).map_or_else(|| store.to_string(), |name| format!("store {name}"));
-        let facts = validate::Facts { standing: &store_standing, text: &text, copies };
+        let store_name =
+            |store| self.name(store).map_or_else(|| store.to_string(), |name| format!("store {name}"));
+        let facts = validate::Facts { standing: &store_standing, store_name: &store_name, copies };
         let findings = validate::batch(&self.map, records, &facts).findings;
         validate::summary(&findings)
     }
@@ -184,8 +185,8 @@
 
 /// Returns a box around both extents, or `None` if one is unknown. If one of them crosses the antimeridian, the
 /// box covers all longitudes.
-fn bounding_box(one: Option<Extent>, two: Option<Extent>) -> Option<Extent> {
-    let ([w1, s1, e1, n1], [w2, s2, e2, n2]) = (one?.0, two?.0);
+fn bounding_box(first: Option<Extent>, second: Option<Extent>) -> Option<Extent> {
+    let ([w1, s1, e1, n1], [w2, s2, e2, n2]) = (first?.0, second?.0);
     let (south, north) = (s1.min(s2), n1.max(n2));
     if w1 > e1 || w2 > e2 {
         return Some(Extent([-180.0, south, 180.0, north]));
--- a/broker/crates/blocks/src/coordinator/mod.rs
+++ b/broker/crates/blocks/src/coordinator/mod.rs
@@ -206,8 +206,8 @@
             let Record::Active(block) = record else { continue };
             for store in block.holders() {
                 let order = Order::Create { span: block.span };
-                let ordered = self.stamp_order(block.id, epoch, order);
-                work.push(Work::Send(store, OrderPurpose::Repair(block.id), ordered));
+                let stamped = self.stamp_order(block.id, epoch, order);
+                work.push(Work::Send(store, OrderPurpose::Repair(block.id), stamped));
             }
         }
         work.push(Work::Publish(self.map.version()));
@@ -230,8 +230,8 @@
                 self.higher_term = Some(term);
                 work.push(Work::HigherTerm(term));
             }
-            Event::Reply(store, OrderPurpose::Change(id, round), word) => {
-                self.advance_round(now, (id, round), Input::Reply(store, word), &mut work);
+            Event::Reply(store, OrderPurpose::Change(id, round), reply) => {
+                self.advance_round(now, (id, round), Input::Reply(store, reply), &mut work);
             }
             // The inventory is requested again until it matches the map.
             Event::Reply(store, OrderPurpose::Repair(_), _) => self.discard_inventory(store),
--- a/broker/crates/blocks/src/coordinator/recover.rs
+++ b/broker/crates/blocks/src/coordinator/recover.rs
@@ -56,8 +56,9 @@
     }
     let names: HashMap<StoreId, &String> = state.stores.iter().map(|(id, name)| (*id, name)).collect();
     let store_standing = |store| names.contains_key(&store).then_some(validate::Standing::Listed);
-    let text = |store| names.get(&store).map_or_else(|| store.to_string(), |name| format!("store {name}"));
-    let facts = validate::Facts { standing: &store_standing, text: &text, copies: &|_, _| true };
+    let store_name =
+        |store| names.get(&store).map_or_else(|| store.to_string(), |name| format!("store {name}"));
+    let facts = validate::Facts { standing: &store_standing, store_name: &store_name, copies: &|_, _| true };
     if let Some(why) = validate::summary(&validate::full_map(&map, &facts)) {
         return Err(RecoverError::Invalid(why));
     }
--- a/broker/crates/blocks/src/coordinator/requests.rs
+++ b/broker/crates/blocks/src/coordinator/requests.rs
@@ -79,17 +79,20 @@
                 Ok((id, ChangeKind::Split { holders, new }))
             }
             ChangeRequest::Merge(id, with) => {
-                let (one, two) = (self.unlocked_block(id)?, self.unlocked_block(with)?);
-                let (low, high) =
-                    if one.span < two.span { (one.span, two.span) } else { (two.span, one.span) };
+                let (first, second) = (self.unlocked_block(id)?, self.unlocked_block(with)?);
+                let (low, high) = if first.span < second.span {
+                    (first.span, second.span)
+                } else {
+                    (second.span, first.span)
+                };
                 if low.end != high.first {
                     return Err(RequestError::NotAdjacent(id, with));
                 }
-                let mut holders: Vec<StoreId> = one.holders().collect();
-                let mut others: Vec<StoreId> = two.holders().collect();
+                let mut holders: Vec<StoreId> = first.holders().collect();
+                let mut second_holders: Vec<StoreId> = second.holders().collect();
                 holders.sort_unstable();
-                others.sort_unstable();
-                if holders != others {
+                second_holders.sort_unstable();
+                if holders != second_holders {
                     return Err(RequestError::DifferentHolders(id, with));
                 }
                 self.check_stores(&holders)?;
--- a/broker/crates/blocks/src/holding.rs
+++ b/broker/crates/blocks/src/holding.rs
@@ -226,14 +226,14 @@
 
     /// Restores a store from its durable state: term, blocks, deleted blocks and log.
     pub fn restore(max_blocks: usize, state: DurableState) -> Self {
-        let mut this = Self::new(max_blocks);
-        (this.term, this.last_serials) = (state.term, state.last_serials.into_iter().collect());
-        this.blocks = state.blocks.into_iter().collect();
-        this.deleted = state.deleted.into_iter().collect();
+        let mut holdings = Self::new(max_blocks);
+        (holdings.term, holdings.last_serials) = (state.term, state.last_serials.into_iter().collect());
+        holdings.blocks = state.blocks.into_iter().collect();
+        holdings.deleted = state.deleted.into_iter().collect();
         for entry in state.entries {
-            this.append(entry);
+            holdings.append(entry);
         }
-        this
+        holdings
     }
 
     /// Returns the state that must be durable, without the log of entries.
--- a/broker/crates/blocks/src/plan.rs
+++ b/broker/crates/blocks/src/plan.rs
@@ -337,14 +337,14 @@
             let shares_zone = |s: StoreId| block.holders().any(|other| other != s && zone(other) == zone(s));
             let key = |s: &StoreId| (shares_zone(*s), sortable_load(self.utilization(*s)), *s);
             let Some(from) = block.holders().filter(responds).max_by_key(key) else { return };
-            let Some(keeper) = block.holders().find(|s| *s != from && responds(s)) else { return };
+            let Some(remaining_holder) = block.holders().find(|s| *s != from && responds(s)) else { return };
             if !self.can_copy_from(from) {
                 self.plan.deferred += 1;
             } else if self.add_change(
                 ChangeRequest::Remove(block.id, from),
                 "too many replicas",
                 0,
-                Some((from, keeper)),
+                Some((from, remaining_holder)),
                 false,
             ) {
                 self.changed_blocks.insert(block.id);
--- a/broker/crates/blocks/src/validate/map.rs
+++ b/broker/crates/blocks/src/validate/map.rs
@@ -21,7 +21,7 @@
     /// Returns the state of a store; `None` for an unknown store.
     pub(crate) standing: &'a dyn Fn(StoreId) -> Option<Standing>,
     /// Returns the display name of a store.
-    pub(crate) text: &'a dyn Fn(StoreId) -> String,
+    pub(crate) store_name: &'a dyn Fn(StoreId) -> String,
 }
 
 impl StoreInfo<'_> {
@@ -41,7 +41,7 @@
     let mut found = Vec::new();
     let sites = draft.sites_by_store();
     let standing = |store| sites.get(&store).map(|site: &&Site| site.standing);
-    let known = StoreInfo { standing: &standing, text };
+    let known = StoreInfo { standing: &standing, store_name: text };
     if draft.keys.is_empty() {
         let reversed = draft.keys.end < draft.keys.first;
         found.push(Finding::new(if reversed { Fault::Reversed } else { Fault::Empty }, draft.keys));
@@ -121,10 +121,10 @@
         let line = row.line_of(n);
         let place = |fault| Finding::new(fault, row.span).block(row.id, line);
         if all().take(n).any(|other| other == store) {
-            found.push(place(Fault::HeldTwice { store: (known.text)(*store) }));
+            found.push(place(Fault::HeldTwice { store: (known.store_name)(*store) }));
         } else if let Some(why) = known.unfit(*store).filter(|why| *why == Unfit::Unknown || new(*store)) {
             let copies = n >= row.holders.len();
-            found.push(place(Fault::Holder { store: (known.text)(*store), why, copies }));
+            found.push(place(Fault::Holder { store: (known.store_name)(*store), why, copies }));
         }
     }
     let replicas = row.holders.len() + row.copying.len();
--- a/broker/crates/blocks/src/validate/mod.rs
+++ b/broker/crates/blocks/src/validate/mod.rs
@@ -28,7 +28,7 @@
     let (before, after) = (old.sites_by_store(), new.sites_by_store());
     // The state of a store in the new map takes precedence; a store that the new map omits keeps its state.
     let standing = |store| after.get(&store).or(before.get(&store)).map(|site| site.standing);
-    let known = map::StoreInfo { standing: &standing, text };
+    let known = map::StoreInfo { standing: &standing, store_name: text };
     let mut result = transition::check_transition(&old.rows, &new.rows, Some(new.keys), &known);
     let named: FxHashSet<&BlockId> = new.retired.iter().collect();
     let ended: FxHashSet<&BlockId> = old.retired.iter().filter(|id| !named.contains(id)).collect();
--- a/broker/crates/blocks/src/validate/transition.rs
+++ b/broker/crates/blocks/src/validate/transition.rs
@@ -144,17 +144,18 @@
     let sides = Holders::new(old, new);
     let same_stores = sides.removed.is_empty() && new.holders.iter().all(|store| old.holders.contains(store));
     let same = old.id == new.id && old.span == new.span && same_stores;
-    let place = |fault| Finding::new(fault, keys).block(old.id, 0).block(new.id, new.line);
+    let finding = |fault| Finding::new(fault, keys).block(old.id, 0).block(new.id, new.line);
     let epoch_not_raised = new.epoch < old.epoch || (new.epoch == old.epoch && !same);
     if epoch_not_raised && stale.insert((old.id, new.id)) {
-        result.findings.push(place(Fault::Epoch { held: old.epoch, found: new.epoch }));
+        result.findings.push(finding(Fault::Epoch { held: old.epoch, found: new.epoch }));
     }
-    let names = |stores: &[StoreId]| stores.iter().map(|store| (known.text)(*store)).collect::<Vec<_>>();
+    let names =
+        |stores: &[StoreId]| stores.iter().map(|store| (known.store_name)(*store)).collect::<Vec<_>>();
     if sides.kept.is_empty() && sides.added.is_empty() {
         // An empty list of holders is reported as a fault of the map.
         if !new.holders.is_empty() && !old.holders.is_empty() {
             let (old, new) = (names(&old.holders), names(&new.holders));
-            result.findings.push(place(Fault::Unfollowed { old, new }));
+            result.findings.push(finding(Fault::Unfollowed { old, new }));
         }
         return;
     }
@@ -171,12 +172,12 @@
     }
     if two_sets {
         let (old, new) = (names(&sides.removed), names(&sides.added));
-        result.findings.push(place(Fault::TwoSets { old, new }));
+        result.findings.push(finding(Fault::TwoSets { old, new }));
     }
     if unreadable {
         let has: Vec<StoreId> = sides.kept.iter().chain(&sides.added).copied().collect();
         let (old, new) = (names(&old.holders), names(&has));
-        result.findings.push(place(Fault::Unreadable { old, new }));
+        result.findings.push(finding(Fault::Unreadable { old, new }));
     }
     if entries_wait && sides.is_fenced {
         let (from, to) = (names(&sides.removed), names(&sides.added));
--- a/broker/crates/blocks/tests/proved.rs
+++ b/broker/crates/blocks/tests/proved.rs
@@ -59,7 +59,7 @@
         let records = records(&old, &new);
         let standing = |store: StoreId| (store < maps::UNKNOWN).then_some(Standing::Listed);
         let copies = |id, store| old.rows.iter().any(|row| row.id == id && row.copying.contains(&store));
-        let facts = Facts { standing: &standing, text: &text, copies: &copies };
+        let facts = Facts { standing: &standing, store_name: &text, copies: &copies };
         let result = batch(&map, &records, &facts);
         let kind = |finding: &Finding| {
             let (copy, fault) = (finding.fault.clone(), &finding.fault);
--- a/broker/src/routes.rs
+++ b/broker/src/routes.rs
@@ -347,7 +347,7 @@
 ) -> Result<(), MapUpdateError> {
     let standing = |store| names.contains_key(&store).then_some(Standing::Listed);
     let text = |store| names.get(&store).map_or_else(|| store.to_string(), |name| format!("store {name}"));
-    let findings = check(&Facts { standing: &standing, text: &text, copies: &|_, _| true });
+    let findings = check(&Facts { standing: &standing, store_name: &text, copies: &|_, _| true });
     validate::summary(&findings).map_or(Ok(()), |why| Err(MapUpdateError::Unsound { version, why }))
 }
 
--- a/testkit/broker/tests/blocks.rs
+++ b/testkit/broker/tests/blocks.rs
@@ -1,4 +1,5 @@
-//! Blocks that move, end to end: the broker between clients and stores with real readings.
+//! End-to-end tests of blocks that are moved, split and merged, with a broker between clients and stores that
+//! hold real readings.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -17,76 +18,79 @@
 use serde_json::{json, Value};
 
 const SIZE: Size = Size { stores: 6, used: 4, blocks: 8, weighers: 320, work: Duration::from_millis(3) };
-const WITHIN: Duration = Duration::from_secs(15);
+const TIMEOUT: Duration = Duration::from_secs(15);
 
-struct Here {
+struct Fixture {
     executor: Rc<LocalExecutor<'static>>,
     world: World,
     broker: Broker,
     dir: tempfile::TempDir,
 }
 
-impl Here {
-    fn door(&self) -> SocketAddr {
-        self.broker.admin.expect("a door")
+impl Fixture {
+    fn admin_address(&self) -> SocketAddr {
+        self.broker.admin.expect("an admin address")
     }
 
-    async fn shown(&self) -> Value {
-        get(self.door(), "/blocks").await.expect("an answer").json()
+    async fn status(&self) -> Value {
+        get(self.admin_address(), "/blocks").await.expect("an answer").json()
     }
 
-    /// Asks for a change and waits for its end; gives the step it ended at.
+    /// Requests a change, waits for its end, and returns its last step.
     async fn change(&self, path: &str, body: Value) -> String {
-        let id = self.begin(path, body).await;
-        let end = std::time::Instant::now() + WITHIN;
+        let id = self.start_change(path, body).await;
+        let end = std::time::Instant::now() + TIMEOUT;
         while std::time::Instant::now() < end {
-            let shown = self.shown().await;
-            let past = shown["past"].as_array().cloned().unwrap_or_default();
-            if let Some(past) = past.iter().find(|past| past["change"] == id) {
-                return past["step"].as_str().unwrap_or_default().to_owned();
+            let status = self.status().await;
+            let ended = status["past"].as_array().cloned().unwrap_or_default();
+            if let Some(ended) = ended.iter().find(|ended| ended["change"] == id) {
+                return ended["step"].as_str().unwrap_or_default().to_owned();
             }
             Timer::after(Duration::from_millis(5)).await;
         }
-        panic!("change {id} does not end: {}", self.shown().await["changes"]);
+        panic!("change {id} does not end: {}", self.status().await["changes"]);
     }
 
-    async fn begin(&self, path: &str, body: Value) -> u64 {
-        let got = put(self.door(), &format!("/blocks/{path}"), &body.to_string()).await.expect("an answer");
+    async fn start_change(&self, path: &str, body: Value) -> u64 {
+        let got = put(self.admin_address(), &format!("/blocks/{path}"), &body.to_string())
+            .await
+            .expect("an answer");
         assert_eq!(got.status, 200, "{path} {body}: {}", got.text());
         got.text().strip_prefix("change ").and_then(|id| id.parse().ok()).expect("a number")
     }
 
-    async fn ask(&self, id: &str, class: &str, parts: &[(u32, Option<u64>)]) -> Got {
+    async fn send_query(&self, id: &str, class: &str, parts: &[(u32, Option<u64>)]) -> Got {
         exchange(self.broker.platform, &query(id, class, 2400, parts, "entry")).await.expect("an answer")
     }
 
-    /// The block of a weigher as the map says.
+    /// Returns the block that contains a weigher according to the map.
     async fn block_of(&self, weigher: u64) -> u32 {
-        let shown = self.shown().await;
+        let status = self.status().await;
         let holds =
             |block: &&Value| (block["first"].as_u64()..block["end"].as_u64()).contains(&Some(weigher));
-        let blocks = shown["blocks"].as_array().cloned().unwrap_or_default();
+        let blocks = status["blocks"].as_array().cloned().unwrap_or_default();
         let block = blocks.iter().find(holds).expect("a block for every weigher");
         block["block"].as_u64().expect("a number") as u32
     }
 
-    fn ran(&self, key: &str) -> u32 {
+    fn executions(&self, key: &str) -> u32 {
         self.world.runs.borrow().get(key).copied().unwrap_or(0)
     }
 }
 
-fn run<F: Future<Output = ()>>(blocks: &str, test: impl FnOnce(Here) -> F) {
+fn run<F: Future<Output = ()>>(blocks: &str, test: impl FnOnce(Fixture) -> F) {
     let executor = Rc::new(LocalExecutor::new());
     async_io::block_on(executor.clone().run(async {
         let world = World::start(&executor, SIZE).expect("a world");
         let dir = tempfile::tempdir().expect("a folder");
         let operator = world.operator(&format!("coordinate = true\nstep_ms = 1500\n{blocks}"));
         let broker = world.broker(&executor, "n0", dir.path(), &operator).await.expect("a broker");
-        test(Here { executor, world, broker, dir }).await;
+        test(Fixture { executor, world, broker, dir }).await;
     }));
 }
 
-/// The values of an answer: which block the client named, and which weighers they are for, checked against the readings.
+/// Returns the block that the client named and the weighers of each value in an answer, after comparing the
+/// values with the readings.
 fn spans(got: &Got) -> Vec<(u64, Span)> {
     let json = got.json();
     assert_eq!(json["total"], true, "{} {}", got.status, got.text());
@@ -101,69 +105,73 @@
 }
 
 #[test]
-fn old_numbers_are_answered_after_splits_and_merges() {
-    run("", |here| async move {
-        let whole = spans(&here.ask("a", "yard-compare", &[(0, None), (1, None)]).await);
+fn old_block_identifiers_are_answered_after_splits_and_merges() {
+    run("", |fixture| async move {
+        let whole = spans(&fixture.send_query("a", "yard-compare", &[(0, None), (1, None)]).await);
         assert_eq!(whole, [(0, Span::new(0, 40)), (1, Span::new(40, 80))]);
-        assert_eq!(here.change("split", json!({ "block": 0, "at": 13 })).await, "Done");
-        let split = spans(&here.ask("b", "yard-compare", &[(0, None), (1, None)]).await);
+        assert_eq!(fixture.change("split", json!({ "block": 0, "at": 13 })).await, "Done");
+        let split = spans(&fixture.send_query("b", "yard-compare", &[(0, None), (1, None)]).await);
         assert_eq!(split, [(0, Span::new(0, 13)), (0, Span::new(13, 40)), (1, Span::new(40, 80))]);
-        // Its heirs by their own numbers, and one of them on another store.
-        let (low, high) = (here.block_of(0).await, here.block_of(39).await);
+        // The new blocks are addressed by their own identifiers, with one of them on another store.
+        let (low, high) = (fixture.block_of(0).await, fixture.block_of(39).await);
         let moved = json!({ "block": high, "from": "s-0", "to": "s-5" });
-        assert_eq!(here.change("move", moved).await, "Done");
-        let own = spans(&here.ask("c", "yard-compare", &[(high, None), (low, None)]).await);
+        assert_eq!(fixture.change("move", moved).await, "Done");
+        let own = spans(&fixture.send_query("c", "yard-compare", &[(high, None), (low, None)]).await);
         assert_eq!(own, [(u64::from(low), Span::new(0, 13)), (u64::from(high), Span::new(13, 40))]);
-        // Together again: old numbers of both ages are slices of the new block.
-        assert_eq!(here.change("move", json!({ "block": high, "from": "s-5", "to": "s-0" })).await, "Done");
-        assert_eq!(here.change("merge", json!({ "block": low, "with": high })).await, "Done");
-        let merged = spans(&here.ask("d", "yard-compare", &[(high, None), (0, None)]).await);
+        // After the merge, the old identifiers of both generations address slices of the new block.
+        assert_eq!(
+            fixture.change("move", json!({ "block": high, "from": "s-5", "to": "s-0" })).await,
+            "Done"
+        );
+        assert_eq!(fixture.change("merge", json!({ "block": low, "with": high })).await, "Done");
+        let merged = spans(&fixture.send_query("d", "yard-compare", &[(high, None), (0, None)]).await);
         assert_eq!(merged, [(0, Span::new(0, 40)), (u64::from(high), Span::new(13, 40))]);
-        let unknown = here.ask("e", "yard-compare", &[(4711, None)]).await;
+        let unknown = fixture.send_query("e", "yard-compare", &[(4711, None)]).await;
         assert_eq!((unknown.status, unknown.text()), (404, "ranges: no block 4711".to_owned()));
         // A class with a second step fetches from the blocks that answered.
-        let report = here.ask("f", "flow-report", &[(0, None), (1, None), (2, None), (3, None)]).await;
+        let report =
+            fixture.send_query("f", "flow-report", &[(0, None), (1, None), (2, None), (3, None)]).await;
         assert_eq!(spans(&report).len(), 2);
     });
 }
 
 #[test]
-fn an_entry_is_never_guessed_into_one_of_two_heirs() {
-    run("", |here| async move {
-        assert_eq!(here.change("split", json!({ "block": 2, "at": 100 })).await, "Done");
-        let got = here.ask("a", "harvest-entry", &[(2, None)]).await;
+fn an_entry_for_a_split_block_needs_its_weigher() {
+    run("", |fixture| async move {
+        assert_eq!(fixture.change("split", json!({ "block": 2, "at": 100 })).await, "Done");
+        let got = fixture.send_query("a", "harvest-entry", &[(2, None)]).await;
         assert_eq!(got.status, 409, "{}", got.text());
         assert!(got.text().contains("split into"), "{}", got.text());
-        assert_eq!(here.ran("a.2"), 0);
-        let got = here.ask("b", "harvest-entry", &[(2, Some(110))]).await;
-        assert_eq!((got.status, here.ran("b.2")), (200, 1), "{}", got.text());
-        let got = here.ask("c", "harvest-entry", &[(2, Some(7))]).await;
+        assert_eq!(fixture.executions("a.2"), 0);
+        let got = fixture.send_query("b", "harvest-entry", &[(2, Some(110))]).await;
+        assert_eq!((got.status, fixture.executions("b.2")), (200, 1), "{}", got.text());
+        let got = fixture.send_query("c", "harvest-entry", &[(2, Some(7))]).await;
         assert_eq!((got.status, got.text()), (409, "ranges: block 2 does not hold weigher 7".to_owned()));
     });
 }
 
 #[test]
-fn pages_followed_across_a_split_a_merge_and_a_move_give_every_weigher_once() {
-    run("", |here| async move {
-        let at = here.broker.features.expect("a feature front");
+fn paging_across_changes_returns_every_weigher_once() {
+    run("", |fixture| async move {
+        let at = fixture.broker.features.expect("an address of the features endpoint");
         let mut target = Some("/collections/weighers/items?limit=23".to_owned());
         let (mut ids, mut page) = (Vec::new(), 0);
-        while let Some(here_target) = target {
-            let got = get(at, &here_target).await.expect("a page");
+        while let Some(page_target) = target {
+            let got = get(at, &page_target).await.expect("a page");
             assert_eq!(got.status, 200, "{}", got.text());
             let features = got.json()["features"].as_array().cloned().unwrap_or_default();
             ids.extend(features.iter().map(|f| f["id"].as_str().unwrap_or_default().to_owned()));
             target = got.link("next");
             page += 1;
             match page {
-                2 => assert_eq!(here.change("split", json!({ "block": 3, "at": 130 })).await, "Done"),
+                2 => assert_eq!(fixture.change("split", json!({ "block": 3, "at": 130 })).await, "Done"),
                 4 => {
-                    let (low, high) = (here.block_of(125).await, here.block_of(140).await);
-                    assert_eq!(here.change("merge", json!({ "block": low, "with": high })).await, "Done");
+                    let (low, high) = (fixture.block_of(125).await, fixture.block_of(140).await);
+                    assert_eq!(fixture.change("merge", json!({ "block": low, "with": high })).await, "Done");
                 }
                 6 => {
                     let moved = json!({ "block": 5, "from": "s-1", "to": "s-4" });
-                    assert_eq!(here.change("move", moved).await, "Done");
+                    assert_eq!(fixture.change("move", moved).await, "Done");
                 }
                 _ => {}
             }
@@ -177,214 +185,239 @@
 }
 
 #[test]
-fn queries_over_all_blocks_are_whole_while_half_of_them_move() {
-    run("", |here| async move {
+fn queries_over_all_blocks_are_complete_while_half_of_them_move() {
+    run("", |fixture| async move {
         let mut changes = Vec::new();
         for block in 0..4u32 {
             let (from, to) = (format!("s-{block}"), format!("s-{}", 4 + block % 2));
-            changes.push(here.begin("move", json!({ "block": block, "from": from, "to": to })).await);
+            changes
+                .push(fixture.start_change("move", json!({ "block": block, "from": from, "to": to })).await);
         }
         let all: Vec<(u32, Option<u64>)> = (0..SIZE.blocks as u32).map(|block| (block, None)).collect();
-        let mut asked = 0;
+        let mut queries = 0;
         loop {
-            let got = here.ask(&format!("q{asked}"), "yard-compare", &all).await;
+            let got = fixture.send_query(&format!("q{queries}"), "yard-compare", &all).await;
             assert_eq!(spans(&got).len(), all.len());
-            asked += 1;
-            if here.shown().await["changes"].as_array().is_some_and(Vec::is_empty) && asked > 5 {
+            queries += 1;
+            if fixture.status().await["changes"].as_array().is_some_and(Vec::is_empty) && queries > 5 {
                 break;
             }
         }
-        let moved = |n: usize| here.world.stores[n].holdings().blocks().count();
+        let moved = |n: usize| fixture.world.stores[n].holdings().blocks().count();
         assert_eq!((moved(4), moved(5)), (2, 2));
     });
 }
 
 #[test]
-fn an_entry_that_meets_a_fence_nobody_lifts_never_ran_and_says_so() {
-    run("", |here| async move {
-        // The target of block 0's move falls silent once it has begun, and its source is fenced.
-        here.world.stores[5].set_fault(Fault::Stalled(std::time::Instant::now() + Duration::from_secs(60)));
-        here.begin("move", json!({ "block": 0, "from": "s-0", "to": "s-5" })).await;
-        // It never comes to the fence: the other copy is served throughout, and so is this one.
+fn entries_are_executed_while_a_move_to_a_stalled_store_is_rolled_back() {
+    run("", |fixture| async move {
+        // The target of the move of block 0 stops responding after the move has begun and before its source is
+        // fenced.
+        fixture.world.stores[5]
+            .set_fault(Fault::Stalled(std::time::Instant::now() + Duration::from_secs(60)));
+        fixture.start_change("move", json!({ "block": 0, "from": "s-0", "to": "s-5" })).await;
+        // The move does not reach its fence, so both copies are served and entries are executed.
         for n in 0..10 {
-            let got = here.ask(&format!("e{n}"), "harvest-entry", &[(0, Some(3))]).await;
-            assert_eq!((got.status, here.ran(&format!("e{n}.0"))), (200, 1));
+            let got = fixture.send_query(&format!("e{n}"), "harvest-entry", &[(0, Some(3))]).await;
+            assert_eq!((got.status, fixture.executions(&format!("e{n}.0"))), (200, 1));
         }
-        // After its patience the move goes back; nothing is left at the source.
+        // After its step timeout the move is rolled back, and the block is open at the source again.
         let opens = || {
-            let held = here.world.stores[0].holdings().block(gingerledge_blocks::BlockId(0)).copied();
+            let held = fixture.world.stores[0].holdings().block(gingerledge_blocks::BlockId(0)).copied();
             held.is_some_and(|held| held.mode == Mode::Open)
         };
-        assert!(until(WITHIN, opens).await);
-        here.world.stores[5].set_fault(Fault::None);
+        assert!(until(TIMEOUT, opens).await);
+        fixture.world.stores[5].set_fault(Fault::None);
     });
 }
 
 #[test]
-fn a_move_begun_while_no_holder_lives_waits_or_goes_back_and_queries_end_in_time() {
-    run("", |here| async move {
-        let stored = here.ask("before", "harvest-entry", &[(0, Some(3))]).await;
+fn a_move_without_running_holders_waits_or_is_rolled_back_and_queries_end_in_time() {
+    run("", |fixture| async move {
+        let stored = fixture.send_query("before", "harvest-entry", &[(0, Some(3))]).await;
         assert_eq!(stored.status, 200);
-        here.world.stores[0].kill();
-        here.world.stores[1].kill();
+        fixture.world.stores[0].kill();
+        fixture.world.stores[1].kill();
         let began = std::time::Instant::now();
-        let step = here.change("move", json!({ "block": 0, "from": "s-0", "to": "s-5" }));
-        let asked = here.ask("during", "yard-compare", &[(0, None)]);
-        let (got, step) = futures_lite::future::zip(asked, async {
+        let step = fixture.change("move", json!({ "block": 0, "from": "s-0", "to": "s-5" }));
+        let answer = fixture.send_query("during", "yard-compare", &[(0, None)]);
+        let (got, step) = futures_lite::future::zip(answer, async {
             Timer::after(Duration::from_millis(2600)).await;
-            // The last sound copy comes back.
-            here.world.stores[0].restart(0).expect("a start");
-            here.world.stores[1].restart(0).expect("a start");
-            here.world.discovery.changed();
+            // The only stores with a copy come back.
+            fixture.world.stores[0].restart(0).expect("a start");
+            fixture.world.stores[1].restart(0).expect("a start");
+            fixture.world.discovery.changed();
             step.await
         })
         .await;
         assert!(matches!(got.status, 429 | 503 | 504), "{}", got.status);
         assert!(began.elapsed() > Duration::from_millis(2600));
         assert!(["Done", "Abandoned"].contains(&step.as_str()), "{step}");
-        // What was acknowledged is still there, at whoever holds the block now.
-        let shown = here.shown().await;
-        let block = &shown["blocks"][0];
+        // The acknowledged entry is still stored at a current holder of the block.
+        let status = fixture.status().await;
+        let block = &status["blocks"][0];
         let holders: Vec<&str> =
             block["stores"].as_array().into_iter().flatten().filter_map(Value::as_str).collect();
         let has = |store: &&Rc<gingerledge_testkit::store::Store>| {
             holders.contains(&store.name.as_str())
                 && store.holdings().entries().iter().any(|entry| entry.key == "before.0")
         };
-        assert!(here.world.stores.iter().any(|store| has(&store)), "{holders:?}");
+        assert!(fixture.world.stores.iter().any(|store| has(&store)), "{holders:?}");
     });
 }
 
 #[test]
-fn a_store_that_drains_or_is_taken_out_by_hand_is_emptied_by_the_plan() {
-    run("plan = \"auto\"\nplan_every_ms = 100\nrest_ms = 0", |here| async move {
-        here.world.discovery.set_state(1, "draining");
-        let empty = |n: usize| here.world.stores[n].holdings().blocks().count() == 0;
-        assert!(until(WITHIN, || empty(1)).await, "{}", here.shown().await);
-        let out = put(here.door(), "/reading-stores/disable", "s-2").await.expect("an answer");
+fn draining_and_disabled_stores_are_emptied_by_the_planner() {
+    run("plan = \"auto\"\nplan_every_ms = 100\nrest_ms = 0", |fixture| async move {
+        fixture.world.discovery.set_state(1, "draining");
+        let empty = |n: usize| fixture.world.stores[n].holdings().blocks().count() == 0;
+        assert!(until(TIMEOUT, || empty(1)).await, "{}", fixture.status().await);
+        let out = put(fixture.admin_address(), "/reading-stores/disable", "s-2").await.expect("an answer");
         assert_eq!(out.status, 200);
-        assert!(until(WITHIN, || empty(2)).await, "{}", here.shown().await);
-        // Nothing is stranded, every block has two holders again, and all of it is answered.
-        let plan = get(here.door(), "/blocks/plan").await.expect("an answer").json();
+        assert!(until(TIMEOUT, || empty(2)).await, "{}", fixture.status().await);
+        // The plan reports no unresolved blocks, and a query over all blocks is answered completely.
+        let plan = get(fixture.admin_address(), "/blocks/plan").await.expect("an answer").json();
         assert_eq!(plan["stranded"], json!([]));
         let all: Vec<(u32, Option<u64>)> = (0..SIZE.blocks as u32).map(|block| (block, None)).collect();
-        assert_eq!(spans(&here.ask("q", "yard-compare", &all).await).len(), all.len());
+        assert_eq!(spans(&fixture.send_query("q", "yard-compare", &all).await).len(), all.len());
     });
 }
 
 #[test]
-fn a_broker_that_follows_serves_without_a_coordinator_and_comes_up_with_the_map_it_kept() {
-    run("", |here| async move {
+fn a_follower_serves_and_restarts_with_its_stored_map_without_a_coordinator() {
+    run("", |fixture| async move {
         let dir = tempfile::tempdir().expect("a folder");
-        let operator = here.world.operator(&format!("coordinators = [\"{}\"]\nfollow_ms = 50", here.door()));
+        let operator = fixture
+            .world
+            .operator(&format!("coordinators = [\"{}\"]\nfollow_ms = 50", fixture.admin_address()));
         let follower =
-            here.world.broker(&here.executor, "n1", dir.path(), &operator).await.expect("a broker");
+            fixture.world.broker(&fixture.executor, "n1", dir.path(), &operator).await.expect("a broker");
         let moved = json!({ "block": 0, "from": "s-0", "to": "s-5" });
-        assert_eq!(here.change("move", moved).await, "Done");
-        assert_eq!(here.change("split", json!({ "block": 1, "at": 55 })).await, "Done");
-        let ask = |at: SocketAddr, id: &'static str| async move {
+        assert_eq!(fixture.change("move", moved).await, "Done");
+        assert_eq!(fixture.change("split", json!({ "block": 1, "at": 55 })).await, "Done");
+        let send_query = |at: SocketAddr, id: &'static str| async move {
             exchange(at, &query(id, "yard-compare", 2400, &[(0, None), (1, None)], "x"))
                 .await
                 .expect("an answer")
         };
-        assert_eq!(spans(&ask(follower.platform, "a").await).len(), 3);
-        // No operator of its own coordinator: only the coordinator's door moves blocks.
-        let no = put(follower.admin.expect("a door"), "/blocks/pause", "").await.expect("an answer");
+        assert_eq!(spans(&send_query(follower.platform, "a").await).len(), 3);
+        // A broker without its own coordinator rejects changes; only the coordinator's admin endpoint accepts
+        // them.
+        let no =
+            put(follower.admin.expect("an admin address"), "/blocks/pause", "").await.expect("an answer");
         assert_eq!(no.status, 503);
-        let kept = || map_kept(dir.path(), "n1");
-        assert!(until(WITHIN, kept).await);
+        let is_stored = || is_map_stored(dir.path(), "n1");
+        assert!(until(TIMEOUT, is_stored).await);
         Timer::after(Duration::from_millis(700)).await;
-        here.broker.stop().await;
-        let alone = here.world.broker(&here.executor, "n1", dir.path(), &operator).await.expect("a broker");
-        assert_eq!(spans(&ask(alone.platform, "b").await).len(), 3);
+        fixture.broker.stop().await;
+        let restarted =
+            fixture.world.broker(&fixture.executor, "n1", dir.path(), &operator).await.expect("a broker");
+        assert_eq!(spans(&send_query(restarted.platform, "b").await).len(), 3);
     });
 }
 
-fn map_kept(dir: &Path, name: &str) -> bool {
+fn is_map_stored(dir: &Path, name: &str) -> bool {
     dir.join(format!("blocks-{name}.map")).exists()
 }
 
 #[test]
-fn a_coordinator_that_starts_again_goes_on_where_it_stood() {
-    run("", |here| async move {
-        // Copies are slow: the move is under way when its coordinator stops.
-        here.world.stores[5]
+fn a_restarted_coordinator_continues_its_changes() {
+    run("", |fixture| async move {
+        // The target is stalled, so the move is still in progress when its coordinator stops.
+        fixture.world.stores[5]
             .set_fault(Fault::Stalled(std::time::Instant::now() + Duration::from_millis(900)));
-        let id = here.begin("move", json!({ "block": 0, "from": "s-0", "to": "s-5" })).await;
-        here.broker.stop().await;
-        let operator = here.world.operator("coordinate = true\nstep_ms = 3000");
-        let again =
-            here.world.broker(&here.executor, "n0", here.dir.path(), &operator).await.expect("a broker");
-        let door = again.admin.expect("a door");
-        let end = std::time::Instant::now() + WITHIN;
+        let id = fixture.start_change("move", json!({ "block": 0, "from": "s-0", "to": "s-5" })).await;
+        fixture.broker.stop().await;
+        let operator = fixture.world.operator("coordinate = true\nstep_ms = 3000");
+        let restarted = fixture
+            .world
+            .broker(&fixture.executor, "n0", fixture.dir.path(), &operator)
+            .await
+            .expect("a broker");
+        let address = restarted.admin.expect("an admin address");
+        let end = std::time::Instant::now() + TIMEOUT;
         loop {
-            let shown = get(door, "/blocks").await.expect("an answer").json();
-            let past = shown["past"].as_array().cloned().unwrap_or_default();
-            if past.iter().any(|past| past["change"] == id && past["step"] == "Done") {
-                assert!(shown["term"].as_u64() >= Some(2));
+            let status = get(address, "/blocks").await.expect("an answer").json();
+            let ended = status["past"].as_array().cloned().unwrap_or_default();
+            if ended.iter().any(|ended| ended["change"] == id && ended["step"] == "Done") {
+                assert!(status["term"].as_u64() >= Some(2));
                 break;
             }
-            assert!(std::time::Instant::now() < end, "{shown}");
+            assert!(std::time::Instant::now() < end, "{status}");
             Timer::after(Duration::from_millis(10)).await;
         }
-        assert_eq!(here.world.stores[5].holdings().blocks().count(), 1);
+        assert_eq!(fixture.world.stores[5].holdings().blocks().count(), 1);
     });
 }
 
 #[test]
-fn a_broker_cut_off_from_the_map_through_several_epochs_is_honest_and_then_learns() {
-    run("", |here| async move {
+fn a_broker_with_an_outdated_map_invents_no_answers_and_catches_up_later() {
+    run("", |fixture| async move {
         let dir = tempfile::tempdir().expect("a folder");
-        let follow =
-            |door: SocketAddr| here.world.operator(&format!("coordinators = [\"{door}\"]\nfollow_ms = 50"));
-        let door = here.door();
-        let before =
-            here.world.broker(&here.executor, "n1", dir.path(), &follow(door)).await.expect("a broker");
-        assert!(until(WITHIN, || map_kept(dir.path(), "n1")).await);
+        let follow = |address: SocketAddr| {
+            fixture.world.operator(&format!("coordinators = [\"{address}\"]\nfollow_ms = 50"))
+        };
+        let address = fixture.admin_address();
+        let before = fixture
+            .world
+            .broker(&fixture.executor, "n1", dir.path(), &follow(address))
+            .await
+            .expect("a broker");
+        assert!(until(TIMEOUT, || is_map_stored(dir.path(), "n1")).await);
         Timer::after(Duration::from_millis(700)).await;
         before.stop().await;
-        // From here on it hears nothing of the map; there is nobody at that door.
-        let nobody = gingerledge_testkit::broker::free_address().expect("an address");
-        let cut =
-            here.world.broker(&here.executor, "n1", dir.path(), &follow(nobody)).await.expect("a broker");
-        assert_eq!(here.change("move", json!({ "block": 0, "from": "s-0", "to": "s-5" })).await, "Done");
-        assert_eq!(here.change("move", json!({ "block": 0, "from": "s-1", "to": "s-4" })).await, "Done");
-        assert_eq!(here.change("split", json!({ "block": 1, "at": 55 })).await, "Done");
-        let platform = cut.platform;
-        let ask = |id: String, class: &'static str, part: (u32, Option<u64>)| async move {
+        // From here on the broker receives no map updates, since nothing listens on the configured address.
+        let unused_address = gingerledge_testkit::broker::free_address().expect("an address");
+        let disconnected = fixture
+            .world
+            .broker(&fixture.executor, "n1", dir.path(), &follow(unused_address))
+            .await
+            .expect("a broker");
+        assert_eq!(fixture.change("move", json!({ "block": 0, "from": "s-0", "to": "s-5" })).await, "Done");
+        assert_eq!(fixture.change("move", json!({ "block": 0, "from": "s-1", "to": "s-4" })).await, "Done");
+        assert_eq!(fixture.change("split", json!({ "block": 1, "at": 55 })).await, "Done");
+        let platform = disconnected.platform;
+        let send_query = |id: String, class: &'static str, part: (u32, Option<u64>)| async move {
             exchange(platform, &query(&id, class, 1000, &[part], "x")).await.expect("an answer")
         };
-        // What did not move is served as ever; of what did, nothing runs and nothing is made up.
-        assert_eq!(spans(&ask("still".into(), "yard-compare", (3, None)).await), [(3, Span::new(120, 160))]);
+        // A block that was not changed is served as before. For changed blocks nothing is executed and no
+        // answer is invented.
+        assert_eq!(
+            spans(&send_query("still".into(), "yard-compare", (3, None)).await),
+            [(3, Span::new(120, 160))]
+        );
         for (n, part) in [(0, Some(3)), (1, Some(42))].into_iter().enumerate() {
-            let read = ask(format!("r{n}"), "yard-compare", (part.0, None)).await;
+            let read = send_query(format!("r{n}"), "yard-compare", (part.0, None)).await;
             assert!(matches!(read.status, 429 | 503 | 504), "{} {}", read.status, read.text());
-            let entry = ask(format!("e{n}"), "harvest-entry", part).await;
+            let entry = send_query(format!("e{n}"), "harvest-entry", part).await;
             assert!(matches!(entry.status, 429 | 503 | 504), "{} {}", entry.status, entry.text());
-            assert_eq!(here.ran(&format!("e{n}.{}", part.0)), 0);
+            assert_eq!(fixture.executions(&format!("e{n}.{}", part.0)), 0);
         }
-        cut.stop().await;
-        let back =
-            here.world.broker(&here.executor, "n1", dir.path(), &follow(door)).await.expect("a broker");
+        disconnected.stop().await;
+        let reconnected = fixture
+            .world
+            .broker(&fixture.executor, "n1", dir.path(), &follow(address))
+            .await
+            .expect("a broker");
         Timer::after(Duration::from_millis(200)).await;
         let parts = [(0, None), (1, None)];
-        let got = exchange(back.platform, &query("after", "yard-compare", 2400, &parts, "x")).await;
+        let got = exchange(reconnected.platform, &query("after", "yard-compare", 2400, &parts, "x")).await;
         let expected = [(0, Span::new(0, 40)), (1, Span::new(40, 55)), (1, Span::new(55, 80))];
         assert_eq!(spans(&got.expect("an answer")), expected);
     });
 }
 
 #[test]
-fn stores_switched_on_fill_up_in_a_quiet_hour_too() {
-    run("plan = \"auto\"\nplan_every_ms = 100\nrest_ms = 0", |here| async move {
-        let blocks = |n: usize| here.world.stores[n].holdings().blocks().count();
-        assert!(until(WITHIN, || blocks(4) >= 2 && blocks(5) >= 2).await, "{}", here.shown().await);
-        // It comes to rest, once the first queries' load is forgotten.
-        let end = std::time::Instant::now() + WITHIN;
+fn new_stores_receive_blocks_without_load() {
+    run("plan = \"auto\"\nplan_every_ms = 100\nrest_ms = 0", |fixture| async move {
+        let blocks = |n: usize| fixture.world.stores[n].holdings().blocks().count();
+        assert!(until(TIMEOUT, || blocks(4) >= 2 && blocks(5) >= 2).await, "{}", fixture.status().await);
+        // The placement becomes stable once the load of the first queries has decayed.
+        let end = std::time::Instant::now() + TIMEOUT;
         loop {
-            let before = here.shown().await;
+            let before = fixture.status().await;
             Timer::after(Duration::from_millis(600)).await;
-            let after = here.shown().await;
+            let after = fixture.status().await;
             if before["version"] == after["version"] && after["changes"] == json!([]) {
                 break;
             }
