--- a/broker/crates/blocks/tests/model.rs
+++ b/broker/crates/blocks/tests/model.rs
@@ -4,13 +4,13 @@
 
 #![allow(clippy::unwrap_used)]
 
-mod shown;
+mod model_store;
 
 use gingerledge_blocks::{
     Admission, BlockId, Change, ChangeId, ChangeKind, Effect, Entry, Epoch, Holdings, Input, Mode, Order,
     OrderOutcome, Refusal, Span, StampedOrder, Step, StoreId, Term, Timeouts,
 };
-use shown::ModelStore;
+use model_store::ModelStore;
 use stateright::{Checker, Model, Property};
 
 const BLOCK: BlockId = BlockId(1);
--- a/broker/crates/blocks/tests/model_names.rs
+++ b/broker/crates/blocks/tests/model_split_merge.rs
@@ -3,7 +3,7 @@
 //! is held under the block identifiers that brokers use, whichever map version they have.
 #![allow(clippy::unwrap_used)]
 
-mod shown;
+mod model_store;
 
 use std::collections::BTreeSet;
 
@@ -11,7 +11,7 @@
     Admission, BlockId, Change, ChangeId, ChangeKind, Effect, Epoch, Holdings, Input, Order, OrderOutcome,
     Refusal, Span, StampedOrder, Step, StoreId, Term, Timeouts,
 };
-use shown::ModelStore;
+use model_store::ModelStore;
 use stateright::{Checker, Model, Property};
 
 const FULL_SPAN: Span = Span { first: 0, end: 10 };
--- a/broker/crates/blocks/tests/simulation.rs
+++ b/broker/crates/blocks/tests/simulation.rs
@@ -2,10 +2,10 @@
 //! late messages, unavailable stores, and coordinators that crash, pause or run two at once. A failure prints
 //! its seed; `SEED=n` runs only that one.
 
-mod world;
+mod cluster;
 
+use cluster::{ClientReply, Simulation};
 use gingerledge_blocks::Reason;
-use world::{ClientReply, Simulation};
 
 fn simulate(seed: u64) -> Simulation {
     let mut world = Simulation::new(seed, 5);
@@ -14,7 +14,7 @@
     world.end_faults();
     world.check();
     // The validation before each commit rejects no change that the coordinators started themselves.
-    let refused = |process: &world::SimulatedCoordinator| {
+    let refused = |process: &cluster::SimulatedCoordinator| {
         process
             .coordinator
             .ended_changes()
--- a/broker/crates/blocks/tests/validate.rs
+++ b/broker/crates/blocks/tests/validate.rs
@@ -3,15 +3,15 @@
 //! lines. A failure prints its seed.
 #![allow(clippy::unwrap_used)]
 
-mod maps;
+mod validator_maps;
 
 use fastrand::Rng;
 use gingerledge_blocks::validate::*;
 use gingerledge_blocks::{
     Admission, BlockId, Entry, Epoch, Holdings, Order, Span, StampedOrder, StoreId, Term,
 };
-use maps::{brute, change, KnownFault, KNOWN_FAULTS, LISTED, UNKNOWN};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
+use validator_maps::{brute, change, KnownFault, KNOWN_FAULTS, LISTED, UNKNOWN};
 
 /// A test case is its seed, so that a failing case can be reproduced from it.
 #[derive(Clone, Debug)]
@@ -39,14 +39,14 @@
 
 /// Returns a map from a seed, valid or with one fault.
 fn case(rng: &mut Rng) -> (Draft, Option<(KnownFault, BlockId)>) {
-    let mut draft = maps::valid_map(rng);
+    let mut draft = validator_maps::valid_map(rng);
     if rng.bool() {
         return (draft, None);
     }
     // Some faults cannot be introduced into some maps; then another one is chosen.
     loop {
         let (what, before) = (KNOWN_FAULTS[rng.usize(..KNOWN_FAULTS.len())], draft.clone());
-        if let Some(id) = maps::introduce_fault(rng, &mut draft, what) {
+        if let Some(id) = validator_maps::introduce_fault(rng, &mut draft, what) {
             return (draft, Some((what, id)));
         }
         draft = before;
@@ -106,7 +106,7 @@
 fn a_document_gives_the_findings_of_its_map_with_their_lines() {
     fn holds(seed: Seed) -> bool {
         let (mut draft, _) = case(&mut Rng::with_seed(seed.0));
-        let written = maps::write_document(&mut draft);
+        let written = validator_maps::write_document(&mut draft);
         let mut names = Names::default();
         // Registers the names in the order of their numbers, so that both maps use the same numbers.
         for n in 0..=UNKNOWN.0 {
@@ -157,7 +157,7 @@
 fn transitions_are_valid_under_every_mixture_or_rejected_for_each_key() {
     fn holds(seed: Seed) -> bool {
         let mut rng = Rng::with_seed(seed.0);
-        let mut old = maps::valid_map(&mut rng);
+        let mut old = validator_maps::valid_map(&mut rng);
         let mut new = change::next_version(&mut rng, &mut old);
         let is_invalid = rng.bool();
         if is_invalid {
@@ -189,14 +189,14 @@
 fn real_fences_accept_entries_and_reads_as_the_transition_predicts() {
     for seed in 0..3_000 {
         let mut rng = Rng::with_seed(seed);
-        let mut old = maps::valid_map(&mut rng);
+        let mut old = validator_maps::valid_map(&mut rng);
         let (span, holders) = (old.keys, old.rows[0].holders.clone());
         old.rows.truncate(1);
         (old.rows[0].id, old.rows[0].span) = (BlockId(1), span);
         old.retired.clear();
         let mut new = old.clone();
         let minimum = Redundancy { holders: rng.u32(1..=3), zones: 1 };
-        let after = maps::choose_holders(&mut rng, minimum);
+        let after = validator_maps::choose_holders(&mut rng, minimum);
         old.rows[0].copying = after.iter().filter(|s| !holders.contains(s)).copied().collect();
         (new.rows[0].holders, new.rows[0].copying, new.rows[0].epoch) = (after.clone(), vec![], Epoch(11));
         let result = transition(&old, &new, &text);
--- a/broker/crates/blocks/tests/proved.rs
+++ b/broker/crates/blocks/tests/validate_in_memory.rs
@@ -3,14 +3,14 @@
 //! map is rejected with the name of the fault.
 #![allow(clippy::unwrap_used)]
 
-mod maps;
+mod validator_maps;
 
 use std::collections::BTreeSet;
 
 use fastrand::Rng;
 use gingerledge_blocks::validate::{batch, faults, transition, Draft, Facts, Fault, Finding, Row, Standing};
 use gingerledge_blocks::*;
-use maps::{brute, change};
+use validator_maps::{brute, change};
 
 fn text(store: StoreId) -> String {
     store.to_string()
@@ -38,7 +38,7 @@
     let (mut valid_count, mut rejected_count) = (0, 0);
     for seed in 0..20_000 {
         let mut rng = Rng::with_seed(seed);
-        let mut old = maps::valid_map(&mut rng);
+        let mut old = validator_maps::valid_map(&mut rng);
         let mut new = change::next_version(&mut rng, &mut old);
         let n = rng.usize(..new.rows.len());
         match rng.u32(..8) {
@@ -47,7 +47,7 @@
             2 => old.rows.iter_mut().for_each(|row| row.copying.clear()),
             3 => new.rows[n].span.end -= 1,
             4 if new.rows[n].span.first > 0 => new.rows[n].span.first -= 1,
-            5 => new.rows[n].holders[0] = maps::UNKNOWN,
+            5 => new.rows[n].holders[0] = validator_maps::UNKNOWN,
             _ => {}
         }
         let mut map = BlockMap::new(100, 100);
@@ -57,7 +57,7 @@
         })
         .unwrap();
         let records = records(&old, &new);
-        let standing = |store: StoreId| (store < maps::UNKNOWN).then_some(Standing::Listed);
+        let standing = |store: StoreId| (store < validator_maps::UNKNOWN).then_some(Standing::Listed);
         let copies = |id, store| old.rows.iter().any(|row| row.id == id && row.copying.contains(&store));
         let facts = Facts { standing: &standing, store_name: &text, copies: &copies };
         let result = batch(&map, &records, &facts);
