--- a/broker/crates/blocks/src/change/mod.rs
+++ b/broker/crates/blocks/src/change/mod.rs
@@ -109,11 +109,11 @@
     }
 
     /// Returns the source and the target of the copy, if the change copies data.
-    pub fn copy(&self) -> Option<(StoreId, StoreId)> {
+    pub fn copy_endpoints(&self) -> Option<(StoreId, StoreId)> {
         match self.kind {
             ChangeKind::Move { from, to } => Some((from, to)),
             ChangeKind::Add { source, to } => Some((source, to)),
-            ChangeKind::Remove { from, keeper } => Some((from, keeper)),
+            ChangeKind::Remove { from, remaining_holder } => Some((from, remaining_holder)),
             _ => None,
         }
     }
@@ -122,7 +122,7 @@
     pub fn stores(&self) -> Vec<StoreId> {
         match &self.kind {
             ChangeKind::Split { holders, .. } | ChangeKind::Merge { holders, .. } => holders.clone(),
-            _ => self.copy().into_iter().flat_map(|(from, to)| [from, to]).collect(),
+            _ => self.copy_endpoints().into_iter().flat_map(|(from, to)| [from, to]).collect(),
         }
     }
 
@@ -199,7 +199,7 @@
             }
             Input::AlreadyCommitted => {}
             Input::AlreadyRolledBack(epoch) => {
-                if let Some((from, _)) = self.copy() {
+                if let Some((from, _)) = self.copy_endpoints() {
                     let reason = Reason::Refused(from, Refusal::Old(epoch));
                     self.roll_back(now, reason, timeouts, &mut effects);
                 }
@@ -276,7 +276,7 @@
             return effects.push(Effect::Commit);
         }
         if matches!(self.step, Step::Copying | Step::CatchingUp { .. }) {
-            if let Some((from, to)) = self.copy() {
+            if let Some((from, to)) = self.copy_endpoints() {
                 effects.push(Effect::Copy { to, from, start: self.copied });
             }
             return;
--- a/broker/crates/blocks/src/change/orders.rs
+++ b/broker/crates/blocks/src/change/orders.rs
@@ -9,25 +9,27 @@
     pub(super) fn step_stores(&self) -> Vec<StoreId> {
         match (self.step, &self.kind) {
             (Step::Preparing | Step::Reading | Step::Opening, _) => {
-                self.copy().map(|(_, to)| to).into_iter().collect()
+                self.copy_endpoints().map(|(_, to)| to).into_iter().collect()
             }
             // The remaining holder had the block before the change, so there is nothing to drop.
             (Step::Dropping, ChangeKind::Remove { .. }) => Vec::new(),
-            (Step::Dropping, _) => self.copy().map(|(_, to)| to).into_iter().collect(),
+            (Step::Dropping, _) => self.copy_endpoints().map(|(_, to)| to).into_iter().collect(),
             (Step::Copying | Step::CatchingUp { .. }, _) => {
-                self.copy().map(|(_, to)| to).into_iter().collect()
+                self.copy_endpoints().map(|(_, to)| to).into_iter().collect()
             }
             (Step::Fencing | Step::Retiring | Step::Forgetting, _) => {
-                self.copy().map(|(from, _)| from).into_iter().collect()
+                self.copy_endpoints().map(|(from, _)| from).into_iter().collect()
+            }
+            (Step::Unfencing, _) if self.fenced => {
+                self.copy_endpoints().map(|(from, _)| from).into_iter().collect()
             }
-            (Step::Unfencing, _) if self.fenced => self.copy().map(|(from, _)| from).into_iter().collect(),
             (Step::Naming | Step::Unnaming | Step::Withdrawing, _) => self.stores(),
             _ => Vec::new(),
         }
     }
 
     pub(super) fn order(&self) -> Option<Order> {
-        let (from, to) = self.copy().unwrap_or_default();
+        let (from, to) = self.copy_endpoints().unwrap_or_default();
         let names = |new: &[(BlockId, Span)]| new.iter().map(|(id, _)| *id).collect();
         let old = || match &self.kind {
             ChangeKind::Merge { with, .. } => vec![self.block, *with],
--- a/broker/crates/blocks/src/change/types.rs
+++ b/broker/crates/blocks/src/change/types.rs
@@ -30,7 +30,7 @@
         /// Store that loses the replica.
         from: StoreId,
         /// Remaining holder that copies the store's log up to its end.
-        keeper: StoreId,
+        remaining_holder: StoreId,
     },
     /// Splits a block in two at all its holders.
     Split {
--- a/broker/crates/blocks/src/coordinator/advance.rs
+++ b/broker/crates/blocks/src/coordinator/advance.rs
@@ -101,7 +101,7 @@
         if let Err(fault) = self.map.check(&records, false) {
             return Some(fault.to_string());
         }
-        let copy_target = change.copy().map(|(_, to)| to);
+        let copy_target = change.copy_endpoints().map(|(_, to)| to);
         let copies = |block, store| block == change.block && copy_target == Some(store);
         self.validate_records(&records, &copies)
     }
--- a/broker/crates/blocks/src/coordinator/mod.rs
+++ b/broker/crates/blocks/src/coordinator/mod.rs
@@ -139,7 +139,7 @@
     }
 
     /// Whether an operator has paused changes.
-    pub fn paused(&self) -> bool {
+    pub fn is_paused(&self) -> bool {
         self.paused
     }
 
@@ -243,7 +243,7 @@
             Event::NoReply(..) => {}
             Event::Inventory(store, holdings) => self.handle_inventory(now, store, &holdings, &mut work),
             Event::Copied { change, round, progress } => {
-                if let Some((from, _)) = self.changes.get(&change).and_then(Change::copy) {
+                if let Some((from, _)) = self.changes.get(&change).and_then(Change::copy_endpoints) {
                     let input = match progress {
                         Some((copied, length)) => Input::Copied { copied, length },
                         None => Input::NoReply(from),
@@ -328,7 +328,7 @@
 /// Derives from the source's inventory whether a deposed coordinator had committed the change or rolled it
 /// back.
 fn outcome_elsewhere(change: &Change, store: StoreId, holdings: &[(BlockId, Holding)]) -> Option<Input> {
-    change.copy().filter(|(from, _)| *from == store)?;
+    change.copy_endpoints().filter(|(from, _)| *from == store)?;
     let (_, held) = holdings.iter().find(|(block, _)| *block == change.block)?;
     if held.epoch > change.epoch {
         return Some(Input::AlreadyRolledBack(held.epoch));
--- a/broker/crates/blocks/src/coordinator/requests.rs
+++ b/broker/crates/blocks/src/coordinator/requests.rs
@@ -58,11 +58,11 @@
                 check_holder(block, from, true)?;
                 let other = |s: &StoreId| *s != from;
                 let inventoried_holder = block.holders().find(|s| other(s) && self.inventoried.contains(s));
-                let keeper = inventoried_holder
+                let remaining_holder = inventoried_holder
                     .or(block.holders().find(other))
                     .ok_or(RequestError::LastHolder(id, from))?;
-                self.check_stores(&[from, keeper])?;
-                Ok((id, ChangeKind::Remove { from, keeper }))
+                self.check_stores(&[from, remaining_holder])?;
+                Ok((id, ChangeKind::Remove { from, remaining_holder }))
             }
             ChangeRequest::Split(id, at) => {
                 let block = self.unlocked_block(id)?;
--- a/broker/crates/blocks/src/holding.rs
+++ b/broker/crates/blocks/src/holding.rs
@@ -34,7 +34,7 @@
     pub epoch: Epoch,
     /// Epoch since which the store has held the block. Parts placed under an earlier epoch were meant for an
     /// earlier period in which it held the block, and are rejected.
-    pub since: Epoch,
+    pub held_since: Epoch,
     /// Mode of the block.
     pub mode: Mode,
     /// Store from which this store copies, or which takes over from it.
@@ -308,7 +308,7 @@
             Mode::Reading | Mode::Fenced => key.is_none() || self.is_fence_disabled,
             Mode::Open => true,
         };
-        if !is_allowed || (epoch < holding.since && !self.is_fence_disabled) {
+        if !is_allowed || (epoch < holding.held_since && !self.is_fence_disabled) {
             return Admission::Reject(Some(holding.epoch));
         }
         // The entry has been executed, here or at the store from which the block was copied.
@@ -442,7 +442,7 @@
             return Err(Refusal::Old(*deleted));
         }
         self.check_capacity()?;
-        let holding = Holding { span, epoch, since: epoch, mode: Mode::Open, peer: None, copied: 0 };
+        let holding = Holding { span, epoch, held_since: epoch, mode: Mode::Open, peer: None, copied: 0 };
         self.blocks.insert(id, holding);
         Ok(())
     }
@@ -495,7 +495,7 @@
         );
         if !already_done {
             if matches!(order, Order::Open) && held.mode != Mode::Open {
-                held.since = epoch;
+                held.held_since = epoch;
             }
             held.mode = to;
         }
@@ -547,7 +547,7 @@
         for (id, span) in
             new.iter().filter(|(id, _)| !self.blocks.contains_key(id)).copied().collect::<Vec<_>>()
         {
-            let holding = Holding { span, epoch, since: epoch, mode: Mode::Open, peer: None, copied: 0 };
+            let holding = Holding { span, epoch, held_since: epoch, mode: Mode::Open, peer: None, copied: 0 };
             self.blocks.insert(id, holding);
         }
         Ok(())
@@ -578,5 +578,5 @@
 }
 
 fn copying_state(span: Span, epoch: Epoch, from: StoreId) -> Holding {
-    Holding { span, epoch, since: epoch, mode: Mode::Copying, peer: Some(from), copied: 0 }
+    Holding { span, epoch, held_since: epoch, mode: Mode::Copying, peer: Some(from), copied: 0 }
 }
--- a/broker/crates/blocks/src/map/apply.rs
+++ b/broker/crates/blocks/src/map/apply.rs
@@ -48,7 +48,7 @@
         last.into_values().filter(new).collect()
     }
 
-    /// Checks whether the records can be applied. `many` means that the records come from several batches, so a
+    /// Checks whether the records can be applied. `is_multi_batch` means that the records come from several batches, so a
     /// block may have been created and retired in between.
     pub(crate) fn check(&self, records: &[Record], is_multi_batch: bool) -> Result<(), MapError> {
         let (mut seen, mut replaced_spans, mut new_spans) = (BTreeSet::new(), Vec::new(), Vec::new());
--- a/broker/crates/blocks/src/plan.rs
+++ b/broker/crates/blocks/src/plan.rs
@@ -77,7 +77,7 @@
     /// Change to request.
     pub change: ChangeRequest,
     /// Short reason for the change.
-    pub why: &'static str,
+    pub reason: &'static str,
     /// Number of bytes to copy.
     pub bytes: u64,
     /// Whether the change is needed to empty a store or to replace a holder that does not respond.
@@ -177,8 +177,9 @@
     }
 
     fn skew(&self) -> f64 {
-        let full = self.ranked.values().flatten().map(|(full, _)| *full as f64);
-        let (sum, highest, n) = full.fold((0.0, 0.0f64, 0.0), |(s, m, n), f| (s + f, m.max(f), n + 1.0));
+        let utilizations = self.ranked.values().flatten().map(|(load, _)| *load as f64);
+        let (sum, highest, n) =
+            utilizations.fold((0.0, 0.0f64, 0.0), |(s, m, n), f| (s + f, m.max(f), n + 1.0));
         if sum > 0.0 {
             highest / (sum / n)
         } else {
@@ -207,10 +208,10 @@
             .filter(|s| Some(**s) != ignored_store)
             .filter_map(|s| self.stores.get(s).map(|s| s.zone))
             .collect();
-        let free = |(_, store): &&(u64, StoreId)| {
+        let can_receive = |(_, store): &&(u64, StoreId)| {
             !others.contains(store) && self.copies_in.get(store).copied().unwrap_or(0) < self.goal.max_copies
         };
-        let first = |zone: &BTreeSet<(u64, StoreId)>| zone.iter().find(free).copied();
+        let first = |zone: &BTreeSet<(u64, StoreId)>| zone.iter().find(can_receive).copied();
         let other_zones = self.ranked.iter().filter(|(zone, _)| !zones.contains(zone));
         let other_zones = other_zones.filter_map(|(_, stores)| first(stores)).min();
         other_zones.or_else(|| self.ranked.values().filter_map(first).min()).map(|(_, store)| store)
@@ -224,7 +225,7 @@
     fn add_change(
         &mut self,
         change: ChangeRequest,
-        why: &'static str,
+        reason: &'static str,
         bytes: u64,
         copy: Option<(StoreId, StoreId)>,
         urgent: bool,
@@ -237,7 +238,7 @@
             *self.copies_out.entry(from).or_default() += 1;
             *self.copies_in.entry(to).or_default() += 1;
         }
-        self.plan.changes.push(PlannedChange { change, why, bytes, urgent });
+        self.plan.changes.push(PlannedChange { change, reason, bytes, urgent });
         true
     }
 
@@ -275,14 +276,14 @@
         block: &Block,
         load: BlockLoad,
         (from, to): (StoreId, StoreId),
-        why: &'static str,
+        reason: &'static str,
         urgent: bool,
     ) {
         if !self.can_copy_from(from) {
             self.plan.deferred += 1;
         } else if self.add_change(
             ChangeRequest::Move(block.id, from, to),
-            why,
+            reason,
             load.bytes,
             Some((from, to)),
             urgent,
@@ -294,11 +295,11 @@
         }
     }
 
-    fn report_unresolved(&mut self, block: &Block, why: &'static str) {
-        self.plan.unresolved.push((block.id, why));
+    fn report_unresolved(&mut self, block: &Block, reason: &'static str) {
+        self.plan.unresolved.push((block.id, reason));
     }
 
-    fn add(&mut self, block: &Block, load: BlockLoad, source: StoreId, why: &'static str, urgent: bool) {
+    fn add(&mut self, block: &Block, load: BlockLoad, source: StoreId, reason: &'static str, urgent: bool) {
         let Some(to) = self.target(block, None) else {
             if urgent {
                 self.report_unresolved(block, "no other store may take it now");
@@ -309,7 +310,7 @@
             self.plan.deferred += 1;
         } else if self.add_change(
             ChangeRequest::Add(block.id, to),
-            why,
+            reason,
             load.bytes,
             Some((source, to)),
             urgent,
@@ -337,14 +338,14 @@
             let shares_zone = |s: StoreId| block.holders().any(|other| other != s && zone(other) == zone(s));
             let key = |s: &StoreId| (shares_zone(*s), sortable_load(self.utilization(*s)), *s);
             let Some(from) = block.holders().filter(responds).max_by_key(key) else { return };
-            let Some(remaining_holder) = block.holders().find(|s| *s != from && responds(s)) else { return };
+            let Some(remaining) = block.holders().find(|s| *s != from && responds(s)) else { return };
             if !self.can_copy_from(from) {
                 self.plan.deferred += 1;
             } else if self.add_change(
                 ChangeRequest::Remove(block.id, from),
                 "too many replicas",
                 0,
-                Some((from, remaining_holder)),
+                Some((from, remaining)),
                 false,
             ) {
                 self.changed_blocks.insert(block.id);
@@ -375,17 +376,19 @@
     /// Balances load: moves from the most loaded store to the least loaded suitable store the block with the
     /// best ratio of load to the square root of its bytes.
     fn balance(&mut self, map: &BlockMap, loads: &HashMap<BlockId, BlockLoad>) {
-        let all: Vec<f64> = self.ranked.values().flatten().map(|(full, _)| *full as f64 / 1e6).collect();
-        let mean = all.iter().sum::<f64>() / all.len().max(1) as f64;
-        let highest = all.iter().copied().fold(0.0, f64::max);
+        let utilizations: Vec<f64> =
+            self.ranked.values().flatten().map(|(load, _)| *load as f64 / 1e6).collect();
+        let mean = utilizations.iter().sum::<f64>() / utilizations.len().max(1) as f64;
+        let highest = utilizations.iter().copied().fold(0.0, f64::max);
         if mean <= 0.0 || highest <= mean * (1.0 + self.goal.imbalance_start) {
             return;
         }
         let mut tried = HashSet::new();
         while self.plan.changes.len() < self.goal.max_changes {
-            let full = self.ranked.values().flatten().filter(|(_, s)| !tried.contains(s)).max().copied();
-            let Some((full, from)) = full else { return };
-            if full as f64 / 1e6 <= mean * (1.0 + self.goal.imbalance_target) {
+            let most_loaded =
+                self.ranked.values().flatten().filter(|(_, s)| !tried.contains(s)).max().copied();
+            let Some((load, from)) = most_loaded else { return };
+            if load as f64 / 1e6 <= mean * (1.0 + self.goal.imbalance_target) {
                 return;
             }
             if !self.can_copy_from(from) || !self.move_best_block(map, loads, from, mean) {
@@ -444,13 +447,13 @@
     /// Splits blocks with a high load and merges adjacent ones with a low load. The merge threshold is at most
     /// half the split threshold, so that a merged block is not split again.
     fn split_and_merge(&mut self, map: &BlockMap, loads: &HashMap<BlockId, BlockLoad>) {
-        let below = self.goal.merge_below.min(self.goal.split_above / 2.0);
-        let mut before: Option<&Block> = None;
+        let merge_threshold = self.goal.merge_below.min(self.goal.split_above / 2.0);
+        let mut previous: Option<&Block> = None;
         for block in map.blocks() {
             let load = loads.get(&block.id).copied().unwrap_or_default();
-            let free = !self.changed_blocks.contains(&block.id) && load.is_changeable;
+            let can_change = !self.changed_blocks.contains(&block.id) && load.is_changeable;
             let span = block.span;
-            if free && load.load > self.goal.split_above && span.end - span.first > 1 {
+            if can_change && load.load > self.goal.split_above && span.end - span.first > 1 {
                 let at = span.first + (span.end - span.first) / 2;
                 if self.add_change(
                     ChangeRequest::Split(block.id, at),
@@ -462,17 +465,19 @@
                     self.changed_blocks.insert(block.id);
                 }
             }
-            let neighbour = before.filter(|left| {
+            let neighbour = previous.filter(|left| {
                 let other = loads.get(&left.id).copied().unwrap_or_default();
-                let (mut a, mut b): (Vec<_>, Vec<_>) = (left.holders().collect(), block.holders().collect());
-                a.sort_unstable();
-                b.sort_unstable();
-                free && other.is_changeable
+                let (mut left_holders, mut holders): (Vec<_>, Vec<_>) =
+                    (left.holders().collect(), block.holders().collect());
+                left_holders.sort_unstable();
+                holders.sort_unstable();
+                can_change
+                    && other.is_changeable
                     && left.span.end == span.first
                     && !self.changed_blocks.contains(&left.id)
                     && !self.changed_blocks.contains(&block.id)
-                    && load.load + other.load < below
-                    && a == b
+                    && load.load + other.load < merge_threshold
+                    && left_holders == holders
             });
             if let Some(left) = neighbour {
                 if self.add_change(
@@ -485,7 +490,7 @@
                     self.changed_blocks.extend([left.id, block.id]);
                 }
             }
-            before = Some(block);
+            previous = Some(block);
         }
     }
 }
--- a/broker/crates/blocks/src/repair.rs
+++ b/broker/crates/blocks/src/repair.rs
@@ -44,7 +44,8 @@
         work: &mut Vec<Work>,
     ) {
         let listed = self.map.block(id).filter(|block| block.is_holder(store)).map(|block| block.epoch);
-        let keeper = self.map.block(id).and_then(|block| block.holders().find(|other| *other != store));
+        let remaining_holder =
+            self.map.block(id).and_then(|block| block.holders().find(|other| *other != store));
         match (listed, holding.mode) {
             (Some(_), Mode::Open) => {}
             // The block belongs to a change that this coordinator does not have. If the block is retired, the
@@ -55,7 +56,7 @@
                     Some(to) if !self.map.block(id).is_some_and(|b| b.is_holder(to)) => {
                         ChangeKind::Move { from: store, to }
                     }
-                    Some(keeper) => ChangeKind::Remove { from: store, keeper },
+                    Some(remaining_holder) => ChangeKind::Remove { from: store, remaining_holder },
                     None => return,
                 };
                 let retired = holding.mode == Mode::Retired;
@@ -89,10 +90,16 @@
                         && self.map.block(*name).is_none()
                         && held.span.intersection(holding.span).is_some()
                 };
-                let (Some(keeper), false) = (keeper, holdings.iter().any(unknown)) else { return };
+                let (Some(remaining_holder), false) = (remaining_holder, holdings.iter().any(unknown)) else {
+                    return;
+                };
                 let epoch = self.next_epoch();
-                let change =
-                    self.new_change(id, holding.span, ChangeKind::Remove { from: store, keeper }, epoch);
+                let change = self.new_change(
+                    id,
+                    holding.span,
+                    ChangeKind::Remove { from: store, remaining_holder },
+                    epoch,
+                );
                 self.start_change(now, change, work);
             }
         }
--- a/broker/crates/blocks/src/validate/transition.rs
+++ b/broker/crates/blocks/src/validate/transition.rs
@@ -69,13 +69,14 @@
     /// the key up have done so.
     fn mixtures(&self) -> impl Iterator<Item = (VersionShare, VersionShare)> + '_ {
         let all = VERSION_SHARES.into_iter().flat_map(|removed| VERSION_SHARES.map(|added| (removed, added)));
-        let some = |stores: &[StoreId], under| under != VersionShare::Some || stores.len() > 1;
-        all.filter(move |(removed, added)| some(&self.removed, *removed) && some(&self.added, *added)).filter(
-            |(removed, added)| {
-                let behind = !self.removed.is_empty() && *removed != VersionShare::All;
-                !(self.is_fenced && behind && *added != VersionShare::None)
-            },
-        )
+        let is_possible = |stores: &[StoreId], share| share != VersionShare::Some || stores.len() > 1;
+        all.filter(move |(removed, added)| {
+            is_possible(&self.removed, *removed) && is_possible(&self.added, *added)
+        })
+        .filter(|(removed, added)| {
+            let is_removal_pending = !self.removed.is_empty() && *removed != VersionShare::All;
+            !(self.is_fenced && is_removal_pending && *added != VersionShare::None)
+        })
     }
 
     /// Returns whether stores that give the key up may accept entries, and whether stores that take it over
--- a/broker/crates/blocks/tests/cluster/mod.rs
+++ b/broker/crates/blocks/tests/cluster/mod.rs
@@ -457,7 +457,7 @@
             }
             verdict => {
                 if let (Admission::Execute(span), true) = (&verdict, entry) {
-                    assert!(span.contains(weigher), "seed {}: {key} ran in {span}", self.seed);
+                    assert!(span.contains(weigher), "seed {}: {key} was executed in {span}", self.seed);
                     if self.stores[store].append(Entry { key: key.clone(), weigher, value: vec![7; 9] }) {
                         *self.executions.entry(key.clone()).or_default() += 1;
                     }
@@ -484,7 +484,7 @@
                     store.blocks().filter(|(_, h)| h.span.contains(weigher)).collect::<Vec<_>>()
                 );
             }
-            panic!("seed {}: at {} nobody holds weigher {weigher}", self.seed, self.now);
+            panic!("seed {}: at {} no store accepts reads of weigher {weigher}", self.seed, self.now);
         }
     }
 
@@ -542,11 +542,11 @@
         for (n, store) in self.stores.iter().enumerate() {
             for (id, held) in store.blocks() {
                 let listed = map.block(id).is_some_and(|b| b.is_holder(StoreId(n as u32)));
-                assert!(listed, "seed {seed}: store {n} has {id} as {held:?}, and the map does not know");
+                assert!(listed, "seed {seed}: store {n} has {id} as {held:?}, but the map does not list it");
             }
         }
         let twice: Vec<_> = self.executions.iter().filter(|(_, executions)| **executions > 1).collect();
-        assert!(twice.is_empty(), "seed {seed}: ran twice: {twice:?}");
+        assert!(twice.is_empty(), "seed {seed}: executed twice: {twice:?}");
         let mut known: HashMap<usize, HashSet<&str>> = HashMap::new();
         for (n, store) in self.stores.iter().enumerate() {
             known.insert(n, store.entries().iter().map(|e| e.key.as_str()).collect());
@@ -554,11 +554,11 @@
         for (key, (weigher, replies)) in &self.replies {
             let ran = self.executions.contains_key(key);
             if *replies == ClientReply::NotExecuted {
-                assert!(!ran, "seed {seed}: {key} was told that it never ran, and it did");
+                assert!(!ran, "seed {seed}: {key} was executed although the client was told that it was not");
             }
             if *replies == ClientReply::Answered && ran {
                 let kept = holders[weigher].iter().any(|n| known[n].contains(key.as_str()));
-                assert!(kept, "seed {seed}: {key} was acknowledged, and no holder has it");
+                assert!(kept, "seed {seed}: {key} was acknowledged, but no holder has it");
             }
         }
     }
--- a/broker/crates/blocks/tests/golden.rs
+++ b/broker/crates/blocks/tests/golden.rs
@@ -122,7 +122,7 @@
     vec![
         ("move", ChangeKind::Move { from: StoreId(1), to: StoreId(2) }),
         ("add", ChangeKind::Add { source: StoreId(1), to: StoreId(2) }),
-        ("remove", ChangeKind::Remove { from: StoreId(1), keeper: StoreId(2) }),
+        ("remove", ChangeKind::Remove { from: StoreId(1), remaining_holder: StoreId(2) }),
         ("split", ChangeKind::Split { holders: holders.clone(), new: halves }),
         ("merge", ChangeKind::Merge { with: BlockId(6), holders, new: vec![(BlockId(10), span())] }),
     ]
@@ -296,7 +296,14 @@
 }
 
 fn holding(mode: Mode) -> Holding {
-    Holding { span: span(), epoch: epoch(2), since: epoch(1), mode, peer: Some(StoreId(300)), copied: 77_000 }
+    Holding {
+        span: span(),
+        epoch: epoch(2),
+        held_since: epoch(1),
+        mode,
+        peer: Some(StoreId(300)),
+        copied: 77_000,
+    }
 }
 
 #[test]
--- a/broker/crates/blocks/tests/log.rs
+++ b/broker/crates/blocks/tests/log.rs
@@ -76,7 +76,7 @@
             match decode(&damaged) {
                 Ok((read, _)) => {
                     // Only the last record may be mistaken for one that was being written.
-                    assert!(at >= ends[ends.len() - 2], "byte {at} changed, and nobody noticed");
+                    assert!(at >= ends[ends.len() - 2], "the change of byte {at} was not detected");
                     assert_eq!(read, all[..all.len() - 1]);
                 }
                 Err(LogError::Magic(_)) => assert!(at < MAGIC.len()),
--- a/broker/crates/blocks/tests/model_split_merge.rs
+++ b/broker/crates/blocks/tests/model_split_merge.rs
@@ -32,7 +32,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct World {
+struct ModelState {
     change: Change,
     logged: Step,
     committed: bool,
@@ -85,28 +85,28 @@
         Change::new(ChangeId(1), BlockId(1), self.before()[0].1, kind, epoch, rollback_epoch)
     }
 
-    fn apply_input(self, world: &mut World, input: Input) {
+    fn apply_input(self, state: &mut ModelState, input: Input) {
         let timeouts =
             Timeouts { retry_initial_ms: 1, retry_max_ms: 1, step_timeout_ms: 100, max_lag_entries: 0 };
         let mut inputs = vec![input];
         while let Some(input) = inputs.pop() {
-            for effect in world.change.handle(0, input, &timeouts) {
+            for effect in state.change.handle(0, input, &timeouts) {
                 match effect {
-                    Effect::Record(step) => world.logged = step,
+                    Effect::Record(step) => state.logged = step,
                     Effect::Order(store, _, epoch, order) => {
-                        world.serial += 1;
-                        let round = world.change.round;
-                        world.messages.insert(Message::Order(
+                        state.serial += 1;
+                        let round = state.change.round;
+                        state.messages.insert(Message::Order(
                             store.0 as usize,
                             round,
                             epoch,
-                            world.serial,
+                            state.serial,
                             order,
                         ));
                     }
-                    Effect::Copy { .. } => unreachable!("nothing is copied"),
+                    Effect::Copy { .. } => unreachable!("splits and merges copy nothing"),
                     Effect::Commit => {
-                        world.committed = true;
+                        state.committed = true;
                         inputs.push(Input::Committed);
                     }
                 }
@@ -116,10 +116,10 @@
 }
 
 impl Model for Names {
-    type State = World;
+    type State = ModelState;
     type Action = Action;
 
-    fn init_states(&self) -> Vec<World> {
+    fn init_states(&self) -> Vec<ModelState> {
         let mut stores = [ModelStore(Holdings::new(8)), ModelStore(Holdings::new(8))];
         for store in &mut stores {
             for (block, span) in self.before() {
@@ -129,7 +129,7 @@
             }
         }
         let change = self.initial_change();
-        let mut world = World {
+        let mut state = ModelState {
             logged: change.step,
             change,
             committed: false,
@@ -140,111 +140,122 @@
             crashes: 0,
             abandon_requests: 0,
         };
-        self.apply_input(&mut world, Input::Resume);
-        vec![world]
+        self.apply_input(&mut state, Input::Resume);
+        vec![state]
     }
 
-    fn actions(&self, world: &World, actions: &mut Vec<Action>) {
-        for message in &world.messages {
+    fn actions(&self, state: &ModelState, actions: &mut Vec<Action>) {
+        for message in &state.messages {
             actions.push(Action::Deliver(message.clone(), false));
-            if world.disturbances < 2 {
+            if state.disturbances < 2 {
                 actions.push(Action::Deliver(message.clone(), true));
                 actions.push(Action::Lose(message.clone()));
             }
         }
-        if world.crashes == 0 {
+        if state.crashes == 0 {
             actions.push(Action::Crash);
         }
-        if world.abandon_requests == 0 && !world.change.step.has_ended() {
+        if state.abandon_requests == 0 && !state.change.step.has_ended() {
             actions.push(Action::Abandon);
         }
-        let round = world.change.round;
+        let round = state.change.round;
         let in_transit = |message: &Message| match message {
             Message::Order(_, message_round, ..) | Message::Reply(_, message_round, _) => {
                 *message_round == round
             }
         };
-        if !world.change.step.has_ended() && !world.messages.iter().any(in_transit) {
+        if !state.change.step.has_ended() && !state.messages.iter().any(in_transit) {
             actions.push(Action::Repeat);
         }
     }
 
-    fn next_state(&self, previous: &World, act: Action) -> Option<World> {
-        let mut world = previous.clone();
+    fn next_state(&self, previous: &ModelState, act: Action) -> Option<ModelState> {
+        let mut state = previous.clone();
         match act {
             Action::Deliver(message, keep) => {
                 if keep {
-                    world.disturbances += 1;
+                    state.disturbances += 1;
                 } else {
-                    world.messages.remove(&message);
+                    state.messages.remove(&message);
                 }
                 match message {
                     Message::Order(store, round, epoch, serial, order) => {
                         let stamped = StampedOrder { term: Term(1), serial, block: BlockId(1), epoch, order };
-                        let reply = world.stores[store].0.carry_out(&stamped);
-                        world.messages.insert(Message::Reply(store, round, reply));
+                        let reply = state.stores[store].0.carry_out(&stamped);
+                        state.messages.insert(Message::Reply(store, round, reply));
                     }
-                    Message::Reply(store, round, reply) if world.change.round == round => {
-                        self.apply_input(&mut world, Input::Reply(StoreId(store as u32), reply));
+                    Message::Reply(store, round, reply) if state.change.round == round => {
+                        self.apply_input(&mut state, Input::Reply(StoreId(store as u32), reply));
                     }
                     Message::Reply(..) => {}
                 }
             }
             Action::Lose(message) => {
-                world.disturbances += 1;
-                world.messages.remove(&message);
+                state.disturbances += 1;
+                state.messages.remove(&message);
             }
             Action::Crash => {
-                world.crashes += 1;
-                let round = world.change.round;
-                world.change = self.initial_change();
-                world.change.restore_step(world.logged);
+                state.crashes += 1;
+                let round = state.change.round;
+                state.change = self.initial_change();
+                state.change.restore_step(state.logged);
                 // Replies to the crashed coordinator are lost: rounds of two coordinators are never confused.
-                world.change.round = round + 1;
-                self.apply_input(&mut world, Input::Resume);
+                state.change.round = round + 1;
+                self.apply_input(&mut state, Input::Resume);
             }
             Action::Abandon => {
-                world.abandon_requests += 1;
-                self.apply_input(&mut world, Input::Abandon);
+                state.abandon_requests += 1;
+                self.apply_input(&mut state, Input::Abandon);
             }
-            Action::Repeat => self.apply_input(&mut world, Input::Resume),
+            Action::Repeat => self.apply_input(&mut state, Input::Resume),
         }
-        let round = world.change.round;
-        world.messages.retain(
+        let round = state.change.round;
+        state.messages.retain(
             |message| !matches!(message, Message::Reply(_, message_round, _) if *message_round != round),
         );
-        (world != *previous).then_some(world)
+        (state != *previous).then_some(state)
     }
 
-    fn within_boundary(&self, world: &World) -> bool {
-        world.serial < 40
+    fn within_boundary(&self, state: &ModelState) -> bool {
+        state.serial < 40
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("never held by nobody", |model: &Self, world: &World| {
-                // Every holder accepts entries under the identifiers of the current map. The old identifiers
-                // remain valid until they are removed.
-                let known = names(if world.committed { model.after() } else { model.before() });
-                world.stores.iter().all(|store| accepts_entries(store, &known))
-            }),
-            Property::always("what ends, ends with one set of names", |model: &Self, world: &World| {
-                let (old, new) = (names(model.before()), names(model.after()));
-                let gone =
-                    |store: &ModelStore, names: &[BlockId]| names.iter().all(|n| store.0.block(*n).is_none());
-                match world.change.step {
-                    Step::Done => {
-                        world.stores.iter().all(|s| accepts_entries(s, &new) && gone(s, &old))
-                            && world.committed
-                    }
-                    Step::Abandoned => {
-                        world.stores.iter().all(|s| accepts_entries(s, &old)) && !world.committed
+            Property::always(
+                "every holder accepts entries at any time",
+                |model: &Self, state: &ModelState| {
+                    // Every holder accepts entries under the identifiers of the current map. The old identifiers
+                    // remain valid until they are removed.
+                    let known = names(if state.committed { model.after() } else { model.before() });
+                    state.stores.iter().all(|store| accepts_entries(store, &known))
+                },
+            ),
+            Property::always(
+                "an ended change leaves one set of block identifiers",
+                |model: &Self, state: &ModelState| {
+                    let (old, new) = (names(model.before()), names(model.after()));
+                    let gone = |store: &ModelStore, names: &[BlockId]| {
+                        names.iter().all(|n| store.0.block(*n).is_none())
+                    };
+                    match state.change.step {
+                        Step::Done => {
+                            state.stores.iter().all(|s| accepts_entries(s, &new) && gone(s, &old))
+                                && state.committed
+                        }
+                        Step::Abandoned => {
+                            state.stores.iter().all(|s| accepts_entries(s, &old)) && !state.committed
+                        }
+                        _ => true,
                     }
-                    _ => true,
-                }
+                },
+            ),
+            Property::sometimes("the change can complete", |_, state: &ModelState| {
+                state.change.step == Step::Done
+            }),
+            Property::sometimes("the change can be rolled back", |_, state: &ModelState| {
+                state.change.step == Step::Abandoned
             }),
-            Property::sometimes("it gets done", |_, world: &World| world.change.step == Step::Done),
-            Property::sometimes("it goes back", |_, world: &World| world.change.step == Step::Abandoned),
         ]
     }
 }
--- a/broker/crates/blocks/tests/validate_in_memory.rs
+++ b/broker/crates/blocks/tests/validate_in_memory.rs
@@ -128,8 +128,14 @@
     for (cut, good) in [(4, true), (5, false), (3, false)] {
         let (mut coordinator, _) = begin(snapshot(&[0]), vec![LogRecord::Begin(split(cut))]).unwrap();
         coordinator.handle(0, Event::Tick);
-        let holding =
-            Holding { span: SPAN, epoch: epoch(1), since: epoch(1), mode: Mode::Open, peer: None, copied: 0 };
+        let holding = Holding {
+            span: SPAN,
+            epoch: epoch(1),
+            held_since: epoch(1),
+            mode: Mode::Open,
+            peer: None,
+            copied: 0,
+        };
         let work = coordinator.handle(1, Event::Inventory(StoreId(0), vec![(BlockId(1), holding)]));
         let named = work.iter().find_map(|item| match item {
             Work::Send(store, tag @ OrderPurpose::Change(..), ordered)
--- a/broker/crates/blocks/tests/wire.rs
+++ b/broker/crates/blocks/tests/wire.rs
@@ -11,7 +11,7 @@
     let holding = Holding {
         span: Span::new(1, 9),
         epoch: Epoch::from_parts(Term(2), 3),
-        since: Epoch::from_parts(Term(1), 1),
+        held_since: Epoch::from_parts(Term(1), 1),
         mode: Mode::Fenced,
         peer: Some(StoreId(4)),
         copied: 77,
--- a/broker/src/blocks/admin.rs
+++ b/broker/src/blocks/admin.rs
@@ -131,7 +131,7 @@
     match &change.kind {
         ChangeKind::Move { from, to }
         | ChangeKind::Add { source: from, to }
-        | ChangeKind::Remove { from, keeper: to } => {
+        | ChangeKind::Remove { from, remaining_holder: to } => {
             json["from"] = store_name(coordinator, *from).into();
             json["to"] = store_name(coordinator, *to).into();
         }
@@ -184,7 +184,7 @@
         .filter(|(id, _)| !coordinator.has_inventory(*id))
         .map(|(_, name)| name)
         .collect();
-    json!({ "term": coordinator.term().0, "version": map.version(), "paused": coordinator.paused(),
+    json!({ "term": coordinator.term().0, "version": map.version(), "paused": coordinator.is_paused(),
         "count": map.len(), "blocks": blocks, "next": next, "changes": changes, "past": past,
         "unheard": unreported })
 }
@@ -209,7 +209,7 @@
         .iter()
         .map(|planned| {
             let mut json = wish_json(&planned.change);
-            json["why"] = planned.why.into();
+            json["why"] = planned.reason.into();
             json["bytes"] = planned.bytes.into();
             json["urgent"] = planned.urgent.into();
             json
--- a/broker/src/blocks/coordinator.rs
+++ b/broker/src/blocks/coordinator.rs
@@ -196,7 +196,7 @@
             if now >= plan_at {
                 plan_at = now + plan_ms;
                 self.request_usage();
-                if settings.planning == Planning::Auto && !self.coordinator.paused() {
+                if settings.planning == Planning::Auto && !self.coordinator.is_paused() {
                     let changes = self.plan().changes;
                     self.start_changes(changes.into_iter().map(|planned| planned.change).collect()).await;
                 }
@@ -467,7 +467,7 @@
         };
         let loads: HashMap<BlockId, BlockLoad> = self.coordinator.map().blocks().map(load).collect();
         let copies_in_progress: Vec<_> =
-            self.coordinator.changes().filter_map(|change| change.copy()).collect();
+            self.coordinator.changes().filter_map(|change| change.copy_endpoints()).collect();
         plan(self.coordinator.map(), &stores, &loads, &busy, &copies_in_progress, &self.blocks.settings.goal)
     }
 
--- a/broker/tests/golden.rs
+++ b/broker/tests/golden.rs
@@ -137,7 +137,7 @@
     let kinds = [
         ChangeKind::Move { from: StoreId(1), to: StoreId(2) },
         ChangeKind::Add { source: StoreId(1), to: StoreId(2) },
-        ChangeKind::Remove { from: StoreId(1), keeper: StoreId(3) },
+        ChangeKind::Remove { from: StoreId(1), remaining_holder: StoreId(3) },
         ChangeKind::Split { holders: vec![StoreId(1)], new: vec![(BlockId(20), Span::new(0, 10))] },
         ChangeKind::Merge {
             with: BlockId(5),
