--- a/broker/crates/blocks/tests/cluster/mod.rs
+++ b/broker/crates/blocks/tests/cluster/mod.rs
@@ -376,9 +376,9 @@
             // A store is unavailable for a while; its state is durable.
             0..=4 => {
                 let store = self.rng.usize(..self.stores.len());
-                let long = self.rng.u64(50..3000);
+                let duration_ms = self.rng.u64(50..3000);
                 self.is_store_up[store] = false;
-                self.schedule(long, SimulationEvent::StoreUp(store));
+                self.schedule(duration_ms, SimulationEvent::StoreUp(store));
             }
             // The coordinator crashes; another takes over from its log.
             5 | 6 => {
@@ -389,9 +389,9 @@
             // The coordinator pauses for longer than its lease, another takes over, and the first one resumes.
             7 => {
                 self.coordinators[coordinator_index].is_paused = true;
-                let long = self.rng.u64(300..2000);
+                let duration_ms = self.rng.u64(300..2000);
                 self.schedule(200, SimulationEvent::StartCoordinator);
-                self.schedule(long, SimulationEvent::CoordinatorResumed(coordinator_index));
+                self.schedule(duration_ms, SimulationEvent::CoordinatorResumed(coordinator_index));
             }
             // A store restarts, and its inventory is requested again.
             _ => {
@@ -492,8 +492,8 @@
     pub fn end_faults(&mut self) {
         self.is_fault_free = true;
         self.is_store_up.iter_mut().for_each(|up| *up = true);
-        let long = self.now + 2500;
-        self.run(long);
+        let end_time = self.now + 2500;
+        self.run(end_time);
         for coordinator_index in 0..self.coordinators.len() - 1 {
             self.coordinators[coordinator_index].is_stopped = true;
         }
@@ -552,13 +552,16 @@
             known.insert(n, store.entries().iter().map(|e| e.key.as_str()).collect());
         }
         for (key, (weigher, replies)) in &self.replies {
-            let ran = self.executions.contains_key(key);
+            let was_executed = self.executions.contains_key(key);
             if *replies == ClientReply::NotExecuted {
-                assert!(!ran, "seed {seed}: {key} was executed although the client was told that it was not");
+                assert!(
+                    !was_executed,
+                    "seed {seed}: {key} was executed although the client was told that it was not"
+                );
             }
-            if *replies == ClientReply::Answered && ran {
-                let kept = holders[weigher].iter().any(|n| known[n].contains(key.as_str()));
-                assert!(kept, "seed {seed}: {key} was acknowledged, but no holder has it");
+            if *replies == ClientReply::Answered && was_executed {
+                let is_stored = holders[weigher].iter().any(|n| known[n].contains(key.as_str()));
+                assert!(is_stored, "seed {seed}: {key} was acknowledged, but no holder has it");
             }
         }
     }
--- a/broker/crates/blocks/tests/golden.rs
+++ b/broker/crates/blocks/tests/golden.rs
@@ -226,9 +226,9 @@
     let recorded = read(&file("log_records.txt"));
     for (name, record) in every_record() {
         let bytes = [MAGIC.as_slice(), &recorded[&name]].concat();
-        let (records, sound) = decode(&bytes).unwrap();
+        let (records, valid_length) = decode(&bytes).unwrap();
         assert!(records == [record], "{name}");
-        assert_eq!(sound, bytes.len(), "{name}");
+        assert_eq!(valid_length, bytes.len(), "{name}");
         assert_eq!(encode(&records[0]), recorded[&name], "{name}");
     }
 }
@@ -238,21 +238,21 @@
     let records: Vec<LogRecord> = every_record().into_iter().map(|(_, record)| record).collect();
     let (mut log, _) = Log::open(SimulatedDisk::default()).unwrap();
     log.append(&records).unwrap();
-    let whole = log.disk().bytes().to_vec();
-    let torn = [&whole[..], &encode(&LogRecord::Store(StoreId(9), "torn".into()))[..11]].concat();
+    let complete = log.disk().bytes().to_vec();
+    let torn = [&complete[..], &encode(&LogRecord::Store(StoreId(9), "torn".into()))[..11]].concat();
     let path = file("log.txt");
-    compare(&path, &[Sample::new("whole", whole), Sample::new("torn", torn)]);
+    compare(&path, &[Sample::new("whole", complete), Sample::new("torn", torn)]);
     let mut recorded = read(&path);
-    let (torn, whole) = (recorded.remove("torn").unwrap(), recorded.remove("whole").unwrap());
-    let (read, sound) = decode(&torn).unwrap();
+    let (torn, complete) = (recorded.remove("torn").unwrap(), recorded.remove("whole").unwrap());
+    let (read, valid_length) = decode(&torn).unwrap();
     assert!(read == records);
-    assert_eq!(sound, whole.len());
+    assert_eq!(valid_length, complete.len());
     let (log, opened) = Log::open(SimulatedDisk::with(torn)).unwrap();
     assert!(opened == records);
-    assert_eq!(log.disk().bytes(), whole, "the torn record is cut off");
+    assert_eq!(log.disk().bytes(), complete, "the torn record is cut off");
     let (mut again, _) = Log::open(SimulatedDisk::default()).unwrap();
     again.append(&read).unwrap();
-    assert_eq!(again.disk().bytes(), whole);
+    assert_eq!(again.disk().bytes(), complete);
 }
 
 /// Checks the initial state of a coordinator's term, which is the first record of its log.
--- a/broker/crates/blocks/tests/log.rs
+++ b/broker/crates/blocks/tests/log.rs
@@ -48,15 +48,15 @@
 #[test]
 fn a_truncated_log_is_read_up_to_the_last_complete_record() {
     let all = records();
-    let (whole, ends) = bytes(&all);
-    for cut in 0..=whole.len() {
-        let (read, sound) = decode(&whole[..cut]).unwrap();
+    let (complete_log, ends) = bytes(&all);
+    for cut in 0..=complete_log.len() {
+        let (read, valid_length) = decode(&complete_log[..cut]).unwrap();
         let expected = ends.iter().filter(|end| **end <= cut).count().saturating_sub(1);
         assert_eq!(read, all[..expected], "cut at {cut}");
         let end = ends.iter().copied().filter(|end| *end <= cut).max().unwrap_or(0);
-        assert_eq!(sound, end, "cut at {cut}");
+        assert_eq!(valid_length, end, "cut at {cut}");
         // Opening the log repairs it, and new records follow the last complete one.
-        let (mut log, again) = Log::open(SimulatedDisk::with(whole[..cut].to_vec())).unwrap();
+        let (mut log, again) = Log::open(SimulatedDisk::with(complete_log[..cut].to_vec())).unwrap();
         assert_eq!(again, read);
         log.append(&[LogRecord::Paused(false)]).unwrap();
         let (after, _) = decode(log.disk().bytes()).unwrap();
@@ -68,10 +68,10 @@
 #[test]
 fn a_log_with_a_changed_byte_is_never_misread() {
     let all = records();
-    let (whole, ends) = bytes(&all);
-    for at in 0..whole.len() {
+    let (complete_log, ends) = bytes(&all);
+    for at in 0..complete_log.len() {
         for flip in [1u8, 0x80, 0xff] {
-            let mut damaged = whole.clone();
+            let mut damaged = complete_log.clone();
             damaged[at] ^= flip;
             match decode(&damaged) {
                 Ok((read, _)) => {
@@ -93,21 +93,26 @@
 #[test]
 fn a_full_disk_or_a_crash_loses_only_unacknowledged_records() {
     let all = records();
-    let (whole, ends) = bytes(&all);
-    for most in 0..whole.len() {
+    let (complete_log, ends) = bytes(&all);
+    for capacity in 0..complete_log.len() {
         let mut disk = SimulatedDisk::default();
-        disk.capacity = Some(most);
+        disk.capacity = Some(capacity);
         let Ok((mut log, _)) = Log::open(disk) else {
-            assert!(most < MAGIC.len());
+            assert!(capacity < MAGIC.len());
             continue;
         };
-        let lasts: Vec<&LogRecord> = all.iter().take_while(|r| log.append(&[(*r).clone()]).is_ok()).collect();
-        for kept in [0, 1, 7, 10_000] {
+        let durable_records: Vec<&LogRecord> =
+            all.iter().take_while(|r| log.append(&[(*r).clone()]).is_ok()).collect();
+        for kept_bytes in [0, 1, 7, 10_000] {
             let mut disk = log.disk().clone();
-            disk.crash(kept);
+            disk.crash(kept_bytes);
             disk.capacity = None;
             let (mut log, read) = Log::open(disk).unwrap();
-            assert_eq!(read.iter().collect::<Vec<_>>(), lasts, "disk of {most}, {kept} kept");
+            assert_eq!(
+                read.iter().collect::<Vec<_>>(),
+                durable_records,
+                "disk of {capacity}, {kept_bytes} kept"
+            );
             log.append(&[LogRecord::Paused(true)]).unwrap();
         }
         assert!(ends.contains(&(log.len() as usize)));
--- a/broker/crates/blocks/tests/map.rs
+++ b/broker/crates/blocks/tests/map.rs
@@ -70,26 +70,36 @@
     fn step(&mut self) {
         let blocks: Vec<Block> = self.map.blocks().cloned().collect();
         let n = self.rng.usize(..blocks.len());
-        let one = &blocks[n];
+        let left = &blocks[n];
         self.epoch += 1;
-        let stores: Vec<u32> = one.holders().map(|s| s.0).collect();
+        let stores: Vec<u32> = left.holders().map(|s| s.0).collect();
         let records = match self.rng.u32(..3) {
-            0 if one.span.end - one.span.first > 1 => {
-                let at = self.rng.u64(one.span.first + 1..one.span.end);
+            0 if left.span.end - left.span.first > 1 => {
+                let at = self.rng.u64(left.span.first + 1..left.span.end);
                 vec![
-                    retired(one, self.epoch),
-                    self.new_block(Span::new(one.span.first, at), &stores),
-                    self.new_block(Span::new(at, one.span.end), &stores),
+                    retired(left, self.epoch),
+                    self.new_block(Span::new(left.span.first, at), &stores),
+                    self.new_block(Span::new(at, left.span.end), &stores),
                 ]
             }
             1 if n + 1 < blocks.len() => {
-                let two = &blocks[n + 1];
-                let whole = Span::new(one.span.first, two.span.end);
-                vec![retired(one, self.epoch), retired(two, self.epoch), self.new_block(whole, &stores)]
+                let right = &blocks[n + 1];
+                let merged_span = Span::new(left.span.first, right.span.end);
+                vec![
+                    retired(left, self.epoch),
+                    retired(right, self.epoch),
+                    self.new_block(merged_span, &stores),
+                ]
             }
             _ => {
                 let store = self.rng.u32(..9);
-                vec![active(block(one.id.0, one.span.first, one.span.end, self.epoch, &[store, store + 1]))]
+                vec![active(block(
+                    left.id.0,
+                    left.span.first,
+                    left.span.end,
+                    self.epoch,
+                    &[store, store + 1],
+                ))]
             }
         };
         let version = self.map.version() + 1;
--- a/broker/crates/blocks/tests/validate.rs
+++ b/broker/crates/blocks/tests/validate.rs
@@ -177,9 +177,9 @@
 
 /// Carries out an order at a store.
 fn carry_out(store: &mut Holdings, epoch: u64, order: Order) {
-    let ordered =
+    let stamped =
         StampedOrder { term: Term(1), serial: epoch, block: BlockId(1), epoch: Epoch(epoch), order };
-    store.carry_out(&ordered).unwrap();
+    store.carry_out(&stamped).unwrap();
 }
 
 /// Checks the transition rule against the real fence: in whatever order the stores learn of the new version,
@@ -217,34 +217,34 @@
         }
         added.iter().for_each(|store| carry_out(&mut stores[at(*store)], 11, Order::AllowReads));
         let mut waited = false;
-        let mut look = |stores: &[Holdings], is_published: bool| {
-            let lets = |key: Option<&str>, epoch| -> Vec<StoreId> {
+        let mut check_stores = |stores: &[Holdings], is_published: bool| {
+            let executing_stores = |key: Option<&str>, epoch| -> Vec<StoreId> {
                 let runs = |s: &StoreId| {
                     matches!(stores[at(*s)].admission(BlockId(1), Epoch(epoch), key), Admission::Execute(_))
                 };
                 (0..LISTED).map(StoreId).filter(runs).collect()
             };
-            let takes = [lets(Some("k"), 10), lets(Some("k"), 11)].concat();
-            let all_of = |set: &[StoreId]| takes.iter().all(|store| set.contains(store));
-            assert!(all_of(&holders) || all_of(&after), "seed {seed}: {takes:?}");
-            waited |= takes.is_empty();
+            let entry_stores = [executing_stores(Some("k"), 10), executing_stores(Some("k"), 11)].concat();
+            let all_of = |set: &[StoreId]| entry_stores.iter().all(|store| set.contains(store));
+            assert!(all_of(&holders) || all_of(&after), "seed {seed}: {entry_stores:?}");
+            waited |= entry_stores.is_empty();
             // A request that finds no store of the old version is directed to the new one.
-            assert!(!lets(None, 11).is_empty(), "seed {seed}");
+            assert!(!executing_stores(None, 11).is_empty(), "seed {seed}");
             assert!(
-                is_published || lets(None, 10).iter().any(|store| holders.contains(store)),
+                is_published || executing_stores(None, 10).iter().any(|store| holders.contains(store)),
                 "seed {seed}"
             );
         };
-        look(&stores, false);
+        check_stores(&stores, false);
         for store in &removed {
             carry_out(&mut stores[at(*store)], 11, Order::Retire);
-            look(&stores, true);
+            check_stores(&stores, true);
         }
         for store in &added {
             carry_out(&mut stores[at(*store)], 11, Order::Open);
             let entry = Entry { key: format!("e{}", store.0), weigher: span.first, value: vec![] };
             stores[at(*store)].append(entry);
-            look(&stores, true);
+            check_stores(&stores, true);
         }
         assert_eq!(waited, !result.waits.is_empty(), "seed {seed}: {:?}", result.waits);
     }
@@ -306,33 +306,36 @@
 
 #[test]
 fn unreadable_documents_name_the_line_and_large_ones_the_limit() {
-    let whole = blocks([0, 9], &[(1, 0, 9)]);
+    let document = blocks([0, 9], &[(1, 0, 9)]);
     let line = |text: &str| match read(text) {
         Err(DocumentError::Format { line, what }) => (line, what),
         other => panic!("{other:?}"),
     };
-    assert_eq!(line(&whole.replace("first = 0", "first = -1")).0, 10);
-    assert_eq!(line(&whole.replace("epoch = 1", "epoch = ")).0, 12);
-    assert_eq!(line(&whole.replace("first", "frist")).0, 10);
-    assert!(line(&whole.replace("capacity = 9.0\n", "")).1.contains("capacity"));
-    let bounds = Bounds { bytes: whole.len(), stores: 1, blocks: 0 };
-    let large = |bounds| Document::read(&whole, &mut Names::default(), &bounds).unwrap_err();
+    assert_eq!(line(&document.replace("first = 0", "first = -1")).0, 10);
+    assert_eq!(line(&document.replace("epoch = 1", "epoch = ")).0, 12);
+    assert_eq!(line(&document.replace("first", "frist")).0, 10);
+    assert!(line(&document.replace("capacity = 9.0\n", "")).1.contains("capacity"));
+    let bounds = Bounds { bytes: document.len(), stores: 1, blocks: 0 };
+    let large = |bounds| Document::read(&document, &mut Names::default(), &bounds).unwrap_err();
     assert_eq!(large(bounds), DocumentError::Large { what: "blocks", found: 1, most: 0 });
-    let bytes = Bounds { bytes: whole.len() - 1, ..bounds };
+    let bytes = Bounds { bytes: document.len() - 1, ..bounds };
     assert_eq!(
         large(bytes),
-        DocumentError::Large { what: "bytes", found: whole.len(), most: whole.len() - 1 }
+        DocumentError::Large { what: "bytes", found: document.len(), most: document.len() - 1 }
     );
-    let odd = whole.replace("9.0", "nan");
-    assert!(read(&odd).unwrap().iter().any(|f| matches!(f.fault, Fault::Figure { what: "capacity", .. })));
+    let invalid = document.replace("9.0", "nan");
+    assert!(read(&invalid)
+        .unwrap()
+        .iter()
+        .any(|f| matches!(f.fault, Fault::Figure { what: "capacity", .. })));
 }
 
 #[test]
 fn random_bytes_never_cause_a_panic() {
-    let whole = blocks([0, 9], &[(1, 0, 9)]);
+    let document = blocks([0, 9], &[(1, 0, 9)]);
     let mut rng = Rng::with_seed(7);
     for _ in 0..2_000 {
-        let mut bytes = whole.clone().into_bytes();
+        let mut bytes = document.clone().into_bytes();
         for _ in 0..rng.usize(1..6) {
             let at = rng.usize(..bytes.len());
             bytes[at] = rng.u8(..);
--- a/broker/crates/blocks/tests/validate_in_memory.rs
+++ b/broker/crates/blocks/tests/validate_in_memory.rs
@@ -138,16 +138,16 @@
         };
         let work = coordinator.handle(1, Event::Inventory(StoreId(0), vec![(BlockId(1), holding)]));
         let named = work.iter().find_map(|item| match item {
-            Work::Send(store, tag @ OrderPurpose::Change(..), ordered)
-                if matches!(ordered.order, Order::AddNames { .. }) =>
+            Work::Send(store, purpose @ OrderPurpose::Change(..), stamped)
+                if matches!(stamped.order, Order::AddNames { .. }) =>
             {
-                Some((*store, *tag))
+                Some((*store, *purpose))
             }
             _ => None,
         });
-        let (store, tag) = named.unwrap();
+        let (store, purpose) = named.unwrap();
         let done = OrderOutcome { mode: Some(Mode::Open), watermark: 0, copied: 0 };
-        let work = coordinator.handle(2, Event::Reply(store, tag, Ok(done)));
+        let work = coordinator.handle(2, Event::Reply(store, purpose, Ok(done)));
         let committing = |item: &Work| {
             matches!(item, Work::Append(LogRecord::Step(_, Step::Committing, _) | LogRecord::Batch(_)))
         };
@@ -157,12 +157,13 @@
         assert_eq!(change.step, if good { Step::Unnaming } else { Step::Withdrawing });
         assert_eq!(matches!(&change.reason, Some(Reason::Unsound(reason)) if !reason.is_empty()), !good);
         // The stores are ordered to remove the new identifiers, and the change ends.
-        let Some(Work::Send(store, tag, _)) = work.iter().rev().find(|item| matches!(item, Work::Send(..)))
+        let Some(Work::Send(store, purpose, _)) =
+            work.iter().rev().find(|item| matches!(item, Work::Send(..)))
         else {
             panic!("{work:?}");
         };
         let done = OrderOutcome { mode: None, watermark: 0, copied: 0 };
-        let work = coordinator.handle(3, Event::Reply(*store, *tag, Ok(done)));
+        let work = coordinator.handle(3, Event::Reply(*store, *purpose, Ok(done)));
         let step = if good { Step::Done } else { Step::Abandoned };
         assert!(work.contains(&Work::ChangeEnded(ChangeId(1), step)), "{work:?}");
     }
--- a/broker/crates/blocks/tests/validator_maps/brute.rs
+++ b/broker/crates/blocks/tests/validator_maps/brute.rs
@@ -73,28 +73,28 @@
     }
     for (n, row) in draft.rows.iter().enumerate() {
         let (ids, span) = ([row.id.0], row.span);
-        let mut say = |what: &str| {
+        let mut add_fault = |what: &str| {
             all.insert(format!("{what} {ids:?} {span}"));
         };
         if span.first == span.end {
-            say("empty");
+            add_fault("empty");
         } else if span.first > span.end {
-            say("reversed");
+            add_fault("reversed");
         } else if span.first < draft.keys.first || span.end > draft.keys.end {
-            say("outside");
+            add_fault("outside");
         }
         if draft.rows[..n].iter().any(|before| before.id == row.id) {
-            say("used twice");
+            add_fault("used twice");
         }
         if draft.retired.contains(&row.id) {
-            say("used again");
+            add_fault("used again");
         }
         let mut sound: BTreeSet<StoreId> = BTreeSet::new();
         let mut seen = BTreeSet::new();
         for (n, store) in row.holders.iter().chain(&row.copying).enumerate() {
             let copies = n >= row.holders.len();
             if !seen.insert(*store) {
-                say(&format!("held twice {store}"));
+                add_fault(&format!("held twice {store}"));
                 continue;
             }
             let why = match standing(draft, *store) {
@@ -108,15 +108,15 @@
                     continue;
                 }
             };
-            say(&format!("{why:?} {store} {copies}"));
+            add_fault(&format!("{why:?} {store} {copies}"));
         }
         let zones: BTreeSet<u16> =
             draft.sites.iter().filter(|site| sound.contains(&site.store)).map(|site| site.zone).collect();
         if sound.len() < draft.minimum.holders as usize {
-            say(&format!("holders {}", sound.len()));
+            add_fault(&format!("holders {}", sound.len()));
         }
         if !row.holders.is_empty() && zones.len() < draft.minimum.zones as usize {
-            say(&format!("zones {}", zones.len()));
+            add_fault(&format!("zones {}", zones.len()));
         }
         assert!(seen.len() <= MAX_REPLICAS);
     }
@@ -206,25 +206,27 @@
         if n.epoch > o.epoch && taken_over && still {
             continue;
         }
-        let takes: Vec<StoreId> = stores
+        let entry_stores: Vec<StoreId> = stores
             .iter()
             .copied()
             .filter(|store| if acts_new(store) { after.contains(store) } else { before.contains(store) })
             .collect();
-        if !takes.iter().all(|store| before.contains(store))
-            && !takes.iter().all(|store| after.contains(store))
+        if !entry_stores.iter().all(|store| before.contains(store))
+            && !entry_stores.iter().all(|store| after.contains(store))
         {
             all.insert(format!("two sets {key}"));
         }
-        if takes.is_empty() && n.epoch > o.epoch {
+        if entry_stores.is_empty() && n.epoch > o.epoch {
             waits.insert(key);
         }
         for broker_new in [false, true] {
-            let told = broker_new || mixture != 0;
+            let is_published = broker_new || mixture != 0;
             let reads = |store: &&StoreId| {
-                let kept = before.contains(store) && after.contains(store);
+                let is_kept = before.contains(store) && after.contains(store);
                 answers(store)
-                    && (kept || (lets_go(store) && !acts_new(store)) || (takes_over(store) && told))
+                    && (is_kept
+                        || (lets_go(store) && !acts_new(store))
+                        || (takes_over(store) && is_published))
             };
             if !stores.iter().any(|store| reads(&store)) {
                 all.insert(format!("unreadable {key}"));
--- a/broker/crates/blocks/tests/validator_maps/change.rs
+++ b/broker/crates/blocks/tests/validator_maps/change.rs
@@ -9,37 +9,38 @@
 /// Creates the next version of a map by valid changes.
 pub fn next_version(rng: &mut Rng, old: &mut Draft) -> Draft {
     let mut new = old.clone();
-    let mut fresh = 100;
+    let mut next_id = 100;
     for n in (0..new.rows.len()).rev() {
-        let mut ahead = old.rows[n].clone();
-        ahead.epoch = Epoch(11);
-        let free: Vec<StoreId> = (0..LISTED).map(StoreId).filter(|s| !ahead.holders.contains(s)).collect();
-        let to = free[rng.usize(..free.len())];
+        let mut new_row = old.rows[n].clone();
+        new_row.epoch = Epoch(11);
+        let other_stores: Vec<StoreId> =
+            (0..LISTED).map(StoreId).filter(|s| !new_row.holders.contains(s)).collect();
+        let to = other_stores[rng.usize(..other_stores.len())];
         match rng.u32(..6) {
             // The block is moved, or all holders are replaced at once.
             0 => {
                 old.rows[n].copying = vec![to];
-                ahead.holders[0] = to;
+                new_row.holders[0] = to;
             }
             1 => {
-                old.rows[n].copying = free.clone();
-                ahead.holders = free.into_iter().take(ahead.holders.len()).collect();
+                old.rows[n].copying = other_stores.clone();
+                new_row.holders = other_stores.into_iter().take(new_row.holders.len()).collect();
             }
-            2 => ahead.holders.push(to),
-            3 if ahead.holders.len() > 1 => drop(ahead.holders.pop()),
-            4 if ahead.span.end - ahead.span.first > 1 => {
-                let at = rng.u64(ahead.span.first + 1..ahead.span.end);
-                let mut right = ahead.clone();
-                (right.id, right.span.first) = (BlockId(fresh), at);
-                new.retired.push(ahead.id);
-                (ahead.id, ahead.span.end) = (BlockId(fresh + 1), at);
-                fresh += 2;
+            2 => new_row.holders.push(to),
+            3 if new_row.holders.len() > 1 => drop(new_row.holders.pop()),
+            4 if new_row.span.end - new_row.span.first > 1 => {
+                let at = rng.u64(new_row.span.first + 1..new_row.span.end);
+                let mut right = new_row.clone();
+                (right.id, right.span.first) = (BlockId(next_id), at);
+                new.retired.push(new_row.id);
+                (new_row.id, new_row.span.end) = (BlockId(next_id + 1), at);
+                next_id += 2;
                 new.rows.push(right);
             }
-            _ => ahead = old.rows[n].clone(),
+            _ => new_row = old.rows[n].clone(),
         }
-        ahead.copying.clear();
-        new.rows[n] = ahead;
+        new_row.copying.clear();
+        new.rows[n] = new_row;
     }
     new
 }
--- a/broker/crates/blocks/tests/wire.rs
+++ b/broker/crates/blocks/tests/wire.rs
@@ -19,7 +19,7 @@
     let held = vec![HeldBlock { block: BlockId(3), holding, bytes: 1000, parts: 5 }];
     let entry = Entry { key: "q1.3".into(), weigher: 5, value: vec![1, 2, 3] };
     let order = Order::AddNames { old: vec![BlockId(1)], new: vec![(BlockId(2), Span::new(0, 4))] };
-    let ordered = StampedOrder {
+    let stamped = StampedOrder {
         term: Term(2),
         serial: 9,
         block: BlockId(1),
@@ -46,7 +46,7 @@
     vec![
         wire::encode(&OrderReply::Inventory { held, more: true }),
         wire::encode(&OrderReply::Refused(Refusal::Deposed(Term(7)))),
-        wire::encode(&ordered),
+        wire::encode(&stamped),
         wire::encode(&copy),
         wire::encode(&Some(CopyReply { copied: 1, length: 2, bytes: 3 })),
         wire::encode(&SectionRequest { span: Span::new(0, 9), start: 0, bytes: 10 }),
@@ -73,11 +73,11 @@
 fn messages_decode_to_the_same_value_and_only_at_their_exact_length() {
     for bytes in messages() {
         assert!(read(&bytes).contains(&true));
-        let own = read(&bytes).iter().position(|whole| *whole).unwrap();
+        let own_type = read(&bytes).iter().position(|is_decoded| *is_decoded).unwrap();
         let longer = [&bytes[..], &[0]].concat();
-        assert!(!read(&longer)[own], "bytes behind a message");
+        assert!(!read(&longer)[own_type], "bytes behind a message");
         for cut in 0..bytes.len() {
-            assert!(!read(&bytes[..cut])[own], "cut at {cut} of {}", bytes.len());
+            assert!(!read(&bytes[..cut])[own_type], "cut at {cut} of {}", bytes.len());
         }
     }
 }
@@ -97,8 +97,8 @@
                 let _ = map.catch_up(map_page.records, map_page.version);
                 let _ = map.snapshot();
             }
-            if let Some(ordered) = wire::decode::<StampedOrder>(&bytes) {
-                let _ = Holdings::new(4).carry_out(&ordered);
+            if let Some(stamped) = wire::decode::<StampedOrder>(&bytes) {
+                let _ = Holdings::new(4).carry_out(&stamped);
             }
         }
         true
