--- a/broker/crates/blocks/benches/scale.rs
+++ b/broker/crates/blocks/benches/scale.rs
@@ -1,4 +1,5 @@
-//! Look-ups, changes, plans and recovery as the map grows. `cargo bench -p gingerledge-blocks`.
+//! Benchmarks of look-ups, changes, plans and recovery for growing maps. Run with `cargo bench -p
+//! gingerledge-blocks`.
 
 #![allow(clippy::expect_used)]
 
@@ -15,7 +16,7 @@
 
 const SIZES: [u32; 4] = [100, 1_000, 10_000, 100_000];
 
-/// So many blocks of a thousand weighers, on a hundredth as many stores.
+/// Creates a map with blocks of 1000 weighers each, on a hundredth as many stores (at least four).
 fn map(blocks: u32) -> BlockMap {
     let stores = (blocks / 100).max(4);
     let replica = |store: u32| Replica { store: StoreId(store % stores), state: ReplicaState::Serving };
@@ -23,10 +24,10 @@
     let records = (0..blocks).map(|n| {
         let first = u64::from(n) * 1000;
         let (x, y) = (f64::from(n % 317) / 2.0 - 80.0, f64::from(n / 317) / 4.0 - 40.0);
-        Record::Living(Block {
+        Record::Active(Block {
             id: BlockId(n),
             span: Span::new(first, first + 1000),
-            epoch: Epoch::of(Term(1), 1),
+            epoch: Epoch::from_parts(Term(1), 1),
             replicas: vec![replica(n), replica(n + 1)],
             extent: Some(Extent([x, y, x + 0.49, y + 0.24])),
         })
@@ -35,11 +36,12 @@
     map
 }
 
-/// Look-ups in one turn of a look-up's benchmark: the figure is the thousandth part of it.
-const MANY: usize = 1000;
+/// Number of look-ups in one iteration of a benchmark, so that the time of one look-up is a thousandth of the
+/// reported time.
+const LOOK_UPS: usize = 1000;
 
-/// The next of a sequence that jumps all over.
-fn jump(n: &mut u64) -> u64 {
+/// Returns the next number of a pseudo-random sequence.
+fn next_pseudo_random(n: &mut u64) -> u64 {
     *n = n.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
     *n >> 20
 }
@@ -47,9 +49,9 @@
 #[divan::bench(args = SIZES)]
 fn thousand_look_ups_by_number(bencher: Bencher, blocks: u32) {
     let (map, mut n) = (map(blocks), 1);
-    bencher.counter(ItemsCount::new(MANY)).bench_local(|| {
-        for _ in 0..MANY {
-            let id = BlockId(jump(&mut n) as u32 % blocks);
+    bencher.counter(ItemsCount::new(LOOK_UPS)).bench_local(|| {
+        for _ in 0..LOOK_UPS {
+            let id = BlockId(next_pseudo_random(&mut n) as u32 % blocks);
             black_box(map.block(id).map(|block| block.epoch));
         }
     });
@@ -58,10 +60,10 @@
 #[divan::bench(args = SIZES)]
 fn thousand_look_ups_by_weigher(bencher: Bencher, blocks: u32) {
     let (map, mut n) = (map(blocks), 1);
-    bencher.counter(ItemsCount::new(MANY)).bench_local(|| {
-        for _ in 0..MANY {
-            let weigher = jump(&mut n) % (u64::from(blocks) * 1000);
-            black_box(map.of_weigher(weigher).map(|block| block.epoch));
+    bencher.counter(ItemsCount::new(LOOK_UPS)).bench_local(|| {
+        for _ in 0..LOOK_UPS {
+            let weigher = next_pseudo_random(&mut n) % (u64::from(blocks) * 1000);
+            black_box(map.block_of_weigher(weigher).map(|block| block.epoch));
         }
     });
 }
@@ -69,7 +71,7 @@
 #[divan::bench(args = SIZES)]
 fn look_up_by_box(bencher: Bencher, blocks: u32) {
     let map = map(blocks);
-    bencher.bench_local(|| black_box(map.in_extent(Extent([-79.9, -39.9, -79.2, -39.8]))));
+    bencher.bench_local(|| black_box(map.blocks_in_extent(Extent([-79.9, -39.9, -79.2, -39.8]))));
 }
 
 #[divan::bench(args = SIZES)]
@@ -79,10 +81,10 @@
     bencher.bench_local(|| {
         epoch += 1;
         let mut block = map.block(BlockId(epoch % blocks)).cloned().expect("a block");
-        block.epoch = Epoch::of(Term(1), epoch);
+        block.epoch = Epoch::from_parts(Term(1), epoch);
         block.replicas.reverse();
         let version = map.version() + 1;
-        map.apply(&Batch { version, records: vec![Record::Living(block)] })
+        map.apply(&Batch { version, records: vec![Record::Active(block)] })
     });
 }
 
@@ -90,21 +92,23 @@
 fn plan_for_stores_switched_on(bencher: Bencher, blocks: u32) {
     let map = map(blocks);
     let used = (blocks / 100).max(4);
-    // A fifth more stores than hold blocks now.
+    // Returns a fifth more stores than the number that hold blocks.
     let stores: Vec<StoreState> = (0..used + (used / 5).max(1))
         .map(|n| StoreState {
             id: StoreId(n),
             zone: n % 3,
             capacity: 1.0,
-            takes: true,
-            leaves: false,
-            sound: true,
+            accepts_blocks: true,
+            evacuate: false,
+            responds: true,
         })
         .collect();
     let loads: HashMap<BlockId, BlockLoad> = (0..blocks)
-        .map(|n| (BlockId(n), BlockLoad { bytes: 1_000_000, load: 1.0 + f64::from(n % 5), rested: true }))
+        .map(|n| {
+            (BlockId(n), BlockLoad { bytes: 1_000_000, load: 1.0 + f64::from(n % 5), is_changeable: true })
+        })
         .collect();
-    let goal = Goal { most: 1000, ..Goal::default() };
+    let goal = Goal { max_changes: 1000, ..Goal::default() };
     bencher.bench_local(|| black_box(plan(&map, &stores, &loads, &HashSet::new(), &[], &goal)));
 }
 
@@ -121,8 +125,8 @@
     bytes.extend(encode(&LogRecord::Start(Box::new(state))));
     for n in 0..records {
         let mut block = map.block(BlockId(n % blocks)).cloned().expect("a block");
-        block.epoch = Epoch::of(Term(1), n + 2);
-        let batch = Batch { version: u64::from(n) + 2, records: vec![Record::Living(block)] };
+        block.epoch = Epoch::from_parts(Term(1), n + 2);
+        let batch = Batch { version: u64::from(n) + 2, records: vec![Record::Active(block)] };
         bytes.extend(encode(&LogRecord::Batch(batch)));
     }
     bencher.counter(ItemsCount::new(records)).bench_local(|| {
--- a/broker/crates/blocks/benches/validate.rs
+++ b/broker/crates/blocks/benches/validate.rs
@@ -1,5 +1,6 @@
-//! What proving costs with ten thousand blocks: a thousand maps one after the other, each by its batch or each whole, a
-//! passage between two whole maps, and a document. `cargo bench -p gingerledge-blocks --bench validate`.
+//! Benchmarks of the validator with 10,000 blocks: 1000 maps in sequence, by batch or as complete maps, a
+//! transition between two complete maps, and a document. Run with `cargo bench -p gingerledge-blocks --bench
+//! validate`.
 
 #![allow(clippy::expect_used)]
 
@@ -31,7 +32,7 @@
     Block {
         id: BlockId(n),
         span: Span::new(first, first + 1000),
-        epoch: Epoch::of(Term(1), epoch),
+        epoch: Epoch::from_parts(Term(1), epoch),
         replicas: holders.iter().map(serving).collect(),
         extent: None,
     }
@@ -39,7 +40,7 @@
 
 fn map() -> BlockMap {
     let mut map = BlockMap::new(BLOCKS as usize + 10, 1000);
-    let records = (0..BLOCKS).map(|n| Record::Living(block(n, 1, &holders(n)))).collect();
+    let records = (0..BLOCKS).map(|n| Record::Active(block(n, 1, &holders(n)))).collect();
     map.apply(&Batch { version: 1, records }).expect("a map");
     map
 }
@@ -55,9 +56,9 @@
     };
     Draft {
         keys: Span::new(0, u64::from(BLOCKS) * 1000),
-        least: Least { holders: 2, zones: 2 },
+        minimum: Redundancy { holders: 2, zones: 2 },
         sites: (0..STORES).map(site).collect(),
-        rows: map.blocks().map(Row::of).collect(),
+        rows: map.blocks().map(Row::from_block).collect(),
         retired: Vec::new(),
     }
 }
@@ -66,11 +67,11 @@
     store.to_string()
 }
 
-/// A thousand moves: block by block its first holder gives way to another.
-fn moves() -> Vec<Batch> {
+/// Creates 1000 moves, each of which replaces the first holder of one block.
+fn move_batches() -> Vec<Batch> {
     let one = |n: u32| {
         let (id, to) = (n * 7 % BLOCKS, StoreId((n * 7 + 2) % STORES));
-        let records = vec![Record::Living(block(id, n + 2, &[to, holders(id)[1]]))];
+        let records = vec![Record::Active(block(id, n + 2, &[to, holders(id)[1]]))];
         Batch { version: u64::from(n) + 2, records }
     };
     (0..MAPS).map(one).collect()
@@ -78,9 +79,9 @@
 
 #[divan::bench(sample_count = 20)]
 fn replay_a_thousand_maps_batch_by_batch(bencher: Bencher) {
-    let (start, moves) = (map(), moves());
+    let (start, moves) = (map(), move_batches());
     let listed = |store: StoreId| (store.0 < STORES).then_some(Standing::Listed);
-    let facts = Facts { standing: &listed, text: &text, copies: &|_, _| true };
+    let facts = Facts { standing: &listed, store_name: &text, copies: &|_, _| true };
     bencher.counter(ItemsCount::new(MAPS)).with_inputs(|| start.clone()).bench_local_values(|mut map| {
         for moved in &moves {
             assert!(batch(&map, &moved.records, &facts).findings.is_empty());
@@ -92,7 +93,7 @@
 
 #[divan::bench(sample_count = 20)]
 fn apply_a_thousand_batches_unproved(bencher: Bencher) {
-    let (start, moves) = (map(), moves());
+    let (start, moves) = (map(), move_batches());
     bencher.counter(ItemsCount::new(MAPS)).with_inputs(|| start.clone()).bench_local_values(|mut map| {
         for moved in &moves {
             map.apply(moved).expect("a batch");
@@ -103,7 +104,7 @@
 
 #[divan::bench(sample_count = 2, sample_size = 1)]
 fn replay_a_thousand_maps_whole(bencher: Bencher) {
-    let (start, moves) = (map(), moves());
+    let (start, moves) = (map(), move_batches());
     bencher.counter(ItemsCount::new(MAPS)).with_inputs(|| start.clone()).bench_local_values(|mut map| {
         for moved in &moves {
             map.apply(moved).expect("a batch");
@@ -117,7 +118,7 @@
 fn passage_between_two_whole_maps(bencher: Bencher) {
     let mut map = map();
     let mut old = draft(&map);
-    let moves = moves();
+    let moves = move_batches();
     for moved in &moves {
         map.apply(moved).expect("a batch");
     }
@@ -126,7 +127,7 @@
         old.copying.extend(new.holders.iter().filter(|store| !old.holders.contains(store)));
     }
     bencher.bench_local(|| {
-        let proved = passage(black_box(&old), black_box(&new), &text);
+        let proved = transition(black_box(&old), black_box(&new), &text);
         assert!(proved.findings.is_empty() && proved.waits.is_empty());
     });
 }
@@ -135,8 +136,8 @@
 fn whole_map_from_a_log(bencher: Bencher) {
     let map = map();
     let listed = |store: StoreId| (store.0 < STORES).then_some(Standing::Listed);
-    let facts = Facts { standing: &listed, text: &text, copies: &|_, _| true };
-    bencher.bench_local(|| assert!(whole(black_box(&map), &facts).is_empty()));
+    let facts = Facts { standing: &listed, store_name: &text, copies: &|_, _| true };
+    bencher.bench_local(|| assert!(full_map(black_box(&map), &facts).is_empty()));
 }
 
 #[divan::bench(sample_count = 20)]
--- a/broker/crates/blocks/tests/golden.rs
+++ b/broker/crates/blocks/tests/golden.rs
@@ -1,17 +1,18 @@
-//! What is stored and sent about blocks, against bytes that an earlier version of this package wrote.
-//!
-//! The texts of findings, and the JSON forms of findings and passages, are shown to operators as they stand here: they are pinned
-//! with the rest. `GOLDEN_WRITE=1` writes the files anew.
+//! Checks stored and transmitted data about blocks against bytes that an earlier version of this package wrote.
+//! The texts of findings and the JSON forms of findings and transitions are visible to operators, so they are
+//! checked too. `GOLDEN_WRITE=1` rewrites the files.
 #![allow(clippy::unwrap_used)]
 
 use std::fmt::Debug;
 use std::path::PathBuf;
 
 use gingerledge_blocks::validate::{
-    Bounds, Document, Draft, Fault, Finding, Least, Names, Passage, Row, Site,
+    Bounds, Document, Draft, Fault, Finding, Names, Redundancy, Row, Site, Transition,
+};
+use gingerledge_blocks::validate::{EntryWait, Standing, Unfit};
+use gingerledge_blocks::wire::{
+    self, CopyReply, CopyRequest, HeldBlock, LogSection, MapPage, OrderReply, SectionRequest,
 };
-use gingerledge_blocks::validate::{Standing, Unfit, Wait};
-use gingerledge_blocks::wire::{self, Copied, CopyCall, Held, News, Stretch, TailCall, Word};
 use gingerledge_blocks::*;
 use gingerledge_golden::{compare, read, Sample};
 use serde::de::DeserializeOwned;
@@ -21,28 +22,28 @@
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name)
 }
 
-/// Reads recorded bytes of one value, compares it, and packs it again.
+/// Reads recorded bytes of one value, compares the value, and encodes it again.
 type Check = Box<dyn Fn(&[u8])>;
 
-/// Values with their names. Compares what they are packed to with the file, then reads the file's bytes back.
-struct Packed {
+/// Named values. Compares their encoding with the file, then decodes the bytes of the file.
+struct EncodedSamples {
     file: PathBuf,
     samples: Vec<Sample>,
     checks: Vec<Check>,
 }
 
-impl Packed {
+impl EncodedSamples {
     fn new(name: &str) -> Self {
         Self { file: file(name), samples: Vec::new(), checks: Vec::new() }
     }
 
     fn add<T: Serialize + DeserializeOwned + PartialEq + Debug + 'static>(&mut self, name: &str, value: T) {
-        self.samples.push(Sample::new(name, wire::pack(&value)));
+        self.samples.push(Sample::new(name, wire::encode(&value)));
         let name = name.to_owned();
         self.checks.push(Box::new(move |bytes| {
-            let read: T = wire::unpack(bytes).unwrap_or_else(|| panic!("{name} can't be read"));
+            let read: T = wire::decode(bytes).unwrap_or_else(|| panic!("{name} can't be read"));
             assert!(read == value, "{name} reads as {read:?}");
-            assert_eq!(wire::pack(&read), bytes, "{name}");
+            assert_eq!(wire::encode(&read), bytes, "{name}");
         }));
     }
 
@@ -60,7 +61,7 @@
 }
 
 fn epoch(n: u32) -> Epoch {
-    Epoch::of(Term(3), n)
+    Epoch::from_parts(Term(3), n)
 }
 
 fn every_step() -> Vec<(&'static str, Step)> {
@@ -115,31 +116,31 @@
     ]
 }
 
-fn every_kind() -> Vec<(&'static str, Kind)> {
+fn every_kind() -> Vec<(&'static str, ChangeKind)> {
     let holders = vec![StoreId(1), StoreId(300)];
     let halves = vec![(BlockId(8), Span::new(300, 5000)), (BlockId(9), Span::new(5000, 70_000))];
     vec![
-        ("move", Kind::Move { from: StoreId(1), to: StoreId(2) }),
-        ("add", Kind::Add { source: StoreId(1), to: StoreId(2) }),
-        ("remove", Kind::Remove { from: StoreId(1), keeper: StoreId(2) }),
-        ("split", Kind::Split { holders: holders.clone(), new: halves }),
-        ("merge", Kind::Merge { with: BlockId(6), holders, new: vec![(BlockId(10), span())] }),
+        ("move", ChangeKind::Move { from: StoreId(1), to: StoreId(2) }),
+        ("add", ChangeKind::Add { source: StoreId(1), to: StoreId(2) }),
+        ("remove", ChangeKind::Remove { from: StoreId(1), remaining_holder: StoreId(2) }),
+        ("split", ChangeKind::Split { holders: holders.clone(), new: halves }),
+        ("merge", ChangeKind::Merge { with: BlockId(6), holders, new: vec![(BlockId(10), span())] }),
     ]
 }
 
-fn change(kind: Kind) -> Change {
+fn change(kind: ChangeKind) -> Change {
     Change::new(ChangeId(400), BlockId(5), span(), kind, epoch(1), epoch(2))
 }
 
-/// A change that has gone to its fence: the fields that none sets from outside differ from one another.
-fn change_under_way() -> Change {
-    let patience = Patience::default();
-    let done = |watermark| Ok(Done { mode: Some(Mode::Copying), watermark, copied: 0 });
-    let mut change = change(Kind::Move { from: StoreId(1), to: StoreId(2) });
+/// Returns a change that has reached its fence: its private fields have values that differ from one another.
+fn fenced_change() -> Change {
+    let patience = Timeouts::default();
+    let done = |watermark| Ok(OrderOutcome { mode: Some(Mode::Copying), watermark, copied: 0 });
+    let mut change = change(ChangeKind::Move { from: StoreId(1), to: StoreId(2) });
     change.handle(1000, Input::Resume, &patience);
-    change.handle(1100, Input::Said(StoreId(2), done(0)), &patience);
+    change.handle(1100, Input::Reply(StoreId(2), done(0)), &patience);
     change.handle(1200, Input::Copied { copied: 500, length: 501 }, &patience);
-    change.handle(1300, Input::Silent(StoreId(1)), &patience);
+    change.handle(1300, Input::NoReply(StoreId(1)), &patience);
     change
 }
 
@@ -165,7 +166,7 @@
 fn snapshot() -> Snapshot {
     let bare = Block { id: BlockId(6), extent: None, span: Span::new(70_000, 80_000), ..block() };
     let gone = vec![(BlockId(4), Span::new(0, 300), epoch(6))];
-    Snapshot { version: 1234, living: vec![block(), bare], retired: gone }
+    Snapshot { version: 1234, active: vec![block(), bare], retired: gone }
 }
 
 fn stores() -> Vec<(StoreId, String)> {
@@ -177,15 +178,14 @@
 }
 
 fn state() -> State {
-    let changes =
-        every_kind().into_iter().map(|(_, kind)| change(kind)).chain([change_under_way()]).collect();
+    let changes = every_kind().into_iter().map(|(_, kind)| change(kind)).chain([fenced_change()]).collect();
     State {
         term: Term(3),
         stores: stores(),
         map: snapshot(),
         changes,
         paused: true,
-        given: (10, 400, 70_000),
+        last_assigned: (10, 400, 70_000),
     }
 }
 
@@ -194,14 +194,14 @@
         ("start of an empty state".to_owned(), LogRecord::Start(Box::default())),
         ("start".to_owned(), LogRecord::Start(Box::new(state()))),
         ("store".to_owned(), LogRecord::Store(StoreId(300), "s-93d04c1e".into())),
-        ("begin under way".to_owned(), LogRecord::Begin(change_under_way())),
+        ("begin under way".to_owned(), LogRecord::Begin(fenced_change())),
         (
             "batch".to_owned(),
-            LogRecord::Batch(Batch { version: 1235, records: vec![Record::Living(block()), retired()] }),
+            LogRecord::Batch(Batch { version: 1235, records: vec![Record::Active(block()), retired()] }),
         ),
         ("paused".to_owned(), LogRecord::Paused(true)),
         ("resumed".to_owned(), LogRecord::Paused(false)),
-        ("given".to_owned(), LogRecord::Given { blocks: 10, changes: 400, epochs: 70_000 }),
+        ("given".to_owned(), LogRecord::Assigned { blocks: 10, changes: 400, epochs: 70_000 }),
     ];
     let begin = |(name, kind)| (format!("begin {name}"), LogRecord::Begin(change(kind)));
     records.extend(every_kind().into_iter().map(begin));
@@ -219,49 +219,49 @@
 }
 
 #[test]
-fn log_records_are_written_and_read_as_they_were() {
+fn log_records_keep_their_encoding() {
     let samples: Vec<Sample> =
         every_record().iter().map(|(name, record)| Sample::new(name, encode(record))).collect();
     compare(&file("log_records.txt"), &samples);
     let recorded = read(&file("log_records.txt"));
     for (name, record) in every_record() {
         let bytes = [MAGIC.as_slice(), &recorded[&name]].concat();
-        let (records, sound) = decode(&bytes).unwrap();
+        let (records, valid_length) = decode(&bytes).unwrap();
         assert!(records == [record], "{name}");
-        assert_eq!(sound, bytes.len(), "{name}");
+        assert_eq!(valid_length, bytes.len(), "{name}");
         assert_eq!(encode(&records[0]), recorded[&name], "{name}");
     }
 }
 
 #[test]
-fn a_log_with_a_torn_tail_is_read_and_mended_as_it_was() {
+fn a_log_with_an_incomplete_last_record_is_repaired() {
     let records: Vec<LogRecord> = every_record().into_iter().map(|(_, record)| record).collect();
-    let (mut log, _) = Log::open(ForgetfulDisk::default()).unwrap();
+    let (mut log, _) = Log::open(SimulatedDisk::default()).unwrap();
     log.append(&records).unwrap();
-    let whole = log.disk().bytes().to_vec();
-    let torn = [&whole[..], &encode(&LogRecord::Store(StoreId(9), "torn".into()))[..11]].concat();
+    let complete = log.disk().bytes().to_vec();
+    let torn = [&complete[..], &encode(&LogRecord::Store(StoreId(9), "torn".into()))[..11]].concat();
     let path = file("log.txt");
-    compare(&path, &[Sample::new("whole", whole), Sample::new("torn", torn)]);
+    compare(&path, &[Sample::new("whole", complete), Sample::new("torn", torn)]);
     let mut recorded = read(&path);
-    let (torn, whole) = (recorded.remove("torn").unwrap(), recorded.remove("whole").unwrap());
-    let (read, sound) = decode(&torn).unwrap();
+    let (torn, complete) = (recorded.remove("torn").unwrap(), recorded.remove("whole").unwrap());
+    let (read, valid_length) = decode(&torn).unwrap();
     assert!(read == records);
-    assert_eq!(sound, whole.len());
-    let (log, opened) = Log::open(ForgetfulDisk::with(torn)).unwrap();
+    assert_eq!(valid_length, complete.len());
+    let (log, opened) = Log::open(SimulatedDisk::with(torn)).unwrap();
     assert!(opened == records);
-    assert_eq!(log.disk().bytes(), whole, "the torn record is cut off");
-    let (mut again, _) = Log::open(ForgetfulDisk::default()).unwrap();
+    assert_eq!(log.disk().bytes(), complete, "the torn record is cut off");
+    let (mut again, _) = Log::open(SimulatedDisk::default()).unwrap();
     again.append(&read).unwrap();
-    assert_eq!(again.disk().bytes(), whole);
+    assert_eq!(again.disk().bytes(), complete);
 }
 
-/// The state that a coordinator's term begins with: the first record of its log.
+/// Checks the initial state of a coordinator's term, which is the first record of its log.
 #[test]
-fn a_coordinator_begins_a_term_with_the_state_it_did() {
+fn the_initial_record_of_a_term_keeps_its_encoding() {
     let bounds = gingerledge_blocks::Bounds::default();
     let mut old = State { changes: Vec::new(), ..state() };
-    // What the retired block had is covered by the first that lives.
-    old.map.living[0].span.first = 0;
+    // The first active block covers what the retired block covered.
+    old.map.active[0].span.first = 0;
     let old = LogRecord::Start(Box::new(old));
     let (coordinator, start) = Coordinator::begin(5000, Term(4), vec![old], bounds).unwrap();
     compare(&file("coordinator.txt"), &[Sample::new("start of the next term", encode(&start))]);
@@ -273,99 +273,118 @@
 }
 
 #[test]
-fn orders_are_packed_and_read_as_they_were() {
+fn orders_keep_their_encoding() {
     let orders = [
         ("inventory", Order::Inventory),
-        ("found", Order::Found { span: span() }),
+        ("found", Order::Create { span: span() }),
         ("prepare", Order::Prepare { span: span(), from: StoreId(300) }),
         ("fence", Order::Fence { to: StoreId(300) }),
-        ("read", Order::Read),
+        ("read", Order::AllowReads),
         ("retire", Order::Retire),
         ("open", Order::Open),
         ("forget", Order::Forget),
         ("unfence", Order::Unfence),
-        ("name", Order::Name { old: vec![BlockId(1), BlockId(2)], new: vec![(BlockId(300), span())] }),
-        ("unname", Order::Unname { names: vec![BlockId(1), BlockId(300)] }),
+        ("name", Order::AddNames { old: vec![BlockId(1), BlockId(2)], new: vec![(BlockId(300), span())] }),
+        ("unname", Order::RemoveNames { names: vec![BlockId(1), BlockId(300)] }),
     ];
-    let mut packed = Packed::new("orders.txt");
+    let mut samples = EncodedSamples::new("orders.txt");
     for (name, order) in orders {
         let (term, serial, block) = (Term(3), 999, BlockId(5));
-        packed.add(name, Ordered { term, serial, block, epoch: epoch(1), order });
+        samples.add(name, StampedOrder { term, serial, block, epoch: epoch(1), order });
     }
-    packed.check();
+    samples.check();
 }
 
 fn holding(mode: Mode) -> Holding {
-    Holding { span: span(), epoch: epoch(2), since: epoch(1), mode, peer: Some(StoreId(300)), copied: 77_000 }
+    Holding {
+        span: span(),
+        epoch: epoch(2),
+        held_since: epoch(1),
+        mode,
+        peer: Some(StoreId(300)),
+        copied: 77_000,
+    }
 }
 
 #[test]
-fn words_are_packed_and_read_as_they_were() {
-    let mut packed = Packed::new("words.txt");
+fn order_replies_keep_their_encoding() {
+    let mut samples = EncodedSamples::new("words.txt");
     for (name, mode) in every_mode() {
-        packed
-            .add(&format!("done {name}"), Word::Done(Done { mode: Some(mode), watermark: 400, copied: 399 }));
+        samples.add(
+            &format!("done {name}"),
+            OrderReply::Done(OrderOutcome { mode: Some(mode), watermark: 400, copied: 399 }),
+        );
     }
-    packed.add("done and not held", Word::Done(Done { mode: None, watermark: 1, copied: 2 }));
+    samples.add("done and not held", OrderReply::Done(OrderOutcome { mode: None, watermark: 1, copied: 2 }));
     for (name, refusal) in every_refusal() {
-        packed.add(&format!("refused {name}"), Word::Refused(refusal));
+        samples.add(&format!("refused {name}"), OrderReply::Refused(refusal));
     }
-    let held = |mode| Held { block: BlockId(5), holding: holding(mode), bytes: 1_000_000, parts: 5 };
-    let mut all: Vec<Held> = every_mode().into_iter().map(|(_, mode)| held(mode)).collect();
+    let held = |mode| HeldBlock { block: BlockId(5), holding: holding(mode), bytes: 1_000_000, parts: 5 };
+    let mut all: Vec<HeldBlock> = every_mode().into_iter().map(|(_, mode)| held(mode)).collect();
     all[0].holding.peer = None;
-    packed.add("holds", Word::Holds { held: all, more: true });
-    packed.add("holds nothing", Word::Holds { held: Vec::new(), more: false });
-    packed.check();
+    samples.add("holds", OrderReply::Inventory { held: all, more: true });
+    samples.add("holds nothing", OrderReply::Inventory { held: Vec::new(), more: false });
+    samples.check();
 }
 
 #[test]
-fn copies_stretches_and_news_are_packed_and_read_as_they_were() {
+fn copy_section_and_map_messages_keep_their_encoding() {
     let entry = |key: &str| Entry { key: key.into(), weigher: 500, value: vec![1, 2, 255] };
-    let from = |text: &str| CopyCall {
+    let from = |text: &str| CopyRequest {
         block: BlockId(5),
         epoch: epoch(1),
         from: text.parse().unwrap(),
-        at: 300,
+        start: 300,
         bytes: 49_152,
     };
-    let mut packed = Packed::new("messages.txt");
-    packed.add("copy over IPv4", from("127.0.0.1:8080"));
-    packed.add("copy over IPv6", from("[2001:db8::7]:8080"));
-    packed.add("copied", Some(Copied { copied: 300, length: 400, bytes: 500 }));
-    packed.add("not copied", None::<Copied>);
-    packed.add("tail", TailCall { span: span(), at: 300, bytes: 49_152 });
-    packed.add("stretch", Stretch { entries: vec![entry("q1.3"), entry("")], next: 4, length: 900 });
-    let records = vec![Record::Living(block()), retired()];
-    let upto = Cursor { version: 1234, block: BlockId(5) };
-    packed.add("news", News { stores: stores(), records, upto, version: 1235, term: 3, whole: true });
-    packed.add(
+    let mut samples = EncodedSamples::new("messages.txt");
+    samples.add("copy over IPv4", from("127.0.0.1:8080"));
+    samples.add("copy over IPv6", from("[2001:db8::7]:8080"));
+    samples.add("copied", Some(CopyReply { copied: 300, length: 400, bytes: 500 }));
+    samples.add("not copied", None::<CopyReply>);
+    samples.add("tail", SectionRequest { span: span(), start: 300, bytes: 49_152 });
+    samples.add("stretch", LogSection { entries: vec![entry("q1.3"), entry("")], next: 4, length: 900 });
+    let records = vec![Record::Active(block()), retired()];
+    let cursor = Cursor { version: 1234, block: BlockId(5) };
+    samples.add(
+        "news",
+        MapPage { stores: stores(), records, cursor, version: 1235, term: 3, is_full_map: true },
+    );
+    samples.add(
         "no news",
-        News { stores: vec![], records: vec![], upto: Cursor::at(9), version: 9, term: 3, whole: false },
+        MapPage {
+            stores: vec![],
+            records: vec![],
+            cursor: Cursor::after_version(9),
+            version: 9,
+            term: 3,
+            is_full_map: false,
+        },
     );
-    packed.check();
+    samples.check();
 }
 
 #[test]
-fn what_is_kept_on_disk_is_packed_and_read_as_it_was() {
+fn stored_data_keeps_its_encoding() {
     let blocks = every_mode().into_iter().map(|(_, mode)| (BlockId(5), holding(mode))).collect();
     let entries = vec![Entry { key: "q1.3".into(), weigher: 500, value: vec![1, 2, 255] }];
-    let (gone, latest) = (vec![(BlockId(4), epoch(6))], vec![(BlockId(5), 999)]);
-    let mut packed = Packed::new("kept.txt");
-    packed.add("a store's disk", Kept { term: Term(3), blocks, gone, latest, entries });
-    packed.add("a map", snapshot());
-    packed.add("a broker's kept map", (snapshot(), stores(), 3u32));
-    packed.check();
+    let (deleted, last_serials) = (vec![(BlockId(4), epoch(6))], vec![(BlockId(5), 999)]);
+    let mut samples = EncodedSamples::new("kept.txt");
+    samples.add("a store's disk", DurableState { term: Term(3), blocks, deleted, last_serials, entries });
+    samples.add("a map", snapshot());
+    samples.add("a broker's kept map", (snapshot(), stores(), 3u32));
+    samples.check();
 }
 
 #[test]
-fn the_letters_are_what_they_were() {
-    let letters = [wire::ORDER, wire::WORD, wire::COPY, wire::COPIED, wire::TAIL, wire::STRETCH];
+fn frame_types_and_magic_bytes_are_unchanged() {
+    let letters = [wire::ORDER, wire::REPLY, wire::COPY, wire::COPIED, wire::READ_SECTION, wire::SECTION];
     compare(&file("letters.txt"), &[Sample::new("letters", letters), Sample::new("magic", *MAGIC)]);
 }
 
-/// The map's form in a text format. No program writes it today; the names of its fields are pinned by it.
+/// Checks the JSON form of the map. No program writes it at present; this test fixes the names of its fields.
 #[test]
-fn the_map_as_json_is_what_it_was() {
+fn the_json_form_of_the_map_is_unchanged() {
     let path = file("map_json.txt");
     let map = serde_json::to_vec(&snapshot()).unwrap();
     compare(&path, &[Sample::new("map", map)]);
@@ -409,7 +428,7 @@
 }
 
 #[test]
-fn findings_are_shown_to_operators_as_they_were() {
+fn findings_keep_their_texts_and_json_forms() {
     let mut samples = Vec::new();
     for (n, (name, fault)) in every_fault().into_iter().enumerate() {
         let placed = n % 2 == 0;
@@ -422,14 +441,15 @@
         samples.push(Sample::new(&format!("{name}, JSON"), serde_json::to_vec(&finding).unwrap()));
         samples.push(Sample::new(&format!("{name}, text"), finding.to_string()));
     }
-    let wait = Wait { keys: span(), block: BlockId(5), from: vec!["s-1".into()], to: vec!["s-2".into()] };
+    let wait =
+        EntryWait { keys: span(), block: BlockId(5), from: vec!["s-1".into()], to: vec!["s-2".into()] };
     let finding = Finding { fault: Fault::Gap, keys: None, blocks: Vec::new(), lines: Vec::new() };
-    let passage = Passage { findings: vec![finding], waits: vec![wait] };
+    let passage = Transition { findings: vec![finding], waits: vec![wait] };
     samples.push(Sample::new("passage, JSON", serde_json::to_vec(&passage).unwrap()));
     compare(&file("findings.txt"), &samples);
 }
 
-/// A map as an operator writes it, with every key and every state.
+/// A map document with every key and every store state.
 const DOCUMENT: &str = r#"version = 7
 keys = [0, 200]
 retired = [3]
@@ -471,7 +491,7 @@
 "#;
 
 #[test]
-fn a_map_document_is_read_as_it_was() {
+fn a_map_document_is_parsed_as_before() {
     let path = file("document.txt");
     compare(&path, &[Sample::new("document", DOCUMENT)]);
     let text = String::from_utf8(read(&path).remove("document").unwrap()).unwrap();
@@ -487,7 +507,7 @@
         line,
     };
     let read = &document.draft;
-    // Zones and regions have numbers in the order in which they are met.
+    // Zones and regions are numbered in the order of their first occurrence.
     let (north, none) = (read.sites[0].region, read.sites[1].region);
     let (a, b, c) = (read.sites[0].zone, read.sites[1].zone, read.sites[3].zone);
     assert!(north != none && a != b && b != c && a != c);
@@ -505,7 +525,7 @@
     };
     let expected = Draft {
         keys: Span::new(0, 200),
-        least: Least { holders: 2, zones: 3 },
+        minimum: Redundancy { holders: 2, zones: 3 },
         sites: vec![
             site(0, a, north, 100.0, Standing::Listed, lines(0)),
             site(1, b, none, 50.0, Standing::Cold, lines(1)),
--- a/broker/crates/blocks/tests/model.rs
+++ b/broker/crates/blocks/tests/model.rs
@@ -1,139 +1,143 @@
-//! A move explored exhaustively: a coordinator, two stores, one entry under way, messages that are lost, repeated and
-//! reordered, and one crash of the coordinator. Without the fence the same exploration has to find a fault.
+//! Exhaustive exploration of a move with a coordinator, two stores, one entry in progress, lost, repeated and
+//! reordered messages, and one crash of the coordinator. Without the fence the same exploration must find a
+//! fault.
 
 #![allow(clippy::unwrap_used)]
 
-mod shown;
+mod model_store;
 
 use gingerledge_blocks::{
-    BlockId, Change, ChangeId, Done, Effect, Entry, Epoch, Holdings, Input, Kind, Mode, Order, Ordered,
-    Patience, Refusal, Span, Step, StoreId, Term, Verdict,
+    Admission, BlockId, Change, ChangeId, ChangeKind, Effect, Entry, Epoch, Holdings, Input, Mode, Order,
+    OrderOutcome, Refusal, Span, StampedOrder, Step, StoreId, Term, Timeouts,
 };
-use shown::Store;
+use model_store::ModelStore;
 use stateright::{Checker, Model, Property};
 
 const BLOCK: BlockId = BlockId(1);
 const SPAN: Span = Span { first: 0, end: 10 };
 const KEY: &str = "q1.1";
 
-/// What is on the wire. A set, so that messages are reordered; taking one may leave it there, so that it is repeated.
+/// Messages in transit. They are a set, so that messages are reordered; delivering one may keep it in the set,
+/// so that it is repeated.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-enum Wire {
+enum Message {
     Order(usize, Step, Epoch, Order),
-    Word(usize, Step, Result<Done, Refusal>),
+    Reply(usize, Step, Result<OrderOutcome, Refusal>),
     Copy(Step, u64),
     Copied(Step, u64, u64),
     Entry(usize, Epoch),
-    Ran(usize, bool),
+    EntryReply(usize, bool),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct World {
+struct ModelState {
     change: Change,
-    /// What the log says.
+    /// Step recorded in the log.
     logged: Step,
     committed: bool,
-    stores: [Store; 2],
-    wire: std::collections::BTreeSet<Wire>,
-    /// Attempts of the entry that were sent, and what is known of the last.
-    sent: u8,
-    out: bool,
+    stores: [ModelStore; 2],
+    messages: std::collections::BTreeSet<Message>,
+    /// Number of attempts to send the entry. The fields after it hold the outcome of the last attempt.
+    entry_attempts: u8,
+    awaiting_entry_reply: bool,
     may_have_run: bool,
     acknowledged: bool,
-    runs: u8,
+    executions: u8,
     crashes: u8,
     losses: u8,
-    patience: u8,
+    abandon_requests: u8,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum Act {
-    Deliver(Wire, bool),
-    Lose(Wire),
+enum Action {
+    Deliver(Message, bool),
+    Lose(Message),
     Crash,
-    Impatient,
-    Again,
+    Abandon,
+    Repeat,
     Send(usize),
 }
 
 struct Move {
-    fenceless: bool,
+    is_fence_disabled: bool,
 }
 
-fn patience() -> Patience {
-    Patience { again_ms: 1, again_most_ms: 1, step_ms: 100, lag: 0 }
+fn timeouts() -> Timeouts {
+    Timeouts { retry_initial_ms: 1, retry_max_ms: 1, step_timeout_ms: 100, max_lag_entries: 0 }
 }
 
-fn fresh() -> Change {
-    let kind = Kind::Move { from: StoreId(0), to: StoreId(1) };
-    let (epoch, back) = (Epoch::of(Term(1), 2), Epoch::of(Term(1), 3));
-    Change::new(ChangeId(1), BLOCK, SPAN, kind, epoch, back)
+fn initial_change() -> Change {
+    let kind = ChangeKind::Move { from: StoreId(0), to: StoreId(1) };
+    let (epoch, rollback_epoch) = (Epoch::from_parts(Term(1), 2), Epoch::from_parts(Term(1), 3));
+    Change::new(ChangeId(1), BLOCK, SPAN, kind, epoch, rollback_epoch)
 }
 
 impl Move {
-    fn play(&self, world: &mut World, input: Input, now: u64) {
+    fn apply_input(&self, state: &mut ModelState, input: Input, now: u64) {
         let mut inputs = vec![input];
         while let Some(input) = inputs.pop() {
-            let effects = world.change.handle(now, input, &patience());
-            let step = world.change.step;
+            let effects = state.change.handle(now, input, &timeouts());
+            let step = state.change.step;
             for effect in effects {
                 match effect {
-                    Effect::Record(step) => world.logged = step,
+                    Effect::Record(step) => state.logged = step,
                     Effect::Order(store, _, epoch, order) => {
-                        world.wire.insert(Wire::Order(store.0 as usize, step, epoch, order));
+                        state.messages.insert(Message::Order(store.0 as usize, step, epoch, order));
                     }
-                    Effect::Copy { at, .. } => drop(world.wire.insert(Wire::Copy(step, at))),
+                    Effect::Copy { start, .. } => drop(state.messages.insert(Message::Copy(step, start))),
                     Effect::Commit => {
-                        world.committed = true;
+                        state.committed = true;
                         inputs.push(Input::Committed);
                     }
                 }
             }
         }
-        if world.change.step.ended() {
-            // What is still on the wire belongs to the past; the entry alone goes on.
-            world.wire.retain(|wire| matches!(wire, Wire::Order(..) | Wire::Entry(..) | Wire::Ran(..)));
+        if state.change.step.has_ended() {
+            // The remaining messages belong to an ended change; only the entry is still processed.
+            state.messages.retain(|message| {
+                matches!(message, Message::Order(..) | Message::Entry(..) | Message::EntryReply(..))
+            });
         }
     }
 
-    fn deliver(&self, world: &mut World, wire: Wire) {
-        match wire {
-            Wire::Order(store, step, epoch, order) => {
-                let ordered = Ordered { term: Term(1), serial: 1, block: BLOCK, epoch, order };
-                let word = world.stores[store].0.obey(&ordered);
-                world.wire.insert(Wire::Word(store, step, word));
+    fn deliver(&self, state: &mut ModelState, message: Message) {
+        match message {
+            Message::Order(store, step, epoch, order) => {
+                let stamped = StampedOrder { term: Term(1), serial: 1, block: BLOCK, epoch, order };
+                let reply = state.stores[store].0.carry_out(&stamped);
+                state.messages.insert(Message::Reply(store, step, reply));
             }
-            Wire::Word(store, step, word) if world.change.step == step => {
-                self.play(world, Input::Said(StoreId(store as u32), word), 0);
+            Message::Reply(store, step, reply) if state.change.step == step => {
+                self.apply_input(state, Input::Reply(StoreId(store as u32), reply), 0);
             }
-            Wire::Copy(step, at) => {
-                let (entries, next) = world.stores[0].0.tail(SPAN, at, 1000);
-                let length = world.stores[0].0.entries().len() as u64;
-                let epoch = world.change.epoch;
-                world.stores[1].0.absorb(BLOCK, epoch, at, entries, next);
-                let copied = world.stores[1].0.block(BLOCK).map_or(0, |held| held.copied);
-                world.wire.insert(Wire::Copied(step, copied, length));
+            Message::Copy(step, at) => {
+                let (entries, next) = state.stores[0].0.read_section(SPAN, at, 1000);
+                let length = state.stores[0].0.entries().len() as u64;
+                let epoch = state.change.epoch;
+                state.stores[1].0.apply_section(BLOCK, epoch, at, entries, next);
+                let copied = state.stores[1].0.block(BLOCK).map_or(0, |held| held.copied);
+                state.messages.insert(Message::Copied(step, copied, length));
             }
-            Wire::Copied(step, copied, length) if world.change.step == step => {
-                self.play(world, Input::Copied { copied, length }, 0);
+            Message::Copied(step, copied, length) if state.change.step == step => {
+                self.apply_input(state, Input::Copied { copied, length }, 0);
             }
-            Wire::Entry(store, epoch) => {
-                let verdict = world.stores[store].0.admit(BLOCK, epoch, Some(KEY));
+            Message::Entry(store, epoch) => {
+                let verdict = state.stores[store].0.admission(BLOCK, epoch, Some(KEY));
                 let good = match verdict {
-                    Verdict::Run(_) => {
+                    Admission::Execute(_) => {
                         let entry = Entry { key: KEY.into(), weigher: 3, value: vec![1] };
-                        world.runs += u8::from(world.stores[store].0.run(entry));
+                        state.executions += u8::from(state.stores[store].0.append(entry));
                         true
                     }
-                    Verdict::Known(_) => true,
-                    Verdict::Later(_) => false,
+                    Admission::Duplicate(_) => true,
+                    Admission::Reject(_) => false,
                 };
-                world.wire.insert(Wire::Ran(store, good));
+                state.messages.insert(Message::EntryReply(store, good));
             }
-            Wire::Ran(_, good) if world.out => {
-                world.out = false;
-                world.acknowledged |= good;
-                world.may_have_run |= good;
+            Message::EntryReply(_, good) if state.awaiting_entry_reply => {
+                state.awaiting_entry_reply = false;
+                state.acknowledged |= good;
+                state.may_have_run |= good;
             }
             _ => {}
         }
@@ -141,161 +145,177 @@
 }
 
 impl Model for Move {
-    type State = World;
-    type Action = Act;
+    type State = ModelState;
+    type Action = Action;
 
-    fn init_states(&self) -> Vec<World> {
-        let new = if self.fenceless { Holdings::without_fence } else { Holdings::new };
-        let mut stores = [Store(new(4)), Store(new(4))];
-        let found = Order::Found { span: SPAN };
-        let ordered =
-            Ordered { term: Term(1), serial: 1, block: BLOCK, epoch: Epoch::of(Term(1), 1), order: found };
-        stores[0].0.obey(&ordered).unwrap();
-        stores[0].0.run(Entry { key: "old".into(), weigher: 1, value: vec![0] });
-        let change = fresh();
-        let mut world = World {
+    fn init_states(&self) -> Vec<ModelState> {
+        let new = if self.is_fence_disabled { Holdings::without_fence } else { Holdings::new };
+        let mut stores = [ModelStore(new(4)), ModelStore(new(4))];
+        let found = Order::Create { span: SPAN };
+        let stamped = StampedOrder {
+            term: Term(1),
+            serial: 1,
+            block: BLOCK,
+            epoch: Epoch::from_parts(Term(1), 1),
+            order: found,
+        };
+        stores[0].0.carry_out(&stamped).unwrap();
+        stores[0].0.append(Entry { key: "old".into(), weigher: 1, value: vec![0] });
+        let change = initial_change();
+        let mut state = ModelState {
             logged: change.step,
             change,
             committed: false,
             stores,
-            wire: Default::default(),
-            sent: 0,
-            out: false,
+            messages: Default::default(),
+            entry_attempts: 0,
+            awaiting_entry_reply: false,
             may_have_run: false,
             acknowledged: false,
-            runs: 0,
+            executions: 0,
             crashes: 0,
             losses: 0,
-            patience: 0,
+            abandon_requests: 0,
         };
-        self.play(&mut world, Input::Resume, 0);
-        vec![world]
+        self.apply_input(&mut state, Input::Resume, 0);
+        vec![state]
     }
 
-    fn actions(&self, world: &World, actions: &mut Vec<Act>) {
-        for wire in &world.wire {
-            actions.push(Act::Deliver(wire.clone(), false));
-            // Orders may come twice; an entry's call goes over one connection and can't.
-            if matches!(wire, Wire::Order(..)) && world.losses < 2 {
-                actions.push(Act::Deliver(wire.clone(), true));
+    fn actions(&self, state: &ModelState, actions: &mut Vec<Action>) {
+        for message in &state.messages {
+            actions.push(Action::Deliver(message.clone(), false));
+            // Orders may be delivered twice. The request for an entry uses one connection, so it cannot.
+            if matches!(message, Message::Order(..)) && state.losses < 2 {
+                actions.push(Action::Deliver(message.clone(), true));
             }
-            if world.losses < 2 {
-                actions.push(Act::Lose(wire.clone()));
+            if state.losses < 2 {
+                actions.push(Action::Lose(message.clone()));
             }
         }
-        if world.crashes == 0 {
-            actions.push(Act::Crash);
+        if state.crashes == 0 {
+            actions.push(Action::Crash);
         }
-        if world.patience == 0 && !world.change.step.ended() {
-            actions.push(Act::Impatient);
+        if state.abandon_requests == 0 && !state.change.step.has_ended() {
+            actions.push(Action::Abandon);
         }
-        // An order is given again once nothing of its step is under way.
-        let step = world.change.step;
-        let under_way = |wire: &Wire| match wire {
-            Wire::Order(_, of, ..) | Wire::Word(_, of, _) | Wire::Copy(of, _) | Wire::Copied(of, ..) => {
-                *of == step
-            }
-            Wire::Entry(..) | Wire::Ran(..) => false,
+        // An order is repeated once no message of its step is in transit.
+        let step = state.change.step;
+        let in_transit = |message: &Message| match message {
+            Message::Order(_, message_step, ..)
+            | Message::Reply(_, message_step, _)
+            | Message::Copy(message_step, _)
+            | Message::Copied(message_step, ..) => *message_step == step,
+            Message::Entry(..) | Message::EntryReply(..) => false,
         };
-        if !step.ended() && !world.wire.iter().any(under_way) {
-            actions.push(Act::Again);
+        if !step.has_ended() && !state.messages.iter().any(in_transit) {
+            actions.push(Action::Repeat);
         }
-        if !world.out && !world.may_have_run && world.sent < 2 {
-            actions.push(Act::Send(usize::from(world.committed)));
+        if !state.awaiting_entry_reply && !state.may_have_run && state.entry_attempts < 2 {
+            actions.push(Action::Send(usize::from(state.committed)));
         }
     }
 
-    fn next_state(&self, last: &World, act: Act) -> Option<World> {
-        let mut world = last.clone();
+    fn next_state(&self, previous: &ModelState, act: Action) -> Option<ModelState> {
+        let mut state = previous.clone();
         match act {
-            Act::Deliver(wire, keep) => {
+            Action::Deliver(message, keep) => {
                 if keep {
-                    world.losses += 1;
+                    state.losses += 1;
                 } else {
-                    world.wire.remove(&wire);
+                    state.messages.remove(&message);
                 }
-                self.deliver(&mut world, wire);
+                self.deliver(&mut state, message);
             }
-            Act::Lose(wire) => {
-                world.losses += 1;
-                world.wire.remove(&wire);
-                if matches!(wire, Wire::Entry(..) | Wire::Ran(..)) {
-                    // Timed out: it may have run, and is never sent again.
-                    (world.out, world.may_have_run) = (false, true);
+            Action::Lose(message) => {
+                state.losses += 1;
+                state.messages.remove(&message);
+                if matches!(message, Message::Entry(..) | Message::EntryReply(..)) {
+                    // The request timed out: the entry may have been executed, and is never sent again.
+                    (state.awaiting_entry_reply, state.may_have_run) = (false, true);
                 }
             }
-            Act::Crash => {
-                world.crashes += 1;
-                // What lasts is the change as it began, and the step in the log.
-                world.change = fresh();
-                world.change.recovered(world.logged);
-                self.play(&mut world, Input::Resume, 0);
+            Action::Crash => {
+                state.crashes += 1;
+                // The durable state is the initial change, and the step in the log.
+                state.change = initial_change();
+                state.change.restore_step(state.logged);
+                self.apply_input(&mut state, Input::Resume, 0);
             }
-            Act::Impatient => {
-                world.patience += 1;
-                self.play(&mut world, Input::Abandon, 0);
+            Action::Abandon => {
+                state.abandon_requests += 1;
+                self.apply_input(&mut state, Input::Abandon, 0);
             }
-            // An order that was lost is given again.
-            Act::Again => self.play(&mut world, Input::Resume, 0),
-            Act::Send(store) => {
-                (world.sent, world.out) = (world.sent + 1, true);
-                let epoch = if world.committed { world.change.epoch } else { Epoch::of(Term(1), 1) };
-                world.wire.insert(Wire::Entry(store, epoch));
+            // Repeats a lost order.
+            Action::Repeat => self.apply_input(&mut state, Input::Resume, 0),
+            Action::Send(store) => {
+                (state.entry_attempts, state.awaiting_entry_reply) = (state.entry_attempts + 1, true);
+                let epoch = if state.committed { state.change.epoch } else { Epoch::from_parts(Term(1), 1) };
+                state.messages.insert(Message::Entry(store, epoch));
             }
         }
-        // A word on a step that has passed is dropped by whoever hosts the change.
-        let step = world.change.step;
-        world.wire.retain(|wire| match wire {
-            Wire::Word(_, of, _) | Wire::Copied(of, ..) => *of == step,
+        // Replies to an earlier step are dropped by the caller of the state machine.
+        let step = state.change.step;
+        state.messages.retain(|message| match message {
+            Message::Reply(_, message_step, _) | Message::Copied(message_step, ..) => *message_step == step,
             _ => true,
         });
-        (world != *last).then_some(world)
+        (state != *previous).then_some(state)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("never held by nobody", |_, world: &World| {
-                // Whoever the map names now lets reads in.
-                let now = usize::from(world.committed);
-                let source_still =
-                    !matches!(world.stores[0].0.admit(BLOCK, Epoch(u64::MAX), None), Verdict::Later(_));
-                let named =
-                    !matches!(world.stores[now].0.admit(BLOCK, Epoch(u64::MAX), None), Verdict::Later(_));
-                named || (source_still && world.committed)
+            Property::always("some store accepts reads at any time", |_, state: &ModelState| {
+                // The store that the map names accepts reads.
+                let now = usize::from(state.committed);
+                let source_still = !matches!(
+                    state.stores[0].0.admission(BLOCK, Epoch(u64::MAX), None),
+                    Admission::Reject(_)
+                );
+                let named = !matches!(
+                    state.stores[now].0.admission(BLOCK, Epoch(u64::MAX), None),
+                    Admission::Reject(_)
+                );
+                named || (source_still && state.committed)
             }),
-            Property::always("never run twice", |_, world: &World| world.runs <= 1),
-            Property::always("never two that take entries", |_, world: &World| {
-                let takes = |s: &Store| s.0.block(BLOCK).is_some_and(|held| held.mode == Mode::Open);
-                !(takes(&world.stores[0]) && takes(&world.stores[1]))
+            Property::always("no entry is executed twice", |_, state: &ModelState| state.executions <= 1),
+            Property::always("at most one store accepts entries", |_, state: &ModelState| {
+                let accepts_entries =
+                    |s: &ModelStore| s.0.block(BLOCK).is_some_and(|held| held.mode == Mode::Open);
+                !(accepts_entries(&state.stores[0]) && accepts_entries(&state.stores[1]))
             }),
-            Property::always("nothing acknowledged is lost", |_, world: &World| {
-                let has = |s: &Store| s.0.entries().iter().any(|entry| entry.key == KEY);
-                match world.change.step {
-                    Step::Done => !world.acknowledged || has(&world.stores[1]),
-                    Step::Abandoned => !world.acknowledged || has(&world.stores[0]),
+            Property::always("no acknowledged entry is lost", |_, state: &ModelState| {
+                let has = |s: &ModelStore| s.0.entries().iter().any(|entry| entry.key == KEY);
+                match state.change.step {
+                    Step::Done => !state.acknowledged || has(&state.stores[1]),
+                    Step::Abandoned => !state.acknowledged || has(&state.stores[0]),
                     _ => true,
                 }
             }),
-            Property::always("what ends, ends with one open holder", |_, world: &World| {
-                let open = |s: &Store| s.0.block(BLOCK).is_some_and(|held| held.mode == Mode::Open);
-                match world.change.step {
-                    Step::Done => open(&world.stores[1]),
-                    Step::Abandoned => open(&world.stores[0]) && !world.committed,
+            Property::always("an ended change leaves one open holder", |_, state: &ModelState| {
+                let open = |s: &ModelStore| s.0.block(BLOCK).is_some_and(|held| held.mode == Mode::Open);
+                match state.change.step {
+                    Step::Done => open(&state.stores[1]),
+                    Step::Abandoned => open(&state.stores[0]) && !state.committed,
                     _ => true,
                 }
             }),
-            Property::sometimes("it gets done", |_, world: &World| world.change.step == Step::Done),
-            Property::sometimes("it goes back", |_, world: &World| world.change.step == Step::Abandoned),
-            Property::sometimes("an entry meets the fence and runs after it", |_, world: &World| {
-                world.sent == 2 && world.acknowledged
+            Property::sometimes("the change can complete", |_, state: &ModelState| {
+                state.change.step == Step::Done
+            }),
+            Property::sometimes("the change can be rolled back", |_, state: &ModelState| {
+                state.change.step == Step::Abandoned
             }),
+            Property::sometimes(
+                "an entry rejected by the fence is executed later",
+                |_, state: &ModelState| state.entry_attempts == 2 && state.acknowledged,
+            ),
         ]
     }
 }
 
 #[test]
-fn a_move_holds_its_promises_in_every_order_of_events() {
-    let checker = Move { fenceless: false }.checker().threads(4).spawn_bfs().join();
+fn a_move_keeps_its_invariants_in_every_order_of_events() {
+    let checker = Move { is_fence_disabled: false }.checker().threads(4).spawn_bfs().join();
     println!("{} states", checker.unique_state_count());
     checker.assert_properties();
     assert!(checker.unique_state_count() > 10_000, "{}", checker.unique_state_count());
@@ -303,7 +323,7 @@
 
 #[test]
 fn without_the_fence_the_same_exploration_finds_a_fault() {
-    let checker = Move { fenceless: true }.checker().threads(4).spawn_bfs().join();
+    let checker = Move { is_fence_disabled: true }.checker().threads(4).spawn_bfs().join();
     let found = checker.discoveries();
-    assert!(found.contains_key("nothing acknowledged is lost"), "{:?}", found.keys());
+    assert!(found.contains_key("no acknowledged entry is lost"), "{:?}", found.keys());
 }
--- a/broker/crates/blocks/tests/plan.rs
+++ b/broker/crates/blocks/tests/plan.rs
@@ -1,4 +1,4 @@
-//! Plans, and what comes of carrying them out again and again.
+//! Tests of the planner: single plans, and the result of carrying out plans repeatedly.
 #![allow(clippy::unwrap_used)]
 
 use std::collections::{HashMap, HashSet};
@@ -11,9 +11,9 @@
         id: StoreId(n),
         zone: n % zones,
         capacity: 1.0,
-        takes: true,
-        leaves: false,
-        sound: true,
+        accepts_blocks: true,
+        evacuate: false,
+        responds: true,
     };
     (0..count).map(store).collect()
 }
@@ -25,17 +25,17 @@
 }
 
 impl Fleet {
-    /// So many blocks, two replicas each, on the first `used` stores.
+    /// Creates blocks with two replicas each on the first `used` stores.
     fn new(blocks: u32, used: u32) -> Self {
         let mut map = BlockMap::new(100_000, 10);
         let replica = |store: u32| Replica { store: StoreId(store % used), state: ReplicaState::Serving };
         let records = (0..blocks).map(|n| {
             let span = Span::new(u64::from(n) * 100, u64::from(n) * 100 + 100);
             let replicas = vec![replica(n), replica(n + 1)];
-            Record::Living(Block {
+            Record::Active(Block {
                 id: BlockId(n),
                 span,
-                epoch: Epoch::of(Term(1), 1),
+                epoch: Epoch::from_parts(Term(1), 1),
                 replicas,
                 extent: None,
             })
@@ -47,7 +47,7 @@
                 BlockLoad {
                     bytes: 1000 + u64::from(n % 7) * 500,
                     load: 1.0 + f64::from(n % 3),
-                    rested: true,
+                    is_changeable: true,
                 },
             )
         };
@@ -59,59 +59,59 @@
     }
 
     fn carry_out(&mut self, plan: &Plan) {
-        for planned in &plan.wishes {
+        for planned in &plan.changes {
             self.epoch += 1;
             let serving = |store: &StoreId| Replica { store: *store, state: ReplicaState::Serving };
-            let (id, gone, new) = match &planned.wish {
-                Wish::Move(id, from, to) => (*id, Some(*from), Some(serving(to))),
-                Wish::Add(id, to) => (*id, None, Some(serving(to))),
-                Wish::Remove(id, from) => (*id, Some(*from), None),
+            let (id, gone, new) = match &planned.change {
+                ChangeRequest::Move(id, from, to) => (*id, Some(*from), Some(serving(to))),
+                ChangeRequest::Add(id, to) => (*id, None, Some(serving(to))),
+                ChangeRequest::Remove(id, from) => (*id, Some(*from), None),
                 _ => continue,
             };
             let mut block = self.map.block(id).unwrap().clone();
             block.replicas.retain(|r| Some(r.store) != gone);
             block.replicas.extend(new);
-            block.epoch = Epoch::of(Term(1), self.epoch);
-            let batch = Batch { version: self.map.version() + 1, records: vec![Record::Living(block)] };
+            block.epoch = Epoch::from_parts(Term(1), self.epoch);
+            let batch = Batch { version: self.map.version() + 1, records: vec![Record::Active(block)] };
             self.map.apply(&batch).unwrap();
         }
     }
 
-    /// Plans and carries out until nothing is asked for; gives how many wishes that took.
+    /// Plans and carries out changes until the plan is empty; returns the number of changes.
     fn settle(&mut self, stores: &[StoreState], goal: &Goal) -> usize {
-        let mut wishes = 0;
+        let mut changes = 0;
         for _ in 0..200 {
             let plan = self.plan(stores, goal);
-            if plan.wishes.is_empty() {
-                return wishes;
+            if plan.changes.is_empty() {
+                return changes;
             }
-            wishes += plan.wishes.len();
+            changes += plan.changes.len();
             self.carry_out(&plan);
         }
         panic!("plans never come to an end");
     }
 
     fn count(&self, store: u32) -> usize {
-        self.map.at_store(StoreId(store)).count()
+        self.map.blocks_at_store(StoreId(store)).count()
     }
 }
 
 #[test]
-fn stores_switched_on_fill_up_and_what_drains_is_emptied() {
+fn new_stores_receive_blocks_and_draining_stores_are_emptied() {
     let goal = Goal::default();
     let mut stores = stores(12, 3);
     let mut fleet = Fleet::new(120, 6);
     fleet.settle(&stores, &goal);
     assert!((0..12).all(|n| fleet.count(n) > 0), "every store has blocks");
     let skew = fleet.plan(&stores, &goal).skew.0;
-    assert!(skew <= 1.0 + goal.uneven, "skew {skew}");
+    assert!(skew <= 1.0 + goal.imbalance_start, "skew {skew}");
     for block in fleet.map.blocks() {
         let zones: HashSet<u32> = block.holders().map(|s| s.0 % 3).collect();
         assert_eq!(zones.len(), 2, "{}", block.id);
     }
-    // Back to six: the others drain.
+    // The other six stores drain.
     for store in &mut stores[6..] {
-        (store.takes, store.leaves) = (false, true);
+        (store.accepts_blocks, store.evacuate) = (false, true);
     }
     fleet.settle(&stores, &goal);
     assert!((6..12).all(|n| fleet.count(n) == 0), "what drains is empty");
@@ -119,46 +119,46 @@
 }
 
 #[test]
-fn drains_come_first_and_no_store_copies_more_than_it_may() {
-    let goal = Goal { copies: 2, most: 10, ..Goal::default() };
+fn draining_stores_come_first_and_copy_limits_are_kept() {
+    let goal = Goal { max_copies: 2, max_changes: 10, ..Goal::default() };
     let mut stores = stores(8, 2);
     let fleet = Fleet::new(80, 4);
-    (stores[1].takes, stores[1].leaves) = (false, true);
+    (stores[1].accepts_blocks, stores[1].evacuate) = (false, true);
     let plan = fleet.plan(&stores, &goal);
-    assert!(plan.wishes[0].urgent && plan.later > 0);
-    assert!(plan.wishes.len() <= 10);
-    let (mut ins, mut outs) = (HashMap::new(), HashMap::new());
-    for planned in &plan.wishes {
-        if let Wish::Move(_, from, to) = planned.wish {
-            *ins.entry(to).or_insert(0) += 1;
-            *outs.entry(from).or_insert(0) += 1;
+    assert!(plan.changes[0].urgent && plan.deferred > 0);
+    assert!(plan.changes.len() <= 10);
+    let (mut copies_in, mut copies_out) = (HashMap::new(), HashMap::new());
+    for planned in &plan.changes {
+        if let ChangeRequest::Move(_, from, to) = planned.change {
+            *copies_in.entry(to).or_insert(0) += 1;
+            *copies_out.entry(from).or_insert(0) += 1;
         }
     }
-    assert!(ins.values().chain(outs.values()).all(|n| *n <= 2), "{ins:?} {outs:?}");
+    assert!(copies_in.values().chain(copies_out.values()).all(|n| *n <= 2), "{copies_in:?} {copies_out:?}");
 }
 
 #[test]
-fn what_can_not_be_helped_is_said() {
+fn blocks_that_cannot_be_helped_are_reported() {
     let goal = Goal::default();
     let mut stores = stores(2, 2);
     let fleet = Fleet::new(4, 2);
-    (stores[0].takes, stores[0].leaves) = (false, true);
+    (stores[0].accepts_blocks, stores[0].evacuate) = (false, true);
     let plan = fleet.plan(&stores, &goal);
-    assert!(plan.wishes.is_empty());
-    assert_eq!(plan.stranded.len(), 4);
-    // No holder answers: nothing can be copied.
-    stores.iter_mut().for_each(|store| (store.sound, store.takes) = (false, false));
+    assert!(plan.changes.is_empty());
+    assert_eq!(plan.unresolved.len(), 4);
+    // No holder responds, so nothing can be copied.
+    stores.iter_mut().for_each(|store| (store.responds, store.accepts_blocks) = (false, false));
     let plan = fleet.plan(&stores, &goal);
-    assert_eq!(plan.stranded.len(), 4);
-    assert!(plan.stranded[0].1.contains("no holder answers"), "{:?}", plan.stranded);
+    assert_eq!(plan.unresolved.len(), 4);
+    assert!(plan.unresolved[0].1.contains("no holder answers"), "{:?}", plan.unresolved);
 }
 
 #[test]
-fn a_lost_store_is_made_up_for_from_the_other_holder() {
+fn replicas_of_a_lost_store_are_copied_from_the_other_holder() {
     let goal = Goal::default();
     let mut stores = stores(4, 2);
     let mut fleet = Fleet::new(8, 4);
-    (stores[2].sound, stores[2].takes) = (false, false);
+    (stores[2].responds, stores[2].accepts_blocks) = (false, false);
     fleet.settle(&stores, &goal);
     for block in fleet.map.blocks() {
         assert!(block.holders().filter(|s| s.0 != 2).count() >= 2, "{}", block.id);
@@ -166,31 +166,38 @@
 }
 
 #[test]
-fn hot_blocks_split_cold_ones_merge_and_nothing_flaps() {
-    let goal = Goal { split_above: 10.0, merge_below: 4.0, uneven: 9.0, ..Goal::default() };
+fn hot_blocks_split_cold_ones_merge_and_plans_do_not_oscillate() {
+    let goal = Goal { split_above: 10.0, merge_below: 4.0, imbalance_start: 9.0, ..Goal::default() };
     let stores = stores(4, 2);
     let mut fleet = Fleet::new(8, 4);
     fleet.loads.values_mut().for_each(|load| load.load = 6.0);
-    assert!(fleet.plan(&stores, &goal).wishes.is_empty());
+    assert!(fleet.plan(&stores, &goal).changes.is_empty());
     fleet.loads.get_mut(&BlockId(3)).unwrap().load = 11.0;
     let plan = fleet.plan(&stores, &goal);
-    assert_eq!(plan.wishes.iter().map(|p| &p.wish).collect::<Vec<_>>(), [&Wish::Split(BlockId(3), 350)]);
-    fleet.loads.get_mut(&BlockId(3)).unwrap().rested = false;
-    assert!(fleet.plan(&stores, &goal).wishes.is_empty(), "it has just been changed");
-    // Neighbours 0 and 1 have other holders; 0 and 4 are none. Only neighbours on the same stores merge.
+    assert_eq!(
+        plan.changes.iter().map(|p| &p.change).collect::<Vec<_>>(),
+        [&ChangeRequest::Split(BlockId(3), 350)]
+    );
+    fleet.loads.get_mut(&BlockId(3)).unwrap().is_changeable = false;
+    assert!(fleet.plan(&stores, &goal).changes.is_empty(), "it has just been changed");
+    // Blocks 0 and 1 are adjacent but have different holders; blocks 0 and 4 are not adjacent. Only adjacent
+    // blocks on the same stores are merged.
     fleet.loads.values_mut().for_each(|load| load.load = 1.0);
-    assert!(fleet.plan(&stores, &goal).wishes.is_empty());
+    assert!(fleet.plan(&stores, &goal).changes.is_empty());
     let mut near = Fleet::new(4, 2);
-    near.loads.values_mut().for_each(|load| (load.load, load.rested) = (1.5, true));
+    near.loads.values_mut().for_each(|load| (load.load, load.is_changeable) = (1.5, true));
     let plan = near.plan(&stores[..2], &goal);
-    let merges: Vec<_> = plan.wishes.iter().map(|p| &p.wish).collect();
-    assert_eq!(merges, [&Wish::Merge(BlockId(0), BlockId(1)), &Wish::Merge(BlockId(2), BlockId(3))]);
-    // Halves of a split block have more together than what is merged.
+    let merges: Vec<_> = plan.changes.iter().map(|p| &p.change).collect();
+    assert_eq!(
+        merges,
+        [&ChangeRequest::Merge(BlockId(0), BlockId(1)), &ChangeRequest::Merge(BlockId(2), BlockId(3))]
+    );
+    // The halves of a split block together have more load than the merge threshold.
     assert!(goal.split_above > goal.merge_below);
 }
 
 #[test]
-fn random_fleets_settle_and_stay_settled() {
+fn random_fleets_reach_a_stable_placement() {
     for seed in 0..60 {
         let mut rng = Rng::with_seed(seed);
         let zones = rng.u32(2..4);
@@ -199,19 +206,19 @@
         for store in &mut stores {
             store.capacity = rng.f64() * 0.5 + 0.75;
         }
-        // Half of the fleets lose a store, but never the last of a zone.
+        // Half of the fleets lose a store, but never the last one of a zone.
         let drains = (seed % 2 == 0).then(|| rng.u32(..count));
         if let Some(n) = drains {
-            (stores[n as usize].takes, stores[n as usize].leaves) = (false, true);
+            (stores[n as usize].accepts_blocks, stores[n as usize].evacuate) = (false, true);
         }
         let mut fleet = Fleet::new(rng.u32(80..200), count);
-        let goal = Goal { copies: 100, most: 1000, ..Goal::default() };
+        let goal = Goal { max_copies: 100, max_changes: 1000, ..Goal::default() };
         fleet.settle(&stores, &goal);
         let after = fleet.plan(&stores, &goal);
-        assert!(after.wishes.is_empty(), "seed {seed}: {:?}", after.wishes);
+        assert!(after.changes.is_empty(), "seed {seed}: {:?}", after.changes);
         match drains {
             Some(n) => assert_eq!(fleet.count(n), 0, "seed {seed}"),
-            None => assert!(after.skew.0 < 1.0 + goal.uneven + 0.1, "seed {seed}: {}", after.skew.0),
+            None => assert!(after.skew.0 < 1.0 + goal.imbalance_start + 0.1, "seed {seed}: {}", after.skew.0),
         }
         for block in fleet.map.blocks() {
             let zones: HashSet<u32> = block.holders().map(|s| s.0 % zones).collect();
--- a/broker/crates/blocks/tests/maps/brute.rs
+++ b/broker/crates/blocks/tests/validator_maps/brute.rs
@@ -1,16 +1,17 @@
-//! The validator once more, the slow way: key by key, and for a passage every store's version by itself.
+//! Brute-force validator: evaluates key by key, and for a transition every combination of versions of the
+//! stores.
 
 use std::collections::BTreeSet;
 
-use gingerledge_blocks::validate::{Draft, Fault, Finding, Passage, Row, Site, Standing, Unfit};
-use gingerledge_blocks::{StoreId, REPLICAS_MOST};
+use gingerledge_blocks::validate::{Draft, Fault, Finding, Row, Site, Standing, Transition, Unfit};
+use gingerledge_blocks::{StoreId, MAX_REPLICAS};
 
-/// Findings cut down to single keys, or to what they say of a block or a store: a set that both ways have to give.
-pub type Said = BTreeSet<String>;
+/// Findings reduced to single keys, or to a block or a store, as a set that both validators must produce.
+pub type FaultSet = BTreeSet<String>;
 
-/// What the validator said.
-pub fn said(findings: &[Finding]) -> Said {
-    let mut all = Said::new();
+/// Converts findings of the validator.
+pub fn fault_set(findings: &[Finding]) -> FaultSet {
+    let mut all = FaultSet::new();
     for finding in findings {
         let (keys, blocks) = (finding.keys, &finding.blocks);
         let ids: Vec<u32> = blocks.iter().map(|id| id.0).collect();
@@ -54,9 +55,9 @@
     draft.sites.iter().find(|site| site.store == store).map(|site| site.standing)
 }
 
-/// Everything that is wrong with a map of few keys.
-pub fn faults(draft: &Draft) -> Said {
-    let mut all = Said::new();
+/// Returns all faults of a map with few keys.
+pub fn faults(draft: &Draft) -> FaultSet {
+    let mut all = FaultSet::new();
     let has = |row: &&Row, key: u64| row.span.first <= key && key < row.span.end;
     let lowest = draft.rows.iter().map(|row| row.span.first.min(row.span.end)).min().unwrap_or(0);
     let highest = draft.rows.iter().map(|row| row.span.first.max(row.span.end)).max().unwrap_or(0);
@@ -72,28 +73,28 @@
     }
     for (n, row) in draft.rows.iter().enumerate() {
         let (ids, span) = ([row.id.0], row.span);
-        let mut say = |what: &str| {
+        let mut add_fault = |what: &str| {
             all.insert(format!("{what} {ids:?} {span}"));
         };
         if span.first == span.end {
-            say("empty");
+            add_fault("empty");
         } else if span.first > span.end {
-            say("reversed");
+            add_fault("reversed");
         } else if span.first < draft.keys.first || span.end > draft.keys.end {
-            say("outside");
+            add_fault("outside");
         }
         if draft.rows[..n].iter().any(|before| before.id == row.id) {
-            say("used twice");
+            add_fault("used twice");
         }
         if draft.retired.contains(&row.id) {
-            say("used again");
+            add_fault("used again");
         }
         let mut sound: BTreeSet<StoreId> = BTreeSet::new();
         let mut seen = BTreeSet::new();
         for (n, store) in row.holders.iter().chain(&row.copying).enumerate() {
             let copies = n >= row.holders.len();
             if !seen.insert(*store) {
-                say(&format!("held twice {store}"));
+                add_fault(&format!("held twice {store}"));
                 continue;
             }
             let why = match standing(draft, *store) {
@@ -107,17 +108,17 @@
                     continue;
                 }
             };
-            say(&format!("{why:?} {store} {copies}"));
+            add_fault(&format!("{why:?} {store} {copies}"));
         }
         let zones: BTreeSet<u16> =
             draft.sites.iter().filter(|site| sound.contains(&site.store)).map(|site| site.zone).collect();
-        if sound.len() < draft.least.holders as usize {
-            say(&format!("holders {}", sound.len()));
+        if sound.len() < draft.minimum.holders as usize {
+            add_fault(&format!("holders {}", sound.len()));
         }
-        if !row.holders.is_empty() && zones.len() < draft.least.zones as usize {
-            say(&format!("zones {}", zones.len()));
+        if !row.holders.is_empty() && zones.len() < draft.minimum.zones as usize {
+            add_fault(&format!("zones {}", zones.len()));
         }
-        assert!(seen.len() <= REPLICAS_MOST);
+        assert!(seen.len() <= MAX_REPLICAS);
     }
     for (n, site) in draft.sites.iter().enumerate() {
         if draft.sites[..n].iter().any(|before| before.store == site.store) {
@@ -127,11 +128,11 @@
         let held = draft.rows.iter().filter(|row| row.holders.contains(&site.store));
         let load: f64 = held
             .map(|row| {
-                let of = |other: &&Site| row.holders.contains(&other.store) && other.standing.sound();
+                let of = |other: &&Site| row.holders.contains(&other.store) && other.standing.is_usable();
                 let first = |n: usize| draft.sites[..n].iter().all(|s| s.store != draft.sites[n].store);
                 let sites = draft.sites.iter().enumerate().filter(|(n, other)| of(other) && first(*n));
                 let (all, count) = sites.fold((0.0, 0), |(sum, n), (_, other)| (sum + other.capacity, n + 1));
-                match (site.standing.sound(), all > 0.0) {
+                match (site.standing.is_usable(), all > 0.0) {
                     (false, _) => 0.0,
                     (true, true) => row.load * site.capacity / all,
                     (true, false) => row.load / f64::from(count),
@@ -145,9 +146,9 @@
     all
 }
 
-/// Everything that is wrong with a passage, and the keys whose entries wait.
-pub fn passage(old: &Draft, new: &Draft) -> (Said, BTreeSet<u64>) {
-    let (mut all, mut waits) = (Said::new(), BTreeSet::new());
+/// Returns all faults of a transition, and the keys whose entries wait.
+pub fn transition_faults(old: &Draft, new: &Draft) -> (FaultSet, BTreeSet<u64>) {
+    let (mut all, mut waits) = (FaultSet::new(), BTreeSet::new());
     for row in &new.rows {
         if old.retired.contains(&row.id) && !new.retired.contains(&row.id) {
             all.insert(format!("used again {:?} {}", [row.id.0], row.span));
@@ -171,7 +172,7 @@
     key: u64,
     (old, o): (&Draft, &Row),
     (new, n): (&Draft, &Row),
-    all: &mut Said,
+    all: &mut FaultSet,
     waits: &mut BTreeSet<u64>,
 ) {
     let set = |stores: &[StoreId]| stores.iter().copied().collect::<BTreeSet<_>>();
@@ -194,36 +195,38 @@
         known.is_some_and(|standing| standing != Standing::Gone)
     };
     let stores: Vec<StoreId> = before.union(&after).copied().filter(copied).collect();
-    // Every store's version by itself.
+    // Every combination of the versions of the stores.
     for mixture in 0u32..1 << stores.len() {
         let acts_new = |store: &StoreId| mixture >> stores.iter().position(|s| s == store).unwrap() & 1 == 1;
         let lets_go = |store: &StoreId| before.contains(store) && !after.contains(store);
         let takes_over = |store: &StoreId| !before.contains(store);
-        // The fence: nobody takes over before all who let go have done so.
+        // With the fence, no store takes over before all stores that give the key up have done so.
         let taken_over = stores.iter().any(|store| takes_over(store) && acts_new(store));
         let still = stores.iter().any(|store| lets_go(store) && !acts_new(store));
         if n.epoch > o.epoch && taken_over && still {
             continue;
         }
-        let takes: Vec<StoreId> = stores
+        let entry_stores: Vec<StoreId> = stores
             .iter()
             .copied()
             .filter(|store| if acts_new(store) { after.contains(store) } else { before.contains(store) })
             .collect();
-        if !takes.iter().all(|store| before.contains(store))
-            && !takes.iter().all(|store| after.contains(store))
+        if !entry_stores.iter().all(|store| before.contains(store))
+            && !entry_stores.iter().all(|store| after.contains(store))
         {
             all.insert(format!("two sets {key}"));
         }
-        if takes.is_empty() && n.epoch > o.epoch {
+        if entry_stores.is_empty() && n.epoch > o.epoch {
             waits.insert(key);
         }
         for broker_new in [false, true] {
-            let told = broker_new || mixture != 0;
+            let is_published = broker_new || mixture != 0;
             let reads = |store: &&StoreId| {
-                let kept = before.contains(store) && after.contains(store);
+                let is_kept = before.contains(store) && after.contains(store);
                 answers(store)
-                    && (kept || (lets_go(store) && !acts_new(store)) || (takes_over(store) && told))
+                    && (is_kept
+                        || (lets_go(store) && !acts_new(store))
+                        || (takes_over(store) && is_published))
             };
             if !stores.iter().any(|store| reads(&store)) {
                 all.insert(format!("unreadable {key}"));
@@ -232,8 +235,8 @@
     }
 }
 
-/// What the validator said of a passage, in the same words.
-pub fn said_of(passage: &Passage) -> (Said, BTreeSet<u64>) {
-    let waits = passage.waits.iter().flat_map(|wait| wait.keys.first..wait.keys.end).collect();
-    (said(&passage.findings), waits)
+/// Converts the result of the validator for a transition.
+pub fn transition_fault_set(result: &Transition) -> (FaultSet, BTreeSet<u64>) {
+    let waits = result.waits.iter().flat_map(|wait| wait.keys.first..wait.keys.end).collect();
+    (fault_set(&result.findings), waits)
 }
--- a/broker/src/cli/validate.rs
+++ b/broker/src/cli/validate.rs
@@ -4,7 +4,7 @@
 use std::io::{Read, Write};
 use std::path::Path;
 
-use gingerledge_blocks::validate::{faults, passage, Bounds, Document, Fault, Finding, Names, Passage};
+use gingerledge_blocks::validate::{faults, transition, Bounds, Document, Fault, Finding, Names, Transition};
 use serde_json::{json, Value};
 
 /// Prints all faults.
@@ -18,12 +18,13 @@
     let old = against.map(|path| read(path, &mut names, &bounds).map(|old| (path, old))).transpose()?;
     let store_name = |store| names.text(store);
     let mut findings: Vec<(&Path, Finding)> = Vec::new();
-    let mut transition = Passage::default();
+    let mut checked_transition = Transition::default();
     findings.extend(faults(&new.draft, &store_name).into_iter().map(|finding| (file, finding)));
     if let Some((path, old)) = &old {
         // Faults of the old map may be the reason for the new one, so only those that make its holders ambiguous are
         // reported.
-        let ambiguous = faults(&old.draft, &store_name).into_iter().filter(|finding| finding.fault.unclear());
+        let ambiguous =
+            faults(&old.draft, &store_name).into_iter().filter(|finding| finding.fault.is_ambiguous());
         findings.extend(ambiguous.map(|finding| (*path, finding)));
         if let Some((held, next)) = old.version.zip(new.version) {
             if held.checked_add(1) != Some(next) {
@@ -31,8 +32,8 @@
                 findings.push((file, Finding { fault, keys: None, blocks: Vec::new(), lines: Vec::new() }));
             }
         }
-        transition = passage(&old.draft, &new.draft, &store_name);
-        findings.extend(transition.findings.drain(..).map(|finding| (file, finding)));
+        checked_transition = transition(&old.draft, &new.draft, &store_name);
+        findings.extend(checked_transition.findings.drain(..).map(|finding| (file, finding)));
     }
     let mut lines = String::new();
     if as_json {
@@ -44,13 +45,14 @@
         };
         let faults: Vec<Value> = findings.iter().map(fault).collect();
         let (sound, blocks) = (faults.is_empty(), new.draft.rows.len());
-        let all = json!({ "sound": sound, "blocks": blocks, "faults": faults, "waits": transition.waits });
+        let all =
+            json!({ "sound": sound, "blocks": blocks, "faults": faults, "waits": checked_transition.waits });
         lines = format!("{all}\n");
     } else {
         for (path, finding) in &findings {
             lines += &format!("{}: {finding}\n", path.display());
         }
-        for wait in &transition.waits {
+        for wait in &checked_transition.waits {
             lines += &format!(
                 "{}: keys {}: block {}: entries wait while {} lets go and {} takes over, and are told `later`\n",
                 file.display(),
--- a/broker/src/config/blocks.rs
+++ b/broker/src/config/blocks.rs
@@ -6,7 +6,7 @@
 use std::path::PathBuf;
 
 use gingerledge_background::{Budget, Rate};
-use gingerledge_blocks::{Bounds, Goal, Patience, Span, REPLICAS_MOST};
+use gingerledge_blocks::{Bounds, Goal, Span, Timeouts, MAX_REPLICAS as REPLICAS_MOST};
 use serde::Deserialize;
 
 use super::Error;
@@ -189,7 +189,8 @@
             let fault = "needs an operators' door (admin_addr): the other brokers follow the map there";
             return Err(Error::new(key("coordinate"), fault));
         }
-        let patience = Patience { step_ms: table.step_ms, lag: table.lag, ..Patience::default() };
+        let timeouts =
+            Timeouts { step_timeout_ms: table.step_ms, max_lag_entries: table.lag, ..Timeouts::default() };
         let rate = |per_s: f64| Rate { per_s, burst: per_s / 5.0 };
         Ok(Self {
             dir,
@@ -202,7 +203,7 @@
                 retired: table.retired_max,
                 stores: table.stores_max,
                 changes: table.changes_max,
-                patience,
+                timeouts,
                 ..Bounds::default()
             },
             planning,
@@ -210,12 +211,12 @@
             rest_ms: table.rest_ms,
             goal: Goal {
                 replicas: table.replicas,
-                uneven: table.uneven,
-                even: table.even,
+                imbalance_start: table.uneven,
+                imbalance_target: table.even,
                 split_above: table.split_above,
                 merge_below: table.merge_below,
-                copies: table.copies,
-                most: table.changes_max,
+                max_copies: table.copies,
+                max_changes: table.changes_max,
             },
             budget: Budget {
                 bytes: rate(table.copy_bytes_per_s),
@@ -240,7 +241,7 @@
         if !numbers.insert(table.block) {
             return Err(Error::new(key("block"), format!("{} stands twice", table.block)));
         }
-        if let Some(other) = found.iter().find(|other| other.span.meet(span).is_some()) {
+        if let Some(other) = found.iter().find(|other| other.span.intersection(span).is_some()) {
             let fault = format!("overlaps block {}, which has {}", other.block, other.span);
             return Err(Error::new(key("first"), fault));
         }
