--- a/broker/crates/blocks/src/log.rs
+++ b/broker/crates/blocks/src/log.rs
@@ -1,6 +1,6 @@
 //! Encoding of the coordinator's log: records that consist of a length, a checksum and a postcard value. A log
 //! that is cut off anywhere can be read up to its last complete record, and a record with any changed byte is
-//! rejected. [`Disk`] abstracts durable storage: the broker implements it with a file, and [`ForgetfulDisk`]
+//! rejected. [`Disk`] abstracts durable storage: the broker implements it with a file, and [`SimulatedDisk`]
 //! here loses exactly what a crash would lose.
 
 use std::io;
--- a/broker/crates/blocks/src/map/apply.rs
+++ b/broker/crates/blocks/src/map/apply.rs
@@ -19,7 +19,7 @@
         Ok(())
     }
 
-    /// Applies all pages that [`BlockMap::since`] returned, with later records of a block replacing earlier
+    /// Applies all pages that [`BlockMap::changes_since`] returned, with later records of a block replacing earlier
     /// ones. Either all changes between the current version and `version` are applied, or none.
     pub fn catch_up(&mut self, records: Vec<Record>, version: u64) -> Result<(), MapError> {
         if version < self.version {
@@ -34,7 +34,7 @@
         Ok(())
     }
 
-    /// Reduces the records of [`BlockMap::since`] to those that change this map: the last record of each block,
+    /// Reduces the records of [`BlockMap::changes_since`] to those that change this map: the last record of each block,
     /// without records that the map already contains.
     pub fn new_records(&self, records: Vec<Record>) -> Vec<Record> {
         let mut last: BTreeMap<BlockId, Record> = BTreeMap::new();
