--- a/broker/src/front/features/mod.rs
+++ b/broker/src/front/features/mod.rs
@@ -43,7 +43,7 @@
     pub overload_retry_ms: Millis,
     /// Number in the name of the latest query. It starts at a value that differs between processes, so that names are
     /// unique.
-    pub next_query_number: Cell<u64>,
+    pub last_query_number: Cell<u64>,
 }
 
 fn json_reply(status: u16, kind: &str, value: &Value) -> Reply {
@@ -269,13 +269,13 @@
         if blocks.is_empty() {
             return Ok(Accepted::Reply(page_builder.reply(&[])));
         }
-        self.next_query_number.set(self.next_query_number.get().wrapping_add(1));
+        self.last_query_number.set(self.last_query_number.get().wrapping_add(1));
         let now = self.clock.now();
         let deadline = now + collection.timeout_ms;
         let weight = 1.0 / blocks.len() as f64;
         let part = |shard: &u32| PartRequest { shard: *shard, weight, ..PartRequest::default() };
         let query = Query {
-            name: format!("f{:016x}", self.next_query_number.get()).into(),
+            name: format!("f{:016x}", self.last_query_number.get()).into(),
             class: collection.class,
             tenant,
             deadline,
--- a/broker/src/service.rs
+++ b/broker/src/service.rs
@@ -261,7 +261,7 @@
             let (listener, at) = listen("listen", set.listen, handover::listen_shared)?;
             let front = FeatureFront {
                 base_url: set.base_url.clone().unwrap_or_else(|| format!("http://{at}")).into(),
-                next_query_number: Cell::new(first_query_number(config.seed, clock.now())),
+                last_query_number: Cell::new(first_query_number(config.seed, clock.now())),
                 config: set,
                 exchange: exchange.clone(),
                 clock,
