--- a/broker/crates/blocks/src/validate/map.rs
+++ b/broker/crates/blocks/src/validate/map.rs
@@ -37,17 +37,17 @@
 }
 
 /// Returns all faults of a map on its own.
-pub fn faults(draft: &Draft, text: &dyn Fn(StoreId) -> String) -> Vec<Finding> {
+pub fn faults(draft: &Draft, store_name: &dyn Fn(StoreId) -> String) -> Vec<Finding> {
     let mut found = Vec::new();
     let sites = draft.sites_by_store();
     let standing = |store| sites.get(&store).map(|site: &&Site| site.standing);
-    let known = StoreInfo { standing: &standing, store_name: text };
+    let known = StoreInfo { standing: &standing, store_name };
     if draft.keys.is_empty() {
         let reversed = draft.keys.end < draft.keys.first;
         found.push(Finding::new(if reversed { Fault::Reversed } else { Fault::Empty }, draft.keys));
     }
     let mut cover = build_coverage(&sites);
-    check_sites(draft, text, &mut found);
+    check_sites(draft, store_name, &mut found);
     check_ids(draft, &mut found);
     for row in &draft.rows {
         if !check_span(row, &mut found)
@@ -59,7 +59,7 @@
         check_redundancy(row, draft, &mut cover, &mut found);
     }
     check_tiling(&draft.rows, Some(draft.keys), &mut found);
-    check_capacity(draft, &sites, text, &mut found);
+    check_capacity(draft, &sites, store_name, &mut found);
     found
 }
 
@@ -67,11 +67,11 @@
     Finding::new(fault, row.span).block(row.id, row.line)
 }
 
-fn check_sites(draft: &Draft, text: &dyn Fn(StoreId) -> String, found: &mut Vec<Finding>) {
+fn check_sites(draft: &Draft, store_name: &dyn Fn(StoreId) -> String, found: &mut Vec<Finding>) {
     let mut seen: FxHashMap<StoreId, u32> = FxHashMap::default();
     for site in &draft.sites {
         if let Some(line) = seen.insert(site.store, site.line) {
-            let fault = Fault::StoreTwice { store: text(site.store) };
+            let fault = Fault::StoreTwice { store: store_name(site.store) };
             found.push(Finding::new(fault, None).line(line).line(site.line));
         }
         if !(site.capacity.is_finite() && site.capacity >= 0.0) {
@@ -228,7 +228,7 @@
 fn check_capacity(
     draft: &Draft,
     sites: &FxHashMap<StoreId, &Site>,
-    text: &dyn Fn(StoreId) -> String,
+    store_name: &dyn Fn(StoreId) -> String,
     found: &mut Vec<Finding>,
 ) {
     let mut carried: BTreeMap<StoreId, (f64, Vec<&Row>)> = BTreeMap::new();
@@ -249,7 +249,7 @@
         let Some(site) = sites.get(&store).filter(|site| site.capacity.is_finite()) else { continue };
         // Shares are fractions, so their sum is subject to rounding errors.
         if load > site.capacity * (1.0 + 1e-9) + 1e-9 {
-            let fault = Fault::Capacity { store: text(store), load, room: site.capacity };
+            let fault = Fault::Capacity { store: store_name(store), load, room: site.capacity };
             let keys = rows.iter().map(|row| row.span).filter(|span| !span.is_empty());
             let keys = keys.reduce(|a, b| Span::new(a.first.min(b.first), a.end.max(b.end)));
             let finding = Finding::new(fault, keys).line(site.line);
--- a/broker/crates/blocks/src/validate/mod.rs
+++ b/broker/crates/blocks/src/validate/mod.rs
@@ -24,11 +24,11 @@
 
 /// Checks the transition from one map to the next, each of which is checked on its own with [`faults`]. This is
 /// a pure function of both maps: equal maps give equal findings.
-pub fn transition(old: &Draft, new: &Draft, text: &dyn Fn(StoreId) -> String) -> Transition {
+pub fn transition(old: &Draft, new: &Draft, store_name: &dyn Fn(StoreId) -> String) -> Transition {
     let (before, after) = (old.sites_by_store(), new.sites_by_store());
     // The state of a store in the new map takes precedence; a store that the new map omits keeps its state.
     let standing = |store| after.get(&store).or(before.get(&store)).map(|site| site.standing);
-    let known = map::StoreInfo { standing: &standing, store_name: text };
+    let known = map::StoreInfo { standing: &standing, store_name };
     let mut result = transition::check_transition(&old.rows, &new.rows, Some(new.keys), &known);
     let named: FxHashSet<&BlockId> = new.retired.iter().collect();
     let ended: FxHashSet<&BlockId> = old.retired.iter().filter(|id| !named.contains(id)).collect();
